--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -5,7 +5,7 @@
 use alderway_controller::driver::{self, Plan};
 use alderway_controller::subscriptions::Subscriptions;
 use alderway_operator::{LogForm, Operator};
-use alderway_router::life::logger::{self, Form};
+use alderway_router::lifecycle::logger::{self, Form};
 use alderway_router::tier::post;
 use clap::Args;
 use std::io;
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -8,14 +8,14 @@
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, kept};
-use alderway_router::life::logger::{self, Form};
-use alderway_router::life::start::Role;
-use alderway_router::life::{serve, start};
-use alderway_router::memory::clock::Clock;
-use alderway_router::memory::descriptors;
-use alderway_router::memory::ground::Following;
-use alderway_router::memory::house::Sharing;
-use alderway_router::peers::{Circle, Members};
+use alderway_router::gossip::{Circle, Members};
+use alderway_router::lifecycle::logger::{self, Form};
+use alderway_router::lifecycle::start::Role;
+use alderway_router::lifecycle::{serve, start};
+use alderway_router::state::clock::Clock;
+use alderway_router::state::descriptors;
+use alderway_router::state::ground::Following;
+use alderway_router::state::house::Sharing;
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -210,7 +210,7 @@
         ("discovery", station.discovery.to_string()),
         ("data nodes known", station.roster.nodes.len().to_string()),
         ("verticals", station.verticals.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
-        ("queries and parts held", station.room.room.to_string()),
+        ("queries and parts held", station.room.max_open.to_string()),
         ("descriptors", station.sockets.to_string()),
         ("memory", format!("{} MiB", station.memory / 1024 / 1024)),
         ("cores", sharing.cores.to_string()),
--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -10,7 +10,7 @@
             "settings are larger than routers are told: {length} bytes of {LARGEST} at most"
         ));
     }
-    alderway_router::life::settings::check(settings, before).map(drop)
+    alderway_router::lifecycle::settings::check(settings, before).map(drop)
 }
 
 /// Settings as a file gives them: by themselves, or as the key `settings` of a router's configuration.
--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -7,7 +7,7 @@
 use alderway_lab::load::{self, Load, Pace};
 use alderway_lab::model::{Fault, Make};
 use alderway_lab::program::{Build, Program, Setting};
-use alderway_router::memory::descriptors;
+use alderway_router::state::descriptors;
 use common::{Client, PATIENCE};
 use nix::sys::signal::Signal;
 use rstest::rstest;
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -6,7 +6,7 @@
 use alderway_control::machine::{Answer, Asker, Machine, Name, TICK};
 use alderway_control::outlet::{Outlet, Summary};
 use alderway_control::version::{Number, Proposal};
-use alderway_router::memory::clock::Clock;
+use alderway_router::state::clock::Clock;
 use alderway_sockets::signals::Signals;
 use nix::sys::signal::Signal;
 use serde_json::Value;
--- a/crates/controller/src/subscriptions.rs
+++ b/crates/controller/src/subscriptions.rs
@@ -5,7 +5,7 @@
 use alderway_control::publisher::{Met, Publisher, Terms};
 use alderway_control::version::{Number, Version};
 use alderway_control::words::{Say, Tell};
-use alderway_router::memory::clock::Clock;
+use alderway_router::state::clock::Clock;
 use alderway_router::tier::links::greet;
 use alderway_sockets::Sender;
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
--- a/crates/cores/src/board.rs
+++ b/crates/cores/src/board.rs
@@ -1,23 +1,25 @@
-//! The newest evidence of each data node, kept by the lead for cores that start anew. Evidence that has run out is
+//! The newest evidence of each data node, kept by the lead for cores that start anew. NodeObservation that has run out is
 //! given back, as is that of nodes that the roster no longer names.
-use alderway::host::Evidence;
+use alderway::interface::NodeObservation;
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub struct Board(BTreeMap<String, Evidence>);
+pub struct Board(BTreeMap<String, NodeObservation>);
 
-fn ends(word: &Evidence) -> f64 {
-    word.seen + word.late.max(word.far).max(word.sick)
+fn ends(word: &NodeObservation) -> f64 {
+    word.observed_at_s + word.slow_for_s.max(word.very_slow_for_s).max(word.unresponsive_for_s)
 }
 
 impl Board {
     /// Takes in what a core told; older word than is held says nothing.
-    pub fn note(&mut self, node: &str, word: Evidence) {
-        if self.0.get(node).is_some_and(|held| held.started == word.started && held.seen >= word.seen) {
+    pub fn note(&mut self, node: &str, word: NodeObservation) {
+        if self.0.get(node).is_some_and(|held| {
+            held.started_at_s == word.started_at_s && held.observed_at_s >= word.observed_at_s
+        }) {
             return;
         }
         // Word that a node is sound ends what was held against it, and is no more than that.
-        if ends(&word) <= word.seen {
+        if ends(&word) <= word.observed_at_s {
             self.0.remove(node);
         } else {
             self.0.insert(node.into(), word);
@@ -30,7 +32,7 @@
     }
 
     /// What a core that starts now should hear.
-    pub fn tell(&self, now: f64) -> Vec<(String, Evidence)> {
+    pub fn tell(&self, now: f64) -> Vec<(String, NodeObservation)> {
         let holds = self.0.iter().filter(|(_, word)| ends(word) > now);
         holds.map(|(node, word)| (node.clone(), *word)).collect()
     }
--- a/crates/cores/tests/stories.rs
+++ b/crates/cores/tests/stories.rs
@@ -1,5 +1,5 @@
 //! Stories of what cores share: each plays a failure that the sharing is there for.
-use alderway::host::{Common, Evidence};
+use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::balance::{Balance, Load, Move};
 use alderway_cores::board::Board;
 use alderway_cores::crew::{Crew, State};
@@ -116,8 +116,8 @@
     assert_eq!(fence.passes(0, 12.1), Ok(()));
 }
 
-fn late(seen: f64, late: f64) -> Evidence {
-    Evidence { seen, late, ..Evidence::default() }
+fn late(seen: f64, late: f64) -> NodeObservation {
+    NodeObservation { observed_at_s: seen, slow_for_s: late, ..NodeObservation::default() }
 }
 
 #[rstest]
@@ -219,16 +219,16 @@
         steps in prop::collection::vec((0..4u8, any::<bool>()), 1..400),
     ) {
         let (ratio, capacity) = (0.1, 5.0);
-        let house = Common::new(4);
+        let house = SharedLimits::new(4);
         house.fill(capacity);
-        let cores: Vec<Common> = (0..4).map(|core| house.of(core)).collect();
+        let cores: Vec<SharedLimits> = (0..4).map(|core| house.for_core(core)).collect();
         let mut log: Vec<(f64, f64)> = vec![];
         for (core, pays) in steps {
             let core = &cores[usize::from(core)];
             if pays {
-                log.push((0.0, f64::from(u8::from(core.pay()))));
+                log.push((0.0, f64::from(u8::from(core.try_withdraw()))));
             } else {
-                core.earn(ratio, capacity);
+                core.deposit(ratio, capacity);
                 log.push((ratio, 0.0));
             }
             // A core that starts anew finds what is left, not a full bucket.
@@ -249,13 +249,13 @@
     fn cores_never_share_a_cold_nodes_span(
         steps in prop::collection::vec((0..4u8, 0.0..0.4f64, 0.2..1.0f64), 1..200),
     ) {
-        let house = Common::new(4);
-        let cores: Vec<Common> = (0..4).map(|core| house.of(core)).collect();
+        let house = SharedLimits::new(4);
+        let cores: Vec<SharedLimits> = (0..4).map(|core| house.for_core(core)).collect();
         let (mut now, mut sent) = (1.0, VecDeque::<(f64, f64, u8)>::new());
         let mut by = BTreeMap::new();
         for (core, pause, span) in steps {
             now += pause;
-            if cores[usize::from(core)].cold_turn("cold", now, span) {
+            if cores[usize::from(core)].try_slow_start_turn("cold", now, span) {
                 for &(at, span, other) in &sent {
                     prop_assert!(other == core || now >= at + span, "core {core} beside core {other}");
                 }
@@ -264,7 +264,7 @@
             }
         }
         // Nobody who stopped asking keeps the node to itself.
-        prop_assert!(cores.iter().any(|c| c.cold_turn("cold", now + 1.1, 0.1)));
+        prop_assert!(cores.iter().any(|c| c.try_slow_start_turn("cold", now + 1.1, 0.1)));
     }
 
     /// Any order of news and looks: no core passes that lacks a published list, or whose lead has not looked.
@@ -291,22 +291,22 @@
         }
     }
 
-    /// Evidence in any order: the board ends with the newest of each node that still holds.
+    /// NodeObservation in any order: the board ends with the newest of each node that still holds.
     #[test]
     fn the_board_holds_the_newest_word(
         words in prop::collection::vec((0..3u8, 0.0..10.0f64, prop::sample::select(vec![0.0, 1.0, 30.0])), 1..60),
     ) {
-        let (mut board, mut newest) = (Board::default(), BTreeMap::<String, Evidence>::new());
+        let (mut board, mut newest) = (Board::default(), BTreeMap::<String, NodeObservation>::new());
         for (node, seen, span) in words {
             let (node, word) = (format!("n{node}"), late(seen, span));
             // A sound word ends what it is newer than, and is not kept itself.
-            let old = newest.get(&node).filter(|held| held.late > 0.0 && held.seen >= seen);
+            let old = newest.get(&node).filter(|held| held.slow_for_s > 0.0 && held.observed_at_s >= seen);
             if old.is_none() {
                 newest.insert(node.clone(), word);
             }
             board.note(&node, word);
         }
-        let holds = newest.into_iter().filter(|(_, w)| w.late > 0.0 && w.seen + w.late > 10.0);
+        let holds = newest.into_iter().filter(|(_, w)| w.slow_for_s > 0.0 && w.observed_at_s + w.slow_for_s > 10.0);
         prop_assert_eq!(board.tell(10.0), holds.collect::<Vec<_>>());
     }
 }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,7 +1,7 @@
 //! The one place where a deployment's settings become trade types: those that the decision module is started
 //! with, and those that the router on sockets needs for its connections and its room. Both hosts use it.
-use alderway::choice::Router;
-use alderway::host::*;
+use alderway::interface::*;
+use alderway::policy::Policy;
 use serde_json::Value;
 
 pub mod live;
@@ -77,112 +77,125 @@
 }
 
 /// A query router as its settings describe it, with the names of its verticals in their order.
-pub fn router(seed: u64, all: &Value) -> Read<(Router, Vec<String>)> {
+pub fn router(seed: u64, all: &Value) -> Read<(Policy, Vec<String>)> {
     let (terms, names) = terms(all)?;
-    Ok((Router::new(seed, terms), names))
+    Ok((Policy::new(seed, terms), names))
 }
 
 /// What a decision module is started with, or goes by from here on, with the names of its verticals in their order.
-pub fn terms(all: &Value) -> Read<(Terms, Vec<String>)> {
+pub fn terms(all: &Value) -> Read<(PolicyConfig, Vec<String>)> {
     let (extra, limits, rules) = (item(all, "Extra")?, item(all, "Limits")?, item(all, "Obligations")?);
     let mut names = Vec::new();
     let mut verticals = Vec::new();
     for (at, service) in list(all, "Services")?.iter().enumerate() {
         names.push(word(service, "Name")?.to_string());
-        verticals.push(Vertical {
-            slo: seconds(service, "PromiseUs")?,
-            deadline: seconds(service, "DeadlineUs")?,
-            effect: effect(service)?,
-            utility: number(service, "Worth")?,
-            late_share: number(service, "LateShare")?,
-            need: of_each(extra, "ClassNeed", at, 1.0)?,
-            floor: of_each(extra, "FloorByClass", at, 1.0)?,
-            fetch: of_each(extra, "ClassFetch", at, 0.0)? as usize,
+        verticals.push(QueryClass {
+            latency_objective_s: seconds(service, "PromiseUs")?,
+            deadline_s: seconds(service, "DeadlineUs")?,
+            idempotency: effect(service)?,
+            priority_weight: number(service, "Worth")?,
+            late_weight_fraction: number(service, "LateShare")?,
+            complete_fraction: of_each(extra, "ClassNeed", at, 1.0)?,
+            minimum_fraction: of_each(extra, "FloorByClass", at, 1.0)?,
+            second_phase_requests: of_each(extra, "ClassFetch", at, 0.0)? as usize,
         });
     }
     let customer =
-        |t: &Value| Ok(Customer { name: word(t, "Name")?.to_string(), quota: number(t, "QuotaPerS")? });
+        |t: &Value| Ok(Tenant { name: word(t, "Name")?.to_string(), quota_per_s: number(t, "QuotaPerS")? });
     let customers = match all.get("Tenants") {
         None | Some(Value::Null) => vec![],
         Some(_) => list(all, "Tenants")?.iter().map(customer).collect::<Read<Vec<_>>>()?,
     };
-    let placement = Placement {
-        cells: above_zero(extra, "Cells")? as u32,
-        reach: above_zero(extra, "Reach")? as u32,
-        bundle: or(1, extra, "BundleMax", above_zero)?,
-        call_work: or(0.0, extra, "PerCallWorkUs", seconds)?,
-        listed: None,
+    let placement = ShardPlacement {
+        replica_groups: above_zero(extra, "Cells")? as u32,
+        groups_per_shard: above_zero(extra, "Reach")? as u32,
+        max_batch: or(1, extra, "BundleMax", above_zero)?,
+        attempt_overhead_s: or(0.0, extra, "PerCallWorkUs", seconds)?,
+        explicit_holders: None,
     };
     let advice = or(false, limits, "RetryAfter", flag)?;
-    let allowance = Allowance {
-        cancel: flag(limits, "MayCancel")?,
-        parallel: flag(limits, "ParallelTries")?,
-        calls: whole(limits, "MaxAttempts")?,
-        come_back: if advice { Some(seconds(limits, "MaxRetryAfterUs")?) } else { None },
-        follow: word(all, "Discovery")? == "subscribe",
-        over_share: or(1.0, all, "OverShareWorth", number)?,
+    let allowance = RouterCapabilities {
+        can_cancel: flag(limits, "MayCancel")?,
+        can_hedge: flag(limits, "ParallelTries")?,
+        max_attempts: whole(limits, "MaxAttempts")?,
+        max_retry_after_s: if advice { Some(seconds(limits, "MaxRetryAfterUs")?) } else { None },
+        polls_endpoints: word(all, "Discovery")? == "subscribe",
+        over_quota_weight_fraction: or(1.0, all, "OverShareWorth", number)?,
     };
     let budget = match rules.get("ResendRatio") {
         None => None,
-        Some(_) => Some(Budget { free: number(rules, "ExtraFree")?, ratio: number(rules, "ResendRatio")? }),
+        Some(_) => {
+            Some(RetryBudget { burst: number(rules, "ExtraFree")?, ratio: number(rules, "ResendRatio")? })
+        }
     };
     let cold = match rules.get("ColdFrom") {
         None => None,
-        Some(_) => Some(ColdRule {
-            share: number(rules, "ColdFrom")?,
-            warm_up: seconds(rules, "WarmUpUs")?,
-            multiple: number(rules, "FallMultiple")?,
-            span: seconds(rules, "FallUs")?,
+        Some(_) => Some(SlowStartConfig {
+            initial_fraction: number(rules, "ColdFrom")?,
+            warm_up_s: seconds(rules, "WarmUpUs")?,
+            capacity_multiple: number(rules, "FallMultiple")?,
+            window_s: seconds(rules, "FallUs")?,
         }),
     };
     let peers = whole(all, "ReplicasOfMe")?;
-    Ok((Terms { peers, verticals, customers, placement, allowance, budget, cold }, names))
+    Ok((
+        PolicyConfig {
+            router_count: peers,
+            query_classes: verticals,
+            tenants: customers,
+            placement,
+            capabilities: allowance,
+            retry_budget: budget,
+            slow_start: cold,
+        },
+        names,
+    ))
 }
 
 /// What connections to data nodes keep to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trunk {
+pub struct ConnectionConfig {
     /// Parts that one connection carries at once, and most parts in one call.
-    pub places: usize,
-    pub bundle: usize,
+    pub streams_per_connection: usize,
+    pub max_batch: usize,
     /// Seconds after which a dial has failed, and after which a data node closes an idle connection.
-    pub dial: f64,
-    pub idle: f64,
+    pub dial_timeout_s: f64,
+    pub idle_timeout_s: f64,
 }
 
 /// What a router on sockets takes in and how it paces its rounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Intake {
+pub struct AdmissionConfig {
     /// Queries and parts held at once.
-    pub room: usize,
+    pub max_open: usize,
     /// Shards are numbered from 0 to below this.
-    pub shards: u32,
+    pub shard_count: u32,
     /// Least seconds between two rounds.
-    pub tick: f64,
+    pub min_round_interval_s: f64,
     /// The longest SLO time and the longest deadline of any vertical, in seconds.
-    pub slo: f64,
-    pub deadline: f64,
+    pub max_latency_objective_s: f64,
+    pub max_deadline_s: f64,
     /// Roster changes come only when the module asks to follow them.
-    pub follow: bool,
+    pub polls_endpoints: bool,
 }
 
-fn effect(service: &Value) -> Read<Effect> {
+fn effect(service: &Value) -> Read<Idempotency> {
     match word(service, "Effect")? {
-        "idempotent" => Ok(Effect::Repeatable),
-        "deduplicated" => Ok(Effect::Deduplicated { window: seconds(service, "WindowUs")? }),
-        "at_most_once" => Ok(Effect::SideEffecting),
+        "idempotent" => Ok(Idempotency::Idempotent),
+        "deduplicated" => Ok(Idempotency::IdempotentWithKey { window_s: seconds(service, "WindowUs")? }),
+        "at_most_once" => Ok(Idempotency::NonIdempotent),
         _ => Err("a known effect in setting `Effect`".into()),
     }
 }
 
 /// The connections and the intake of a router on sockets.
-pub fn sockets(all: &Value) -> Read<(Trunk, Intake)> {
+pub fn sockets(all: &Value) -> Read<(ConnectionConfig, AdmissionConfig)> {
     let (extra, limits) = (item(all, "Extra")?, item(all, "Limits")?);
-    let trunk = Trunk {
-        places: above_zero(limits, "StreamsPerConn")?,
-        bundle: or(1, extra, "BundleMax", above_zero)?,
-        dial: span(limits, "DialTimeoutUs")?,
-        idle: span(limits, "KeepaliveUs")?,
+    let trunk = ConnectionConfig {
+        streams_per_connection: above_zero(limits, "StreamsPerConn")?,
+        max_batch: or(1, extra, "BundleMax", above_zero)?,
+        dial_timeout_s: span(limits, "DialTimeoutUs")?,
+        idle_timeout_s: span(limits, "KeepaliveUs")?,
     };
     let (mut slo, mut deadline) = (0.0f64, 0.0f64);
     for (at, service) in list(all, "Services")?.iter().enumerate() {
@@ -195,13 +208,13 @@
     if deadline == 0.0 {
         return Err("at least one vertical in setting `Services`".into());
     }
-    let intake = Intake {
-        room: above_zero(limits, "MaxOpen")?,
-        shards: above_zero(extra, "Slices")? as u32,
-        tick: span(all, "TickUs")?,
-        slo,
-        deadline,
-        follow: word(all, "Discovery")? == "subscribe",
+    let intake = AdmissionConfig {
+        max_open: above_zero(limits, "MaxOpen")?,
+        shard_count: above_zero(extra, "Slices")? as u32,
+        min_round_interval_s: span(all, "TickUs")?,
+        max_latency_objective_s: slo,
+        max_deadline_s: deadline,
+        polls_endpoints: word(all, "Discovery")? == "subscribe",
     };
     Ok((trunk, intake))
 }
--- a/crates/deployment/src/live.rs
+++ b/crates/deployment/src/live.rs
@@ -4,11 +4,11 @@
 /// All that settings say to a router on sockets.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub terms: Terms,
+    pub terms: PolicyConfig,
     /// The verticals' names, in the order of `terms`.
     pub names: Vec<String>,
-    pub trunk: Trunk,
-    pub intake: Intake,
+    pub trunk: ConnectionConfig,
+    pub intake: AdmissionConfig,
 }
 
 /// By the checks of a start.
--- a/crates/lab/src/scale/rounds.rs
+++ b/crates/lab/src/scale/rounds.rs
@@ -1,7 +1,7 @@
 //! What a round costs the module: queries are open, one leaf call after the other ends, and each round with it is timed.
 //! Nothing here but the module; an example takes this file as it is.
-use alderway::choice::Router;
-use alderway::host::*;
+use alderway::interface::*;
+use alderway::policy::Policy;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -20,7 +20,7 @@
     pub peers: usize,
     pub slo: f64,
     pub deadline: f64,
-    pub budget: Option<Budget>,
+    pub budget: Option<RetryBudget>,
     /// One leaf call in two is turned away; otherwise all succeed.
     pub turned_away: bool,
     pub rounds: usize,
@@ -48,28 +48,28 @@
     answered: u64,
 }
 
-impl Writer for Decided {
-    fn call(&mut self, part: &str, node: &str, _limit: f64) {
+impl DecisionSink for Decided {
+    fn start_attempt(&mut self, part: &str, node: &str, _limit: f64) {
         self.calls.push((part.into(), node.into()));
     }
-    fn cancel(&mut self, _part: &str, _hop: usize) {}
+    fn cancel_attempt(&mut self, _part: &str, _hop: usize) {}
     fn answer(&mut self, _query: &str, _whole: bool) {
         self.answered += 1;
     }
     fn reject(&mut self, _query: &str, _come_back: Option<f64>) {
         self.answered += 1;
     }
-    fn abort(&mut self, _query: &str) {
+    fn fail(&mut self, _query: &str) {
         self.answered += 1;
     }
-    fn alarm(&mut self, _span: f64, _tag: u64) {}
-    fn follow_roster(&mut self) {}
-    fn remark(&mut self, _text: &str) {}
+    fn set_timer(&mut self, _span: f64, _tag: u64) {}
+    fn poll_endpoints(&mut self) {}
+    fn log(&mut self, _text: &str) {}
 }
 
-fn round(router: &mut Router, now: f64, came_in: impl FnOnce(&mut dyn Intake)) -> Decided {
+fn round(router: &mut Policy, now: f64, came_in: impl FnOnce(&mut dyn PolicyInput)) -> Decided {
     let mut decided = Decided::default();
-    let told = |intake: &mut dyn Intake| {
+    let told = |intake: &mut dyn PolicyInput| {
         came_in(intake);
         Ok::<(), ()>(())
     };
@@ -78,36 +78,53 @@
 }
 
 /// Queries come in, of so many parts each, on shards that follow one another.
-fn come(intake: &mut dyn Intake, shape: &Shape, numbers: std::ops::Range<u64>, now: f64) {
+fn come(intake: &mut dyn PolicyInput, shape: &Shape, numbers: std::ops::Range<u64>, now: f64) {
     let weight = 1.0 / shape.parts as f64;
     for q in numbers {
-        intake.query(q, &format!("q{q}"), 0, "", now + shape.deadline);
+        intake.query_arrived(q, &format!("q{q}"), 0, "", now + shape.deadline);
         for p in 0..shape.parts {
             let shard = ((q * shape.parts + p) % u64::from(shape.cells)) as u32;
-            intake.part(q, &format!("p{q}.{p}"), shard, weight);
+            intake.shard_request_added(q, &format!("p{q}.{p}"), shard, weight);
         }
     }
 }
 
 pub fn measure(shape: &Shape) -> Measured {
     let Shape { nodes, cells, reach, open, .. } = *shape;
-    let placement = Placement { cells, reach, bundle: 1, ..Placement::default() };
-    let vertical = Vertical {
-        slo: shape.slo,
-        deadline: shape.deadline,
-        effect: Effect::Repeatable,
-        utility: 1.0,
-        late_share: 0.3,
-        need: 1.0,
-        floor: 1.0,
-        fetch: 0,
+    let placement = ShardPlacement {
+        replica_groups: cells,
+        groups_per_shard: reach,
+        max_batch: 1,
+        ..ShardPlacement::default()
+    };
+    let vertical = QueryClass {
+        latency_objective_s: shape.slo,
+        deadline_s: shape.deadline,
+        idempotency: Idempotency::Idempotent,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.3,
+        complete_fraction: 1.0,
+        minimum_fraction: 1.0,
+        second_phase_requests: 0,
+    };
+    let allowance = RouterCapabilities {
+        can_cancel: true,
+        can_hedge: true,
+        max_attempts: 4,
+        ..RouterCapabilities::default()
     };
-    let allowance = Allowance { cancel: true, parallel: true, calls: 4, ..Allowance::default() };
     let (peers, verticals, budget) = (shape.peers, vec![vertical], shape.budget);
-    let terms = Terms { peers, verticals, placement, allowance, budget, ..Terms::default() };
-    let mut router = Router::new(shape.seed, terms);
+    let terms = PolicyConfig {
+        router_count: peers,
+        query_classes: verticals,
+        placement,
+        capabilities: allowance,
+        retry_budget: budget,
+        ..PolicyConfig::default()
+    };
+    let mut router = Policy::new(shape.seed, terms);
     round(&mut router, 100.0, |r| {
-        (0..nodes).for_each(|n| r.roster_entry(&format!("n{n}"), n % cells, NodeState::Serving, None));
+        (0..nodes).for_each(|n| r.endpoint_updated(&format!("n{n}"), n % cells, NodeState::Serving, None));
     });
     let Decided { mut calls, .. } = round(&mut router, 100.0, |r| come(r, shape, 0..open, 100.0));
     let waiting = (open * shape.parts).saturating_sub(calls.len() as u64);
@@ -116,10 +133,14 @@
         let Some((part, node)) = calls.pop() else { break };
         let hop = hops.entry(part.clone()).or_insert(0);
         let ended = std::mem::replace(hop, *hop + 1);
-        let ending = if shape.turned_away && step % 2 == 0 { Ending::Full } else { Ending::Success };
+        let ending = if shape.turned_away && step % 2 == 0 {
+            AttemptOutcome::Rejected
+        } else {
+            AttemptOutcome::Success
+        };
         let now = 100.0 + 0.0001 * step as f64;
         let from = Instant::now();
-        let decided = round(&mut router, now, |r| r.call_ended(&part, ended, &node, ending, 0.01));
+        let decided = round(&mut router, now, |r| r.attempt_ended(&part, ended, &node, ending, 0.01));
         spent.push(from.elapsed().as_secs_f64() * 1e6);
         calls.extend(decided.calls);
         if shape.followed && decided.answered > 0 {
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -160,7 +160,7 @@
     #[case] name: &str,
     #[case] cores: usize,
 ) {
-    use alderway_router::memory::descriptors;
+    use alderway_router::state::descriptors;
     let size = Size::read(&repository().join("docs/capacity/size.json")).expect("the users' figures");
     let limit = size.get(name).expect("a figure") as usize;
     let free = |limit: usize| {
--- a/crates/router/src/control/kept.rs
+++ b/crates/router/src/control/kept.rs
@@ -1,8 +1,8 @@
 //! The version that a router starts with when no control machine can be asked: one file, written whole beside itself,
 //! synced and renamed, with a head that tells a torn one.
 use super::{Subscription, spawn_blocking, spawn_local, watch};
-use crate::life::start::{self, Read, Station};
-use crate::memory::clock::Clock;
+use crate::lifecycle::start::{self, Read, Station};
+use crate::state::clock::Clock;
 use alderway_control::subscriber::Settled;
 use alderway_control::words;
 use serde_json::Value;
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -2,10 +2,10 @@
 //! counters. Which machine, what of its words is taken and when what is said stands in `alderway_control::subscriber`.
 pub mod kept;
 
-use crate::life::settings::{Live, Outcome as Offered};
-use crate::memory::clock::Clock;
-use crate::memory::counters::Counters;
-use crate::memory::house::{Figures, House};
+use crate::lifecycle::settings::{Live, Outcome as Offered};
+use crate::state::clock::Clock;
+use crate::state::counters::Counters;
+use crate::state::house::{Figures, House};
 use alderway_control::bucket::{Bucket, READ};
 use alderway_control::subscriber::{Machine, Order, Settled, Subscriber, Terms};
 use alderway_control::version::Number;
--- a/crates/router/src/peers/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -1,11 +1,11 @@
 //! Routers that know each other, on sockets: a listener for those that dial this one, a task for each that it dials, and
 //! the beat. What is told, kept and believed stands in `alderway_peers`; this is how it gets from socket to socket, and
 //! from there to the desk, as word of another decision point.
-use crate::memory::clock::Clock;
-use crate::memory::house::Word;
-use crate::memory::{Shared, counters::Counters};
+use crate::state::clock::Clock;
+use crate::state::house::Word;
+use crate::state::{Shared, counters::Counters};
 use crate::tier::links::{PATIENCE, Waits, greet};
-use alderway::host::Evidence;
+use alderway::interface::NodeObservation;
 use alderway_peers::view::{Refused, State, View};
 use alderway_peers::{Frame, Name, Terms, ring};
 use alderway_sockets::Sender;
@@ -62,9 +62,14 @@
 impl Peers {
     /// What the own module saw of a data node; spans from now on. Where routers have unlike ways to data nodes the
     /// operator has nothing told of these: whether a node is late depends on the way to it too.
-    pub fn say(&mut self, node: &str, seen: Evidence) {
+    pub fn say(&mut self, node: &str, seen: NodeObservation) {
         if self.verdicts {
-            self.view.say(node, seen.started, [seen.late, seen.far, seen.sick], self.clock.now());
+            self.view.say(
+                node,
+                seen.started_at_s,
+                [seen.slow_for_s, seen.very_slow_for_s, seen.unresponsive_for_s],
+                self.clock.now(),
+            );
         }
     }
 
@@ -200,7 +205,13 @@
         };
         for (node, verdict) in believed {
             let (started, seen) = (verdict.started, verdict.seen);
-            let seen = Evidence { started, seen, late: verdict.late, far: verdict.far, sick: verdict.sick };
+            let seen = NodeObservation {
+                started_at_s: started,
+                observed_at_s: seen,
+                slow_for_s: verdict.late,
+                very_slow_for_s: verdict.far,
+                unresponsive_for_s: verdict.sick,
+            };
             let mut desk = self.desk.borrow_mut();
             let core = desk.core;
             desk.hear(Word { core, node, seen });
--- a/crates/router/src/drive/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -1,7 +1,7 @@
 //! Reads with the moment at which the last byte came in. The system stamps it: a router that stood still, or
 //! was kept off its core, would take old bytes for new ones and count a client's time from too late.
-use crate::memory::clock::Clock;
-use crate::memory::stamps::Stamps;
+use crate::state::clock::Clock;
+use crate::state::stamps::Stamps;
 use alderway_sockets::{received, uninterrupted};
 use nix::cmsg_space;
 use nix::sys::socket::{ControlMessageOwned, MsgFlags, recv, recvmsg, setsockopt, sockopt};
--- a/crates/router/src/drive/clients.rs
+++ b/crates/router/src/io/clients.rs
@@ -1,12 +1,12 @@
 //! The drivers of the listener and of clients' connections.
 use super::{arrival, until};
-use crate::memory::Shared;
-use crate::memory::clients::Client;
-use crate::memory::clock::Clock;
-use crate::memory::descriptors::{Held, Share};
-use crate::memory::desk::Stage;
-use crate::memory::house::{Order, Passenger};
 use crate::requests;
+use crate::state::Shared;
+use crate::state::clients::Client;
+use crate::state::clock::Clock;
+use crate::state::descriptors::{Held, Share};
+use crate::state::desk::Stage;
+use crate::state::house::{Order, Passenger};
 use crate::wire::answer;
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{MESSAGE, Messages, Refusal};
@@ -41,7 +41,7 @@
 /// The door of a program on one core.
 impl Door for Shared {
     fn make_room(&self) {
-        let (now, patience) = (self.borrow().clock.now(), self.borrow().trunk.dial);
+        let (now, patience) = (self.borrow().clock.now(), self.borrow().trunk.dial_timeout_s);
         self.borrow().clients.dismiss_oldest(now, patience);
     }
 
@@ -291,7 +291,7 @@
 
 /// Reads requests and writes answers.
 async fn converse(desk: &Shared, client: &Rc<Client>, stream: &TcpStream) -> End {
-    let (clock, dial) = (desk.borrow().clock, desk.borrow().trunk.dial);
+    let (clock, dial) = (desk.borrow().clock, desk.borrow().trunk.dial_timeout_s);
     let (buffer, messages, accepted) = (Buffer::new(MESSAGE), Messages::default(), clock.now());
     let (written, lost, overrun, went_ahead) = (0, false, false, false);
     let mut talk = Talk {
--- a/crates/router/src/drive/core.rs
+++ b/crates/router/src/io/core.rs
@@ -2,17 +2,17 @@
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
 use super::{clients, rounds};
-use crate::life::{logger, stop};
-use crate::memory::Shared;
-use crate::memory::clock::Clock;
-use crate::memory::descriptors::Share;
-use crate::memory::desk::{Class, Desk, Stage};
-use crate::memory::ground::{Following, Ground};
-use crate::memory::house::{House, Order, Word};
-use crate::memory::roster::Entry;
-use crate::memory::terms::Issue;
+use crate::lifecycle::{logger, stop};
+use crate::state::Shared;
+use crate::state::clock::Clock;
+use crate::state::descriptors::Share;
+use crate::state::desk::{Class, Desk, Stage};
+use crate::state::ground::{Following, Ground};
+use crate::state::house::{House, Order, Word};
+use crate::state::roster::Entry;
+use crate::state::terms::Issue;
 use alderway_cores::board::Board;
-use alderway_deployment::{Intake, Trunk};
+use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_layouts::layout::Layout;
 use nix::time::{ClockId, clock_gettime};
 use std::cell::RefCell;
@@ -63,8 +63,8 @@
     pub core: usize,
     pub house: Arc<House>,
     pub clock: Clock,
-    pub trunk: Trunk,
-    pub room: Intake,
+    pub trunk: ConnectionConfig,
+    pub room: AdmissionConfig,
     pub verticals: Vec<Class>,
     pub layouts: Option<Following>,
     /// The start of the module's chance, and the settings, of which the newest hold.
--- a/crates/router/src/drive/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,10 +1,10 @@
 //! The driver of discovery's watch: through losses and silences to a new watch, while the old list holds.
 use super::arrival;
 use super::until;
-use crate::memory::clock::Clock;
-use crate::memory::desk::Desk;
-use crate::memory::following::{Following as Follows, Watching};
-use crate::memory::roster::Roster;
+use crate::state::clock::Clock;
+use crate::state::desk::Desk;
+use crate::state::following::{Following as Follows, Watching};
+use crate::state::roster::Roster;
 use crate::wire::buffer::Buffer;
 use crate::wire::discovery::{self, Watch, Word};
 use crate::wire::layout;
@@ -55,7 +55,7 @@
         self.clock
     }
     fn follows(&self) -> bool {
-        self.room.follow
+        self.room.polls_endpoints
     }
     fn asked(&self) -> Arc<Notify> {
         self.follow.clone()
@@ -68,7 +68,7 @@
     }
     fn watch_lost(&mut self, answered: bool) {
         self.counters.one("discovery_watches_lost");
-        if self.room.follow && answered {
+        if self.room.polls_endpoints && answered {
             self.roster_failed();
         }
     }
--- a/crates/router/src/drive/lead.rs
+++ b/crates/router/src/io/lead.rs
@@ -4,16 +4,16 @@
 use super::core::{self, BEAT, Berth, Phase, Report, Told};
 use super::{arrival, discovery};
 use crate::control;
-use crate::life::reload::Was;
-use crate::life::settings::Live;
-use crate::life::start::Station;
-use crate::life::{logger, reload, stop};
-use crate::memory::clock::Clock;
-use crate::memory::counters::Counters;
-use crate::memory::descriptors::{self, Held};
-use crate::memory::ground::{Following, Ground};
-use crate::memory::house::{Figures, House, Order, Passenger, Sharing};
-use crate::memory::roster::Roster;
+use crate::lifecycle::reload::Was;
+use crate::lifecycle::settings::Live;
+use crate::lifecycle::start::Station;
+use crate::lifecycle::{logger, reload, stop};
+use crate::state::clock::Clock;
+use crate::state::counters::Counters;
+use crate::state::descriptors::{self, Held};
+use crate::state::ground::{Following, Ground};
+use crate::state::house::{Figures, House, Order, Passenger, Sharing};
+use crate::state::roster::Roster;
 use crate::tier::post;
 use alderway_cores::balance::{Balance, Load};
 use alderway_cores::crew::{Change, Crew, State};
@@ -165,17 +165,17 @@
     let (terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let kept = control.as_ref().map_or(0, |_| control::DESCRIPTORS);
     let (for_clients, for_nodes) = descriptors::shares(station.sockets - kept, station.memory, sharing.cores);
-    let (house, inboxes) = House::new(room.room, sharing, PATIENCE);
-    let longest = station.layouts.map(|_| room.deadline);
+    let (house, inboxes) = House::new(room.max_open, sharing, PATIENCE);
+    let longest = station.layouts.map(|_| room.max_deadline_s);
     let live = Live::new(house.clone(), role, station.settings, station.began, longest);
     let (told, roster_told) = watch::channel(Told::default());
     let (phase, phase_told) = watch::channel(Phase::Serving);
     let (reports, mut came) = mpsc::unbounded_channel();
-    let follows = room.follow;
+    let follows = room.polls_endpoints;
     let (layouts, counters) = (station.layouts, Counters::default());
     // Guards against a shard's number that the lead has forgotten and a core has not: it takes over what the lead has
     // checked, so the lead remembers for longer than a part can be open.
-    let longer = |l: Following| Following { grace: l.grace + room.deadline + 1.0, ..l };
+    let longer = |l: Following| Following { grace: l.grace + room.max_deadline_s + 1.0, ..l };
     let ground = layouts.map(|layouts| Ground::new(longer(layouts)));
     let mut list = List { clock, follows, roster, house: house.clone(), counters, ground, told };
     list.publish();
@@ -345,7 +345,7 @@
         self.house.serving.store(crew.serving(), Relaxed);
         self.house.hung.store(crew.count(|s| matches!(s, State::Hung(_))), Relaxed);
         self.house.lost.store(crew.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
-        let load = |(core, seat): (usize, &crate::memory::house::Seat)| Load {
+        let load = |(core, seat): (usize, &crate::state::house::Seat)| Load {
             busy: seat.busy.load(Relaxed) as f64 / 1e3,
             active: seat.active.load(Relaxed),
             serving: crew.state(core) == State::Serving,
--- a/crates/router/src/drive/nodes.rs
+++ b/crates/router/src/io/nodes.rs
@@ -1,11 +1,11 @@
 //! The driver of one connection to a data node.
 use super::{arrival, rounds, until};
-use crate::memory::Shared;
-use crate::memory::descriptors::{Held, Share};
-use crate::memory::desk::Dial;
+use crate::state::Shared;
+use crate::state::descriptors::{Held, Share};
+use crate::state::desk::Dial;
 use crate::wire::buffer::Buffer;
 use crate::wire::{Fault, frames};
-use alderway::host::Ending;
+use alderway::interface::AttemptOutcome;
 use alderway_sockets::Sender;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 /// Dials, speaks until the connection ends, and gives everything back.
 pub async fn run(desk: Shared, dial: Dial, share: Arc<Share>) {
     let Dial { node, line, address } = dial;
-    let limit = Duration::from_secs_f64(desk.borrow().trunk.dial);
+    let limit = Duration::from_secs_f64(desk.borrow().trunk.dial_timeout_s);
     let short = Cell::new(false);
     match timeout(limit, connect(&desk, address, &share, &short)).await {
         // In this order: the stream closes before its share is given back, or another takes that in between.
@@ -82,9 +82,12 @@
 async fn speak(desk: &Shared, node: &str, line: u64, stream: &TcpStream) -> Result<&'static str, Spoilt> {
     let (clock, wake, idle, patience) = {
         let mut desk = desk.borrow_mut();
-        let patience = desk.trunk.dial;
+        let patience = desk.trunk.dial_timeout_s;
         // Idle connections close a dial's length before the node's machine would.
-        let (clock, idle) = (desk.clock, (desk.trunk.idle - desk.trunk.dial).max(0.5 * desk.trunk.idle));
+        let (clock, idle) = (
+            desk.clock,
+            (desk.trunk.idle_timeout_s - desk.trunk.dial_timeout_s).max(0.5 * desk.trunk.idle_timeout_s),
+        );
         let Some(line) = desk.roster.line(node, line) else { return Ok("forgotten") };
         line.up = true;
         (clock, line.wake.clone(), idle, patience)
@@ -255,9 +258,9 @@
             b'R' => {
                 let (part, word, report, value) = frames::reply(rest).map_err(nameless)?;
                 let ending = match word {
-                    "done" => Ending::Success,
-                    "failed" => Ending::Error,
-                    "full" => Ending::Full,
+                    "done" => AttemptOutcome::Success,
+                    "failed" => AttemptOutcome::Error,
+                    "full" => AttemptOutcome::Rejected,
                     _ => return Err(("a reply with an unknown ending", Some(part.to_string()))),
                 };
                 if !desk.borrow_mut().answered(node, line, part, ending, report, value) {
--- a/crates/router/src/drive/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -1,11 +1,11 @@
 //! The driver of the module: one round for all that came in.
 use super::{nodes, until};
-use crate::memory::Shared;
-use crate::memory::descriptors::Share;
+use crate::state::Shared;
+use crate::state::descriptors::Share;
 use crate::tier::forwarder::Split;
 use crate::tier::links::Tier;
-use alderway::choice::Router;
-use alderway::host::{Common, Evidence, Intake, Writer};
+use alderway::interface::{DecisionSink, NodeObservation, PolicyInput, SharedLimits};
+use alderway::policy::Policy;
 use std::convert::Infallible;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
@@ -25,13 +25,13 @@
     }
 }
 
-impl Writer for Pen<'_> {
-    fn call(&mut self, part: &str, node: &str, limit: f64) {
+impl DecisionSink for Pen<'_> {
+    fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
         self.1.iter().for_each(|tier| tier.borrow_mut().own_called(part, node));
-        self.0.borrow_mut().call(part, node, limit);
+        self.0.borrow_mut().start_attempt(part, node, limit);
     }
-    fn cancel(&mut self, part: &str, hop: usize) {
-        self.0.borrow_mut().cancel(part, hop);
+    fn cancel_attempt(&mut self, part: &str, hop: usize) {
+        self.0.borrow_mut().cancel_attempt(part, hop);
     }
     fn answer(&mut self, query: &str, whole: bool) {
         self.finished(query);
@@ -41,24 +41,24 @@
         self.finished(query);
         self.0.borrow_mut().reject(query, come_back);
     }
-    fn abort(&mut self, query: &str) {
+    fn fail(&mut self, query: &str) {
         self.finished(query);
-        self.0.borrow_mut().abort(query);
+        self.0.borrow_mut().fail(query);
     }
-    fn evidence(&mut self, node: &str, seen: Evidence) {
-        self.0.borrow_mut().evidence(node, seen);
+    fn share_observation(&mut self, node: &str, seen: NodeObservation) {
+        self.0.borrow_mut().share_observation(node, seen);
     }
-    fn over(&mut self, late: bool) {
-        self.0.borrow_mut().over(late);
+    fn query_ended(&mut self, late: bool) {
+        self.0.borrow_mut().query_ended(late);
     }
-    fn alarm(&mut self, span: f64, tag: u64) {
-        self.0.borrow_mut().alarm(span, tag);
+    fn set_timer(&mut self, span: f64, tag: u64) {
+        self.0.borrow_mut().set_timer(span, tag);
     }
-    fn follow_roster(&mut self) {
-        self.0.borrow_mut().follow_roster();
+    fn poll_endpoints(&mut self) {
+        self.0.borrow_mut().poll_endpoints();
     }
-    fn remark(&mut self, text: &str) {
-        self.0.borrow_mut().remark(text);
+    fn log(&mut self, text: &str) {
+        self.0.borrow_mut().log(text);
     }
 }
 
@@ -72,12 +72,12 @@
 }
 
 /// Makes a module by the newest settings that the desk has taken over; without any there is none to make.
-pub fn newest(desk: &Shared, seed: u64) -> impl Fn() -> Result<Router, String> + 'static {
+pub fn newest(desk: &Shared, seed: u64) -> impl Fn() -> Result<Policy, String> + 'static {
     let desk = desk.clone();
     move || {
         let desk = desk.borrow();
         let terms = desk.terms.newest().ok_or("no settings")?;
-        Ok(Router::new(seed, terms.clone()))
+        Ok(Policy::new(seed, terms.clone()))
     }
 }
 
@@ -85,14 +85,14 @@
 /// at the start and again if it has failed; returns only where that is impossible.
 pub async fn run<E>(
     desk: Shared,
-    module: impl Fn() -> Result<Router, E>,
+    module: impl Fn() -> Result<Policy, E>,
     share: Arc<Share>,
 ) -> Result<(), E> {
     let (clock, came, common) = {
         let desk = desk.borrow();
         // Who has peers tells them what it sees, as one core tells others.
-        let common = if desk.peers.is_some() { Common::new(2) } else { desk.house.common.clone() };
-        let common = common.of(desk.core as u8);
+        let common = if desk.peers.is_some() { SharedLimits::new(2) } else { desk.house.common.clone() };
+        let common = common.for_core(desk.core as u8);
         (desk.clock, desk.came.clone(), common)
     };
     let module = || {
@@ -116,7 +116,7 @@
         }
         let now = clock.now();
         desk.borrow_mut().expire(now);
-        let tell = |intake: &mut dyn Intake| {
+        let tell = |intake: &mut dyn PolicyInput| {
             match &tier {
                 None => desk.borrow_mut().tell(now, intake),
                 Some(tier) => {
@@ -139,7 +139,7 @@
         }
         desk.borrow_mut().counters.one("rounds");
         post(&desk, &share);
-        let tick = desk.borrow().room.tick;
+        let tick = desk.borrow().room.min_round_interval_s;
         until(clock, now + tick).await;
     }
 }
--- a/crates/router/src/life/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
 //! A new configuration while the program runs, told by SIGHUP: what can move moves, what is faulty changes nothing.
 use super::settings::{Live, Outcome};
 use super::start::{self, Station};
-use crate::memory::clock::Clock;
+use crate::state::clock::Clock;
 use alderway_sockets::signals::Signals;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/router/src/life/serve.rs
+++ b/crates/router/src/lifecycle/serve.rs
@@ -4,15 +4,15 @@
 use super::start::{Role, Station};
 use super::{logger, reload, stop};
 use crate::control;
-use crate::drive::{arrival, clients, discovery, lead, rounds};
-use crate::memory::Shared;
-use crate::memory::clock::Clock;
-use crate::memory::descriptors;
-use crate::memory::desk::Desk;
-use crate::memory::ground::Ground;
-use crate::memory::house::{House, Sharing};
-use crate::memory::terms::Issue;
-use crate::peers::{self, Circle};
+use crate::gossip::{self, Circle};
+use crate::io::{arrival, clients, discovery, lead, rounds};
+use crate::state::Shared;
+use crate::state::clock::Clock;
+use crate::state::descriptors;
+use crate::state::desk::Desk;
+use crate::state::ground::Ground;
+use crate::state::house::{House, Sharing};
+use crate::state::terms::Issue;
 use crate::tier::forwarder::Forwarder;
 use crate::tier::{links, post};
 use alderway_sockets::signals::Signals;
@@ -48,7 +48,7 @@
     let kept =
         peers.as_ref().map_or(0, Circle::descriptors) + control.as_ref().map_or(0, |_| control::DESCRIPTORS);
     let (for_clients, for_nodes) = descriptors::shares(station.sockets - kept, station.memory, 1);
-    let house = House::new(station.room.room, sharing, f64::INFINITY).0;
+    let house = House::new(station.room.max_open, sharing, f64::INFINITY).0;
     let live = Live::new(house.clone(), role.clone(), station.settings, station.began, None);
     let mut desk = Desk::on(house.clone(), 0, clock, station.trunk, station.room, station.verticals);
     desk.follow_settings(live.news());
@@ -67,7 +67,7 @@
         links::start(&desk, &tier, planners, &for_nodes, post::incarnation());
     }
     if let Some(circle) = peers {
-        peers::start(&desk, circle, &name, post::incarnation()).await?;
+        gossip::start(&desk, circle, &name, post::incarnation()).await?;
     }
     let close = Rc::default();
     let rounds = spawn_local(rounds::run(desk.clone(), rounds::newest(&desk, seed), for_nodes));
--- a/crates/router/src/life/settings.rs
+++ b/crates/router/src/lifecycle/settings.rs
@@ -2,9 +2,9 @@
 //! keeps many routers alike. They are checked as at a start, refused as a whole or taken over as a whole, by every core
 //! between two of its rounds.
 use super::start::Role;
-use crate::drive::core::BEAT;
-use crate::memory::house::House;
-use crate::memory::terms::Issue;
+use crate::io::core::BEAT;
+use crate::state::house::House;
+use crate::state::terms::Issue;
 use alderway_deployment::live::{self, Changes, Settings};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -102,7 +102,7 @@
 impl Live {
     /// For a router that starts with these settings, `began` read from them. `longest`: of any deadline, ever.
     pub fn new(house: Arc<House>, role: Role, held: Value, began: Settings, longest: Option<f64>) -> Self {
-        let deadline = Cell::new(began.intake.deadline);
+        let deadline = Cell::new(began.intake.max_deadline_s);
         let news = watch::channel(Arc::new(Issue { serial: 0, settings: began })).0;
         let (held, serial, count, serves) = (RefCell::new(Arc::new(held)), Cell::new(0), None, None);
         let (count, serves) = (RefCell::new(count), RefCell::new(serves));
@@ -155,7 +155,7 @@
             return Err(Fault::Waits(vec!["settings".into()]));
         }
         let checked = examine(settings, Some(&self.held()))?;
-        if self.0.longest.is_some_and(|longest| checked.settings.intake.deadline > longest) {
+        if self.0.longest.is_some_and(|longest| checked.settings.intake.max_deadline_s > longest) {
             return Err(Fault::Waits(vec!["Services[].DeadlineUs".into()]));
         }
         Ok(checked)
@@ -184,7 +184,7 @@
         }
         let serial = self.0.serial.get() + 1;
         self.0.serial.set(serial);
-        self.0.deadline.set(self.0.deadline.get().max(checked.settings.intake.deadline));
+        self.0.deadline.set(self.0.deadline.get().max(checked.settings.intake.max_deadline_s));
         self.0.news.send_replace(Arc::new(Issue { serial, settings: checked.settings }));
         let late = self.taken_over(serial).await;
         self.counts("settings_taken");
--- a/crates/router/src/life/start.rs
+++ b/crates/router/src/lifecycle/start.rs
@@ -1,10 +1,10 @@
 //! The one place where the configuration is read, checked and given defaults. Every message names its key.
 use crate::control::Subscription;
-use crate::memory::clock::Clock;
-use crate::memory::desk::Class;
-use crate::memory::ground::Following;
-use crate::memory::roster::Roster;
-use crate::peers::Circle;
+use crate::gossip::Circle;
+use crate::state::clock::Clock;
+use crate::state::desk::Class;
+use crate::state::ground::Following;
+use crate::state::roster::Roster;
 use crate::wire::discovery;
 use alderway_deployment as deployment;
 use serde_json::Value;
@@ -35,8 +35,8 @@
     pub settings: Value,
     pub began: deployment::live::Settings,
     pub verticals: Vec<Class>,
-    pub trunk: deployment::Trunk,
-    pub room: deployment::Intake,
+    pub trunk: deployment::ConnectionConfig,
+    pub room: deployment::AdmissionConfig,
     pub fixed: Fixed,
     /// Whether shards lie by layouts that change, and how those are followed; the ring where not.
     pub layouts: Option<Following>,
@@ -142,7 +142,7 @@
     let wrong = |why: String| format!("key `settings`: expected {why}");
     let mut began = deployment::live::settings(settings).map_err(wrong)?;
     if let Some(peers) = peers {
-        began.terms.peers = peers as usize;
+        began.terms.router_count = peers as usize;
     }
     let verticals = Class::all(&began);
     let (trunk, room) = (began.trunk, began.intake);
--- a/crates/router/src/life/stop.rs
+++ b/crates/router/src/lifecycle/stop.rs
@@ -1,6 +1,6 @@
 //! The way out after SIGTERM: nothing that was taken is lost, and clients keep their connections while they can.
-use crate::memory::Shared;
-use crate::memory::desk::Stage;
+use crate::state::Shared;
+use crate::state::desk::Stage;
 use alderway_sockets::signals::Signals;
 use std::rc::Rc;
 use std::time::Duration;
@@ -46,7 +46,7 @@
         desk.stage = Stage::Stopping;
         let (queries, clients) = (desk.queries.len(), desk.clients.len());
         tracing::info!(target: "stop", "SIGTERM: {queries} queries open, {clients} clients");
-        (desk.clock, began, limit(desk.longest_deadline(began)), desk.room.slo)
+        (desk.clock, began, limit(desk.longest_deadline(began)), desk.room.max_latency_objective_s)
     };
     closed.await;
     // Guards against ending before what was accepted last has its task run for the first time.
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,8 +1,8 @@
 //! Starts one query router as the platform runs it: by its configuration alone, on one core.
-use alderway_router::life::logger::{self, Form};
-use alderway_router::life::{serve, start};
-use alderway_router::memory::clock::Clock;
-use alderway_router::memory::house::Sharing;
+use alderway_router::lifecycle::logger::{self, Form};
+use alderway_router::lifecycle::{serve, start};
+use alderway_router::state::clock::Clock;
+use alderway_router::state::house::Sharing;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -1,7 +1,7 @@
 //! What a request asks for: a query, readiness or the counters; anything else is told why not.
-use crate::memory::Shared;
-use crate::memory::clients::Client;
-use crate::memory::queries::{Part, Query};
+use crate::state::Shared;
+use crate::state::clients::Client;
+use crate::state::queries::{Part, Query};
 use crate::wire::frames::LONGEST_ID;
 use crate::wire::http::{Head, Refusal};
 use crate::wire::{answer, query};
@@ -64,7 +64,7 @@
     if desk.queries.is_open(id) {
         return Err((400, "a query with this X-Correlation-Id is open"));
     }
-    let not_after = at + (f64::from(left) / 1e3).min(desk.room.deadline);
+    let not_after = at + (f64::from(left) / 1e3).min(desk.room.max_deadline_s);
     if let Some(ground) = &desk.ground {
         let mut targets = Vec::new();
         let text = query::targets(body, true, |shard, keys, weight| {
@@ -79,7 +79,7 @@
         let (id, client, coverage) = (id.into(), client.clone(), Some(coverage));
         return desk.take(&client.clone(), Query { id, vertical, not_after, text, parts, client, coverage });
     }
-    let (mut parts, mut asked, shards) = (Vec::new(), BTreeSet::new(), desk.room.shards);
+    let (mut parts, mut asked, shards) = (Vec::new(), BTreeSet::new(), desk.room.shard_count);
     let text = query::read(body, |shard, weight| {
         if shard >= shards {
             return Err("`partition` is no shard here");
--- a/crates/router/src/memory/audit.rs
+++ b/crates/router/src/state/audit.rs
@@ -3,7 +3,7 @@
 use super::CallId;
 use super::desk::Desk;
 use super::queries::Query;
-use alderway::host::NodeState;
+use alderway::interface::NodeState;
 use alderway::permits;
 
 /// PROTOCOL: sums of shares may fall short by so much.
--- a/crates/router/src/memory/calls.rs
+++ b/crates/router/src/state/calls.rs
@@ -1,7 +1,7 @@
 //! Leaf calls that have not ended, and the endings that the next round tells.
 use super::CallId;
 use super::due::Due;
-use alderway::host::Ending;
+use alderway::interface::AttemptOutcome;
 use std::collections::BTreeMap;
 
 pub struct Call {
@@ -18,7 +18,7 @@
 pub struct Calls {
     out: BTreeMap<CallId, Call>,
     due: Due<CallId>,
-    ended: Vec<(CallId, String, Ending, f64)>,
+    ended: Vec<(CallId, String, AttemptOutcome, f64)>,
 }
 
 impl Calls {
@@ -36,7 +36,7 @@
     }
 
     /// The first ending counts; a call that has ended is not known any more.
-    pub fn end(&mut self, id: &CallId, ending: Ending, now: f64) -> Option<Call> {
+    pub fn end(&mut self, id: &CallId, ending: AttemptOutcome, now: f64) -> Option<Call> {
         let call = self.out.remove(id)?;
         self.due.remove(call.until, id);
         self.ended.push((id.clone(), call.node.clone(), ending, now - call.at));
@@ -44,11 +44,11 @@
     }
 
     /// A call has ended for a part that shares it with others.
-    pub fn tell(&mut self, id: CallId, node: &str, ending: Ending, latency: f64) {
+    pub fn tell(&mut self, id: CallId, node: &str, ending: AttemptOutcome, latency: f64) {
         self.ended.push((id, node.into(), ending, latency));
     }
 
-    pub fn take_ended(&mut self) -> Vec<(CallId, String, Ending, f64)> {
+    pub fn take_ended(&mut self) -> Vec<(CallId, String, AttemptOutcome, f64)> {
         std::mem::take(&mut self.ended)
     }
 
--- a/crates/router/src/memory/counters.rs
+++ b/crates/router/src/state/counters.rs
@@ -1,5 +1,5 @@
 //! Counters of what came in, went out and was answered, printed on request and at exit.
-use alderway::host::Ending;
+use alderway::interface::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -35,17 +35,17 @@
         other.most.iter().for_each(|(name, figure)| self.most(name, *figure));
     }
 
-    pub fn ended(&mut self, ending: Ending) {
+    pub fn ended(&mut self, ending: AttemptOutcome) {
         self.one(match ending {
-            Ending::Success => "leaf_calls_ended{success}",
-            Ending::Error => "leaf_calls_ended{error}",
-            Ending::Full => "leaf_calls_ended{full}",
-            Ending::TimedOut => "leaf_calls_ended{timed_out}",
-            Ending::Unreachable => "leaf_calls_ended{unreachable}",
-            Ending::Reset => "leaf_calls_ended{reset}",
-            Ending::Cancelled => "leaf_calls_ended{cancelled}",
-            Ending::NeverSent => "leaf_calls_ended{never_sent}",
-            Ending::Moved => "leaf_calls_ended{moved}",
+            AttemptOutcome::Success => "leaf_calls_ended{success}",
+            AttemptOutcome::Error => "leaf_calls_ended{error}",
+            AttemptOutcome::Rejected => "leaf_calls_ended{full}",
+            AttemptOutcome::TimedOut => "leaf_calls_ended{timed_out}",
+            AttemptOutcome::Unreachable => "leaf_calls_ended{unreachable}",
+            AttemptOutcome::ConnectionReset => "leaf_calls_ended{reset}",
+            AttemptOutcome::Cancelled => "leaf_calls_ended{cancelled}",
+            AttemptOutcome::NeverSent => "leaf_calls_ended{never_sent}",
+            AttemptOutcome::ShardMoved => "leaf_calls_ended{moved}",
         });
     }
 
--- a/crates/router/src/memory/desk.rs
+++ b/crates/router/src/state/desk.rs
@@ -15,13 +15,15 @@
 use crate::tier::links::Tier;
 use crate::wire::http::Refusal;
 use crate::wire::{answer, frames};
-use alderway::host::{Effect, Ending, Evidence, Intake, NodeState, Vertical, Writer};
+use alderway::interface::{
+    AttemptOutcome, DecisionSink, Idempotency, NodeObservation, NodeState, PolicyInput, QueryClass,
+};
 use alderway::permits::{self, Denial};
 use alderway_cores::board::Board;
 use alderway_cores::fence;
 use alderway_cores::ids::Refused;
 use alderway_deployment::live::Settings;
-use alderway_deployment::{Intake as Room, Trunk};
+use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_layouts::ShardId;
 use alderway_layouts::coverage::Count;
 use std::collections::{BTreeMap, BTreeSet};
@@ -54,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: String,
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The share that makes a whole answer, and the least of any.
     pub need: f64,
     pub floor: f64,
@@ -63,9 +65,10 @@
 impl Class {
     /// All verticals of some settings, in their order.
     pub fn all(settings: &Settings) -> Vec<Class> {
-        let both = settings.names.iter().zip(&settings.terms.verticals);
-        let class = |(name, vertical): (&String, &Vertical)| {
-            let Vertical { effect, need, floor, .. } = *vertical;
+        let both = settings.names.iter().zip(&settings.terms.query_classes);
+        let class = |(name, vertical): (&String, &QueryClass)| {
+            let QueryClass { idempotency: effect, complete_fraction: need, minimum_fraction: floor, .. } =
+                *vertical;
             Class { name: name.clone(), effect, need, floor }
         };
         both.map(class).collect()
@@ -74,14 +77,14 @@
 
 impl From<&str> for Class {
     fn from(name: &str) -> Self {
-        Class { name: name.into(), effect: Effect::Repeatable, need: 0.0, floor: 0.0 }
+        Class { name: name.into(), effect: Idempotency::Idempotent, need: 0.0, floor: 0.0 }
     }
 }
 
 pub struct Desk {
     pub clock: Clock,
-    pub trunk: Trunk,
-    pub room: Room,
+    pub trunk: ConnectionConfig,
+    pub room: AdmissionConfig,
     /// By their places, of which `terms` says who has them.
     pub verticals: Vec<Class>,
     pub terms: Places,
@@ -104,8 +107,8 @@
     /// What stands between desk and module, on a forwarder.
     pub tier: Option<Tier>,
     /// Other routers, which hear what the own module sees of data nodes.
-    pub peers: Option<crate::peers::Held>,
-    heard: BTreeMap<String, Evidence>,
+    pub peers: Option<crate::gossip::Held>,
+    heard: BTreeMap<String, NodeObservation>,
     /// How queries of the whole fleet ended, for the next round.
     fleet: Option<(u32, u32)>,
     /// What a test has this core do at its next beat.
@@ -134,16 +137,16 @@
 
 impl Desk {
     /// A desk that shares with nobody.
-    pub fn new(clock: Clock, trunk: Trunk, room: Room, verticals: Vec<Class>) -> Self {
-        Desk::on(House::alone(room.room), 0, clock, trunk, room, verticals)
+    pub fn new(clock: Clock, trunk: ConnectionConfig, room: AdmissionConfig, verticals: Vec<Class>) -> Self {
+        Desk::on(House::alone(room.max_open), 0, clock, trunk, room, verticals)
     }
 
     pub fn on(
         house: Arc<House>,
         core: usize,
         clock: Clock,
-        trunk: Trunk,
-        room: Room,
+        trunk: ConnectionConfig,
+        room: AdmissionConfig,
         verticals: Vec<Class>,
     ) -> Self {
         Desk {
@@ -251,7 +254,7 @@
         // Guards against the answer to a call of an earlier query by the same id, which is out still where
         // nothing is cancelled: it would be taken for that of a call of this one.
         for id in query.parts.iter().flat_map(|part| self.calls.of_part(&part.id)).collect::<Vec<_>>() {
-            self.give_up(&id, Ending::Cancelled);
+            self.give_up(&id, AttemptOutcome::Cancelled);
         }
         if let Some(ground) = &mut self.ground {
             query.parts.iter().for_each(|part| ground.opened(part));
@@ -275,7 +278,7 @@
         self.close_parts(&query);
         for part in &query.parts {
             for id in self.calls.of_part(&part.id) {
-                self.give_up(&id, Ending::Cancelled);
+                self.give_up(&id, AttemptOutcome::Cancelled);
             }
         }
         self.left.push(query.id);
@@ -308,7 +311,7 @@
                         && matches!(line.map(|l| l.place(&id)), Some(Place::Waiting))
                     {
                         self.counters.one("calls_taken_back{moved}");
-                        self.give_up(&id, Ending::NeverSent);
+                        self.give_up(&id, AttemptOutcome::NeverSent);
                     }
                 }
                 self.divide(part);
@@ -362,7 +365,7 @@
                 keys.merged = true;
             }
         }
-        heirs.iter().for_each(|heir| self.take_back(heir, Ending::Cancelled));
+        heirs.iter().for_each(|heir| self.take_back(heir, AttemptOutcome::Cancelled));
     }
 
     // What data nodes do.
@@ -373,7 +376,7 @@
         node: &str,
         line: u64,
         part: &str,
-        ending: Ending,
+        ending: AttemptOutcome,
         report: &str,
         value: &str,
     ) -> bool {
@@ -381,11 +384,11 @@
         if let Some(ground) = &mut self.ground
             && let Some(record) = self.queries.part(part)
         {
-            let success = ending == Ending::Success;
+            let success = ending == AttemptOutcome::Success;
             let keys = if success { frames::keys(report).unwrap_or(Some((0, 0))) } else { None };
             let moved = if success { None } else { frames::moved(report) };
             let judged = ground.judge(node, record, ending, moved, keys, self.clock.now());
-            if judged == Ending::Moved {
+            if judged == AttemptOutcome::ShardMoved {
                 self.counters.one("parts_disowned");
             } else if judged != ending {
                 self.counters.one("answers_for_other_keys");
@@ -397,7 +400,14 @@
 
     /// A part's reply has come on a connection. Replies for parts long over are passed over; false for a part
     /// that is not asked for there.
-    pub fn replied(&mut self, node: &str, line: u64, part: &str, ending: Ending, value: &str) -> bool {
+    pub fn replied(
+        &mut self,
+        node: &str,
+        line: u64,
+        part: &str,
+        ending: AttemptOutcome,
+        value: &str,
+    ) -> bool {
         let now = self.clock.now();
         let Some(line) = self.roster.line(node, line) else { return true };
         let Some(hop) = line.replied(part, now) else { return false };
@@ -407,13 +417,13 @@
         };
         let id: CallId = (part.into(), hop);
         self.end(&id, ending);
-        if let (Ending::Success, Some(part)) = (ending, self.queries.part(part)) {
+        if let (AttemptOutcome::Success, Some(part)) = (ending, self.queries.part(part)) {
             if part.keys.is_some() {
                 self.take_in(&id.0, value);
             } else {
                 part.value.get_or_insert_with(|| value.to_string());
             }
-            self.take_back(&id.0, Ending::Cancelled);
+            self.take_back(&id.0, AttemptOutcome::Cancelled);
         }
         true
     }
@@ -427,14 +437,14 @@
         let record = self.roster.nodes.get_mut(node);
         let Some(line) = record.and_then(|n| n.lines.remove(&line)) else { return };
         let (unsent, mut out) = line.remains();
-        unsent.iter().for_each(|id| self.end(id, Ending::NeverSent));
+        unsent.iter().for_each(|id| self.end(id, AttemptOutcome::NeverSent));
         let since = |id: &CallId| self.calls.get(id).map_or(f64::INFINITY, |c| c.at);
         let named = out.iter().position(|id| Some(&*id.0) == part);
         let longest = (0..out.len()).min_by(|&a, &b| since(&out[a]).total_cmp(&since(&out[b])));
         if let Some(at) = named.or(longest) {
-            self.end(&out.swap_remove(at), Ending::Error);
+            self.end(&out.swap_remove(at), AttemptOutcome::Error);
         }
-        out.iter().for_each(|id| self.end(id, Ending::Cancelled));
+        out.iter().for_each(|id| self.end(id, AttemptOutcome::Cancelled));
     }
 
     /// A connection has ended, or never came up. What had not gone out whole never ran.
@@ -442,8 +452,8 @@
         let record = self.roster.nodes.get_mut(node);
         let Some(line) = record.and_then(|n| n.lines.remove(&line)) else { return };
         let (unsent, out) = line.remains();
-        unsent.iter().for_each(|id| self.end(id, Ending::Unreachable));
-        out.iter().for_each(|id| self.end(id, Ending::Reset));
+        unsent.iter().for_each(|id| self.end(id, AttemptOutcome::Unreachable));
+        out.iter().for_each(|id| self.end(id, AttemptOutcome::ConnectionReset));
     }
 
     /// A connection could not be opened for want of something on this side: its calls never ran, and say nothing of
@@ -452,7 +462,7 @@
         let record = self.roster.nodes.get_mut(node);
         let Some(line) = record.and_then(|n| n.lines.remove(&line)) else { return };
         let (unsent, _) = line.remains();
-        unsent.iter().for_each(|id| self.end(id, Ending::NeverSent));
+        unsent.iter().for_each(|id| self.end(id, AttemptOutcome::NeverSent));
     }
 
     /// A data node has closed a connection that stood idle. What waits there goes out on another, which was no
@@ -471,8 +481,8 @@
         }
     }
 
-    fn end(&mut self, id: &CallId, ending: Ending) {
-        if ending.never_ran()
+    fn end(&mut self, id: &CallId, ending: AttemptOutcome) {
+        if ending.had_no_effect()
             && let Some(part) = self.queries.part(&id.0)
         {
             part.begun.retain(|(hop, _)| *hop != id.1);
@@ -485,13 +495,13 @@
 
     /// Ends a call from this side. A frame that has not begun is taken back; one that has gone out is
     /// followed by word that the part is given up; in the midst of one only closing the connection helps.
-    fn give_up(&mut self, id: &CallId, ending: Ending) {
+    fn give_up(&mut self, id: &CallId, ending: AttemptOutcome) {
         let Some(call) = self.calls.get(id) else { return };
         let (node, line) = (call.node.clone(), call.line);
         if let Some(record) = self.roster.nodes.get_mut(&node) {
             record.fresh.retain(|fresh| fresh != id);
         }
-        let (now, dial) = (self.clock.now(), self.trunk.dial);
+        let (now, dial) = (self.clock.now(), self.trunk.dial_timeout_s);
         let longest = self.longest_deadline(now);
         if let Some(line) = line.and_then(|l| self.roster.line(&node, l)) {
             match line.place(id) {
@@ -505,7 +515,7 @@
     }
 
     /// Takes back the calls of a part that is over and that have not begun to be written.
-    fn take_back(&mut self, part: &str, ending: Ending) {
+    fn take_back(&mut self, part: &str, ending: AttemptOutcome) {
         for id in self.calls.of_part(part) {
             let Some(call) = self.calls.get(&id) else { continue };
             let line = call.line.and_then(|l| self.roster.nodes.get(&call.node)?.lines.get(&l));
@@ -591,13 +601,13 @@
         loop {
             let Some(line) = self.roster.line(node, number) else { return };
             let next = line.next_call().to_vec();
-            let state = self.roster.nodes.get(node).map_or(NodeState::Gone, |record| record.state);
+            let state = self.roster.nodes.get(node).map_or(NodeState::Removed, |record| record.state);
             let denied = |id: &CallId| Some((id.clone(), self.denied(id, state, now)?));
             let late: Vec<(CallId, Denial)> = next.iter().filter_map(denied).collect();
             self.counters.add("calls_too_late_to_begin", late.len());
             for (id, denial) in &late {
                 self.counters.one(&format!("calls_denied{{{}}}", denial.label()));
-                self.give_up(id, Ending::NeverSent);
+                self.give_up(id, AttemptOutcome::NeverSent);
                 // Guards against a call that has ended and waits here still: nothing is left to give up.
                 self.roster.line(node, number).into_iter().for_each(|line| line.take_back(id));
             }
@@ -615,7 +625,7 @@
     pub fn roster_changed(&mut self) {
         let mut unbegun = Vec::new();
         for (name, node) in &mut self.roster.nodes {
-            if node.state == NodeState::Gone {
+            if node.state == NodeState::Removed {
                 for line in node.lines.values_mut() {
                     line.retired = true;
                     line.wake.notify_one();
@@ -630,7 +640,7 @@
                 let line = self.calls.get(&id).and_then(|c| c.line);
                 let place = line.and_then(|l| self.roster.line(&name, l)).map(|l| l.place(&id));
                 if line.is_none() || matches!(place, Some(Place::Waiting)) {
-                    self.give_up(&id, Ending::NeverSent);
+                    self.give_up(&id, AttemptOutcome::NeverSent);
                 }
             }
         }
@@ -686,7 +696,7 @@
     /// Ends what the clock ends: calls past their time-out, and queries whose client waits no longer.
     pub fn expire(&mut self, now: f64) {
         for id in self.calls.overdue(now) {
-            self.give_up(&id, Ending::TimedOut);
+            self.give_up(&id, AttemptOutcome::TimedOut);
         }
         for number in self.queries.overdue(now) {
             let Some(client) = self.queries.get(number).map(|q| q.client.clone()) else { continue };
@@ -698,7 +708,7 @@
     }
 
     /// Tells the module all that came in since the last round.
-    pub fn tell(&mut self, now: f64, module: &mut dyn Intake) {
+    pub fn tell(&mut self, now: f64, module: &mut dyn PolicyInput) {
         if !self.ready && self.able() {
             self.ready = true;
             tracing::info!(target: "ready", "serves: {} data nodes known", self.roster.nodes.len());
@@ -706,19 +716,19 @@
         self.tell_terms(module);
         self.roster.tell(module);
         if let Some((late, in_time)) = self.fleet.take() {
-            module.fleet(late, in_time);
+            module.fleet_latency_counts(late, in_time);
         }
         for (node, seen) in std::mem::take(&mut self.heard) {
-            module.evidence(&node, seen);
+            module.node_observed(&node, seen);
         }
         if let Some(ground) = &mut self.ground {
             ground.tell_shards(now, module);
         }
         for number in std::mem::take(&mut self.new) {
             let Some(query) = self.queries.get(number) else { continue };
-            module.query(number, &query.id, query.vertical, "", query.not_after);
+            module.query_arrived(number, &query.id, query.vertical, "", query.not_after);
             for part in query.parts.iter().filter(|part| !part.is_divided()) {
-                module.part(number, &part.id, part.shard, part.weight);
+                module.shard_request_added(number, &part.id, part.shard, part.weight);
             }
         }
         if let Some(ground) = &mut self.ground {
@@ -727,19 +737,19 @@
         for (id, node, ending, latency) in self.calls.take_ended() {
             match self.ground.as_ref().and_then(|ground| ground.told_of(&id, ending)) {
                 Some(heirs) => {
-                    heirs.iter().for_each(|heir| module.call_ended(heir, id.1, &node, ending, latency));
+                    heirs.iter().for_each(|heir| module.attempt_ended(heir, id.1, &node, ending, latency));
                 }
-                None => module.call_ended(&id.0, id.1, &node, ending, latency),
+                None => module.attempt_ended(&id.0, id.1, &node, ending, latency),
             }
         }
         for query in std::mem::take(&mut self.left) {
-            module.client_left(&query);
+            module.client_disconnected(&query);
         }
         if self.stage < Stage::Ended {
             self.tell_places(module);
         }
         let due: Vec<u64> = self.alarms.extract_if(.., |a| a.0 <= now).map(|a| a.1).collect();
-        due.into_iter().for_each(|tag| module.alarm(tag));
+        due.into_iter().for_each(|tag| module.timer_fired(tag));
         if let Some(ground) = &mut self.ground {
             ground.tell_over(now, module);
             if !ground.families.is_empty() {
@@ -753,7 +763,7 @@
     /// Gives every open query its final answer.
     pub fn abort_all(&mut self) {
         for query in self.queries.ids() {
-            self.abort(&query);
+            self.fail(&query);
         }
     }
 
@@ -762,7 +772,7 @@
         self.counters.one("module_failures");
         self.abort_all();
         for id in self.calls.all() {
-            self.give_up(&id, Ending::Cancelled);
+            self.give_up(&id, AttemptOutcome::Cancelled);
         }
         self.calls.take_ended();
         self.new.clear();
@@ -781,7 +791,7 @@
         for node in std::mem::take(&mut self.sending) {
             let Some(record) = self.roster.nodes.get_mut(&node) else { continue };
             let parts = std::mem::take(&mut record.fresh);
-            for call in parts.chunks(self.trunk.bundle.min(self.trunk.places)) {
+            for call in parts.chunks(self.trunk.max_batch.min(self.trunk.streams_per_connection)) {
                 match self.line_for(&node, call, now) {
                     Some(line) => {
                         for id in call {
@@ -793,7 +803,7 @@
                             line.queue(Frame::Call(call.to_vec()));
                         }
                     }
-                    None => call.iter().for_each(|id| self.end(id, Ending::Unreachable)),
+                    None => call.iter().for_each(|id| self.end(id, AttemptOutcome::Unreachable)),
                 }
             }
         }
@@ -802,7 +812,7 @@
 
     /// A connection with places for a call: one that is up, else one on its way, else a new one.
     fn line_for(&mut self, name: &str, call: &[CallId], now: f64) -> Option<u64> {
-        let places = self.trunk.places;
+        let places = self.trunk.streams_per_connection;
         let node = self.roster.nodes.get(name)?;
         let open = |places| node.lines.iter().filter(move |(_, l)| l.takes(call, places));
         if let Some((line, _)) = open(places).min_by_key(|(_, l)| (!l.up, l.taken())) {
@@ -837,7 +847,7 @@
         self.count(what, query.vertical);
         self.close_parts(&query);
         for part in &query.parts {
-            self.take_back(&part.id, Ending::NeverSent);
+            self.take_back(&part.id, AttemptOutcome::NeverSent);
         }
         let closes = query.client.closes.get() || self.closes_connection(&query.client);
         query.client.closes.set(closes);
@@ -847,8 +857,8 @@
 }
 
 /// The module's decisions, carried out as they are written.
-impl Writer for Desk {
-    fn call(&mut self, part: &str, node: &str, limit: f64) {
+impl DecisionSink for Desk {
+    fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
         let others_out = match &self.ground {
             Some(ground) if !ground.families.is_empty() => !self.calls_for(&part.into()).is_empty(),
             _ => !self.calls.of_part(part).is_empty(),
@@ -868,7 +878,7 @@
         self.calls.start(id.clone(), node, now, now + limit);
         if twice {
             self.counters.one("calls_twice_at_a_node");
-            return self.end(&id, Ending::NeverSent);
+            return self.end(&id, AttemptOutcome::NeverSent);
         }
         match self.roster.nodes.get_mut(node) {
             // Guards against a planner that has not heard of a drain: its decision is no more than a wish.
@@ -880,12 +890,12 @@
             }
             _ => {
                 self.counters.one("calls_of_nodes_not_serving");
-                self.end(&id, Ending::NeverSent);
+                self.end(&id, AttemptOutcome::NeverSent);
             }
         }
     }
 
-    fn cancel(&mut self, part: &str, hop: usize) {
+    fn cancel_attempt(&mut self, part: &str, hop: usize) {
         self.counters.one("leaf_calls_cancelled");
         let id: CallId = (part.into(), hop);
         let shared = match &mut self.ground {
@@ -896,17 +906,17 @@
             _ => None,
         };
         let (Some(call), Some(ground)) = (shared, &mut self.ground) else {
-            return self.give_up(&id, Ending::Cancelled);
+            return self.give_up(&id, AttemptOutcome::Cancelled);
         };
         // Others may wait for it still: it is over for this part, and given up with the last.
         let last = ground.families.release(&call, &id.0);
         if let Some(record) = self.calls.get(&call) {
             let (node, latency) = (record.node.clone(), self.clock.now() - record.at);
-            self.calls.tell(id, &node, Ending::Cancelled, latency);
+            self.calls.tell(id, &node, AttemptOutcome::Cancelled, latency);
             self.came.notify_one();
         }
         if last {
-            self.give_up(&call, Ending::Cancelled);
+            self.give_up(&call, AttemptOutcome::Cancelled);
         }
     }
 
@@ -939,20 +949,20 @@
         answer::plain(&mut query.client.out.borrow_mut(), 503, "rejected, try again", come_back, closes);
     }
 
-    fn abort(&mut self, query: &str) {
+    fn fail(&mut self, query: &str) {
         let Some((query, closes)) = self.close(query, "aborted") else { return };
         answer::plain(&mut query.client.out.borrow_mut(), 504, "aborted", None, closes);
     }
 
-    fn alarm(&mut self, span: f64, tag: u64) {
+    fn set_timer(&mut self, span: f64, tag: u64) {
         self.alarms.push((self.clock.now() + span, tag));
     }
 
-    fn follow_roster(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.follow.notify_one();
     }
 
-    fn evidence(&mut self, node: &str, seen: Evidence) {
+    fn share_observation(&mut self, node: &str, seen: NodeObservation) {
         if let Some(peers) = &self.peers {
             peers.borrow_mut().say(node, seen);
             self.counters.one("evidence_told");
@@ -962,11 +972,11 @@
         }
     }
 
-    fn over(&mut self, late: bool) {
+    fn query_ended(&mut self, late: bool) {
         self.peers.iter().for_each(|peers| peers.borrow_mut().view.over(late));
     }
 
-    fn remark(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::info!(target: "module", "{text}");
     }
 }
--- a/crates/router/src/memory/ground.rs
+++ b/crates/router/src/state/ground.rs
@@ -2,7 +2,7 @@
 //! tell the module of it. A core whose shards lie in the platform's ring has none.
 use super::queries::{Part, Piece};
 use crate::wire::http::Refusal;
-use alderway::host::{Ending, Held, Intake};
+use alderway::interface::{AttemptOutcome, PolicyInput, ShardHolders};
 use alderway_layouts::coverage::Coverage;
 use alderway_layouts::family::Families;
 use alderway_layouts::history::{Followed, History, News};
@@ -195,43 +195,50 @@
         &mut self,
         node: &str,
         part: &Part,
-        ending: Ending,
+        ending: AttemptOutcome,
         moved: Option<Version>,
         keys: Option<(u32, u32)>,
         now: f64,
-    ) -> Ending {
+    ) -> AttemptOutcome {
         let (Some(history), Some(piece)) = (&mut self.history, part.keys) else { return ending };
         match (ending, moved, keys) {
-            (Ending::Full, Some(version), _) => {
+            (AttemptOutcome::Rejected, Some(version), _) => {
                 if history.disown(part.shard, node, version, now) {
                     self.held.insert(part.shard);
                 }
-                Ending::Moved
+                AttemptOutcome::ShardMoved
+            }
+            (AttemptOutcome::Success, _, Some((from, to))) if Range::new(from, to) != piece.range => {
+                AttemptOutcome::Error
+            }
+            (AttemptOutcome::Success, _, None) if history.keys(part.shard) != Some(piece.range) => {
+                AttemptOutcome::Error
             }
-            (Ending::Success, _, Some((from, to))) if Range::new(from, to) != piece.range => Ending::Error,
-            (Ending::Success, _, None) if history.keys(part.shard) != Some(piece.range) => Ending::Error,
             _ => ending,
         }
     }
 
     /// What changed, before the queries of the round.
-    pub fn tell_shards(&mut self, now: f64, module: &mut dyn Intake) {
+    pub fn tell_shards(&mut self, now: f64, module: &mut dyn PolicyInput) {
         let Some(history) = &mut self.history else { return };
         self.held.extend(history.lapse(now));
         for (shard, parents) in std::mem::take(&mut self.follows) {
-            module.shard_follows(shard, &parents);
+            module.inherit_shard(shard, &parents);
         }
         for shard in std::mem::take(&mut self.held) {
             let without = history.disowned(shard).map(str::to_string).collect();
-            module.shard_held(shard, Held { cells: history.holders(shard), without });
+            module.set_shard_holders(
+                shard,
+                ShardHolders { replica_groups: history.holders(shard), excluded_nodes: without },
+            );
         }
     }
 
     /// Parts that have become several, after the queries of the round.
-    pub fn tell_divided(&mut self, module: &mut dyn Intake) {
+    pub fn tell_divided(&mut self, module: &mut dyn PolicyInput) {
         for (number, part, into) in std::mem::take(&mut self.divided) {
             let into: Vec<(&str, u32, f64)> = into.iter().map(|(id, shard, w)| (&**id, *shard, *w)).collect();
-            module.part_divided(number, &part, &into);
+            module.shard_request_split(number, &part, &into);
         }
     }
 
@@ -243,20 +250,20 @@
     }
 
     /// What no longer matters, at the end of the round.
-    pub fn tell_over(&mut self, now: f64, module: &mut dyn Intake) {
+    pub fn tell_over(&mut self, now: f64, module: &mut dyn PolicyInput) {
         if let Some(history) = &mut self.history {
-            history.retire(now).into_iter().for_each(|shard| module.shard_over(shard));
+            history.retire(now).into_iter().for_each(|shard| module.shard_retired(shard));
         }
     }
 
     /// Those to whom the end of a call is told in its part's place: heirs that still wait for it, or all of them
     /// where it brought an answer; none where the part is what it was.
-    pub fn told_of(&self, call: &super::CallId, ending: Ending) -> Option<Vec<Rc<str>>> {
+    pub fn told_of(&self, call: &super::CallId, ending: AttemptOutcome) -> Option<Vec<Rc<str>>> {
         if self.families.is_empty() {
             return None;
         }
         let heirs = self.families.heirs(&call.0);
-        let waits = |heir: &&Rc<str>| ending == Ending::Success || self.families.waits(call, heir);
+        let waits = |heir: &&Rc<str>| ending == AttemptOutcome::Success || self.families.waits(call, heir);
         (!heirs.is_empty()).then(|| heirs.iter().filter(waits).cloned().collect())
     }
 }
--- a/crates/router/src/memory/house.rs
+++ b/crates/router/src/state/house.rs
@@ -2,7 +2,7 @@
 //! message. A program on one core has a house of its own with nobody else in it.
 use super::counters::Counters;
 use super::descriptors::Held;
-use alderway::host::{Common, Evidence};
+use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::fence::Fence;
 use alderway_cores::ids::Ids;
 use alderway_cores::pool::Pool;
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use tokio::sync::{Notify, broadcast, mpsc, watch};
 
-/// Evidence under way between cores; a core that is further behind loses the oldest, which the roster and its own
+/// NodeObservation under way between cores; a core that is further behind loses the oldest, which the roster and its own
 /// calls make up for.
 const GOSSIP: usize = 4096;
 /// Connections and words under way to one core.
@@ -42,7 +42,7 @@
 pub struct Word {
     pub core: usize,
     pub node: String,
-    pub seen: Evidence,
+    pub seen: NodeObservation,
 }
 
 /// What a core counts, and what is open on it.
@@ -93,7 +93,7 @@
     /// Queries and parts held.
     pub room: Arc<Pool>,
     pub fence: Arc<Fence>,
-    pub common: Common,
+    pub common: SharedLimits,
     pub seats: Vec<Seat>,
     /// The module of some core asks to follow the roster.
     pub follow: Arc<Notify>,
@@ -150,7 +150,7 @@
             ids: Ids::new(room),
             room: Pool::new(room),
             fence: Fence::new(if many { patience } else { f64::INFINITY }),
-            common: Common::new(sharing.cores),
+            common: SharedLimits::new(sharing.cores),
             seats,
             follow: Arc::default(),
             node_connections: each,
--- a/crates/router/src/memory/roster.rs
+++ b/crates/router/src/state/roster.rs
@@ -1,7 +1,7 @@
 //! The data nodes as discovery names them: one record each, found by its name, with its connections.
 use super::CallId;
 use super::lines::Line;
-use alderway::host::{Intake, NodeState};
+use alderway::interface::{NodeState, PolicyInput};
 use alderway::slow_start;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
         if whole {
             (self.whole, self.any_gone) = (true, true);
             for (name, node) in &mut self.nodes {
-                node.before = std::mem::replace(&mut node.state, NodeState::Gone);
+                node.before = std::mem::replace(&mut node.state, NodeState::Removed);
                 self.changed.insert(name.clone());
             }
         }
@@ -71,7 +71,7 @@
         if let Some(node) = self.nodes.get_mut(name) {
             let before = if self.listing { node.before } else { node.state };
             node.state = state.filter(|state| *state != NodeState::Serving).unwrap_or(before);
-            self.any_gone |= node.state == NodeState::Gone;
+            self.any_gone |= node.state == NodeState::Removed;
             self.changed.insert(name.to_string());
         }
     }
@@ -92,7 +92,7 @@
             (None, told) => told.map(|told| slow_start::believed_start(told, now, self.heard)),
         };
         self.entry(name, address, cell, state, started);
-        if let Some(node) = self.nodes.get_mut(name).filter(|_| state != NodeState::Gone) {
+        if let Some(node) = self.nodes.get_mut(name).filter(|_| state != NodeState::Removed) {
             node.told_start = told_start;
         }
     }
@@ -110,7 +110,7 @@
         self.changed.insert(name.to_string());
         let Some(node) = self.nodes.get_mut(name) else {
             let (lines, fresh) = (BTreeMap::new(), vec![]);
-            self.any_gone |= state == NodeState::Gone;
+            self.any_gone |= state == NodeState::Removed;
             let before = state;
             self.nodes.insert(
                 name.into(),
@@ -118,7 +118,7 @@
             );
             return;
         };
-        if state == NodeState::Gone {
+        if state == NodeState::Removed {
             node.state = state;
             self.any_gone = true;
             return;
@@ -140,7 +140,7 @@
 
     /// All that serve or drain.
     pub fn entries(&self) -> Vec<Entry> {
-        let here = self.nodes.iter().filter(|(_, n)| n.state != NodeState::Gone);
+        let here = self.nodes.iter().filter(|(_, n)| n.state != NodeState::Removed);
         here.map(|(name, n)| {
             let (name, address, cell, state, started) = (name.clone(), n.address, n.cell, n.state, n.started);
             Entry { name, address, cell, state, started }
@@ -152,8 +152,8 @@
     pub fn adopt(&mut self, list: &[Entry]) {
         let named: BTreeSet<&str> = list.iter().map(|e| e.name.as_str()).collect();
         for (name, node) in &mut self.nodes {
-            if node.state != NodeState::Gone && !named.contains(name.as_str()) {
-                node.state = NodeState::Gone;
+            if node.state != NodeState::Removed && !named.contains(name.as_str()) {
+                node.state = NodeState::Removed;
                 self.any_gone = true;
                 self.changed.insert(name.clone());
             }
@@ -167,16 +167,16 @@
     }
 
     /// Tells the module what has changed since it was last told.
-    pub fn tell(&mut self, module: &mut dyn Intake) {
+    pub fn tell(&mut self, module: &mut dyn PolicyInput) {
         if std::mem::take(&mut self.failed) {
-            module.roster_failed();
+            module.endpoint_poll_failed();
         }
         if std::mem::take(&mut self.whole) {
-            module.roster_whole();
+            module.endpoint_list_replaced();
         }
         for name in std::mem::take(&mut self.changed) {
             if let Some(node) = self.nodes.get(&name) {
-                module.roster_entry(&name, node.cell, node.state, node.started);
+                module.endpoint_updated(&name, node.cell, node.state, node.started);
             }
         }
     }
@@ -188,8 +188,8 @@
     /// Gone nodes are forgotten with their last connection.
     pub fn forget_gone(&mut self) {
         if self.any_gone {
-            self.nodes.retain(|_, n| n.state != NodeState::Gone || !n.lines.is_empty());
-            self.any_gone = self.nodes.values().any(|n| n.state == NodeState::Gone);
+            self.nodes.retain(|_, n| n.state != NodeState::Removed || !n.lines.is_empty());
+            self.any_gone = self.nodes.values().any(|n| n.state == NodeState::Removed);
         }
     }
 
--- a/crates/router/src/memory/terms.rs
+++ b/crates/router/src/state/terms.rs
@@ -1,8 +1,8 @@
 //! Settings that change while the router serves, as a desk takes them over: which place each vertical has, so that an
 //! open query goes on by what it was promised and a new one by the newest, and what the module has yet to be told.
 use super::desk::{Class, Desk};
-use alderway::host::{Intake, Placed, Terms, Vertical};
-use alderway_deployment::Intake as Room;
+use alderway::interface::{ClassSlot, PolicyConfig, PolicyInput, QueryClass};
+use alderway_deployment::AdmissionConfig;
 use alderway_deployment::live::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,18 +24,18 @@
     held: Option<Arc<Issue>>,
     /// Of the newest verticals, in their order; as they stand where there has been no change.
     newest: Option<Vec<usize>>,
-    known: BTreeMap<usize, Vertical>,
+    known: BTreeMap<usize, QueryClass>,
     left: BTreeSet<usize>,
     free: BTreeSet<usize>,
     /// What the next round tells.
-    untold: Vec<(Arc<Issue>, Vec<Placed>)>,
+    untold: Vec<(Arc<Issue>, Vec<ClassSlot>)>,
     /// The longest deadline of before, and until when it may matter.
     before: (f64, f64),
 }
 
 impl Places {
     /// What a module that starts now is started with.
-    pub fn newest(&self) -> Option<&Terms> {
+    pub fn newest(&self) -> Option<&PolicyConfig> {
         Some(&self.held.as_ref()?.settings.terms)
     }
 
@@ -49,17 +49,18 @@
 
     /// Each vertical in its order, as at a start.
     fn begin(&mut self, issue: Arc<Issue>) {
-        self.known = issue.settings.terms.verticals.iter().cloned().enumerate().collect();
+        self.known = issue.settings.terms.query_classes.iter().cloned().enumerate().collect();
         (self.newest, self.left, self.free) = (None, BTreeSet::new(), BTreeSet::new());
         self.untold.clear();
         self.held = Some(issue);
     }
 
     /// Gives each vertical its place: the one that it has where nothing of it changed, else one of its own.
-    fn place(&mut self, issue: &Issue, verticals: &mut Vec<Class>) -> Vec<Placed> {
+    fn place(&mut self, issue: &Issue, verticals: &mut Vec<Class>) -> Vec<ClassSlot> {
         let mut before = self.newest.take().unwrap_or_else(|| (0..verticals.len()).collect());
         let (mut placed, mut moved) = (vec![], vec![]);
-        for (class, vertical) in Class::all(&issue.settings).into_iter().zip(&issue.settings.terms.verticals)
+        for (class, vertical) in
+            Class::all(&issue.settings).into_iter().zip(&issue.settings.terms.query_classes)
         {
             let follows = before.iter().position(|&at| verticals[at].name == class.name);
             let follows = follows.map(|i| before.remove(i));
@@ -71,10 +72,10 @@
             }
             moved.extend(follows.filter(|from| *from != at));
             self.known.insert(at, vertical.clone());
-            placed.push(Placed { at, follows });
+            placed.push(ClassSlot { slot: at, previous_slot: follows });
         }
         self.left.extend(before.into_iter().chain(moved));
-        self.newest = Some(placed.iter().map(|placed| placed.at).collect());
+        self.newest = Some(placed.iter().map(|placed| placed.slot).collect());
         placed
     }
 }
@@ -90,9 +91,14 @@
     }
 
     /// Queries and shards, and how discovery is followed, are as at the start.
-    fn room_by(&self, issue: &Issue) -> Room {
-        let Room { room, shards, follow, .. } = self.room;
-        Room { room, shards, follow, ..issue.settings.intake }
+    fn room_by(&self, issue: &Issue) -> AdmissionConfig {
+        let AdmissionConfig { max_open: room, shard_count: shards, polls_endpoints: follow, .. } = self.room;
+        AdmissionConfig {
+            max_open: room,
+            shard_count: shards,
+            polls_endpoints: follow,
+            ..issue.settings.intake
+        }
     }
 
     /// Takes over what is newer than what is held: before a request is read and before a round, so that neither ever goes
@@ -119,7 +125,7 @@
     /// The longest that an open query may have had from its client, by these settings or by those of before.
     pub fn longest_deadline(&self, now: f64) -> f64 {
         let (before, until) = self.terms.before;
-        if now < until { self.room.deadline.max(before) } else { self.room.deadline }
+        if now < until { self.room.max_deadline_s.max(before) } else { self.room.max_deadline_s }
     }
 
     /// The place of a vertical for a query that comes now.
@@ -128,19 +134,19 @@
     }
 
     /// Tells the module what it goes by from this round on.
-    pub(super) fn tell_terms(&mut self, module: &mut dyn Intake) {
+    pub(super) fn tell_terms(&mut self, module: &mut dyn PolicyInput) {
         self.renew();
         for (issue, placed) in std::mem::take(&mut self.terms.untold) {
-            module.terms(&issue.settings.terms, &placed);
+            module.change_config(&issue.settings.terms, &placed);
         }
         self.say_taken();
     }
 
     /// Tells the module which places nobody is open in any more, after it has been told who left.
-    pub(super) fn tell_places(&mut self, module: &mut dyn Intake) {
+    pub(super) fn tell_places(&mut self, module: &mut dyn PolicyInput) {
         let Places { left, free, .. } = &mut self.terms;
         for at in left.extract_if(.., |at| self.queries.open_in(*at) == 0) {
-            module.vertical_over(at);
+            module.class_retired(at);
             free.insert(at);
         }
     }
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -3,9 +3,11 @@
 //! here, so that whoever takes a query over knows what may have run. No sockets.
 use super::Outbox;
 use super::planner::same_start;
-use crate::memory::clock::Clock;
-use crate::memory::counters::Counters;
-use alderway::host::{Ending, Evidence, Intake, NodeState, Records, Writer};
+use crate::state::clock::Clock;
+use crate::state::counters::Counters;
+use alderway::interface::{
+    AttemptOutcome, DecisionSink, NodeObservation, NodeState, PolicyInput, StateTransfer,
+};
 use alderway_tier::custody::{Asking, Custody, Decider};
 use alderway_tier::frames::{Hello, Message, Tried, VERSION};
 use alderway_tier::members::{Change, Members, Watch};
@@ -22,7 +24,7 @@
     shard: u32,
     weight: f64,
     /// Its leaf calls: where to, when, and how they ended.
-    calls: Vec<(String, f64, Option<Ending>)>,
+    calls: Vec<(String, f64, Option<AttemptOutcome>)>,
 }
 
 struct Query {
@@ -48,7 +50,7 @@
     fresh: Vec<Asking>,
     /// Queries that the own module takes over in the next round.
     own_due: Vec<String>,
-    heard: Vec<(String, Evidence)>,
+    heard: Vec<(String, NodeObservation)>,
     /// The roster's version here, and the one that planners must know by now.
     roster: (u64, f64),
     due: u64,
@@ -184,7 +186,7 @@
         let now = self.clock.now();
         let Some(record) = self.queries.get(&query) else { return };
         let mut out = vec![];
-        let tried = |(node, at, ending): &(String, f64, Option<Ending>)| Tried {
+        let tried = |(node, at, ending): &(String, f64, Option<AttemptOutcome>)| Tried {
             node: node.clone(),
             age: now - at,
             ending: ending.map(Into::into),
@@ -212,7 +214,7 @@
     // What comes from planners.
 
     /// Takes a planner's message in; its decisions go to the desk if it is the one that decides.
-    pub fn read(&mut self, hello: &Hello, message: Message, desk: &mut dyn Writer) {
+    pub fn read(&mut self, hello: &Hello, message: Message, desk: &mut dyn DecisionSink) {
         let from = Decider::Planner(hello.name.clone());
         match message {
             Message::Beat { number, roster, able } => {
@@ -239,7 +241,16 @@
                 let seen = self.clock.now();
                 let Some(here) = self.starts.get(&node).copied() else { return };
                 if let Some(started) = same_start(here, started, seen) {
-                    self.heard.push((node, Evidence { started, seen, late, far, sick }));
+                    self.heard.push((
+                        node,
+                        NodeObservation {
+                            started_at_s: started,
+                            observed_at_s: seen,
+                            slow_for_s: late,
+                            very_slow_for_s: far,
+                            unresponsive_for_s: sick,
+                        },
+                    ));
                     self.counters.one("evidence_heard{planner}");
                 }
             }
@@ -251,13 +262,13 @@
                 if let Some(record) = self.queries.get_mut(&query).map(|query| &mut query.parts[at]) {
                     self.calls.insert((part.clone(), record.calls.len()), hello.name.clone());
                     record.calls.push((node.clone(), now, None));
-                    desk.call(&part, &node, limit);
+                    desk.start_attempt(&part, &node, limit);
                 }
             }
             Message::Cancel { part, hop, .. } => {
                 // After the final answer as well: the losers of its race.
                 match self.calls.get(&(part.clone(), hop as usize)) {
-                    Some(planner) if *planner == hello.name => desk.cancel(&part, hop as usize),
+                    Some(planner) if *planner == hello.name => desk.cancel_attempt(&part, hop as usize),
                     Some(_) => self.counters.one("decisions_refused"),
                     // The call ended here while the word to cancel it was on its way.
                     None => self.counters.one("cancels_crossed"),
@@ -275,7 +286,7 @@
             }
             Message::Abort { term, query } => {
                 if self.finish(&from, term, &query) {
-                    desk.abort(&query);
+                    desk.fail(&query);
                 }
             }
             Message::Take { .. } | Message::Ended { .. } | Message::Left { .. } => {
@@ -342,25 +353,25 @@
 /// What the desk tells, on its way to whoever decides.
 pub struct Split<'a> {
     forwarder: &'a mut Forwarder,
-    own: &'a mut dyn Intake,
+    own: &'a mut dyn PolicyInput,
     /// The query whose parts are told now, and whether the own module decides for it.
     told: (String, bool),
 }
 
 impl<'a> Split<'a> {
     /// Begins a round: what the own module takes over comes first.
-    pub fn begin(forwarder: &'a mut Forwarder, own: &'a mut dyn Intake) -> Self {
+    pub fn begin(forwarder: &'a mut Forwarder, own: &'a mut dyn PolicyInput) -> Self {
         let now = forwarder.clock.now();
         for (node, seen) in std::mem::take(&mut forwarder.heard) {
-            own.evidence(&node, seen);
+            own.node_observed(&node, seen);
         }
         for id in std::mem::take(&mut forwarder.own_due) {
             let Some(query) = forwarder.queries.get(&id) else { continue };
-            own.query(query.number, &id, query.vertical, &query.customer, query.not_after);
+            own.query_arrived(query.number, &id, query.vertical, &query.customer, query.not_after);
             for part in &query.parts {
-                own.part(query.number, &part.id, part.shard, part.weight);
+                own.shard_request_added(query.number, &part.id, part.shard, part.weight);
                 for (node, at, ending) in &part.calls {
-                    own.part_tried(&part.id, node, now - at, *ending);
+                    own.adopt_attempt(&part.id, node, now - at, *ending);
                 }
             }
         }
@@ -379,27 +390,27 @@
 }
 
 /// Layouts do not go with the two levels yet, so there is nothing to pass on.
-impl Records for Split<'_> {}
+impl StateTransfer for Split<'_> {}
 
-impl Intake for Split<'_> {
-    fn roster_whole(&mut self) {
-        self.own.roster_whole();
+impl PolicyInput for Split<'_> {
+    fn endpoint_list_replaced(&mut self) {
+        self.own.endpoint_list_replaced();
     }
 
-    fn roster_entry(&mut self, node: &str, cell: u32, state: NodeState, started: Option<f64>) {
-        if state == NodeState::Gone {
+    fn endpoint_updated(&mut self, node: &str, cell: u32, state: NodeState, started: Option<f64>) {
+        if state == NodeState::Removed {
             self.forwarder.starts.remove(node);
         } else {
             self.forwarder.starts.insert(node.into(), started);
         }
-        self.own.roster_entry(node, cell, state, started);
+        self.own.endpoint_updated(node, cell, state, started);
     }
 
-    fn roster_failed(&mut self) {
-        self.own.roster_failed();
+    fn endpoint_poll_failed(&mut self) {
+        self.own.endpoint_poll_failed();
     }
 
-    fn query(&mut self, number: u64, id: &str, vertical: usize, customer: &str, not_after: f64) {
+    fn query_arrived(&mut self, number: u64, id: &str, vertical: usize, customer: &str, not_after: f64) {
         let able = self.forwarder.able();
         let Some(asking) = self.forwarder.custody.open(id, able.iter()) else { return };
         let query = Query { number, vertical, customer: customer.into(), not_after, parts: vec![] };
@@ -407,24 +418,24 @@
         self.told = (id.into(), asking.decider == Decider::Own);
         if asking.decider == Decider::Own {
             self.forwarder.counters.one("queries_decided{own}");
-            self.own.query(number, id, vertical, customer, not_after);
+            self.own.query_arrived(number, id, vertical, customer, not_after);
         } else {
             self.forwarder.fresh.push(asking);
         }
     }
 
-    fn part(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
+    fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
         // A query's parts follow on it.
         let (name, own) = &self.told;
         let Some(query) = self.forwarder.queries.get_mut(name).filter(|q| q.number == number) else { return };
         query.parts.push(Part { id: id.into(), shard, weight, calls: vec![] });
         self.forwarder.parts.insert(id.into(), (name.clone(), query.parts.len() - 1));
         if *own {
-            self.own.part(number, id, shard, weight);
+            self.own.shard_request_added(number, id, shard, weight);
         }
     }
 
-    fn call_ended(&mut self, part: &str, hop: usize, node: &str, ending: Ending, latency: f64) {
+    fn attempt_ended(&mut self, part: &str, hop: usize, node: &str, ending: AttemptOutcome, latency: f64) {
         if let Some((query, at)) = self.forwarder.parts.get(part)
             && let Some(query) = self.forwarder.queries.get_mut(query)
             && let Some(call) = query.parts[*at].calls.get_mut(hop)
@@ -437,24 +448,24 @@
                 let ended = Message::Ended { part, hop: hop as u32, node, ending: ending.into(), latency };
                 self.forwarder.send(&planner, &ended);
             }
-            None => self.own.call_ended(part, hop, node, ending, latency),
+            None => self.own.attempt_ended(part, hop, node, ending, latency),
         }
     }
 
-    fn client_left(&mut self, query: &str) {
+    fn client_disconnected(&mut self, query: &str) {
         match self.forwarder.forget(query).map(|asking| asking.decider) {
             Some(Decider::Planner(planner)) => {
                 self.forwarder.send(&planner, &Message::Left { query: query.into() });
             }
-            _ => self.own.client_left(query),
+            _ => self.own.client_disconnected(query),
         }
     }
 
-    fn alarm(&mut self, tag: u64) {
-        self.own.alarm(tag);
+    fn timer_fired(&mut self, tag: u64) {
+        self.own.timer_fired(tag);
     }
 
-    fn evidence(&mut self, node: &str, seen: Evidence) {
-        self.own.evidence(node, seen);
+    fn node_observed(&mut self, node: &str, seen: NodeObservation) {
+        self.own.node_observed(node, seen);
     }
 }
--- a/crates/router/src/tier/links.rs
+++ b/crates/router/src/tier/links.rs
@@ -2,9 +2,9 @@
 //! that grow, so that forwarders do not come back all at once to a planner that has just started.
 use super::Outbox;
 use super::forwarder::Forwarder;
-use crate::drive::rounds::{self, Pen};
-use crate::memory::Shared;
-use crate::memory::descriptors::Share;
+use crate::io::rounds::{self, Pen};
+use crate::state::Shared;
+use crate::state::descriptors::Share;
 use alderway_sockets::Sender;
 use alderway_tier::frames::{Hello, Read, Reader, Speech};
 use rand_pcg::Pcg32;
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -2,12 +2,12 @@
 //! for them, and tells each forwarder the decisions for its own. What a forwarder that is gone had out ends here with its
 //! session, so that nothing of it weighs on a data node for ever. No sockets.
 use super::Outbox;
-use crate::drive::discovery::Follower;
-use crate::memory::clock::Clock;
-use crate::memory::counters::Counters;
-use crate::memory::roster::Roster;
-use alderway::choice::Router;
-use alderway::host::{Ending, Evidence, Intake, Writer};
+use crate::io::discovery::Follower;
+use crate::state::clock::Clock;
+use crate::state::counters::Counters;
+use crate::state::roster::Roster;
+use alderway::interface::{AttemptOutcome, DecisionSink, NodeObservation, PolicyInput};
+use alderway::policy::Policy;
 use alderway_tier::frames::{Hello, Message, Tried};
 use alderway_tier::ramp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,13 +55,13 @@
         part: String,
         hop: usize,
         node: String,
-        ending: Ending,
+        ending: AttemptOutcome,
         latency: f64,
     },
     Left(String),
     Alarm(u64),
     /// What another planner saw.
-    Evidence(String, Evidence),
+    NodeObservation(String, NodeObservation),
 }
 
 /// All but the module, which writes into it.
@@ -178,7 +178,13 @@
         }
         for ((part, hop), (node, at)) in session.calls {
             let (part, hop) = (named(id, &part), hop as usize);
-            self.came.push(Came::Ended { part, hop, node, ending: Ending::Cancelled, latency: now - at });
+            self.came.push(Came::Ended {
+                part,
+                hop,
+                node,
+                ending: AttemptOutcome::Cancelled,
+                latency: now - at,
+            });
         }
         self.counters.one("forwarders{gone}");
         self.wake.notify_one();
@@ -236,7 +242,16 @@
                 let Some(here) = self.roster.nodes.get(&node).map(|node| node.started) else { return true };
                 if let Some(started) = same_start(here, started, seen) {
                     self.counters.one("evidence_heard");
-                    self.came.push(Came::Evidence(node, Evidence { started, seen, late, far, sick }));
+                    self.came.push(Came::NodeObservation(
+                        node,
+                        NodeObservation {
+                            started_at_s: started,
+                            observed_at_s: seen,
+                            slow_for_s: late,
+                            very_slow_for_s: far,
+                            unresponsive_for_s: sick,
+                        },
+                    ));
                 }
             }
             _ => return false,
@@ -312,7 +327,7 @@
         self.alarms.iter().map(|alarm| alarm.0).fold(f64::INFINITY, f64::min)
     }
 
-    fn tell(&mut self, now: f64, module: &mut dyn Intake) {
+    fn tell(&mut self, now: f64, module: &mut dyn PolicyInput) {
         self.roster.tell(module);
         self.roster.forget_gone();
         let due: Vec<u64> = self.alarms.extract_if(.., |alarm| alarm.0 <= now).map(|alarm| alarm.1).collect();
@@ -321,11 +336,17 @@
             match came {
                 Came::Query { number, vertical, customer, not_after, parts } => {
                     let Some(query) = self.queries.get(&number) else { continue };
-                    module.query(number, &named(query.session, &query.id), vertical, &customer, not_after);
+                    module.query_arrived(
+                        number,
+                        &named(query.session, &query.id),
+                        vertical,
+                        &customer,
+                        not_after,
+                    );
                     for ((_, shard, weight, tried), name) in parts.iter().zip(&query.parts) {
-                        module.part(number, name, *shard, *weight);
+                        module.shard_request_added(number, name, *shard, *weight);
                         for call in tried {
-                            module.part_tried(
+                            module.adopt_attempt(
                                 name,
                                 &call.node,
                                 call.age.max(0.0),
@@ -335,11 +356,11 @@
                     }
                 }
                 Came::Ended { part, hop, node, ending, latency } => {
-                    module.call_ended(&part, hop, &node, ending, latency);
+                    module.attempt_ended(&part, hop, &node, ending, latency);
                 }
-                Came::Left(query) => module.client_left(&query),
-                Came::Alarm(tag) => module.alarm(tag),
-                Came::Evidence(node, seen) => module.evidence(&node, seen),
+                Came::Left(query) => module.client_disconnected(&query),
+                Came::Alarm(tag) => module.timer_fired(tag),
+                Came::NodeObservation(node, seen) => module.node_observed(&node, seen),
             }
         }
     }
@@ -359,9 +380,9 @@
 }
 
 /// One round: all that came in is told, and decisions go to their forwarders.
-pub fn round(planner: &std::cell::RefCell<Planner>, module: &mut Router) {
+pub fn round(planner: &std::cell::RefCell<Planner>, module: &mut Policy) {
     let now = planner.borrow().clock.now();
-    let tell = |intake: &mut dyn Intake| {
+    let tell = |intake: &mut dyn PolicyInput| {
         planner.borrow_mut().tell(now, intake);
         Ok::<(), Infallible>(())
     };
@@ -371,8 +392,8 @@
 
 struct Pen<'a>(&'a std::cell::RefCell<Planner>);
 
-impl Writer for Pen<'_> {
-    fn call(&mut self, part: &str, node: &str, limit: f64) {
+impl DecisionSink for Pen<'_> {
+    fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
         let mut planner = self.0.borrow_mut();
         let Some((number, calls)) = planner.parts.get_mut(part) else { return };
         let (number, hop) = (*number, *calls);
@@ -387,7 +408,7 @@
         planner.send(session, &Message::Call { term, part: name, node, limit });
     }
 
-    fn cancel(&mut self, part: &str, hop: usize) {
+    fn cancel_attempt(&mut self, part: &str, hop: usize) {
         let mut planner = self.0.borrow_mut();
         let number = planner.parts.get(part).map(|part| part.0);
         let term = number.and_then(|number| planner.of(number)).map_or(0, |of| of.1);
@@ -403,29 +424,29 @@
         self.0.borrow_mut().finish(query, |term, query| Message::Reject { term, query, come_back });
     }
 
-    fn abort(&mut self, query: &str) {
+    fn fail(&mut self, query: &str) {
         self.0.borrow_mut().finish(query, |term, query| Message::Abort { term, query });
     }
 
-    fn alarm(&mut self, span: f64, tag: u64) {
+    fn set_timer(&mut self, span: f64, tag: u64) {
         let mut planner = self.0.borrow_mut();
         let at = planner.clock.now() + span;
         planner.alarms.push((at, tag));
     }
 
-    fn follow_roster(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.0.borrow().asked.notify_one();
     }
 
-    fn remark(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::info!(target: "module", "{text}");
     }
 
-    fn evidence(&mut self, node: &str, seen: Evidence) {
+    fn share_observation(&mut self, node: &str, seen: NodeObservation) {
         let mut planner = self.0.borrow_mut();
         let now = planner.clock.now();
         let started = planner.roster.nodes.get(node).and_then(|node| node.started).map(|at| now - at);
-        let Evidence { late, far, sick, .. } = seen;
+        let NodeObservation { slow_for_s: late, very_slow_for_s: far, unresponsive_for_s: sick, .. } = seen;
         for (n, session) in planner.sessions.values_mut().enumerate() {
             let (node, relay) = (node.into(), n == 0);
             session.outbox.send(&Message::Evidence { node, started, late, far, sick, relay });
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -1,12 +1,12 @@
 //! A planner's drivers: the listener for forwarders, a task a connection, discovery, and the rounds of its module.
 use super::planner::{self, Planner};
-use crate::drive::{discovery, until};
-use crate::life::reload::{self, Was};
-use crate::life::start::Station;
-use crate::life::{logger, stop};
-use crate::memory::clock::Clock;
-use alderway::choice::Router;
-use alderway::host::Common;
+use crate::io::{discovery, until};
+use crate::lifecycle::reload::{self, Was};
+use crate::lifecycle::start::Station;
+use crate::lifecycle::{logger, stop};
+use crate::state::clock::Clock;
+use alderway::interface::SharedLimits;
+use alderway::policy::Policy;
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
 use alderway_tier::frames::{Hello, Read, Reader, VERSION};
@@ -36,11 +36,11 @@
 pub async fn run(station: Station, clock: Clock) -> io::Result<()> {
     let Station { path, beside, name, listen, discovery, roster, seed, fixed, .. } = station;
     let (mut terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
-    let mut router = Router::new(seed, station.began.terms);
+    let mut router = Policy::new(seed, station.began.terms);
     // It tells forwarders what it sees of data nodes, as one core tells others.
-    router.join(Common::new(2).of(0));
+    router.join(SharedLimits::new(2).for_core(0));
     let verticals = station.verticals.len();
-    let (deadline, room) = (station.room.deadline, station.room.room);
+    let (deadline, room) = (station.room.max_deadline_s, station.room.max_open);
     let shared = Rc::new(RefCell::new(Planner::new(clock, verticals, deadline, room, roster)));
     let listener = TcpListener::bind(listen).await?;
     let at = listener.local_addr()?;
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-async fn rounds(planner: Shared, mut router: Router) {
+async fn rounds(planner: Shared, mut router: Policy) {
     let (clock, wake) = (planner.borrow().clock, planner.borrow().wake.clone());
     loop {
         let due = planner.borrow().next_due();
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -3,7 +3,7 @@
 use super::buffer::Buffer;
 use super::http::{Chunks, Messages};
 use super::json::Json;
-use alderway::host::NodeState;
+use alderway::interface::NodeState;
 use std::io::Write;
 use std::net::SocketAddr;
 
@@ -70,7 +70,7 @@
     match json.text()?.as_ref() {
         "SERVING" => Ok(NodeState::Serving),
         "DRAINING" => Ok(NodeState::Draining),
-        "DELETED" => Ok(NodeState::Gone),
+        "DELETED" => Ok(NodeState::Removed),
         _ => Err("an unknown `status`"),
     }
 }
@@ -96,7 +96,7 @@
         }
         Ok(())
     })?;
-    let gone = status == Ok(NodeState::Gone);
+    let gone = status == Ok(NodeState::Removed);
     let (address, cell) = (address.or(gone.then_some(Ok(NOWHERE))), cell.or(gone.then_some(Ok(0))));
     let read = || {
         let (address, cell) =
--- a/crates/router/tests/desk.rs
+++ b/crates/router/tests/desk.rs
@@ -1,15 +1,15 @@
 //! Stories of what is kept: frames taken back, endings that prove what they say, connections with their places,
 //! descriptors given back; and of drivers that run in the test's own runtime, where an order of events is sure.
-use alderway::host::{Effect, Ending, Intake, NodeState, Records, Writer};
+use alderway::interface::{AttemptOutcome, DecisionSink, Idempotency, NodeState, PolicyInput, StateTransfer};
 use alderway_deployment as deployment;
-use alderway_router::drive::{clients, nodes, rounds};
-use alderway_router::memory::clients::{Client, Clients};
-use alderway_router::memory::clock::Clock;
-use alderway_router::memory::descriptors;
-use alderway_router::memory::desk::{Class, Desk, Dial, Stage};
-use alderway_router::memory::house::{House, Sharing};
-use alderway_router::memory::queries::{Part, Query};
-use alderway_router::memory::roster::Entry;
+use alderway_router::io::{clients, nodes, rounds};
+use alderway_router::state::clients::{Client, Clients};
+use alderway_router::state::clock::Clock;
+use alderway_router::state::descriptors;
+use alderway_router::state::desk::{Class, Desk, Dial, Stage};
+use alderway_router::state::house::{House, Sharing};
+use alderway_router::state::queries::{Part, Query};
+use alderway_router::state::roster::Entry;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -21,40 +21,51 @@
 #[derive(Default)]
 struct Told(Vec<String>);
 
-impl Records for Told {}
+impl StateTransfer for Told {}
 
-impl Intake for Told {
-    fn roster_whole(&mut self) {
+impl PolicyInput for Told {
+    fn endpoint_list_replaced(&mut self) {
         self.0.push("whole".into());
     }
-    fn roster_entry(&mut self, node: &str, cell: u32, state: NodeState, _started: Option<f64>) {
+    fn endpoint_updated(&mut self, node: &str, cell: u32, state: NodeState, _started: Option<f64>) {
         self.0.push(format!("{node} {cell} {state:?}"));
     }
-    fn roster_failed(&mut self) {
+    fn endpoint_poll_failed(&mut self) {
         self.0.push("failed".into());
     }
-    fn query(&mut self, number: u64, id: &str, vertical: usize, _customer: &str, _not_after: f64) {
+    fn query_arrived(&mut self, number: u64, id: &str, vertical: usize, _customer: &str, _not_after: f64) {
         self.0.push(format!("query {number} {id} {vertical}"));
     }
-    fn part(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
+    fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
         self.0.push(format!("part {number} {id} {shard} {weight}"));
     }
-    fn call_ended(&mut self, part: &str, hop: usize, node: &str, ending: Ending, _latency: f64) {
+    fn attempt_ended(&mut self, part: &str, hop: usize, node: &str, ending: AttemptOutcome, _latency: f64) {
         self.0.push(format!("{part} {hop} {node} {ending:?}"));
     }
-    fn client_left(&mut self, query: &str) {
+    fn client_disconnected(&mut self, query: &str) {
         self.0.push(format!("left {query}"));
     }
-    fn alarm(&mut self, tag: u64) {
+    fn timer_fired(&mut self, tag: u64) {
         self.0.push(format!("alarm {tag}"));
     }
 }
 
 /// A desk with data nodes `s` and `t`; bundles of two parts, four places on a connection.
 fn desk() -> Desk {
-    let trunk = deployment::Trunk { places: 4, bundle: 2, dial: 0.25, idle: 15.0 };
-    let room =
-        deployment::Intake { room: 100, shards: 40, tick: 0.005, slo: 1.0, deadline: 10.0, follow: false };
+    let trunk = deployment::ConnectionConfig {
+        streams_per_connection: 4,
+        max_batch: 2,
+        dial_timeout_s: 0.25,
+        idle_timeout_s: 15.0,
+    };
+    let room = deployment::AdmissionConfig {
+        max_open: 100,
+        shard_count: 40,
+        min_round_interval_s: 0.005,
+        max_latency_objective_s: 1.0,
+        max_deadline_s: 10.0,
+        polls_endpoints: false,
+    };
     let mut desk = Desk::new(Clock::default(), trunk, room, vec!["v".into()]);
     desk.roster.begin(1, true);
     for (name, port) in [("s", 1), ("t", 2)] {
@@ -91,7 +102,7 @@
 
 /// Sends parts to a node as one round would; returns the dials that this takes.
 fn send(desk: &mut Desk, node: &str, parts: &[&str]) -> Vec<Dial> {
-    parts.iter().for_each(|part| desk.call(part, node, 5.0));
+    parts.iter().for_each(|part| desk.start_attempt(part, node, 5.0));
     let now = desk.clock.now();
     desk.post(now)
 }
@@ -129,23 +140,23 @@
     assert_eq!((first.len(), second.len()), (1, 1));
     take(&mut desk, "r", &[1]);
     while write(&mut desk, &first[0]).is_some() {}
-    desk.replied("s", first[0].line, "q.1", Ending::Success, "v");
+    desk.replied("s", first[0].line, "q.1", AttemptOutcome::Success, "v");
     up(&mut desk, &first[0]);
     assert!(send(&mut desk, "s", &["r.1"]).is_empty());
     assert!(write(&mut desk, &first[0]).is_some_and(|text| text.contains("r.1 ")));
 }
 
 #[rstest]
-#[case::cancelled(|desk: &mut Desk, _| desk.cancel("q.1", 0), "q.1 0 s Cancelled")]
+#[case::cancelled(|desk: &mut Desk, _| desk.cancel_attempt("q.1", 0), "q.1 0 s Cancelled")]
 #[case::answered_elsewhere(|desk: &mut Desk, _| {
     let dial = send(desk, "t", &["q.1"]).remove(0);
     write(desk, &dial);
-    desk.replied("t", dial.line, "q.1", Ending::Success, "v");
+    desk.replied("t", dial.line, "q.1", AttemptOutcome::Success, "v");
 }, "q.1 0 s Cancelled")]
 #[case::query_over(|desk: &mut Desk, _| desk.reject("q", None), "q.1 0 s NeverSent")]
 #[case::client_gone(|desk: &mut Desk, number| desk.client_left(number), "q.1 0 s Cancelled")]
 #[case::node_drains(|desk: &mut Desk, _| roster(desk, "s", 1, NodeState::Draining, None), "q.1 0 s NeverSent")]
-#[case::node_gone(|desk: &mut Desk, _| roster(desk, "s", 1, NodeState::Gone, None), "q.1 0 s NeverSent")]
+#[case::node_gone(|desk: &mut Desk, _| roster(desk, "s", 1, NodeState::Removed, None), "q.1 0 s NeverSent")]
 fn a_frame_not_begun_is_taken_back(#[case] happens: impl FnOnce(&mut Desk, u64), #[case] ending: &str) {
     let mut desk = desk();
     take(&mut desk, "q", &[1]);
@@ -163,7 +174,7 @@
     let mut desk = desk();
     take(&mut desk, "q", &[1, 2]);
     let dial = send(&mut desk, "s", &["q.1", "q.2"]).remove(0);
-    desk.cancel("q.1", 0);
+    desk.cancel_attempt("q.1", 0);
     let text = write(&mut desk, &dial).expect("a call");
     assert!(text.starts_with("Sq.2 2 d="), "{text}");
 }
@@ -178,7 +189,9 @@
     assert!(desk.next_frame("s", dial.line, &mut vec![]));
     desk.line_lost("s", dial.line);
     let told = told(&mut desk);
-    for ending in ["q.1 0 s Reset", "q.2 0 s Reset", "q.3 0 s Unreachable", "q.4 0 s Unreachable"] {
+    for ending in
+        ["q.1 0 s ConnectionReset", "q.2 0 s ConnectionReset", "q.3 0 s Unreachable", "q.4 0 s Unreachable"]
+    {
         assert!(told.iter().any(|t| t == ending), "{ending}: {told:?}");
     }
     assert_eq!(desk.calls.count_out(), 0);
@@ -247,7 +260,7 @@
     take(&mut desk, "q", &[1]);
     let dial = send(&mut desk, "t", &["q.1"]).remove(0);
     told(&mut desk);
-    desk.replied("s", old.line, "q.1", Ending::Full, "");
+    desk.replied("s", old.line, "q.1", AttemptOutcome::Rejected, "");
     assert!(told(&mut desk).is_empty(), "the later call waits to go out");
     assert!(write(&mut desk, &dial).is_some_and(|text| text.starts_with("Sq.1 ")));
     assert!(told(&mut desk).is_empty());
@@ -259,7 +272,7 @@
     take(&mut desk, "q", &[1, 2]);
     let dial = send(&mut desk, "s", &["q.1", "q.2"]).remove(0);
     let now = desk.clock.now();
-    desk.calls.end(&("q.1".into(), 0), Ending::Cancelled, now);
+    desk.calls.end(&("q.1".into(), 0), AttemptOutcome::Cancelled, now);
     assert!(write(&mut desk, &dial).is_some_and(|text| text.starts_with("Sq.2 ")));
     assert_eq!(write(&mut desk, &dial), None);
 }
@@ -271,31 +284,31 @@
     let first = send(&mut desk, "s", &["q.1"]).remove(0);
     up(&mut desk, &first);
     write(&mut desk, &first);
-    desk.cancel("q.1", 0);
+    desk.cancel_attempt("q.1", 0);
     let second = send(&mut desk, "s", &["q.1"]);
     assert_eq!(second.len(), 1, "another connection");
     assert_eq!(write(&mut desk, &first).as_deref(), Some("Cq.1"));
     write(&mut desk, &second[0]);
-    desk.replied("s", first.line, "q.1", Ending::Full, "");
+    desk.replied("s", first.line, "q.1", AttemptOutcome::Rejected, "");
     assert_eq!(told(&mut desk), ["q.1 0 s Cancelled"], "the second call is still out");
 }
 
 #[rstest]
 fn a_connection_that_fell_silent_gets_no_further_call() {
     let mut desk = desk();
-    desk.trunk.dial = 0.05;
+    desk.trunk.dial_timeout_s = 0.05;
     take(&mut desk, "q", &[1, 2, 3, 4]);
     let silent = send(&mut desk, "s", &["q.1", "q.2"]).remove(0);
     up(&mut desk, &silent);
     write(&mut desk, &silent);
     let pause = || std::thread::sleep(std::time::Duration::from_millis(60));
     pause();
-    desk.replied("s", silent.line, "q.1", Ending::Success, "v");
-    desk.cancel("q.2", 0);
+    desk.replied("s", silent.line, "q.1", AttemptOutcome::Success, "v");
+    desk.cancel_attempt("q.2", 0);
     assert!(send(&mut desk, "s", &["q.3"]).is_empty(), "heard since `q.2` went out: a slow part, no more");
     while write(&mut desk, &silent).is_some() {}
     pause();
-    desk.cancel("q.3", 0);
+    desk.cancel_attempt("q.3", 0);
     assert_eq!(send(&mut desk, "s", &["q.4"]).len(), 1, "nothing heard since: another connection");
 }
 
@@ -303,7 +316,7 @@
 fn a_time_out_ends_the_call_and_tells_the_node() {
     let mut desk = desk();
     take(&mut desk, "q", &[1]);
-    desk.call("q.1", "s", 0.05);
+    desk.start_attempt("q.1", "s", 0.05);
     let now = desk.clock.now();
     let dial = desk.post(now).remove(0);
     assert!(write(&mut desk, &dial).is_some_and(|text| text.starts_with("Sq.1 ")));
@@ -314,14 +327,14 @@
 
 /// How the first call of a part ends, and whether another may begin once its window is over.
 #[rstest]
-#[case::failed(Ending::Error, None)]
-#[case::turned_away(Ending::Full, Some("Sq.1 "))]
+#[case::failed(AttemptOutcome::Error, None)]
+#[case::turned_away(AttemptOutcome::Rejected, Some("Sq.1 "))]
 fn a_deduplicated_part_that_waited_past_its_window_does_not_begin_again(
-    #[case] first: Ending,
+    #[case] first: AttemptOutcome,
     #[case] second: Option<&str>,
 ) {
     let mut desk = desk();
-    desk.verticals[0].effect = Effect::Deduplicated { window: 0.05 };
+    desk.verticals[0].effect = Idempotency::IdempotentWithKey { window_s: 0.05 };
     take(&mut desk, "q", &[1]);
     let dial = send(&mut desk, "s", &["q.1"]).remove(0);
     write(&mut desk, &dial);
@@ -340,8 +353,8 @@
 fn a_call_whose_time_is_over_does_not_begin_and_those_beside_it_do() {
     let mut desk = desk();
     take(&mut desk, "q", &[1, 2]);
-    desk.call("q.1", "s", 0.0);
-    desk.call("q.2", "s", 5.0);
+    desk.start_attempt("q.1", "s", 0.0);
+    desk.start_attempt("q.2", "s", 5.0);
     let now = desk.clock.now();
     let dial = desk.post(now).remove(0);
     let text = write(&mut desk, &dial).expect("a call");
@@ -397,7 +410,7 @@
     write(&mut desk, &dial);
     desk.roster.begin(2, true);
     desk.roster_changed();
-    assert_eq!(told(&mut desk), ["whole", "s 0 Gone", "t 0 Gone"]);
+    assert_eq!(told(&mut desk), ["whole", "s 0 Removed", "t 0 Removed"]);
     assert_eq!(desk.roster.nodes.len(), 1, "`s` has a call out");
     desk.line_lost("s", dial.line);
     told(&mut desk);
@@ -573,7 +586,7 @@
 #[rstest]
 fn a_frame_that_gets_no_further_ends_its_connection() {
     let desk = Rc::new(std::cell::RefCell::new(desk()));
-    desk.borrow_mut().trunk.idle = 0.5;
+    desk.borrow_mut().trunk.idle_timeout_s = 0.5;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -635,7 +648,7 @@
     house.fence.looked(desk.clock.now());
     take(&mut desk, "q", &[0]);
     told(&mut desk);
-    desk.call("q.0", "s", 1.0);
+    desk.start_attempt("q.0", "s", 1.0);
     let now = desk.clock.now();
     let line = desk.post(now).remove(0).line;
     // The lead has a list that says that `s` drains; this core has not taken it in yet.
@@ -658,7 +671,7 @@
     desk.roster.adopt(&same);
     assert!(told(&mut desk).is_empty());
     desk.roster.adopt(&same[1..]);
-    assert_eq!(told(&mut desk), ["s 0 Gone"]);
+    assert_eq!(told(&mut desk), ["s 0 Removed"]);
     assert_eq!(desk.roster.nodes.len(), 1);
 }
 
@@ -722,7 +735,8 @@
     fn new() -> Self {
         let mut desk = desk();
         // Nothing is dropped a second time: one call that may have run is the last that may begin.
-        desk.verticals.push(Class { effect: Effect::Deduplicated { window: 0.0 }, ..Class::from("once") });
+        desk.verticals
+            .push(Class { effect: Idempotency::IdempotentWithKey { window_s: 0.0 }, ..Class::from("once") });
         Model {
             desk,
             clients: vec![],
@@ -775,7 +789,7 @@
                 let hop = self.calls.get_mut(&part).expect("a part");
                 self.open.insert(format!("{part} {hop}"));
                 *hop += 1;
-                self.desk.call(&part, if s { "s" } else { "t" }, 60.0);
+                self.desk.start_attempt(&part, if s { "s" } else { "t" }, 60.0);
             }
             Event::Post => {
                 let now = self.desk.clock.now();
@@ -798,7 +812,8 @@
             }
             Event::Replied(line, part, ending) => {
                 let (Some((node, line)), Some(part)) = (self.line(line), self.part(part)) else { return };
-                let ending = [Ending::Success, Ending::Error, Ending::Full][ending];
+                let ending =
+                    [AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected][ending];
                 self.desk.replied(&node, line, &part, ending, "value");
             }
             Event::Spoilt(line) => {
@@ -820,7 +835,7 @@
             }
             Event::Cancel(part, hop) => {
                 let Some(part) = self.part(part) else { return };
-                self.desk.cancel(&part, hop);
+                self.desk.cancel_attempt(&part, hop);
             }
             Event::Left(query) => {
                 let number = self.desk.queries.number(&format!("q{}", query % self.clients.len().max(1)));
@@ -831,7 +846,7 @@
             }
             Event::State(s, state) => {
                 let (name, port) = if s { ("s", 1) } else { ("t", 2) };
-                let state = [NodeState::Serving, NodeState::Draining, NodeState::Gone][state];
+                let state = [NodeState::Serving, NodeState::Draining, NodeState::Removed][state];
                 roster(&mut self.desk, name, port, state, None);
             }
             Event::Tell => self.tell(),
@@ -890,10 +905,12 @@
                 "NeverSent" | "Unreachable" => {
                     assert!(!self.written.contains(&call), "{told}: it was written whole")
                 }
-                "Reset" => assert!(self.written.contains(&call), "{told}: its last byte was never written"),
+                "ConnectionReset" => {
+                    assert!(self.written.contains(&call), "{told}: its last byte was never written")
+                }
                 _ => {}
             }
-            if matches!(ending, "NeverSent" | "Unreachable" | "Full") {
+            if matches!(ending, "NeverSent" | "Unreachable" | "Rejected") {
                 self.ran.get_mut(part).into_iter().for_each(|ran| ran.retain(|held| *held != call));
             }
         }
--- a/crates/router/tests/following.rs
+++ b/crates/router/tests/following.rs
@@ -1,6 +1,6 @@
 //! The longest time to be told of a change: every order of what can go wrong with watches, played without a socket
 //! or a clock against the spans by which the router follows discovery.
-use alderway_router::memory::following::{ANSWER, Following, PAUSE, SILENCE, Watching};
+use alderway_router::state::following::{ANSWER, Following, PAUSE, SILENCE, Watching};
 use rstest::rstest;
 
 /// What becomes of a watch that opens before discovery can be reached again, and of those right after.
--- a/crates/router/tests/layouts.rs
+++ b/crates/router/tests/layouts.rs
@@ -1,17 +1,17 @@
 //! Stories of a core whose shards split, merge and move while parts are out: what its desk sends, what it tells the
 //! module, and what it answers.
-use alderway::choice::Router;
-use alderway::host::*;
+use alderway::interface::*;
+use alderway::policy::Policy;
 use alderway_deployment as deployment;
 use alderway_layouts::history::News;
 use alderway_layouts::layout::{Change, Shard};
 use alderway_layouts::{Key, Range, ShardId};
-use alderway_router::drive::discovery::Follower;
-use alderway_router::memory::clients::Client;
-use alderway_router::memory::clock::Clock;
-use alderway_router::memory::desk::{Desk, Dial};
-use alderway_router::memory::ground::{Following, Ground, Target};
-use alderway_router::memory::queries::Query;
+use alderway_router::io::discovery::Follower;
+use alderway_router::state::clients::Client;
+use alderway_router::state::clock::Clock;
+use alderway_router::state::desk::{Desk, Dial};
+use alderway_router::state::ground::{Following, Ground, Target};
+use alderway_router::state::queries::Query;
 use alderway_router::wire::{layout, query};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner, contextualize_config};
@@ -23,36 +23,36 @@
 #[derive(Default)]
 struct Told(Vec<String>);
 
-impl Intake for Told {
-    fn roster_whole(&mut self) {}
-    fn roster_entry(&mut self, _: &str, _: u32, _: NodeState, _: Option<f64>) {}
-    fn roster_failed(&mut self) {}
-    fn query(&mut self, _: u64, id: &str, _: usize, _: &str, _: f64) {
+impl PolicyInput for Told {
+    fn endpoint_list_replaced(&mut self) {}
+    fn endpoint_updated(&mut self, _: &str, _: u32, _: NodeState, _: Option<f64>) {}
+    fn endpoint_poll_failed(&mut self) {}
+    fn query_arrived(&mut self, _: u64, id: &str, _: usize, _: &str, _: f64) {
         self.0.push(format!("query {id}"));
     }
-    fn part(&mut self, _: u64, id: &str, shard: u32, weight: f64) {
+    fn shard_request_added(&mut self, _: u64, id: &str, shard: u32, weight: f64) {
         self.0.push(format!("part {id} {shard} {weight:.2}"));
     }
-    fn call_ended(&mut self, part: &str, hop: usize, node: &str, ending: Ending, _: f64) {
+    fn attempt_ended(&mut self, part: &str, hop: usize, node: &str, ending: AttemptOutcome, _: f64) {
         self.0.push(format!("{part} {hop} {node} {ending:?}"));
     }
-    fn client_left(&mut self, query: &str) {
+    fn client_disconnected(&mut self, query: &str) {
         self.0.push(format!("left {query}"));
     }
-    fn alarm(&mut self, _: u64) {}
+    fn timer_fired(&mut self, _: u64) {}
 }
 
-impl Records for Told {
-    fn shard_held(&mut self, shard: u32, held: Held) {
-        self.0.push(format!("shard {shard} {:?} without {:?}", held.cells, held.without));
+impl StateTransfer for Told {
+    fn set_shard_holders(&mut self, shard: u32, held: ShardHolders) {
+        self.0.push(format!("shard {shard} {:?} without {:?}", held.replica_groups, held.excluded_nodes));
     }
-    fn shard_follows(&mut self, shard: u32, parents: &[u32]) {
+    fn inherit_shard(&mut self, shard: u32, parents: &[u32]) {
         self.0.push(format!("shard {shard} follows {parents:?}"));
     }
-    fn shard_over(&mut self, shard: u32) {
+    fn shard_retired(&mut self, shard: u32) {
         self.0.push(format!("shard {shard} over"));
     }
-    fn part_divided(&mut self, _: u64, part: &str, into: &[(&str, u32, f64)]) {
+    fn shard_request_split(&mut self, _: u64, part: &str, into: &[(&str, u32, f64)]) {
         self.0.push(format!("{part} into {into:?}"));
     }
 }
@@ -78,8 +78,20 @@
 
 /// Nodes `n0` to `n5`, one a cell; shards 1 (keys 0 to 50) and 2 (50 to 100), both held by cells 0 and 1.
 fn desk(room: usize) -> Desk {
-    let trunk = deployment::Trunk { places: 8, bundle: 8, dial: 0.25, idle: 15.0 };
-    let room = deployment::Intake { room, shards: 1, tick: 0.005, slo: 1.0, deadline: 10.0, follow: false };
+    let trunk = deployment::ConnectionConfig {
+        streams_per_connection: 8,
+        max_batch: 8,
+        dial_timeout_s: 0.25,
+        idle_timeout_s: 15.0,
+    };
+    let room = deployment::AdmissionConfig {
+        max_open: room,
+        shard_count: 1,
+        min_round_interval_s: 0.005,
+        max_latency_objective_s: 1.0,
+        max_deadline_s: 10.0,
+        polls_endpoints: false,
+    };
     let mut desk = Desk::new(Clock::default(), trunk, room, vec!["v".into()]);
     desk.ground = Some(Ground::new(Following { grace: 2.0, lag: 0.25 }));
     desk.roster.begin(1, true);
@@ -116,7 +128,7 @@
 }
 
 fn send(desk: &mut Desk, node: &str, parts: &[&str]) -> Dial {
-    parts.iter().for_each(|part| desk.call(part, node, 5.0));
+    parts.iter().for_each(|part| desk.start_attempt(part, node, 5.0));
     let now = desk.clock.now();
     desk.post(now).remove(0)
 }
@@ -143,7 +155,7 @@
     let text = write(&mut desk, &dial);
     assert!(text.starts_with("Sq.1.40-50 1 d=") && text.contains(",v=1,k=40-50 4\ntext"), "{text}");
     for (part, keys) in [("q.1.40-50", "keys=40-50"), ("q.2.50-60", "load=3,keys=50-60")] {
-        assert!(desk.answered("n0", dial.line, part, Ending::Success, keys, "v"));
+        assert!(desk.answered("n0", dial.line, part, AttemptOutcome::Success, keys, "v"));
     }
     desk.answer("q", true);
     assert_eq!(
@@ -183,9 +195,9 @@
     // A copy for one heir: its number follows on the parent's call.
     let new = send(&mut desk, "n2", &["q.3.0-20"]);
     write(&mut desk, &new);
-    assert!(desk.answered("n2", new.line, "q.3.0-20", Ending::Success, "keys=0-20", "new"));
+    assert!(desk.answered("n2", new.line, "q.3.0-20", AttemptOutcome::Success, "keys=0-20", "new"));
     assert_eq!(told(&mut desk), ["q.3.0-20 1 n2 Success"]);
-    assert!(desk.answered("n0", old.line, "q.1.0-50", Ending::Success, "keys=0-50", "old"));
+    assert!(desk.answered("n0", old.line, "q.1.0-50", AttemptOutcome::Success, "keys=0-50", "old"));
     assert_eq!(told(&mut desk), ["q.3.0-20 0 n0 Success", "q.4.20-50 0 n0 Success"]);
     desk.answer("q", true);
     assert_eq!(body(&client), r#"{"whole":true,"results":[{"partition":1,"keys":[0,50],"value":"old"}]}"#);
@@ -221,10 +233,10 @@
     write(&mut desk, &old);
     change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
     told(&mut desk);
-    desk.cancel("q.3.0-20", 0);
+    desk.cancel_attempt("q.3.0-20", 0);
     assert_eq!(told(&mut desk), ["q.3.0-20 0 n0 Cancelled"]);
     assert_eq!(desk.calls.count_out(), 1, "the other heir waits for it");
-    desk.cancel("q.4.20-50", 0);
+    desk.cancel_attempt("q.4.20-50", 0);
     assert_eq!(told(&mut desk), ["q.4.20-50 0 n0 Cancelled"]);
     assert_eq!((desk.calls.count_out(), write(&mut desk, &old).as_str()), (0, "Cq.1.0-50"));
 }
@@ -239,7 +251,10 @@
     desk.line_lost("n0", old.line);
     change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
     let told = told(&mut desk);
-    assert!(told.ends_with(&["q.3.0-20 0 n0 Reset".into(), "q.4.20-50 0 n0 Reset".into()]), "{told:?}");
+    assert!(
+        told.ends_with(&["q.3.0-20 0 n0 ConnectionReset".into(), "q.4.20-50 0 n0 ConnectionReset".into()]),
+        "{told:?}"
+    );
 }
 
 #[rstest]
@@ -264,15 +279,15 @@
 }
 
 #[rstest]
-#[case::not_mine(Ending::Full, "moved=7", Ending::Moved)]
-#[case::full_as_ever(Ending::Full, "-", Ending::Full)]
-#[case::other_keys(Ending::Success, "keys=0-40", Ending::Error)]
-#[case::keys_in_noise(Ending::Success, "keys=0", Ending::Error)]
-#[case::a_node_that_knows_no_layouts(Ending::Success, "inflight=7", Ending::Success)]
+#[case::not_mine(AttemptOutcome::Rejected, "moved=7", AttemptOutcome::ShardMoved)]
+#[case::full_as_ever(AttemptOutcome::Rejected, "-", AttemptOutcome::Rejected)]
+#[case::other_keys(AttemptOutcome::Success, "keys=0-40", AttemptOutcome::Error)]
+#[case::keys_in_noise(AttemptOutcome::Success, "keys=0", AttemptOutcome::Error)]
+#[case::a_node_that_knows_no_layouts(AttemptOutcome::Success, "inflight=7", AttemptOutcome::Success)]
 fn what_a_node_says_of_the_layout_counts(
-    #[case] ending: Ending,
+    #[case] ending: AttemptOutcome,
     #[case] report: &str,
-    #[case] told_as: Ending,
+    #[case] told_as: AttemptOutcome,
 ) {
     let mut desk = desk(100);
     take(&mut desk, 0, 50);
@@ -283,7 +298,7 @@
     let told = told(&mut desk);
     assert!(told.contains(&format!("q.1.0-50 0 n0 {told_as:?}")), "{told:?}");
     let left_out = told.contains(&r#"shard 1 [0, 1] without {"n0"}"#.to_string());
-    assert_eq!(left_out, told_as == Ending::Moved, "{told:?}");
+    assert_eq!(left_out, told_as == AttemptOutcome::ShardMoved, "{told:?}");
 }
 
 #[rstest]
@@ -292,7 +307,7 @@
     take(&mut desk, 0, 20);
     let dial = send(&mut desk, "n0", &["q.1.0-20"]);
     write(&mut desk, &dial);
-    desk.answered("n0", dial.line, "q.1.0-20", Ending::Success, "-", "of all its keys");
+    desk.answered("n0", dial.line, "q.1.0-20", AttemptOutcome::Success, "-", "of all its keys");
     assert!(told(&mut desk).contains(&"q.1.0-20 0 n0 Error".into()));
 }
 
@@ -305,7 +320,7 @@
     told(&mut desk);
     change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
     assert!(!told(&mut desk).iter().any(|t| t.contains("into")), "pieces would be of no use to it");
-    desk.answered("n0", dial.line, "q.1", Ending::Success, "keys=0-50", "v");
+    desk.answered("n0", dial.line, "q.1", AttemptOutcome::Success, "keys=0-50", "v");
     desk.answer("q", true);
     assert_eq!(body(&client), r#"{"whole":true,"results":[{"partition":1,"keys":[0,50],"value":"v"}]}"#);
     assert_eq!(ask(&mut desk, "r", &[(Some(1), None, 1.0)]).err(), Some("`partition` is no shard here"));
@@ -432,12 +447,12 @@
 /// The desk as the module writes to it.
 struct Pen<'a>(&'a RefCell<Desk>);
 
-impl Writer for Pen<'_> {
-    fn call(&mut self, part: &str, node: &str, limit: f64) {
-        self.0.borrow_mut().call(part, node, limit);
+impl DecisionSink for Pen<'_> {
+    fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
+        self.0.borrow_mut().start_attempt(part, node, limit);
     }
-    fn cancel(&mut self, part: &str, hop: usize) {
-        self.0.borrow_mut().cancel(part, hop);
+    fn cancel_attempt(&mut self, part: &str, hop: usize) {
+        self.0.borrow_mut().cancel_attempt(part, hop);
     }
     fn answer(&mut self, query: &str, whole: bool) {
         self.0.borrow_mut().answer(query, whole);
@@ -445,32 +460,53 @@
     fn reject(&mut self, query: &str, come_back: Option<f64>) {
         self.0.borrow_mut().reject(query, come_back);
     }
-    fn abort(&mut self, query: &str) {
-        self.0.borrow_mut().abort(query);
+    fn fail(&mut self, query: &str) {
+        self.0.borrow_mut().fail(query);
     }
-    fn alarm(&mut self, span: f64, tag: u64) {
-        Writer::alarm(&mut *self.0.borrow_mut(), span, tag);
+    fn set_timer(&mut self, span: f64, tag: u64) {
+        DecisionSink::set_timer(&mut *self.0.borrow_mut(), span, tag);
     }
-    fn follow_roster(&mut self) {}
-    fn remark(&mut self, _: &str) {}
-}
-
-fn module(effect: Effect) -> Router {
-    let vertical = Vertical {
-        slo: 2.0,
-        deadline: 6.0,
-        effect,
-        utility: 1.0,
-        late_share: 0.3,
-        need: 1.0,
-        floor: 0.5,
-        fetch: 0,
+    fn poll_endpoints(&mut self) {}
+    fn log(&mut self, _: &str) {}
+}
+
+fn module(effect: Idempotency) -> Policy {
+    let vertical = QueryClass {
+        latency_objective_s: 2.0,
+        deadline_s: 6.0,
+        idempotency: effect,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.3,
+        complete_fraction: 1.0,
+        minimum_fraction: 0.5,
+        second_phase_requests: 0,
+    };
+    let placement = ShardPlacement {
+        replica_groups: 6,
+        groups_per_shard: 2,
+        max_batch: 8,
+        attempt_overhead_s: 0.0,
+        explicit_holders: None,
+    };
+    let allowance = RouterCapabilities {
+        can_cancel: true,
+        can_hedge: true,
+        max_attempts: 4,
+        max_retry_after_s: None,
+        polls_endpoints: false,
+        over_quota_weight_fraction: 0.1,
     };
-    let placement = Placement { cells: 6, reach: 2, bundle: 8, call_work: 0.0, listed: None };
-    let allowance =
-        Allowance { cancel: true, parallel: true, calls: 4, come_back: None, follow: false, over_share: 0.1 };
     let verticals = vec![vertical];
-    Router::new(7, Terms { peers: 1, verticals, placement, allowance, ..Terms::default() })
+    Policy::new(
+        7,
+        PolicyConfig {
+            router_count: 1,
+            query_classes: verticals,
+            placement,
+            capabilities: allowance,
+            ..PolicyConfig::default()
+        },
+    )
 }
 
 /// A call whose frame has gone out and that nobody has answered: node, connection, part, keys.
@@ -479,7 +515,7 @@
 /// One core with its module and data nodes that a test plays.
 struct World {
     desk: RefCell<Desk>,
-    router: Router,
+    router: Policy,
     /// How far the module's time is ahead of the clock.
     ahead: f64,
     out: Vec<Out>,
@@ -491,7 +527,7 @@
 }
 
 impl World {
-    fn new(effect: Effect) -> World {
+    fn new(effect: Idempotency) -> World {
         let mut desk = desk(10_000);
         // Nothing is told yet.
         desk.start_over();
@@ -510,7 +546,7 @@
     fn round(&mut self) {
         let now = self.desk.borrow().clock.now() + self.ahead;
         let desk = &self.desk;
-        let tell = |intake: &mut dyn Intake| {
+        let tell = |intake: &mut dyn PolicyInput| {
             desk.borrow_mut().tell(now, intake);
             Ok::<(), ()>(())
         };
@@ -549,9 +585,9 @@
         let (node, line, part, keys) = self.out.swap_remove(which % self.out.len());
         let mut desk = self.desk.borrow_mut();
         let (ending, report, value) = match how % 8 {
-            0 => (Ending::Full, "moved=99".to_string(), String::new()),
-            1 => (Ending::Full, "moved=1".to_string(), String::new()),
-            2 => (Ending::Error, "-".to_string(), String::new()),
+            0 => (AttemptOutcome::Rejected, "moved=99".to_string(), String::new()),
+            1 => (AttemptOutcome::Rejected, "moved=1".to_string(), String::new()),
+            2 => (AttemptOutcome::Error, "-".to_string(), String::new()),
             3 => {
                 drop(desk);
                 self.out.retain(|out| out.1 != line);
@@ -559,10 +595,10 @@
             }
             _ => {
                 let value = format!("{}-{}", keys.from, keys.to);
-                (Ending::Success, format!("keys={value}"), value)
+                (AttemptOutcome::Success, format!("keys={value}"), value)
             }
         };
-        if ending == Ending::Full {
+        if ending == AttemptOutcome::Rejected {
             let query = part.split('.').next().expect("a query");
             if let Some(at) = self.ran.iter().rposition(|ran| *ran == (query.to_string(), keys)) {
                 self.ran.remove(at);
@@ -638,7 +674,7 @@
     let steps = prop::collection::vec((0..10u8, any::<u8>(), 0..100u32, 1..60u32), 20..120);
     let totals: [Cell<u64>; NAMES.len()] = Default::default();
     let played = TestRunner::new(config).run(&(steps, any::<bool>()), |(steps, once)| {
-        let mut world = World::new(if once { Effect::SideEffecting } else { Effect::Repeatable });
+        let mut world = World::new(if once { Idempotency::NonIdempotent } else { Idempotency::Idempotent });
         for (n, (step, kind, at, keys)) in steps.into_iter().enumerate() {
             match step {
                 0..2 => world.query(n, at, keys),
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,17 +1,17 @@
 //! Settings that change while the router serves: as a desk takes them over, as they are checked, and as the program does it
 //! over sockets. Each story fails when the code behind it breaks.
 mod common;
-use alderway::choice::Router;
-use alderway::host::Ending;
+use alderway::interface::AttemptOutcome;
+use alderway::policy::Policy;
 use alderway_deployment::live::{self, Changes};
-use alderway_router::life::settings::{Live, Outcome, check};
-use alderway_router::life::start::Role;
-use alderway_router::memory::clients::Client;
-use alderway_router::memory::clock::Clock;
-use alderway_router::memory::desk::Desk;
-use alderway_router::memory::house::{House, Sharing};
-use alderway_router::memory::queries::{Part, Query};
-use alderway_router::memory::terms::Issue;
+use alderway_router::lifecycle::settings::{Live, Outcome, check};
+use alderway_router::lifecycle::start::Role;
+use alderway_router::state::clients::Client;
+use alderway_router::state::clock::Clock;
+use alderway_router::state::desk::Desk;
+use alderway_router::state::house::{House, Sharing};
+use alderway_router::state::queries::{Part, Query};
+use alderway_router::state::terms::Issue;
 use common::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -96,7 +96,7 @@
 
 struct Started {
     desk: Desk,
-    module: Router,
+    module: Policy,
     news: watch::Sender<Arc<Issue>>,
 }
 
@@ -113,8 +113,8 @@
     desk.follow_settings(told);
     desk.roster.begin(1, true);
     let address = ([127, 0, 0, 1], 1).into();
-    desk.roster.entry("s", address, 0, alderway::host::NodeState::Serving, None);
-    let module = Router::new(7, desk.terms.newest().expect("terms").clone());
+    desk.roster.entry("s", address, 0, alderway::interface::NodeState::Serving, None);
+    let module = Policy::new(7, desk.terms.newest().expect("terms").clone());
     let mut started = Started { desk, module, news };
     started.round();
     started
@@ -124,11 +124,11 @@
 #[derive(Default)]
 struct Said(Vec<(String, String)>);
 
-impl alderway::host::Writer for Said {
-    fn call(&mut self, part: &str, node: &str, _: f64) {
+impl alderway::interface::DecisionSink for Said {
+    fn start_attempt(&mut self, part: &str, node: &str, _: f64) {
         self.0.push((format!("call {part}"), node.into()));
     }
-    fn cancel(&mut self, part: &str, hop: usize) {
+    fn cancel_attempt(&mut self, part: &str, hop: usize) {
         self.0.push((format!("cancel {part}"), hop.to_string()));
     }
     fn answer(&mut self, query: &str, whole: bool) {
@@ -137,31 +137,31 @@
     fn reject(&mut self, query: &str, _: Option<f64>) {
         self.0.push((format!("reject {query}"), String::new()));
     }
-    fn abort(&mut self, query: &str) {
+    fn fail(&mut self, query: &str) {
         self.0.push((format!("abort {query}"), String::new()));
     }
-    fn alarm(&mut self, _: f64, _: u64) {}
-    fn follow_roster(&mut self) {}
-    fn remark(&mut self, _: &str) {}
+    fn set_timer(&mut self, _: f64, _: u64) {}
+    fn poll_endpoints(&mut self) {}
+    fn log(&mut self, _: &str) {}
 }
 
 impl Started {
     fn round(&mut self) -> Vec<String> {
-        use alderway::host::Writer;
+        use alderway::interface::DecisionSink;
         let (now, desk) = (self.desk.clock.now(), &mut self.desk);
         let mut said = Said::default();
-        let told = |intake: &mut dyn alderway::host::Intake| {
+        let told = |intake: &mut dyn alderway::interface::PolicyInput| {
             desk.tell(now, intake);
             Ok::<(), ()>(())
         };
         self.module.round(now, told, &mut said).expect("no fault");
         for (what, which) in &said.0 {
             match what.split_once(' ').expect("two words") {
-                ("call", part) => self.desk.call(part, which, 5.0),
-                ("cancel", part) => self.desk.cancel(part, which.parse().expect("a hop")),
+                ("call", part) => self.desk.start_attempt(part, which, 5.0),
+                ("cancel", part) => self.desk.cancel_attempt(part, which.parse().expect("a hop")),
                 ("answer", query) => self.desk.answer(query, which == "true"),
                 ("reject", query) => self.desk.reject(query, None),
-                (_, query) => self.desk.abort(query),
+                (_, query) => self.desk.fail(query),
             }
         }
         said.0.into_iter().map(|(what, _)| what).collect()
@@ -177,14 +177,14 @@
         let vertical = self.desk.vertical(name)?;
         let client = Rc::new(Client::default());
         let parts = vec![Part::new(format!("{id}.1").into(), 1, 1.0)];
-        let (not_after, text) = (self.desk.clock.now() + self.desk.room.deadline, String::new());
+        let (not_after, text) = (self.desk.clock.now() + self.desk.room.max_deadline_s, String::new());
         let (of, coverage) = (client.clone(), None);
         let query = Query { id: id.into(), vertical, not_after, text, parts, client: of, coverage };
         self.desk.take(&client, query).expect("taken");
         Some((vertical, client))
     }
 
-    fn ends(&mut self, part: &str, ending: Ending) -> Vec<String> {
+    fn ends(&mut self, part: &str, ending: AttemptOutcome) -> Vec<String> {
         let id = (part.into(), 0);
         let node = self.desk.calls.get(&id).expect("it is out").node.clone();
         self.desk.calls.end(&id, ending, self.desk.clock.now()).expect("it is out");
@@ -209,8 +209,8 @@
     assert_eq!(all.serial(), 0);
     assert!(all.round().contains(&"call b.1".to_string()));
     assert_eq!(all.serial(), 1, "taken over with the round");
-    assert!(!all.ends("a.1", Ending::Error).contains(&"abort a".to_string()));
-    assert_eq!(all.ends("b.1", Ending::Error), ["abort b"]);
+    assert!(!all.ends("a.1", AttemptOutcome::Error).contains(&"abort a".to_string()));
+    assert_eq!(all.ends("b.1", AttemptOutcome::Error), ["abort b"]);
 }
 
 #[rstest]
@@ -223,7 +223,7 @@
     assert_eq!(all.round(), ["call a.1"]);
     assert!(all.take("b", "region-report").is_none(), "unknown from here on");
     assert_eq!(all.desk.queries.open_in(old), 1);
-    assert_eq!(all.ends("a.1", Ending::Success), ["answer a"]);
+    assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
     assert!(client.out.borrow().starts_with(b"HTTP/1.1 200 "));
     let counted = all.desk.figures();
     assert!(counted.contains("queries_merged{region-report} 1"), "{counted}");
@@ -245,7 +245,7 @@
     }
     all.round();
     assert!(all.desk.places() <= 5, "{} places for two verticals and one open query", all.desk.places());
-    assert_eq!(all.ends("a.1", Ending::Success), ["answer a"]);
+    assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
 }
 
 #[rstest]
@@ -274,12 +274,12 @@
     all.offer(1, &with("/Services/0/Effect", json!("at_most_once")));
     all.round();
     all.desk.start_over();
-    all.module = Router::new(7, all.desk.terms.newest().expect("terms").clone());
+    all.module = Policy::new(7, all.desk.terms.newest().expect("terms").clone());
     all.round();
     let (place, _client) = all.take("b", "site-search").expect("known");
     assert_eq!((place, all.desk.places()), (0, 2), "as after a start");
     assert_eq!(all.round(), ["call b.1"]);
-    assert_eq!(all.ends("b.1", Ending::Error), ["abort b"]);
+    assert_eq!(all.ends("b.1", AttemptOutcome::Error), ["abort b"]);
 }
 
 // The one path for all that bring settings.
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The wire's state machines on good bytes cut at every place, and on bytes that are none of theirs.
-use alderway::host::NodeState;
+use alderway::interface::NodeState;
 use alderway_router::wire::buffer::Buffer;
 use alderway_router::wire::discovery::{self, Node, Watch, Word};
 use alderway_router::wire::http::{MESSAGE, Messages};
@@ -259,7 +259,7 @@
         let address = if port > 0 { ([127, 0, 0, 1], port) } else { ([0; 4], 0) }.into();
         ("s-1".to_string(), Ok(Node { address, cell, state, since }))
     };
-    assert_eq!(told, [node(50, 3, NodeState::Serving, 7), node(0, 0, NodeState::Gone, 0)]);
+    assert_eq!(told, [node(50, 3, NodeState::Serving, 7), node(0, 0, NodeState::Removed, 0)]);
     assert_eq!(discovery::version(GONE.as_bytes()), Ok((43, false)));
 }
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,6 +1,6 @@
 //! The simulator's wire: decodes each line straight into a call on the module, and encodes its actions.
-use alderway::choice::Router;
-use alderway::host::*;
+use alderway::interface::*;
+use alderway::policy::Policy;
 use alderway_deployment as deployment;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -102,16 +102,16 @@
     }
 }
 
-fn ending(line: &mut Line) -> Read<Ending> {
+fn ending(line: &mut Line) -> Read<AttemptOutcome> {
     Ok(match line.word("Reason")? {
-        "pass" => Ending::Success,
-        "fault" => Ending::Error,
-        "no_room" => Ending::Full,
-        "too_slow" => Ending::TimedOut,
-        "no_route" => Ending::Unreachable,
-        "cut" => Ending::Reset,
-        "undone" => Ending::Cancelled,
-        "stale_send" => Ending::NeverSent,
+        "pass" => AttemptOutcome::Success,
+        "fault" => AttemptOutcome::Error,
+        "no_room" => AttemptOutcome::Rejected,
+        "too_slow" => AttemptOutcome::TimedOut,
+        "no_route" => AttemptOutcome::Unreachable,
+        "cut" => AttemptOutcome::ConnectionReset,
+        "undone" => AttemptOutcome::Cancelled,
+        "stale_send" => AttemptOutcome::NeverSent,
         other => return line.malformed("Reason", format!("a known outcome, found `{other}`")),
     })
 }
@@ -119,14 +119,14 @@
 /// A numbered list as it stood when it came: the lines of its entries.
 type Entries<'a> = Rc<Vec<Line<'a>>>;
 
-fn entry(mut line: Line, intake: &mut dyn Intake) -> Read<()> {
+fn entry(mut line: Line, intake: &mut dyn PolicyInput) -> Read<()> {
     let node = line.word("Node")?;
     line.optional("RegionPart")?;
     line.optional("Machine")?;
     let state = match line.word("Status")? {
         "healthy" => NodeState::Serving,
         "cordoned" => NodeState::Draining,
-        "deregistered" => NodeState::Gone,
+        "deregistered" => NodeState::Removed,
         other => return line.malformed("Status", format!("a known state, found `{other}`")),
     };
     line.unused_number("Rating")?;
@@ -139,7 +139,7 @@
     };
     let cell = line.parsed("SlotNo", "a whole number")?;
     line.end()?;
-    intake.roster_entry(node, cell, state, started);
+    intake.endpoint_updated(node, cell, state, started);
     Ok(())
 }
 
@@ -154,7 +154,7 @@
     list: Option<&Entries>,
     names: &[String],
     peers: &mut Option<Over>,
-    intake: &mut dyn Intake,
+    intake: &mut dyn PolicyInput,
 ) -> Read<()> {
     match line.message {
         "directory_update" => {
@@ -162,10 +162,10 @@
             let mode = line.word("Mode")?;
             line.unused_number("Generation")?;
             match (mode, list) {
-                ("unavailable", _) => intake.roster_failed(),
+                ("unavailable", _) => intake.endpoint_poll_failed(),
                 ("update" | "replace" | "restored", Some(entries)) => {
                     if mode != "update" {
-                        intake.roster_whole();
+                        intake.endpoint_list_replaced();
                     }
                     for line in entries.iter() {
                         entry(line.clone(), intake)?;
@@ -189,9 +189,9 @@
             let heft = line.number("Heft")?;
             line.unused_number("Marks")?;
             if shard < 0.0 {
-                intake.query(number, id, vertical, customer, not_after);
+                intake.query_arrived(number, id, vertical, customer, not_after);
             } else {
-                intake.part(number, id, shard as u32, heft);
+                intake.shard_request_added(number, id, shard as u32, heft);
             }
         }
         "finished" => {
@@ -202,10 +202,10 @@
             let ending = ending(&mut line)?;
             let node = line.word("Node")?;
             line.optional("Metrics")?;
-            intake.call_ended(part, hop, node, ending, latency);
+            intake.attempt_ended(part, hop, node, ending, latency);
         }
-        "vanished" => intake.client_left(line.word("OpId")?),
-        "timeout_fired" => intake.alarm(line.whole("Tag")?),
+        "vanished" => intake.client_disconnected(line.word("OpId")?),
+        "timeout_fired" => intake.timer_fired(line.whole("Tag")?),
         // Streams and probes are not used by the module; their lines are still read in full.
         "started" => {
             line.word("OpId")?;
@@ -225,7 +225,7 @@
             let Some(bytes) = bytes(text) else { return line.malformed("Bytes", "pairs of hex digits") };
             // What is of another form is another program's: it says nothing.
             if let (Some(_), [late, in_time]) = (peers, bytes.as_slice()) {
-                intake.fleet(u32::from(*late), u32::from(*in_time));
+                intake.fleet_latency_counts(u32::from(*late), u32::from(*in_time));
             }
         }
         _ => return line.malformed("the name", "a message of the wire"),
@@ -252,14 +252,14 @@
     (span * 1e6).round() as i64
 }
 
-impl Writer for Reply {
-    fn call(&mut self, part: &str, node: &str, limit: f64) {
+impl DecisionSink for Reply {
+    fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
         // 0 would mean no time-out at all.
         let limit = if micros(limit) == 0 { -1 } else { micros(limit) };
         action!(self, "transmit {part} {node} {limit}");
     }
 
-    fn cancel(&mut self, part: &str, hop: usize) {
+    fn cancel_attempt(&mut self, part: &str, hop: usize) {
         action!(self, "retract {part} {hop}");
     }
 
@@ -271,23 +271,23 @@
         action!(self, "busy {query} {}", micros(come_back.unwrap_or(0.0)));
     }
 
-    fn abort(&mut self, query: &str) {
+    fn fail(&mut self, query: &str) {
         action!(self, "surrender {query}");
     }
 
-    fn alarm(&mut self, span: f64, tag: u64) {
+    fn set_timer(&mut self, span: f64, tag: u64) {
         action!(self, "set_alarm {} {tag}", micros(span));
     }
 
-    fn follow_roster(&mut self) {
+    fn poll_endpoints(&mut self) {
         action!(self, "subscribe 1");
     }
 
-    fn remark(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         action!(self, "remark {text}");
     }
 
-    fn over(&mut self, late: bool) {
+    fn query_ended(&mut self, late: bool) {
         self.1.push(late);
     }
 }
@@ -311,7 +311,7 @@
 /// The query routers of this process, each with the names of its verticals.
 #[derive(Default)]
 pub struct Routers {
-    routers: BTreeMap<String, (Router, Vec<String>, Option<Over>)>,
+    routers: BTreeMap<String, (Policy, Vec<String>, Option<Over>)>,
     /// Numbered lists, kept from batch to batch as their lines and where these stood.
     lists: BTreeMap<u64, Vec<(usize, String)>>,
 }
@@ -403,12 +403,12 @@
             let Some((router, names, peers)) = self.routers.get_mut(name) else { continue };
             let lines = std::mem::take(&mut inboxes.entry(name).or_default().lines);
             let mut publish = None;
-            let came_in = |intake: &mut dyn Intake| {
+            let came_in = |intake: &mut dyn PolicyInput| {
                 let told =
                     |(line, list): (_, Option<Entries>)| event(line, list.as_ref(), names, peers, intake);
                 lines.into_iter().try_for_each(told)?;
                 if let Some(peers) = peers.as_mut().filter(|p| now >= p.next && p.late + p.in_time > 0) {
-                    intake.fleet(u32::from(peers.late), u32::from(peers.in_time));
+                    intake.fleet_latency_counts(u32::from(peers.late), u32::from(peers.in_time));
                     publish = Some((peers.late, peers.in_time));
                     *peers = Over { next: now + 0.5, ..Over::default() };
                 }
--- a/crates/tier/src/frames.rs
+++ b/crates/tier/src/frames.rs
@@ -2,7 +2,7 @@
 //! frame of each side is a hello, whose form never changes: a word, the protocol's version, and who it is. Fed bytes, in
 //! pieces of any size; whatever they are, an error or a message, never a panic.
 use crate::{Incarnation, Name};
-use alderway::host::Ending;
+use alderway::interface::AttemptOutcome;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -57,34 +57,34 @@
     Moved,
 }
 
-impl From<Ending> for Ended {
-    fn from(ending: Ending) -> Self {
+impl From<AttemptOutcome> for Ended {
+    fn from(ending: AttemptOutcome) -> Self {
         match ending {
-            Ending::Success => Ended::Success,
-            Ending::Error => Ended::Error,
-            Ending::Full => Ended::Full,
-            Ending::TimedOut => Ended::TimedOut,
-            Ending::Unreachable => Ended::Unreachable,
-            Ending::Reset => Ended::Reset,
-            Ending::Cancelled => Ended::Cancelled,
-            Ending::NeverSent => Ended::NeverSent,
-            Ending::Moved => Ended::Moved,
+            AttemptOutcome::Success => Ended::Success,
+            AttemptOutcome::Error => Ended::Error,
+            AttemptOutcome::Rejected => Ended::Full,
+            AttemptOutcome::TimedOut => Ended::TimedOut,
+            AttemptOutcome::Unreachable => Ended::Unreachable,
+            AttemptOutcome::ConnectionReset => Ended::Reset,
+            AttemptOutcome::Cancelled => Ended::Cancelled,
+            AttemptOutcome::NeverSent => Ended::NeverSent,
+            AttemptOutcome::ShardMoved => Ended::Moved,
         }
     }
 }
 
-impl From<Ended> for Ending {
+impl From<Ended> for AttemptOutcome {
     fn from(ended: Ended) -> Self {
         match ended {
-            Ended::Success => Ending::Success,
-            Ended::Error => Ending::Error,
-            Ended::Full => Ending::Full,
-            Ended::TimedOut => Ending::TimedOut,
-            Ended::Unreachable => Ending::Unreachable,
-            Ended::Reset => Ending::Reset,
-            Ended::Cancelled => Ending::Cancelled,
-            Ended::NeverSent => Ending::NeverSent,
-            Ended::Moved => Ending::Moved,
+            Ended::Success => AttemptOutcome::Success,
+            Ended::Error => AttemptOutcome::Error,
+            Ended::Full => AttemptOutcome::Rejected,
+            Ended::TimedOut => AttemptOutcome::TimedOut,
+            Ended::Unreachable => AttemptOutcome::Unreachable,
+            Ended::Reset => AttemptOutcome::ConnectionReset,
+            Ended::Cancelled => AttemptOutcome::Cancelled,
+            Ended::NeverSent => AttemptOutcome::NeverSent,
+            Ended::Moved => AttemptOutcome::ShardMoved,
         }
     }
 }
--- a/examples/event_cost.rs
+++ b/examples/event_cost.rs
@@ -1,7 +1,7 @@
 //! What a round costs the module while many queries are open: 270 nodes, 8 parts a query, a stated budget that is
 //! used up, one leaf call in two turned away. Prints microseconds a round, each with one call's end, the median of
 //! 400 rounds, for 100, 1,000 and 6,000 open queries. `alderway-lab scale rounds` measures by nodes and parts.
-use alderway::host::Budget;
+use alderway::interface::RetryBudget;
 use rounds::{Shape, measure};
 
 #[path = "../crates/lab/src/scale/rounds.rs"]
@@ -19,7 +19,7 @@
             peers: 20,
             slo: 9.0,
             deadline: 10.0,
-            budget: Some(Budget { free: 5.0, ratio: 0.0 }),
+            budget: Some(RetryBudget { burst: 5.0, ratio: 0.0 }),
             turned_away: true,
             rounds: 400,
             seed: 7,
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -3,7 +3,7 @@
 //! connection, so whoever carries a decision out asks here in the moment of the act. Free of I/O: facts come with the
 //! question.
 
-use crate::host::{Effect, NodeState};
+use crate::interface::{Idempotency, NodeState};
 
 /// Why an act may not happen now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     pub now: f64,
     /// When its time-out or its client's time has passed, whichever is first.
     pub until: f64,
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// When the first of the part's earlier calls that may have run began.
     pub begun: Option<f64>,
     pub node: NodeState,
@@ -69,13 +69,15 @@
         return Err(Denial::TimeOver);
     }
     match call.effect {
-        Effect::Repeatable => Ok(()),
-        Effect::Deduplicated { window } if call.begun.is_some_and(|at| at + window <= call.now) => {
+        Idempotency::Idempotent => Ok(()),
+        Idempotency::IdempotentWithKey { window_s: window }
+            if call.begun.is_some_and(|at| at + window <= call.now) =>
+        {
             Err(Denial::WindowOver)
         }
-        Effect::Deduplicated { .. } => Ok(()),
-        Effect::SideEffecting if call.begun.is_none() => Ok(()),
-        Effect::SideEffecting => Err(Denial::MayHaveRun),
+        Idempotency::IdempotentWithKey { .. } => Ok(()),
+        Idempotency::NonIdempotent if call.begun.is_none() => Ok(()),
+        Idempotency::NonIdempotent => Err(Denial::MayHaveRun),
     }
 }
 
@@ -121,6 +123,6 @@
 
 /// Whether a rejection, which promises that trying again is harmless, may be given: `begun` is whether any call of the
 /// query may have run.
-pub fn reject(effect: Effect, begun: bool) -> Result<(), Denial> {
-    if effect == Effect::SideEffecting && begun { Err(Denial::MayHaveRun) } else { Ok(()) }
+pub fn reject(effect: Idempotency, begun: bool) -> Result<(), Denial> {
+    if effect == Idempotency::NonIdempotent && begun { Err(Denial::MayHaveRun) } else { Ok(()) }
 }
