--- a/src/choice.rs
+++ b/src/policy.rs
@@ -1,9 +1,9 @@
 //! The decision module: which data node each part of a query goes to, when a copy or another leaf call
-//! follows, when an answer goes back, and what is rejected. A host makes one `Router` for each query router,
+//! follows, when an answer goes back, and what is rejected. A host makes one `Policy` for each query router,
 //! or for each core of one, and calls `round` once for all that came in at one moment; decisions go straight
-//! into the writer. Why things are as they are is in `docs/design.md`; the interface is in `src/host.rs`.
+//! into the writer. Why things are as they are is in `docs/design.md`; the interface is in `src/interface.rs`.
 
-use crate::host::*;
+use crate::interface::*;
 use crate::kept::{ByAge, Call, Part, Pcg, Recent, share};
 mod moves;
 mod settings;
@@ -19,18 +19,18 @@
 const HEARSAY: f64 = 0.5; // How long a node is silent on another core's word, told again while it lasts.
 
 #[derive(Default)]
-pub struct Router {
+pub struct Policy {
     now: f64,
     awake: f64, // The clock of lateness, which leaves out what this router itself stood still.
     chance: Pcg,
     peers: f64,
-    verticals: Vec<Vertical>,
-    customers: Vec<(Customer, f64, f64)>,
+    verticals: Vec<QueryClass>,
+    customers: Vec<(Tenant, f64, f64)>,
     calls: u64, // Calls made so far.
-    placement: Placement,
-    allowance: Allowance,
-    cold: Option<ColdRule>,
-    common: Common,
+    placement: ShardPlacement,
+    allowance: RouterCapabilities,
+    cold: Option<SlowStartConfig>,
+    common: SharedLimits,
     purse: Purse,
     nodes: BTreeMap<String, Node>,
     serving: BTreeMap<u32, Vec<String>>, // Ids of serving nodes by cell, made anew after a roster change.
@@ -127,9 +127,9 @@
 }
 
 impl Purse {
-    fn new(budget: Option<Budget>) -> Self {
+    fn new(budget: Option<RetryBudget>) -> Self {
         let ratio = budget.map_or(0.1, |b| b.ratio.min(0.1));
-        let capacity = budget.map_or(40.0, |b| b.free.min(40.0));
+        let capacity = budget.map_or(40.0, |b| b.burst.min(40.0));
         Purse { ratio, capacity, stated: budget.is_some() }
     }
 }
@@ -158,14 +158,16 @@
 
     /// Takes in what another core saw, `age` seconds ago; what one saw oneself since outranks it (guards
     /// against wrong word on a node that answers here). Word of an answer in time ends what was held.
-    fn hear(&mut self, now: f64, age: f64, word: Evidence) {
-        let (seen, sound) = (now - age, word.late.max(word.far).max(word.sick) <= 0.0);
+    fn hear(&mut self, now: f64, age: f64, word: NodeObservation) {
+        let (seen, sound) =
+            (now - age, word.slow_for_s.max(word.very_slow_for_s).max(word.unresponsive_for_s) <= 0.0);
         let own = if sound { self.noted } else { self.heard };
         if age < 0.0 || seen <= own || seen <= self.hearsay.seen {
             return;
         }
         let until = |span: f64| seen + span.clamp(0.0, 30.0);
-        let (late, far, sick) = (until(word.late), until(word.far), until(word.sick));
+        let (late, far, sick) =
+            (until(word.slow_for_s), until(word.very_slow_for_s), until(word.unresponsive_for_s));
         self.hearsay = Hearsay { seen, late_until: late, far_until: far, sick_until: sick };
         if sound {
             (self.rest, self.failures, self.told) = (0.0, 0, (0, now));
@@ -177,7 +179,7 @@
 
     /// What others should know: own calls show another standing than was told, or the same for longer, or the
     /// node answers here though others say that it does not.
-    fn news(&mut self, now: f64, clock: f64, own: u8) -> Option<Evidence> {
+    fn news(&mut self, now: f64, clock: f64, own: u8) -> Option<NodeObservation> {
         let doubted = self.rumoured(now) > 0 && self.hearsay.seen < self.heard && self.late_until <= now;
         let left = |until: f64| (until - now).max(0.0);
         let silent = own == 3 && self.shun_until <= now;
@@ -192,16 +194,22 @@
         self.hearsay =
             if doubted { Hearsay { seen: self.heard, ..Hearsay::default() } } else { self.hearsay };
         let (started, late, far) = (self.started, left(self.late_until), left(self.far_until));
-        Some(Evidence { started, seen: clock, late, far, sick })
+        Some(NodeObservation {
+            started_at_s: started,
+            observed_at_s: clock,
+            slow_for_s: late,
+            very_slow_for_s: far,
+            unresponsive_for_s: sick,
+        })
     }
 
     /// Takes in how a leaf call ended. The cap on parts in flight grows by answers well inside the SLO time
     /// and shrinks by those beyond, so that waiting happens here, where it can still go elsewhere.
-    fn ended(&mut self, now: f64, ending: Ending, latency: f64, delay: f64, slo: f64, least: f64) {
+    fn ended(&mut self, now: f64, ending: AttemptOutcome, latency: f64, delay: f64, slo: f64, least: f64) {
         let (late, sent) = (latency > delay, now - latency);
         (self.observed, self.noted) = (true, now);
         match ending {
-            Ending::Success => {
+            AttemptOutcome::Success => {
                 (self.heard, self.failures, self.shun_until) = (now, 0, now);
                 if latency < 0.15 * slo {
                     self.cap = (self.cap + 1.0 / self.cap).min(24.0);
@@ -209,28 +217,33 @@
                     self.cap = (self.cap * 0.85).max(1.0);
                 }
             }
-            Ending::Full => (self.heard, self.cap) = (now, (self.cap * 0.6).max(1.0)),
-            Ending::Error | Ending::Unreachable | Ending::Reset => {
+            AttemptOutcome::Rejected => (self.heard, self.cap) = (now, (self.cap * 0.6).max(1.0)),
+            AttemptOutcome::Error | AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
                 // A connection breaks with all its calls: one failure, only a refused dial makes two of it.
-                let same = ending != Ending::Error && std::mem::replace(&mut self.broke_at, now) == now;
-                self.failures += if same { 0 } else { 1 + i32::from(ending == Ending::Unreachable) };
+                let same =
+                    ending != AttemptOutcome::Error && std::mem::replace(&mut self.broke_at, now) == now;
+                self.failures += if same { 0 } else { 1 + i32::from(ending == AttemptOutcome::Unreachable) };
                 // Six seconds at most: what discovery has to tell of a node counts as told by then.
                 let shun = (1.6f64.powi(self.failures).min(16.0) * least.max(0.25)).min(6.0);
                 self.shun_until = if self.failures > 1 { now + shun } else { self.shun_until };
             }
             // Nothing heard since the call went out: its next trial is a single part.
-            Ending::TimedOut | Ending::Cancelled if late && self.heard < sent => self.cap = 1.0,
-            Ending::TimedOut | Ending::Cancelled if late => self.cap = (self.cap * 0.85).max(1.0),
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if late && self.heard < sent => {
+                self.cap = 1.0
+            }
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if late => {
+                self.cap = (self.cap * 0.85).max(1.0)
+            }
             _ => {}
         }
         // Passed over for a rest that doubles while it stays late; the more peers, the longer.
-        if late || ending == Ending::Full {
+        if late || ending == AttemptOutcome::Rejected {
             self.rest = (self.rest * 2.0).clamp(least, least + 10.0);
             self.late_until = now + self.rest;
             // Guards against trouble that only some see: where all holders are late at times, being late does
             // not tell a slow or far node from a sound one, being far too late does.
             self.far_until = if latency > SILENT * delay { self.late_until } else { self.far_until };
-        } else if ending == Ending::Success {
+        } else if ending == AttemptOutcome::Success {
             (self.rest, self.late_until, self.far_until) = (0.0, now, now);
         }
     }
@@ -240,18 +253,28 @@
     /// a jam single parts would each pay for a call. A cold one is held to this router's share of what pushes
     /// it over, taken as one core; where that is under one part a span, it is one part in as long as the
     /// share takes, the first after a part of that drawn by chance, so that peers do not send in step.
-    fn room(&self, now: f64, work: f64, peers: f64, cold: Option<ColdRule>, bundle: usize) -> (usize, f64) {
+    fn room(
+        &self,
+        now: f64,
+        work: f64,
+        peers: f64,
+        cold: Option<SlowStartConfig>,
+        bundle: usize,
+    ) -> (usize, f64) {
         let free = (self.cap - self.calls.len() as f64).max(0.0).floor() as usize;
         let warm = if free > 0 { bundle } else { 0 };
         let aged = cold.and_then(|c| self.started.map(|s| (c, (now - s).max(0.0))));
-        let Some((rule, age)) = aged.filter(|(c, age)| *age < c.warm_up + c.span) else { return (warm, 0.0) };
-        let warmth = rule.share + (1.0 - rule.share) * (age - rule.span).max(0.0) / rule.warm_up;
-        let share = rule.multiple * warmth.min(1.0) / peers;
+        let Some((rule, age)) = aged.filter(|(c, age)| *age < c.warm_up_s + c.window_s) else {
+            return (warm, 0.0);
+        };
+        let warmth = rule.initial_fraction
+            + (1.0 - rule.initial_fraction) * (age - rule.window_s).max(0.0) / rule.warm_up_s;
+        let share = rule.capacity_multiple * warmth.min(1.0) / peers;
         // The 1.3 makes up for part of the waiting in `work` (at most 0.39 of the limit was seen); without
         // whole parts in a span, chance adds up over the peers and the margin stays.
-        let rare = work > share * rule.span;
+        let rare = work > share * rule.window_s;
         let (span, bearable) =
-            if rare { (work / share, 1.001 * work) } else { (rule.span, 1.3 * share * rule.span) };
+            if rare { (work / share, 1.001 * work) } else { (rule.window_s, 1.3 * share * rule.window_s) };
         let sent: f64 = self.cold_work.iter().filter(|w| w.0 >= now - span - LOOK).map(|w| w.1).sum();
         let room = free.min(bundle).min(((bearable - sent) / work).max(0.0) as usize);
         (if rare && age < self.phase * span { 0 } else { room }, span + LOOK)
@@ -260,13 +283,15 @@
 
 impl Part {
     /// Whether one more leaf call could be made: rules 2 and the most calls a part may have.
-    fn may_call(&self, now: f64, effect: Effect, calls: usize) -> bool {
+    fn may_call(&self, now: f64, effect: Idempotency, calls: usize) -> bool {
         let ran = self.calls.iter().find(|c| c.may_have_run);
         self.calls.len() < calls
             && match effect {
-                Effect::Repeatable => true,
-                Effect::Deduplicated { window } => ran.is_none_or(|c| now < c.at + window - AHEAD),
-                Effect::SideEffecting => ran.is_none(),
+                Idempotency::Idempotent => true,
+                Idempotency::IdempotentWithKey { window_s: window } => {
+                    ran.is_none_or(|c| now < c.at + window - AHEAD)
+                }
+                Idempotency::NonIdempotent => ran.is_none(),
             }
     }
 
@@ -287,15 +312,15 @@
     }
 }
 
-impl Intake for Router {
-    fn roster_whole(&mut self) {
-        self.nodes.values_mut().for_each(|n| n.state = NodeState::Gone);
+impl PolicyInput for Policy {
+    fn endpoint_list_replaced(&mut self) {
+        self.nodes.values_mut().for_each(|n| n.state = NodeState::Removed);
         self.serving.clear();
     }
 
-    fn roster_entry(&mut self, id: &str, cell: u32, state: NodeState, started: Option<f64>) {
+    fn endpoint_updated(&mut self, id: &str, cell: u32, state: NodeState, started: Option<f64>) {
         self.serving.clear();
-        let fresh = started.is_some_and(|s| self.cold.is_some_and(|c| self.now - s < c.warm_up));
+        let fresh = started.is_some_and(|s| self.cold.is_some_and(|c| self.now - s < c.warm_up_s));
         // Guards against sending a newcomer what its elders can bear: its answers raise its cap.
         let (cap, phase) = if fresh { (1.0, self.chance.draw()) } else { (4.0, 0.0) };
         let new = Node { cell, state, started, cap, phase, ..Node::default() };
@@ -309,11 +334,11 @@
         }
     }
 
-    fn roster_failed(&mut self) {
+    fn endpoint_poll_failed(&mut self) {
         self.follow_at = self.now + 1.0;
     }
 
-    fn query(&mut self, number: u64, id: &str, vertical: usize, customer: &str, not_after: f64) {
+    fn query_arrived(&mut self, number: u64, id: &str, vertical: usize, customer: &str, not_after: f64) {
         let v = &self.verticals[vertical];
         let left = not_after - self.now;
         // A try with less time left than others get may be a client's later one: its SLO time counts from the
@@ -321,10 +346,10 @@
         self.longest_try[vertical] = self.longest_try[vertical].max(left);
         let again = left < self.longest_try[vertical] - 0.05 && self.unserved >= 1.0;
         self.unserved = self.unserved.min(100.0) - f64::from(u8::from(again));
-        let slo_at = v.slo + if again { not_after - v.deadline } else { self.now };
+        let slo_at = v.latency_objective_s + if again { not_after - v.deadline_s } else { self.now };
         let mut over_share = false;
         if let Some((c, tokens, at)) = self.customers.iter_mut().find(|c| c.0.name == customer) {
-            let rate = c.quota / self.peers;
+            let rate = c.quota_per_s / self.peers;
             *tokens = (*tokens + (self.now - *at) * rate).min((2.0 * rate).max(2.0));
             *at = self.now;
             over_share = *tokens < 1.0;
@@ -335,52 +360,52 @@
         self.queries.insert(number, q);
     }
 
-    fn part(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
+    fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
         let Some(query) = self.queries.get_mut(&number) else { return };
         // Where many routers see a shard once, turns that all begin alike would all meet on one holder.
-        let turn = (self.chance.draw() * f64::from(self.placement.reach) * 64.0) as usize;
+        let turn = (self.chance.draw() * f64::from(self.placement.groups_per_shard) * 64.0) as usize;
         self.shards.entry(shard).or_insert_with(|| Shard { turn, ..Shard::default() });
         self.parts.insert(id.into(), (number, query.parts.len()));
         query.look_at = 0.0;
         query.parts.push(Part { id: id.into(), shard, weight, merged: false, copies: 0, calls: vec![] });
-        self.common.earn(self.purse.ratio, self.purse.capacity);
+        self.common.deposit(self.purse.ratio, self.purse.capacity);
     }
 
-    fn call_ended(&mut self, part: &str, hop: usize, node: &str, ending: Ending, latency: f64) {
+    fn attempt_ended(&mut self, part: &str, hop: usize, node: &str, ending: AttemptOutcome, latency: f64) {
         let record = self.nodes.get_mut(node).and_then(|n| n.calls.remove(&(part.to_string(), hop)));
         let latency = record.map_or(latency, |(at, _)| latency.min(self.awake - at));
         let found = self.parts.get(part).and_then(|&(n, i)| Some((n, self.queries.get_mut(&n)?, i)));
-        let slo = self.verticals.iter().map(|v| v.slo).fold(f64::MAX, f64::min);
+        let slo = self.verticals.iter().map(|v| v.latency_objective_s).fold(f64::MAX, f64::min);
         if let Some((n, query, i)) = found {
             query.look_at = 0.0;
             let part = &mut query.parts[i];
             self.out.remove((part.shard, query.vertical), (n, i, hop));
-            part.merged |= ending == Ending::Success;
+            part.merged |= ending == AttemptOutcome::Success;
             if let Some(call) = part.calls.get_mut(hop) {
                 call.out = false;
-                call.may_have_run = !ending.never_ran();
-                call.turned_away = ending.turned_away();
-                call.broke = ending == Ending::Reset;
+                call.may_have_run = !ending.had_no_effect();
+                call.turned_away = ending.was_rejected();
+                call.broke = ending == AttemptOutcome::ConnectionReset;
             }
-            if ending == Ending::Success {
+            if ending == AttemptOutcome::Success {
                 let usual = &mut self.usual[query.vertical];
                 usual.note(latency, 256);
                 let bare = &mut self.bare[query.vertical];
                 *bare = usual.quantile(0.5, 16).map_or(*bare, |median| median.min(*bare));
             }
             // A cancelled call took at least so long: left out, the delay would shrink by its own work.
-            if matches!(ending, Ending::Success | Ending::Cancelled) {
+            if matches!(ending, AttemptOutcome::Success | AttemptOutcome::Cancelled) {
                 self.shards.entry(part.shard).or_default().recent.note(latency, 40);
             }
         }
         if let (Some(node), Some((_, delay))) = (self.nodes.get_mut(node), record) {
-            let warm = self.now + self.cold.map_or(0.0, |c| c.warm_up);
-            self.wary_until = if ending == Ending::Reset { warm } else { self.wary_until };
+            let warm = self.now + self.cold.map_or(0.0, |c| c.warm_up_s);
+            self.wary_until = if ending == AttemptOutcome::ConnectionReset { warm } else { self.wary_until };
             node.ended(self.awake, ending, latency, delay, slo, (0.25 * self.peers).min(15.0));
         }
     }
 
-    fn client_left(&mut self, query: &str) {
+    fn client_disconnected(&mut self, query: &str) {
         let gone = self.queries.iter().find(|(_, q)| q.id == query).map(|(n, _)| *n);
         self.unserved += if gone.is_some() { 1.0 } else { 0.0 };
         for part in gone.and_then(|n| self.queries.remove(&n)).iter().flat_map(|q| &q.parts) {
@@ -388,27 +413,35 @@
         }
     }
 
-    fn alarm(&mut self, _tag: u64) {
+    fn timer_fired(&mut self, _tag: u64) {
         self.alarm_set = false;
     }
 
-    fn fleet(&mut self, late: u32, in_time: u32) {
+    fn fleet_latency_counts(&mut self, late: u32, in_time: u32) {
         self.over.push_back((self.now, late, in_time));
     }
 
-    fn evidence(&mut self, id: &str, seen: Evidence) {
-        let (now, age) = (self.awake, self.now - seen.seen);
-        let node = self.nodes.get_mut(id).filter(|n| n.started == seen.started);
+    fn node_observed(&mut self, id: &str, seen: NodeObservation) {
+        let (now, age) = (self.awake, self.now - seen.observed_at_s);
+        let node = self.nodes.get_mut(id).filter(|n| n.started == seen.started_at_s);
         node.into_iter().for_each(|n| n.hear(now, age, seen));
     }
 }
 
-impl Router {
-    pub fn new(seed: u64, terms: Terms) -> Self {
-        let Terms { peers, verticals, customers, placement, allowance, budget, cold } = terms;
-        let (common, purse) = (Common::default(), Purse::new(budget));
-        common.bring_to(purse.capacity, purse.stated);
-        Router {
+impl Policy {
+    pub fn new(seed: u64, terms: PolicyConfig) -> Self {
+        let PolicyConfig {
+            router_count: peers,
+            query_classes: verticals,
+            tenants: customers,
+            placement,
+            capabilities: allowance,
+            retry_budget: budget,
+            slow_start: cold,
+        } = terms;
+        let (common, purse) = (SharedLimits::default(), Purse::new(budget));
+        common.change_capacity(purse.capacity, purse.stated);
+        Policy {
             chance: Pcg(seed),
             common,
             purse,
@@ -417,18 +450,18 @@
             bare: vec![f64::INFINITY; verticals.len()],
             longest_try: vec![0.0; verticals.len()],
             customers: customers.into_iter().map(|c| (c, 1.0, 0.0)).collect(),
-            follow_at: if allowance.follow { 0.0 } else { f64::INFINITY },
+            follow_at: if allowance.polls_endpoints { 0.0 } else { f64::INFINITY },
             verticals,
             placement,
             allowance,
             cold,
-            ..Router::default()
+            ..Policy::default()
         }
     }
 
     /// Makes this the module of one core among several; before the first round.
-    pub fn join(&mut self, common: Common) {
-        common.bring_to(self.purse.capacity, self.purse.stated);
+    pub fn join(&mut self, common: SharedLimits) {
+        common.change_capacity(self.purse.capacity, self.purse.stated);
         self.common = common;
     }
 
@@ -436,8 +469,8 @@
     pub fn round<E>(
         &mut self,
         now: f64,
-        came_in: impl FnOnce(&mut dyn Intake) -> Result<(), E>,
-        out: &mut dyn Writer,
+        came_in: impl FnOnce(&mut dyn PolicyInput) -> Result<(), E>,
+        out: &mut dyn DecisionSink,
     ) -> Result<(), E> {
         // Guards against this router's own pauses, read as lateness of every node: with an alarm due soon,
         // rounds far apart mean that it stood still. Deadlines and windows go by the plain clock.
@@ -447,11 +480,11 @@
         came_in(self)?;
         if now >= self.follow_at {
             self.follow_at = f64::INFINITY;
-            out.follow_roster();
+            out.poll_endpoints();
         }
         if self.serving.is_empty() {
             for (id, node) in self.nodes.iter().filter(|(_, n)| n.state == NodeState::Serving) {
-                self.serving.entry(self.placement.cell(node.cell)).or_default().push(id.clone());
+                self.serving.entry(self.placement.group_of(node.cell)).or_default().push(id.clone());
             }
         }
         self.look_at_nodes(out);
@@ -473,7 +506,7 @@
         }
         if !self.alarm_set && (!self.queries.is_empty() || self.follow_at < f64::INFINITY) {
             self.alarm_set = true;
-            out.alarm(LOOK, 1);
+            out.set_timer(LOOK, 1);
         }
         Ok(())
     }
@@ -491,19 +524,19 @@
         late
     }
 
-    fn look_at_nodes(&mut self, out: &mut dyn Writer) {
+    fn look_at_nodes(&mut self, out: &mut dyn DecisionSink) {
         let (now, clock, shared, mut gone) = (self.awake, self.now, self.common.is_shared(), false);
         for (id, node) in &mut self.nodes {
-            gone |= node.state == NodeState::Gone && node.calls.is_empty();
+            gone |= node.state == NodeState::Removed && node.calls.is_empty();
             let (own, rumoured) = (node.judged(now, SILENT), node.rumoured(now));
             if shared && let Some(seen) = node.news(now, clock, own) {
-                out.evidence(id, seen);
+                out.share_observation(id, seen);
             }
             let (standing, sick) = (own.max(rumoured), own.max(rumoured) == 3);
-            if sick != (node.standing == 3) && node.state != NodeState::Gone {
+            if sick != (node.standing == 3) && node.state != NodeState::Removed {
                 let (n, f, cap, word) =
                     (node.calls.len(), node.failures, node.cap, if sick { "sick" } else { "back" });
-                out.remark(&format!("node {id} {word}: {n} calls out, {f} failures, cap {cap:.1}"));
+                out.log(&format!("node {id} {word}: {n} calls out, {f} failures, cap {cap:.1}"));
             }
             let oldest = node.calls.values().map(|c| now - c.0).fold(0.0, f64::max);
             let silence = if own == 3 { oldest } else { 0.0 };
@@ -511,7 +544,7 @@
             (node.standing, node.wait) = (standing, if sick { away } else { 0.0 });
         }
         if gone {
-            self.nodes.retain(|_, n| n.state != NodeState::Gone || !n.calls.is_empty());
+            self.nodes.retain(|_, n| n.state != NodeState::Removed || !n.calls.is_empty());
         }
     }
 
@@ -519,7 +552,7 @@
     /// enough are known, the more of a quarter of the SLO time and twice the median of all shards (a higher
     /// percentile is lifted by slow nodes); never so late that a copy could not be in time.
     fn delay(&self, shard: u32, vertical: usize) -> f64 {
-        let slo = self.verticals[vertical].slo;
+        let slo = self.verticals[vertical].latency_objective_s;
         let learned = self.shards.get(&shard).and_then(|s| s.recent.quantile(0.95, LEARNED));
         let usual = || self.usual[vertical].quantile(0.5, 16).map_or(0.0, |median| 2.0 * median);
         learned.unwrap_or_else(|| usual().max(0.25 * slo)).min(0.5 * slo)
@@ -527,35 +560,41 @@
 
     /// Time that a part takes as a rule, waiting included.
     fn work(&self, vertical: usize) -> f64 {
-        let slo = self.verticals[vertical].slo;
+        let slo = self.verticals[vertical].latency_objective_s;
         self.usual[vertical].quantile(0.5, 5).unwrap_or(0.25 * slo).max(0.001)
     }
 
     /// Work of one part alone, for the cold rule: the lowest median seen, as in a jam latencies are waiting;
     /// of a vertical not seen yet, the same share of its SLO time as of the heaviest.
     fn bare_work(&self, vertical: usize) -> f64 {
-        let share = |v: usize| Some(self.bare[v] / self.verticals[v].slo).filter(|share| share.is_finite());
+        let share = |v: usize| {
+            Some(self.bare[v] / self.verticals[v].latency_objective_s).filter(|share| share.is_finite())
+        };
         let heaviest = || (0..self.bare.len()).filter_map(share).reduce(f64::max);
-        share(vertical).or_else(heaviest).unwrap_or(0.15).min(0.15) * self.verticals[vertical].slo
+        share(vertical).or_else(heaviest).unwrap_or(0.15).min(0.15)
+            * self.verticals[vertical].latency_objective_s
     }
 
     /// Answers what can be answered and gives up what has no use left.
-    fn settle(&mut self, number: u64, out: &mut dyn Writer) {
+    fn settle(&mut self, number: u64, out: &mut dyn DecisionSink) {
         let Some(q) = self.queries.get(&number) else { return };
         let v = &self.verticals[q.vertical];
         let weight = |f: &dyn Fn(&Part) -> bool| share(&q.parts, f);
         let merged = weight(&|p| p.merged);
-        let least = if q.second_step && v.floor >= v.need { 1.0 } else { v.floor };
+        let least =
+            if q.second_step && v.minimum_fraction >= v.complete_fraction { 1.0 } else { v.minimum_fraction };
         let all_in = q.parts.iter().all(|p| p.merged) && q.parts.len() >= q.expected;
-        let whole = if q.second_step { all_in } else { merged >= v.need - SLACK || all_in };
+        let whole = if q.second_step { all_in } else { merged >= v.complete_fraction - SLACK || all_in };
         let enough = merged >= least - SLACK && q.parts.iter().any(|p| p.merged);
         let late = self.now >= q.slo_at.min(q.not_after) - AHEAD;
         if enough && (whole || late) {
             let whole = whole && (!q.second_step || q.first_whole);
             out.answer(&q.id, whole);
-            out.over(self.now > q.slo_at);
-            if v.fetch > 0 && !q.second_step {
-                let (fetch, Some(q)) = (v.fetch, self.queries.get_mut(&number)) else { return };
+            out.query_ended(self.now > q.slo_at);
+            if v.second_phase_requests > 0 && !q.second_step {
+                let (fetch, Some(q)) = (v.second_phase_requests, self.queries.get_mut(&number)) else {
+                    return;
+                };
                 q.second_step = true;
                 q.first_whole = whole;
                 q.expected = q.parts.iter().filter(|p| p.merged).count().min(fetch);
@@ -566,7 +605,8 @@
             }
             return;
         }
-        let may = |p: &Part| p.may_call(self.now, v.effect, self.allowance.calls) && self.open_to(q, p);
+        let may =
+            |p: &Part| p.may_call(self.now, v.idempotency, self.allowance.max_attempts) && self.open_to(q, p);
         let may = |p: &Part| !q.suspect() && may(p);
         let reachable = weight(&|p| p.merged || p.out() || may(p));
         let arrived = q.parts.len() >= q.expected;
@@ -576,12 +616,14 @@
         let hopeless =
             short && arrived && q.admitted && self.now + self.work(q.vertical) > q.slo_at.min(q.not_after);
         let over = self.now >= q.not_after - AHEAD
-            || (late && (v.late_share <= 0.0 || (self.shedding && v.late_share * merged < LITTLE)));
+            || (late
+                && (v.late_weight_fraction <= 0.0
+                    || (self.shedding && v.late_weight_fraction * merged < LITTLE)));
         // Every part in or out and time left: nothing changes by itself.
         let still = arrived && q.admitted && !late && q.parts.iter().all(|p| p.merged || p.out());
         let look_at = if still { q.slo_at.min(q.not_after) - AHEAD } else { 0.0 };
         if over || doomed || hopeless {
-            self.give_up(number, self.allowance.come_back, out);
+            self.give_up(number, self.allowance.max_retry_after_s, out);
         } else if let Some(q) = self.queries.get_mut(&number) {
             q.look_at = look_at;
         }
@@ -613,15 +655,17 @@
     /// go in a jam, or a query answers by then with what came. Guards against nodes at work in vain.
     fn useful_until(&self, q: &Query) -> f64 {
         let v = &self.verticals[q.vertical];
-        let early = v.late_share <= 0.0 || v.floor < v.need || self.shedding && v.late_share < LITTLE;
+        let early = v.late_weight_fraction <= 0.0
+            || v.minimum_fraction < v.complete_fraction
+            || self.shedding && v.late_weight_fraction < LITTLE;
         if early { q.slo_at.min(q.not_after) } else { q.not_after }
     }
 
-    fn give_up(&mut self, number: u64, come_back: Option<f64>, out: &mut dyn Writer) {
+    fn give_up(&mut self, number: u64, come_back: Option<f64>, out: &mut dyn DecisionSink) {
         let q = &self.queries[&number];
         // Guards against a jam that looks like a quiet hour: parts that never came took at least so long.
         // Less than usual tells nothing: queries given up within milliseconds would make all look quick.
-        let (usual, slo) = (self.work(q.vertical), self.verticals[q.vertical].slo);
+        let (usual, slo) = (self.work(q.vertical), self.verticals[q.vertical].latency_objective_s);
         for part in q.parts.iter().filter(|p| !p.merged) {
             let Some(first) = part.calls.first() else { continue };
             // A full node tells of a queue that its part would not have come out of in time.
@@ -634,35 +678,35 @@
         self.unserved += if q.again { 0.5 } else { 1.0 };
         if q.parts.iter().any(|p| !p.calls.is_empty()) {
             // One bad node that a wide query met is no jam.
-            out.over(q.parts.iter().filter(|p| !p.merged).count() * 10 > q.parts.len());
+            out.query_ended(q.parts.iter().filter(|p| !p.merged).count() * 10 > q.parts.len());
         }
         let ran = q.second_step || q.parts.iter().flat_map(|p| &p.calls).any(|c| c.may_have_run);
-        if self.verticals[q.vertical].effect == Effect::SideEffecting && ran {
-            out.abort(&q.id);
+        if self.verticals[q.vertical].idempotency == Idempotency::NonIdempotent && ran {
+            out.fail(&q.id);
         } else {
             out.reject(&q.id, come_back);
         }
         self.close(number, out);
     }
 
-    fn close(&mut self, number: u64, out: &mut dyn Writer) {
+    fn close(&mut self, number: u64, out: &mut dyn DecisionSink) {
         if let Some(q) = self.queries.remove(&number) {
             self.stop(&q.parts, out);
         }
     }
 
-    fn stop(&mut self, parts: &[Part], out: &mut dyn Writer) {
+    fn stop(&mut self, parts: &[Part], out: &mut dyn DecisionSink) {
         for part in parts {
             self.parts.remove(&part.id);
             let live = part.calls.iter().enumerate().filter(|(_, c)| c.out && !c.cancelled);
-            live.filter(|_| self.allowance.cancel).for_each(|(hop, _)| out.cancel(&part.id, hop));
+            live.filter(|_| self.allowance.can_cancel).for_each(|(hop, _)| out.cancel_attempt(&part.id, hop));
         }
     }
 
     /// Nodes that hold a shard and serve, in the order in which they take turns.
     fn holders(&self, shard: u32) -> Vec<&str> {
-        let holding = self.placement.holding(shard).filter_map(|c| self.serving.get(&c)).flatten();
-        let without = self.placement.without(shard);
+        let holding = self.placement.holding_groups(shard).filter_map(|c| self.serving.get(&c)).flatten();
+        let without = self.placement.excluded_nodes(shard);
         holding.map(String::as_str).filter(|id| without.is_none_or(|w| !w.contains(*id))).collect()
     }
 
@@ -670,7 +714,7 @@
     /// time left: of the slowest of n parts, the one that a share of 1 / (n + 1) exceeds, or of the floor's
     /// where it may be answered in part. The geometric mean with a median part tells a jam, where both rise,
     /// from a few slow or far nodes. Some are always let in, or no answer would show a jam's end.
-    fn admit(&mut self, out: &mut dyn Writer) {
+    fn admit(&mut self, out: &mut dyn DecisionSink) {
         let new: Vec<u64> = self.queries.iter().filter(|(_, q)| !q.admitted).map(|(n, _)| *n).collect();
         let mut oldest = BTreeMap::new();
         for q in self.queries.values().filter(|q| q.admitted && q.look_at <= self.now) {
@@ -680,7 +724,7 @@
             }
         }
         for (shard, at) in oldest {
-            for id in self.placement.holding(shard).filter_map(|c| self.serving.get(&c)).flatten() {
+            for id in self.placement.holding_groups(shard).filter_map(|c| self.serving.get(&c)).flatten() {
                 self.nodes.get_mut(id).into_iter().for_each(|n| n.wait = n.wait.max(self.now - at));
             }
         }
@@ -694,8 +738,8 @@
             let v = &self.verticals[q.vertical];
             let left = (q.slo_at.min(q.not_after) - self.now).max(0.001);
             let last = 1.0 - 1.0 / (1.0 + q.parts.len() as f64);
-            let (share, in_part) = (last.min(v.floor), v.floor < v.need);
-            let slowest = self.usual[q.vertical].quantile(share, 16).unwrap_or(0.25 * v.slo);
+            let (share, in_part) = (last.min(v.minimum_fraction), v.minimum_fraction < v.complete_fraction);
+            let slowest = self.usual[q.vertical].quantile(share, 16).unwrap_or(0.25 * v.latency_objective_s);
             // Guards against parts that hold room for nothing while one of their query waits in vain.
             let wait =
                 |p: &Part| self.holders(p.shard).iter().map(|id| self.nodes[*id].wait).fold(9e9, f64::min);
@@ -703,9 +747,11 @@
             let wait = near.iter().map(|n| n.0).fold(0.0, f64::max);
             let usual = if in_part { slowest } else { (slowest * self.work(q.vertical)).sqrt() };
             let likely = (usual / left).max((usual + wait) / left - 0.2).max(fleet);
-            let some = near.len() < q.parts.len() && near.iter().map(|n| n.1).sum::<f64>() < v.floor - SLACK;
+            let some = near.len() < q.parts.len()
+                && near.iter().map(|n| n.1).sum::<f64>() < v.minimum_fraction - SLACK;
             let pressure = if some { 1.0 } else { likely };
-            let utility = v.utility * if q.over_share { self.allowance.over_share } else { 1.0 };
+            let utility = v.priority_weight
+                * if q.over_share { self.allowance.over_quota_weight_fraction } else { 1.0 };
             let value = utility / (q.parts.len().max(1) as f64 * self.bare_work(q.vertical));
             self.dearest = (self.dearest * 0.99).max(value);
             let cheap = 2.0 - value / self.dearest;
@@ -716,10 +762,10 @@
                 self.shedding = !self.shedding;
                 let word = if self.shedding { "rejecting by chance" } else { "admitting all" };
                 let (open, jam) = (self.queries.len(), self.jam);
-                out.remark(&format!("{word}: odds {jam:.2}, pressure {pressure:.2}, {open} queries open"));
+                out.log(&format!("{word}: odds {jam:.2}, pressure {pressure:.2}, {open} queries open"));
             }
             if self.chance.draw() < odds {
-                self.give_up(number, self.allowance.come_back.map(|most| most.min(0.2 * left)), out);
+                self.give_up(number, self.allowance.max_retry_after_s.map(|most| most.min(0.2 * left)), out);
             } else if let Some(q) = self.queries.get_mut(&number) {
                 q.admitted = true;
             }
@@ -727,12 +773,13 @@
     }
 
     /// Sends the parts of a query that have no call out: the first one, or the next after a failure.
-    fn send_waiting(&mut self, number: u64, out: &mut dyn Writer) {
+    fn send_waiting(&mut self, number: u64, out: &mut dyn DecisionSink) {
         let Some(q) = self.queries.get(&number).filter(|q| !q.suspect()) else { return };
-        let effect = self.verticals[q.vertical].effect;
-        let waits = |p: &Part| !p.merged && !p.out() && p.may_call(self.now, effect, self.allowance.calls);
+        let effect = self.verticals[q.vertical].idempotency;
+        let waits =
+            |p: &Part| !p.merged && !p.out() && p.may_call(self.now, effect, self.allowance.max_attempts);
         let mut waiting: VecDeque<usize> = (0..q.parts.len()).filter(|&i| waits(&q.parts[i])).collect();
-        let bundle = if self.placement.call_work > 0.0 { self.placement.bundle } else { 1 };
+        let bundle = if self.placement.attempt_overhead_s > 0.0 { self.placement.max_batch } else { 1 };
         // Guards against queries that bring down whoever begins a part of them: while what died is cold, one
         // call goes ahead of a query's others; it hurts where nodes die of something else.
         let wary = self.now < self.wary_until && !q.parts.iter().any(|p| p.merged);
@@ -763,7 +810,7 @@
                 if taken.len() < room && self.placement.holds(&node, cell, shard) {
                     taken.insert(i);
                     let further = !self.queries[&number].parts[i].calls.is_empty();
-                    if !further || !self.purse.stated || self.common.pay() {
+                    if !further || !self.purse.stated || self.common.try_withdraw() {
                         self.send(number, i, &node, out);
                     }
                 }
@@ -799,18 +846,21 @@
             able.push((rank, at, room, span));
         }
         able.sort_unstable_by_key(|a| a.0);
-        let turn = |at: usize, span| span <= 0.0 || self.common.cold_turn(holders[at], self.now, span);
+        let turn =
+            |at: usize, span| span <= 0.0 || self.common.try_slow_start_turn(holders[at], self.now, span);
         let (_, at, room, _) = able.into_iter().find(|&(_, at, _, span)| turn(at, span))?;
         Some((holders[at].to_string(), room))
     }
 
-    fn send(&mut self, number: u64, i: usize, id: &str, out: &mut dyn Writer) {
+    fn send(&mut self, number: u64, i: usize, id: &str, out: &mut dyn DecisionSink) {
         let q = &self.queries[&number];
         let v = &self.verticals[q.vertical];
         let (now, vertical) = (self.now, q.vertical);
         let (delay, work) = (self.delay(q.parts[i].shard, vertical), self.bare_work(vertical));
-        let more = v.effect == Effect::Repeatable && q.parts[i].calls.len() + 1 < self.allowance.calls;
-        let timed = if more && !self.allowance.cancel { 0.5 * v.slo } else { f64::INFINITY };
+        let more = v.idempotency == Idempotency::Idempotent
+            && q.parts[i].calls.len() + 1 < self.allowance.max_attempts;
+        let timed =
+            if more && !self.allowance.can_cancel { 0.5 * v.latency_objective_s } else { f64::INFINITY };
         let limit = timed.min(self.useful_until(q) - now);
         let Some(part) = self.queries.get_mut(&number).map(|q| &mut q.parts[i]) else { return };
         let Some(node) = self.nodes.get_mut(id) else { return };
@@ -818,16 +868,16 @@
         node.calls.insert((part.id.clone(), part.calls.len()), (self.awake, delay));
         self.calls += 1;
         node.turn = self.calls;
-        node.cold_work.retain(|w| w.0 >= now - self.cold.map_or(0.0, |c| c.warm_up + c.span));
+        node.cold_work.retain(|w| w.0 >= now - self.cold.map_or(0.0, |c| c.warm_up_s + c.window_s));
         node.cold_work.push_back((now, work));
-        out.call(&part.id, id, limit);
+        out.start_attempt(&part.id, id, limit);
         part.copies += usize::from(part.out());
         let (node, since) = (id.into(), self.awake);
         part.calls.push(Call { node, at: now, since, out: true, may_have_run: true, ..Call::default() });
     }
 
     /// Cancels losers, copies late parts while the bucket pays, and gives up calls that are stuck.
-    fn rescue(&mut self, number: u64, out: &mut dyn Writer) {
+    fn rescue(&mut self, number: u64, out: &mut dyn DecisionSink) {
         let Some(q) = self.queries.get(&number) else { return };
         let (v, vertical, suspect) = (self.verticals[q.vertical].clone(), q.vertical, q.suspect());
         for i in 0..q.parts.len() {
@@ -841,7 +891,7 @@
                 continue;
             }
             let (age, delay) = (self.awake - part.calls[newest].since, self.delay(shard, vertical));
-            let may = part.may_call(self.now, v.effect, self.allowance.calls);
+            let may = part.may_call(self.now, v.idempotency, self.allowance.max_attempts);
             if age <= delay || !may || suspect || (self.purse.stated && self.common.tokens() < 1.0) {
                 continue;
             }
@@ -852,9 +902,11 @@
                 let (call, node) = (&part.calls[hop], &self.nodes[&part.calls[hop].node]);
                 self.awake - call.since > SILENT * delay && node.standing == 3
             });
-            let more = v.effect == Effect::Repeatable && self.allowance.parallel && part.copies < MAX_COPIES;
+            let more = v.idempotency == Idempotency::Idempotent
+                && self.allowance.can_hedge
+                && part.copies < MAX_COPIES;
             // Guards against copies that feed a jam for parts that an answer may leave out.
-            let owed = v.floor >= v.need || part.weight > 1.0 - v.floor;
+            let owed = v.minimum_fraction >= v.complete_fraction || part.weight > 1.0 - v.minimum_fraction;
             let copy = more && owed && self.common.tokens() >= 1.0;
             let useful = self.now + 0.5 * self.work(vertical) < self.queries[&number].slo_at;
             if !(copy || useful && stuck) {
@@ -862,7 +914,7 @@
             }
             let Some((node, _)) = self.next_node(number, i, &[shard], 1) else { continue };
             if copy {
-                if !self.common.pay() {
+                if !self.common.try_withdraw() {
                     continue;
                 }
                 self.send(number, i, &node, out);
@@ -872,11 +924,11 @@
         }
     }
 
-    fn cancel(&mut self, number: u64, i: usize, hop: usize, out: &mut dyn Writer) {
+    fn cancel(&mut self, number: u64, i: usize, hop: usize, out: &mut dyn DecisionSink) {
         let Some(part) = self.queries.get_mut(&number).map(|q| &mut q.parts[i]) else { return };
-        if self.allowance.cancel {
+        if self.allowance.can_cancel {
             part.calls[hop].cancelled = true;
-            out.cancel(&part.id, hop);
+            out.cancel_attempt(&part.id, hop);
         }
     }
 }
--- a/src/choice/moves.rs
+++ b/src/policy/moves.rs
@@ -1,43 +1,43 @@
 //! How the module's records follow what changes outside: a successor of shards begins with what its parents showed, a
 //! part that is divided leaves its leaf calls to its heirs, a query that another decided for brings its calls along.
-//! Records only: nothing is decided here, and no value is chosen.
-use super::{LEARNED, Router, Shard};
-use crate::host::{Ending, Held, Placed, Records, Terms};
+//! StateTransfer only: nothing is decided here, and no value is chosen.
+use super::{LEARNED, Policy, Shard};
+use crate::interface::{AttemptOutcome, ClassSlot, PolicyConfig, ShardHolders, StateTransfer};
 use crate::kept::{Call, Part, Recent};
 
-impl Records for Router {
-    fn shard_held(&mut self, shard: u32, held: Held) {
-        if self.placement.listed.get_or_insert_default().insert(shard, held).is_none() {
+impl StateTransfer for Policy {
+    fn set_shard_holders(&mut self, shard: u32, held: ShardHolders) {
+        if self.placement.explicit_holders.get_or_insert_default().insert(shard, held).is_none() {
             self.serving.clear();
         }
     }
 
-    fn shard_follows(&mut self, shard: u32, parents: &[u32]) {
+    fn inherit_shard(&mut self, shard: u32, parents: &[u32]) {
         self.inherit(shard, parents, LEARNED);
     }
 
-    fn shard_over(&mut self, shard: u32) {
+    fn shard_retired(&mut self, shard: u32) {
         self.forget(shard);
     }
 
-    fn part_divided(&mut self, number: u64, part: &str, into: &[(&str, u32, f64)]) {
+    fn shard_request_split(&mut self, number: u64, part: &str, into: &[(&str, u32, f64)]) {
         self.divide(number, part, into);
     }
 
-    fn part_tried(&mut self, part: &str, node: &str, age: f64, ending: Option<Ending>) {
+    fn adopt_attempt(&mut self, part: &str, node: &str, age: f64, ending: Option<AttemptOutcome>) {
         self.adopt(part, node, age, ending);
     }
 
-    fn terms(&mut self, terms: &Terms, placed: &[Placed]) {
+    fn change_config(&mut self, terms: &PolicyConfig, placed: &[ClassSlot]) {
         self.take_over(terms, placed);
     }
 
-    fn vertical_over(&mut self, at: usize) {
+    fn class_retired(&mut self, at: usize) {
         self.forget_vertical(at);
     }
 }
 
-impl Router {
+impl Policy {
     /// What is known of a new shard before its first answer: its parents' latest latencies, and whose turn it is. A
     /// shard that was seen itself keeps what it showed.
     fn inherit(&mut self, shard: u32, parents: &[u32], keep: usize) {
@@ -50,7 +50,7 @@
 
     fn forget(&mut self, shard: u32) {
         self.shards.remove(&shard);
-        self.placement.listed.iter_mut().for_each(|listed| drop(listed.remove(&shard)));
+        self.placement.explicit_holders.iter_mut().for_each(|listed| drop(listed.remove(&shard)));
     }
 
     /// Each heir has the old part's calls for its own, so that what was tried, what may have run and what was copied
@@ -91,7 +91,7 @@
 
     /// A call of the part as it was made elsewhere: it counts against the cap on calls, for what may have run, and, if it
     /// is out, for its lateness and its node's room.
-    fn adopt(&mut self, part: &str, node: &str, age: f64, ending: Option<Ending>) {
+    fn adopt(&mut self, part: &str, node: &str, age: f64, ending: Option<AttemptOutcome>) {
         let Some(&(number, at)) = self.parts.get(part) else { return };
         let (now, since) = (self.now - age, self.awake - age);
         let Some(query) = self.queries.get(&number) else { return };
@@ -101,13 +101,13 @@
         let (out, hop) = (ending.is_none(), record.calls.len());
         if hop == 0 {
             // It has earned for its part where it was decided until now.
-            self.common.earn(-self.purse.ratio, self.purse.capacity);
+            self.common.deposit(-self.purse.ratio, self.purse.capacity);
         }
         record.copies += usize::from(out && record.calls.iter().any(|call| call.out));
-        record.merged |= ending == Some(Ending::Success);
-        let may_have_run = ending.is_none_or(|ending| !ending.never_ran());
-        let turned_away = ending.is_some_and(Ending::turned_away);
-        let broke = ending == Some(Ending::Reset);
+        record.merged |= ending == Some(AttemptOutcome::Success);
+        let may_have_run = ending.is_none_or(|ending| !ending.had_no_effect());
+        let turned_away = ending.is_some_and(AttemptOutcome::was_rejected);
+        let broke = ending == Some(AttemptOutcome::ConnectionReset);
         let cancelled = false;
         let call =
             Call { node: node.into(), at: now, since, out, cancelled, may_have_run, turned_away, broke };
--- /dev/null
+++ b/src/shard_placement.rs
@@ -0,0 +1,70 @@
+//! Which replica groups and data nodes hold a shard: by their place in a ring, or by an explicit list where shards move
+//! while queries run.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Where shards lie. In the ring, shard s is held by the replica groups (s + j) mod `replica_groups` for each j below
+/// `groups_per_shard`.
+#[derive(Clone, Debug, Default)]
+pub struct ShardPlacement {
+    /// Replica groups in the ring.
+    pub replica_groups: u32,
+    /// Replica groups that hold one shard.
+    pub groups_per_shard: u32,
+    /// Most shard requests in one attempt.
+    pub max_batch: usize,
+    /// Seconds of work that an attempt costs beside its shard requests.
+    pub attempt_overhead_s: f64,
+    /// The holders of each shard, in place of the ring.
+    pub explicit_holders: Option<BTreeMap<u32, ShardHolders>>,
+}
+
+/// Who holds a shard: all nodes of these replica groups but the excluded ones.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ShardHolders {
+    /// Replica groups that hold it.
+    pub replica_groups: Vec<u32>,
+    /// Nodes of these groups that have answered that they do not hold it.
+    pub excluded_nodes: BTreeSet<String>,
+}
+
+impl ShardPlacement {
+    /// How many groups a replica group lies past the first holder of a shard in the ring.
+    pub fn group_offset(&self, group: u32, shard: u32) -> u32 {
+        (group % self.replica_groups + self.replica_groups - shard % self.replica_groups)
+            % self.replica_groups
+    }
+
+    /// The replica group that a node's group number stands for.
+    pub fn group_of(&self, group: u32) -> u32 {
+        if self.explicit_holders.is_some() { group } else { group % self.replica_groups }
+    }
+
+    fn listed_groups(&self, shard: u32) -> Option<&[u32]> {
+        let listed = self.explicit_holders.as_ref()?;
+        Some(listed.get(&shard).map_or(&[], |holders| &holders.replica_groups))
+    }
+
+    /// The replica groups that hold a shard, from its first holder on.
+    pub fn holding_groups(&self, shard: u32) -> impl Iterator<Item = u32> + '_ {
+        let groups = self.replica_groups;
+        let first = shard % groups;
+        let listed = self.listed_groups(shard);
+        let count = listed.map_or(self.groups_per_shard.min(groups), |listed| listed.len() as u32);
+        (0..count).map(move |step| listed.map_or((first + step) % groups, |listed| listed[step as usize]))
+    }
+
+    /// The nodes of the holding groups that do not hold a shard.
+    pub fn excluded_nodes(&self, shard: u32) -> Option<&BTreeSet<String>> {
+        Some(&self.explicit_holders.as_ref()?.get(&shard)?.excluded_nodes)
+    }
+
+    /// Whether a node of a replica group holds a shard.
+    pub fn holds(&self, node: &str, group: u32, shard: u32) -> bool {
+        let Some(listed) = self.listed_groups(shard) else {
+            return self.group_offset(group, shard) < self.groups_per_shard;
+        };
+        let excluded = self.excluded_nodes(shard).is_some_and(|nodes| nodes.contains(node));
+        listed.contains(&group) && !excluded
+    }
+}
--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -2,7 +2,7 @@
 //! nodes, and what they may spend together. Each fails when the code behind it breaks.
 #[allow(dead_code)]
 mod fake;
-use alderway::host::*;
+use alderway::interface::*;
 use fake::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -10,25 +10,25 @@
 
 /// So many cores of one router, none of which copies parts.
 fn cores(count: usize, change: impl Fn(&mut Deployment)) -> Vec<Host> {
-    let common = Common::new(count);
+    let common = SharedLimits::new(count);
     let core = |core: usize| {
         let mut deployment = Deployment::default();
-        deployment.allowance.parallel = false;
+        deployment.allowance.can_hedge = false;
         change(&mut deployment);
         let mut host = Host::new(deployment);
-        host.join(common.of(core as u8));
+        host.join(common.for_core(core as u8));
         host
     };
     (0..count).map(core).collect()
 }
 
 /// Two cores, of which the first has seen a node answer late, and what it told.
-fn one_saw_a_late_node() -> (Host, Host, Vec<(String, Evidence)>) {
+fn one_saw_a_late_node() -> (Host, Host, Vec<(String, NodeObservation)>) {
     let mut all = cores(2, |_| ());
     let (mut second, mut first) = (all.remove(1), all.remove(0));
     first.query(0, &[0]);
     first.wait(0.6);
-    first.ends("p0.0", 0, "n0", Ending::Success, 0.6);
+    first.ends("p0.0", 0, "n0", AttemptOutcome::Success, 0.6);
     second.now = first.now;
     let told = first.told.clone();
     (first, second, told)
@@ -41,12 +41,16 @@
 #[rstest]
 fn what_one_core_saw_lets_the_others_pass_the_node_over_untried() {
     let (_, mut second, told) = one_saw_a_late_node();
-    assert!(told.iter().any(|(node, seen)| node == "n0" && seen.late > 0.3 && seen.sick == 0.0), "{told:?}");
+    assert!(
+        told.iter()
+            .any(|(node, seen)| node == "n0" && seen.slow_for_s > 0.3 && seen.unresponsive_for_s == 0.0),
+        "{told:?}"
+    );
     second.hears(&told);
     for n in 0..4 {
         let node = asked(&mut second, n);
         assert_ne!(node, "n0");
-        second.ends(&format!("p{n}.0"), 0, &node, Ending::Success, 0.05);
+        second.ends(&format!("p{n}.0"), 0, &node, AttemptOutcome::Success, 0.05);
     }
 }
 
@@ -56,7 +60,7 @@
     all[0].query(0, &[0]);
     all[0].wait(2.0);
     let told = all[0].told.clone();
-    let silent = told.iter().filter(|(node, seen)| node == "n0" && seen.sick > 0.0);
+    let silent = told.iter().filter(|(node, seen)| node == "n0" && seen.unresponsive_for_s > 0.0);
     // Told again while it lasts, as others take one core's word for half a second.
     assert!(silent.count() >= 2, "{told:?}");
     all[1].now = all[0].now;
@@ -79,12 +83,12 @@
 #[rstest]
 fn word_runs_out_and_word_of_another_process_is_void() {
     let (_, mut second, mut told) = one_saw_a_late_node();
-    let longest = told.iter().map(|t| t.1.late).fold(0.0, f64::max);
+    let longest = told.iter().map(|t| t.1.slow_for_s).fold(0.0, f64::max);
     second.now += longest + 0.01;
     second.hears(&told);
     assert!((0..3).any(|n| asked(&mut second, n) == "n0"), "it outlived its span");
     let (_, mut second, _) = one_saw_a_late_node();
-    told.iter_mut().for_each(|t| t.1.started = Some(50.0));
+    told.iter_mut().for_each(|t| t.1.started_at_s = Some(50.0));
     second.hears(&told);
     assert!((0..3).any(|n| asked(&mut second, n) == "n0"), "it was of another process");
 }
@@ -95,7 +99,13 @@
 #[case::no_number(0.0, f64::NAN)]
 fn wrong_word_shuts_no_node_out_for_long(#[case] ahead: f64, #[case] span: f64) {
     let mut all = cores(2, |_| ());
-    let word = Evidence { started: None, seen: all[0].now + ahead, late: span, far: span, sick: span };
+    let word = NodeObservation {
+        started_at_s: None,
+        observed_at_s: all[0].now + ahead,
+        slow_for_s: span,
+        very_slow_for_s: span,
+        unresponsive_for_s: span,
+    };
     all[0].hears(&[("n0".into(), word), ("nobody".into(), word)]);
     all[0].now += 30.1;
     assert!((0..3).any(|n| asked(&mut all[0], n) == "n0"));
@@ -111,9 +121,9 @@
     second.now += 0.01;
     assert_eq!(asked(&mut second, 0), "n0");
     second.now += 0.05;
-    second.ends("p0.0", 0, "n0", Ending::Success, 0.05);
+    second.ends("p0.0", 0, "n0", AttemptOutcome::Success, 0.05);
     let sound = second.told.last().expect("told").clone();
-    assert_eq!((sound.0.as_str(), sound.1.late, sound.1.sick), ("n0", 0.0, 0.0));
+    assert_eq!((sound.0.as_str(), sound.1.slow_for_s, sound.1.unresponsive_for_s), ("n0", 0.0, 0.0));
     first.now = second.now;
     first.hears(&[sound]);
     assert!((1..4).any(|n| asked(&mut first, n) == "n0"), "still at rest");
@@ -121,7 +131,10 @@
 
 #[rstest]
 fn all_cores_together_keep_a_cold_node_under_the_limit_of_one_router() {
-    let (rule, peers) = (ColdRule { share: 0.2, warm_up: 16.0, multiple: 2.5, span: 1.5 }, 1);
+    let (rule, peers) = (
+        SlowStartConfig { initial_fraction: 0.2, warm_up_s: 16.0, capacity_multiple: 2.5, window_s: 1.5 },
+        1,
+    );
     let spent = |count: usize| {
         let mut all = cores(count, |d| (d.peers, d.nodes) = (peers, 2));
         let started = all[0].now;
@@ -140,11 +153,11 @@
                     let node = asked(host, n);
                     sends.extend((node == "cold").then_some(host.now));
                     host.now += 0.002;
-                    host.ends(&format!("p{n}.0"), 0, &node, Ending::Success, 0.002);
+                    host.ends(&format!("p{n}.0"), 0, &node, AttemptOutcome::Success, 0.002);
                 }
             }
         }
-        let window = |from: f64| sends.iter().filter(|&&at| at >= from && at < from + rule.span).count();
+        let window = |from: f64| sends.iter().filter(|&&at| at >= from && at < from + rule.window_s).count();
         (sends.iter().map(|&from| window(from)).max().unwrap_or(0), sends.len())
     };
     let ((one, _), (four, sent)) = (spent(1), spent(4));
@@ -188,7 +201,7 @@
                 2 | 3 if !open.is_empty() => {
                     let (core, n, node, at) = open.remove(0);
                     all[core].now = now;
-                    let ending = if what == 2 { Ending::Success } else { Ending::Unreachable };
+                    let ending = if what == 2 { AttemptOutcome::Success } else { AttemptOutcome::Unreachable };
                     all[core].ends(&format!("p{n}.0"), 0, &node, ending, now - at);
                 }
                 _ => {
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,16 +1,16 @@
 //! The one fake host: it starts a router, feeds it rounds and writes down what it decides.
-use alderway::choice::Router;
-use alderway::host::*;
+use alderway::interface::*;
+use alderway::policy::Policy;
 
 #[derive(Default)]
-pub struct Notes(pub Vec<String>, pub Vec<(String, Evidence)>, pub Vec<f64>);
+pub struct Notes(pub Vec<String>, pub Vec<(String, NodeObservation)>, pub Vec<f64>);
 
-impl Writer for Notes {
-    fn call(&mut self, part: &str, node: &str, limit: f64) {
+impl DecisionSink for Notes {
+    fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
         self.2.push(limit);
         self.0.push(format!("call {part} {node}"));
     }
-    fn cancel(&mut self, part: &str, hop: usize) {
+    fn cancel_attempt(&mut self, part: &str, hop: usize) {
         self.0.push(format!("cancel {part} {hop}"));
     }
     fn answer(&mut self, query: &str, whole: bool) {
@@ -19,28 +19,28 @@
     fn reject(&mut self, query: &str, come_back: Option<f64>) {
         self.0.push(format!("reject {query} {}", come_back.map_or("-".into(), |s| format!("{s:.2}"))));
     }
-    fn abort(&mut self, query: &str) {
+    fn fail(&mut self, query: &str) {
         self.0.push(format!("abort {query}"));
     }
-    fn alarm(&mut self, _span: f64, _tag: u64) {}
-    fn follow_roster(&mut self) {
+    fn set_timer(&mut self, _span: f64, _tag: u64) {}
+    fn poll_endpoints(&mut self) {
         self.0.push("follow".into());
     }
-    fn remark(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.0.push(format!("remark {text}"));
     }
-    fn evidence(&mut self, node: &str, seen: Evidence) {
+    fn share_observation(&mut self, node: &str, seen: NodeObservation) {
         self.1.push((node.into(), seen));
     }
 }
 
 pub struct Host {
-    router: Router,
+    router: Policy,
     pub now: f64,
     /// All decisions so far, in order.
     pub notes: Vec<String>,
     /// What it told other cores, in order.
-    pub told: Vec<(String, Evidence)>,
+    pub told: Vec<(String, NodeObservation)>,
     /// Time-outs of all leaf calls so far, in order.
     pub limits: Vec<f64>,
 }
@@ -48,45 +48,56 @@
 /// What a story's deployment is made of; a story changes what it is about.
 pub struct Deployment {
     pub peers: usize,
-    pub vertical: Vertical,
-    pub others: Vec<Vertical>,
-    pub customers: Vec<Customer>,
-    pub placement: Placement,
-    pub allowance: Allowance,
-    pub budget: Option<Budget>,
-    pub cold: Option<ColdRule>,
+    pub vertical: QueryClass,
+    pub others: Vec<QueryClass>,
+    pub customers: Vec<Tenant>,
+    pub placement: ShardPlacement,
+    pub allowance: RouterCapabilities,
+    pub budget: Option<RetryBudget>,
+    pub cold: Option<SlowStartConfig>,
     pub nodes: u32,
 }
 
 impl Default for Deployment {
     /// Three nodes that all hold every shard; one vertical with an SLO time of 2 s.
     fn default() -> Self {
-        let effect = Effect::Repeatable;
+        let effect = Idempotency::Idempotent;
         Deployment {
             peers: 2,
-            vertical: Vertical {
-                slo: 2.0,
-                deadline: 6.0,
-                effect,
-                utility: 1.0,
-                late_share: 0.3,
-                need: 1.0,
-                floor: 1.0,
-                fetch: 0,
+            vertical: QueryClass {
+                latency_objective_s: 2.0,
+                deadline_s: 6.0,
+                idempotency: effect,
+                priority_weight: 1.0,
+                late_weight_fraction: 0.3,
+                complete_fraction: 1.0,
+                minimum_fraction: 1.0,
+                second_phase_requests: 0,
             },
             others: vec![],
             customers: vec![],
-            placement: Placement { cells: 3, reach: 3, bundle: 1, call_work: 0.0, listed: None },
-            allowance: Allowance {
-                cancel: true,
-                parallel: true,
-                calls: 4,
-                come_back: Some(0.5),
-                follow: false,
-                over_share: 0.1,
+            placement: ShardPlacement {
+                replica_groups: 3,
+                groups_per_shard: 3,
+                max_batch: 1,
+                attempt_overhead_s: 0.0,
+                explicit_holders: None,
+            },
+            allowance: RouterCapabilities {
+                can_cancel: true,
+                can_hedge: true,
+                max_attempts: 4,
+                max_retry_after_s: Some(0.5),
+                polls_endpoints: false,
+                over_quota_weight_fraction: 0.1,
             },
             budget: None,
-            cold: Some(ColdRule { share: 0.2, warm_up: 16.0, multiple: 2.5, span: 1.5 }),
+            cold: Some(SlowStartConfig {
+                initial_fraction: 0.2,
+                warm_up_s: 16.0,
+                capacity_multiple: 2.5,
+                window_s: 1.5,
+            }),
             nodes: 3,
         }
     }
@@ -96,8 +107,18 @@
     pub fn new(d: Deployment) -> Self {
         let verticals = [vec![d.vertical], d.others].concat();
         let Deployment { peers, customers, placement, allowance, budget, cold, .. } = d;
-        let router =
-            Router::new(7, Terms { peers, verticals, customers, placement, allowance, budget, cold });
+        let router = Policy::new(
+            7,
+            PolicyConfig {
+                router_count: peers,
+                query_classes: verticals,
+                tenants: customers,
+                placement,
+                capabilities: allowance,
+                retry_budget: budget,
+                slow_start: cold,
+            },
+        );
         let mut host = Host { router, now: 100.0, notes: vec![], told: vec![], limits: vec![] };
         for cell in 0..d.nodes {
             host.roster(&format!("n{cell}"), cell, NodeState::Serving, None);
@@ -106,9 +127,9 @@
     }
 
     /// One round, with all that `came_in` tells; returns what was decided in it.
-    pub fn round(&mut self, came_in: impl FnOnce(&mut dyn Intake)) -> Vec<String> {
+    pub fn round(&mut self, came_in: impl FnOnce(&mut dyn PolicyInput)) -> Vec<String> {
         let mut notes = Notes::default();
-        let told = |intake: &mut dyn Intake| {
+        let told = |intake: &mut dyn PolicyInput| {
             came_in(intake);
             Ok::<(), ()>(())
         };
@@ -120,17 +141,17 @@
     }
 
     /// Makes this host's router one core's.
-    pub fn join(&mut self, common: Common) {
+    pub fn join(&mut self, common: SharedLimits) {
         self.router.join(common);
     }
 
     /// Hears what another core told.
-    pub fn hears(&mut self, told: &[(String, Evidence)]) -> Vec<String> {
-        self.round(|r| told.iter().for_each(|(node, seen)| r.evidence(node, *seen)))
+    pub fn hears(&mut self, told: &[(String, NodeObservation)]) -> Vec<String> {
+        self.round(|r| told.iter().for_each(|(node, seen)| r.node_observed(node, *seen)))
     }
 
     pub fn roster(&mut self, node: &str, cell: u32, state: NodeState, started: Option<f64>) -> Vec<String> {
-        self.round(|r| r.roster_entry(node, cell, state, started))
+        self.round(|r| r.endpoint_updated(node, cell, state, started))
     }
 
     /// Query `q{n}` with parts `p{n}.0`, `p{n}.1` ... of equal weight, one for each shard.
@@ -141,15 +162,22 @@
 
     pub fn query_until(&mut self, n: u64, shards: &[u32], not_after: f64, customer: &str) -> Vec<String> {
         self.round(|r| {
-            r.query(n, &format!("q{n}"), 0, customer, not_after);
+            r.query_arrived(n, &format!("q{n}"), 0, customer, not_after);
             for (i, shard) in shards.iter().enumerate() {
-                r.part(n, &format!("p{n}.{i}"), *shard, 1.0 / shards.len() as f64);
+                r.shard_request_added(n, &format!("p{n}.{i}"), *shard, 1.0 / shards.len() as f64);
             }
         })
     }
 
-    pub fn ends(&mut self, part: &str, hop: usize, node: &str, ending: Ending, latency: f64) -> Vec<String> {
-        self.round(|r| r.call_ended(part, hop, node, ending, latency))
+    pub fn ends(
+        &mut self,
+        part: &str,
+        hop: usize,
+        node: &str,
+        ending: AttemptOutcome,
+        latency: f64,
+    ) -> Vec<String> {
+        self.round(|r| r.attempt_ended(part, hop, node, ending, latency))
     }
 
     /// Lets time pass in steps of the module's alarm.
@@ -157,7 +185,7 @@
         let (end, from) = (self.now + span, self.notes.len());
         while self.now < end - 1e-9 {
             self.now = (self.now + 0.01).min(end);
-            self.round(|r| r.alarm(1));
+            self.round(|r| r.timer_fired(1));
         }
         self.notes[from..].to_vec()
     }
@@ -167,7 +195,7 @@
         for n in first..first + count {
             let asked = node_of(&self.query(n, &[0]), &format!("p{n}.0"));
             self.wait(latency);
-            self.ends(&format!("p{n}.0"), 0, &asked, Ending::Success, latency);
+            self.ends(&format!("p{n}.0"), 0, &asked, AttemptOutcome::Success, latency);
         }
     }
 
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,21 +1,21 @@
 //! What may happen in a moment, by the facts of that moment.
-use alderway::host::{Effect, NodeState};
+use alderway::interface::{Idempotency, NodeState};
 use alderway::permits::{self, Call, Closing, Denial};
 use rstest::rstest;
 
-const KEYED: Effect = Effect::Deduplicated { window: 1.0 };
+const KEYED: Idempotency = Idempotency::IdempotentWithKey { window_s: 1.0 };
 
 #[rstest]
-#[case::first(Effect::SideEffecting, None, 2.0, NodeState::Serving, Ok(()))]
-#[case::time_over(Effect::Repeatable, None, 1.0, NodeState::Serving, Err(Denial::TimeOver))]
-#[case::drains(Effect::Repeatable, None, 2.0, NodeState::Draining, Err(Denial::NodeLeaving))]
-#[case::gone(Effect::Repeatable, None, 2.0, NodeState::Gone, Err(Denial::NodeLeaving))]
-#[case::repeatable(Effect::Repeatable, Some(-9.0), 2.0, NodeState::Serving, Ok(()))]
+#[case::first(Idempotency::NonIdempotent, None, 2.0, NodeState::Serving, Ok(()))]
+#[case::time_over(Idempotency::Idempotent, None, 1.0, NodeState::Serving, Err(Denial::TimeOver))]
+#[case::drains(Idempotency::Idempotent, None, 2.0, NodeState::Draining, Err(Denial::NodeLeaving))]
+#[case::gone(Idempotency::Idempotent, None, 2.0, NodeState::Removed, Err(Denial::NodeLeaving))]
+#[case::repeatable(Idempotency::Idempotent, Some(-9.0), 2.0, NodeState::Serving, Ok(()))]
 #[case::in_the_window(KEYED, Some(0.1), 2.0, NodeState::Serving, Ok(()))]
 #[case::past_the_window(KEYED, Some(0.0), 2.0, NodeState::Serving, Err(Denial::WindowOver))]
-#[case::may_have_run(Effect::SideEffecting, Some(0.9), 2.0, NodeState::Serving, Err(Denial::MayHaveRun))]
+#[case::may_have_run(Idempotency::NonIdempotent, Some(0.9), 2.0, NodeState::Serving, Err(Denial::MayHaveRun))]
 fn a_leaf_call_begins_only_within_the_rules(
-    #[case] effect: Effect,
+    #[case] effect: Idempotency,
     #[case] begun: Option<f64>,
     #[case] until: f64,
     #[case] node: NodeState,
@@ -40,8 +40,8 @@
 
 #[rstest]
 fn a_rejection_is_given_only_where_trying_again_is_harmless() {
-    assert_eq!(permits::reject(Effect::SideEffecting, true), Err(Denial::MayHaveRun));
-    assert_eq!(permits::reject(Effect::SideEffecting, false), Ok(()));
+    assert_eq!(permits::reject(Idempotency::NonIdempotent, true), Err(Denial::MayHaveRun));
+    assert_eq!(permits::reject(Idempotency::NonIdempotent, false), Ok(()));
     assert_eq!(permits::reject(KEYED, true), Ok(()));
 }
 
