--- /dev/null
+++ b/crates/operator/tests/data/planner.star
@@ -0,0 +1,2 @@
+# A planner, with every key of `planner`.
+planner(count = 2)
