--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -5,8 +5,8 @@
 use alderway_controller::driver::{self, Plan};
 use alderway_controller::subscriptions::Subscriptions;
 use alderway_operator::{LogForm, Operator};
-use alderway_router::life::logger::{self, Form};
 use alderway_router::tier::post;
+use alderway_telemetry::log::{self, Form};
 use clap::Args;
 use std::io;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
             return ExitCode::from(2);
         }
     };
-    logger::start(match log {
+    log::start(match log {
         LogForm::Text => Form::Text,
         LogForm::Json => Form::Json,
     });
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -8,14 +8,14 @@
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, kept};
-use alderway_router::life::logger::{self, Form};
 use alderway_router::life::start::Role;
 use alderway_router::life::{serve, start};
-use alderway_router::memory::clock::Clock;
 use alderway_router::memory::descriptors;
 use alderway_router::memory::ground::Following;
 use alderway_router::memory::house::Sharing;
 use alderway_router::peers::{Circle, Members};
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log::{self, Form};
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -245,7 +245,7 @@
         print!("{}", show(&plan));
         return ExitCode::SUCCESS;
     }
-    logger::start(plan.form);
+    log::start(plan.form);
     match serve::serve(plan.station, plan.sharing, clock) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
--- a/crates/controller/src/hollow.rs
+++ b/crates/controller/src/hollow.rs
@@ -4,7 +4,7 @@
 use alderway_control::version::Number;
 use alderway_control::words::Outcome;
 use alderway_router::control::{Ends, run};
-use alderway_router::memory::clock::Clock;
+use alderway_telemetry::clock::Clock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/router/src/control/kept.rs
+++ b/crates/router/src/control/kept.rs
@@ -2,9 +2,9 @@
 //! synced and renamed, with a head that tells a torn one.
 use super::{Subscription, spawn_blocking, spawn_local, watch};
 use crate::life::start::{self, Read, Station};
-use crate::memory::clock::Clock;
 use alderway_control::subscriber::Settled;
 use alderway_control::words;
+use alderway_telemetry::clock::Clock;
 use serde_json::Value;
 use std::fs::{self, File};
 use std::io::{self, Write};
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -3,7 +3,6 @@
 pub mod kept;
 
 use crate::life::settings::{Live, Outcome as Offered};
-use crate::memory::clock::Clock;
 use crate::memory::counters::Counters;
 use crate::memory::house::{Figures, House};
 use alderway_control::bucket::{Bucket, READ};
@@ -11,6 +10,7 @@
 use alderway_control::version::Number;
 use alderway_control::words::{Outcome, Say, Tell};
 use alderway_sockets::Sender;
+use alderway_telemetry::clock::Clock;
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use alderway_tier::{Incarnation, Name};
 use kept::Kept;
--- a/crates/router/src/drive/arrival.rs
+++ b/crates/router/src/drive/arrival.rs
@@ -1,8 +1,8 @@
 //! Reads with the moment at which the last byte came in. The system stamps it: a router that stood still, or
 //! was kept off its core, would take old bytes for new ones and count a client's time from too late.
-use crate::memory::clock::Clock;
 use crate::memory::stamps::Stamps;
 use alderway_sockets::{received, uninterrupted};
+use alderway_telemetry::clock::Clock;
 use nix::cmsg_space;
 use nix::sys::socket::{ControlMessageOwned, MsgFlags, recv, recvmsg, setsockopt, sockopt};
 use nix::sys::time::TimeSpec;
--- a/crates/router/src/drive/clients.rs
+++ b/crates/router/src/drive/clients.rs
@@ -2,7 +2,6 @@
 use super::{arrival, until};
 use crate::memory::Shared;
 use crate::memory::clients::Client;
-use crate::memory::clock::Clock;
 use crate::memory::descriptors::{Held, Share};
 use crate::memory::desk::Stage;
 use crate::memory::house::{Order, Passenger};
@@ -11,6 +10,7 @@
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{MESSAGE, Messages, Refusal};
 use alderway_sockets::Sender;
+use alderway_telemetry::clock::Clock;
 use std::ops::ControlFlow;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/router/src/drive/core.rs
+++ b/crates/router/src/drive/core.rs
@@ -2,9 +2,8 @@
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
 use super::{clients, rounds};
-use crate::life::{logger, stop};
+use crate::life::stop;
 use crate::memory::Shared;
-use crate::memory::clock::Clock;
 use crate::memory::descriptors::Share;
 use crate::memory::desk::{Class, Desk, Stage};
 use crate::memory::ground::{Following, Ground};
@@ -14,6 +13,8 @@
 use alderway_cores::board::Board;
 use alderway_deployment::{Intake, Trunk};
 use alderway_layouts::layout::Layout;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
 use nix::time::{ClockId, clock_gettime};
 use std::cell::RefCell;
 use std::ops::ControlFlow;
@@ -81,7 +82,7 @@
 
 /// Runs until the program stops, through failures.
 pub fn run(mut berth: Berth) {
-    logger::on_core(berth.core);
+    log::on_core(berth.core);
     let mut gossip = berth.house.listen();
     let mut board = Board::default();
     loop {
--- a/crates/router/src/drive/discovery.rs
+++ b/crates/router/src/drive/discovery.rs
@@ -1,7 +1,6 @@
 //! The driver of discovery's watch: through losses and silences to a new watch, while the old list holds.
 use super::arrival;
 use super::until;
-use crate::memory::clock::Clock;
 use crate::memory::desk::Desk;
 use crate::memory::following::{Following as Follows, Watching};
 use crate::memory::roster::Roster;
@@ -11,6 +10,7 @@
 use alderway_layouts::history::News;
 use alderway_layouts::layout::Faulty;
 use alderway_sockets::Sender;
+use alderway_telemetry::clock::Clock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::pin::pin;
--- a/crates/router/src/drive/lead.rs
+++ b/crates/router/src/drive/lead.rs
@@ -7,8 +7,7 @@
 use crate::life::reload::Was;
 use crate::life::settings::Live;
 use crate::life::start::Station;
-use crate::life::{logger, reload, stop};
-use crate::memory::clock::Clock;
+use crate::life::{reload, stop};
 use crate::memory::counters::Counters;
 use crate::memory::descriptors::{self, Held};
 use crate::memory::ground::{Following, Ground};
@@ -20,6 +19,8 @@
 use alderway_layouts::history::News;
 use alderway_layouts::layout::Faulty;
 use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
 use nix::sys::signal::Signal;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -252,7 +253,7 @@
     }
     let mut figures = Figures::default();
     house.add_others(None, &mut figures);
-    logger::last_words(&figures.text());
+    log::last_words(&figures.text());
     watched
 }
 
--- a/crates/router/src/drive/mod.rs
+++ b/crates/router/src/drive/mod.rs
@@ -7,7 +7,7 @@
 pub mod nodes;
 pub mod rounds;
 
-use crate::memory::clock::Clock;
+use alderway_telemetry::clock::Clock;
 use tokio::time::{Sleep, sleep_until};
 
 /// Sleeps until a time of the steady clock.
--- a/crates/router/src/life/mod.rs
+++ b/crates/router/src/life/mod.rs
@@ -1,5 +1,4 @@
-//! Start, reload and stop: what is read at the start and again, the log, and the way out.
-pub mod logger;
+//! Start, reload and stop: what is read at the start and again, and the way out.
 pub mod reload;
 pub mod serve;
 pub mod settings;
--- a/crates/router/src/life/reload.rs
+++ b/crates/router/src/life/reload.rs
@@ -1,8 +1,8 @@
 //! A new configuration while the program runs, told by SIGHUP: what can move moves, what is faulty changes nothing.
 use super::settings::{Live, Outcome};
 use super::start::{self, Station};
-use crate::memory::clock::Clock;
 use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tokio::sync::watch::Sender;
--- a/crates/router/src/life/serve.rs
+++ b/crates/router/src/life/serve.rs
@@ -2,11 +2,10 @@
 use super::reload::Was;
 use super::settings::Live;
 use super::start::{Role, Station};
-use super::{logger, reload, stop};
+use super::{reload, stop};
 use crate::control;
 use crate::drive::{arrival, clients, discovery, lead, rounds};
 use crate::memory::Shared;
-use crate::memory::clock::Clock;
 use crate::memory::descriptors;
 use crate::memory::desk::Desk;
 use crate::memory::ground::Ground;
@@ -16,6 +15,8 @@
 use crate::tier::forwarder::Forwarder;
 use crate::tier::{links, post};
 use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
 use alderway_tier::members::Watch;
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
@@ -89,7 +90,7 @@
         () = stop::at_sigterm(terms, desk.clone(), close, listening) => {}
         failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
     }
-    logger::last_words(&desk.borrow().figures());
+    log::last_words(&desk.borrow().figures());
     Ok(())
 }
 
--- a/crates/router/src/life/start.rs
+++ b/crates/router/src/life/start.rs
@@ -1,12 +1,12 @@
 //! The one place where the configuration is read, checked and given defaults. Every message names its key.
 use crate::control::Subscription;
-use crate::memory::clock::Clock;
 use crate::memory::desk::Class;
 use crate::memory::ground::Following;
 use crate::memory::roster::Roster;
 use crate::peers::Circle;
 use crate::wire::discovery;
 use alderway_deployment as deployment;
+use alderway_telemetry::clock::Clock;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,12 +1,12 @@
 //! Starts one query router as the platform runs it: by its configuration alone, on one core.
-use alderway_router::life::logger::{self, Form};
 use alderway_router::life::{serve, start};
-use alderway_router::memory::clock::Clock;
 use alderway_router::memory::house::Sharing;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log::{self, Form};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    logger::start(Form::Text);
+    log::start(Form::Text);
     let clock = Clock::default();
     let station = match start::read(clock) {
         Ok(station) => station,
--- a/crates/router/src/memory/desk.rs
+++ b/crates/router/src/memory/desk.rs
@@ -2,7 +2,6 @@
 use super::CallId;
 use super::calls::Calls;
 use super::clients::{Client, Clients};
-use super::clock::Clock;
 use super::counters::Counters;
 use super::ground::Ground;
 use super::house::{Figures, House, Word};
@@ -24,6 +23,7 @@
 use alderway_deployment::{Intake as Room, Trunk};
 use alderway_layouts::ShardId;
 use alderway_layouts::coverage::Count;
+use alderway_telemetry::clock::Clock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/router/src/memory/mod.rs
+++ b/crates/router/src/memory/mod.rs
@@ -5,7 +5,6 @@
 pub mod audit;
 pub mod calls;
 pub mod clients;
-pub mod clock;
 pub mod counters;
 pub mod descriptors;
 pub mod desk;
--- a/crates/router/src/peers/mod.rs
+++ b/crates/router/src/peers/mod.rs
@@ -1,7 +1,6 @@
 //! Routers that know each other, on sockets: a listener for those that dial this one, a task for each that it dials, and
 //! the beat. What is told, kept and believed stands in `alderway_peers`; this is how it gets from socket to socket, and
 //! from there to the desk, as word of another decision point.
-use crate::memory::clock::Clock;
 use crate::memory::house::Word;
 use crate::memory::{Shared, counters::Counters};
 use crate::tier::links::{PATIENCE, Waits, greet};
@@ -10,6 +9,7 @@
 use alderway_peers::{Frame, Name, Terms, ring};
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -3,9 +3,9 @@
 //! here, so that whoever takes a query over knows what may have run. No sockets.
 use super::Outbox;
 use super::planner::same_start;
-use crate::memory::clock::Clock;
 use crate::memory::counters::Counters;
 use alderway::host::{Ending, Evidence, Intake, NodeState, Records, Writer};
+use alderway_telemetry::clock::Clock;
 use alderway_tier::custody::{Asking, Custody, Decider};
 use alderway_tier::frames::{Hello, Message, Tried, VERSION};
 use alderway_tier::members::{Change, Members, Watch};
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -3,11 +3,11 @@
 //! session, so that nothing of it weighs on a data node for ever. No sockets.
 use super::Outbox;
 use crate::drive::discovery::Follower;
-use crate::memory::clock::Clock;
 use crate::memory::counters::Counters;
 use crate::memory::roster::Roster;
 use alderway::choice::Router;
 use alderway::host::{Ending, Evidence, Intake, Writer};
+use alderway_telemetry::clock::Clock;
 use alderway_tier::frames::{Hello, Message, Tried};
 use alderway_tier::ramp;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -3,12 +3,13 @@
 use crate::drive::{discovery, until};
 use crate::life::reload::{self, Was};
 use crate::life::start::Station;
-use crate::life::{logger, stop};
-use crate::memory::clock::Clock;
+use crate::life::stop;
 use alderway::choice::Router;
 use alderway::host::Common;
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
 use alderway_tier::frames::{Hello, Read, Reader, VERSION};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
@@ -65,7 +66,7 @@
     // Decisions on their way go out.
     sleep(Duration::from_millis(50)).await;
     tracing::info!(target: "stop", "ended: {} queries open", shared.borrow().open());
-    logger::last_words(&shared.borrow().counters.text());
+    log::last_words(&shared.borrow().counters.text());
     Ok(())
 }
 
