--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -8,7 +8,7 @@
 use alderway_controller::door::{Ask, Overall, Reply, Text};
 use alderway_lab::program::Setting;
 use alderway_lab::wires::Wires;
-use alderway_tier::frames::{self, Hello};
+use alderway_transport::frames::{self, Hello};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rstest::rstest;
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -10,7 +10,7 @@
 use alderway_lab::wires::{Act, Fault, Schedule, Wires};
 use alderway_peers::Frame;
 use alderway_peers::words::{What, Word};
-use alderway_tier::frames::{self, Hello, Read as _Read, Reader};
+use alderway_transport::frames::{self, Hello, Read as _Read, Reader};
 use common::{PATIENCE, until};
 use nix::sys::signal::Signal;
 use rstest::rstest;
--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -8,7 +8,8 @@
 use alderway_lab::model::{Fault, Make};
 use alderway_lab::program::{Build, Program, Setting};
 use alderway_tier::custody::Custody;
-use alderway_tier::frames::{self, Hello, Message};
+use alderway_tier::frames::{self, Message};
+use alderway_transport::frames::{Hello, message};
 use common::{Client, logged, until};
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -277,7 +278,7 @@
                 &mut bytes,
                 &Hello { version: frames::VERSION, planner: true, incarnation: 1, name },
             );
-            assert!(frames::message(&mut bytes, &Message::Beat { number: 1, roster: 1_000_000, able: true }));
+            assert!(message(&mut bytes, &Message::Beat { number: 1, roster: 1_000_000, able: true }));
             stream.write_all(&bytes).expect("written");
             // Reads all, says nothing.
             let mut space = [0; 4096];
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -5,7 +5,7 @@
 use crate::outlet::{Lagging, Summary};
 use crate::version::{Number, Version};
 use crate::words::{self, Content, Digest, LARGEST, Outcome, PART, PART_HEAD, Say, Tell};
-use alderway_tier::{Incarnation, Name};
+use alderway_transport::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::rc::Rc;
--- a/crates/control/src/words.rs
+++ b/crates/control/src/words.rs
@@ -1,8 +1,8 @@
-//! What a control machine and a router say to each other, in the frames of `alderway_tier`. Contents are told in parts that a
+//! What a control machine and a router say to each other, in the frames of `alderway_transport`. Contents are told in parts that a
 //! bounded link can take between other words: whole, or as a JSON Patch (RFC 6902) upon a version that the router has,
 //! with a digest of what must come out.
 use crate::version::Number;
-use alderway_tier::frames::{self, Speech};
+use alderway_transport::frames::{self, Speech};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
--- a/crates/control/tests/subscription.rs
+++ b/crates/control/tests/subscription.rs
@@ -6,7 +6,7 @@
 use alderway_control::subscriber::{Machine, Note, Order, Settled, Subscriber, Terms};
 use alderway_control::version::{Number, Version};
 use alderway_control::words::{self, Content, LARGEST, Outcome, Say, Tell};
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_pcg::Pcg32;
--- a/crates/controller/src/client.rs
+++ b/crates/controller/src/client.rs
@@ -1,6 +1,6 @@
 //! An operator's side of the door: asks one machine after the other until one answers.
 use crate::door::{Ask, Reply, Text};
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
 use std::fmt;
 use std::io::{Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -3,9 +3,9 @@
 use crate::driver::{Held, Told};
 use crate::listen::serve_each;
 use alderway_control::machine::{Name, Word};
-use alderway_router::tier::links::{PATIENCE, Waits, greet};
 use alderway_sockets::Sender;
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::links::{PATIENCE, Waits, greet};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/lab/src/capacity/words.rs
+++ b/crates/lab/src/capacity/words.rs
@@ -5,7 +5,7 @@
 //! few enough for one machine's memory, the worst second after a fifth of them is gone.
 use alderway_peers::view::View;
 use alderway_peers::{Frame, Name, Terms};
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
 use clap::Args;
 use nix::time::{ClockId, clock_gettime};
 use rand_pcg::Pcg32;
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -15,11 +15,11 @@
 pub mod view;
 pub mod words;
 
-use alderway_tier::frames::Speech;
+use alderway_transport::frames::Speech;
 use serde::{Deserialize, Serialize};
 use words::Word;
 
-pub use alderway_tier::{Incarnation, Name};
+pub use alderway_transport::{Incarnation, Name};
 
 /// What passes over a link at each beat. Spans are seconds; a stamp is a time of the sender's own steady clock, of use to
 /// nobody but whoever hears several of them.
--- a/crates/peers/tests/mesh.rs
+++ b/crates/peers/tests/mesh.rs
@@ -3,7 +3,7 @@
 use alderway_peers::view::{State, View};
 use alderway_peers::words::{What, Word, Words};
 use alderway_peers::{Frame, Name, Terms, ring};
-use alderway_tier::frames::{self, Hello, Reader};
+use alderway_transport::frames::{self, Hello, Reader};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_pcg::Pcg32;
--- a/crates/peers/tests/wire_format.rs
+++ b/crates/peers/tests/wire_format.rs
@@ -2,7 +2,7 @@
 //! bytes in hex. Each is decoded, compared field by field with the value that it stands for, and encoded again.
 use alderway_peers::Frame;
 use alderway_peers::words::{What, Word};
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
 use rstest::rstest;
 use std::collections::BTreeMap;
 
--- a/crates/router/src/peers/mod.rs
+++ b/crates/router/src/peers/mod.rs
@@ -3,14 +3,14 @@
 //! from there to the desk, as word of another decision point.
 use crate::memory::house::Word;
 use crate::memory::{Shared, counters::Counters};
-use crate::tier::links::{PATIENCE, Waits, greet};
 use alderway::host::Evidence;
 use alderway_peers::view::{Refused, State, View};
 use alderway_peers::{Frame, Name, Terms, ring};
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::links::{PATIENCE, Waits, greet};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/router/src/tier/links.rs
+++ b/crates/router/src/tier/links.rs
@@ -6,9 +6,9 @@
 use crate::memory::Shared;
 use crate::memory::descriptors::Share;
 use alderway_sockets::Sender;
-use alderway_tier::frames::{Hello, Read, Reader, Speech};
-use rand_pcg::Pcg32;
-use rand_pcg::rand_core::Rng;
+use alderway_tier::frames::Message;
+use alderway_transport::frames::{Hello, Read, Reader};
+use alderway_transport::links::{PATIENCE, Waits, greet};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,15 +17,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
+use tokio::time::{MissedTickBehavior, interval, timeout};
 
 pub type Tier = Rc<RefCell<Forwarder>>;
 
-/// Waits between two dials: from the least, doubled each time up to the most, each drawn between half of it and all.
-const LEAST: f64 = 0.05;
-const MOST: f64 = 1.0;
-/// For a dial and the hello.
-pub const PATIENCE: Duration = Duration::from_millis(500);
 /// How often beats and silences are looked at.
 const TICK: Duration = Duration::from_millis(10);
 
@@ -49,29 +44,6 @@
     });
 }
 
-/// Waits between dials, each drawn between half of the last doubled and all of it.
-pub struct Waits {
-    chance: Pcg32,
-    wait: f64,
-}
-
-impl Waits {
-    pub fn new(seed: u64) -> Self {
-        Waits { chance: Pcg32::new(seed, 1), wait: LEAST }
-    }
-
-    /// The peer was met: the next dial comes soon.
-    pub fn met(&mut self) {
-        self.wait = LEAST;
-    }
-
-    pub async fn wait(&mut self) {
-        let part = 0.5 + f64::from(self.chance.next_u32()) / 8_589_934_592.0;
-        sleep(Duration::from_secs_f64(self.wait * part)).await;
-        self.wait = (2.0 * self.wait).min(MOST);
-    }
-}
-
 async fn keep(desk: Shared, tier: Tier, planner: SocketAddr, share: Arc<Share>, seed: u64) {
     let mut waits = Waits::new(seed);
     loop {
@@ -110,54 +82,6 @@
     }
 }
 
-/// Writes all that waits.
-pub async fn write_out(stream: &TcpStream, out: &mut Vec<u8>) -> Result<(), String> {
-    let mut sender = Sender::default();
-    while !out.is_empty() {
-        sender.ready(stream).await;
-        match sender.write(stream, out) {
-            Ok(count) => drop(out.drain(..count)),
-            Err(why) => return Err(why.to_string()),
-        }
-    }
-    Ok(())
-}
-
-/// Writes what waits, the own hello, and reads the other side's, which has to come in time.
-pub async fn greet<M: Speech>(
-    stream: &TcpStream,
-    out: &mut Vec<u8>,
-    reader: &mut Reader<M>,
-    space: &mut [u8],
-) -> Result<Hello, String> {
-    let met = timeout(PATIENCE, async {
-        write_out(stream, out).await?;
-        read_hello(stream, reader, space).await
-    });
-    met.await.map_err(|_| "no hello in time".to_string())?
-}
-
-async fn read_hello<M: Speech>(
-    stream: &TcpStream,
-    reader: &mut Reader<M>,
-    space: &mut [u8],
-) -> Result<Hello, String> {
-    loop {
-        match reader.read().map_err(|why| why.to_string())? {
-            Some(Read::Hello(hello)) => return Ok(hello),
-            Some(Read::Message(_)) => return Err("no hello came first".into()),
-            None => {}
-        }
-        stream.readable().await.map_err(|why| why.to_string())?;
-        match alderway_sockets::read(stream, space) {
-            Ok(Some(0)) => return Err("it ended before its hello".into()),
-            Ok(Some(count)) => reader.feed(&space[..count]),
-            Ok(None) => {}
-            Err(why) => return Err(why.to_string()),
-        }
-    }
-}
-
 /// Writes what waits and reads what comes; returns what was wrong with the peer, if anything.
 #[allow(clippy::too_many_arguments)]
 async fn talk(
@@ -167,7 +91,7 @@
     share: &Arc<Share>,
     hello: &Hello,
     wake: &Rc<Notify>,
-    mut reader: Reader,
+    mut reader: Reader<Message>,
     mut space: Vec<u8>,
 ) -> Option<String> {
     let mut sender = Sender::default();
--- a/crates/router/src/tier/mod.rs
+++ b/crates/router/src/tier/mod.rs
@@ -7,7 +7,8 @@
 pub mod planner;
 pub mod post;
 
-use alderway_tier::frames::{self, Hello, Message};
+use alderway_tier::frames::{self, Message};
+use alderway_transport::frames::Hello;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
@@ -31,7 +32,7 @@
     }
 
     pub fn send(&mut self, message: &Message) {
-        if self.bytes.len() > MOST || !frames::message(&mut self.bytes, message) {
+        if self.bytes.len() > MOST || !alderway_transport::frames::message(&mut self.bytes, message) {
             self.over = true;
         }
         self.wake.notify_one();
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -12,7 +12,7 @@
 use alderway_router::life::start::Station;
 use alderway_router::memory::house::{Figures, House, Sharing};
 use alderway_telemetry::clock::Clock;
-use alderway_tier::frames::{self, Hello, Speech};
+use alderway_transport::frames::{self, Hello, Speech};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::cell::RefCell;
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -13,7 +13,4 @@
 pub mod members;
 pub mod ramp;
 
-/// A planner's or forwarder's name, as the operator's file gives it.
-pub type Name = String;
-/// How often a program of a name has started: a later one ends all that the earlier held.
-pub type Incarnation = u64;
+pub use alderway_transport::{Incarnation, Name};
--- a/crates/tier/tests/model.rs
+++ b/crates/tier/tests/model.rs
@@ -1,7 +1,7 @@
 //! An exhaustive walk over a small system: one forwarder with two queries and two planners, each of which may die, be taken
 //! for lost though it lives, and speak again; words are under way for as long as they like. Custody is the program's own.
-use alderway_tier::Name;
 use alderway_tier::custody::{Asking, Custody, Decider};
+use alderway_transport::Name;
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 
--- a/crates/tier/tests/stories.rs
+++ b/crates/tier/tests/stories.rs
@@ -1,9 +1,10 @@
 //! Stories of planners that die, hang, come back and speak again, of shares that end, and of bytes that are no frames.
 use alderway_tier::custody::{Asking, Custody, Decider};
-use alderway_tier::frames::{self, Ended, Fault, Hello, Message, Read, Reader, Tried};
+use alderway_tier::frames::{self, Ended, Message, Tried};
 use alderway_tier::leases::{Dealer, Holder, Terms};
 use alderway_tier::members::{Change, Members, Watch};
 use alderway_tier::ramp;
+use alderway_transport::frames::{Fault, Hello, Read, Reader};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -135,7 +136,7 @@
         &mut bytes,
         &Hello { version: frames::VERSION, planner: true, incarnation: 7, name: "p-1".into() },
     );
-    messages.iter().for_each(|message| assert!(frames::message(&mut bytes, message)));
+    messages.iter().for_each(|message| assert!(alderway_transport::frames::message(&mut bytes, message)));
     bytes
 }
 
@@ -177,7 +178,7 @@
 fn another_version_is_told_in_one_line() {
     let mut bytes = vec![];
     frames::hello(&mut bytes, &Hello { version: 2, planner: false, incarnation: 1, name: "f".into() });
-    let mut reader: Reader = Reader::default();
+    let mut reader: Reader<Message> = Reader::default();
     reader.feed(&bytes);
     let why = reader.read().expect_err("another version");
     assert_eq!(why.to_string(), "the peer speaks version 2 of the protocol, this side version 1");
@@ -185,7 +186,7 @@
 
 #[rstest]
 fn whoever_speaks_something_else_is_told_so_at_once() {
-    let mut reader: Reader = Reader::default();
+    let mut reader: Reader<Message> = Reader::default();
     reader.feed(b"GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(reader.read(), Err(Fault::NoHello));
 }
@@ -200,7 +201,7 @@
         let mut bytes = sent(&some());
         let at = at.min(bytes.len());
         bytes.splice(at..(at + noise.len() / 2).min(bytes.len()), noise);
-        let mut reader: Reader = Reader::default();
+        let mut reader: Reader<Message> = Reader::default();
         reader.feed(&bytes);
         while let Ok(Some(_)) = reader.read() {}
     }
--- a/crates/tier/tests/wire_format.rs
+++ b/crates/tier/tests/wire_format.rs
@@ -1,6 +1,7 @@
 //! The wire format of forwarders and planners against recorded bytes: `data/frames.hex` holds a line a frame, its name and
 //! its bytes in hex. Each is decoded, compared field by field with the value that it stands for, and encoded again.
-use alderway_tier::frames::{self, Ended, Hello, Message, Read, Reader, Tried};
+use alderway_tier::frames::{self, Ended, Message, Tried};
+use alderway_transport::frames::{Hello, Read, Reader};
 use rstest::rstest;
 use std::collections::BTreeMap;
 
@@ -144,7 +145,7 @@
     assert_eq!(frames::VERSION, 1);
     let recorded = recorded_frames();
     for (name, hello) in hellos() {
-        let mut reader: Reader = Reader::default();
+        let mut reader: Reader<Message> = Reader::default();
         reader.feed(&recorded[name]);
         assert_eq!(reader.read(), Ok(Some(Read::Hello(hello.clone()))), "{name}");
         assert_eq!(reader.read(), Ok(None), "{name}");
@@ -159,14 +160,14 @@
     let recorded = recorded_frames();
     for (name, message) in messages() {
         assert_variants_known(&message);
-        let mut reader: Reader = Reader::default();
+        let mut reader: Reader<Message> = Reader::default();
         reader.feed(&recorded["hello_of_a_planner"]);
         assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))), "{name}");
         reader.feed(&recorded[name]);
         assert_eq!(reader.read(), Ok(Some(Read::Message(message.clone()))), "{name}");
         assert_eq!(reader.read(), Ok(None), "{name}");
         let mut bytes = vec![];
-        assert!(frames::message(&mut bytes, &message), "{name}");
+        assert!(alderway_transport::frames::message(&mut bytes, &message), "{name}");
         assert_eq!(bytes, recorded[name], "{name}");
     }
 }
