--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -9,13 +9,13 @@
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, kept};
 use alderway_router::gossip::{Circle, Members};
-use alderway_router::lifecycle::logger::{self, Form};
 use alderway_router::lifecycle::start::Role;
 use alderway_router::lifecycle::{serve, start};
-use alderway_router::state::clock::Clock;
 use alderway_router::state::descriptors;
 use alderway_router::state::ground::Following;
 use alderway_router::state::house::Sharing;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log::{self, Form};
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -245,7 +245,7 @@
         print!("{}", show(&plan));
         return ExitCode::SUCCESS;
     }
-    logger::start(plan.form);
+    log::start(plan.form);
     match serve::serve(plan.station, plan.sharing, clock) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -3,7 +3,6 @@
 pub mod kept;
 
 use crate::lifecycle::settings::{Live, Outcome as Offered};
-use crate::state::clock::Clock;
 use crate::state::counters::Counters;
 use crate::state::house::{Figures, House};
 use alderway_control::bucket::{Bucket, READ};
@@ -11,8 +10,9 @@
 use alderway_control::version::Number;
 use alderway_control::words::{Outcome, Say, Tell};
 use alderway_sockets::Sender;
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
-use alderway_tier::{Incarnation, Name};
+use alderway_telemetry::clock::Clock;
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{Incarnation, Name};
 use kept::Kept;
 use serde_json::Value;
 use std::future::pending;
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -1,16 +1,16 @@
 //! Routers that know each other, on sockets: a listener for those that dial this one, a task for each that it dials, and
 //! the beat. What is told, kept and believed stands in `alderway_peers`; this is how it gets from socket to socket, and
 //! from there to the desk, as word of another decision point.
-use crate::state::clock::Clock;
 use crate::state::house::Word;
 use crate::state::{Shared, counters::Counters};
-use crate::tier::links::{PATIENCE, Waits, greet};
 use alderway::interface::NodeObservation;
 use alderway_peers::view::{Refused, State, View};
 use alderway_peers::{Frame, Name, Terms, ring};
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_telemetry::clock::Clock;
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::links::{PATIENCE, Waits, greet};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -2,9 +2,8 @@
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
 use super::{clients, rounds};
-use crate::lifecycle::{logger, stop};
+use crate::lifecycle::stop;
 use crate::state::Shared;
-use crate::state::clock::Clock;
 use crate::state::descriptors::Share;
 use crate::state::desk::{Class, Desk, Stage};
 use crate::state::ground::{Following, Ground};
@@ -14,6 +13,8 @@
 use alderway_cores::board::Board;
 use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_layouts::layout::Layout;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
 use nix::time::{ClockId, clock_gettime};
 use std::cell::RefCell;
 use std::ops::ControlFlow;
@@ -81,7 +82,7 @@
 
 /// Runs until the program stops, through failures.
 pub fn run(mut berth: Berth) {
-    logger::on_core(berth.core);
+    log::on_core(berth.core);
     let mut gossip = berth.house.listen();
     let mut board = Board::default();
     loop {
--- a/crates/router/src/lifecycle/serve.rs
+++ b/crates/router/src/lifecycle/serve.rs
@@ -2,12 +2,11 @@
 use super::reload::Was;
 use super::settings::Live;
 use super::start::{Role, Station};
-use super::{logger, reload, stop};
+use super::{reload, stop};
 use crate::control;
 use crate::gossip::{self, Circle};
 use crate::io::{arrival, clients, discovery, lead, rounds};
 use crate::state::Shared;
-use crate::state::clock::Clock;
 use crate::state::descriptors;
 use crate::state::desk::Desk;
 use crate::state::ground::Ground;
@@ -16,6 +15,8 @@
 use crate::tier::forwarder::Forwarder;
 use crate::tier::{links, post};
 use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
 use alderway_tier::members::Watch;
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
@@ -89,7 +90,7 @@
         () = stop::at_sigterm(terms, desk.clone(), close, listening) => {}
         failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
     }
-    logger::last_words(&desk.borrow().figures());
+    log::last_words(&desk.borrow().figures());
     Ok(())
 }
 
--- a/crates/router/src/lifecycle/start.rs
+++ b/crates/router/src/lifecycle/start.rs
@@ -1,12 +1,12 @@
 //! The one place where the configuration is read, checked and given defaults. Every message names its key.
 use crate::control::Subscription;
 use crate::gossip::Circle;
-use crate::state::clock::Clock;
 use crate::state::desk::Class;
 use crate::state::ground::Following;
 use crate::state::roster::Roster;
 use crate::wire::discovery;
 use alderway_deployment as deployment;
+use alderway_telemetry::clock::Clock;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -3,15 +3,16 @@
 //! here, so that whoever takes a query over knows what may have run. No sockets.
 use super::Outbox;
 use super::planner::same_start;
-use crate::state::clock::Clock;
 use crate::state::counters::Counters;
 use alderway::interface::{
     AttemptOutcome, DecisionSink, NodeObservation, NodeState, PolicyInput, StateTransfer,
 };
+use alderway_telemetry::clock::Clock;
 use alderway_tier::custody::{Asking, Custody, Decider};
-use alderway_tier::frames::{Hello, Message, Tried, VERSION};
+use alderway_tier::frames::{Message, Tried, VERSION};
 use alderway_tier::members::{Change, Members, Watch};
-use alderway_tier::{Incarnation, Name};
+use alderway_transport::frames::Hello;
+use alderway_transport::{Incarnation, Name};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -3,13 +3,14 @@
 //! session, so that nothing of it weighs on a data node for ever. No sockets.
 use super::Outbox;
 use crate::io::discovery::Follower;
-use crate::state::clock::Clock;
 use crate::state::counters::Counters;
 use crate::state::roster::Roster;
 use alderway::interface::{AttemptOutcome, DecisionSink, NodeObservation, PolicyInput};
 use alderway::policy::Policy;
-use alderway_tier::frames::{Hello, Message, Tried};
+use alderway_telemetry::clock::Clock;
+use alderway_tier::frames::{Message, Tried};
 use alderway_tier::ramp;
+use alderway_transport::frames::Hello;
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
 use std::rc::Rc;
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -3,13 +3,15 @@
 use crate::io::{discovery, until};
 use crate::lifecycle::reload::{self, Was};
 use crate::lifecycle::start::Station;
-use crate::lifecycle::{logger, stop};
-use crate::state::clock::Clock;
+use crate::lifecycle::stop;
 use alderway::interface::SharedLimits;
 use alderway::policy::Policy;
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
-use alderway_tier::frames::{Hello, Read, Reader, VERSION};
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
+use alderway_tier::frames::VERSION;
+use alderway_transport::frames::{Hello, Read, Reader};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
 use std::io;
@@ -65,7 +67,7 @@
     // Decisions on their way go out.
     sleep(Duration::from_millis(50)).await;
     tracing::info!(target: "stop", "ended: {} queries open", shared.borrow().open());
-    logger::last_words(&shared.borrow().counters.text());
+    log::last_words(&shared.borrow().counters.text());
     Ok(())
 }
 
--- a/crates/router/tests/desk.rs
+++ b/crates/router/tests/desk.rs
@@ -4,12 +4,12 @@
 use alderway_deployment as deployment;
 use alderway_router::io::{clients, nodes, rounds};
 use alderway_router::state::clients::{Client, Clients};
-use alderway_router::state::clock::Clock;
 use alderway_router::state::descriptors;
 use alderway_router::state::desk::{Class, Desk, Dial, Stage};
 use alderway_router::state::house::{House, Sharing};
 use alderway_router::state::queries::{Part, Query};
 use alderway_router::state::roster::Entry;
+use alderway_telemetry::clock::Clock;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
