--- /dev/null
+++ b/crates/control/tests/wire_format.rs
@@ -0,0 +1,504 @@
+//! The bytes that leave a control machine or outlive it, against reference files: frames between control machines and
+//! routers, frames among control machines, the log on disk, and JSON by name. Each reference is decoded, every field is
+//! compared with a literal value, and the value encodes to the same bytes again.
+//!
+//! A reference file has one item a line: its name, a space, then hexadecimal bytes (`.hex`) or JSON (`.json.txt`). They
+//! were written once and nothing regenerates them: a difference is a change of the format.
+use alderway_control::consensus::{Held, Persist, Store, founding, held};
+use alderway_control::history::{History, Refusal, Undone};
+use alderway_control::machine::{Answer, Machine, Status, Word};
+use alderway_control::outlet::{Lagging, Summary};
+use alderway_control::version::{Proposal, Version};
+use alderway_control::words::{Outcome, Say, Tell, digest, framed};
+use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use protobuf::Message as _;
+use raft::eraftpb::{
+    ConfChangeType, ConfChangeV2, Entry, EntryType, HardState, Message, MessageType, Snapshot,
+};
+use rstest::rstest;
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use serde_json::json;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+const CONTROL_MESSAGES: &str = include_str!("data/control_message.hex");
+const ROUTER_MESSAGES: &str = include_str!("data/router_message.hex");
+const REPLICA_MESSAGES: &str = include_str!("data/replica_message.hex");
+const CONSENSUS_MESSAGES: &str = include_str!("data/consensus_message.hex");
+const LEADER_DISK: &str = include_str!("data/leader_disk.hex");
+const FOUNDING: &str = include_str!("data/founding.hex");
+const JSON: &str = include_str!("data/by_name.json.txt");
+
+fn reference<'a>(file: &'a str, name: &str) -> Option<&'a str> {
+    file.lines().find_map(|line| line.split_once(' ').filter(|(key, _)| *key == name).map(|(_, value)| value))
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(file: &str, name: &str) -> Vec<u8> {
+    let text = reference(file, name).unwrap_or_else(|| panic!("no reference `{name}`"));
+    let digits: Vec<u32> = text.chars().map(|digit| digit.to_digit(16).expect("hexadecimal")).collect();
+    digits.chunks(2).map(|pair| (pair[0] * 16 + pair[1]) as u8).collect()
+}
+
+/// Reads a frame that follows a hello.
+fn read_frame<M: Speech + Debug>(frame: &[u8]) -> M {
+    let mut reader = Reader::<M>::default();
+    let mut hello = vec![];
+    let said = Hello { version: M::VERSION, planner: false, incarnation: 3, name: "c1".into() };
+    frames::hello_of::<M>(&mut hello, &said);
+    reader.feed(&hello);
+    reader.feed(frame);
+    assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))));
+    match reader.read() {
+        Ok(Some(Read::Message(message))) => message,
+        other => panic!("no message: {:?}", other.is_ok()),
+    }
+}
+
+fn assert_frame<M: Speech + Debug + PartialEq>(file: &str, name: &str, expected: &M) {
+    assert_eq!(reference(file, name).unwrap_or("none"), hex(&framed(expected)), "{name}");
+    assert_eq!(read_frame::<M>(&bytes_of(file, name)), *expected, "{name}");
+}
+
+fn assert_json<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, expected: &T) {
+    let text = reference(JSON, name).unwrap_or("none");
+    assert_eq!(text, serde_json::to_string(expected).expect("as JSON"), "{name}");
+    assert_eq!(serde_json::from_str::<T>(text).expect("read"), *expected, "{name}");
+}
+
+#[test]
+fn every_reference_is_named_once() {
+    for file in
+        [CONTROL_MESSAGES, ROUTER_MESSAGES, REPLICA_MESSAGES, CONSENSUS_MESSAGES, LEADER_DISK, FOUNDING, JSON]
+    {
+        let names: Vec<&str> = file.lines().filter_map(|line| Some(line.split_once(' ')?.0)).collect();
+        let distinct: BTreeSet<&&str> = names.iter().collect();
+        assert_eq!((names.len(), names.len()), (file.lines().count(), distinct.len()));
+    }
+    let count = |file: &str| file.lines().count();
+    assert_eq!((count(CONTROL_MESSAGES), count(ROUTER_MESSAGES), count(REPLICA_MESSAGES)), (4, 6, 6));
+    assert_eq!((count(CONSENSUS_MESSAGES), count(JSON)), (11, 18));
+}
+
+#[test]
+fn the_greeting_of_each_side_has_its_protocol_and_version() {
+    assert_eq!((Tell::WORD, Tell::VERSION), (*b"ALDC", 1));
+    assert_eq!((Say::WORD, Say::VERSION), (*b"ALDS", 1));
+    let said = |name: &str| Hello { version: 1, planner: false, incarnation: 0x0102_0304, name: name.into() };
+    let (mut control, mut router) = (vec![], vec![]);
+    frames::hello_of::<Tell>(&mut control, &said("c1"));
+    frames::hello_of::<Say>(&mut router, &said("r001"));
+    assert_eq!(reference(CONTROL_MESSAGES, "hello"), Some(hex(&control).as_str()));
+    assert_eq!(reference(ROUTER_MESSAGES, "hello"), Some(hex(&router).as_str()));
+}
+
+#[rstest]
+#[case("part_of_a_patch", Tell::Part {
+    number: 300, base: 299, digest: 0x0007_0000_dead_beef, length: 2000, at: 900, bytes: b"[{\"op\":".to_vec(),
+})]
+#[case("part_of_the_whole", Tell::Part {
+    number: 1, base: 0, digest: digest("{}"), length: 2, at: 0, bytes: b"{}".to_vec(),
+})]
+#[case("beat", Tell::Beat { stamp: 129, newest: 300, digest: 7, age: 1.25, majority: true })]
+fn frames_from_a_control_machine_to_a_router(#[case] name: &str, #[case] expected: Tell) {
+    assert_frame(CONTROL_MESSAGES, name, &expected);
+}
+
+#[rstest]
+#[case("ask", Say::Ask { got: 300, digest: 0x0007_0000_dead_beef, held: 299, whole: true })]
+#[case("pulse", Say::Pulse { stamp: 129 })]
+#[case("outcome_in_force", Say::Outcome { number: 300, outcome: Outcome::InForce })]
+#[case("outcome_waits", Say::Outcome {
+    number: 301, outcome: Outcome::Waits(vec!["Extra.Cells".into(), "TickUs".into()]),
+})]
+#[case("outcome_refused", Say::Outcome { number: 302, outcome: Outcome::Refused("key `Limits`".into()) })]
+fn frames_from_a_router_to_a_control_machine(#[case] name: &str, #[case] expected: Say) {
+    assert_frame(ROUTER_MESSAGES, name, &expected);
+}
+
+/// As the program frames what control machines say to each other.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+#[serde(transparent)]
+struct Framed(Word);
+
+impl Speech for Framed {
+    const WORD: [u8; 4] = *b"ALDC";
+    const VERSION: u16 = 1;
+}
+
+fn summary() -> Summary {
+    let lagging =
+        Lagging { router: "r001".into(), version: 6, since_s: 2.5, why: "refused 7: key `Limits`".into() };
+    Summary { by_version: BTreeMap::from([(6, 1), (7, 549)]), lagging: vec![lagging], left_out: 3 }
+}
+
+#[rstest]
+#[case("stands_before_a_group", Word::Stands { id: 11, group: 0, roster: vec![] })]
+#[case("stands_in_a_group", Word::Stands {
+    id: 11, group: 11, roster: vec![("c1".into(), 11), ("c2".into(), 12)],
+})]
+#[case("order_piece", Word::Order { group: 11, to: 12, piece: 2, last: true, bytes: vec![1, 2, 255] })]
+#[case("summarise", Word::Summarise { question: 400 })]
+#[case("summary", Word::Summary { question: 400, version: 7, out: None, summary: summary() })]
+#[case("summary_of_one_that_takes_no_part", Word::Summary {
+    question: 401, version: 0, out: Some("no space left".into()), summary: Summary::default(),
+})]
+fn frames_among_control_machines(#[case] name: &str, #[case] expected: Word) {
+    assert_frame(REPLICA_MESSAGES, name, &Framed(expected));
+}
+
+fn version(number: u64) -> Version {
+    Version {
+        number,
+        proposal: format!("p{number}"),
+        author: "on call".into(),
+        why: "a trial".into(),
+        at_unix_ms: 1_700_000_000_000 + number,
+        settings: json!({"TickUs": number, "Services": [{"Name": "site-search", "Worth": 2}]}),
+    }
+}
+
+fn proposal(id: &str, base: u64) -> Proposal {
+    Proposal {
+        id: id.into(),
+        base,
+        author: "on call".into(),
+        why: "a trial".into(),
+        at_unix_ms: 1_700_000_000_000,
+        settings: json!({"TickUs": base + 1}),
+    }
+}
+
+fn undone() -> Undone {
+    Undone { number: 2, author: "a".into(), why: "w".into(), keys: vec!["Services.x.Worth".into()] }
+}
+
+#[test]
+fn versions_and_proposals_as_json() {
+    assert_json("version", &version(7));
+    assert_json("proposal", &proposal("p8", 7));
+    assert_json("undone", &undone());
+    let lagging = summary().lagging;
+    assert_json("lagging", &lagging[0]);
+    assert_json("summary", &summary());
+}
+
+#[test]
+fn a_version_log_as_json_has_versions_only_and_finds_proposals_again_when_read() {
+    let mut log = History::default();
+    for base in 0..2 {
+        assert_eq!(log.apply(proposal(&format!("p{}", base + 1), base)), Ok(base + 1));
+    }
+    let text = reference(JSON, "history").unwrap_or("none");
+    assert_eq!(text, serde_json::to_string(&log).expect("as JSON"));
+    let bare: History = serde_json::from_str(text).expect("read");
+    assert_eq!(bare.versions(), log.versions());
+    // What is skipped is made anew from the versions.
+    let mut read = History::read(bare.versions().clone());
+    assert_eq!(read, log);
+    assert_eq!(read.apply(proposal("p2", 1)), Ok(2));
+}
+
+#[rstest]
+#[case("would_undo", Refusal::WouldUndo { newest: 2, count: 1, undone: vec![undone()] })]
+#[case("base_unknown", Refusal::BaseUnknown { base: 9, newest: 2 })]
+#[case("id_taken", Refusal::IdTaken { number: 1 })]
+#[case("unreadable", Refusal::Unreadable)]
+fn refusals_as_json(#[case] name: &str, #[case] expected: Refusal) {
+    assert_json(name, &expected);
+}
+
+#[rstest]
+#[case("ordered", Answer::Ordered(7))]
+#[case("refused", Answer::Refused(Refusal::IdTaken { number: 1 }))]
+#[case("too_long", Answer::TooLong { bytes: 300_000, most: 262_144 })]
+#[case("too_many", Answer::TooMany { most: 64 })]
+#[case("no_majority", Answer::NoMajority { leader: None, seconds: Some(4.5) })]
+#[case("unsettled", Answer::Unsettled { leader: Some("c2".into()) })]
+#[case("out", Answer::Out { why: "no space left".into() })]
+fn answers_to_a_proposer_as_json(#[case] name: &str, #[case] expected: Answer) {
+    assert_json(name, &expected);
+}
+
+#[test]
+fn the_status_of_a_control_machine_as_json() {
+    let status = Status {
+        name: "c1".into(),
+        version: 7,
+        leader: Some("c2".into()),
+        term: 3,
+        majority: true,
+        age_s: Some(0.25),
+        out: None,
+        voters: ["c1".to_string(), "c2".to_string()].into(),
+        learners: ["c3".to_string()].into(),
+        changing: true,
+    };
+    assert_json("status", &status);
+}
+
+#[derive(Default)]
+struct Disk(Held);
+
+impl Store for Disk {
+    fn write(&mut self, what: &Persist) -> Result<(), String> {
+        let held = &mut self.0;
+        held.identity = what.identity.clone().or(held.identity.take());
+        held.snapshot = what.snapshot.clone().or(held.snapshot.take());
+        if let Some(floor) = what.floor {
+            let gone = if what.clear { held.entries.len() } else { (floor.0 - held.floor.0) as usize };
+            held.entries.drain(..gone);
+            held.floor = floor;
+        }
+        if let Some((first, _)) = what.entries.first() {
+            held.entries.truncate((first - held.floor.0 - 1) as usize);
+            held.entries.extend(what.entries.iter().map(|(_, bytes)| bytes.clone()));
+        }
+        held.hard = what.hard.clone().or(held.hard.take());
+        Ok(())
+    }
+}
+
+/// Three machines without loss or delay; every random choice is seeded, so what they write and send is always the same.
+struct Group {
+    machines: Vec<Machine>,
+    disks: Vec<Disk>,
+    now: f64,
+    sent: Vec<Vec<u8>>,
+}
+
+fn machine(n: usize, disk: &Held, id: u64) -> Machine {
+    let members = ["c1", "c2", "c3"].map(String::from).into();
+    let mut machine =
+        Machine::new(&format!("c{}", n + 1), &members, disk, id, 40 + id).expect("a sound disk");
+    machine.snapshot_after = 6;
+    machine
+}
+
+impl Group {
+    fn founded() -> Group {
+        let machines = (0..3).map(|n| machine(n, &Held::default(), 11 + n as u64)).collect();
+        let mut group = Group {
+            machines,
+            disks: vec![Disk::default(), Disk::default(), Disk::default()],
+            now: 0.0,
+            sent: vec![],
+        };
+        group.ticks(60);
+        group
+    }
+
+    fn ticks(&mut self, count: usize) {
+        for _ in 0..count {
+            self.now += 0.1;
+            for n in 0..3 {
+                self.machines[n].tick(self.now);
+                self.carry(n);
+            }
+        }
+    }
+
+    fn carry(&mut self, n: usize) {
+        let output = self.machines[n].run(&mut self.disks[n], self.now);
+        for (to, word) in output.send {
+            if let Word::Order { bytes, .. } = &word {
+                self.sent.push(bytes.clone());
+            }
+            let at = to[1..].parse::<usize>().expect("c1 to c3") - 1;
+            self.machines[at].came(&format!("c{}", n + 1), word, self.now);
+            self.carry(at);
+        }
+    }
+
+    fn leader(&self) -> usize {
+        self.machines.iter().position(Machine::leads).expect("a leader")
+    }
+
+    fn order(&mut self, base: u64) {
+        let leader = self.leader();
+        self.machines[leader].propose(base, &proposal(&format!("p{}", base + 1), base), 5.0, self.now);
+        self.ticks(3);
+    }
+}
+
+/// A group with a snapshot, ordered versions, and a machine whose disk was replaced.
+fn played() -> Group {
+    let mut group = Group::founded();
+    (0..7).for_each(|base| group.order(base));
+    let replaced = (group.leader() + 1) % 3;
+    group.disks[replaced] = Disk::default();
+    group.machines[replaced] = machine(replaced, &Held::default(), 21);
+    group.ticks(40);
+    (7..9).for_each(|base| group.order(base));
+    group
+}
+
+fn disk_of(file: &str) -> Held {
+    let entries: Vec<Vec<u8>> = file
+        .lines()
+        .filter_map(|line| line.split_once(' '))
+        .filter(|(name, _)| name.starts_with("entry"))
+        .map(|(name, _)| bytes_of(file, name))
+        .collect();
+    let floor = bytes_of(file, "floor");
+    Held {
+        identity: Some(bytes_of(file, "identity")),
+        snapshot: Some(bytes_of(file, "snapshot")),
+        floor: (u64::from(floor[0]), u64::from(floor[1])),
+        entries,
+        hard: Some(bytes_of(file, "hard_state")),
+    }
+}
+
+/// A disk as its reference file has it.
+fn lines_of(held: &Held) -> String {
+    let mut lines = vec![
+        format!("identity {}", hex(held.identity.as_deref().unwrap_or_default())),
+        format!("snapshot {}", hex(held.snapshot.as_deref().unwrap_or_default())),
+        format!("floor {}", hex(&[held.floor.0 as u8, held.floor.1 as u8])),
+        format!("hard_state {}", hex(held.hard.as_deref().unwrap_or_default())),
+    ];
+    let first = held.floor.0 + 1;
+    lines.extend(held.entries.iter().zip(first..).map(|(bytes, at)| format!("entry_{at} {}", hex(bytes))));
+    lines.join("\n") + "\n"
+}
+
+#[test]
+fn a_founding_write() {
+    let write = founding(&[11, 12, 13], b"{\"names\":{},\"versions\":[]}".to_vec());
+    assert_eq!(
+        (write.identity.as_ref(), write.floor, write.clear, write.entries.len()),
+        (None, Some((1, 1)), true, 0)
+    );
+    let held = held(&write);
+    let text = |bytes: &Option<Vec<u8>>| hex(bytes.as_deref().unwrap_or_default());
+    assert_eq!(reference(FOUNDING, "snapshot"), Some(text(&held.snapshot).as_str()));
+    assert_eq!(reference(FOUNDING, "hard_state"), Some(text(&held.hard).as_str()));
+    assert_eq!((held.floor, held.entries.len()), ((1, 1), 0));
+}
+
+const VERSIONS: u64 = 9;
+
+#[test]
+fn a_leaders_disk_after_a_snapshot_a_replaced_member_and_compaction() {
+    let group = played();
+    assert_eq!(lines_of(&group.disks[group.leader()].0), LEADER_DISK);
+    // The names are the ones of the file on disk; the numbers are ids of disks.
+    let held = disk_of(LEADER_DISK);
+    let identity = String::from_utf8(held.identity.clone().unwrap_or_default()).expect("text");
+    assert_eq!(identity, r#"{"name":"c1","id":11,"group":11,"roster":[["c1",11],["c2",12],["c3",13]]}"#);
+    let mut hard = HardState::default();
+    (hard.term, hard.vote, hard.commit) = (2, 11, 14);
+    assert_eq!(HardState::parse_from_bytes(&bytes_of(LEADER_DISK, "hard_state")).ok(), Some(hard));
+    let snapshot = Snapshot::parse_from_bytes(&bytes_of(LEADER_DISK, "snapshot")).expect("a snapshot");
+    let meta = snapshot.get_metadata();
+    assert_eq!((meta.index, meta.term), (12, 2));
+    let conf = meta.get_conf_state();
+    assert_eq!(
+        (&conf.voters[..], conf.learners.len(), conf.voters_outgoing.len()),
+        (&[13, 21, 11][..], 0, 0)
+    );
+    let versions: Vec<Version> = (1..=7).map(ordered).collect();
+    let names = json!({"11": "c1", "13": "c3", "21": "c2"});
+    let applied: serde_json::Value = serde_json::from_slice(&snapshot.data).expect("JSON");
+    assert_eq!(applied, json!({"names": names, "versions": versions}));
+    assert!(
+        snapshot.data.starts_with(br#"{"names":{"11":"c1","13":"c3","21":"c2"},"versions":[{"number":1,"#)
+    );
+}
+
+fn ordered(number: u64) -> Version {
+    let Proposal { id, author, why, at_unix_ms, settings, .. } = proposal(&format!("p{number}"), number - 1);
+    Version { number, proposal: id, author, why, at_unix_ms, settings }
+}
+
+#[test]
+fn the_entries_of_a_leaders_log() {
+    let entries: Vec<Entry> = (10..=14)
+        .map(|at| Entry::parse_from_bytes(&bytes_of(LEADER_DISK, &format!("entry_{at}"))).expect("an entry"))
+        .collect();
+    for (entry, at) in entries.iter().zip(10..) {
+        assert_eq!((entry.index, entry.term, entry.context.len()), (at, 2, 0));
+    }
+    let kinds: Vec<EntryType> = entries.iter().map(Entry::get_entry_type).collect();
+    use EntryType::{EntryConfChangeV2 as Change, EntryNormal as Normal};
+    assert_eq!(kinds, [Change, Change, Change, Normal, Normal]);
+    let changes: Vec<ConfChangeV2> = entries[..3]
+        .iter()
+        .map(|entry| ConfChangeV2::parse_from_bytes(&entry.data).expect("a change of members"))
+        .collect();
+    let steps = |change: &ConfChangeV2| -> Vec<(ConfChangeType, u64)> {
+        change.get_changes().iter().map(|step| (step.get_change_type(), step.node_id)).collect()
+    };
+    use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
+    assert_eq!(steps(&changes[0]), [(AddLearnerNode, 21)]);
+    assert_eq!(steps(&changes[1]), [(RemoveNode, 12), (AddNode, 21)]);
+    assert_eq!(steps(&changes[2]), []);
+    assert!(changes[..2].iter().all(|change| *change.context == *br#"[21,"c2"]"#));
+    for (entry, base) in entries[3..].iter().zip([7, 8]) {
+        let read: Proposal = serde_json::from_slice(&entry.data).expect("a proposal");
+        assert_eq!(read, proposal(&format!("p{}", base + 1), base));
+        assert_eq!(entry.data, serde_json::to_vec(&read).expect("as JSON"));
+    }
+}
+
+#[test]
+fn a_machine_starts_from_a_reference_disk() {
+    let machine = machine(0, &disk_of(LEADER_DISK), 99);
+    assert_eq!((machine.name(), machine.id()), ("c1", 11));
+    // Of its snapshot; the entries behind it are applied once a leader says that they are committed.
+    let status = machine.status(0.0);
+    assert_eq!((status.version, status.term, status.leader, status.out), (7, 2, None, None));
+    assert_eq!((status.voters, status.changing), (["c1", "c2", "c3"].map(String::from).into(), false));
+    let versions: Vec<Version> = (1..=7).map(ordered).collect();
+    assert_eq!(*machine.history().versions(), versions);
+    let group = played();
+    assert!(group.machines.iter().all(|machine| machine.history().number() == VERSIONS));
+}
+
+/// The fields of a message that its kind sets.
+fn fields(message: &Message) -> (MessageType, [u64; 6], usize, bool) {
+    let Message { to, from, term, log_term, index, commit, .. } = *message;
+    let has_snapshot = !message.get_snapshot().is_empty();
+    (message.get_msg_type(), [to, from, term, log_term, index, commit], message.entries.len(), has_snapshot)
+}
+
+#[rstest]
+#[case("pre_vote", MessageType::MsgRequestPreVote, [12, 11, 2, 1, 1, 1], 0)]
+#[case("pre_vote_response", MessageType::MsgRequestPreVoteResponse, [11, 12, 2, 0, 0, 0], 0)]
+#[case("vote", MessageType::MsgRequestVote, [12, 11, 2, 1, 1, 1], 0)]
+#[case("vote_response", MessageType::MsgRequestVoteResponse, [11, 12, 2, 0, 0, 0], 0)]
+#[case("append", MessageType::MsgAppend, [12, 11, 2, 1, 1, 1], 1)]
+#[case("append_response", MessageType::MsgAppendResponse, [11, 12, 2, 0, 2, 1], 0)]
+#[case("read_index", MessageType::MsgReadIndex, [11, 12, 0, 0, 0, 0], 1)]
+#[case("read_index_response", MessageType::MsgReadIndexResp, [12, 11, 2, 0, 2, 0], 1)]
+#[case("heartbeat", MessageType::MsgHeartbeat, [12, 11, 2, 0, 0, 2], 0)]
+#[case("heartbeat_response", MessageType::MsgHeartbeatResponse, [11, 12, 2, 0, 0, 2], 0)]
+#[case("snapshot", MessageType::MsgSnapshot, [21, 11, 2, 0, 0, 0], 0)]
+fn messages_of_consensus(
+    #[case] name: &str,
+    #[case] kind: MessageType,
+    #[case] numbers: [u64; 6],
+    #[case] entries: usize,
+) {
+    let bytes = bytes_of(CONSENSUS_MESSAGES, name);
+    let message = Message::parse_from_bytes(&bytes).expect("a message");
+    assert_eq!(fields(&message), (kind, numbers, entries, name == "snapshot"));
+    assert_eq!(message.write_to_bytes().ok(), Some(bytes.clone()));
+    assert!(played().sent.contains(&bytes), "no machine sends it any more");
+}
+
+#[test]
+fn the_context_of_a_read_is_the_disks_id_the_starts_seed_and_a_count() {
+    for (name, of) in [("heartbeat", 12), ("read_index", 12)] {
+        let message = Message::parse_from_bytes(&bytes_of(CONSENSUS_MESSAGES, name)).expect("a message");
+        let context =
+            if name == "heartbeat" { message.context.clone() } else { message.entries[0].data.clone() };
+        let expected = [of, 40 + of, 7].map(u64::to_be_bytes).concat();
+        assert_eq!(context, expected, "{name}");
+    }
+}
