--- a/crates/alderway/src/config.rs
+++ b/crates/alderway/src/config.rs
@@ -1,9 +1,9 @@
 //! `alderway config`: what operators ask of the control machines. Exit codes: 0 done, 1 refused or failed, 2 input that
 //! cannot be used, 3 no majority, timed out, or not in force everywhere.
 use crate::settings;
-use alderway_control::history::Refusal;
-use alderway_control::machine::Answer;
-use alderway_control::version::{Number, Proposal, Version};
+use alderway_control_plane::replica::ProposalOutcome;
+use alderway_control_plane::version::{Proposal, Version, VersionNumber};
+use alderway_control_plane::version_log::ProposalError;
 use alderway_controller::client;
 use alderway_controller::door::{Ask, Line, Overall, Reply, WAIT_MOST};
 use clap::{Args, Subcommand};
@@ -38,7 +38,7 @@
     History {
         /// Versions before this one
         #[arg(long, value_name = "N")]
-        before: Option<Number>,
+        before: Option<VersionNumber>,
         #[arg(long, value_name = "COUNT", default_value_t = 20)]
         count: usize,
         #[arg(long)]
@@ -49,7 +49,7 @@
     /// The settings of a version, as `propose` takes them; the newest without a number
     Show {
         #[arg(value_name = "N")]
-        number: Option<Number>,
+        number: Option<VersionNumber>,
         #[command(flatten)]
         at: At,
     },
@@ -63,7 +63,7 @@
     /// Proposes the settings of an earlier version
     Revert {
         #[arg(value_name = "N")]
-        number: Number,
+        number: VersionNumber,
         #[command(flatten)]
         how: How,
     },
@@ -93,7 +93,7 @@
     author: String,
     /// The version that this was made from; the newest if it is left out
     #[arg(long, value_name = "N")]
-    base: Option<Number>,
+    base: Option<VersionNumber>,
     /// The same id counts once: to ask again what came of it
     #[arg(long, value_name = "ID")]
     id: Option<String>,
@@ -187,7 +187,7 @@
     Ok(())
 }
 
-fn version(at: &[SocketAddr], number: Option<Number>) -> Result<Version, Failure> {
+fn version(at: &[SocketAddr], number: Option<VersionNumber>) -> Result<Version, Failure> {
     match asked(at, &Ask::Show { number }, ANSWER)? {
         Reply::Version { version } => Ok(version),
         Reply::NoSuch { newest: 0, .. } => Err(failed("there is no version yet")),
@@ -199,9 +199,9 @@
     }
 }
 
-fn show(at: &[SocketAddr], number: Option<Number>) -> Done {
+fn show(at: &[SocketAddr], number: Option<VersionNumber>) -> Done {
     let version = version(at, number)?;
-    eprintln!("version {} by {}: {}", version.number, version.author, version.why);
+    eprintln!("version {} by {}: {}", version.number, version.author, version.reason);
     say(&serde_json::to_string_pretty(&version.settings).unwrap_or_default());
     Ok(())
 }
@@ -213,7 +213,7 @@
     format!("{number}  {age} s ago  {author}: {why}{keys}")
 }
 
-fn history(at: &[SocketAddr], before: Option<Number>, count: usize, json: bool) -> Done {
+fn history(at: &[SocketAddr], before: Option<VersionNumber>, count: usize, json: bool) -> Done {
     let Reply::History { newest, versions } = asked(at, &Ask::History { before, count }, ANSWER)? else {
         return Err(odd());
     };
@@ -239,16 +239,16 @@
     } else {
         shown(&all);
     }
-    let majority = all.machine.majority;
+    let majority = all.machine.has_quorum;
     if majority { Ok(()) } else { Err(unsettled(format!("{} knows of no majority", all.machine.name))) }
 }
 
 fn shown(all: &Overall) {
     let machine = &all.machine;
-    let age = machine.age_s.map_or("never since its start".into(), |age| format!("{age:.1} s ago"));
+    let age = machine.staleness_s.map_or("never since its start".into(), |age| format!("{age:.1} s ago"));
     say(&format!("version: {}, as {} knew it to be the newest {age}", machine.version, machine.name));
     let leader = machine.leader.as_deref().unwrap_or("none is known");
-    say(&format!("majority: {}", if machine.majority { "stands" } else { "not known to stand" }));
+    say(&format!("majority: {}", if machine.has_quorum { "stands" } else { "not known to stand" }));
     say(&format!("leader: {leader}, term {}", machine.term));
     let versions: Vec<String> =
         all.versions.iter().map(|(name, number)| format!("{name} has {number}")).collect();
@@ -256,7 +256,7 @@
     for (name, why) in &all.out {
         say(&format!("control machine {name} takes no part: {why}"));
     }
-    if machine.changing {
+    if machine.membership_changing {
         say("a replaced control machine is being taken in");
     }
     if !all.silent.is_empty() {
@@ -272,11 +272,11 @@
     for lagging in &all.routers.lagging {
         say(&format!(
             "lags: {} has {} for {:.1} s: {}",
-            lagging.router, lagging.version, lagging.since_s, lagging.why
+            lagging.router, lagging.version, lagging.since_s, lagging.reason
         ));
     }
-    if all.routers.left_out > 0 {
-        say(&format!("lags: {} more", all.routers.left_out));
+    if all.routers.omitted > 0 {
+        say(&format!("lags: {} more", all.routers.omitted));
     }
 }
 
@@ -304,7 +304,7 @@
     };
     let id = how.id.clone().unwrap_or_else(fresh_id);
     let (author, why) = (how.author.clone(), how.why.clone());
-    let proposal = Proposal { id, base, author, why, at_unix_ms: unix_ms(), settings };
+    let proposal = Proposal { id, base, author, reason: why, at_unix_ms: unix_ms(), settings };
     say(&format!("proposed as {} on version {base}", proposal.id));
     let number = ordered(at, &proposal, how.wait, file)?;
     say(&format!("in order: version {number}"));
@@ -317,7 +317,7 @@
     proposal: &Proposal,
     wait: f64,
     file: Option<(&Path, &str)>,
-) -> Result<Number, Failure> {
+) -> Result<VersionNumber, Failure> {
     let end = Instant::now() + Duration::from_secs_f64(wait);
     let mut sent = false;
     let mut last = String::new();
@@ -344,20 +344,22 @@
             }
         };
         match answer {
-            Answer::Ordered(number) => return Ok(number),
-            Answer::Refused(refusal) => return Err(failed(refused(&refusal))),
-            Answer::TooLong { bytes, most } => {
-                return Err(failed(format!("the settings are too long: {bytes} bytes, {most} at most")));
+            ProposalOutcome::Committed(number) => return Ok(number),
+            ProposalOutcome::Rejected(refusal) => return Err(failed(refused(&refusal))),
+            ProposalOutcome::TooLong { bytes, limit } => {
+                return Err(failed(format!("the settings are too long: {bytes} bytes, {limit} at most")));
             }
-            Answer::TooMany { most } => last = format!("{at}: {most} proposals wait there already"),
-            Answer::Out { why } => last = format!("{at}: it takes no part: {why}"),
-            Answer::NoMajority { leader, seconds } => {
-                let since = seconds.map_or("since its start".into(), |s| format!("for {s:.1} s"));
+            ProposalOutcome::TooMany { limit } => {
+                last = format!("{at}: {limit} proposals wait there already")
+            }
+            ProposalOutcome::Unavailable { reason } => last = format!("{at}: it takes no part: {reason}"),
+            ProposalOutcome::NoQuorum { leader, for_s } => {
+                let since = for_s.map_or("since its start".into(), |s| format!("for {s:.1} s"));
                 let known =
                     leader.and_then(|name| Some(format!("; its leader was {name} at {}", doors.get(&name)?)));
                 last = format!("{at}: no majority is known {since}{}", known.unwrap_or_default());
             }
-            Answer::Unsettled { leader } => {
+            ProposalOutcome::Undecided { leader } => {
                 sent = true;
                 let known = leader.and_then(|name| Some(format!("; {name} at {} leads", doors.get(&name)?)));
                 last = format!("{at}: no answer of a majority in time{}", known.unwrap_or_default());
@@ -374,27 +376,29 @@
     Err(unsettled(format!("nothing was changed: {last}")))
 }
 
-fn refused(refusal: &Refusal) -> String {
+fn refused(refusal: &ProposalError) -> String {
     match refusal {
-        Refusal::WouldUndo { newest, count, undone } => {
+        ProposalError::WouldUndo { newest, count, undone } => {
             let lines: Vec<String> = undone
                 .iter()
-                .map(|u| format!("\n  {} by {}: {} [{}]", u.number, u.author, u.why, u.keys.join(", ")))
+                .map(|u| {
+                    format!("\n  {} by {}: {} [{}]", u.number, u.author, u.reason, u.changed_keys.join(", "))
+                })
                 .collect();
             format!("refused: version {newest} is the newest, {count} were made since:{}", lines.concat())
         }
-        Refusal::BaseUnknown { base, newest } => {
+        ProposalError::BaseUnknown { base, newest } => {
             format!("refused: there is no version {base} yet, the newest is {newest}")
         }
-        Refusal::IdTaken { number } => {
+        ProposalError::IdTaken { number } => {
             format!("refused: its id was used for version {number}, which is another")
         }
-        Refusal::Unreadable => "refused: it cannot be read".into(),
+        ProposalError::Unreadable => "refused: it cannot be read".into(),
     }
 }
 
 /// Waits until every router that is known has it, with a line whenever that changes.
-fn in_force(at: &[SocketAddr], number: Number, end: Instant) -> Done {
+fn in_force(at: &[SocketAddr], number: VersionNumber, end: Instant) -> Done {
     let mut former = String::new();
     loop {
         let all = overall(at)?;
@@ -421,9 +425,9 @@
                 .routers
                 .lagging
                 .iter()
-                .map(|l| format!("{} has {}: {}", l.router, l.version, l.why))
+                .map(|l| format!("{} has {}: {}", l.router, l.version, l.reason))
                 .collect();
-            let more = all.routers.left_out;
+            let more = all.routers.omitted;
             let more = if more > 0 { format!("; {more} more") } else { String::new() };
             return Err(unsettled(format!(
                 "version {number} is in order, and not in force everywhere yet: {without} without it: {}{more}",
--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -1,7 +1,7 @@
 //! `alderway control`: a control machine by the operator's file.
 use crate::settings;
-use alderway_control::outlet::{Nowhere, Outlet};
-use alderway_control::publisher::Terms;
+use alderway_control_plane::publisher::PublisherConfig;
+use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
 use alderway_controller::driver::{self, Plan};
 use alderway_controller::subscriptions::Subscriptions;
 use alderway_operator::{LogForm, Operator};
@@ -36,9 +36,10 @@
 }
 
 /// Where routers subscribe, if the file says where they are heard.
-async fn outlet(name: String, routers: Option<SocketAddr>) -> io::Result<Box<dyn Outlet>> {
-    let Some(at) = routers else { return Ok(Box::new(Nowhere)) };
-    let subscriptions = Subscriptions::listen(&name, post::incarnation(), at, Terms::default()).await?;
+async fn outlet(name: String, routers: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
+    let Some(at) = routers else { return Ok(Box::new(DiscardVersions)) };
+    let subscriptions =
+        Subscriptions::listen(&name, post::incarnation(), at, PublisherConfig::default()).await?;
     Ok(Box::new(subscriptions))
 }
 
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -4,7 +4,7 @@
 mod control;
 mod settings;
 
-use alderway_control::subscriber::{Machine, Terms as Patience};
+use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, kept};
@@ -107,10 +107,14 @@
 fn subscription(operator: &Operator) -> Option<Subscription> {
     let said = operator.subscription.as_ref()?;
     let (zone, keep) = (said.zone.clone(), said.keep.clone().map(PathBuf::from));
-    let terms = Patience { silent: said.silent, old: said.old, ..Patience::default() };
+    let terms = SubscriptionConfig {
+        heartbeat_timeout_s: said.silent,
+        stale_after_s: said.old,
+        ..SubscriptionConfig::default()
+    };
     let machines = said.control.iter().map(|(name, (at, zone))| {
         let (name, zone) = (name.clone(), zone.clone());
-        (Machine { name, zone }, *at)
+        (ControlEndpoint { name, zone }, *at)
     });
     Some(Subscription { machines: machines.collect(), zone, terms, keep, kept: None, said: None })
 }
--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -1,13 +1,13 @@
 //! The checks of settings that a control machine makes at its door, and `alderway config check` here: a router's own.
-use alderway_control::words::{LARGEST, canonical};
+use alderway_control_plane::messages::{MAX_SETTINGS_BYTES, canonical_json};
 use serde_json::Value;
 
 /// Whether a router would start by these settings, and could take them over while it serves by those in force before.
 pub fn check(settings: &Value, before: Option<&Value>) -> Result<(), String> {
-    let length = canonical(settings).len();
-    if length > LARGEST {
+    let length = canonical_json(settings).len();
+    if length > MAX_SETTINGS_BYTES {
         return Err(format!(
-            "settings are larger than routers are told: {length} bytes of {LARGEST} at most"
+            "settings are larger than routers are told: {length} bytes of {MAX_SETTINGS_BYTES} at most"
         ));
     }
     alderway_router::life::settings::check(settings, before).map(drop)
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -1,9 +1,9 @@
 //! Control machines as processes on loopback, with the lab's relay between any two: stopped, killed, cut off, replaced by
 //! empty ones, on full disks and torn logs; and the operators' commands with what they say and how they end.
-use alderway_control::history::Refusal;
-use alderway_control::machine::Answer;
-use alderway_control::version::{Number, Proposal};
-use alderway_control::words::LARGEST;
+use alderway_control_plane::messages::MAX_SETTINGS_BYTES;
+use alderway_control_plane::replica::ProposalOutcome;
+use alderway_control_plane::version::{Proposal, VersionNumber};
+use alderway_control_plane::version_log::ProposalError;
 use alderway_controller::client;
 use alderway_controller::door::{Ask, Overall, Reply, Text};
 use alderway_lab::program::Setting;
@@ -158,7 +158,7 @@
         }
     }
 
-    fn has(&self, name: &str) -> Number {
+    fn has(&self, name: &str) -> VersionNumber {
         match self.ask(name, &Ask::Show { number: None }) {
             Ok(Reply::Version { version }) => version.number,
             _ => 0,
@@ -168,7 +168,10 @@
     /// Whom those that run and know of a majority agree on.
     fn leader(&self) -> Option<String> {
         let mut leaders = self.programs.keys().map(|name| {
-            self.status(name).filter(|all| all.machine.majority && all.machine.out.is_none())?.machine.leader
+            self.status(name)
+                .filter(|all| all.machine.has_quorum && all.machine.unavailable_reason.is_none())?
+                .machine
+                .leader
         });
         let first = leaders.next()??;
         leaders.all(|leader| leader.as_ref() == Some(&first)).then_some(first)
@@ -180,7 +183,7 @@
         self.programs.keys().find(|name| **name != leader).expect("of several").clone()
     }
 
-    fn all_have(&self, number: Number) {
+    fn all_have(&self, number: VersionNumber) {
         for name in self.programs.keys() {
             until(&format!("{name} has {number}"), || self.has(name) == number);
         }
@@ -216,9 +219,9 @@
     all["settings"].take()
 }
 
-fn proposal(id: &str, base: Number, room: usize) -> Proposal {
+fn proposal(id: &str, base: VersionNumber, room: usize) -> Proposal {
     let (author, why) = ("ada".into(), "a story".into());
-    Proposal { id: id.into(), base, author, why, at_unix_ms: 1, settings: settings(room) }
+    Proposal { id: id.into(), base, author, reason: why, at_unix_ms: 1, settings: settings(room) }
 }
 
 #[track_caller]
@@ -290,7 +293,7 @@
     let waits = "faulty.json:2: `Limits.MaxOpen` can't change while serving";
     ends(&house.config(&any, &["propose", path, "--why", "w"]), 1, &[waits]);
     let mut long = settings(100);
-    long["Note"] = "x".repeat(LARGEST).into();
+    long["Note"] = "x".repeat(MAX_SETTINGS_BYTES).into();
     fs::write(&faulty, long.to_string()).expect("written");
     ends(&house.config(&any, &["propose", path, "--why", "w"]), 1, &["settings are larger than"]);
     let Ok(Reply::Faulty { why }) = house.ask("c3", &Ask::Check { settings: serde_json::json!({}) }) else {
@@ -325,7 +328,8 @@
         let stopped = Instant::now();
         until("another leads", || {
             let status = house.status(&follower);
-            status.is_some_and(|all| all.machine.majority && all.machine.leader.is_some_and(|l| l != leader))
+            status
+                .is_some_and(|all| all.machine.has_quorum && all.machine.leader.is_some_and(|l| l != leader))
         });
         // A stopped machine is passed over: it says no hello.
         ends(
@@ -336,7 +340,10 @@
         until("5 s are over", || stopped.elapsed() > Duration::from_secs(5));
         house.programs[&leader].signal(Signal::SIGCONT);
         let Ok(Ok(Reply::Answer { answer, .. })) = asked.join() else { panic!("no answer") };
-        assert!(matches!(answer, Answer::Refused(Refusal::WouldUndo { newest: 2, .. })), "{answer:?}");
+        assert!(
+            matches!(answer, ProposalOutcome::Rejected(ProposalError::WouldUndo { newest: 2, .. })),
+            "{answer:?}"
+        );
     });
     house.all_have(2);
 }
@@ -352,7 +359,7 @@
     house.all_have(2);
     house.kill("c3");
     until("it is known that no majority stands", || {
-        ["c4", "c5"].iter().all(|name| house.status(name).is_some_and(|all| !all.machine.majority))
+        ["c4", "c5"].iter().all(|name| house.status(name).is_some_and(|all| !all.machine.has_quorum))
     });
     let refused = house.propose(&["c4", "c5"], 300, &["--base", "2", "--wait", "2"]);
     ends(&refused, 3, &["no majority is known for", "nothing was changed"]);
@@ -377,9 +384,9 @@
     house.all_have(1);
     house.wires.part(&["c1", "c2"]);
     until("the small side knows it", || {
-        ["c1", "c2"].iter().all(|name| house.status(name).is_some_and(|all| !all.machine.majority))
+        ["c1", "c2"].iter().all(|name| house.status(name).is_some_and(|all| !all.machine.has_quorum))
     });
-    until("the large side is led", || house.status("c4").is_some_and(|all| all.machine.majority));
+    until("the large side is led", || house.status("c4").is_some_and(|all| all.machine.has_quorum));
     ends(&house.propose(&["c1", "c2"], 200, &["--base", "1", "--wait", "2"]), 3, &["nothing was changed"]);
     ends(&house.propose(&["c4"], 300, &["--base", "1"]), 0, &["in order: version 2"]);
     assert_eq!((house.has("c1"), house.has("c2")), (1, 1));
@@ -404,7 +411,9 @@
     let whole = |house: &House| {
         house.programs.keys().all(|name| {
             house.status(name).is_some_and(|all| {
-                !all.machine.changing && all.machine.out.is_none() && all.machine.voters.len() == 5
+                !all.machine.membership_changing
+                    && all.machine.unavailable_reason.is_none()
+                    && all.machine.voters.len() == 5
             })
         })
     };
@@ -505,7 +514,7 @@
         let Ok(Reply::Answer { answer, .. }) = house.ask(&house.names[n as usize % 5], &ask) else {
             panic!("no answer")
         };
-        assert_eq!(answer, Answer::Ordered(n + 1));
+        assert_eq!(answer, ProposalOutcome::Committed(n + 1));
     }
     println!("650 changes in {:.1} s", from.elapsed().as_secs_f64());
     assert!(from.elapsed() < Duration::from_secs(180));
@@ -539,7 +548,7 @@
             assert!(at == member || String::from_utf8_lossy(&text).contains(says), "{text:?}");
         }
     }
-    let wrong = Proposal { why: " ".into(), ..proposal("p", 1, 200) };
+    let wrong = Proposal { reason: " ".into(), ..proposal("p", 1, 200) };
     for (proposal, wait_s) in [(wrong, 1.0), (proposal("p", 1, 200), 1e9)] {
         let reply = house.ask("c1", &Ask::Propose { proposal, wait_s });
         assert!(matches!(reply, Ok(Reply::Wrong { .. })), "{reply:?}");
--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -1,9 +1,9 @@
 //! Stories of `alderway serve` with a control machine in the operator's file: a version in force, kept, and started with
 //! when that machine is gone.
 mod common;
-use alderway_control::outlet::Outlet;
-use alderway_control::publisher::Terms;
-use alderway_control::version::Version;
+use alderway_control_plane::publisher::PublisherConfig;
+use alderway_control_plane::version::Version;
+use alderway_control_plane::version_sink::VersionSink;
 use alderway_controller::subscriptions::Subscriptions;
 use alderway_lab::agent::Agent;
 use alderway_lab::program::{Build, Program, Setting};
@@ -31,12 +31,12 @@
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             tokio::task::LocalSet::new().block_on(&runtime, async move {
                 let at = "127.0.0.1:0".parse().expect("an address");
-                let listening = Subscriptions::listen("c1", 1, at, Terms::default());
+                let listening = Subscriptions::listen("c1", 1, at, PublisherConfig::default());
                 let mut subscriptions = listening.await.expect("a listener");
-                let (proposal, author, why) = ("p".into(), "a".into(), "w".into());
-                let version = Version { number: 41, proposal, author, why, at_unix_ms: 0, settings };
+                let (proposal_id, author, reason) = ("p".into(), "a".into(), "w".into());
+                let version = Version { number: 41, proposal_id, author, reason, at_unix_ms: 0, settings };
                 subscriptions.committed(&version);
-                subscriptions.as_of(0.0, true);
+                subscriptions.freshness(0.0, true);
                 tell.send(subscriptions.address()).expect("heard");
                 let _ = stopped.await;
                 subscriptions.stop();
--- a/crates/control/src/consensus.rs
+++ b/crates/control-plane/src/consensus.rs
@@ -1,5 +1,5 @@
 //! One order of entries that a majority decides: the `raft` crate's node as a machine that is fed ticks, messages and
-//! proposals. What it hands out goes one way only: something to persist, and only once that is said to be on disk what
+//! proposals. EntryKind it hands out goes one way only: something to persist, and only once that is said to be on disk what
 //! may be sent and what is committed. With pre-vote and check-quorum; free of I/O and clocks.
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChangeV2, ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
@@ -16,42 +16,42 @@
 /// Of entries that are not committed yet; past that proposals are dropped.
 const UNCOMMITTED_BYTES: u64 = 16 * 1024 * 1024;
 
-pub type Id = u64;
+pub type ReplicaId = u64;
 
-/// What has to be on disk, synced, before anything that follows from it is said. The order of the steps is this: a new
+/// EntryKind has to be on disk, synced, before anything that follows from it is said. The order of the steps is this: a new
 /// snapshot; entries up to the floor, or all, go; entries from the first one given on are replaced; the rest.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Persist {
+pub struct WriteBatch {
     pub identity: Option<Vec<u8>>,
     pub snapshot: Option<Vec<u8>>,
     /// Index and term of the last entry that is no longer kept.
-    pub floor: Option<(u64, u64)>,
+    pub compacted_to: Option<(u64, u64)>,
     /// All entries are older than the snapshot, or of another history.
-    pub clear: bool,
+    pub clear_entries: bool,
     pub entries: Vec<(u64, Vec<u8>)>,
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
 }
 
-/// What was read from disk at a start.
+/// EntryKind was read from disk at a start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Held {
+pub struct RecoveredState {
     pub identity: Option<Vec<u8>>,
     pub snapshot: Option<Vec<u8>>,
-    pub floor: (u64, u64),
+    pub compacted_to: (u64, u64),
     pub entries: Vec<Vec<u8>>,
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
 }
 
 /// Where a machine keeps what must not be lost. After an error nothing, or all, may have been kept: the same is written
 /// again until it succeeds.
-pub trait Store {
-    fn write(&mut self, what: &Persist) -> Result<(), String>;
+pub trait StableStorage {
+    fn write(&mut self, what: &WriteBatch) -> Result<(), String>;
 }
 
-/// What may be done now that the disk has it.
+/// EntryKind may be done now that the disk has it.
 #[derive(Debug, Default)]
-pub struct Done {
-    pub send: Vec<(Id, Vec<u8>)>,
+pub struct Effects {
+    pub send: Vec<(ReplicaId, Vec<u8>)>,
     /// Comes before `committed`.
     pub snapshot: Option<Vec<u8>>,
     pub committed: Vec<Committed>,
@@ -62,14 +62,14 @@
 #[derive(Debug)]
 pub struct Committed {
     pub index: u64,
-    pub what: What,
+    pub what: EntryKind,
 }
 
 #[derive(Debug)]
-pub enum What {
-    Data(Vec<u8>),
-    Change(ConfChangeV2),
-    Nothing,
+pub enum EntryKind {
+    Proposal(Vec<u8>),
+    MembershipChange(ConfChangeV2),
+    Empty,
 }
 
 /// The log as the disk has it.
@@ -88,9 +88,9 @@
 }
 
 impl Log {
-    fn read(held: &Held) -> Result<Log, String> {
+    fn read(held: &RecoveredState) -> Result<Log, String> {
         let faulty = |what: &str| format!("{what} is not what was written");
-        let hard = match &held.hard {
+        let hard = match &held.hard_state {
             Some(bytes) => HardState::parse_from_bytes(bytes).map_err(|_| faulty("the hard state"))?,
             None => HardState::default(),
         };
@@ -99,7 +99,7 @@
             None => Snapshot::default(),
         };
         let mut entries: Vec<Entry> = vec![];
-        let (mut last, mut term) = held.floor;
+        let (mut last, mut term) = held.compacted_to;
         for bytes in &held.entries {
             let entry = Entry::parse_from_bytes(bytes).map_err(|_| faulty("an entry"))?;
             if entry.index != last + 1 || entry.term < term {
@@ -109,14 +109,14 @@
             entries.push(entry);
         }
         let from = snapshot.get_metadata().index;
-        if from < held.floor.0 || from > last || hard.commit > last || hard.commit < from {
+        if from < held.compacted_to.0 || from > last || hard.commit > last || hard.commit < from {
             return Err(format!(
                 "its log ends at {last}, its snapshot is of {from}, committed was {}",
                 hard.commit
             ));
         }
         let weight = weight(&entries);
-        Ok(Log { hard, snapshot, floor: held.floor, entries, weight })
+        Ok(Log { hard, snapshot, floor: held.compacted_to, entries, weight })
     }
 
     fn append(&mut self, entries: &[Entry]) {
@@ -194,14 +194,14 @@
     }
 }
 
-/// What is being persisted.
+/// EntryKind is being persisted.
 enum Step {
     Ready(Box<Ready>),
     Compact { snapshot: Box<Snapshot>, floor: (u64, u64) },
 }
 
 pub struct Consensus {
-    id: Id,
+    id: ReplicaId,
     raw: RawNode<Log>,
     step: Option<Step>,
     compact: Option<(Box<Snapshot>, (u64, u64))>,
@@ -215,30 +215,30 @@
 }
 
 /// A snapshot of nothing, by which a new group of voters begins.
-pub fn founding(voters: &[Id], data: Vec<u8>) -> Persist {
+pub fn founding(voters: &[ReplicaId], data: Vec<u8>) -> WriteBatch {
     let mut snapshot = Snapshot { data: data.into(), ..Snapshot::default() };
     let meta = snapshot.mut_metadata();
     (meta.index, meta.term) = (1, 1);
     meta.mut_conf_state().set_voters(voters.to_vec());
     let mut hard = HardState::default();
     (hard.term, hard.commit) = (1, 1);
-    Persist {
+    WriteBatch {
         snapshot: Some(bytes(&snapshot)),
-        floor: Some((1, 1)),
-        clear: true,
-        hard: Some(bytes(&hard)),
-        ..Persist::default()
+        compacted_to: Some((1, 1)),
+        clear_entries: true,
+        hard_state: Some(bytes(&hard)),
+        ..WriteBatch::default()
     }
 }
 
 /// As the disk has it after a founding.
-pub fn held(founding: &Persist) -> Held {
-    Held {
+pub fn held(founding: &WriteBatch) -> RecoveredState {
+    RecoveredState {
         identity: None,
         snapshot: founding.snapshot.clone(),
-        floor: founding.floor.unwrap_or_default(),
+        compacted_to: founding.compacted_to.unwrap_or_default(),
         entries: vec![],
-        hard: founding.hard.clone(),
+        hard_state: founding.hard_state.clone(),
     }
 }
 
@@ -249,7 +249,7 @@
 
 impl Consensus {
     /// From what the disk has; also the applied state of its snapshot.
-    pub fn new(id: Id, held: &Held, seed: u64) -> Result<(Consensus, Vec<u8>), String> {
+    pub fn new(id: ReplicaId, held: &RecoveredState, seed: u64) -> Result<(Consensus, Vec<u8>), String> {
         let log = Log::read(held)?;
         let (applied, data) = (log.snapshot.get_metadata().index, log.snapshot.data.to_vec());
         let conf = log.snapshot.get_metadata().get_conf_state().clone();
@@ -315,7 +315,7 @@
         }
     }
 
-    /// What comes in from outside: nothing while something is being persisted, which the crate has to hear of first.
+    /// EntryKind comes in from outside: nothing while something is being persisted, which the crate has to hear of first.
     fn fed<T>(&mut self, act: impl FnOnce(&mut RawNode<Log>) -> T) -> Option<T> {
         if self.step.is_some() { None } else { self.guarded(act) }
     }
@@ -328,7 +328,7 @@
         let _ = self.fed(|raw| raw.tick());
     }
 
-    pub fn came(&mut self, bytes: &[u8]) {
+    pub fn step(&mut self, bytes: &[u8]) {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return };
         if message.to == self.id && !raft::raw_node::is_local_msg(message.get_msg_type()) {
             // An error is of a message that is of no use here, such as one from a former member.
@@ -343,28 +343,28 @@
 
     /// Changes who the members are; on the leader only, one at a time.
     pub fn change(&mut self, change: ConfChangeV2) {
-        if self.leads() && !self.raw.raft.has_pending_conf() {
+        if self.is_leader() && !self.raw.raft.has_pending_conf() {
             self.fed(|raw| drop(raw.propose_conf_change(vec![], change)));
         }
     }
 
-    /// Asks up to where the order goes now; the word comes back in `Done::reads`, or is lost.
+    /// Asks up to where the order goes now; the word comes back in `Effects::reads`, or is lost.
     pub fn read(&mut self, word: Vec<u8>) {
         if self.leader() != 0 {
             self.fed(|raw| raw.read_index(word));
         }
     }
 
-    pub fn unreachable(&mut self, id: Id) {
+    pub fn unreachable(&mut self, id: ReplicaId) {
         self.fed(|raw| raw.report_unreachable(id));
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader
     }
 
     /// 0: none is known.
-    pub fn leader(&self) -> Id {
+    pub fn leader(&self) -> ReplicaId {
         self.raw.raft.leader_id
     }
 
@@ -381,13 +381,13 @@
     }
 
     /// Of a follower, as the leader sees it: whether it spoke lately, and how many entries it lacks.
-    pub fn follower(&self, id: Id) -> Option<(bool, u64)> {
+    pub fn follower(&self, id: ReplicaId) -> Option<(bool, u64)> {
         let progress = self.raw.raft.prs().get(id)?;
         Some((progress.recent_active, self.raw.raft.raft_log.committed.saturating_sub(progress.matched)))
     }
 
     /// The next thing that has to be on disk; the same until `persisted`.
-    pub fn persist(&mut self) -> Option<Persist> {
+    pub fn persist(&mut self) -> Option<WriteBatch> {
         if self.step.is_none() {
             self.step = match self.compact.take() {
                 Some((snapshot, floor)) => Some(Step::Compact { snapshot, floor }),
@@ -399,38 +399,38 @@
         }
         Some(match self.step.as_ref()? {
             Step::Compact { snapshot, floor } => {
-                let hard = Some(bytes(&self.raw.store().hard));
-                Persist {
+                let hard_state = Some(bytes(&self.raw.store().hard));
+                WriteBatch {
                     snapshot: Some(bytes(&**snapshot)),
-                    floor: Some(*floor),
-                    hard,
-                    ..Persist::default()
+                    compacted_to: Some(*floor),
+                    hard_state,
+                    ..WriteBatch::default()
                 }
             }
             Step::Ready(ready) => {
-                let mut persist = Persist {
+                let mut persist = WriteBatch {
                     entries: ready.entries().iter().map(|entry| (entry.index, bytes(entry))).collect(),
-                    hard: ready.hs().map(bytes),
-                    ..Persist::default()
+                    hard_state: ready.hs().map(bytes),
+                    ..WriteBatch::default()
                 };
                 if !ready.snapshot().is_empty() {
                     let meta = ready.snapshot().get_metadata();
                     persist.snapshot = Some(bytes(ready.snapshot()));
-                    persist.floor = Some((meta.index, meta.term));
-                    persist.clear = true;
+                    persist.compacted_to = Some((meta.index, meta.term));
+                    persist.clear_entries = true;
                     // The committed index may not fall behind the snapshot.
                     let mut hard = ready.hs().cloned().unwrap_or_else(|| self.raw.store().hard.clone());
                     hard.commit = hard.commit.max(meta.index);
-                    persist.hard = Some(bytes(&hard));
+                    persist.hard_state = Some(bytes(&hard));
                 }
                 persist
             }
         })
     }
 
-    /// What `persist` gave is on disk.
-    pub fn persisted(&mut self) -> Done {
-        let mut done = Done::default();
+    /// EntryKind `persist` gave is on disk.
+    pub fn persisted(&mut self) -> Effects {
+        let mut done = Effects::default();
         match self.step.take() {
             None => {}
             Some(Step::Compact { snapshot, floor }) => {
@@ -445,7 +445,7 @@
         done
     }
 
-    fn settle(&mut self, mut ready: Ready, done: &mut Done) {
+    fn settle(&mut self, mut ready: Ready, done: &mut Effects) {
         let log = self.raw.mut_store();
         if let Some(hard) = ready.hs() {
             log.hard = hard.clone();
@@ -494,14 +494,14 @@
         }
         self.applied = entry.index;
         let what = match entry.get_entry_type() {
-            EntryType::EntryNormal if entry.data.is_empty() => What::Nothing,
-            EntryType::EntryNormal => What::Data(entry.data.to_vec()),
+            EntryType::EntryNormal if entry.data.is_empty() => EntryKind::Empty,
+            EntryType::EntryNormal => EntryKind::Proposal(entry.data.to_vec()),
             _ => {
                 let change = ConfChangeV2::parse_from_bytes(&entry.data).unwrap_or_default();
                 if let Some(Ok(conf)) = self.guarded(|raw| raw.apply_conf_change(&change)) {
                     self.conf = conf;
                 }
-                What::Change(change)
+                EntryKind::MembershipChange(change)
             }
         };
         Some(Committed { index: entry.index, what })
--- a/crates/control/src/publisher.rs
+++ b/crates/control-plane/src/publisher.rs
@@ -1,10 +1,13 @@
 //! The control machine's side of subscriptions: which words go to which router, and when. It is fed committed versions,
 //! connections, words and a time of the own steady clock, and gives words within each router's budget and one for all.
 //! Only what was committed is ever told, and one content under one number.
-use crate::bucket::{Bucket, Budget, DOWN, TOTAL};
-use crate::outlet::{Lagging, Summary};
-use crate::version::{Number, Version};
-use crate::words::{self, Content, Digest, LARGEST, Outcome, PART, PART_HEAD, Say, Tell};
+use crate::messages::{
+    self, ApplyOutcome, ControlMessage, Digest, MAX_PART_BYTES, MAX_SETTINGS_BYTES, PART_HEADER_BYTES,
+    RouterMessage, VersionContent,
+};
+use crate::rate_limit::{CONTROL_TO_ALL_ROUTERS, CONTROL_TO_ROUTER, RateLimit, TokenBucket};
+use crate::version::{Version, VersionNumber};
+use crate::version_sink::{LaggingRouter, RouterSummary};
 use alderway_tier::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,42 +15,50 @@
 use std::sync::Arc;
 
 /// Versions that are kept to make deltas upon; who is further back gets the whole.
-pub const GAP: usize = 64;
+pub const CACHED_VERSIONS: usize = 64;
 /// A beat as it goes out takes no more.
 const BEAT: usize = 48;
 const LONGEST_NAME: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    pub gap: usize,
-    pub down: Budget,
-    pub total: Budget,
+pub struct PublisherConfig {
+    pub cached_versions: usize,
+    pub router_limit: RateLimit,
+    pub total_limit: RateLimit,
     /// Seconds without a word of a router before its connection ends.
-    pub silent: f64,
+    pub link_timeout_s: f64,
     /// Routers at one machine.
-    pub most: usize,
+    pub max_links: usize,
 }
 
-impl Default for Terms {
+impl Default for PublisherConfig {
     fn default() -> Self {
-        Terms { gap: GAP, down: DOWN, total: TOTAL, silent: 10.0, most: 1000 }
+        PublisherConfig {
+            cached_versions: CACHED_VERSIONS,
+            router_limit: CONTROL_TO_ROUTER,
+            total_limit: CONTROL_TO_ALL_ROUTERS,
+            link_timeout_s: 10.0,
+            max_links: 1000,
+        }
     }
 }
 
-/// Why a version was not put on the shelf.
+/// Why a version was not put on the cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum CacheError {
     /// Another content has that number here already.
-    Clash(Number),
-    Long(Number, usize),
+    Conflict(VersionNumber),
+    TooLarge(VersionNumber, usize),
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for CacheError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unfit::Clash(number) => write!(out, "version {number} came with two contents; the first holds"),
-            Unfit::Long(number, length) => {
-                write!(out, "version {number} takes {length} bytes; {LARGEST} at most are told")
+            CacheError::Conflict(number) => {
+                write!(out, "version {number} came with two contents; the first holds")
+            }
+            CacheError::TooLarge(number, length) => {
+                write!(out, "version {number} takes {length} bytes; {MAX_SETTINGS_BYTES} at most are told")
             }
         }
     }
@@ -61,51 +72,51 @@
 
 /// Committed versions as a machine has them. Numbers only grow, each with the content that came first.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Shelf {
+pub struct VersionCache {
     gap: usize,
-    kept: BTreeMap<Number, Kept>,
+    kept: BTreeMap<VersionNumber, Kept>,
 }
 
 /// How a router stands that has a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    Current,
+pub enum SubscriberPosition {
+    UpToDate,
     /// This machine has nothing that the router has not.
     Ahead,
     /// It has another content under a number.
-    Clash,
+    Conflict,
     /// The newest can be told as a patch upon what it has.
-    Near,
+    PatchAvailable,
     /// The whole has to be told.
-    Far,
+    SnapshotNeeded,
 }
 
-impl Shelf {
+impl VersionCache {
     pub fn new(gap: usize) -> Self {
-        Shelf { gap, kept: BTreeMap::new() }
+        VersionCache { gap, kept: BTreeMap::new() }
     }
 
-    pub fn newest(&self) -> Number {
+    pub fn latest(&self) -> VersionNumber {
         self.kept.last_key_value().map_or(0, |(number, _)| *number)
     }
 
-    fn newest_digest(&self) -> (Number, Digest) {
+    fn newest_digest(&self) -> (VersionNumber, Digest) {
         self.kept.last_key_value().map_or((0, 0), |(number, kept)| (*number, kept.digest))
     }
 
     /// Whether it is a new one. What is older than the newest and not here is not wanted any more.
-    pub fn put(&mut self, number: Number, text: &str) -> Result<bool, Unfit> {
-        let digest = words::digest(text);
+    pub fn insert(&mut self, number: VersionNumber, text: &str) -> Result<bool, CacheError> {
+        let digest = messages::digest(text);
         match self.kept.get(&number) {
-            Some(kept) if kept.digest != digest => return Err(Unfit::Clash(number)),
+            Some(kept) if kept.digest != digest => return Err(CacheError::Conflict(number)),
             Some(_) => return Ok(false),
             None => {}
         }
-        if number <= self.newest() {
+        if number <= self.latest() {
             return Ok(false);
         }
-        if text.len() > LARGEST {
-            return Err(Unfit::Long(number, text.len()));
+        if text.len() > MAX_SETTINGS_BYTES {
+            return Err(CacheError::TooLarge(number, text.len()));
         }
         self.kept.insert(number, Kept { digest, text: text.into() });
         while self.kept.len() > self.gap.max(1) {
@@ -114,46 +125,46 @@
         Ok(true)
     }
 
-    pub fn standing(&self, got: Number, digest: Digest) -> Standing {
-        let newest = self.newest();
+    pub fn position(&self, got: VersionNumber, digest: Digest) -> SubscriberPosition {
+        let newest = self.latest();
         let alike = self.kept.get(&got).map(|kept| kept.digest == digest);
         match alike {
-            _ if got > newest || newest == 0 => Standing::Ahead,
-            Some(true) if got == newest => Standing::Current,
-            Some(false) if got == newest => Standing::Clash,
-            Some(true) => Standing::Near,
-            _ => Standing::Far,
+            _ if got > newest || newest == 0 => SubscriberPosition::Ahead,
+            Some(true) if got == newest => SubscriberPosition::UpToDate,
+            Some(false) if got == newest => SubscriberPosition::Conflict,
+            Some(true) => SubscriberPosition::PatchAvailable,
+            _ => SubscriberPosition::SnapshotNeeded,
         }
     }
 
     /// The newest, as a patch upon `base` where that can be and is shorter.
-    pub fn content(&self, base: Option<Number>) -> Option<Content> {
+    pub fn content(&self, base: Option<VersionNumber>) -> Option<VersionContent> {
         let (&number, newest) = self.kept.last_key_value()?;
         let patch = base.and_then(|base| Some((base, self.kept.get(&base)?)));
         let patch =
-            patch.and_then(|(base, kept)| Some((base, words::patch_between(&kept.text, &newest.text)?)));
+            patch.and_then(|(base, kept)| Some((base, messages::make_patch(&kept.text, &newest.text)?)));
         let (base, text) = patch.unwrap_or_else(|| (0, newest.text.to_string()));
-        Some(Content { number, base, digest: newest.digest, text })
+        Some(VersionContent { number, base, digest: newest.digest, text })
     }
 }
 
 /// Why a connection is of no use.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
-    Full(usize),
+pub enum LinkError {
+    TooManyLinks(usize),
     /// A later start of that name is connected.
-    Former(Name, Incarnation),
-    Nameless,
+    StaleIncarnation(Name, Incarnation),
+    InvalidName,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for LinkError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::Full(most) => write!(out, "{most} routers are connected already"),
-            Refused::Former(name, incarnation) => {
+            LinkError::TooManyLinks(most) => write!(out, "{most} routers are connected already"),
+            LinkError::StaleIncarnation(name, incarnation) => {
                 write!(out, "incarnation {incarnation} of `{name}` is an earlier one")
             }
-            Refused::Nameless => write!(out, "its name has not 1 to {LONGEST_NAME} bytes"),
+            LinkError::InvalidName => write!(out, "its name has not 1 to {LONGEST_NAME} bytes"),
         }
     }
 }
@@ -163,60 +174,60 @@
     name: Name,
     incarnation: Incarnation,
     heard: f64,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// A word is on its way out.
     busy: bool,
     /// What the router has once all is there that was sent; none before it asked.
-    told: Option<(Number, Digest)>,
+    told: Option<(VersionNumber, Digest)>,
     /// A patch was of no use to it.
     whole: bool,
-    sending: Option<(Rc<Content>, usize)>,
+    sending: Option<(Rc<VersionContent>, usize)>,
     beat: Option<u64>,
-    held: Number,
+    held: VersionNumber,
     /// The version that it did not take over, and why not.
-    lacks: Option<(Number, String)>,
+    lacks: Option<(VersionNumber, String)>,
 }
 
 /// What was met, for counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Met {
+pub struct PublisherMetrics {
     pub links: u64,
-    pub silent: u64,
-    pub whole: u64,
-    pub deltas: u64,
-    pub beats: u64,
+    pub links_timed_out: u64,
+    pub snapshots: u64,
+    pub patches: u64,
+    pub heartbeats: u64,
     /// Bytes to all routers.
     pub bytes: u64,
     /// Routers that had another content under a number.
-    pub clashes: u64,
+    pub conflicts: u64,
 }
 
 #[derive(Debug)]
 pub struct Publisher {
-    terms: Terms,
-    shelf: Shelf,
-    /// When each version on the shelf came.
-    came: BTreeMap<Number, f64>,
+    config: PublisherConfig,
+    cache: VersionCache,
+    /// When each version on the cache came.
+    came: BTreeMap<VersionNumber, f64>,
     /// The newest as it is told, by what it is told upon; 0: whole.
-    made: BTreeMap<Number, Rc<Content>>,
+    made: BTreeMap<VersionNumber, Rc<VersionContent>>,
     as_of: f64,
     majority: bool,
     links: BTreeMap<u64, Link>,
     by_name: BTreeMap<Name, u64>,
     last_link: u64,
-    total: Bucket,
+    total: TokenBucket,
     /// Links with a version, or a beat, to tell; whose turn it was last.
     changes: BTreeSet<u64>,
     beats: BTreeSet<u64>,
     turn: u64,
-    pub met: Met,
+    pub metrics: PublisherMetrics,
 }
 
 impl Publisher {
-    pub fn new(terms: Terms, now: f64) -> Self {
+    pub fn new(config: PublisherConfig, now: f64) -> Self {
         Publisher {
-            terms,
-            shelf: Shelf::new(terms.gap),
+            config,
+            cache: VersionCache::new(config.cached_versions),
             came: BTreeMap::new(),
             made: BTreeMap::new(),
             as_of: f64::NEG_INFINITY,
@@ -224,21 +235,21 @@
             links: BTreeMap::new(),
             by_name: BTreeMap::new(),
             last_link: 0,
-            total: Bucket::new(terms.total, now),
+            total: TokenBucket::full(config.total_limit, now),
             changes: BTreeSet::new(),
             beats: BTreeSet::new(),
             turn: 0,
-            met: Met::default(),
+            metrics: PublisherMetrics::default(),
         }
     }
 
     /// A version was committed: it goes out from here on. Whether it is a new one here.
-    pub fn commit(&mut self, version: &Version, now: f64) -> Result<bool, Unfit> {
-        let text = words::canonical(&version.settings);
-        let new = self.shelf.put(version.number, &text)?;
+    pub fn commit(&mut self, version: &Version, now: f64) -> Result<bool, CacheError> {
+        let text = messages::canonical_json(&version.settings);
+        let new = self.cache.insert(version.number, &text)?;
         if new {
             self.came.insert(version.number, now);
-            while self.came.len() > self.terms.gap.max(1) {
+            while self.came.len() > self.config.cached_versions.max(1) {
                 self.came.pop_first();
             }
             self.made.clear();
@@ -250,42 +261,42 @@
     }
 
     /// For `age` seconds at most has the newest version here not been known to be the newest of all.
-    pub fn stands(&mut self, age: f64, majority: bool, now: f64) {
+    pub fn set_freshness(&mut self, age: f64, majority: bool, now: f64) {
         self.as_of = now - age;
         self.majority = majority;
     }
 
-    pub fn newest(&self) -> Number {
-        self.shelf.newest()
+    pub fn latest(&self) -> VersionNumber {
+        self.cache.latest()
     }
 
-    pub fn links(&self) -> usize {
+    pub fn link_count(&self) -> usize {
         self.links.len()
     }
 
     /// A router has said hello; the number of the link from here on. One of the same name ends.
-    pub fn opened(&mut self, name: &str, incarnation: Incarnation, now: f64) -> Result<u64, Refused> {
+    pub fn open_link(&mut self, name: &str, incarnation: Incarnation, now: f64) -> Result<u64, LinkError> {
         if name.is_empty() || name.len() > LONGEST_NAME {
-            return Err(Refused::Nameless);
+            return Err(LinkError::InvalidName);
         }
         let former = self.by_name.get(name).copied();
         let later = former.and_then(|former| self.links.get(&former)).map(|link| link.incarnation);
         if later.is_some_and(|later| incarnation < later) {
-            return Err(Refused::Former(name.into(), incarnation));
+            return Err(LinkError::StaleIncarnation(name.into(), incarnation));
         }
         if let Some(former) = former {
-            self.closed(former);
+            self.close_link(former);
         }
-        if self.links.len() >= self.terms.most {
-            return Err(Refused::Full(self.terms.most));
+        if self.links.len() >= self.config.max_links {
+            return Err(LinkError::TooManyLinks(self.config.max_links));
         }
         self.last_link += 1;
-        self.met.links += 1;
+        self.metrics.links += 1;
         let link = Link {
             name: name.into(),
             incarnation,
             heard: now,
-            bucket: Bucket::empty(self.terms.down, now),
+            bucket: TokenBucket::empty(self.config.router_limit, now),
             busy: false,
             told: None,
             whole: false,
@@ -300,11 +311,11 @@
     }
 
     /// Whether a link is still one: another connection of its router, or silence, ends it.
-    pub fn holds(&self, link: u64) -> bool {
+    pub fn has_link(&self, link: u64) -> bool {
         self.links.contains_key(&link)
     }
 
-    pub fn closed(&mut self, link: u64) {
+    pub fn close_link(&mut self, link: u64) {
         self.changes.remove(&link);
         self.beats.remove(&link);
         let Some(gone) = self.links.remove(&link) else { return };
@@ -313,32 +324,32 @@
         }
     }
 
-    pub fn heard(&mut self, link: u64, say: Say, now: f64) {
+    pub fn receive(&mut self, link: u64, say: RouterMessage, now: f64) {
         let number = link;
         let Some(link) = self.links.get_mut(&number) else { return };
         link.heard = now;
         match say {
-            Say::Ask { got, digest, held, whole } => {
-                let standing = self.shelf.standing(got, digest);
-                self.met.clashes += u64::from(standing == Standing::Clash);
+            RouterMessage::Subscribe { received: got, digest, active: held, needs_snapshot: whole } => {
+                let standing = self.cache.position(got, digest);
+                self.metrics.conflicts += u64::from(standing == SubscriberPosition::Conflict);
                 link.told = Some((got, digest));
                 (link.held, link.whole, link.sending) = (held, whole, None);
                 self.changes.insert(number);
             }
-            Say::Pulse { stamp } => {
+            RouterMessage::HeartbeatRequest { sequence: stamp } => {
                 link.beat = Some(stamp);
                 self.beats.insert(number);
             }
-            Say::Outcome { number: version, outcome } => {
+            RouterMessage::ApplyReport { number: version, outcome } => {
                 link.lacks = match outcome {
-                    Outcome::InForce => {
+                    ApplyOutcome::Applied => {
                         link.held = version;
                         None
                     }
-                    Outcome::Waits(keys) => {
+                    ApplyOutcome::PendingRestart(keys) => {
                         Some((version, format!("{version} waits for a start: {}", keys.join(", "))))
                     }
-                    Outcome::Refused(why) => Some((version, format!("refused {version}: {why}"))),
+                    ApplyOutcome::Rejected(why) => Some((version, format!("refused {version}: {why}"))),
                 };
             }
         }
@@ -346,51 +357,51 @@
 
     /// To be called a few times a second: links that were silent for too long end.
     pub fn tick(&mut self, now: f64) -> Vec<(u64, Name)> {
-        let silent = self.links.iter().filter(|(_, link)| now - link.heard > self.terms.silent);
+        let silent = self.links.iter().filter(|(_, link)| now - link.heard > self.config.link_timeout_s);
         let silent: Vec<(u64, Name)> = silent.map(|(number, link)| (*number, link.name.clone())).collect();
-        silent.iter().for_each(|(link, _)| self.closed(*link));
-        self.met.silent += silent.len() as u64;
+        silent.iter().for_each(|(link, _)| self.close_link(*link));
+        self.metrics.links_timed_out += silent.len() as u64;
         silent
     }
 
     /// What goes out next, if anything may go now, and over which link, which is not asked again before `sent`. A change
     /// comes before a beat; links take turns.
-    pub fn next(&mut self, now: f64) -> Option<(u64, Vec<u8>)> {
+    pub fn next_message(&mut self, now: f64) -> Option<(u64, Vec<u8>)> {
         let (link, word) = self.next_of(true, now).or_else(|| self.next_of(false, now))?;
         self.turn = link;
-        let bytes = words::framed(&word);
+        let bytes = messages::encode_frame(&word);
         let held = self.links.get_mut(&link)?;
         held.busy = true;
-        held.bucket.take(bytes.len(), now);
-        self.total.take(bytes.len(), now);
-        self.met.bytes += bytes.len() as u64;
+        held.bucket.try_take(bytes.len(), now);
+        self.total.try_take(bytes.len(), now);
+        self.metrics.bytes += bytes.len() as u64;
         Some((link, bytes))
     }
 
     /// What was given for a link has gone out whole.
-    pub fn sent(&mut self, link: u64) {
+    pub fn message_sent(&mut self, link: u64) {
         if let Some(link) = self.links.get_mut(&link) {
             link.busy = false;
         }
     }
 
     /// When to ask for the next word again, if nothing comes in before.
-    pub fn due(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         let (changes, beats) = (&self.changes, &self.beats);
         let open = |link: &u64| self.links.get(link).filter(|link| !link.busy);
         let changes = changes.iter().filter_map(open).map(|link| (link, Self::part_of(link)));
         let beats = beats.iter().filter_map(open).map(|link| (link, BEAT));
-        let due = changes.chain(beats).map(|(link, length)| (link.bucket.when(length), length));
-        due.map(|(at, length)| at.max(self.total.when(length))).fold(f64::INFINITY, f64::min)
+        let due = changes.chain(beats).map(|(link, length)| (link.bucket.ready_at(length), length));
+        due.map(|(at, length)| at.max(self.total.ready_at(length))).fold(f64::INFINITY, f64::min)
     }
 
     /// Bytes that the next part takes at most.
     fn part_of(link: &Link) -> usize {
-        let left = link.sending.as_ref().map_or(PART, |(content, at)| content.text.len() - at);
-        left.min(PART) + PART_HEAD
+        let left = link.sending.as_ref().map_or(MAX_PART_BYTES, |(content, at)| content.text.len() - at);
+        left.min(MAX_PART_BYTES) + PART_HEADER_BYTES
     }
 
-    fn next_of(&mut self, change: bool, now: f64) -> Option<(u64, Tell)> {
+    fn next_of(&mut self, change: bool, now: f64) -> Option<(u64, ControlMessage)> {
         let ready = if change { &self.changes } else { &self.beats };
         let turns = ready.range(self.turn + 1..).chain(ready.range(..=self.turn));
         for number in turns.copied().collect::<Vec<u64>>() {
@@ -400,24 +411,33 @@
             }
             let Some(link) = self.links.get_mut(&number) else { continue };
             let length = if change { Self::part_of(link) } else { BEAT };
-            if link.busy || link.bucket.room(now) < length {
+            if link.busy || link.bucket.available_bytes(now) < length {
                 continue;
             }
             // Guards against small words that go on while a long one waits for the budget of all.
-            if self.total.room(now) < length {
+            if self.total.available_bytes(now) < length {
                 return None;
             }
             if !change {
                 self.beats.remove(&number);
                 let Some(stamp) = link.beat.take() else { continue };
-                self.met.beats += 1;
-                let (newest, digest) = self.shelf.newest_digest();
+                self.metrics.heartbeats += 1;
+                let (newest, digest) = self.cache.newest_digest();
                 let (age, majority) = (now - self.as_of, self.majority);
-                return Some((number, Tell::Beat { stamp, newest, digest, age, majority }));
+                return Some((
+                    number,
+                    ControlMessage::Heartbeat {
+                        sequence: stamp,
+                        latest: newest,
+                        digest,
+                        staleness_s: age,
+                        has_quorum: majority,
+                    },
+                ));
             }
             let Some((content, at)) = &mut link.sending else { continue };
             let part = content.part(*at);
-            *at += PART;
+            *at += MAX_PART_BYTES;
             if *at >= content.text.len() {
                 link.told = Some((content.number, content.digest));
                 link.sending = None;
@@ -434,29 +454,31 @@
             return true;
         }
         let Some((got, digest)) = link.told else { return false };
-        let base = match self.shelf.standing(got, digest) {
-            Standing::Current | Standing::Ahead | Standing::Clash => return false,
-            Standing::Near if !link.whole => got,
-            Standing::Near | Standing::Far => 0,
+        let base = match self.cache.position(got, digest) {
+            SubscriberPosition::UpToDate | SubscriberPosition::Ahead | SubscriberPosition::Conflict => {
+                return false;
+            }
+            SubscriberPosition::PatchAvailable if !link.whole => got,
+            SubscriberPosition::PatchAvailable | SubscriberPosition::SnapshotNeeded => 0,
         };
         let content = match self.made.get(&base) {
             Some(content) => content.clone(),
             None => {
-                let Some(content) = self.shelf.content((base > 0).then_some(base)) else { return false };
+                let Some(content) = self.cache.content((base > 0).then_some(base)) else { return false };
                 let content = Rc::new(content);
                 self.made.insert(base, content.clone());
                 content
             }
         };
-        let count = if content.base > 0 { &mut self.met.deltas } else { &mut self.met.whole };
+        let count = if content.base > 0 { &mut self.metrics.patches } else { &mut self.metrics.snapshots };
         *count += 1;
         (link.whole, link.sending) = (false, Some((content, 0)));
         true
     }
 
     /// The routers here by the version in force, and who lags.
-    pub fn summary(&self, now: f64) -> Summary {
-        let (newest, mut summary) = (self.shelf.newest(), Summary::default());
+    pub fn summary(&self, now: f64) -> RouterSummary {
+        let (newest, mut summary) = (self.cache.latest(), RouterSummary::default());
         for link in self.links.values() {
             *summary.by_version.entry(link.held).or_default() += 1;
             if link.held >= newest {
@@ -471,14 +493,15 @@
                 _ => "has not answered yet".into(),
             };
             let (router, version, since_s) = (link.name.clone(), link.held, (now - missed).max(0.0));
-            summary.lagging.push(Lagging { router, version, since_s, why });
+            summary.lagging.push(LaggingRouter { router, version, since_s, reason: why });
         }
         // Sorts by who lags longest and leaves out past the bound.
-        summary.add(&Summary::default());
+        summary.merge(&RouterSummary::default());
         summary
     }
 
     fn clashes(&self, link: &Link) -> bool {
-        link.told.is_some_and(|(got, digest)| self.shelf.standing(got, digest) == Standing::Clash)
+        link.told
+            .is_some_and(|(got, digest)| self.cache.position(got, digest) == SubscriberPosition::Conflict)
     }
 }
--- a/crates/control/src/machine.rs
+++ b/crates/control-plane/src/replica.rs
@@ -5,31 +5,33 @@
 //! Each disk has an id of its own, which is the member's in the order's quorums: one that comes up with an empty disk is
 //! another member, which takes its predecessor's place by a change that the others commit. So nobody ever votes or
 //! acknowledges anew under an id whose promises were lost with a disk.
-use crate::consensus::{self, Committed, Consensus, Done, Held, Id, Persist, Store, What};
-use crate::history::{History, Outcome, Refusal};
-use crate::version::{Number, Proposal, Version};
+use crate::consensus::{
+    self, Committed, Consensus, Effects, EntryKind, RecoveredState, ReplicaId, StableStorage, WriteBatch,
+};
+use crate::version::{Proposal, Version, VersionNumber};
+use crate::version_log::{ProposalError, VersionLog};
 use raft::eraftpb::{ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub type Name = String;
+pub type ReplicaName = String;
 
-/// What an operator does with a machine whose disk is of no more use.
-pub const REPLACE: &str = "replace it by an empty one: stop it, move its data away, start it";
+/// EntryKind an operator does with a machine whose disk is of no more use.
+pub const REPLACE_DISK_ADVICE: &str = "replace it by an empty one: stop it, move its data away, start it";
 
 /// Seconds between two ticks, as the driver has to feed them.
-pub const TICK: f64 = 0.1;
+pub const TICK_S: f64 = 0.1;
 /// Entries after which a snapshot is taken and older entries go.
-pub const SNAPSHOT_AFTER: u64 = 1000;
+pub const SNAPSHOT_AFTER_ENTRIES: u64 = 1000;
 /// Bytes of entries after which that is done too; none are kept behind it then.
-pub const LOG_BYTES: usize = 16 * 1024 * 1024;
+pub const MAX_LOG_BYTES: usize = 16 * 1024 * 1024;
 /// The longest proposal, as it is ordered.
-pub const PROPOSAL_BYTES: usize = 256 * 1024;
+pub const MAX_PROPOSAL_BYTES: usize = 256 * 1024;
 /// Those who may wait for an answer at once.
-pub const ASKERS_MOST: usize = 64;
+pub const MAX_WAITING_CLIENTS: usize = 64;
 /// A majority stands, as seen from here, if it was heard of within so many seconds.
-pub const MAJORITY_WITHIN: f64 = 3.0;
-/// What was proposed and is not settled is proposed again after so many seconds: the same id counts once.
+pub const QUORUM_TIMEOUT_S: f64 = 3.0;
+/// EntryKind was proposed and is not settled is proposed again after so many seconds: the same id counts once.
 const AGAIN: f64 = 1.0;
 /// After a failed write it is tried again so often.
 const RETRY: f64 = 1.0;
@@ -44,110 +46,109 @@
 const PIECE: usize = 256 * 1024;
 const MESSAGE_MOST: usize = 64 * 1024 * 1024;
 
-/// What control machines say to each other.
+/// EntryKind control machines say to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum ReplicaMessage {
     /// Who this is: its disk's id, the group that the disk belongs to (0: none yet), and with whom that was founded.
-    Stands {
-        id: Id,
-        group: u64,
-        roster: Vec<(Name, Id)>,
-    },
+    Announce { replica_id: ReplicaId, group_id: u64, founders: Vec<(ReplicaName, ReplicaId)> },
     /// A piece of a message of the order.
-    Order {
-        group: u64,
-        to: Id,
-        piece: u32,
-        last: bool,
-        bytes: Vec<u8>,
-    },
+    ConsensusFragment { group_id: u64, to: ReplicaId, index: u32, is_last: bool, bytes: Vec<u8> },
     /// Asks for, and tells, which routers have which version; the driver's.
-    Summarise {
-        question: u64,
-    },
-    Summary {
-        question: u64,
-        version: Number,
-        out: Option<String>,
-        summary: crate::outlet::Summary,
+    SummaryRequest { request_id: u64 },
+    SummaryResponse {
+        request_id: u64,
+        version: VersionNumber,
+        unavailable_reason: Option<String>,
+        summary: crate::version_sink::RouterSummary,
     },
 }
 
 /// Who waits; of the driver's choice, used once.
-pub type Asker = u64;
+pub type ClientId = u64;
 
-/// What one who proposed is told, once.
+/// EntryKind one who proposed is told, once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum ProposalOutcome {
     /// In order, at this number; on the disks of a majority.
-    Ordered(Number),
-    Refused(Refusal),
+    #[serde(rename = "ordered")]
+    Committed(VersionNumber),
+    #[serde(rename = "refused")]
+    Rejected(ProposalError),
     /// Nothing was proposed.
     TooLong {
         bytes: usize,
-        most: usize,
+        #[serde(rename = "most")]
+        limit: usize,
     },
     TooMany {
-        most: usize,
+        #[serde(rename = "most")]
+        limit: usize,
     },
     /// Nothing was proposed: this machine knows of no majority, for so many seconds.
-    NoMajority {
-        leader: Option<Name>,
-        seconds: Option<f64>,
+    #[serde(rename = "no_majority")]
+    NoQuorum {
+        leader: Option<ReplicaName>,
+        #[serde(rename = "seconds")]
+        for_s: Option<f64>,
     },
     /// It was proposed, and may come to be in order or not: the same id asks again.
-    Unsettled {
-        leader: Option<Name>,
-    },
+    #[serde(rename = "unsettled")]
+    Undecided { leader: Option<ReplicaName> },
     /// This machine takes no part.
-    Out {
-        why: String,
+    #[serde(rename = "out")]
+    Unavailable {
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
 /// How the machine stands, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Status {
-    pub name: Name,
-    pub version: Number,
-    pub leader: Option<Name>,
+pub struct ReplicaStatus {
+    pub name: ReplicaName,
+    pub version: VersionNumber,
+    pub leader: Option<ReplicaName>,
     pub term: u64,
-    pub majority: bool,
+    #[serde(rename = "majority")]
+    pub has_quorum: bool,
     /// Seconds for which `version` is not known to be the newest; none: it never was since the start.
-    pub age_s: Option<f64>,
+    #[serde(rename = "age_s")]
+    pub staleness_s: Option<f64>,
     /// Why it takes no part.
-    pub out: Option<String>,
+    #[serde(rename = "out")]
+    pub unavailable_reason: Option<String>,
     /// Members in the order's quorums, and those that catch up.
-    pub voters: BTreeSet<Name>,
-    pub learners: BTreeSet<Name>,
+    pub voters: BTreeSet<ReplicaName>,
+    pub learners: BTreeSet<ReplicaName>,
     /// A replacement is being taken in, and the disk that it replaces still counts as lost.
-    pub changing: bool,
+    #[serde(rename = "changing")]
+    pub membership_changing: bool,
 }
 
-/// What comes out of a machine.
+/// EntryKind comes out of a machine.
 #[derive(Debug, Default)]
-pub struct Output {
-    pub send: Vec<(Name, Word)>,
+pub struct ReplicaOutput {
+    pub messages: Vec<(ReplicaName, ReplicaMessage)>,
     pub committed: Vec<Version>,
-    pub answers: Vec<(Asker, Answer)>,
+    pub outcomes: Vec<(ClientId, ProposalOutcome)>,
     /// For the log.
-    pub said: Vec<String>,
+    pub log_lines: Vec<String>,
 }
 
-/// What a disk is: its id never changes.
+/// EntryKind a disk is: its id never changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Identity {
-    name: Name,
-    id: Id,
+    name: ReplicaName,
+    id: ReplicaId,
     group: u64,
-    roster: Vec<(Name, Id)>,
+    roster: Vec<(ReplicaName, ReplicaId)>,
 }
 
 /// The applied state, as a snapshot has it.
 #[derive(Default, Serialize, Deserialize)]
 struct Applied {
-    names: BTreeMap<Id, Name>,
+    names: BTreeMap<ReplicaId, ReplicaName>,
     versions: VecDeque<Version>,
 }
 
@@ -158,18 +159,18 @@
     again: f64,
 }
 
-pub struct Machine {
+pub struct Replica {
     identity: Identity,
-    members: BTreeSet<Name>,
+    members: BTreeSet<ReplicaName>,
     node: Option<Consensus>,
-    names: BTreeMap<Id, Name>,
-    history: History,
-    told: Number,
-    askers: BTreeMap<Asker, Waits>,
-    heard: BTreeMap<Name, (Id, u64, f64)>,
-    pieces: BTreeMap<Name, (u32, Vec<u8>)>,
+    names: BTreeMap<ReplicaId, ReplicaName>,
+    history: VersionLog,
+    told: VersionNumber,
+    askers: BTreeMap<ClientId, Waits>,
+    heard: BTreeMap<ReplicaName, (ReplicaId, u64, f64)>,
+    pieces: BTreeMap<ReplicaName, (u32, Vec<u8>)>,
     /// To be persisted before the order's own.
-    first: VecDeque<Persist>,
+    first: VecDeque<WriteBatch>,
     /// A write failed: since when nothing is fed, why, and when it is tried again.
     stalled: Option<(String, f64)>,
     reads: BTreeMap<u64, f64>,
@@ -179,43 +180,43 @@
     count: u64,
     seed: u64,
     ticks: u64,
-    out: Output,
-    led_by: Id,
+    out: ReplicaOutput,
+    led_by: ReplicaId,
     started: bool,
-    /// `SNAPSHOT_AFTER`; half of it is kept behind a snapshot.
-    pub snapshot_after: u64,
-    /// `LOG_BYTES`.
-    pub log_bytes: usize,
+    /// `SNAPSHOT_AFTER_ENTRIES`; half of it is kept behind a snapshot.
+    pub snapshot_after_entries: u64,
+    /// `MAX_LOG_BYTES`.
+    pub max_log_bytes: usize,
 }
 
-impl Machine {
+impl Replica {
     /// `held` is what the disk has; `fresh` is the id it gets if it is empty, and `seed` is drawn anew at each start.
     pub fn new(
         name: &str,
-        members: &BTreeSet<Name>,
-        held: &Held,
-        fresh: Id,
+        members: &BTreeSet<ReplicaName>,
+        held: &RecoveredState,
+        fresh: ReplicaId,
         seed: u64,
-    ) -> Result<Machine, String> {
+    ) -> Result<Replica, String> {
         let mut first = VecDeque::new();
         let identity = match &held.identity {
             Some(bytes) => serde_json::from_slice::<Identity>(bytes)
                 .map_err(|_| "whose disk this is cannot be read".to_string())?,
-            None if *held != Held::default() => return Err("it does not say whose it is".into()),
+            None if *held != RecoveredState::default() => return Err("it does not say whose it is".into()),
             None => Identity { name: name.into(), id: fresh.max(1), group: 0, roster: vec![] },
         };
         if identity.name != name {
             return Err(format!("it belongs to control machine `{}`, this one is `{name}`", identity.name));
         }
         if held.identity.is_none() {
-            first.push_back(Persist { identity: Some(encode(&identity)), ..Persist::default() });
+            first.push_back(WriteBatch { identity: Some(encode(&identity)), ..WriteBatch::default() });
         }
-        let mut machine = Machine {
+        let mut machine = Replica {
             identity,
             members: members.clone(),
             node: None,
             names: BTreeMap::new(),
-            history: History::default(),
+            history: VersionLog::default(),
             told: 0,
             askers: BTreeMap::new(),
             heard: BTreeMap::new(),
@@ -228,11 +229,11 @@
             count: 0,
             seed,
             ticks: 0,
-            out: Output::default(),
+            out: ReplicaOutput::default(),
             led_by: 0,
             started: false,
-            snapshot_after: SNAPSHOT_AFTER,
-            log_bytes: LOG_BYTES,
+            snapshot_after_entries: SNAPSHOT_AFTER_ENTRIES,
+            max_log_bytes: MAX_LOG_BYTES,
         };
         if machine.identity.group != 0 {
             machine.begin(held)?;
@@ -240,7 +241,7 @@
         Ok(machine)
     }
 
-    fn begin(&mut self, held: &Held) -> Result<(), String> {
+    fn begin(&mut self, held: &RecoveredState) -> Result<(), String> {
         let (node, data) = Consensus::new(self.identity.id, held, self.seed)?;
         self.node = Some(node);
         self.take(&data)
@@ -254,14 +255,14 @@
         let applied: Applied =
             serde_json::from_slice(data).map_err(|_| "its snapshot cannot be read".to_string())?;
         self.names = applied.names;
-        self.history = History::read(applied.versions);
+        self.history = VersionLog::from_versions(applied.versions);
         self.tell();
         self.settle_all();
         Ok(())
     }
 
     fn tell(&mut self) {
-        if let Some(newest) = self.history.newest()
+        if let Some(newest) = self.history.latest()
             && newest.number > self.told
         {
             self.told = newest.number;
@@ -272,17 +273,17 @@
     /// After a snapshot: which of those who wait have their answer in it.
     fn settle_all(&mut self) {
         let history = &self.history;
-        let settled: Vec<(Asker, Number)> = self
+        let settled: Vec<(ClientId, VersionNumber)> = self
             .askers
             .iter()
             .filter_map(|(asker, waits)| {
-                let found = history.versions().iter().rev().find(|version| version.proposal == waits.id);
+                let found = history.versions().iter().rev().find(|version| version.proposal_id == waits.id);
                 found.map(|version| (*asker, version.number))
             })
             .collect();
         for (asker, number) in settled {
             self.askers.remove(&asker);
-            self.out.answers.push((asker, Answer::Ordered(number)));
+            self.out.outcomes.push((asker, ProposalOutcome::Committed(number)));
         }
     }
 
@@ -290,35 +291,35 @@
         &self.identity.name
     }
 
-    pub fn id(&self) -> Id {
+    pub fn id(&self) -> ReplicaId {
         self.identity.id
     }
 
-    pub fn history(&self) -> &History {
+    pub fn version_log(&self) -> &VersionLog {
         &self.history
     }
 
-    fn others(&self) -> impl Iterator<Item = &Name> {
+    fn others(&self) -> impl Iterator<Item = &ReplicaName> {
         self.members.iter().filter(|name| **name != self.identity.name)
     }
 
-    fn stands(&self) -> Word {
+    fn stands(&self) -> ReplicaMessage {
         let Identity { id, group, roster, .. } = self.identity.clone();
-        Word::Stands { id, group, roster }
+        ReplicaMessage::Announce { replica_id: id, group_id: group, founders: roster }
     }
 
     /// A link to another machine came up: what it is told first.
-    pub fn linked(&self) -> Word {
+    pub fn link_opened(&self) -> ReplicaMessage {
         self.stands()
     }
 
     /// One from another machine came up, or ended.
-    pub fn unlinked(&mut self, from: &str) {
+    pub fn link_replaced(&mut self, from: &str) {
         self.pieces.remove(from);
     }
 
-    /// What was sent to it was dropped.
-    pub fn unreachable(&mut self, name: &str) {
+    /// EntryKind was sent to it was dropped.
+    pub fn report_unreachable(&mut self, name: &str) {
         let id = self.names.iter().find(|(_, known)| *known == name).map(|(id, _)| *id);
         if let (Some(id), Some(node)) = (id, &mut self.node) {
             node.unreachable(id);
@@ -326,9 +327,9 @@
     }
 
     /// Why this machine takes no part, if it doesn't.
-    pub fn out(&self) -> Option<String> {
+    pub fn unavailable_reason(&self) -> Option<String> {
         if let Some(why) = self.node.as_ref().and_then(Consensus::broken) {
-            return Some(format!("{why}; {REPLACE}"));
+            return Some(format!("{why}; {REPLACE_DISK_ADVICE}"));
         }
         if let Some((why, _)) = &self.stalled {
             return Some(format!("what it keeps cannot be written: {why}"));
@@ -349,53 +350,55 @@
         }
     }
 
-    pub fn leader(&self) -> Option<&Name> {
+    pub fn leader(&self) -> Option<&ReplicaName> {
         let node = self.node.as_ref().filter(|_| self.takes_part())?;
         self.names.get(&node.leader())
     }
 
-    pub fn leads(&self) -> bool {
-        self.node.as_ref().is_some_and(Consensus::leads)
+    pub fn is_leader(&self) -> bool {
+        self.node.as_ref().is_some_and(Consensus::is_leader)
     }
 
     /// For how long this machine's newest version has not been known to be the newest of all: a majority's word.
-    pub fn age(&self, now: f64) -> f64 {
+    pub fn staleness_s(&self, now: f64) -> f64 {
         self.as_of.map_or(f64::INFINITY, |at| (now - at).max(0.0))
     }
 
     /// Whether a majority, this machine's word among it, was heard of lately; one that takes no part knows of none.
-    pub fn majority(&self, now: f64) -> bool {
-        self.takes_part() && self.age(now) <= MAJORITY_WITHIN
+    pub fn has_quorum(&self, now: f64) -> bool {
+        self.takes_part() && self.staleness_s(now) <= QUORUM_TIMEOUT_S
     }
 
     fn takes_part(&self) -> bool {
         self.stalled.is_none() && self.node.as_ref().is_some_and(|node| node.broken().is_none())
     }
 
-    pub fn status(&self, now: f64) -> Status {
+    pub fn status(&self, now: f64) -> ReplicaStatus {
         let conf = self.node.as_ref().map(|node| node.conf().clone()).unwrap_or_default();
-        let names = |ids: &[Id]| ids.iter().filter_map(|id| self.names.get(id).cloned()).collect();
-        Status {
+        let names = |ids: &[ReplicaId]| ids.iter().filter_map(|id| self.names.get(id).cloned()).collect();
+        ReplicaStatus {
             name: self.identity.name.clone(),
-            version: self.history.number(),
+            version: self.history.latest_number(),
             leader: self.leader().cloned(),
             term: self.node.as_ref().map_or(0, Consensus::term),
-            majority: self.majority(now),
-            age_s: Some(self.age(now)).filter(|age| age.is_finite()),
-            out: self.out(),
+            has_quorum: self.has_quorum(now),
+            staleness_s: Some(self.staleness_s(now)).filter(|age| age.is_finite()),
+            unavailable_reason: self.unavailable_reason(),
             voters: names(&conf.voters),
             learners: names(&conf.learners),
-            changing: conf.voters.is_empty() || !conf.learners.is_empty() || !conf.voters_outgoing.is_empty(),
+            membership_changing: conf.voters.is_empty()
+                || !conf.learners.is_empty()
+                || !conf.voters_outgoing.is_empty(),
         }
     }
 
-    /// Every `TICK` seconds.
+    /// Every `TICK_S` seconds.
     pub fn tick(&mut self, now: f64) {
         self.ticks += 1;
         if self.ticks % STAND_TICKS == 1 {
             let word = self.stands();
-            let others: Vec<Name> = self.others().cloned().collect();
-            self.out.send.extend(others.into_iter().map(|name| (name, word.clone())));
+            let others: Vec<ReplicaName> = self.others().cloned().collect();
+            self.out.messages.extend(others.into_iter().map(|name| (name, word.clone())));
             if self.node.is_none() {
                 self.found(now);
             }
@@ -424,13 +427,13 @@
 
     /// The machine of the least name founds the group, once it has heard that all the others' disks are empty too.
     fn found(&mut self, now: f64) {
-        let empty = |name: &Name| {
+        let empty = |name: &ReplicaName| {
             self.heard.get(name).is_some_and(|(_, group, at)| *group == 0 && now - at <= HEARD_WITHIN)
         };
         if self.members.first() != Some(&self.identity.name) || !self.others().all(empty) {
             return;
         }
-        let mut roster: Vec<(Name, Id)> =
+        let mut roster: Vec<(ReplicaName, ReplicaId)> =
             self.others().filter_map(|name| Some((name.clone(), self.heard.get(name)?.0))).collect();
         roster.push((self.identity.name.clone(), self.identity.id));
         roster.sort();
@@ -439,14 +442,14 @@
     }
 
     /// Becomes a member of a group, as a founder or, without its name in the roster, as one that is to be taken in.
-    fn join(&mut self, group: u64, roster: Vec<(Name, Id)>) {
+    fn join(&mut self, group: u64, roster: Vec<(ReplicaName, ReplicaId)>) {
         let own = (self.identity.name.clone(), self.identity.id);
         let founder = roster.contains(&own);
         self.identity.group = group;
         self.identity.roster = if founder { roster.clone() } else { vec![] };
-        let (mut persist, mut held) = (Persist::default(), Held::default());
+        let (mut persist, mut held) = (WriteBatch::default(), RecoveredState::default());
         if founder {
-            let voters: Vec<Id> = roster.iter().map(|(_, id)| *id).collect();
+            let voters: Vec<ReplicaId> = roster.iter().map(|(_, id)| *id).collect();
             let names = roster.iter().map(|(name, id)| (*id, name.clone())).collect();
             let data = encode(&Applied { names, versions: VecDeque::new() });
             persist = consensus::founding(&voters, data);
@@ -455,15 +458,15 @@
         persist.identity = Some(encode(&self.identity));
         self.first.push_back(persist);
         if let Err(why) = self.begin(&held) {
-            self.out.said.push(format!("not a member: {why}"));
+            self.out.log_lines.push(format!("not a member: {why}"));
         }
         let what = if founder { "founded with all members" } else { "taken in by the others" };
-        self.out.said.push(format!("group {group:016x}: {what}"));
+        self.out.log_lines.push(format!("group {group:016x}: {what}"));
     }
 
     /// The leader takes in disks that came in the place of a member's, one change at a time.
     fn replace(&mut self) {
-        let Some(node) = self.node.as_mut().filter(|node| node.leads()) else { return };
+        let Some(node) = self.node.as_mut().filter(|node| node.is_leader()) else { return };
         let conf = node.conf().clone();
         if !conf.voters_outgoing.is_empty() {
             // A leader that went before the change was over had not ended it.
@@ -474,8 +477,8 @@
             if known || (*group != 0 && *group != self.identity.group) {
                 continue;
             }
-            let same_name = |other: &&Id| self.names.get(other) == Some(name) && **other != *id;
-            let former: Vec<Id> = conf.voters.iter().filter(same_name).copied().collect();
+            let same_name = |other: &&ReplicaId| self.names.get(other) == Some(name) && **other != *id;
+            let former: Vec<ReplicaId> = conf.voters.iter().filter(same_name).copied().collect();
             if former.iter().any(|id| node.follower(*id).is_some_and(|(active, _)| active)) {
                 // Two under one name, and the member is well: the other one is a mistake.
                 continue;
@@ -502,19 +505,19 @@
     }
 
     /// A word of another machine.
-    pub fn came(&mut self, from: &str, word: Word, now: f64) {
+    pub fn receive(&mut self, from: &str, word: ReplicaMessage, now: f64) {
         if !self.members.contains(from) {
             return;
         }
         match word {
-            Word::Stands { id, group, roster } => {
+            ReplicaMessage::Announce { replica_id: id, group_id: group, founders: roster } => {
                 self.heard.insert(from.into(), (id, group, now));
                 let own = (self.identity.name.clone(), self.identity.id);
                 if self.node.is_none() && group != 0 && roster.contains(&own) {
                     self.join(group, roster);
                 }
             }
-            Word::Order { group, to, piece, last, bytes } => {
+            ReplicaMessage::ConsensusFragment { group_id: group, to, index: piece, is_last: last, bytes } => {
                 let Some(message) = self.piece(from, piece, last, bytes) else { return };
                 if to != self.identity.id || self.stalled.is_some() {
                     return;
@@ -525,10 +528,10 @@
                 if group == self.identity.group
                     && let Some(node) = &mut self.node
                 {
-                    node.came(&message);
+                    node.step(&message);
                 }
             }
-            Word::Summarise { .. } | Word::Summary { .. } => {}
+            ReplicaMessage::SummaryRequest { .. } | ReplicaMessage::SummaryResponse { .. } => {}
         }
     }
 
@@ -551,22 +554,25 @@
     }
 
     /// The asker gets one answer, within `wait` seconds.
-    pub fn propose(&mut self, asker: Asker, proposal: &Proposal, wait: f64, now: f64) {
+    pub fn propose(&mut self, asker: ClientId, proposal: &Proposal, wait: f64, now: f64) {
         let bytes = encode(proposal);
         let leader = self.leader().cloned();
-        let refused = if bytes.len() > PROPOSAL_BYTES {
-            Some(Answer::TooLong { bytes: bytes.len(), most: PROPOSAL_BYTES })
-        } else if let Some(why) = self.out() {
-            Some(Answer::Out { why })
-        } else if self.askers.len() >= ASKERS_MOST {
-            Some(Answer::TooMany { most: ASKERS_MOST })
-        } else if !self.majority(now) {
-            Some(Answer::NoMajority { leader, seconds: Some(self.age(now)).filter(|age| age.is_finite()) })
+        let refused = if bytes.len() > MAX_PROPOSAL_BYTES {
+            Some(ProposalOutcome::TooLong { bytes: bytes.len(), limit: MAX_PROPOSAL_BYTES })
+        } else if let Some(why) = self.unavailable_reason() {
+            Some(ProposalOutcome::Unavailable { reason: why })
+        } else if self.askers.len() >= MAX_WAITING_CLIENTS {
+            Some(ProposalOutcome::TooMany { limit: MAX_WAITING_CLIENTS })
+        } else if !self.has_quorum(now) {
+            Some(ProposalOutcome::NoQuorum {
+                leader,
+                for_s: Some(self.staleness_s(now)).filter(|age| age.is_finite()),
+            })
         } else {
             None
         };
         match refused {
-            Some(answer) => self.out.answers.push((asker, answer)),
+            Some(answer) => self.out.outcomes.push((asker, answer)),
             None => {
                 let (id, until) = (proposal.id.clone(), now + wait);
                 self.askers.insert(asker, Waits { proposal: bytes, id, until, again: now });
@@ -576,7 +582,7 @@
     }
 
     /// The asker is gone; it is told nothing.
-    pub fn forget(&mut self, asker: Asker) {
+    pub fn forget_client(&mut self, asker: ClientId) {
         self.askers.remove(&asker);
     }
 
@@ -593,17 +599,17 @@
     }
 
     fn time_out(&mut self, now: f64) {
-        let over: Vec<Asker> =
+        let over: Vec<ClientId> =
             self.askers.iter().filter(|(_, waits)| waits.until <= now).map(|(asker, _)| *asker).collect();
         let leader = self.leader().cloned();
         for asker in over {
             self.askers.remove(&asker);
-            self.out.answers.push((asker, Answer::Unsettled { leader: leader.clone() }));
+            self.out.outcomes.push((asker, ProposalOutcome::Undecided { leader: leader.clone() }));
         }
     }
 
     /// Writes what has to be kept, and gives what may be done since. Called after whatever was fed.
-    pub fn run(&mut self, store: &mut dyn Store, now: f64) -> Output {
+    pub fn advance(&mut self, store: &mut dyn StableStorage, now: f64) -> ReplicaOutput {
         loop {
             if self.stalled.as_ref().is_some_and(|(_, again)| now < *again) {
                 break;
@@ -613,17 +619,17 @@
                 None => (self.node.as_mut().and_then(Consensus::persist), false),
             };
             let Some(persist) = persist else { break };
-            if persist != Persist::default()
+            if persist != WriteBatch::default()
                 && let Err(why) = store.write(&persist)
             {
                 if self.stalled.is_none() {
-                    self.out.said.push(format!("takes no part: what it keeps cannot be written: {why}"));
+                    self.out.log_lines.push(format!("takes no part: what it keeps cannot be written: {why}"));
                 }
                 self.stalled = Some((why, now + RETRY));
                 break;
             }
             if self.stalled.take().is_some() {
-                self.out.said.push("takes part again: what it keeps was written".into());
+                self.out.log_lines.push("takes part again: what it keeps was written".into());
             }
             if own {
                 self.first.pop_front();
@@ -643,17 +649,17 @@
             self.led_by = leader;
             let term = self.node.as_ref().map_or(0, Consensus::term);
             let name = self.names.get(&leader).map_or("nobody", String::as_str);
-            self.out.said.push(format!("term {term}: {name} leads"));
+            self.out.log_lines.push(format!("term {term}: {name} leads"));
         }
         if let Some(why) = self.node.as_ref().and_then(|node| node.broken())
             && self.stalled.is_none()
         {
             self.stalled = Some((why.to_string(), f64::INFINITY));
-            self.out.said.push(format!("takes no part: {why}; {REPLACE}"));
+            self.out.log_lines.push(format!("takes no part: {why}; {REPLACE_DISK_ADVICE}"));
         }
     }
 
-    fn done(&mut self, done: Done) {
+    fn done(&mut self, done: Effects) {
         for (to, bytes) in done.send {
             let to_name = self.names.get(&to).cloned().or_else(|| {
                 let found = self.heard.iter().find(|(_, (id, ..))| *id == to);
@@ -663,23 +669,31 @@
             let count = bytes.chunks(PIECE).len();
             for (n, piece) in bytes.chunks(PIECE).enumerate() {
                 let (group, last) = (self.identity.group, n + 1 == count);
-                let word = Word::Order { group, to, piece: n as u32, last, bytes: piece.to_vec() };
-                self.out.send.push((name.clone(), word));
+                let word = ReplicaMessage::ConsensusFragment {
+                    group_id: group,
+                    to,
+                    index: n as u32,
+                    is_last: last,
+                    bytes: piece.to_vec(),
+                };
+                self.out.messages.push((name.clone(), word));
             }
         }
         if let Some(data) = done.snapshot
             && let Err(why) = self.take(&data)
         {
-            self.out.said.push(why);
+            self.out.log_lines.push(why);
         }
         let mut changed = false;
         for Committed { what, .. } in done.committed {
             match what {
-                What::Nothing => {}
-                What::Data(data) => self.apply(&data),
-                What::Change(change) => {
+                EntryKind::Empty => {}
+                EntryKind::Proposal(data) => self.apply(&data),
+                EntryKind::MembershipChange(change) => {
                     changed = true;
-                    if let Ok((id, name)) = serde_json::from_slice::<(Id, Name)>(&change.context) {
+                    if let Ok((id, name)) =
+                        serde_json::from_slice::<(ReplicaId, ReplicaName)>(&change.context)
+                    {
                         self.names.insert(id, name);
                     }
                 }
@@ -696,37 +710,37 @@
         for (_, at) in self.confirmed.extract_if(.., |(index, _)| *index <= applied) {
             self.as_of = Some(self.as_of.map_or(at, |held| held.max(at)));
         }
-        let heavy = node.weight() > self.log_bytes && node.behind_snapshot() > 0;
-        if changed || heavy || node.behind_snapshot() >= self.snapshot_after {
+        let heavy = node.weight() > self.max_log_bytes && node.behind_snapshot() > 0;
+        if changed || heavy || node.behind_snapshot() >= self.snapshot_after_entries {
             let conf = node.conf().clone();
-            let holds = |id: &Id| {
+            let holds = |id: &ReplicaId| {
                 conf.voters.contains(id) || conf.learners.contains(id) || conf.voters_outgoing.contains(id)
             };
             self.names.retain(|id, _| holds(id));
             let applied = Applied { names: self.names.clone(), versions: self.history.versions().clone() };
-            node.compact(encode(&applied), if heavy { 0 } else { self.snapshot_after / 2 });
+            node.compact(encode(&applied), if heavy { 0 } else { self.snapshot_after_entries / 2 });
         }
     }
 
     fn apply(&mut self, data: &[u8]) {
         let Ok(proposal) = serde_json::from_slice::<Proposal>(data) else { return };
         let id = proposal.id.clone();
-        let outcome: Outcome = self.history.apply(proposal);
+        let outcome = self.history.apply(proposal);
         self.tell();
-        let settled: Vec<Asker> =
+        let settled: Vec<ClientId> =
             self.askers.iter().filter(|(_, waits)| waits.id == id).map(|(asker, _)| *asker).collect();
         for asker in settled {
             self.askers.remove(&asker);
             let answer = match &outcome {
-                Ok(number) => Answer::Ordered(*number),
-                Err(why) => Answer::Refused(why.clone()),
+                Ok(number) => ProposalOutcome::Committed(*number),
+                Err(why) => ProposalOutcome::Rejected(why.clone()),
             };
-            self.out.answers.push((asker, answer));
+            self.out.outcomes.push((asker, answer));
         }
     }
 }
 
-fn single(kind: ConfChangeType, id: Id) -> ConfChangeSingle {
+fn single(kind: ConfChangeType, id: ReplicaId) -> ConfChangeSingle {
     let mut change = ConfChangeSingle::default();
     change.set_change_type(kind);
     change.node_id = id;
--- a/crates/control/src/subscriber.rs
+++ b/crates/control-plane/src/subscriber.rs
@@ -1,9 +1,11 @@
 //! The router's side of its subscription: which control machine it is connected to, what it takes of its words, and how old
 //! its version may be. It is fed what became of connections and offers, words and a time of the own steady clock, and
 //! gives orders to its driver. A version never goes back, whoever says so.
-use crate::bucket::{Bucket, Budget, UP};
-use crate::version::Number;
-use crate::words::{self, Content, Digest, LARGEST, Outcome, Say, Tell};
+use crate::messages::{
+    self, ApplyOutcome, ControlMessage, Digest, MAX_SETTINGS_BYTES, RouterMessage, VersionContent,
+};
+use crate::rate_limit::{ROUTER_TO_CONTROL, RateLimit, TokenBucket};
+use crate::version::VersionNumber;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 use serde_json::Value;
@@ -22,151 +24,156 @@
 
 /// How a router keeps to its subscription; spans are seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct SubscriptionConfig {
     /// Between two pulses.
-    pub pulse: f64,
+    pub heartbeat_interval_s: f64,
     /// Without a word for so long a machine is left.
-    pub silent: f64,
+    pub heartbeat_timeout_s: f64,
     /// For a connection and its hello.
-    pub dial: f64,
+    pub connect_timeout_s: f64,
     /// Waits between two rounds through all machines grow from the least to the most; those between two dials of a round
     /// stay the least. Each is drawn between a quarter of it and all.
-    pub least: f64,
-    pub most: f64,
+    pub min_backoff_s: f64,
+    pub max_backoff_s: f64,
     /// A machine that is behind, or sees no majority, is left after so long; each time after twice as long.
-    pub behind: f64,
+    pub behind_timeout_s: f64,
     /// At a machine of another zone for so long, drawn between this and its double, the own zone's is tried again.
-    pub home: f64,
+    pub own_zone_retry_s: f64,
     /// When a version has not been known to be the newest for so long, that is said.
-    pub old: f64,
+    pub stale_after_s: f64,
     /// By what part a steady clock may go wrong.
-    pub drift: f64,
-    pub up: Budget,
+    pub clock_drift_fraction: f64,
+    pub send_limit: RateLimit,
 }
 
-impl Default for Terms {
+impl Default for SubscriptionConfig {
     fn default() -> Self {
-        Terms {
-            pulse: 1.0,
-            silent: 3.0,
-            dial: 1.0,
-            least: 0.4,
-            most: 4.0,
-            behind: 5.0,
-            home: 60.0,
-            old: 10.0,
-            drift: 0.001,
-            up: UP,
+        SubscriptionConfig {
+            heartbeat_interval_s: 1.0,
+            heartbeat_timeout_s: 3.0,
+            connect_timeout_s: 1.0,
+            min_backoff_s: 0.4,
+            max_backoff_s: 4.0,
+            behind_timeout_s: 5.0,
+            own_zone_retry_s: 60.0,
+            stale_after_s: 10.0,
+            clock_drift_fraction: 0.001,
+            send_limit: ROUTER_TO_CONTROL,
         }
     }
 }
 
 /// A control machine, as the router's list has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Machine {
+pub struct ControlEndpoint {
     pub name: String,
     pub zone: String,
 }
 
 /// A version in hand: settings in canonical form.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Settled {
-    pub number: Number,
+pub struct ConfigVersion {
+    pub number: VersionNumber,
     pub digest: Digest,
     pub text: Arc<str>,
 }
 
-impl Settled {
-    pub fn new(number: Number, text: &str) -> Self {
-        Settled { number, digest: words::digest(text), text: text.into() }
+impl ConfigVersion {
+    pub fn new(number: VersionNumber, text: &str) -> Self {
+        ConfigVersion { number, digest: messages::digest(text), text: text.into() }
     }
 }
 
-impl Default for Settled {
+impl Default for ConfigVersion {
     fn default() -> Self {
-        Settled::new(0, "")
+        ConfigVersion::new(0, "")
     }
 }
 
 /// What became of a content that came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReceiveResult {
     New,
     /// The router has that or a newer one.
-    Old,
+    Stale,
     /// What comes out is not what was meant: the whole is needed.
-    Mismatch,
+    DigestMismatch,
     /// It has another content under that number.
-    Clash,
+    Conflict,
 }
 
 /// What a router has: what it got, what it was offered, what is in force, and what the next start is to be with. The one
 /// place where a version is taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Holding {
-    got: Settled,
-    held: Settled,
-    kept: Settled,
-    offered: Option<Settled>,
+pub struct VersionState {
+    received: ConfigVersion,
+    active: ConfigVersion,
+    persisted: ConfigVersion,
+    offered: Option<ConfigVersion>,
     /// Offered last and not in force.
-    lacks: Number,
+    rejected: VersionNumber,
 }
 
-impl Holding {
+impl VersionState {
     /// As started with a version in force.
-    pub fn resumed(held: Settled) -> Self {
-        Holding { got: held.clone(), kept: held.clone(), held, ..Holding::default() }
+    pub fn resume(active: ConfigVersion) -> Self {
+        VersionState {
+            received: active.clone(),
+            persisted: active.clone(),
+            active,
+            ..VersionState::default()
+        }
     }
 
-    pub fn got(&self) -> &Settled {
-        &self.got
+    pub fn received(&self) -> &ConfigVersion {
+        &self.received
     }
 
     /// In force.
-    pub fn held(&self) -> &Settled {
-        &self.held
+    pub fn active(&self) -> &ConfigVersion {
+        &self.active
     }
 
     /// What the next start is to be with.
-    pub fn kept(&self) -> &Settled {
-        &self.kept
+    pub fn persisted(&self) -> &ConfigVersion {
+        &self.persisted
     }
 
-    pub fn take(&mut self, content: &Content) -> Taken {
-        if content.number == self.got.number && content.digest != self.got.digest {
-            return Taken::Clash;
+    pub fn receive(&mut self, content: &VersionContent) -> ReceiveResult {
+        if content.number == self.received.number && content.digest != self.received.digest {
+            return ReceiveResult::Conflict;
         }
-        if content.number <= self.got.number {
-            return Taken::Old;
+        if content.number <= self.received.number {
+            return ReceiveResult::Stale;
         }
         let text = match content.base {
             0 => serde_json::from_str::<Value>(&content.text).is_ok().then(|| content.text.clone()),
-            base if base == self.got.number => words::patched(&self.got.text, &content.text),
+            base if base == self.received.number => messages::apply_patch(&self.received.text, &content.text),
             _ => None,
         };
-        let Some(text) = text.filter(|text| words::digest(text) == content.digest) else {
-            return Taken::Mismatch;
+        let Some(text) = text.filter(|text| messages::digest(text) == content.digest) else {
+            return ReceiveResult::DigestMismatch;
         };
-        self.got = Settled { number: content.number, digest: content.digest, text: text.into() };
-        Taken::New
+        self.received = ConfigVersion { number: content.number, digest: content.digest, text: text.into() };
+        ReceiveResult::New
     }
 
     /// The newest, if it is to be offered to the router now; one offer at a time.
-    pub fn offer(&mut self) -> Option<Settled> {
-        if self.offered.is_some() || self.got.number <= self.lacks.max(self.held.number) {
+    pub fn next_offer(&mut self) -> Option<ConfigVersion> {
+        if self.offered.is_some() || self.received.number <= self.rejected.max(self.active.number) {
             return None;
         }
-        self.offered = Some(self.got.clone());
+        self.offered = Some(self.received.clone());
         self.offered.clone()
     }
 
     /// What the router made of its offer; whether that was one.
-    pub fn ended(&mut self, number: Number, outcome: &Outcome) -> bool {
+    pub fn complete_offer(&mut self, number: VersionNumber, outcome: &ApplyOutcome) -> bool {
         let Some(offered) = self.offered.take_if(|offered| offered.number == number) else { return false };
         match outcome {
-            Outcome::InForce => (self.held, self.kept) = (offered.clone(), offered),
-            Outcome::Waits(_) => (self.kept, self.lacks) = (offered, number),
-            Outcome::Refused(_) => self.lacks = number,
+            ApplyOutcome::Applied => (self.active, self.persisted) = (offered.clone(), offered),
+            ApplyOutcome::PendingRestart(_) => (self.persisted, self.rejected) = (offered, number),
+            ApplyOutcome::Rejected(_) => self.rejected = number,
         }
         true
     }
@@ -174,80 +181,85 @@
 
 /// What the driver is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     /// Connect to this machine of the list; what was connected is over.
-    Dial(usize),
+    Connect(usize),
     /// End the connection, or the try at one.
-    Leave,
-    Offer {
-        number: Number,
+    Disconnect,
+    Apply {
+        number: VersionNumber,
         settings: Value,
     },
     /// The next start is to be with it: to be kept where something lasts.
-    Keep(Settled),
-    Note(Note),
+    Persist(ConfigVersion),
+    Log(Event),
 }
 
 /// What is worth a line of the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
-    InForce(Number),
+pub enum Event {
+    Applied(VersionNumber),
     /// A version, and the one that holds.
-    Waits(Number, Number, Vec<String>),
-    Refused(Number, Number, String),
+    PendingRestart(VersionNumber, VersionNumber, Vec<String>),
+    Rejected(VersionNumber, VersionNumber, String),
     Connected(String),
-    Lost(String),
-    Silent(String, f64),
-    Behind(String),
-    Home(String),
-    Mismatch(String, Number),
-    Clash(String, Number),
+    ConnectionLost(String),
+    ConnectionTimedOut(String, f64),
+    ReplicaBehind(String),
+    ReturningToOwnZone(String),
+    DigestMismatch(String, VersionNumber),
+    Conflict(String, VersionNumber),
     /// Nothing was heard that counts for a span: the version in force, its age at most, and whether some machine speaks
     /// that is behind or sees no majority.
-    Old {
-        number: Number,
+    Stale {
+        number: VersionNumber,
         span: f64,
         age: Option<f64>,
         speaks: bool,
     },
-    Fresh(Number),
+    FreshAgain(VersionNumber),
 }
 
-impl Note {
+impl Event {
     /// Whether somebody should look.
-    pub fn warns(&self) -> bool {
-        !matches!(self, Note::InForce(_) | Note::Connected(_) | Note::Home(_) | Note::Fresh(_))
+    pub fn is_warning(&self) -> bool {
+        !matches!(
+            self,
+            Event::Applied(_) | Event::Connected(_) | Event::ReturningToOwnZone(_) | Event::FreshAgain(_)
+        )
     }
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for Event {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Note::InForce(number) => write!(out, "version {number} in force"),
-            Note::Waits(number, held, keys) => {
+            Event::Applied(number) => write!(out, "version {number} in force"),
+            Event::PendingRestart(number, held, keys) => {
                 let keys = keys.join(", ");
                 write!(out, "version {number} waits for a start ({keys}); {}", Held(*held))
             }
-            Note::Refused(number, held, why) => {
+            Event::Rejected(number, held, why) => {
                 write!(out, "version {number} refused: {why}; {}", Held(*held))
             }
-            Note::Connected(machine) => write!(out, "subscribed at control machine {machine}"),
-            Note::Lost(machine) => write!(out, "control machine {machine}: the connection ended"),
-            Note::Silent(machine, span) => {
+            Event::Connected(machine) => write!(out, "subscribed at control machine {machine}"),
+            Event::ConnectionLost(machine) => write!(out, "control machine {machine}: the connection ended"),
+            Event::ConnectionTimedOut(machine, span) => {
                 write!(out, "control machine {machine}: silent for {span:.1} s, left")
             }
-            Note::Behind(machine) => {
+            Event::ReplicaBehind(machine) => {
                 write!(out, "control machine {machine}: behind, or without a majority; another is tried")
             }
-            Note::Home(machine) => write!(out, "control machine {machine}: left for the own zone's"),
-            Note::Mismatch(machine, number) => write!(
+            Event::ReturningToOwnZone(machine) => {
+                write!(out, "control machine {machine}: left for the own zone's")
+            }
+            Event::DigestMismatch(machine, number) => write!(
                 out,
                 "control machine {machine}: version {number} did not come out as told; asked for the whole"
             ),
-            Note::Clash(machine, number) => {
+            Event::Conflict(machine, number) => {
                 write!(out, "control machine {machine}: another content under number {number}; not taken")
             }
-            Note::Old { number, span, age, speaks } => {
+            Event::Stale { number, span, age, speaks } => {
                 let what = if *speaks {
                     "no control machine with a majority and this version"
                 } else {
@@ -260,13 +272,13 @@
                     (_, None) => write!(out, "version {number} may be of any age"),
                 }
             }
-            Note::Fresh(number) => write!(out, "version {number} is known to be the newest again"),
+            Event::FreshAgain(number) => write!(out, "version {number} is known to be the newest again"),
         }
     }
 }
 
 /// What holds on.
-struct Held(Number);
+struct Held(VersionNumber);
 
 impl fmt::Display for Held {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
@@ -279,21 +291,21 @@
 
 /// What was met, for counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Met {
-    pub dials: u64,
-    pub lost: u64,
-    pub silent: u64,
-    pub behind: u64,
-    pub taken_over: u64,
-    pub refused: u64,
-    pub waits: u64,
-    pub whole: u64,
-    pub deltas: u64,
-    pub mismatches: u64,
-    pub clashes: u64,
+pub struct SubscriberMetrics {
+    pub connect_attempts: u64,
+    pub connections_lost: u64,
+    pub connections_timed_out: u64,
+    pub replicas_behind: u64,
+    pub versions_applied: u64,
+    pub versions_rejected: u64,
+    pub versions_pending_restart: u64,
+    pub snapshots: u64,
+    pub patches: u64,
+    pub digest_mismatches: u64,
+    pub conflicts: u64,
     /// Words of versions that are here already, or newer.
-    pub old_words: u64,
-    pub bytes_up: u64,
+    pub stale_messages: u64,
+    pub bytes_sent: u64,
 }
 
 #[derive(Debug)]
@@ -307,7 +319,7 @@
     /// Since when it has been behind or without a majority.
     poor: Option<f64>,
     home_at: f64,
-    parts: Option<Content>,
+    parts: Option<VersionContent>,
     bytes: Vec<u8>,
     length: usize,
 }
@@ -321,9 +333,9 @@
 
 #[derive(Debug)]
 pub struct Subscriber {
-    terms: Terms,
+    config: SubscriptionConfig,
     zone: String,
-    machines: Vec<Machine>,
+    machines: Vec<ControlEndpoint>,
     /// The order in which they are tried: the own zone's, then the others, each drawn.
     tries: Vec<usize>,
     next: usize,
@@ -335,30 +347,30 @@
     /// How often the own zone's was tried from another in vain: such tries grow rarer.
     homecomings: i32,
     stage: Stage,
-    holding: Holding,
+    holding: VersionState,
     /// What has yet to be told, and what every machine is told that has not heard it.
-    outcome: Option<(Number, Outcome)>,
-    lasting: Option<(Number, Outcome)>,
+    outcome: Option<(VersionNumber, ApplyOutcome)>,
+    lasting: Option<(VersionNumber, ApplyOutcome)>,
     stamp: u64,
     /// When the version in force was last known to be the newest of all.
-    as_of: Option<f64>,
+    confirmed_at: Option<f64>,
     /// Which version was known to be the newest, and when, by the last good beat.
-    known: (Number, f64),
+    known: (VersionNumber, f64),
     /// When the last good word came, and how long after it the next line is due.
     good: f64,
     quiet: f64,
-    bucket: Bucket,
-    orders: VecDeque<Order>,
-    pub met: Met,
+    bucket: TokenBucket,
+    orders: VecDeque<Command>,
+    pub metrics: SubscriberMetrics,
 }
 
 impl Subscriber {
     /// `kept` is in force from the start on, if there is one, with when it was known to be the newest by this clock.
     pub fn new(
-        terms: Terms,
-        machines: Vec<Machine>,
+        config: SubscriptionConfig,
+        machines: Vec<ControlEndpoint>,
         zone: &str,
-        kept: Option<(Settled, Option<f64>)>,
+        kept: Option<(ConfigVersion, Option<f64>)>,
         seed: u64,
         now: f64,
     ) -> Self {
@@ -370,31 +382,31 @@
         tries.sort_by_key(|n| machines[*n].zone != zone);
         let (held, as_of) = kept.unwrap_or_default();
         let mut subscriber = Subscriber {
-            terms,
+            config,
             zone: zone.into(),
             machines,
             tries,
             next: 0,
             chance,
             failures: 0,
-            wait: 2.0 * terms.least,
-            patience: terms.behind,
+            wait: 2.0 * config.min_backoff_s,
+            patience: config.behind_timeout_s,
             homecomings: 0,
             stage: Stage::Wait(now),
-            holding: Holding::resumed(held),
+            holding: VersionState::resume(held),
             outcome: None,
             lasting: None,
             stamp: 0,
-            as_of,
+            confirmed_at: as_of,
             known: (0, f64::NEG_INFINITY),
             good: now,
-            quiet: terms.old,
-            bucket: Bucket::empty(terms.up, now),
+            quiet: config.stale_after_s,
+            bucket: TokenBucket::empty(config.send_limit, now),
             orders: VecDeque::new(),
-            met: Met::default(),
+            metrics: SubscriberMetrics::default(),
         };
         // Many routers that start at once are not one herd.
-        subscriber.stage = Stage::Wait(now + subscriber.draw(0.0, terms.least));
+        subscriber.stage = Stage::Wait(now + subscriber.draw(0.0, config.min_backoff_s));
         subscriber
     }
 
@@ -402,11 +414,11 @@
         least + (most - least) * f64::from(self.chance.next_u32()) / 4_294_967_296.0
     }
 
-    pub fn holding(&self) -> &Holding {
+    pub fn versions(&self) -> &VersionState {
         &self.holding
     }
 
-    pub fn connected(&self) -> Option<&Machine> {
+    pub fn connected_to(&self) -> Option<&ControlEndpoint> {
         match &self.stage {
             Stage::Open(link) => self.machines.get(link.machine),
             _ => None,
@@ -414,28 +426,28 @@
     }
 
     /// How old the version in force may be at most: for longer it was known to be the newest. None: of any age.
-    pub fn age(&self, now: f64) -> Option<f64> {
-        self.as_of.map(|as_of| (now - as_of).max(0.0) * (1.0 + self.terms.drift))
+    pub fn staleness_s(&self, now: f64) -> Option<f64> {
+        self.confirmed_at.map(|as_of| (now - as_of).max(0.0) * (1.0 + self.config.clock_drift_fraction))
     }
 
     /// When the version in force was last known to be the newest, by the clock that it is fed.
-    pub fn as_of(&self) -> Option<f64> {
-        self.as_of
+    pub fn confirmed_at(&self) -> Option<f64> {
+        self.confirmed_at
     }
 
     /// Since the last word of a machine that is neither behind nor without a majority.
-    pub fn quiet(&self, now: f64) -> f64 {
+    pub fn unconfirmed_s(&self, now: f64) -> f64 {
         now - self.good
     }
 
     /// What the driver is to do next, in its order.
-    pub fn order(&mut self) -> Option<Order> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.orders.pop_front()
     }
 
-    fn say(&mut self, note: Note) {
+    fn say(&mut self, note: Event) {
         if self.orders.len() < ORDERS {
-            self.orders.push_back(Order::Note(note));
+            self.orders.push_back(Command::Log(note));
         }
     }
 
@@ -444,7 +456,7 @@
     }
 
     /// When `tick` or `word` has something to do again, if nothing comes in before.
-    pub fn due(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         let quiet = self.good + self.quiet;
         let stage = match &self.stage {
             Stage::Wait(_) if self.machines.is_empty() => f64::INFINITY,
@@ -452,12 +464,12 @@
             Stage::Open(link) => {
                 let poor = link.poor.map_or(f64::INFINITY, |poor| poor + self.patience);
                 let word = if link.ask.is_some() || self.outcome.is_some() {
-                    self.bucket.when(self.terms.up.burst as usize)
+                    self.bucket.ready_at(self.config.send_limit.burst_bytes as usize)
                 } else {
-                    link.pulse_at.max(self.bucket.when(PULSE))
+                    link.pulse_at.max(self.bucket.ready_at(PULSE))
                 };
                 let home = if link.poor.is_none() { link.home_at } else { f64::INFINITY };
-                (link.heard + self.terms.silent).min(poor).min(word).min(home)
+                (link.heard + self.config.heartbeat_timeout_s).min(poor).min(word).min(home)
             }
         };
         stage.min(quiet)
@@ -466,36 +478,36 @@
     /// What is due by the time alone.
     pub fn tick(&mut self, now: f64) {
         if now >= self.good + self.quiet {
-            let (span, age) = (self.quiet(now), self.age(now));
+            let (span, age) = (self.unconfirmed_s(now), self.staleness_s(now));
             let speaks = matches!(&self.stage, Stage::Open(link) if link.poor.is_some());
-            self.say(Note::Old { number: self.holding.held.number, span, age, speaks });
+            self.say(Event::Stale { number: self.holding.active.number, span, age, speaks });
             self.quiet = 2.0 * span.max(self.quiet);
         }
         match &mut self.stage {
             Stage::Wait(until) if now >= *until && !self.machines.is_empty() => {
                 self.next %= self.tries.len();
-                self.stage = Stage::Dial(now + self.terms.dial);
-                self.met.dials += 1;
-                self.orders.push_back(Order::Dial(self.tries[self.next]));
+                self.stage = Stage::Dial(now + self.config.connect_timeout_s);
+                self.metrics.connect_attempts += 1;
+                self.orders.push_back(Command::Connect(self.tries[self.next]));
             }
             Stage::Dial(until) if now >= *until => {
-                self.orders.push_back(Order::Leave);
+                self.orders.push_back(Command::Disconnect);
                 self.on(now);
             }
             Stage::Open(link) => {
                 let (machine, silent) = (link.machine, now - link.heard);
                 let poor = link.poor.is_some_and(|poor| now >= poor + self.patience);
                 let home = now >= link.home_at && link.poor.is_none();
-                if silent >= self.terms.silent {
-                    self.met.silent += 1;
-                    self.leave(Note::Silent(self.name(machine), silent), now);
+                if silent >= self.config.heartbeat_timeout_s {
+                    self.metrics.connections_timed_out += 1;
+                    self.leave(Event::ConnectionTimedOut(self.name(machine), silent), now);
                 } else if poor {
-                    self.met.behind += 1;
-                    self.patience = (2.0 * self.patience).min(PATIENCE.max(self.terms.behind));
-                    self.leave(Note::Behind(self.name(machine)), now);
+                    self.metrics.replicas_behind += 1;
+                    self.patience = (2.0 * self.patience).min(PATIENCE.max(self.config.behind_timeout_s));
+                    self.leave(Event::ReplicaBehind(self.name(machine)), now);
                 } else if home {
                     self.homecomings = (self.homecomings + 1).min(4);
-                    self.leave(Note::Home(self.name(machine)), now);
+                    self.leave(Event::ReturningToOwnZone(self.name(machine)), now);
                     (self.next, self.stage) = (0, Stage::Wait(now));
                 }
             }
@@ -503,9 +515,9 @@
         }
     }
 
-    fn leave(&mut self, note: Note, now: f64) {
+    fn leave(&mut self, note: Event, now: f64) {
         self.say(note);
-        self.orders.push_back(Order::Leave);
+        self.orders.push_back(Command::Disconnect);
         self.on(now);
     }
 
@@ -513,24 +525,24 @@
     fn on(&mut self, now: f64) {
         self.next = (self.next + 1) % self.tries.len().max(1);
         self.failures += 1;
-        let mut wait = self.terms.least;
+        let mut wait = self.config.min_backoff_s;
         if self.failures >= self.tries.len() {
             self.failures = 0;
             wait = self.wait;
-            self.wait = (2.0 * wait).min(self.terms.most);
+            self.wait = (2.0 * wait).min(self.config.max_backoff_s);
         }
         self.stage = Stage::Wait(now + self.draw(0.25 * wait, wait));
     }
 
     /// The machine that was dialled has said hello.
-    pub fn opened(&mut self, now: f64) {
+    pub fn connection_opened(&mut self, now: f64) {
         if !matches!(self.stage, Stage::Dial(_)) {
             return;
         }
         let machine = self.tries[self.next];
         let foreign = self.machines[machine].zone != self.zone
             && self.machines.iter().any(|machine| machine.zone == self.zone);
-        let home = self.terms.home * f64::from(1 << self.homecomings);
+        let home = self.config.own_zone_retry_s * f64::from(1 << self.homecomings);
         let home_at = if foreign { now + self.draw(home, 2.0 * home) } else { f64::INFINITY };
         if !foreign {
             self.homecomings = 0;
@@ -551,39 +563,45 @@
         self.stage = Stage::Open(Box::new(link));
         // What is in force is told with what is asked; of a refusal, and of what waits, this machine has yet to hear.
         self.outcome = self.lasting.clone();
-        self.say(Note::Connected(self.name(machine)));
+        self.say(Event::Connected(self.name(machine)));
     }
 
     /// The dial was in vain, or the connection ended.
-    pub fn closed(&mut self, now: f64) {
+    pub fn connection_closed(&mut self, now: f64) {
         match &self.stage {
             Stage::Wait(_) => {}
             Stage::Dial(_) => self.on(now),
             Stage::Open(link) => {
                 let machine = self.name(link.machine);
-                self.met.lost += 1;
-                self.say(Note::Lost(machine));
+                self.metrics.connections_lost += 1;
+                self.say(Event::ConnectionLost(machine));
                 self.on(now);
             }
         }
     }
 
     /// A word of the machine that it is connected to.
-    pub fn heard(&mut self, tell: Tell, now: f64) {
+    pub fn receive(&mut self, tell: ControlMessage, now: f64) {
         let Stage::Open(link) = &mut self.stage else { return };
         link.heard = now;
         match tell {
-            Tell::Beat { stamp, newest, digest, age, majority } => {
+            ControlMessage::Heartbeat {
+                sequence: stamp,
+                latest: newest,
+                digest,
+                staleness_s: age,
+                has_quorum: majority,
+            } => {
                 self.beat(stamp, (newest, digest), age, majority, now);
             }
-            Tell::Part { number, base, digest, length, at, bytes } => {
-                if number < self.holding.got.number {
-                    self.met.old_words += 1;
+            ControlMessage::ContentPart { number, base, digest, total_bytes: length, offset: at, bytes } => {
+                if number < self.holding.received.number {
+                    self.metrics.stale_messages += 1;
                     return;
                 }
                 let (length, at) = (length as usize, at as usize);
                 if at == 0 {
-                    link.parts = Some(Content { number, base, digest, text: String::new() });
+                    link.parts = Some(VersionContent { number, base, digest, text: String::new() });
                     (link.bytes, link.length) = (vec![], length);
                 }
                 let follows = link.parts.as_ref().is_some_and(|parts| {
@@ -591,7 +609,7 @@
                         && link.bytes.len() == at
                         && link.length == length
                 });
-                if !follows || length > LARGEST || at + bytes.len() > length {
+                if !follows || length > MAX_SETTINGS_BYTES || at + bytes.len() > length {
                     link.parts = None;
                     self.mismatch(number, base, now);
                     return;
@@ -602,45 +620,45 @@
                 }
                 let (parts, bytes) = (link.parts.take(), std::mem::take(&mut link.bytes));
                 match (parts, String::from_utf8(bytes)) {
-                    (Some(content), Ok(text)) => self.content(Content { text, ..content }, now),
+                    (Some(content), Ok(text)) => self.content(VersionContent { text, ..content }, now),
                     _ => self.mismatch(number, base, now),
                 }
             }
         }
     }
 
-    fn content(&mut self, content: Content, now: f64) {
+    fn content(&mut self, content: VersionContent, now: f64) {
         let (number, base) = (content.number, content.base);
-        match self.holding.take(&content) {
-            Taken::New => {
-                let count = if base > 0 { &mut self.met.deltas } else { &mut self.met.whole };
+        match self.holding.receive(&content) {
+            ReceiveResult::New => {
+                let count = if base > 0 { &mut self.metrics.patches } else { &mut self.metrics.snapshots };
                 *count += 1;
                 self.offer();
             }
-            Taken::Old => self.met.old_words += 1,
-            Taken::Mismatch => self.mismatch(number, base, now),
-            Taken::Clash => self.clash(number, now),
+            ReceiveResult::Stale => self.metrics.stale_messages += 1,
+            ReceiveResult::DigestMismatch => self.mismatch(number, base, now),
+            ReceiveResult::Conflict => self.clash(number, now),
         }
     }
 
     /// Somebody errs about a number: what is held stays, another machine is asked.
-    fn clash(&mut self, number: Number, now: f64) {
+    fn clash(&mut self, number: VersionNumber, now: f64) {
         let Stage::Open(link) = &mut self.stage else { return };
         if link.poor.is_none() {
             link.poor = Some(now);
-            self.met.clashes += 1;
+            self.metrics.conflicts += 1;
             let machine = link.machine;
-            self.say(Note::Clash(self.name(machine), number));
+            self.say(Event::Conflict(self.name(machine), number));
         }
     }
 
     /// A patch of no use: the whole is asked for. Whoever tells a whole that is of no use is left.
-    fn mismatch(&mut self, number: Number, base: Number, now: f64) {
-        self.met.mismatches += 1;
+    fn mismatch(&mut self, number: VersionNumber, base: VersionNumber, now: f64) {
+        self.metrics.digest_mismatches += 1;
         let Stage::Open(link) = &mut self.stage else { return };
         let machine = link.machine;
         link.ask = Some(true);
-        let note = Note::Mismatch(self.name(machine), number);
+        let note = Event::DigestMismatch(self.name(machine), number);
         if base > 0 {
             self.say(note);
         } else {
@@ -648,7 +666,14 @@
         }
     }
 
-    fn beat(&mut self, stamp: u64, (newest, digest): (Number, Digest), age: f64, majority: bool, now: f64) {
+    fn beat(
+        &mut self,
+        stamp: u64,
+        (newest, digest): (VersionNumber, Digest),
+        age: f64,
+        majority: bool,
+        now: f64,
+    ) {
         let Stage::Open(link) = &mut self.stage else { return };
         let Some(at) = link.pulses.iter().position(|pulse| pulse.0 == stamp) else { return };
         let asked = link.pulses[at].1;
@@ -656,18 +681,18 @@
         // Not a number, or from the future: nothing is known by it.
         let age = if age >= 0.0 { age } else { f64::INFINITY };
         // The beat was made after its pulse: it is no older here than that, beside what it says itself.
-        let as_of = asked - age * (1.0 + self.terms.drift);
-        let got = &self.holding.got;
+        let as_of = asked - age * (1.0 + self.config.clock_drift_fraction);
+        let got = &self.holding.received;
         if newest == got.number && digest != got.digest {
             self.clash(newest, now);
             return;
         }
-        let good = newest >= got.number && majority && age <= self.terms.old;
+        let good = newest >= got.number && majority && age <= self.config.stale_after_s;
         if newest >= got.number && newest > 0 && as_of.is_finite() {
             self.known =
                 if newest > self.known.0 { (newest, as_of) } else { (newest, as_of.max(self.known.1)) };
-            if newest == self.holding.held.number {
-                self.as_of = Some(self.as_of.map_or(as_of, |held| held.max(as_of)));
+            if newest == self.holding.active.number {
+                self.confirmed_at = Some(self.confirmed_at.map_or(as_of, |held| held.max(as_of)));
             }
         }
         let Stage::Open(link) = &mut self.stage else { return };
@@ -676,88 +701,93 @@
             return;
         }
         link.poor = None;
-        if now - link.since >= self.terms.pulse {
-            (self.wait, self.patience) = (2.0 * self.terms.least, self.terms.behind);
+        if now - link.since >= self.config.heartbeat_interval_s {
+            (self.wait, self.patience) = (2.0 * self.config.min_backoff_s, self.config.behind_timeout_s);
             self.failures = 0;
         }
-        let was_old = self.quiet > self.terms.old;
-        (self.good, self.quiet) = (now, self.terms.old);
-        if was_old && newest == self.holding.held.number {
-            self.say(Note::Fresh(newest));
+        let was_old = self.quiet > self.config.stale_after_s;
+        (self.good, self.quiet) = (now, self.config.stale_after_s);
+        if was_old && newest == self.holding.active.number {
+            self.say(Event::FreshAgain(newest));
         }
     }
 
     fn offer(&mut self) {
-        let Some(offer) = self.holding.offer() else { return };
+        let Some(offer) = self.holding.next_offer() else { return };
         // Whatever was got has been read once.
         let settings = serde_json::from_str(&offer.text).unwrap_or_default();
-        self.orders.push_back(Order::Offer { number: offer.number, settings });
+        self.orders.push_back(Command::Apply { number: offer.number, settings });
     }
 
     /// What the router made of an offer.
-    pub fn ended(&mut self, number: Number, outcome: Outcome) {
+    pub fn offer_completed(&mut self, number: VersionNumber, outcome: ApplyOutcome) {
         let outcome = outcome.cut();
-        let before = self.holding.kept.number;
-        if !self.holding.ended(number, &outcome) {
+        let before = self.holding.persisted.number;
+        if !self.holding.complete_offer(number, &outcome) {
             return;
         }
-        let held = self.holding.held.number;
+        let held = self.holding.active.number;
         match &outcome {
-            Outcome::InForce => {
-                self.met.taken_over += 1;
+            ApplyOutcome::Applied => {
+                self.metrics.versions_applied += 1;
                 // It was the newest later than any before it.
                 let (known, at) = self.known;
                 if known > 0 && known <= number {
-                    self.as_of = Some(self.as_of.map_or(at, |held| held.max(at)));
+                    self.confirmed_at = Some(self.confirmed_at.map_or(at, |held| held.max(at)));
                 }
-                self.say(Note::InForce(number));
+                self.say(Event::Applied(number));
             }
-            Outcome::Waits(keys) => {
-                self.met.waits += 1;
-                self.say(Note::Waits(number, held, keys.clone()));
+            ApplyOutcome::PendingRestart(keys) => {
+                self.metrics.versions_pending_restart += 1;
+                self.say(Event::PendingRestart(number, held, keys.clone()));
             }
-            Outcome::Refused(why) => {
-                self.met.refused += 1;
-                self.say(Note::Refused(number, held, why.clone()));
+            ApplyOutcome::Rejected(why) => {
+                self.metrics.versions_rejected += 1;
+                self.say(Event::Rejected(number, held, why.clone()));
             }
         }
-        if self.holding.kept.number != before {
-            self.orders.push_back(Order::Keep(self.holding.kept.clone()));
+        if self.holding.persisted.number != before {
+            self.orders.push_back(Command::Persist(self.holding.persisted.clone()));
         }
-        self.lasting = Some((number, outcome.clone())).filter(|_| outcome != Outcome::InForce);
+        self.lasting = Some((number, outcome.clone())).filter(|_| outcome != ApplyOutcome::Applied);
         self.outcome = Some((number, outcome));
         self.offer();
     }
 
     /// What goes out next, if anything may go now: what asks for a change, before a pulse, before a report.
-    pub fn word(&mut self, now: f64) -> Option<Vec<u8>> {
+    pub fn next_message(&mut self, now: f64) -> Option<Vec<u8>> {
         let Stage::Open(link) = &mut self.stage else { return None };
-        let (got, held) = (self.holding.got(), self.holding.held().number);
+        let (got, held) = (self.holding.received(), self.holding.active().number);
         let say = if let Some(whole) = link.ask {
-            Say::Ask { got: got.number, digest: got.digest, held, whole }
+            RouterMessage::Subscribe {
+                received: got.number,
+                digest: got.digest,
+                active: held,
+                needs_snapshot: whole,
+            }
         } else if now >= link.pulse_at {
-            Say::Pulse { stamp: self.stamp + 1 }
+            RouterMessage::HeartbeatRequest { sequence: self.stamp + 1 }
         } else if let Some((number, outcome)) = &self.outcome {
-            Say::Outcome { number: *number, outcome: outcome.clone() }
+            RouterMessage::ApplyReport { number: *number, outcome: outcome.clone() }
         } else {
             return None;
         };
-        let bytes = words::framed(&say);
-        if !self.bucket.take(bytes.len(), now) {
+        let bytes = messages::encode_frame(&say);
+        if !self.bucket.try_take(bytes.len(), now) {
             return None;
         }
-        self.met.bytes_up += bytes.len() as u64;
+        self.metrics.bytes_sent += bytes.len() as u64;
         match say {
-            Say::Ask { .. } => link.ask = None,
-            Say::Pulse { stamp } => {
+            RouterMessage::Subscribe { .. } => link.ask = None,
+            RouterMessage::HeartbeatRequest { sequence: stamp } => {
                 self.stamp = stamp;
                 link.pulses.push_back((stamp, now));
                 if link.pulses.len() > PULSES {
                     link.pulses.pop_front();
                 }
-                link.pulse_at = now + self.terms.pulse;
+                link.pulse_at = now + self.config.heartbeat_interval_s;
             }
-            Say::Outcome { .. } => self.outcome = None,
+            RouterMessage::ApplyReport { .. } => self.outcome = None,
         }
         Some(bytes)
     }
--- a/crates/control/src/history.rs
+++ b/crates/control-plane/src/version_log.rs
@@ -1,119 +1,127 @@
 //! The order as applied: versions numbered from 1 on. The same on every machine, as it goes by the order alone: no clock,
 //! no chance. Whether settings are sound was checked at the door, before they were proposed.
-use crate::version::{Number, Proposal, Version};
+use crate::version::{Proposal, Version, VersionNumber};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Versions that are kept, and bytes of their settings as JSON; the newest is kept whatever its size.
-pub const VERSIONS_MOST: usize = 4000;
-pub const BYTES_MOST: usize = 24 * 1024 * 1024;
+pub const MAX_VERSIONS: usize = 4000;
+pub const MAX_SETTINGS_BYTES: usize = 24 * 1024 * 1024;
 /// Versions that a refusal names.
-pub const UNDONE_MOST: usize = 20;
+pub const MAX_UNDONE_VERSIONS: usize = 20;
 /// Keys that it names of each.
-const KEYS_MOST: usize = 40;
+const MAX_CHANGED_KEYS: usize = 40;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct History {
+pub struct VersionLog {
     versions: VecDeque<Version>,
     /// Of proposals that were made versions which are kept.
     #[serde(skip)]
-    ids: BTreeMap<String, Number>,
+    ids: BTreeMap<String, VersionNumber>,
     #[serde(skip)]
     bytes: usize,
 }
 
 /// A version that a proposal would undo, as its proposer had not seen it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Undone {
-    pub number: Number,
+pub struct UndoneVersion {
+    pub number: VersionNumber,
     pub author: String,
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// What it changed: keys of the settings, of a vertical with its name.
-    pub keys: Vec<String>,
+    #[serde(rename = "keys")]
+    pub changed_keys: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Refusal {
+pub enum ProposalError {
     /// Versions were made since `base`: the newest of them, and how many there are.
-    WouldUndo { newest: Number, count: u64, undone: Vec<Undone> },
+    WouldUndo { newest: VersionNumber, count: u64, undone: Vec<UndoneVersion> },
     /// There is no version of this number yet.
-    BaseUnknown { base: Number, newest: Number },
+    BaseUnknown { base: VersionNumber, newest: VersionNumber },
     /// The same id was used for other settings.
-    IdTaken { number: Number },
+    IdTaken { number: VersionNumber },
     /// It was committed, but cannot be read as a proposal.
     Unreadable,
 }
 
-pub type Outcome = Result<Number, Refusal>;
-
-impl History {
+impl VersionLog {
     /// Of a snapshot's text.
-    pub fn read(versions: VecDeque<Version>) -> History {
-        let ids = versions.iter().map(|version| (version.proposal.clone(), version.number)).collect();
+    pub fn from_versions(versions: VecDeque<Version>) -> VersionLog {
+        let ids = versions.iter().map(|version| (version.proposal_id.clone(), version.number)).collect();
         let bytes = versions.iter().map(size).sum();
-        History { versions, ids, bytes }
+        VersionLog { versions, ids, bytes }
     }
 
     pub fn versions(&self) -> &VecDeque<Version> {
         &self.versions
     }
 
-    pub fn newest(&self) -> Option<&Version> {
+    pub fn latest(&self) -> Option<&Version> {
         self.versions.back()
     }
 
-    pub fn number(&self) -> Number {
-        self.newest().map_or(0, |version| version.number)
+    pub fn latest_number(&self) -> VersionNumber {
+        self.latest().map_or(0, |version| version.number)
     }
 
     /// One that is still kept.
-    pub fn at(&self, number: Number) -> Option<&Version> {
+    pub fn get(&self, number: VersionNumber) -> Option<&Version> {
         let first = self.versions.front()?.number;
         self.versions.get(usize::try_from(number.checked_sub(first)?).ok()?)
     }
 
     /// The next in order, or why not. Of the same proposal again the same.
-    pub fn apply(&mut self, proposal: Proposal) -> Outcome {
-        let newest = self.number();
+    pub fn apply(&mut self, proposal: Proposal) -> Result<VersionNumber, ProposalError> {
+        let newest = self.latest_number();
         if let Some(&number) = self.ids.get(&proposal.id) {
-            let same = self.at(number).is_some_and(|version| version.settings == proposal.settings);
-            return if same { Ok(number) } else { Err(Refusal::IdTaken { number }) };
+            let same = self.get(number).is_some_and(|version| version.settings == proposal.settings);
+            return if same { Ok(number) } else { Err(ProposalError::IdTaken { number }) };
         }
         if proposal.base > newest {
-            return Err(Refusal::BaseUnknown { base: proposal.base, newest });
+            return Err(ProposalError::BaseUnknown { base: proposal.base, newest });
         }
         if proposal.base < newest {
             return Err(self.undone_by(proposal.base));
         }
-        let Proposal { id, author, why, at_unix_ms, settings, .. } = proposal;
+        let Proposal { id, author, reason, at_unix_ms, settings, .. } = proposal;
         let number = newest + 1;
-        let version = Version { number, proposal: id.clone(), author, why, at_unix_ms, settings };
+        let version = Version { number, proposal_id: id.clone(), author, reason, at_unix_ms, settings };
         self.bytes += size(&version);
         self.versions.push_back(version);
         self.ids.insert(id, number);
-        while self.versions.len() > VERSIONS_MOST || (self.bytes > BYTES_MOST && self.versions.len() > 1) {
+        while self.versions.len() > MAX_VERSIONS
+            || (self.bytes > MAX_SETTINGS_BYTES && self.versions.len() > 1)
+        {
             if let Some(gone) = self.versions.pop_front() {
                 self.bytes -= size(&gone);
-                self.ids.remove(&gone.proposal);
+                self.ids.remove(&gone.proposal_id);
             }
         }
         Ok(number)
     }
 
-    fn undone_by(&self, base: Number) -> Refusal {
-        let newest = self.number();
-        let since = self.versions.iter().filter(|version| version.number > base).rev().take(UNDONE_MOST);
-        let mut undone: Vec<Undone> = since.map(|version| self.undone(version)).collect();
+    fn undone_by(&self, base: VersionNumber) -> ProposalError {
+        let newest = self.latest_number();
+        let since =
+            self.versions.iter().filter(|version| version.number > base).rev().take(MAX_UNDONE_VERSIONS);
+        let mut undone: Vec<UndoneVersion> = since.map(|version| self.undone(version)).collect();
         undone.reverse();
-        Refusal::WouldUndo { newest, count: newest - base, undone }
+        ProposalError::WouldUndo { newest, count: newest - base, undone }
     }
 
-    fn undone(&self, version: &Version) -> Undone {
-        let before = version.number.checked_sub(1).and_then(|number| self.at(number));
-        let keys = before.map_or(vec![], |before| differing(&before.settings, &version.settings));
-        Undone { number: version.number, author: version.author.clone(), why: version.why.clone(), keys }
+    fn undone(&self, version: &Version) -> UndoneVersion {
+        let before = version.number.checked_sub(1).and_then(|number| self.get(number));
+        let keys = before.map_or(vec![], |before| changed_keys(&before.settings, &version.settings));
+        UndoneVersion {
+            number: version.number,
+            author: version.author.clone(),
+            reason: version.reason.clone(),
+            changed_keys: keys,
+        }
     }
 }
 
@@ -123,7 +131,7 @@
 
 /// The keys by which settings differ: at the top level, and below a list of things that have names, such as verticals,
 /// each thing's own.
-pub fn differing(one: &Value, other: &Value) -> Vec<String> {
+pub fn changed_keys(one: &Value, other: &Value) -> Vec<String> {
     let mut keys = vec![];
     if let (Value::Object(one), Value::Object(other)) = (one, other) {
         for key in differing_keys(one, other) {
@@ -135,7 +143,7 @@
     } else if one != other {
         keys.push("all".into());
     }
-    keys.truncate(KEYS_MOST);
+    keys.truncate(MAX_CHANGED_KEYS);
     keys
 }
 
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -1,9 +1,11 @@
 //! Five control machines in one process, on disks and links that fail as a schedule says; and what has to hold whatever
 //! fails. All is drawn from a seed.
 #![allow(dead_code)]
-use alderway_control::consensus::{Held, Persist, Store};
-use alderway_control::machine::{Answer, Asker, Machine, Output, TICK, Word};
-use alderway_control::version::{Number, Proposal, Version};
+use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch};
+use alderway_control_plane::replica::{
+    ClientId, ProposalOutcome, Replica, ReplicaMessage, ReplicaOutput, TICK_S,
+};
+use alderway_control_plane::version::{Proposal, Version, VersionNumber};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 use serde_json::json;
@@ -11,7 +13,7 @@
 
 pub const COUNT: usize = 5;
 /// Seconds between two steps of the time.
-const STEP: f64 = TICK / 2.0;
+const STEP: f64 = TICK_S / 2.0;
 
 /// Rules that are broken on purpose, so that what is checked is seen to find it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,7 +21,7 @@
     Nothing,
     /// A write is said to be synced, and a crash loses it.
     Unsynced,
-    /// What is written by one machine counts as committed.
+    /// EntryKind is written by one machine counts as committed.
     Uncommitted,
     /// A machine whose disk was wiped comes back under its former id.
     SameId,
@@ -27,10 +29,10 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    pub held: Held,
+    pub held: RecoveredState,
     first: u64,
     /// As it was when it was last synced in truth.
-    synced: Option<Held>,
+    synced: Option<RecoveredState>,
     pub full: bool,
     /// A failed write leaves all of it, each second time.
     torn: u32,
@@ -38,8 +40,8 @@
     pub written: Vec<Vec<u8>>,
 }
 
-impl Store for Disk {
-    fn write(&mut self, what: &Persist) -> Result<(), String> {
+impl StableStorage for Disk {
+    fn write(&mut self, what: &WriteBatch) -> Result<(), String> {
         if self.full {
             self.torn += 1;
             if self.torn.is_multiple_of(2) {
@@ -53,7 +55,7 @@
 }
 
 impl Disk {
-    pub fn keep(&mut self, what: &Persist) {
+    pub fn keep(&mut self, what: &WriteBatch) {
         self.writes += 1;
         let held = &mut self.held;
         if let Some(identity) = &what.identity {
@@ -62,27 +64,31 @@
         if let Some(snapshot) = &what.snapshot {
             held.snapshot = Some(snapshot.clone());
         }
-        if let Some(floor) = what.floor {
-            let gone = if what.clear { held.entries.len() } else { (floor.0 - held.floor.0) as usize };
+        if let Some(floor) = what.compacted_to {
+            let gone = if what.clear_entries {
+                held.entries.len()
+            } else {
+                (floor.0 - held.compacted_to.0) as usize
+            };
             held.entries.drain(..gone.min(held.entries.len()));
-            held.floor = floor;
+            held.compacted_to = floor;
         }
         if let Some((first, _)) = what.entries.first() {
-            held.entries.truncate((first - held.floor.0 - 1) as usize);
+            held.entries.truncate((first - held.compacted_to.0 - 1) as usize);
             held.entries.extend(what.entries.iter().map(|(_, bytes)| bytes.clone()));
         }
-        if let Some(hard) = &what.hard {
-            held.hard = Some(hard.clone());
+        if let Some(hard) = &what.hard_state {
+            held.hard_state = Some(hard.clone());
         }
     }
 }
 
 pub struct Site {
-    pub machine: Option<Machine>,
+    pub machine: Option<Replica>,
     pub disk: Disk,
     pub paused: f64,
     /// The newest that it gave out since its start.
-    pub told: Number,
+    pub told: VersionNumber,
     clock: u32,
 }
 
@@ -90,20 +96,20 @@
     pub now: f64,
     pub sites: Vec<Site>,
     names: Vec<String>,
-    under_way: BTreeMap<(usize, usize), Vec<(f64, Word)>>,
+    under_way: BTreeMap<(usize, usize), Vec<(f64, ReplicaMessage)>>,
     pub cut: BTreeSet<(usize, usize)>,
     pub loss: f64,
     pub delay: f64,
     pub chance: Pcg32,
     pub broken: Broken,
-    /// What was given out under a number, by anybody.
-    pub versions: BTreeMap<Number, Version>,
+    /// EntryKind was given out under a number, by anybody.
+    pub versions: BTreeMap<VersionNumber, Version>,
     /// Answered, with when.
-    pub acknowledged: BTreeMap<Number, (String, f64)>,
-    pub asked: BTreeMap<Asker, (usize, Proposal)>,
-    pub answers: BTreeMap<Asker, Answer>,
+    pub acknowledged: BTreeMap<VersionNumber, (String, f64)>,
+    pub asked: BTreeMap<ClientId, (usize, Proposal)>,
+    pub answers: BTreeMap<ClientId, ProposalOutcome>,
     /// Askers whose machine crashed.
-    pub gone: BTreeSet<Asker>,
+    pub gone: BTreeSet<ClientId>,
     pub wiped: usize,
     ids: u64,
     pub faults: Vec<String>,
@@ -160,9 +166,9 @@
         let fresh = if self.broken == Broken::SameId { 50 + n as u64 } else { self.ids };
         let seed = (u64::from(self.chance.next_u32()) << 32) | u64::from(self.chance.next_u32());
         let members = self.names.iter().cloned().collect();
-        match Machine::new(&name(n), &members, &self.sites[n].disk.held, fresh, seed) {
+        match Replica::new(&name(n), &members, &self.sites[n].disk.held, fresh, seed) {
             Ok(mut machine) => {
-                machine.snapshot_after = self.snapshot_after;
+                machine.snapshot_after_entries = self.snapshot_after;
                 self.sites[n].machine = Some(machine);
             }
             Err(why) => self.faults.push(format!("{} does not start: {why}", name(n))),
@@ -174,7 +180,7 @@
         self.sites[n].machine = None;
         self.sites[n].paused = 0.0;
         let gone = self.asked.iter().filter(|(asker, (at, _))| *at == n && !self.answers.contains_key(asker));
-        let gone: Vec<Asker> = gone.map(|(asker, _)| *asker).collect();
+        let gone: Vec<ClientId> = gone.map(|(asker, _)| *asker).collect();
         self.gone.extend(gone);
         if self.broken == Broken::Unsynced
             && let Some(synced) = self.sites[n].disk.synced.clone()
@@ -197,8 +203,8 @@
         self.sites[n].machine.is_some() && self.sites[n].paused <= self.now
     }
 
-    fn links(&mut self, n: usize, output: Output) {
-        for (to, word) in output.send {
+    fn links(&mut self, n: usize, output: ReplicaOutput) {
+        for (to, word) in output.messages {
             let to = self.names.iter().position(|name| *name == to).expect("of the members");
             if self.one_of(self.loss) {
                 continue;
@@ -212,8 +218,8 @@
         for version in output.committed {
             self.given(n, &version);
         }
-        for (asker, answer) in output.answers {
-            if let Answer::Ordered(number) = answer {
+        for (asker, answer) in output.outcomes {
+            if let ProposalOutcome::Committed(number) = answer {
                 let id = self.asked[&asker].1.id.clone();
                 self.acknowledged.entry(number).or_insert((id.clone(), self.now));
                 if self.acknowledged[&number].0 != id {
@@ -242,7 +248,7 @@
         let now = self.now;
         let site = &mut self.sites[n];
         let Some(machine) = &mut site.machine else { return };
-        let output = machine.run(&mut site.disk, now);
+        let output = machine.advance(&mut site.disk, now);
         match self.broken {
             // One write in eight or so reaches the disk in truth.
             Broken::Unsynced => {
@@ -258,9 +264,9 @@
     }
 
     /// The broken rule: whatever one machine writes is taken as in force there.
-    fn take_uncommitted(&mut self, n: usize, before: &Held) {
+    fn take_uncommitted(&mut self, n: usize, before: &RecoveredState) {
         let Some(machine) = &self.sites[n].machine else { return };
-        let mut history = machine.history().clone();
+        let mut log = machine.version_log().clone();
         let fresh: Vec<Vec<u8>> =
             self.sites[n].disk.held.entries.iter().filter(|e| !before.entries.contains(e)).cloned().collect();
         for bytes in fresh {
@@ -268,8 +274,8 @@
             let Some(from) = text.find("{\"id\"") else { continue };
             let mut read = serde_json::Deserializer::from_str(&text[from..]).into_iter::<Proposal>();
             let Some(Ok(proposal)) = read.next() else { continue };
-            if let Ok(number) = history.apply(proposal)
-                && let Some(version) = history.at(number).cloned()
+            if let Ok(number) = log.apply(proposal)
+                && let Some(version) = log.get(number).cloned()
             {
                 let held = self.versions.entry(number).or_insert_with(|| version.clone());
                 if *held != version {
@@ -289,10 +295,11 @@
                 continue;
             }
             let Some(way) = self.under_way.get_mut(&(from, to)) else { continue };
-            let arrived: Vec<Word> = way.extract_if(.., |(at, _)| *at <= now).map(|(_, word)| word).collect();
+            let arrived: Vec<ReplicaMessage> =
+                way.extract_if(.., |(at, _)| *at <= now).map(|(_, word)| word).collect();
             for word in arrived {
                 if let Some(machine) = &mut self.sites[to].machine {
-                    machine.came(&name(from), word, now);
+                    machine.receive(&name(from), word, now);
                 }
                 self.run(to);
             }
@@ -311,11 +318,11 @@
         }
     }
 
-    /// What a machine says of how new its history is has to be true.
+    /// EntryKind a machine says of how new its log is has to be true.
     fn look(&mut self, n: usize) {
         let Some(machine) = &self.sites[n].machine else { return };
-        let at = self.now - machine.age(self.now);
-        let number = machine.history().number();
+        let at = self.now - machine.staleness_s(self.now);
+        let number = machine.version_log().latest_number();
         let missed = self.acknowledged.iter().rev().find(|(acked, (_, when))| **acked > number && *when < at);
         if let Some((missed, (_, when))) = missed {
             self.faults.push(format!(
@@ -346,13 +353,14 @@
 
     pub fn leader(&self) -> Option<usize> {
         let leads = |n: &usize| {
-            self.up(*n) && self.sites[*n].machine.as_ref().is_some_and(|m| m.leads() && m.majority(self.now))
+            self.up(*n)
+                && self.sites[*n].machine.as_ref().is_some_and(|m| m.is_leader() && m.has_quorum(self.now))
         };
         (0..COUNT).find(leads)
     }
 
-    pub fn number(&self, n: usize) -> Number {
-        self.sites[n].machine.as_ref().map_or(0, |machine| machine.history().number())
+    pub fn number(&self, n: usize) -> VersionNumber {
+        self.sites[n].machine.as_ref().map_or(0, |machine| machine.version_log().latest_number())
     }
 
     pub fn proposal(&mut self, n: usize) -> Proposal {
@@ -362,14 +370,14 @@
             id: format!("p{}", self.ids),
             base: self.number(n),
             author: name(n),
-            why: "a trial".into(),
+            reason: "a trial".into(),
             at_unix_ms: self.ids,
             settings: json!({"TickUs": value, "Services": [{"Name": "site-search", "Worth": value % 7}]}),
         }
     }
 
-    pub fn ask(&mut self, n: usize, proposal: Proposal, wait: f64) -> Asker {
-        let asker = self.asked.len() as Asker + 1;
+    pub fn ask(&mut self, n: usize, proposal: Proposal, wait: f64) -> ClientId {
+        let asker = self.asked.len() as ClientId + 1;
         self.asked.insert(asker, (n, proposal.clone()));
         let now = self.now;
         match &mut self.sites[n].machine {
@@ -381,7 +389,7 @@
     }
 
     /// Asks, and waits for the answer.
-    pub fn answer(&mut self, n: usize, proposal: Proposal, wait: f64) -> Answer {
+    pub fn answer(&mut self, n: usize, proposal: Proposal, wait: f64) -> ProposalOutcome {
         let asker = self.ask(n, proposal, wait);
         assert!(self.until(wait + 1.0, |house| house.answers.contains_key(&asker)), "no answer in time");
         self.answers[&asker].clone()
@@ -406,7 +414,9 @@
                     let machine = house.sites[n].machine.as_ref();
                     house.number(n) == first
                         && machine.is_some_and(|m| {
-                            m.out().is_none() && m.majority(house.now) && !m.status(house.now).changing
+                            m.unavailable_reason().is_none()
+                                && m.has_quorum(house.now)
+                                && !m.status(house.now).membership_changing
                         })
                 })
                 && house.asked.keys().all(|a| house.answers.contains_key(a) || house.gone.contains(a))
@@ -433,21 +443,21 @@
         let mut faults = vec![];
         for n in 0..COUNT {
             let Some(machine) = &self.sites[n].machine else { continue };
-            let history = machine.history();
+            let log = machine.version_log();
             let mut ids = BTreeSet::new();
-            for (place, version) in history.versions().iter().enumerate() {
-                if version.number != place as Number + 1 {
+            for (place, version) in log.versions().iter().enumerate() {
+                if version.number != place as VersionNumber + 1 {
                     faults.push(format!("{}: {} at place {place}", name(n), version.number));
                 }
-                if !ids.insert(&version.proposal) {
-                    faults.push(format!("{}: {} counts twice", name(n), version.proposal));
+                if !ids.insert(&version.proposal_id) {
+                    faults.push(format!("{}: {} counts twice", name(n), version.proposal_id));
                 }
                 if self.versions.get(&version.number).is_some_and(|held| held != version) {
                     faults.push(format!("{}: two contents under {}", name(n), version.number));
                 }
             }
             for (number, (id, _)) in &self.acknowledged {
-                if history.at(*number).is_none_or(|version| version.proposal != *id) {
+                if log.get(*number).is_none_or(|version| version.proposal_id != *id) {
                     faults.push(format!("{}: {number}, acknowledged to {id}, is lost", name(n)));
                 }
             }
--- a/crates/control/tests/model.rs
+++ b/crates/control-plane/tests/model.rs
@@ -2,19 +2,19 @@
 //! stale for as long as it likes, and a router that subscribes at either, takes over, refuses, keeps what it has and
 //! crashes. Words are under way for as long as they like, in any order, also past the end of their connection, and may be
 //! lost; whoever does nothing stands still. What is put on a shelf, told and taken are the program's own.
-use alderway_control::publisher::{Shelf, Standing};
-use alderway_control::subscriber::{Holding, Settled, Taken};
-use alderway_control::version::Number;
-use alderway_control::words::{self, Content, Digest, Outcome};
+use alderway_control_plane::messages::{self, ApplyOutcome, Digest, VersionContent};
+use alderway_control_plane::publisher::{SubscriberPosition, VersionCache};
+use alderway_control_plane::subscriber::{ConfigVersion, ReceiveResult, VersionState};
+use alderway_control_plane::version::VersionNumber;
 use rstest::rstest;
 use stateright::{Checker, Expectation, HasDiscoveries, Model, Property};
 use std::sync::LazyLock;
 
-const LAST: Number = 3;
+const LAST: VersionNumber = 3;
 const UNDER_WAY: usize = 2;
 
 /// What is committed under a number: the second version changes two keys, the third one of them.
-fn text(number: Number) -> &'static str {
+fn text(number: VersionNumber) -> &'static str {
     static TEXTS: LazyLock<Vec<String>> = LazyLock::new(|| {
         let long = "0123456789".repeat(9);
         (0..=LAST).map(|n| format!(r#"{{"a":{n},"b":{},"c":"{long}"}}"#, n.min(2))).collect()
@@ -23,29 +23,29 @@
 }
 
 /// What was proposed in its place and never committed.
-fn proposed(number: Number) -> String {
+fn proposed(number: VersionNumber) -> String {
     text(number).replace(r#""a""#, r#""d""#)
 }
 
 /// What a machine knows of the router: what that has, and whether a patch was of no use to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Link {
-    got: Number,
+    got: VersionNumber,
     digest: Digest,
     whole: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    committed: Number,
-    shelves: [Shelf; 2],
+    committed: VersionNumber,
+    shelves: [VersionCache; 2],
     links: [Option<Link>; 2],
-    under_way: Vec<Content>,
-    holding: Holding,
+    under_way: Vec<VersionContent>,
+    holding: VersionState,
     offered: bool,
-    disk: Settled,
+    disk: ConfigVersion,
     /// The newest that has been in force since the start.
-    most: Number,
+    most: VersionNumber,
     /// How many more times something may fail.
     failures: u8,
 }
@@ -57,7 +57,7 @@
     /// The first machine tells what it has not committed yet.
     Propose,
     Ask(usize),
-    Tell(usize),
+    ControlMessage(usize),
     Hear(usize),
     Lose(usize),
     Offer,
@@ -85,32 +85,32 @@
 struct System(Broken);
 
 impl System {
-    fn hear(&self, state: &mut State, content: &Content) {
+    fn hear(&self, state: &mut State, content: &VersionContent) {
         let taken = match self.0 {
             Broken::Backward if content.base == 0 => {
-                state.holding = Holding::resumed(Settled::new(content.number, &content.text));
+                state.holding = VersionState::resume(ConfigVersion::new(content.number, &content.text));
                 state.offered = false;
-                Taken::New
+                ReceiveResult::New
             }
-            Broken::Unchecked if content.base > 0 && content.number > state.holding.got().number => {
-                match words::patched(&state.holding.got().text, &content.text) {
+            Broken::Unchecked if content.base > 0 && content.number > state.holding.received().number => {
+                match messages::apply_patch(&state.holding.received().text, &content.text) {
                     Some(text) => {
-                        state.holding = Holding::resumed(Settled::new(content.number, &text));
+                        state.holding = VersionState::resume(ConfigVersion::new(content.number, &text));
                         state.offered = false;
-                        Taken::New
+                        ReceiveResult::New
                     }
-                    None => Taken::Mismatch,
+                    None => ReceiveResult::DigestMismatch,
                 }
             }
-            _ => state.holding.take(content),
+            _ => state.holding.receive(content),
         };
-        if taken == Taken::Mismatch {
+        if taken == ReceiveResult::DigestMismatch {
             for link in state.links.iter_mut().flatten() {
-                let got = state.holding.got();
+                let got = state.holding.received();
                 *link = Link { got: got.number, digest: got.digest, whole: true };
             }
         }
-        state.most = state.most.max(state.holding.held().number);
+        state.most = state.most.max(state.holding.active().number);
     }
 }
 
@@ -119,18 +119,18 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let mut shelves = [Shelf::new(2), Shelf::new(2)];
+        let mut shelves = [VersionCache::new(2), VersionCache::new(2)];
         for shelf in &mut shelves {
-            assert_eq!(shelf.put(1, text(1)), Ok(true));
+            assert_eq!(shelf.insert(1, text(1)), Ok(true));
         }
         vec![State {
             committed: 1,
             shelves,
             links: [None, None],
             under_way: vec![],
-            holding: Holding::default(),
+            holding: VersionState::default(),
             offered: false,
-            disk: Settled::default(),
+            disk: ConfigVersion::default(),
             most: 0,
             failures: 1,
         }]
@@ -140,10 +140,10 @@
         if state.committed < LAST {
             steps.push(Step::Commit);
         }
-        if state.shelves[1].newest() < state.committed {
+        if state.shelves[1].latest() < state.committed {
             steps.push(Step::Follow);
         }
-        if self.0 == Broken::Eager && state.committed < LAST && state.shelves[0].newest() == state.committed {
+        if self.0 == Broken::Eager && state.committed < LAST && state.shelves[0].latest() == state.committed {
             steps.push(Step::Propose);
         }
         for n in 0..2 {
@@ -151,7 +151,7 @@
             if state.links[n].is_none() {
                 steps.push(Step::Ask(n));
             } else if state.under_way.len() < UNDER_WAY {
-                steps.push(Step::Tell(n));
+                steps.push(Step::ControlMessage(n));
             }
         }
         if state.failures > 0 && state.links[0].is_some() {
@@ -165,10 +165,10 @@
         }
         steps.push(if state.offered { Step::TakeOver } else { Step::Offer });
         // The first and the last version are such that the router can take them over.
-        if state.offered && state.holding.got().number == 2 {
+        if state.offered && state.holding.received().number == 2 {
             steps.extend([Step::Refuse, Step::Wait]);
         }
-        if state.disk.number != state.holding.kept().number {
+        if state.disk.number != state.holding.persisted().number {
             steps.push(Step::Keep);
         }
         if state.failures > 0 {
@@ -182,27 +182,29 @@
             Step::Commit => {
                 next.committed += 1;
                 // Guards against two contents under one number: what came first is what is told on.
-                let _ = next.shelves[0].put(next.committed, text(next.committed));
+                let _ = next.shelves[0].insert(next.committed, text(next.committed));
             }
             Step::Follow => {
-                let number = next.shelves[1].newest() + 1;
-                let _ = next.shelves[1].put(number, text(number));
+                let number = next.shelves[1].latest() + 1;
+                let _ = next.shelves[1].insert(number, text(number));
             }
             Step::Propose => {
                 let number = next.committed + 1;
-                let _ = next.shelves[0].put(number, &proposed(number));
+                let _ = next.shelves[0].insert(number, &proposed(number));
             }
             Step::Ask(machine) => {
-                let got = next.holding.got();
+                let got = next.holding.received();
                 next.links[1 - machine] = None;
                 next.links[machine] = Some(Link { got: got.number, digest: got.digest, whole: false });
             }
-            Step::Tell(machine) => {
+            Step::ControlMessage(machine) => {
                 let link = next.links[machine].clone()?;
-                let base = match next.shelves[machine].standing(link.got, link.digest) {
-                    Standing::Current | Standing::Ahead | Standing::Clash => return None,
-                    Standing::Near if !link.whole => Some(link.got),
-                    Standing::Near | Standing::Far => None,
+                let base = match next.shelves[machine].position(link.got, link.digest) {
+                    SubscriberPosition::UpToDate
+                    | SubscriberPosition::Ahead
+                    | SubscriberPosition::Conflict => return None,
+                    SubscriberPosition::PatchAvailable if !link.whole => Some(link.got),
+                    SubscriberPosition::PatchAvailable | SubscriberPosition::SnapshotNeeded => None,
                 };
                 let content = next.shelves[machine].content(base)?;
                 let (got, digest) = (content.number, content.digest);
@@ -221,30 +223,30 @@
                 next.links = [None, None];
             }
             Step::Offer => {
-                next.holding.offer()?;
+                next.holding.next_offer()?;
                 next.offered = true;
             }
             Step::TakeOver | Step::Refuse | Step::Wait => {
                 let outcome = match step {
-                    Step::Refuse => Outcome::Refused("no".into()),
-                    Step::Wait => Outcome::Waits(vec!["key".into()]),
-                    _ => Outcome::InForce,
+                    Step::Refuse => ApplyOutcome::Rejected("no".into()),
+                    Step::Wait => ApplyOutcome::PendingRestart(vec!["key".into()]),
+                    _ => ApplyOutcome::Applied,
                 };
-                (1..=LAST).find(|number| next.holding.ended(*number, &outcome))?;
+                (1..=LAST).find(|number| next.holding.complete_offer(*number, &outcome))?;
                 next.offered = false;
-                next.most = next.most.max(next.holding.held().number);
+                next.most = next.most.max(next.holding.active().number);
             }
-            Step::Keep => next.disk = next.holding.kept().clone(),
+            Step::Keep => next.disk = next.holding.persisted().clone(),
             Step::CrashRouter => {
                 next.failures -= 1;
-                next.holding = Holding::resumed(next.disk.clone());
+                next.holding = VersionState::resume(next.disk.clone());
                 (next.offered, next.most, next.links) = (false, next.disk.number, [None, None]);
             }
             Step::CrashMachine => {
                 next.failures -= 1;
                 next.links[0] = None;
-                next.shelves[0] = Shelf::new(2);
-                let _ = next.shelves[0].put(next.committed, text(next.committed));
+                next.shelves[0] = VersionCache::new(2);
+                let _ = next.shelves[0].insert(next.committed, text(next.committed));
             }
         }
         Some(next)
@@ -253,21 +255,23 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("a router never goes back", |_, state: &State| {
-                state.holding.held().number >= state.most && state.holding.kept().number >= state.disk.number
+                state.holding.active().number >= state.most
+                    && state.holding.persisted().number >= state.disk.number
             }),
             Property::always("what a number holds is what was committed", |_, state: &State| {
-                let sound = |settled: &Settled| settled.number == 0 || *settled.text == *text(settled.number);
-                sound(state.holding.got()) && sound(state.holding.held()) && sound(&state.disk)
+                let sound =
+                    |settled: &ConfigVersion| settled.number == 0 || *settled.text == *text(settled.number);
+                sound(state.holding.received()) && sound(state.holding.active()) && sound(&state.disk)
             }),
             Property::always("only what is committed is told", |_, state: &State| {
                 let newest = state.under_way.iter().map(|content| content.number).max();
-                newest.unwrap_or(0).max(state.holding.got().number) <= state.committed
+                newest.unwrap_or(0).max(state.holding.received().number) <= state.committed
             }),
             Property::sometimes("the newest is in force", |_, state: &State| {
-                state.holding.held().number == LAST
+                state.holding.active().number == LAST
             }),
             Property::sometimes("a patch that no longer fits is under way", |_, state: &State| {
-                let got = state.holding.got().number;
+                let got = state.holding.received().number;
                 state.under_way.iter().any(|c| c.base > 0 && c.base != got && c.number > got)
             }),
         ]
--- a/crates/control/tests/order.rs
+++ b/crates/control-plane/tests/order.rs
@@ -1,9 +1,9 @@
 //! Stories of the order of versions: five machines in one process, each answer by its cause.
 mod common;
-use alderway_control::consensus::Held;
-use alderway_control::history::{self, History, Refusal, differing};
-use alderway_control::machine::{ASKERS_MOST, Answer, Machine, PROPOSAL_BYTES};
-use alderway_control::version::Proposal;
+use alderway_control_plane::consensus::RecoveredState;
+use alderway_control_plane::replica::{MAX_PROPOSAL_BYTES, MAX_WAITING_CLIENTS, ProposalOutcome, Replica};
+use alderway_control_plane::version::Proposal;
+use alderway_control_plane::version_log::{self, ProposalError, VersionLog, changed_keys};
 use common::{Broken, COUNT, House, name};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -23,7 +23,7 @@
 fn ordered(house: &mut House, n: usize) -> u64 {
     let proposal = house.proposal(n);
     match house.answer(n, proposal, 5.0) {
-        Answer::Ordered(number) => number,
+        ProposalOutcome::Committed(number) => number,
         other => panic!("{other:?}"),
     }
 }
@@ -42,15 +42,15 @@
 fn the_same_proposal_counts_once_also_at_another_machine_and_after_a_start() {
     let mut house = five();
     let proposal = house.proposal(0);
-    assert_eq!(house.answer(0, proposal.clone(), 5.0), Answer::Ordered(1));
-    assert_eq!(house.answer(3, proposal.clone(), 5.0), Answer::Ordered(1));
+    assert_eq!(house.answer(0, proposal.clone(), 5.0), ProposalOutcome::Committed(1));
+    assert_eq!(house.answer(3, proposal.clone(), 5.0), ProposalOutcome::Committed(1));
     (0..COUNT).for_each(|n| house.crash(n));
     (0..COUNT).for_each(|n| house.start(n));
     assert!(house.until(20.0, |house| house.leader().is_some()));
     house.pass(1.0);
-    assert_eq!(house.answer(1, proposal.clone(), 5.0), Answer::Ordered(1));
+    assert_eq!(house.answer(1, proposal.clone(), 5.0), ProposalOutcome::Committed(1));
     let other = Proposal { settings: json!({"TickUs": -1}), ..proposal };
-    assert_eq!(house.answer(1, other, 5.0), Answer::Refused(Refusal::IdTaken { number: 1 }));
+    assert_eq!(house.answer(1, other, 5.0), ProposalOutcome::Rejected(ProposalError::IdTaken { number: 1 }));
     sound(house);
 }
 
@@ -60,13 +60,15 @@
     ordered(&mut house, 0);
     house.pass(1.0);
     let (one, other) = (house.proposal(0), house.proposal(4));
-    assert_eq!(house.answer(0, one.clone(), 5.0), Answer::Ordered(2));
-    let Answer::Refused(Refusal::WouldUndo { newest, count, undone }) = house.answer(4, other, 5.0) else {
+    assert_eq!(house.answer(0, one.clone(), 5.0), ProposalOutcome::Committed(2));
+    let ProposalOutcome::Rejected(ProposalError::WouldUndo { newest, count, undone }) =
+        house.answer(4, other, 5.0)
+    else {
         panic!("not refused")
     };
     assert_eq!((newest, count, undone.len()), (2, 1, 1));
-    assert_eq!((undone[0].number, &undone[0].author, &undone[0].why), (2, &one.author, &one.why));
-    assert!(undone[0].keys.contains(&"TickUs".to_string()), "{:?}", undone[0].keys);
+    assert_eq!((undone[0].number, &undone[0].author, &undone[0].reason), (2, &one.author, &one.reason));
+    assert!(undone[0].changed_keys.contains(&"TickUs".to_string()), "{:?}", undone[0].changed_keys);
     sound(house);
 }
 
@@ -83,12 +85,15 @@
     let at_once = house.proposal(3);
     house.crash(2);
     // Asked before it is known that the majority is gone: no answer that it counts, and none that it doesn't.
-    assert!(matches!(house.answer(3, at_once, 4.0), Answer::Unsettled { .. } | Answer::NoMajority { .. }));
+    assert!(matches!(
+        house.answer(3, at_once, 4.0),
+        ProposalOutcome::Undecided { .. } | ProposalOutcome::NoQuorum { .. }
+    ));
     house.pass(4.0);
     let later = house.proposal(3);
-    assert!(matches!(house.answer(3, later, 4.0), Answer::NoMajority { .. }));
+    assert!(matches!(house.answer(3, later, 4.0), ProposalOutcome::NoQuorum { .. }));
     assert!(house.number(3) == 2 && house.number(4) == 2);
-    assert!(!house.sites[3].machine.as_ref().is_some_and(|m| m.majority(house.now)));
+    assert!(!house.sites[3].machine.as_ref().is_some_and(|m| m.has_quorum(house.now)));
     house.start(2);
     sound(house);
 }
@@ -104,7 +109,10 @@
     house.start(4);
     assert!(house.until(20.0, |house| {
         let status = house.sites[4].machine.as_ref().map(|machine| machine.status(house.now));
-        status.is_some_and(|s| (s.version, s.voters.len(), s.changing, &s.out) == (40, COUNT, false, &None))
+        status.is_some_and(|s| {
+            (s.version, s.voters.len(), s.membership_changing, &s.unavailable_reason)
+                == (40, COUNT, false, &None)
+        })
     }));
     // It is one of the three that are left.
     let others: Vec<usize> = (0..4).filter(|n| Some(*n) != house.leader()).take(2).collect();
@@ -126,9 +134,9 @@
     assert!(house.until(5.0, |house| house.leader().is_some_and(|n| n != leader)), "another leads");
     house.pass(1.0);
     let answer = house.answer(other, proposal, 5.0);
-    assert_eq!(answer, Answer::Ordered(2));
+    assert_eq!(answer, ProposalOutcome::Committed(2));
     assert!(house.until(20.0, |house| house.answers.contains_key(&asker)));
-    assert_eq!(house.answers[&asker], Answer::Ordered(2));
+    assert_eq!(house.answers[&asker], ProposalOutcome::Committed(2));
     sound(house);
 }
 
@@ -142,12 +150,12 @@
     assert!(house.until(10.0, |house| house.leader().is_some_and(|n| n > 1)));
     house.pass(4.0);
     let small = house.proposal(0);
-    assert!(matches!(house.answer(0, small, 4.0), Answer::NoMajority { .. }));
+    assert!(matches!(house.answer(0, small, 4.0), ProposalOutcome::NoQuorum { .. }));
     assert_eq!(ordered(&mut house, 3), 2);
     assert_eq!(house.number(0), 1, "it serves its last version");
     house.pass(60.0);
     assert_eq!(ordered(&mut house, 3), 3);
-    assert!(house.sites[0].machine.as_ref().is_some_and(|m| m.age(house.now) > 60.0));
+    assert!(house.sites[0].machine.as_ref().is_some_and(|m| m.staleness_s(house.now) > 60.0));
     house.cut.clear();
     assert!(house.until(16.0, |house| house.number(0) == 3 && house.number(1) == 3));
     sound(house);
@@ -165,10 +173,14 @@
     assert!(house.until(10.0, |house| house.leader().is_some_and(|n| n != leader)), "another leads");
     house.pass(1.0);
     let machine = house.sites[leader].machine.as_ref().expect("runs");
-    assert!(machine.out().is_some_and(|why| why.contains("no space left")), "{:?}", machine.out());
-    assert_eq!(machine.history().number(), 1);
+    assert!(
+        machine.unavailable_reason().is_some_and(|why| why.contains("no space left")),
+        "{:?}",
+        machine.unavailable_reason()
+    );
+    assert_eq!(machine.version_log().latest_number(), 1);
     let now = house.proposal(leader);
-    assert!(matches!(house.answer(leader, now, 1.0), Answer::Out { .. }));
+    assert!(matches!(house.answer(leader, now, 1.0), ProposalOutcome::Unavailable { .. }));
     assert!(house.until(10.0, |house| house.answers.contains_key(&asker)));
     let other = (leader + 1) % COUNT;
     let number = ordered(&mut house, other);
@@ -202,7 +214,7 @@
     house.sites[follower].disk.held = early;
     house.start(follower);
     assert!(house.until(10.0, |house| {
-        let out = house.sites[follower].machine.as_ref().and_then(Machine::out);
+        let out = house.sites[follower].machine.as_ref().and_then(Replica::unavailable_reason);
         out.is_some_and(|why| why.contains("its disk is not what it was") && why.contains("by an empty one"))
     }));
     house.wipe(follower);
@@ -211,14 +223,14 @@
 }
 
 #[rstest]
-#[case::anothers("c2", |_: &mut Held| {}, "it belongs to control machine `c1`, this one is `c2`")]
-#[case::nobodys("c1", |held: &mut Held| held.identity = None, "it does not say whose it is")]
-#[case::a_gap("c1", |held: &mut Held| drop(held.entries.remove(0)), "entry")]
-#[case::a_torn_tail("c1", |held: &mut Held| held.entries.clear(), "its log ends at")]
-#[case::noise("c1", |held: &mut Held| held.hard = Some(vec![0xff; 9]), "the hard state is not what was written")]
+#[case::anothers("c2", |_: &mut RecoveredState| {}, "it belongs to control machine `c1`, this one is `c2`")]
+#[case::nobodys("c1", |held: &mut RecoveredState| held.identity = None, "it does not say whose it is")]
+#[case::a_gap("c1", |held: &mut RecoveredState| drop(held.entries.remove(0)), "entry")]
+#[case::a_torn_tail("c1", |held: &mut RecoveredState| held.entries.clear(), "its log ends at")]
+#[case::noise("c1", |held: &mut RecoveredState| held.hard_state = Some(vec![0xff; 9]), "the hard state is not what was written")]
 fn a_torn_or_foreign_disk_is_refused_in_one_line(
     #[case] called: &str,
-    #[case] spoil: fn(&mut Held),
+    #[case] spoil: fn(&mut RecoveredState),
     #[case] says: &str,
 ) {
     let mut house = five();
@@ -228,7 +240,7 @@
     let mut held = house.sites[0].disk.held.clone();
     spoil(&mut held);
     let members = (0..COUNT).map(name).collect();
-    let why = Machine::new(called, &members, &held, 9, 9).err().expect("refused");
+    let why = Replica::new(called, &members, &held, 9, 9).err().expect("refused");
     assert!(why.contains(says) && !why.contains('\n'), "{why}");
 }
 
@@ -236,15 +248,16 @@
 fn bounds_are_told() {
     let mut house = five();
     let mut long = house.proposal(0);
-    long.settings = json!({"Name": "x".repeat(PROPOSAL_BYTES)});
-    assert!(matches!(house.answer(0, long, 1.0), Answer::TooLong { most: PROPOSAL_BYTES, .. }));
-    let unsettled: Vec<u64> = (0..=ASKERS_MOST)
+    long.settings = json!({"Name": "x".repeat(MAX_PROPOSAL_BYTES)});
+    assert!(matches!(house.answer(0, long, 1.0), ProposalOutcome::TooLong { limit: MAX_PROPOSAL_BYTES, .. }));
+    let unsettled: Vec<u64> = (0..=MAX_WAITING_CLIENTS)
         .map(|_| {
             let proposal = house.proposal(0);
             house.ask(0, proposal, 5.0)
         })
         .collect();
-    let too_many = |a: &&u64| house.answers.get(a) == Some(&Answer::TooMany { most: ASKERS_MOST });
+    let too_many =
+        |a: &&u64| house.answers.get(a) == Some(&ProposalOutcome::TooMany { limit: MAX_WAITING_CLIENTS });
     assert_eq!(unsettled.iter().filter(too_many).count(), 1);
     sound(house);
 }
@@ -260,40 +273,40 @@
 #[case(json!({"Services": [1]}), json!({"Services": [2]}), &["Services"])]
 #[case(json!(1), json!({}), &["all"])]
 fn what_differs_is_named_by_key(#[case] one: Value, #[case] other: Value, #[case] keys: &[&str]) {
-    assert_eq!(differing(&one, &other), keys);
+    assert_eq!(changed_keys(&one, &other), keys);
 }
 
 #[test]
 fn the_history_keeps_the_newest_and_forgets_in_order() {
-    let mut history = History::default();
-    for n in 0..history::VERSIONS_MOST as u64 + 10 {
+    let mut log = VersionLog::default();
+    for n in 0..version_log::MAX_VERSIONS as u64 + 10 {
         let proposal = Proposal {
             id: format!("p{n}"),
             base: n,
             author: String::new(),
-            why: String::new(),
+            reason: String::new(),
             at_unix_ms: n,
             settings: json!({"TickUs": n}),
         };
-        assert_eq!(history.apply(proposal), Ok(n + 1));
+        assert_eq!(log.apply(proposal), Ok(n + 1));
     }
-    assert_eq!(history.versions().len(), history::VERSIONS_MOST);
-    assert!(history.at(10).is_none() && history.at(11).is_some_and(|version| version.number == 11));
+    assert_eq!(log.versions().len(), version_log::MAX_VERSIONS);
+    assert!(log.get(10).is_none() && log.get(11).is_some_and(|version| version.number == 11));
     // One so old that its id is forgotten is still not taken twice: its base is.
     let old = Proposal {
         id: "p0".into(),
         base: 0,
         author: String::new(),
-        why: String::new(),
+        reason: String::new(),
         at_unix_ms: 0,
         settings: json!({"TickUs": 0}),
     };
-    let number = history.number();
+    let number = log.latest_number();
     assert!(
-        matches!(history.apply(old), Err(Refusal::WouldUndo { undone, .. }) if undone.len() == history::UNDONE_MOST)
+        matches!(log.apply(old), Err(ProposalError::WouldUndo { undone, .. }) if undone.len() == version_log::MAX_UNDONE_VERSIONS)
     );
-    assert_eq!(history.number(), number);
-    assert_eq!(History::read(history.versions().clone()), history);
+    assert_eq!(log.latest_number(), number);
+    assert_eq!(VersionLog::from_versions(log.versions().clone()), log);
 }
 
 /// Guards against large settings that fill the memory long before entries are many.
@@ -302,12 +315,12 @@
     let mut house = five();
     for site in &mut house.sites {
         let machine = site.machine.as_mut().expect("runs");
-        (machine.snapshot_after, machine.log_bytes) = (1000, 20_000);
+        (machine.snapshot_after_entries, machine.max_log_bytes) = (1000, 20_000);
     }
     for _ in 0..60 {
         let mut proposal = house.proposal(0);
         proposal.settings["Name"] = "x".repeat(1500).into();
-        assert!(matches!(house.answer(0, proposal, 5.0), Answer::Ordered(_)));
+        assert!(matches!(house.answer(0, proposal, 5.0), ProposalOutcome::Committed(_)));
     }
     for site in &house.sites {
         let bytes: usize = site.disk.held.entries.iter().map(Vec::len).sum();
--- a/crates/control/tests/schedules.rs
+++ b/crates/control-plane/tests/schedules.rs
@@ -17,8 +17,8 @@
         wiped += house.wiped;
         for answer in house.answers.values() {
             match answer {
-                alderway_control::machine::Answer::Unsettled { .. } => unsettled += 1,
-                alderway_control::machine::Answer::Ordered(_) => {}
+                alderway_control_plane::replica::ProposalOutcome::Undecided { .. } => unsettled += 1,
+                alderway_control_plane::replica::ProposalOutcome::Committed(_) => {}
                 _ => refused += 1,
             }
         }
