--- a/crates/control/tests/subscription.rs
+++ b/crates/control-plane/tests/subscription.rs
@@ -1,11 +1,15 @@
 //! Stories of control machines and routers without sockets: connections with delays that hold bytes while they are cut,
 //! clocks that agree on nothing and drift, machines that are stale, stop and start anew, routers that refuse, wait and
 //! crash. Time passes as a story says; chance is seeded. Bytes are counted as they go out.
-use alderway_control::bucket::{DOWN, TOTAL, UP};
-use alderway_control::publisher::{self, GAP, Publisher, Refused, Unfit};
-use alderway_control::subscriber::{Machine, Note, Order, Settled, Subscriber, Terms};
-use alderway_control::version::{Number, Version};
-use alderway_control::words::{self, Content, LARGEST, Outcome, Say, Tell};
+use alderway_control_plane::messages::{
+    self, ApplyOutcome, ControlMessage, MAX_SETTINGS_BYTES, RouterMessage, VersionContent,
+};
+use alderway_control_plane::publisher::{self, CACHED_VERSIONS, CacheError, LinkError, Publisher};
+use alderway_control_plane::rate_limit::{CONTROL_TO_ALL_ROUTERS, CONTROL_TO_ROUTER, ROUTER_TO_CONTROL};
+use alderway_control_plane::subscriber::{
+    Command, ConfigVersion, ControlEndpoint, Event, Subscriber, SubscriptionConfig,
+};
+use alderway_control_plane::version::{Version, VersionNumber};
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -19,24 +23,24 @@
 const HEALED: f64 = 16.0;
 const STEP: f64 = 0.02;
 
-fn version(number: Number, settings: Value) -> Version {
+fn version(number: VersionNumber, settings: Value) -> Version {
     Version {
         number,
-        proposal: format!("p{number}"),
+        proposal_id: format!("p{number}"),
         author: "a".into(),
-        why: "w".into(),
+        reason: "w".into(),
         at_unix_ms: 0,
         settings,
     }
 }
 
-fn settings(number: Number, filler: usize) -> Value {
+fn settings(number: VersionNumber, filler: usize) -> Value {
     json!({"Limits": {"MaxOpen": 100 + number, "MayCancel": true}, "Discovery": "automatic",
            "Filler": (0..filler / 16).map(|n| format!("{:013}", n)).collect::<Vec<_>>()})
 }
 
 /// Settings that are nowhere like those of another number.
-fn strewn(number: Number, length: usize) -> Value {
+fn strewn(number: VersionNumber, length: usize) -> Value {
     let mut chance = Pcg32::new(number, 5);
     let text: String = (0..length / 8).map(|_| format!("{:08x}", chance.next_u32())).collect();
     json!({"Filler": text})
@@ -49,15 +53,15 @@
     offset: f64,
     rate: f64,
     /// What lasts through a crash.
-    disk: Option<Settled>,
+    disk: Option<ConfigVersion>,
     crashes: u64,
     /// Versions that it refuses, and the keys that wait for a start in each.
-    refuses: BTreeSet<Number>,
-    waits: BTreeMap<Number, Vec<String>>,
+    refuses: BTreeSet<VersionNumber>,
+    waits: BTreeMap<VersionNumber, Vec<String>>,
     /// An offer under way: when it ends by the world's clock.
-    offer: Option<(f64, Number)>,
-    in_force: Vec<(f64, Number)>,
-    notes: Vec<(f64, Note)>,
+    offer: Option<(f64, VersionNumber)>,
+    in_force: Vec<(f64, VersionNumber)>,
+    notes: Vec<(f64, Event)>,
     conn: Option<u64>,
     /// Bytes down and up, as they went out.
     down: VecDeque<(f64, usize)>,
@@ -75,8 +79,8 @@
     greeted: bool,
     to_router: VecDeque<(f64, Vec<u8>)>,
     to_machine: VecDeque<(f64, Vec<u8>)>,
-    by_router: Reader<Tell>,
-    by_machine: Reader<Say>,
+    by_router: Reader<ControlMessage>,
+    by_machine: Reader<RouterMessage>,
 }
 
 struct Desk {
@@ -101,10 +105,10 @@
     last: u64,
     /// No bytes pass between these, router and machine; dials time out.
     cut: BTreeSet<(usize, usize)>,
-    committed: BTreeMap<Number, (f64, String)>,
+    committed: BTreeMap<VersionNumber, (f64, String)>,
     delay: f64,
     take_over: f64,
-    terms: Terms,
+    terms: SubscriptionConfig,
     chance: Pcg32,
 }
 
@@ -128,11 +132,11 @@
             committed: BTreeMap::new(),
             delay: 0.01,
             take_over: 0.05,
-            terms: Terms::default(),
+            terms: SubscriptionConfig::default(),
             chance: Pcg32::new(seed, 3),
         };
         for n in 0..machines {
-            let publisher = Publisher::new(publisher::Terms::default(), world.machine_clock(n));
+            let publisher = Publisher::new(publisher::PublisherConfig::default(), world.machine_clock(n));
             let (name, zone) = (format!("c{n}"), format!("z{n}"));
             let (as_of, sent) = (f64::NEG_INFINITY, VecDeque::new());
             let (up, follows, majority) = (true, true, true);
@@ -170,8 +174,8 @@
         f64::from(self.chance.next_u32()) / 4_294_967_296.0
     }
 
-    fn subscriber(&mut self, n: usize, zone: &str, kept: Option<Settled>, now: f64) -> Subscriber {
-        let machine = |desk: &Desk| Machine { name: desk.name.clone(), zone: desk.zone.clone() };
+    fn subscriber(&mut self, n: usize, zone: &str, kept: Option<ConfigVersion>, now: f64) -> Subscriber {
+        let machine = |desk: &Desk| ControlEndpoint { name: desk.name.clone(), zone: desk.zone.clone() };
         let machines = self.machines.iter().map(machine).collect();
         let seed = u64::from(self.chance.next_u32()) ^ (n as u64) << 33;
         Subscriber::new(self.terms, machines, zone, kept.map(|kept| (kept, None)), seed, now)
@@ -188,7 +192,7 @@
     /// A majority decides: every machine that follows has it.
     fn commit(&mut self, settings: Value) {
         let number = self.committed.last_key_value().map_or(1, |(number, _)| number + 1);
-        self.committed.insert(number, (self.now, words::canonical(&settings)));
+        self.committed.insert(number, (self.now, messages::canonical_json(&settings)));
         for n in 0..self.machines.len() {
             if self.machines[n].follows && self.machines[n].up {
                 let at = self.machine_clock(n);
@@ -200,7 +204,7 @@
         }
     }
 
-    fn newest(&self) -> Number {
+    fn newest(&self) -> VersionNumber {
         self.committed.last_key_value().map_or(0, |(number, _)| *number)
     }
 
@@ -215,9 +219,10 @@
         }
     }
 
-    fn restart_machine(&mut self, n: usize, upto: Number) {
+    fn restart_machine(&mut self, n: usize, upto: VersionNumber) {
         self.stop_machine(n);
-        self.machines[n].publisher = Publisher::new(publisher::Terms::default(), self.machine_clock(n));
+        self.machines[n].publisher =
+            Publisher::new(publisher::PublisherConfig::default(), self.machine_clock(n));
         self.machines[n].up = true;
         let at = self.machine_clock(n);
         for (number, (_, text)) in self.committed.clone().range(..=upto) {
@@ -238,12 +243,12 @@
     fn end(&mut self, conn: u64) {
         let Some(gone) = self.conns.remove(&conn) else { return };
         if let Some(link) = gone.link {
-            self.machines[gone.machine].publisher.closed(link);
+            self.machines[gone.machine].publisher.close_link(link);
         }
         if self.routers[gone.router].conn == Some(conn) {
             let at = self.local(gone.router);
             self.routers[gone.router].conn = None;
-            self.routers[gone.router].subscriber.closed(at);
+            self.routers[gone.router].subscriber.connection_closed(at);
         }
     }
 
@@ -256,7 +261,7 @@
         let router = &mut self.routers[n];
         (router.subscriber, router.offer) = (subscriber, None);
         router.crashes += 1;
-        let held = router.subscriber.holding().held().number;
+        let held = router.subscriber.versions().active().number;
         router.in_force.push((self.now, held));
     }
 
@@ -265,9 +270,9 @@
     }
 
     fn orders(&mut self, n: usize) {
-        while let Some(order) = self.routers[n].subscriber.order() {
+        while let Some(order) = self.routers[n].subscriber.next_command() {
             match order {
-                Order::Dial(machine) => {
+                Command::Connect(machine) => {
                     if let Some(conn) = self.routers[n].conn.take() {
                         self.end(conn);
                     }
@@ -287,29 +292,33 @@
                     self.conns.insert(self.last, conn);
                     self.routers[n].conn = Some(self.last);
                 }
-                Order::Leave => {
+                Command::Disconnect => {
                     // The machine of a cut connection does not hear of it.
                     if let Some(conn) = self.routers[n].conn.take()
                         && let Some(gone) = self.conns.remove(&conn)
                         && let Some(link) = gone.link
                         && !self.is_cut(n, gone.machine)
                     {
-                        self.machines[gone.machine].publisher.closed(link);
+                        self.machines[gone.machine].publisher.close_link(link);
                     }
                 }
-                Order::Offer { number, settings } => {
+                Command::Apply { number, settings } => {
                     let (_, text) = &self.committed[&number];
-                    assert_eq!(&words::canonical(&settings), text, "version {number} is what was committed");
+                    assert_eq!(
+                        &messages::canonical_json(&settings),
+                        text,
+                        "version {number} is what was committed"
+                    );
                     self.routers[n].offer = Some((self.now + self.take_over, number));
                 }
-                Order::Keep(kept) => {
+                Command::Persist(kept) => {
                     let (_, text) = &self.committed[&kept.number];
                     assert_eq!(&*kept.text, text, "version {} is what was committed", kept.number);
                     let disk = self.routers[n].disk.as_ref().map_or(0, |disk| disk.number);
                     assert!(kept.number > disk, "{} after {disk}", kept.number);
                     self.routers[n].disk = Some(kept);
                 }
-                Order::Note(note) => self.routers[n].notes.push((self.now, note)),
+                Command::Log(note) => self.routers[n].notes.push((self.now, note)),
             }
         }
     }
@@ -326,7 +335,7 @@
                 machine.as_of = self.now;
             }
             let age = self.now - machine.as_of;
-            machine.publisher.stands(age, machine.majority, at);
+            machine.publisher.set_freshness(age, machine.majority, at);
             for (link, _) in machine.publisher.tick(at) {
                 let conn = self.conns.iter().find(|(_, c)| c.machine == n && c.link == Some(link));
                 if let Some(conn) = conn.map(|(conn, _)| *conn)
@@ -346,20 +355,20 @@
                 let router = &mut self.routers[n];
                 router.offer = None;
                 let outcome = if router.refuses.contains(&number) {
-                    Outcome::Refused(format!("key `Limits` of {number}"))
+                    ApplyOutcome::Rejected(format!("key `Limits` of {number}"))
                 } else if let Some(keys) = router.waits.get(&number) {
-                    Outcome::Waits(keys.clone())
+                    ApplyOutcome::PendingRestart(keys.clone())
                 } else {
-                    Outcome::InForce
+                    ApplyOutcome::Applied
                 };
-                if outcome == Outcome::InForce {
+                if outcome == ApplyOutcome::Applied {
                     let before = router.in_force.last().map_or(0, |(_, number)| *number);
                     assert!(number > before, "{} went back from {before} to {number}", router.name);
                     router.in_force.push((self.now, number));
                 }
-                router.subscriber.ended(number, outcome);
+                router.subscriber.offer_completed(number, outcome);
             }
-            if self.routers[n].subscriber.due() <= at {
+            if self.routers[n].subscriber.next_deadline() <= at {
                 self.routers[n].subscriber.tick(at);
             }
             self.orders(n);
@@ -371,8 +380,8 @@
 
     /// The age that a router states is never less than its true one.
     fn ages(&self, n: usize) {
-        let held = self.routers[n].subscriber.holding().held().number;
-        let Some(age) = self.routers[n].subscriber.age(self.local(n)) else { return };
+        let held = self.routers[n].subscriber.versions().active().number;
+        let Some(age) = self.routers[n].subscriber.staleness_s(self.local(n)) else { return };
         let next = self.committed.range(held + 1..).next();
         let truth = next.map_or(0.0, |(_, (at, _))| self.now - at);
         assert!(age + 1e-6 >= truth, "{} says {age} where {truth} is true", self.routers[n].name);
@@ -389,7 +398,7 @@
             let (name, incarnation) = (self.routers[router].name.clone(), self.routers[router].crashes + 1);
             let clock = self.machine_clock(machine);
             let desk = &mut self.machines[machine];
-            let opened = desk.up.then(|| desk.publisher.opened(&name, incarnation, clock));
+            let opened = desk.up.then(|| desk.publisher.open_link(&name, incarnation, clock));
             let Some(Ok(link)) = opened else {
                 self.end(at);
                 continue;
@@ -397,16 +406,20 @@
             let Some(conn) = self.conns.get_mut(&at) else { continue };
             (conn.greeted, conn.link) = (true, Some(link));
             let mut hello = vec![];
-            let said =
-                Hello { version: Tell::VERSION, planner: false, incarnation: 1, name: desk.name.clone() };
-            frames::hello_of::<Tell>(&mut hello, &said);
+            let said = Hello {
+                version: ControlMessage::VERSION,
+                planner: false,
+                incarnation: 1,
+                name: desk.name.clone(),
+            };
+            frames::hello_of::<ControlMessage>(&mut hello, &said);
             conn.by_router.feed(&hello);
-            let said = Hello { version: Say::VERSION, planner: false, incarnation, name };
+            let said = Hello { version: RouterMessage::VERSION, planner: false, incarnation, name };
             hello.clear();
-            frames::hello_of::<Say>(&mut hello, &said);
+            frames::hello_of::<RouterMessage>(&mut hello, &said);
             conn.by_machine.feed(&hello);
             let clock = self.local(router);
-            self.routers[router].subscriber.opened(clock);
+            self.routers[router].subscriber.connection_opened(clock);
         }
     }
 
@@ -442,16 +455,16 @@
             let clock = self.local(router);
             for tell in tells {
                 // Never a version, or a content, that was not committed.
-                if let Tell::Part { number, digest, .. } = &tell {
+                if let ControlMessage::ContentPart { number, digest, .. } = &tell {
                     let (_, text) = self.committed.get(number).expect("a committed version");
-                    assert_eq!(*digest, words::digest(text));
+                    assert_eq!(*digest, messages::digest(text));
                 }
-                self.routers[router].subscriber.heard(tell, clock);
+                self.routers[router].subscriber.receive(tell, clock);
             }
             let clock = self.machine_clock(machine);
             for say in says {
                 if let Some(link) = link {
-                    self.machines[machine].publisher.heard(link, say, clock);
+                    self.machines[machine].publisher.receive(link, say, clock);
                 }
             }
         }
@@ -463,7 +476,7 @@
         if !self.conns.get(&conn).is_some_and(|conn| conn.greeted) {
             return;
         }
-        while let Some(bytes) = self.routers[n].subscriber.word(at) {
+        while let Some(bytes) = self.routers[n].subscriber.next_message(at) {
             let router = &mut self.routers[n];
             record(&mut router.up, &mut router.most.1, self.now, bytes.len());
             router.sum.1 += bytes.len();
@@ -485,9 +498,9 @@
                 .filter(|(_, conn)| conn.machine == n)
                 .filter_map(|(at, conn)| Some((conn.link?, *at)))
                 .collect();
-            while let Some((link, bytes)) = self.machines[n].publisher.next(clock) {
+            while let Some((link, bytes)) = self.machines[n].publisher.next_message(clock) {
                 let desk = &mut self.machines[n];
-                desk.publisher.sent(link);
+                desk.publisher.message_sent(link);
                 record(&mut desk.sent, &mut desk.most, self.now, bytes.len());
                 // A connection that its router has left over a cut way.
                 let Some(conn) = by_link.get(&link).and_then(|at| self.conns.get_mut(at)) else { continue };
@@ -515,8 +528,8 @@
         self.now - from
     }
 
-    fn held(&self, n: usize) -> Number {
-        self.routers[n].subscriber.holding().held().number
+    fn held(&self, n: usize) -> VersionNumber {
+        self.routers[n].subscriber.versions().active().number
     }
 
     fn all_newest(&self) -> bool {
@@ -524,7 +537,7 @@
     }
 
     fn connected(&self, n: usize) -> Option<String> {
-        self.routers[n].subscriber.connected().map(|machine| machine.name.clone())
+        self.routers[n].subscriber.connected_to().map(|machine| machine.name.clone())
     }
 
     fn cut_zone(&mut self, machine: usize, zone: Option<usize>) {
@@ -540,15 +553,30 @@
         // The clocks of both sides may go apart from the world's.
         let some = 1.002;
         for router in &self.routers {
-            assert!(router.most.0 as f64 <= DOWN.a_second() * some, "{}: {:?}", router.name, router.most);
-            assert!(router.most.1 as f64 <= UP.a_second() * some, "{}: {:?}", router.name, router.most);
+            assert!(
+                router.most.0 as f64 <= CONTROL_TO_ROUTER.max_bytes_in_one_second() * some,
+                "{}: {:?}",
+                router.name,
+                router.most
+            );
+            assert!(
+                router.most.1 as f64 <= ROUTER_TO_CONTROL.max_bytes_in_one_second() * some,
+                "{}: {:?}",
+                router.name,
+                router.most
+            );
         }
         for machine in &self.machines {
-            assert!(machine.most as f64 <= TOTAL.a_second() * some, "{}: {}", machine.name, machine.most);
+            assert!(
+                machine.most as f64 <= CONTROL_TO_ALL_ROUTERS.max_bytes_in_one_second() * some,
+                "{}: {}",
+                machine.name,
+                machine.most
+            );
         }
     }
 
-    fn noted(&self, n: usize, what: impl Fn(&Note) -> bool) -> bool {
+    fn noted(&self, n: usize, what: impl Fn(&Event) -> bool) -> bool {
         self.routers[n].notes.iter().any(|(_, note)| what(note))
     }
 }
@@ -563,9 +591,9 @@
     assert!(first < 2.0 && second < 0.3, "{first} {second}");
     world.run(1.0);
     let mut all = world.machines[0].publisher.summary(world.machine_clock(0));
-    all.add(&world.machines[1].publisher.summary(world.machine_clock(1)));
+    all.merge(&world.machines[1].publisher.summary(world.machine_clock(1)));
     assert_eq!(all.by_version, BTreeMap::from([(2, 10)]));
-    assert_eq!((all.lagging.len(), all.left_out), (0, 0));
+    assert_eq!((all.lagging.len(), all.omitted), (0, 0));
     // Each is connected in its own zone.
     (0..10).for_each(|n| assert_eq!(world.connected(n), Some(format!("c{}", n % 2))));
     world.within_budget();
@@ -581,19 +609,28 @@
     world.run_until(1.0, World::all_newest);
     let patch = world.routers[0].sum.0 - whole;
     assert!(whole > 8_000 && patch < 400, "{whole} {patch}");
-    assert_eq!((world.routers[0].subscriber.met.whole, world.routers[0].subscriber.met.deltas), (1, 1));
+    assert_eq!(
+        (world.routers[0].subscriber.metrics.snapshots, world.routers[0].subscriber.metrics.patches),
+        (1, 1)
+    );
     // Behind by less than the gap: one patch for all of it.
     world.stop_machine(0);
-    (0..GAP as u64 - 1).for_each(|n| world.commit(settings(3 + n, 8_000)));
+    (0..CACHED_VERSIONS as u64 - 1).for_each(|n| world.commit(settings(3 + n, 8_000)));
     world.restart_machine(0, world.newest());
     world.run_until(8.0, World::all_newest);
-    assert_eq!((world.routers[0].subscriber.met.whole, world.routers[0].subscriber.met.deltas), (1, 2));
+    assert_eq!(
+        (world.routers[0].subscriber.metrics.snapshots, world.routers[0].subscriber.metrics.patches),
+        (1, 2)
+    );
     // And by more: one whole.
     world.stop_machine(0);
-    (0..GAP as u64).for_each(|n| world.commit(settings(100 + n, 8_000)));
+    (0..CACHED_VERSIONS as u64).for_each(|n| world.commit(settings(100 + n, 8_000)));
     world.restart_machine(0, world.newest());
     world.run_until(10.0, World::all_newest);
-    assert_eq!((world.routers[0].subscriber.met.whole, world.routers[0].subscriber.met.deltas), (2, 2));
+    assert_eq!(
+        (world.routers[0].subscriber.metrics.snapshots, world.routers[0].subscriber.metrics.patches),
+        (2, 2)
+    );
     world.within_budget();
 }
 
@@ -601,18 +638,18 @@
 fn the_longest_settings_go_through_the_budget_in_parts_in_time() {
     let mut world = World::new(2, 1, 3);
     world.run(2.0);
-    let longest = strewn(1, LARGEST - 32);
-    assert!(words::canonical(&longest).len() > LARGEST - 32);
+    let longest = strewn(1, MAX_SETTINGS_BYTES - 32);
+    assert!(messages::canonical_json(&longest).len() > MAX_SETTINGS_BYTES - 32);
     world.commit(longest);
     let span = world.run_until(HEALED, World::all_newest);
     world.within_budget();
     // Pulses were answered meanwhile or later; nobody was taken for silent.
-    assert!(!world.noted(0, |note| matches!(note, Note::Silent(..))), "{span}");
+    assert!(!world.noted(0, |note| matches!(note, Event::ConnectionTimedOut(..))), "{span}");
     // Longer ones are nothing that is ever told.
     let at = world.machine_clock(0);
-    let long = world.machines[0].publisher.commit(&version(2, strewn(2, LARGEST)), at);
-    assert!(matches!(long, Err(Unfit::Long(2, length)) if length > LARGEST), "{long:?}");
-    assert_eq!(world.machines[0].publisher.newest(), 1);
+    let long = world.machines[0].publisher.commit(&version(2, strewn(2, MAX_SETTINGS_BYTES)), at);
+    assert!(matches!(long, Err(CacheError::TooLarge(2, length)) if length > MAX_SETTINGS_BYTES), "{long:?}");
+    assert_eq!(world.machines[0].publisher.latest(), 1);
 }
 
 #[rstest]
@@ -637,13 +674,13 @@
     world.cut_zone(0, None);
     let span = world.run_until(HEALED, |world| world.connected(0).is_some_and(|name| name != "c0"));
     assert!(span < 3.0 + 1.0 + 0.6, "{span}");
-    assert!(world.noted(0, |note| matches!(note, Note::Silent(name, _) if name == "c0")));
+    assert!(world.noted(0, |note| matches!(note, Event::ConnectionTimedOut(name, _) if name == "c0")));
     world.commit(settings(2, 100));
     world.run_until(1.0, World::all_newest);
     world.cut.clear();
     let span = world.run_until(500.0, |world| world.connected(0) == Some("c0".into()));
     assert!(span > 10.0, "{span}");
-    assert!(world.noted(0, |note| matches!(note, Note::Home(_))));
+    assert!(world.noted(0, |note| matches!(note, Event::ReturningToOwnZone(_))));
     world.commit(settings(3, 100));
     world.run_until(1.0, World::all_newest);
 }
@@ -673,14 +710,14 @@
     world.cut.clear();
     world.cut_zone(1, None);
     world.run_until(HEALED, |world| world.connected(0) == Some("c0".into()));
-    let before = world.routers[0].subscriber.as_of();
+    let before = world.routers[0].subscriber.confirmed_at();
     world.run(4.0);
     assert_eq!((world.held(0), world.routers[0].in_force.last().map(|f| f.1)), (3, Some(3)));
-    assert_eq!(world.routers[0].subscriber.as_of(), before, "its word does not count");
+    assert_eq!(world.routers[0].subscriber.confirmed_at(), before, "its word does not count");
     world.cut.clear();
     let span = world.run_until(HEALED, |world| world.connected(0) == Some("c1".into()));
     assert!(span < 5.0, "{span}");
-    assert!(world.noted(0, |note| matches!(note, Note::Behind(name) if name == "c0")));
+    assert!(world.noted(0, |note| matches!(note, Event::ReplicaBehind(name) if name == "c0")));
     assert_eq!(world.held(0), 3);
 }
 
@@ -699,8 +736,8 @@
     assert_eq!((kept(0), kept(1)), (Some(1), Some(2)));
     let summary = world.machines[0].publisher.summary(world.machine_clock(0));
     assert_eq!(summary.by_version, BTreeMap::from([(1, 2)]));
-    let lagging: Vec<(&str, Number, &str)> =
-        summary.lagging.iter().map(|l| (l.router.as_str(), l.version, l.why.as_str())).collect();
+    let lagging: Vec<(&str, VersionNumber, &str)> =
+        summary.lagging.iter().map(|l| (l.router.as_str(), l.version, l.reason.as_str())).collect();
     let refused = ("r000", 1, "refused 2: key `Limits` of 2");
     assert_eq!(lagging, [refused, ("r001", 1, "2 waits for a start: Extra.Cells")]);
     assert!(summary.lagging.iter().all(|l| (2.5..3.1).contains(&l.since_s)), "{:?}", summary.lagging);
@@ -708,13 +745,13 @@
     world.restart_machine(0, 2);
     world.run(6.0);
     let again = world.machines[0].publisher.summary(world.machine_clock(0));
-    let whys: Vec<&str> = again.lagging.iter().map(|l| l.why.as_str()).collect();
+    let whys: Vec<&str> = again.lagging.iter().map(|l| l.reason.as_str()).collect();
     assert_eq!(whys.len(), 2, "{again:?}");
     assert!(whys.contains(&refused.2) && whys.contains(&"2 waits for a start: Extra.Cells"), "{whys:?}");
     // The next one goes as a patch upon what was got, not upon what is in force.
     world.commit(settings(3, 100));
     world.run_until(1.0, World::all_newest);
-    assert_eq!(world.routers[0].subscriber.met.mismatches, 0);
+    assert_eq!(world.routers[0].subscriber.metrics.digest_mismatches, 0);
     // A start with what waited.
     world.routers[1].waits.insert(4, vec!["Extra.Cells".into()]);
     world.commit(settings(4, 100));
@@ -724,22 +761,23 @@
     assert_eq!(world.held(1), 4);
 }
 
-fn by_hand(kept: Option<Settled>) -> Subscriber {
-    let machines = vec![Machine { name: "c0".into(), zone: "z".into() }; 2];
-    let mut by_hand = Subscriber::new(Terms::default(), machines, "z", kept.map(|kept| (kept, None)), 1, 0.0);
+fn by_hand(kept: Option<ConfigVersion>) -> Subscriber {
+    let machines = vec![ControlEndpoint { name: "c0".into(), zone: "z".into() }; 2];
+    let mut by_hand =
+        Subscriber::new(SubscriptionConfig::default(), machines, "z", kept.map(|kept| (kept, None)), 1, 0.0);
     by_hand.tick(1.0);
-    assert!(matches!(by_hand.order(), Some(Order::Dial(_))));
-    by_hand.opened(1.0);
-    while by_hand.word(1.0).is_some() {}
-    while by_hand.order().is_some() {}
+    assert!(matches!(by_hand.next_command(), Some(Command::Connect(_))));
+    by_hand.connection_opened(1.0);
+    while by_hand.next_message(1.0).is_some() {}
+    while by_hand.next_command().is_some() {}
     by_hand
 }
 
-fn asked(bytes: &[u8]) -> Say {
-    let mut reader = Reader::<Say>::default();
+fn asked(bytes: &[u8]) -> RouterMessage {
+    let mut reader = Reader::<RouterMessage>::default();
     let mut hello = vec![];
-    let said = Hello { version: Say::VERSION, planner: false, incarnation: 1, name: "r".into() };
-    frames::hello_of::<Say>(&mut hello, &said);
+    let said = Hello { version: RouterMessage::VERSION, planner: false, incarnation: 1, name: "r".into() };
+    frames::hello_of::<RouterMessage>(&mut hello, &said);
     reader.feed(&hello);
     reader.feed(bytes);
     assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))));
@@ -751,87 +789,107 @@
 
 #[rstest]
 fn a_patch_that_does_not_come_out_as_told_is_not_taken_and_the_whole_is_asked_for() {
-    let held = Settled::new(4, r#"{"a":1}"#);
+    let held = ConfigVersion::new(4, r#"{"a":1}"#);
     let mut router = by_hand(Some(held));
     let patch = r#"[{"op":"replace","path":"/a","value":2}]"#.to_string();
-    let content = Content { number: 5, base: 4, digest: words::digest(r#"{"a":3}"#), text: patch.clone() };
-    router.heard(content.part(0), 1.1);
-    assert_eq!(router.holding().got().number, 4);
-    assert!(matches!(router.order(), Some(Order::Note(Note::Mismatch(_, 5)))));
-    let word = router.word(2.2).expect("asks again");
-    assert!(matches!(asked(&word), Say::Ask { got: 4, held: 4, whole: true, .. }));
+    let content =
+        VersionContent { number: 5, base: 4, digest: messages::digest(r#"{"a":3}"#), text: patch.clone() };
+    router.receive(content.part(0), 1.1);
+    assert_eq!(router.versions().received().number, 4);
+    assert!(matches!(router.next_command(), Some(Command::Log(Event::DigestMismatch(_, 5)))));
+    let word = router.next_message(2.2).expect("asks again");
+    assert!(matches!(
+        asked(&word),
+        RouterMessage::Subscribe { received: 4, active: 4, needs_snapshot: true, .. }
+    ));
     // A patch upon a version that it has not.
-    let content = Content { number: 6, base: 5, digest: words::digest(r#"{"a":2}"#), text: patch };
-    router.heard(content.part(0), 2.3);
-    assert_eq!(router.holding().got().number, 4);
+    let content = VersionContent { number: 6, base: 5, digest: messages::digest(r#"{"a":2}"#), text: patch };
+    router.receive(content.part(0), 2.3);
+    assert_eq!(router.versions().received().number, 4);
     // The whole, and a whole that is none: its machine is left.
     let whole = r#"{"a":3}"#.to_string();
-    let content = Content { number: 5, base: 0, digest: words::digest(&whole), text: whole };
-    router.heard(content.part(0), 2.4);
-    assert_eq!(router.holding().got().number, 5);
-    let content = Content { number: 6, base: 0, digest: 7, text: "{}".into() };
-    router.heard(content.part(0), 2.5);
-    assert_eq!((router.holding().got().number, router.connected()), (5, None));
+    let content = VersionContent { number: 5, base: 0, digest: messages::digest(&whole), text: whole };
+    router.receive(content.part(0), 2.4);
+    assert_eq!(router.versions().received().number, 5);
+    let content = VersionContent { number: 6, base: 0, digest: 7, text: "{}".into() };
+    router.receive(content.part(0), 2.5);
+    assert_eq!((router.versions().received().number, router.connected_to()), (5, None));
 }
 
 #[rstest]
 fn one_number_never_has_two_contents() {
-    let mut publisher = Publisher::new(publisher::Terms::default(), 0.0);
+    let mut publisher = Publisher::new(publisher::PublisherConfig::default(), 0.0);
     assert_eq!(publisher.commit(&version(1, json!({"a": 1})), 0.0), Ok(true));
     assert_eq!(publisher.commit(&version(1, json!({"a": 1})), 0.0), Ok(false));
-    assert_eq!(publisher.commit(&version(1, json!({"a": 2})), 0.0), Err(Unfit::Clash(1)));
+    assert_eq!(publisher.commit(&version(1, json!({"a": 2})), 0.0), Err(CacheError::Conflict(1)));
     // A router that has another one stays with it, and both sides say so.
-    let mut router = by_hand(Some(Settled::new(1, r#"{"a":2}"#)));
-    let link = publisher.opened("r", 1, 0.0).expect("room");
-    let (got, digest) = (1, words::digest(r#"{"a":2}"#));
-    publisher.heard(link, Say::Ask { got, digest, held: 1, whole: false }, 0.0);
-    assert_eq!((publisher.next(0.0), publisher.met.clashes), (None, 1));
-    let content =
-        Content { number: 1, base: 0, digest: words::digest(r#"{"a":1}"#), text: r#"{"a":1}"#.into() };
-    router.heard(content.part(0), 1.1);
-    assert_eq!(&*router.holding().got().text, r#"{"a":2}"#);
-    assert!(matches!(router.order(), Some(Order::Note(Note::Clash(_, 1)))));
+    let mut router = by_hand(Some(ConfigVersion::new(1, r#"{"a":2}"#)));
+    let link = publisher.open_link("r", 1, 0.0).expect("room");
+    let (got, digest) = (1, messages::digest(r#"{"a":2}"#));
+    publisher.receive(
+        link,
+        RouterMessage::Subscribe { received: got, digest, active: 1, needs_snapshot: false },
+        0.0,
+    );
+    assert_eq!((publisher.next_message(0.0), publisher.metrics.conflicts), (None, 1));
+    let content = VersionContent {
+        number: 1,
+        base: 0,
+        digest: messages::digest(r#"{"a":1}"#),
+        text: r#"{"a":1}"#.into(),
+    };
+    router.receive(content.part(0), 1.1);
+    assert_eq!(&*router.versions().received().text, r#"{"a":2}"#);
+    assert!(matches!(router.next_command(), Some(Command::Log(Event::Conflict(_, 1)))));
     // The next version goes to it as a whole.
     assert_eq!(publisher.commit(&version(2, json!({"a": 1, "b": 1})), 1.0), Ok(true));
-    assert!(publisher.next(2.0).is_some());
-    assert_eq!((publisher.met.whole, publisher.met.deltas), (1, 0));
+    assert!(publisher.next_message(2.0).is_some());
+    assert_eq!((publisher.metrics.snapshots, publisher.metrics.patches), (1, 0));
 }
 
 #[rstest]
 fn a_router_of_an_earlier_start_and_one_too_many_are_refused() {
-    let mut publisher = Publisher::new(publisher::Terms { most: 2, ..publisher::Terms::default() }, 0.0);
-    let first = publisher.opened("r", 2, 0.0).expect("room");
-    assert_eq!(publisher.opened("r", 1, 0.0), Err(Refused::Former("r".into(), 1)));
-    let later = publisher.opened("r", 3, 0.0).expect("in the place of the first");
-    assert!(!publisher.holds(first) && publisher.holds(later));
-    assert!(publisher.opened("s", 1, 0.0).is_ok());
-    assert_eq!(publisher.opened("t", 1, 0.0), Err(Refused::Full(2)));
-    assert_eq!(publisher.opened("", 1, 0.0), Err(Refused::Nameless));
+    let mut publisher = Publisher::new(
+        publisher::PublisherConfig { max_links: 2, ..publisher::PublisherConfig::default() },
+        0.0,
+    );
+    let first = publisher.open_link("r", 2, 0.0).expect("room");
+    assert_eq!(publisher.open_link("r", 1, 0.0), Err(LinkError::StaleIncarnation("r".into(), 1)));
+    let later = publisher.open_link("r", 3, 0.0).expect("in the place of the first");
+    assert!(!publisher.has_link(first) && publisher.has_link(later));
+    assert!(publisher.open_link("s", 1, 0.0).is_ok());
+    assert_eq!(publisher.open_link("t", 1, 0.0), Err(LinkError::TooManyLinks(2)));
+    assert_eq!(publisher.open_link("", 1, 0.0), Err(LinkError::InvalidName));
     let silent = publisher.tick(11.0);
-    assert_eq!((silent.len(), publisher.links()), (2, 0));
+    assert_eq!((silent.len(), publisher.link_count()), (2, 0));
 }
 
 #[rstest]
 fn a_change_comes_before_a_beat_and_links_take_turns() {
-    let mut publisher = Publisher::new(publisher::Terms::default(), 0.0);
+    let mut publisher = Publisher::new(publisher::PublisherConfig::default(), 0.0);
     publisher.commit(&version(1, strewn(1, 2_000)), 0.0).expect("a version");
-    let links: Vec<u64> = (0..3).map(|n| publisher.opened(&format!("r{n}"), 1, 0.0).expect("room")).collect();
+    let links: Vec<u64> =
+        (0..3).map(|n| publisher.open_link(&format!("r{n}"), 1, 0.0).expect("room")).collect();
     for link in &links {
-        publisher.heard(*link, Say::Pulse { stamp: 1 }, 0.0);
-        publisher.heard(*link, Say::Ask { got: 0, digest: 0, held: 0, whole: false }, 0.0);
+        publisher.receive(*link, RouterMessage::HeartbeatRequest { sequence: 1 }, 0.0);
+        publisher.receive(
+            *link,
+            RouterMessage::Subscribe { received: 0, digest: 0, active: 0, needs_snapshot: false },
+            0.0,
+        );
     }
     // A connection begins with nothing to spend: one that comes again and again would have a burst each time.
-    assert_eq!(publisher.next(0.0), None);
-    assert!(publisher.due() > 0.0, "{}", publisher.due());
+    assert_eq!(publisher.next_message(0.0), None);
+    assert!(publisher.next_deadline() > 0.0, "{}", publisher.next_deadline());
     let mut order = vec![];
-    while let Some((link, bytes)) = publisher.next(1.0) {
+    while let Some((link, bytes)) = publisher.next_message(1.0) {
         order.push((link, bytes.len() > 100));
-        publisher.sent(link);
+        publisher.message_sent(link);
     }
     let expected: Vec<(u64, bool)> =
         links.iter().map(|l| (*l, true)).chain(links.iter().map(|l| (*l, false))).collect();
     assert_eq!(order, expected, "a part to each, then what is left of each budget takes a beat");
-    assert!(publisher.due() > 1.0);
+    assert!(publisher.next_deadline() > 1.0);
 }
 
 #[rstest]
@@ -858,12 +916,12 @@
     for n in 0..10 {
         let within = side(&world.routers[n].zone);
         assert_eq!(world.held(n), if within { 1 } else { 7 });
-        let said = world.noted(n, |note| matches!(note, Note::Old { number: 1, age: Some(_), .. }));
+        let said = world.noted(n, |note| matches!(note, Event::Stale { number: 1, age: Some(_), .. }));
         assert_eq!(said, within);
-        let age = world.routers[n].subscriber.age(world.local(n)).expect("stated");
+        let age = world.routers[n].subscriber.staleness_s(world.local(n)).expect("stated");
         assert!(if within { (590.0..620.0).contains(&age) } else { age < 3.0 }, "{n}: {age}");
     }
-    let some = world.routers[0].notes.iter().filter(|(_, note)| matches!(note, Note::Old { .. })).count();
+    let some = world.routers[0].notes.iter().filter(|(_, note)| matches!(note, Event::Stale { .. })).count();
     assert!((2..10).contains(&some), "said ever more rarely: {some}");
     world.cut.clear();
     for n in 0..2 {
@@ -873,7 +931,7 @@
     let span = world.run_until(HEALED, World::all_newest);
     assert!(span < HEALED, "{span}");
     world.run_until(HEALED, |world| {
-        (0..10).all(|n| world.routers[n].subscriber.age(world.local(n)).is_some_and(|age| age < 3.0))
+        (0..10).all(|n| world.routers[n].subscriber.staleness_s(world.local(n)).is_some_and(|age| age < 3.0))
     });
     world.within_budget();
 }
@@ -888,7 +946,7 @@
     world.crash_router(0);
     assert_eq!(world.held(0), 3);
     world.run(30.0);
-    assert!(world.noted(0, |note| matches!(note, Note::Old { number: 3, age: None, .. })));
+    assert!(world.noted(0, |note| matches!(note, Event::Stale { number: 3, age: None, .. })));
     // A machine comes back that has lost the last version.
     world.machines[0].follows = false;
     world.restart_machine(0, 2);
@@ -909,7 +967,7 @@
     world.run(30.0);
     let before: usize = world.routers.iter().map(|router| router.sum.0).sum();
     // Past the gap: all need the whole.
-    (0..GAP as u64 + 1).for_each(|n| world.commit(settings(2 + n, 6_000)));
+    (0..CACHED_VERSIONS as u64 + 1).for_each(|n| world.commit(settings(2 + n, 6_000)));
     world.cut.clear();
     let span = world.run_until(HEALED, World::all_newest);
     world.within_budget();
@@ -936,7 +994,7 @@
     println!("550 that start anew at one machine: current after {span:.1} s");
     world.cut_zone(0, None);
     world.run(20.0);
-    (0..GAP as u64 + 1).for_each(|n| world.commit(settings(2 + n, 6_000)));
+    (0..CACHED_VERSIONS as u64 + 1).for_each(|n| world.commit(settings(2 + n, 6_000)));
     world.cut.clear();
     let span = world.run_until(HEALED, World::all_newest);
     world.within_budget();
--- a/crates/control/tests/wire_format.rs
+++ b/crates/control-plane/tests/wire_format.rs
@@ -4,12 +4,12 @@
 //!
 //! A reference file has one item a line: its name, a space, then hexadecimal bytes (`.hex`) or JSON (`.json.txt`). They
 //! were written once and nothing regenerates them: a difference is a change of the format.
-use alderway_control::consensus::{Held, Persist, Store, founding, held};
-use alderway_control::history::{History, Refusal, Undone};
-use alderway_control::machine::{Answer, Machine, Status, Word};
-use alderway_control::outlet::{Lagging, Summary};
-use alderway_control::version::{Proposal, Version};
-use alderway_control::words::{Outcome, Say, Tell, digest, framed};
+use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch, founding, held};
+use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage, digest, encode_frame};
+use alderway_control_plane::replica::{ProposalOutcome, Replica, ReplicaMessage, ReplicaStatus};
+use alderway_control_plane::version::{Proposal, Version};
+use alderway_control_plane::version_log::{ProposalError, UndoneVersion, VersionLog};
+use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -60,7 +60,7 @@
 }
 
 fn assert_frame<M: Speech + Debug + PartialEq>(file: &str, name: &str, expected: &M) {
-    assert_eq!(reference(file, name).unwrap_or("none"), hex(&framed(expected)), "{name}");
+    assert_eq!(reference(file, name).unwrap_or("none"), hex(&encode_frame(expected)), "{name}");
     assert_eq!(read_frame::<M>(&bytes_of(file, name)), *expected, "{name}");
 }
 
@@ -86,77 +86,81 @@
 
 #[test]
 fn the_greeting_of_each_side_has_its_protocol_and_version() {
-    assert_eq!((Tell::WORD, Tell::VERSION), (*b"ALDC", 1));
-    assert_eq!((Say::WORD, Say::VERSION), (*b"ALDS", 1));
+    assert_eq!((ControlMessage::WORD, ControlMessage::VERSION), (*b"ALDC", 1));
+    assert_eq!((RouterMessage::WORD, RouterMessage::VERSION), (*b"ALDS", 1));
     let said = |name: &str| Hello { version: 1, planner: false, incarnation: 0x0102_0304, name: name.into() };
     let (mut control, mut router) = (vec![], vec![]);
-    frames::hello_of::<Tell>(&mut control, &said("c1"));
-    frames::hello_of::<Say>(&mut router, &said("r001"));
+    frames::hello_of::<ControlMessage>(&mut control, &said("c1"));
+    frames::hello_of::<RouterMessage>(&mut router, &said("r001"));
     assert_eq!(reference(CONTROL_MESSAGES, "hello"), Some(hex(&control).as_str()));
     assert_eq!(reference(ROUTER_MESSAGES, "hello"), Some(hex(&router).as_str()));
 }
 
 #[rstest]
-#[case("part_of_a_patch", Tell::Part {
-    number: 300, base: 299, digest: 0x0007_0000_dead_beef, length: 2000, at: 900, bytes: b"[{\"op\":".to_vec(),
+#[case("part_of_a_patch", ControlMessage::ContentPart {
+    number: 300, base: 299, digest: 0x0007_0000_dead_beef, total_bytes: 2000, offset: 900, bytes: b"[{\"op\":".to_vec(),
 })]
-#[case("part_of_the_whole", Tell::Part {
-    number: 1, base: 0, digest: digest("{}"), length: 2, at: 0, bytes: b"{}".to_vec(),
+#[case("part_of_the_whole", ControlMessage::ContentPart {
+    number: 1, base: 0, digest: digest("{}"), total_bytes: 2, offset: 0, bytes: b"{}".to_vec(),
 })]
-#[case("beat", Tell::Beat { stamp: 129, newest: 300, digest: 7, age: 1.25, majority: true })]
-fn frames_from_a_control_machine_to_a_router(#[case] name: &str, #[case] expected: Tell) {
+#[case("beat", ControlMessage::Heartbeat { sequence: 129, latest: 300, digest: 7, staleness_s: 1.25, has_quorum: true })]
+fn frames_from_a_control_machine_to_a_router(#[case] name: &str, #[case] expected: ControlMessage) {
     assert_frame(CONTROL_MESSAGES, name, &expected);
 }
 
 #[rstest]
-#[case("ask", Say::Ask { got: 300, digest: 0x0007_0000_dead_beef, held: 299, whole: true })]
-#[case("pulse", Say::Pulse { stamp: 129 })]
-#[case("outcome_in_force", Say::Outcome { number: 300, outcome: Outcome::InForce })]
-#[case("outcome_waits", Say::Outcome {
-    number: 301, outcome: Outcome::Waits(vec!["Extra.Cells".into(), "TickUs".into()]),
+#[case("ask", RouterMessage::Subscribe { received: 300, digest: 0x0007_0000_dead_beef, active: 299, needs_snapshot: true })]
+#[case("pulse", RouterMessage::HeartbeatRequest { sequence: 129 })]
+#[case("outcome_in_force", RouterMessage::ApplyReport { number: 300, outcome: ApplyOutcome::Applied })]
+#[case("outcome_waits", RouterMessage::ApplyReport {
+    number: 301, outcome: ApplyOutcome::PendingRestart(vec!["Extra.Cells".into(), "TickUs".into()]),
 })]
-#[case("outcome_refused", Say::Outcome { number: 302, outcome: Outcome::Refused("key `Limits`".into()) })]
-fn frames_from_a_router_to_a_control_machine(#[case] name: &str, #[case] expected: Say) {
+#[case("outcome_refused", RouterMessage::ApplyReport { number: 302, outcome: ApplyOutcome::Rejected("key `Limits`".into()) })]
+fn frames_from_a_router_to_a_control_machine(#[case] name: &str, #[case] expected: RouterMessage) {
     assert_frame(ROUTER_MESSAGES, name, &expected);
 }
 
 /// As the program frames what control machines say to each other.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
-struct Framed(Word);
+struct Framed(ReplicaMessage);
 
 impl Speech for Framed {
     const WORD: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
-fn summary() -> Summary {
-    let lagging =
-        Lagging { router: "r001".into(), version: 6, since_s: 2.5, why: "refused 7: key `Limits`".into() };
-    Summary { by_version: BTreeMap::from([(6, 1), (7, 549)]), lagging: vec![lagging], left_out: 3 }
+fn summary() -> RouterSummary {
+    let lagging = LaggingRouter {
+        router: "r001".into(),
+        version: 6,
+        since_s: 2.5,
+        reason: "refused 7: key `Limits`".into(),
+    };
+    RouterSummary { by_version: BTreeMap::from([(6, 1), (7, 549)]), lagging: vec![lagging], omitted: 3 }
 }
 
 #[rstest]
-#[case("stands_before_a_group", Word::Stands { id: 11, group: 0, roster: vec![] })]
-#[case("stands_in_a_group", Word::Stands {
-    id: 11, group: 11, roster: vec![("c1".into(), 11), ("c2".into(), 12)],
+#[case("stands_before_a_group", ReplicaMessage::Announce { replica_id: 11, group_id: 0, founders: vec![] })]
+#[case("stands_in_a_group", ReplicaMessage::Announce {
+    replica_id: 11, group_id: 11, founders: vec![("c1".into(), 11), ("c2".into(), 12)],
 })]
-#[case("order_piece", Word::Order { group: 11, to: 12, piece: 2, last: true, bytes: vec![1, 2, 255] })]
-#[case("summarise", Word::Summarise { question: 400 })]
-#[case("summary", Word::Summary { question: 400, version: 7, out: None, summary: summary() })]
-#[case("summary_of_one_that_takes_no_part", Word::Summary {
-    question: 401, version: 0, out: Some("no space left".into()), summary: Summary::default(),
+#[case("order_piece", ReplicaMessage::ConsensusFragment { group_id: 11, to: 12, index: 2, is_last: true, bytes: vec![1, 2, 255] })]
+#[case("summarise", ReplicaMessage::SummaryRequest { request_id: 400 })]
+#[case("summary", ReplicaMessage::SummaryResponse { request_id: 400, version: 7, unavailable_reason: None, summary: summary() })]
+#[case("summary_of_one_that_takes_no_part", ReplicaMessage::SummaryResponse {
+    request_id: 401, version: 0, unavailable_reason: Some("no space left".into()), summary: RouterSummary::default(),
 })]
-fn frames_among_control_machines(#[case] name: &str, #[case] expected: Word) {
+fn frames_among_control_machines(#[case] name: &str, #[case] expected: ReplicaMessage) {
     assert_frame(REPLICA_MESSAGES, name, &Framed(expected));
 }
 
 fn version(number: u64) -> Version {
     Version {
         number,
-        proposal: format!("p{number}"),
+        proposal_id: format!("p{number}"),
         author: "on call".into(),
-        why: "a trial".into(),
+        reason: "a trial".into(),
         at_unix_ms: 1_700_000_000_000 + number,
         settings: json!({"TickUs": number, "Services": [{"Name": "site-search", "Worth": 2}]}),
     }
@@ -167,14 +171,19 @@
         id: id.into(),
         base,
         author: "on call".into(),
-        why: "a trial".into(),
+        reason: "a trial".into(),
         at_unix_ms: 1_700_000_000_000,
         settings: json!({"TickUs": base + 1}),
     }
 }
 
-fn undone() -> Undone {
-    Undone { number: 2, author: "a".into(), why: "w".into(), keys: vec!["Services.x.Worth".into()] }
+fn undone() -> UndoneVersion {
+    UndoneVersion {
+        number: 2,
+        author: "a".into(),
+        reason: "w".into(),
+        changed_keys: vec!["Services.x.Worth".into()],
+    }
 }
 
 #[test]
@@ -189,99 +198,103 @@
 
 #[test]
 fn a_version_log_as_json_has_versions_only_and_finds_proposals_again_when_read() {
-    let mut log = History::default();
+    let mut log = VersionLog::default();
     for base in 0..2 {
         assert_eq!(log.apply(proposal(&format!("p{}", base + 1), base)), Ok(base + 1));
     }
     let text = reference(JSON, "history").unwrap_or("none");
     assert_eq!(text, serde_json::to_string(&log).expect("as JSON"));
-    let bare: History = serde_json::from_str(text).expect("read");
+    let bare: VersionLog = serde_json::from_str(text).expect("read");
     assert_eq!(bare.versions(), log.versions());
-    // What is skipped is made anew from the versions.
-    let mut read = History::read(bare.versions().clone());
+    // EntryKind is skipped is made anew from the versions.
+    let mut read = VersionLog::from_versions(bare.versions().clone());
     assert_eq!(read, log);
     assert_eq!(read.apply(proposal("p2", 1)), Ok(2));
 }
 
 #[rstest]
-#[case("would_undo", Refusal::WouldUndo { newest: 2, count: 1, undone: vec![undone()] })]
-#[case("base_unknown", Refusal::BaseUnknown { base: 9, newest: 2 })]
-#[case("id_taken", Refusal::IdTaken { number: 1 })]
-#[case("unreadable", Refusal::Unreadable)]
-fn refusals_as_json(#[case] name: &str, #[case] expected: Refusal) {
+#[case("would_undo", ProposalError::WouldUndo { newest: 2, count: 1, undone: vec![undone()] })]
+#[case("base_unknown", ProposalError::BaseUnknown { base: 9, newest: 2 })]
+#[case("id_taken", ProposalError::IdTaken { number: 1 })]
+#[case("unreadable", ProposalError::Unreadable)]
+fn refusals_as_json(#[case] name: &str, #[case] expected: ProposalError) {
     assert_json(name, &expected);
 }
 
 #[rstest]
-#[case("ordered", Answer::Ordered(7))]
-#[case("refused", Answer::Refused(Refusal::IdTaken { number: 1 }))]
-#[case("too_long", Answer::TooLong { bytes: 300_000, most: 262_144 })]
-#[case("too_many", Answer::TooMany { most: 64 })]
-#[case("no_majority", Answer::NoMajority { leader: None, seconds: Some(4.5) })]
-#[case("unsettled", Answer::Unsettled { leader: Some("c2".into()) })]
-#[case("out", Answer::Out { why: "no space left".into() })]
-fn answers_to_a_proposer_as_json(#[case] name: &str, #[case] expected: Answer) {
+#[case("ordered", ProposalOutcome::Committed(7))]
+#[case("refused", ProposalOutcome::Rejected(ProposalError::IdTaken { number: 1 }))]
+#[case("too_long", ProposalOutcome::TooLong { bytes: 300_000, limit: 262_144 })]
+#[case("too_many", ProposalOutcome::TooMany { limit: 64 })]
+#[case("no_majority", ProposalOutcome::NoQuorum { leader: None, for_s: Some(4.5) })]
+#[case("unsettled", ProposalOutcome::Undecided { leader: Some("c2".into()) })]
+#[case("out", ProposalOutcome::Unavailable { reason: "no space left".into() })]
+fn answers_to_a_proposer_as_json(#[case] name: &str, #[case] expected: ProposalOutcome) {
     assert_json(name, &expected);
 }
 
 #[test]
 fn the_status_of_a_control_machine_as_json() {
-    let status = Status {
+    let status = ReplicaStatus {
         name: "c1".into(),
         version: 7,
         leader: Some("c2".into()),
         term: 3,
-        majority: true,
-        age_s: Some(0.25),
-        out: None,
+        has_quorum: true,
+        staleness_s: Some(0.25),
+        unavailable_reason: None,
         voters: ["c1".to_string(), "c2".to_string()].into(),
         learners: ["c3".to_string()].into(),
-        changing: true,
+        membership_changing: true,
     };
     assert_json("status", &status);
 }
 
 #[derive(Default)]
-struct Disk(Held);
+struct Disk(RecoveredState);
 
-impl Store for Disk {
-    fn write(&mut self, what: &Persist) -> Result<(), String> {
+impl StableStorage for Disk {
+    fn write(&mut self, what: &WriteBatch) -> Result<(), String> {
         let held = &mut self.0;
         held.identity = what.identity.clone().or(held.identity.take());
         held.snapshot = what.snapshot.clone().or(held.snapshot.take());
-        if let Some(floor) = what.floor {
-            let gone = if what.clear { held.entries.len() } else { (floor.0 - held.floor.0) as usize };
+        if let Some(floor) = what.compacted_to {
+            let gone = if what.clear_entries {
+                held.entries.len()
+            } else {
+                (floor.0 - held.compacted_to.0) as usize
+            };
             held.entries.drain(..gone);
-            held.floor = floor;
+            held.compacted_to = floor;
         }
         if let Some((first, _)) = what.entries.first() {
-            held.entries.truncate((first - held.floor.0 - 1) as usize);
+            held.entries.truncate((first - held.compacted_to.0 - 1) as usize);
             held.entries.extend(what.entries.iter().map(|(_, bytes)| bytes.clone()));
         }
-        held.hard = what.hard.clone().or(held.hard.take());
+        held.hard_state = what.hard_state.clone().or(held.hard_state.take());
         Ok(())
     }
 }
 
 /// Three machines without loss or delay; every random choice is seeded, so what they write and send is always the same.
 struct Group {
-    machines: Vec<Machine>,
+    machines: Vec<Replica>,
     disks: Vec<Disk>,
     now: f64,
     sent: Vec<Vec<u8>>,
 }
 
-fn machine(n: usize, disk: &Held, id: u64) -> Machine {
+fn machine(n: usize, disk: &RecoveredState, id: u64) -> Replica {
     let members = ["c1", "c2", "c3"].map(String::from).into();
     let mut machine =
-        Machine::new(&format!("c{}", n + 1), &members, disk, id, 40 + id).expect("a sound disk");
-    machine.snapshot_after = 6;
+        Replica::new(&format!("c{}", n + 1), &members, disk, id, 40 + id).expect("a sound disk");
+    machine.snapshot_after_entries = 6;
     machine
 }
 
 impl Group {
     fn founded() -> Group {
-        let machines = (0..3).map(|n| machine(n, &Held::default(), 11 + n as u64)).collect();
+        let machines = (0..3).map(|n| machine(n, &RecoveredState::default(), 11 + n as u64)).collect();
         let mut group = Group {
             machines,
             disks: vec![Disk::default(), Disk::default(), Disk::default()],
@@ -303,19 +316,19 @@
     }
 
     fn carry(&mut self, n: usize) {
-        let output = self.machines[n].run(&mut self.disks[n], self.now);
-        for (to, word) in output.send {
-            if let Word::Order { bytes, .. } = &word {
+        let output = self.machines[n].advance(&mut self.disks[n], self.now);
+        for (to, word) in output.messages {
+            if let ReplicaMessage::ConsensusFragment { bytes, .. } = &word {
                 self.sent.push(bytes.clone());
             }
             let at = to[1..].parse::<usize>().expect("c1 to c3") - 1;
-            self.machines[at].came(&format!("c{}", n + 1), word, self.now);
+            self.machines[at].receive(&format!("c{}", n + 1), word, self.now);
             self.carry(at);
         }
     }
 
     fn leader(&self) -> usize {
-        self.machines.iter().position(Machine::leads).expect("a leader")
+        self.machines.iter().position(Replica::is_leader).expect("a leader")
     }
 
     fn order(&mut self, base: u64) {
@@ -331,13 +344,13 @@
     (0..7).for_each(|base| group.order(base));
     let replaced = (group.leader() + 1) % 3;
     group.disks[replaced] = Disk::default();
-    group.machines[replaced] = machine(replaced, &Held::default(), 21);
+    group.machines[replaced] = machine(replaced, &RecoveredState::default(), 21);
     group.ticks(40);
     (7..9).for_each(|base| group.order(base));
     group
 }
 
-fn disk_of(file: &str) -> Held {
+fn disk_of(file: &str) -> RecoveredState {
     let entries: Vec<Vec<u8>> = file
         .lines()
         .filter_map(|line| line.split_once(' '))
@@ -345,24 +358,24 @@
         .map(|(name, _)| bytes_of(file, name))
         .collect();
     let floor = bytes_of(file, "floor");
-    Held {
+    RecoveredState {
         identity: Some(bytes_of(file, "identity")),
         snapshot: Some(bytes_of(file, "snapshot")),
-        floor: (u64::from(floor[0]), u64::from(floor[1])),
+        compacted_to: (u64::from(floor[0]), u64::from(floor[1])),
         entries,
-        hard: Some(bytes_of(file, "hard_state")),
+        hard_state: Some(bytes_of(file, "hard_state")),
     }
 }
 
 /// A disk as its reference file has it.
-fn lines_of(held: &Held) -> String {
+fn lines_of(held: &RecoveredState) -> String {
     let mut lines = vec![
         format!("identity {}", hex(held.identity.as_deref().unwrap_or_default())),
         format!("snapshot {}", hex(held.snapshot.as_deref().unwrap_or_default())),
-        format!("floor {}", hex(&[held.floor.0 as u8, held.floor.1 as u8])),
-        format!("hard_state {}", hex(held.hard.as_deref().unwrap_or_default())),
+        format!("floor {}", hex(&[held.compacted_to.0 as u8, held.compacted_to.1 as u8])),
+        format!("hard_state {}", hex(held.hard_state.as_deref().unwrap_or_default())),
     ];
-    let first = held.floor.0 + 1;
+    let first = held.compacted_to.0 + 1;
     lines.extend(held.entries.iter().zip(first..).map(|(bytes, at)| format!("entry_{at} {}", hex(bytes))));
     lines.join("\n") + "\n"
 }
@@ -371,14 +384,14 @@
 fn a_founding_write() {
     let write = founding(&[11, 12, 13], b"{\"names\":{},\"versions\":[]}".to_vec());
     assert_eq!(
-        (write.identity.as_ref(), write.floor, write.clear, write.entries.len()),
+        (write.identity.as_ref(), write.compacted_to, write.clear_entries, write.entries.len()),
         (None, Some((1, 1)), true, 0)
     );
     let held = held(&write);
     let text = |bytes: &Option<Vec<u8>>| hex(bytes.as_deref().unwrap_or_default());
     assert_eq!(reference(FOUNDING, "snapshot"), Some(text(&held.snapshot).as_str()));
-    assert_eq!(reference(FOUNDING, "hard_state"), Some(text(&held.hard).as_str()));
-    assert_eq!((held.floor, held.entries.len()), ((1, 1), 0));
+    assert_eq!(reference(FOUNDING, "hard_state"), Some(text(&held.hard_state).as_str()));
+    assert_eq!((held.compacted_to, held.entries.len()), ((1, 1), 0));
 }
 
 const VERSIONS: u64 = 9;
@@ -412,8 +425,9 @@
 }
 
 fn ordered(number: u64) -> Version {
-    let Proposal { id, author, why, at_unix_ms, settings, .. } = proposal(&format!("p{number}"), number - 1);
-    Version { number, proposal: id, author, why, at_unix_ms, settings }
+    let Proposal { id, author, reason, at_unix_ms, settings, .. } =
+        proposal(&format!("p{number}"), number - 1);
+    Version { number, proposal_id: id, author, reason, at_unix_ms, settings }
 }
 
 #[test]
@@ -452,12 +466,15 @@
     assert_eq!((machine.name(), machine.id()), ("c1", 11));
     // Of its snapshot; the entries behind it are applied once a leader says that they are committed.
     let status = machine.status(0.0);
-    assert_eq!((status.version, status.term, status.leader, status.out), (7, 2, None, None));
-    assert_eq!((status.voters, status.changing), (["c1", "c2", "c3"].map(String::from).into(), false));
+    assert_eq!((status.version, status.term, status.leader, status.unavailable_reason), (7, 2, None, None));
+    assert_eq!(
+        (status.voters, status.membership_changing),
+        (["c1", "c2", "c3"].map(String::from).into(), false)
+    );
     let versions: Vec<Version> = (1..=7).map(ordered).collect();
-    assert_eq!(*machine.history().versions(), versions);
+    assert_eq!(*machine.version_log().versions(), versions);
     let group = played();
-    assert!(group.machines.iter().all(|machine| machine.history().number() == VERSIONS));
+    assert!(group.machines.iter().all(|machine| machine.version_log().latest_number() == VERSIONS));
 }
 
 /// The fields of a message that its kind sets.
--- a/crates/controller/src/door.rs
+++ b/crates/controller/src/door.rs
@@ -3,10 +3,10 @@
 use crate::driver::{Controller, Held};
 use crate::links::PAUSE;
 use crate::listen::serve_each;
-use alderway_control::history::differing;
-use alderway_control::machine::{Answer, Name, Status, Word};
-use alderway_control::outlet::Summary;
-use alderway_control::version::{Number, Proposal, Version};
+use alderway_control_plane::replica::{ProposalOutcome, ReplicaMessage, ReplicaName, ReplicaStatus};
+use alderway_control_plane::version::{Proposal, Version, VersionNumber};
+use alderway_control_plane::version_log::changed_keys;
+use alderway_control_plane::version_sink::RouterSummary;
 use alderway_router::tier::links::{greet, write_out};
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use serde::{Deserialize, Serialize};
@@ -52,12 +52,12 @@
     },
     /// The newest ones up to `before`.
     History {
-        before: Option<Number>,
+        before: Option<VersionNumber>,
         count: usize,
     },
     /// The newest without a number.
     Show {
-        number: Option<Number>,
+        number: Option<VersionNumber>,
     },
     Status,
 }
@@ -72,11 +72,11 @@
     },
     /// Of a proposal; with where else to ask.
     Answer {
-        answer: Answer,
-        doors: BTreeMap<Name, SocketAddr>,
+        answer: ProposalOutcome,
+        doors: BTreeMap<ReplicaName, SocketAddr>,
     },
     History {
-        newest: Number,
+        newest: VersionNumber,
         versions: Vec<Line>,
     },
     Version {
@@ -84,8 +84,8 @@
     },
     /// Not kept, or not there yet.
     NoSuch {
-        oldest: Number,
-        newest: Number,
+        oldest: VersionNumber,
+        newest: VersionNumber,
     },
     Status(Box<Overall>),
     /// The question cannot be used.
@@ -97,7 +97,7 @@
 /// A version without its settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    pub number: Number,
+    pub number: VersionNumber,
     pub proposal: String,
     pub author: String,
     pub why: String,
@@ -109,13 +109,13 @@
 /// How all stands, as one machine gathered it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Overall {
-    pub machine: Status,
+    pub machine: ReplicaStatus,
     /// Of each machine that answered.
-    pub versions: BTreeMap<Name, Number>,
-    pub out: BTreeMap<Name, String>,
+    pub versions: BTreeMap<ReplicaName, VersionNumber>,
+    pub out: BTreeMap<ReplicaName, String>,
     /// Machines that did not answer; their routers are not counted.
-    pub silent: BTreeSet<Name>,
-    pub routers: Summary,
+    pub silent: BTreeSet<ReplicaName>,
+    pub routers: RouterSummary,
 }
 
 pub async fn accept(held: Held, listener: TcpListener) {
@@ -194,12 +194,12 @@
 }
 
 fn sound(held: &Controller, settings: &Value) -> Result<(), String> {
-    let newest = held.machine.history().newest().map(|version| &version.settings);
+    let newest = held.machine.version_log().latest().map(|version| &version.settings);
     (held.check)(settings, newest)
 }
 
 async fn propose(held: &Held, stream: &TcpStream, proposal: &Proposal, wait: f64) -> Option<Reply> {
-    let texts = [("id", &proposal.id), ("author", &proposal.author), ("why", &proposal.why)];
+    let texts = [("id", &proposal.id), ("author", &proposal.author), ("why", &proposal.reason)];
     for (name, text) in texts {
         if text.len() > TEXT_MOST || (name != "author" && text.trim().is_empty()) {
             return Some(Reply::Wrong { why: format!("`{name}` is 1 to {TEXT_MOST} bytes long") });
@@ -238,28 +238,28 @@
     }
 }
 
-fn history(held: &Controller, before: Option<Number>, count: usize) -> Reply {
-    let history = held.machine.history();
+fn history(held: &Controller, before: Option<VersionNumber>, count: usize) -> Reply {
+    let history = held.machine.version_log();
     let line = |version: &Version| {
-        let former = version.number.checked_sub(1).and_then(|number| history.at(number));
-        let keys = former.map_or(vec![], |former| differing(&former.settings, &version.settings));
-        let Version { number, proposal, author, why, at_unix_ms, .. } = version.clone();
+        let former = version.number.checked_sub(1).and_then(|number| history.get(number));
+        let keys = former.map_or(vec![], |former| changed_keys(&former.settings, &version.settings));
+        let Version { number, proposal_id: proposal, author, reason: why, at_unix_ms, .. } = version.clone();
         Line { number, proposal, author, why, at_unix_ms, keys }
     };
     let newest_first = history.versions().iter().rev();
     let asked = newest_first.filter(|version| before.is_none_or(|before| version.number < before));
     let mut versions: Vec<Line> = asked.take(count.min(TOLD_MOST)).map(line).collect();
     versions.reverse();
-    Reply::History { newest: history.number(), versions }
+    Reply::History { newest: history.latest_number(), versions }
 }
 
-fn show(held: &Controller, number: Option<Number>) -> Reply {
-    let history = held.machine.history();
-    match history.at(number.unwrap_or(history.number())) {
+fn show(held: &Controller, number: Option<VersionNumber>) -> Reply {
+    let history = held.machine.version_log();
+    match history.get(number.unwrap_or(history.latest_number())) {
         Some(version) => Reply::Version { version: version.clone() },
         None => {
             let oldest = history.versions().front().map_or(0, |version| version.number);
-            Reply::NoSuch { oldest, newest: history.number() }
+            Reply::NoSuch { oldest, newest: history.latest_number() }
         }
     }
 }
@@ -271,14 +271,15 @@
         let mut held = held.borrow_mut();
         let (question, now) = (held.count(), held.now());
         let machine = held.machine.status(now);
-        let others: Vec<Name> = held.doors.keys().filter(|name| **name != machine.name).cloned().collect();
+        let others: Vec<ReplicaName> =
+            held.doors.keys().filter(|name| **name != machine.name).cloned().collect();
         for name in &others {
-            held.posts.put(name, &Word::Summarise { question });
+            held.posts.put(name, &ReplicaMessage::SummaryRequest { request_id: question });
         }
         held.asking.insert(question, sender);
         let all = Overall {
             versions: BTreeMap::from([(machine.name.clone(), machine.version)]),
-            out: machine.out.iter().map(|why| (machine.name.clone(), why.clone())).collect(),
+            out: machine.unavailable_reason.iter().map(|why| (machine.name.clone(), why.clone())).collect(),
             silent: others.into_iter().collect(),
             routers: held.outlet.summary(),
             machine,
@@ -291,7 +292,7 @@
         if word.question == question && all.silent.remove(&word.from) {
             all.versions.insert(word.from.clone(), word.version);
             all.out.extend(word.out.map(|why| (word.from.clone(), why)));
-            all.routers.add(&word.summary);
+            all.routers.merge(&word.summary);
         }
     }
     held.borrow_mut().asking.remove(&question);
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -3,9 +3,9 @@
 use crate::links::{self, Posts};
 use crate::store::Disk;
 use crate::{door, store};
-use alderway_control::machine::{Answer, Asker, Machine, Name, TICK};
-use alderway_control::outlet::{Outlet, Summary};
-use alderway_control::version::{Number, Proposal};
+use alderway_control_plane::replica::{ClientId, ProposalOutcome, Replica, ReplicaName, TICK_S};
+use alderway_control_plane::version::{Proposal, VersionNumber};
+use alderway_control_plane::version_sink::{RouterSummary, VersionSink};
 use alderway_router::memory::clock::Clock;
 use alderway_sockets::signals::Signals;
 use nix::sys::signal::Signal;
@@ -28,14 +28,14 @@
 pub type Check = Box<dyn Fn(&Value, Option<&Value>) -> Result<(), String>>;
 
 /// Makes the place that committed versions go to, on the machine's own thread.
-pub type MakeOutlet = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn Outlet>>>>>>;
+pub type MakeOutlet = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn VersionSink>>>>>>;
 
 /// What a control machine runs by.
 pub struct Plan {
-    pub name: Name,
+    pub name: ReplicaName,
     /// All machines, this one among them: where each hears the others, and operators.
-    pub members: BTreeMap<Name, SocketAddr>,
-    pub doors: BTreeMap<Name, SocketAddr>,
+    pub members: BTreeMap<ReplicaName, SocketAddr>,
+    pub doors: BTreeMap<ReplicaName, SocketAddr>,
     pub data: PathBuf,
     pub check: Check,
     pub outlet: MakeOutlet,
@@ -44,22 +44,22 @@
 /// Another machine's word on its routers.
 pub struct Told {
     pub question: u64,
-    pub from: Name,
-    pub version: Number,
+    pub from: ReplicaName,
+    pub version: VersionNumber,
     pub out: Option<String>,
-    pub summary: Summary,
+    pub summary: RouterSummary,
 }
 
 /// What all tasks share.
 pub struct Controller {
-    pub machine: Machine,
+    pub machine: Replica,
     pub posts: Posts,
-    pub outlet: Box<dyn Outlet>,
+    pub outlet: Box<dyn VersionSink>,
     pub check: Check,
-    pub doors: BTreeMap<Name, SocketAddr>,
+    pub doors: BTreeMap<ReplicaName, SocketAddr>,
     disk: Disk,
     clock: Clock,
-    waiting: BTreeMap<Asker, oneshot::Sender<Answer>>,
+    waiting: BTreeMap<ClientId, oneshot::Sender<ProposalOutcome>>,
     /// Those who ask all machines for their summaries.
     pub asking: BTreeMap<u64, mpsc::UnboundedSender<Told>>,
     count: u64,
@@ -81,20 +81,20 @@
     /// Writes what has to be kept, and carries out what comes of it.
     pub fn run(&mut self) {
         let now = self.now();
-        let output = self.machine.run(&mut self.disk, now);
-        for line in output.said {
+        let output = self.machine.advance(&mut self.disk, now);
+        for line in output.log_lines {
             tracing::info!(target: "control", "{line}");
         }
         for version in output.committed {
-            tracing::info!(target: "control", "version {} by {}: {}", version.number, version.author, version.why);
+            tracing::info!(target: "control", "version {} by {}: {}", version.number, version.author, version.reason);
             self.outlet.committed(&version);
         }
-        for (to, word) in output.send {
+        for (to, word) in output.messages {
             if !self.posts.put(&to, &word) {
-                self.machine.unreachable(&to);
+                self.machine.report_unreachable(&to);
             }
         }
-        for (asker, answer) in output.answers {
+        for (asker, answer) in output.outcomes {
             if let Some(waiting) = self.waiting.remove(&asker) {
                 // One that has gone needs no answer.
                 let _ = waiting.send(answer);
@@ -106,12 +106,16 @@
         let now = self.now();
         self.machine.tick(now);
         self.run();
-        let (age, majority) = (self.machine.age(now), self.machine.majority(now));
-        self.outlet.as_of(age, majority);
+        let (age, majority) = (self.machine.staleness_s(now), self.machine.has_quorum(now));
+        self.outlet.freshness(age, majority);
     }
 
     /// The answer comes within `wait` seconds and a tick.
-    pub fn propose(&mut self, proposal: &Proposal, wait: f64) -> (Asker, oneshot::Receiver<Answer>) {
+    pub fn propose(
+        &mut self,
+        proposal: &Proposal,
+        wait: f64,
+    ) -> (ClientId, oneshot::Receiver<ProposalOutcome>) {
         let (asker, now) = (self.count(), self.now());
         let Proposal { id, author, base, .. } = proposal;
         tracing::info!(target: "proposal", "{id} by {author} on version {base}");
@@ -122,9 +126,9 @@
         (asker, answer)
     }
 
-    pub fn forget(&mut self, asker: Asker) {
+    pub fn forget(&mut self, asker: ClientId) {
         self.waiting.remove(&asker);
-        self.machine.forget(asker);
+        self.machine.forget_client(asker);
     }
 }
 
@@ -149,12 +153,16 @@
 async fn serve(plan: Plan) -> io::Result<()> {
     let (disk, found) = store::Disk::open(&plan.data).map_err(io::Error::other)?;
     let names = plan.members.keys().cloned().collect();
-    let machine = Machine::new(&plan.name, &names, &found, drawn(), drawn());
+    let machine = Replica::new(&plan.name, &names, &found, drawn(), drawn());
     let machine = machine.map_err(|why| {
-        io::Error::other(format!("{}: {why}; {}", plan.data.display(), alderway_control::machine::REPLACE))
+        io::Error::other(format!(
+            "{}: {why}; {}",
+            plan.data.display(),
+            alderway_control_plane::replica::REPLACE_DISK_ADVICE
+        ))
     })?;
     drop(found);
-    let at = |all: &BTreeMap<Name, SocketAddr>| {
+    let at = |all: &BTreeMap<ReplicaName, SocketAddr>| {
         all.get(&plan.name).copied().ok_or_else(|| io::Error::other("not of the members"))
     };
     let bind = async |what: &str, at: SocketAddr| {
@@ -166,7 +174,7 @@
     tracing::info!(target: "start", "{} hears members at {}", plan.name, heard.local_addr()?);
     tracing::info!(target: "start", "{} hears operators at {}", plan.name, door.local_addr()?);
     let others = plan.members.iter().filter(|(name, _)| **name != plan.name);
-    let others: BTreeMap<Name, SocketAddr> = others.map(|(name, at)| (name.clone(), *at)).collect();
+    let others: BTreeMap<ReplicaName, SocketAddr> = others.map(|(name, at)| (name.clone(), *at)).collect();
     let controller = Controller {
         machine,
         posts: Posts::to(others.keys()),
@@ -184,7 +192,7 @@
     links::start(&held, heard, &others, drawn());
     spawn_local(door::accept(held.clone(), door));
     let (mut terms, mut interrupts) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGINT)?);
-    let mut ticks = interval(Duration::from_secs_f64(TICK));
+    let mut ticks = interval(Duration::from_secs_f64(TICK_S));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
--- a/crates/controller/src/hollow.rs
+++ b/crates/controller/src/hollow.rs
@@ -1,8 +1,8 @@
 //! Hollow routers, for trials of scale: the subscription of a router as it is, state machine and sockets, with a take-over
 //! that only counts. Hundreds of them share a thread.
-use alderway_control::subscriber::{Machine, Subscriber, Terms};
-use alderway_control::version::Number;
-use alderway_control::words::Outcome;
+use alderway_control_plane::messages::ApplyOutcome;
+use alderway_control_plane::subscriber::{ControlEndpoint, Subscriber, SubscriptionConfig};
+use alderway_control_plane::version::VersionNumber;
 use alderway_router::control::{Ends, run};
 use alderway_router::memory::clock::Clock;
 use std::cell::RefCell;
@@ -15,7 +15,7 @@
 pub struct Seen {
     pub name: String,
     /// Versions as they came in force, by the common clock.
-    pub in_force: Vec<(f64, Number)>,
+    pub in_force: Vec<(f64, VersionNumber)>,
     /// Bytes that came in and went out.
     pub bytes: (u64, u64),
     /// The machine that it is subscribed at.
@@ -43,13 +43,13 @@
     }
 
     /// How many have this version or a later one in force.
-    pub fn have(&self, number: Number) -> usize {
+    pub fn have(&self, number: VersionNumber) -> usize {
         let newest = |seen: &Rc<RefCell<Seen>>| seen.borrow().in_force.last().map_or(0, |last| last.1);
         self.seen.iter().filter(|seen| newest(seen) >= number).count()
     }
 
     /// When the last of them had this version or a later one, by the common clock; none while one lacks it.
-    pub fn all_had(&self, number: Number) -> Option<f64> {
+    pub fn all_had(&self, number: VersionNumber) -> Option<f64> {
         let first = |seen: &Rc<RefCell<Seen>>| {
             let seen = seen.borrow();
             let later = seen.in_force.iter().rev().take_while(|had| had.1 >= number);
@@ -62,10 +62,10 @@
     pub fn grow(
         &mut self,
         count: usize,
-        machines: &[(Machine, SocketAddr)],
+        machines: &[(ControlEndpoint, SocketAddr)],
         zones: &[String],
         seed: u64,
-        terms: Terms,
+        terms: SubscriptionConfig,
     ) {
         let (clock, first) = (self.clock, self.seen.len());
         for n in first..first + count {
@@ -83,14 +83,14 @@
                 clock,
                 offer: Box::new(move |_, number| {
                     taken.borrow_mut().in_force.push((clock.now(), number));
-                    Box::pin(async { Outcome::InForce })
+                    Box::pin(async { ApplyOutcome::Applied })
                 }),
                 keep: Box::new(|_, _| {}),
                 show: Box::new(move |subscriber, bytes, now| {
                     let mut seen = shown.borrow_mut();
                     seen.bytes = bytes;
-                    seen.machine = subscriber.connected().map(|machine| machine.name.clone());
-                    seen.age = subscriber.age(now);
+                    seen.machine = subscriber.connected_to().map(|machine| machine.name.clone());
+                    seen.age = subscriber.staleness_s(now);
                 }),
                 logs: false,
             };
@@ -107,16 +107,21 @@
 }
 
 /// Starts so many, dealt out over the zones in turn, in this thread.
-pub fn hollow(count: usize, machines: &[(Machine, SocketAddr)], zones: &[String], seed: u64) -> Hollow {
-    hollow_by(count, machines, zones, seed, Terms::default())
+pub fn hollow(
+    count: usize,
+    machines: &[(ControlEndpoint, SocketAddr)],
+    zones: &[String],
+    seed: u64,
+) -> Hollow {
+    hollow_by(count, machines, zones, seed, SubscriptionConfig::default())
 }
 
 pub fn hollow_by(
     count: usize,
-    machines: &[(Machine, SocketAddr)],
+    machines: &[(ControlEndpoint, SocketAddr)],
     zones: &[String],
     seed: u64,
-    terms: Terms,
+    terms: SubscriptionConfig,
 ) -> Hollow {
     let mut all = Hollow { clock: Clock::default(), seen: vec![], tasks: vec![] };
     all.grow(count, machines, zones, seed, terms);
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,4 +1,4 @@
-//! A control machine: the drivers of `alderway-control` on sockets and on disk, and the door through which operators
+//! A control machine: the drivers of `alderway-control-plane` on sockets and on disk, and the door through which operators
 //! change the configuration. Called by `alderway control`; serves no query and knows no data node.
 pub mod client;
 pub mod door;
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -2,7 +2,7 @@
 //! reads. A link that is of no use is dialled anew after waits that are drawn and grow.
 use crate::driver::{Held, Told};
 use crate::listen::serve_each;
-use alderway_control::machine::{Name, Word};
+use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
 use alderway_router::tier::links::{PATIENCE, Waits, greet};
 use alderway_sockets::Sender;
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
@@ -30,7 +30,7 @@
 /// A word on the wire.
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Said(pub Word);
+pub struct Said(pub ReplicaMessage);
 
 impl Speech for Said {
     const WORD: [u8; 4] = *b"ALDC";
@@ -38,7 +38,7 @@
 }
 
 /// What waits to be written, by machine; nothing for one whose link is down.
-pub struct Posts(BTreeMap<Name, Post>);
+pub struct Posts(BTreeMap<ReplicaName, Post>);
 
 struct Post {
     up: bool,
@@ -47,13 +47,13 @@
 }
 
 impl Posts {
-    pub fn to<'a>(names: impl Iterator<Item = &'a Name>) -> Posts {
+    pub fn to<'a>(names: impl Iterator<Item = &'a ReplicaName>) -> Posts {
         let post = || Post { up: false, bytes: vec![], wake: Rc::default() };
         Posts(names.map(|name| (name.clone(), post())).collect())
     }
 
     /// False where it was dropped.
-    pub fn put(&mut self, to: &str, word: &Word) -> bool {
+    pub fn put(&mut self, to: &str, word: &ReplicaMessage) -> bool {
         let Some(post) = self.0.get_mut(to).filter(|post| post.up && post.bytes.len() < WAITING) else {
             return false;
         };
@@ -74,7 +74,7 @@
     }
 }
 
-pub fn start(held: &Held, listener: TcpListener, others: &BTreeMap<Name, SocketAddr>, seed: u64) {
+pub fn start(held: &Held, listener: TcpListener, others: &BTreeMap<ReplicaName, SocketAddr>, seed: u64) {
     spawn_local(accept(held.clone(), listener));
     for (n, (name, at)) in others.iter().enumerate() {
         let (held, name, at, seed) = (held.clone(), name.clone(), *at, seed ^ (n as u64) << 17);
@@ -88,7 +88,7 @@
 }
 
 /// Keeps up the link to another machine for as long as the program runs.
-async fn keep(held: Held, name: Name, at: SocketAddr, seed: u64) {
+async fn keep(held: Held, name: ReplicaName, at: SocketAddr, seed: u64) {
     let mut waits = Waits::new(seed);
     loop {
         if let Ok(Ok(stream)) = timeout(PATIENCE, alderway_sockets::dial(at)).await {
@@ -117,7 +117,7 @@
     let wake = {
         let mut held = held.borrow_mut();
         let wake = held.posts.set(name, true).ok_or("not of the members")?;
-        let first = held.machine.linked();
+        let first = held.machine.link_opened();
         held.posts.put(name, &first);
         wake
     };
@@ -174,7 +174,7 @@
 }
 
 /// The newest connection of each machine counts; an earlier one is read no further.
-type Newest = std::cell::RefCell<BTreeMap<Name, u64>>;
+type Newest = std::cell::RefCell<BTreeMap<ReplicaName, u64>>;
 
 async fn hear(held: &Held, stream: &TcpStream, newest: &Newest) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
@@ -186,7 +186,7 @@
         if !held.doors.contains_key(&met.name) || met.name == held.machine.name() {
             return Err(format!("{} is not of the members here", met.name));
         }
-        held.machine.unlinked(&met.name);
+        held.machine.link_replaced(&met.name);
         held.count()
     };
     newest.borrow_mut().insert(met.name.clone(), own);
@@ -220,15 +220,29 @@
     }
 }
 
-fn came(held: &Held, from: &str, word: Word) {
+fn came(held: &Held, from: &str, word: ReplicaMessage) {
     let mut held = held.borrow_mut();
     match word {
-        Word::Summarise { question } => {
-            let (version, out) = (held.machine.history().number(), held.machine.out());
+        ReplicaMessage::SummaryRequest { request_id: question } => {
+            let (version, out) =
+                (held.machine.version_log().latest_number(), held.machine.unavailable_reason());
             let summary = held.outlet.summary();
-            held.posts.put(from, &Word::Summary { question, version, out, summary });
+            held.posts.put(
+                from,
+                &ReplicaMessage::SummaryResponse {
+                    request_id: question,
+                    version,
+                    unavailable_reason: out,
+                    summary,
+                },
+            );
         }
-        Word::Summary { question, version, out, summary } => {
+        ReplicaMessage::SummaryResponse {
+            request_id: question,
+            version,
+            unavailable_reason: out,
+            summary,
+        } => {
             if let Some(asking) = held.asking.get(&question) {
                 // One that has gone needs no answer.
                 let _ = asking.send(Told { question, from: from.into(), version, out, summary });
@@ -236,7 +250,7 @@
         }
         word => {
             let now = held.now();
-            held.machine.came(from, word, now);
+            held.machine.receive(from, word, now);
         }
     }
 }
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -1,8 +1,8 @@
 //! The disk of a control machine: one file in which an embedded database keeps the order's log. Each write is one
 //! transaction, synced before it counts. Every value has a checksum of its own: a file that is torn, of another program or
 //! of another version is refused with one line.
-use alderway_control::consensus::{Held, Persist, Store};
-use alderway_control::machine::REPLACE;
+use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch};
+use alderway_control_plane::replica::REPLACE_DISK_ADVICE;
 use redb::{Builder, Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs::{self, File};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -48,7 +48,7 @@
 
 impl Disk {
     /// Opens the folder's file, or makes an empty one, and reads what it holds.
-    pub fn open(folder: &Path) -> Result<(Disk, Held), String> {
+    pub fn open(folder: &Path) -> Result<(Disk, RecoveredState), String> {
         let path = folder.join(FILE);
         let tell = |why: String| format!("{}: {why}", path.display());
         fs::create_dir_all(folder).map_err(|why| tell(why.to_string()))?;
@@ -56,7 +56,7 @@
         lock.try_lock().map_err(|_| tell("another program uses it".into()))?;
         // An empty file promised nobody anything: the disk gets an id of its own.
         let fresh = fs::metadata(&path).map_or(true, |about| about.len() == 0);
-        let refused = |why: String| tell(format!("{why}; {REPLACE}"));
+        let refused = |why: String| tell(format!("{why}; {REPLACE_DISK_ADVICE}"));
         let open = Disk::database(&path).map_err(refused)?;
         if fresh {
             guarded(|| Disk::make(&open)).map_err(tell)?;
@@ -78,7 +78,7 @@
         Ok(writes.commit()?)
     }
 
-    fn read(open: &Database) -> Result<Held, String> {
+    fn read(open: &Database) -> Result<RecoveredState, String> {
         let (state, entries) = guarded(|| {
             let reads = open.begin_read()?;
             let (mut state, mut entries) = (vec![], vec![]);
@@ -92,7 +92,7 @@
             }
             Ok((state, entries))
         })?;
-        let mut held = Held::default();
+        let mut held = RecoveredState::default();
         let mut form = vec![];
         for (key, value) in state {
             let bytes = unsealed(&value, &format!("`{key}`"))?;
@@ -100,10 +100,10 @@
                 "form" => form = bytes,
                 "identity" => held.identity = Some(bytes),
                 "snapshot" => held.snapshot = Some(bytes),
-                "hard" => held.hard = Some(bytes),
+                "hard" => held.hard_state = Some(bytes),
                 "floor" => {
                     let word = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_be_bytes);
-                    held.floor = word(0).zip(word(8)).ok_or("`floor` is torn")?;
+                    held.compacted_to = word(0).zip(word(8)).ok_or("`floor` is torn")?;
                 }
                 _ => return Err(format!("`{key}` is nothing that this version writes")),
             }
@@ -117,16 +117,16 @@
         Ok(held)
     }
 
-    fn keep(open: &Database, what: &Persist) -> Result<(), redb::Error> {
+    fn keep(open: &Database, what: &WriteBatch) -> Result<(), redb::Error> {
         let mut writes = open.begin_write()?;
         writes.set_durability(Durability::Immediate)?;
         {
             let mut state = writes.open_table(STATE)?;
-            let floor = what.floor.map(|(index, term)| [index, term].map(u64::to_be_bytes).concat());
+            let floor = what.compacted_to.map(|(index, term)| [index, term].map(u64::to_be_bytes).concat());
             let rows = [
                 ("identity", &what.identity),
                 ("snapshot", &what.snapshot),
-                ("hard", &what.hard),
+                ("hard", &what.hard_state),
                 ("floor", &floor),
             ];
             for (key, value) in rows {
@@ -135,9 +135,9 @@
                 }
             }
             let mut entries = writes.open_table(ENTRIES)?;
-            if what.clear {
+            if what.clear_entries {
                 entries.retain(|_, _| false)?;
-            } else if let Some((index, _)) = what.floor {
+            } else if let Some((index, _)) = what.compacted_to {
                 entries.retain_in(..=index, |_, _| false)?;
             }
             if let Some((first, _)) = what.entries.first() {
@@ -151,8 +151,8 @@
     }
 }
 
-impl Store for Disk {
-    fn write(&mut self, what: &Persist) -> Result<(), String> {
+impl StableStorage for Disk {
+    fn write(&mut self, what: &WriteBatch) -> Result<(), String> {
         let open = match self.open.take() {
             Some(open) => open,
             None => Disk::database(&self.path)?,
--- a/crates/controller/src/subscriptions.rs
+++ b/crates/controller/src/subscriptions.rs
@@ -1,10 +1,10 @@
 //! The listener of a control machine for routers: a task for each connection, and one that hands out what is due. Who is
-//! told what, and when, stands in `alderway_control::publisher`.
+//! told what, and when, stands in `alderway_control_plane::publisher`.
 use crate::listen::serve_each;
-use alderway_control::outlet::{Outlet, Summary};
-use alderway_control::publisher::{Met, Publisher, Terms};
-use alderway_control::version::{Number, Version};
-use alderway_control::words::{Say, Tell};
+use alderway_control_plane::messages::{ControlMessage, RouterMessage};
+use alderway_control_plane::publisher::{Publisher, PublisherConfig, PublisherMetrics};
+use alderway_control_plane::version::{Version, VersionNumber};
+use alderway_control_plane::version_sink::{RouterSummary, VersionSink};
 use alderway_router::memory::clock::Clock;
 use alderway_router::tier::links::greet;
 use alderway_sockets::Sender;
@@ -38,7 +38,7 @@
     name: String,
     incarnation: u64,
     clock: Clock,
-    terms: Terms,
+    terms: PublisherConfig,
     publisher: RefCell<Publisher>,
     links: RefCell<BTreeMap<u64, Rc<Link>>>,
     /// Something may be due that was not before.
@@ -63,7 +63,12 @@
 
 impl Subscriptions {
     /// Listens from here on; `name` is how routers' lists call this machine.
-    pub async fn listen(name: &str, incarnation: u64, at: SocketAddr, terms: Terms) -> io::Result<Self> {
+    pub async fn listen(
+        name: &str,
+        incarnation: u64,
+        at: SocketAddr,
+        terms: PublisherConfig,
+    ) -> io::Result<Self> {
         let listener = TcpListener::bind(at).await?;
         let (address, clock) = (listener.local_addr()?, Clock::default());
         let inner = Rc::new(Inner {
@@ -84,15 +89,15 @@
     }
 
     pub fn links(&self) -> usize {
-        self.inner.publisher.borrow().links()
+        self.inner.publisher.borrow().link_count()
     }
 
-    pub fn newest(&self) -> Number {
-        self.inner.publisher.borrow().newest()
+    pub fn newest(&self) -> VersionNumber {
+        self.inner.publisher.borrow().latest()
     }
 
-    pub fn met(&self) -> Met {
-        self.inner.publisher.borrow().met
+    pub fn met(&self) -> PublisherMetrics {
+        self.inner.publisher.borrow().metrics
     }
 
     /// Stops listening and ends every connection.
@@ -103,7 +108,7 @@
     }
 }
 
-impl Outlet for Subscriptions {
+impl VersionSink for Subscriptions {
     fn committed(&mut self, version: &Version) {
         let now = self.inner.clock.now();
         match self.inner.publisher.borrow_mut().commit(version, now) {
@@ -114,11 +119,11 @@
         self.inner.wake.notify_one();
     }
 
-    fn as_of(&mut self, age: f64, majority: bool) {
-        self.inner.publisher.borrow_mut().stands(age, majority, self.inner.clock.now());
+    fn freshness(&mut self, age: f64, majority: bool) {
+        self.inner.publisher.borrow_mut().set_freshness(age, majority, self.inner.clock.now());
     }
 
-    fn summary(&self) -> Summary {
+    fn summary(&self) -> RouterSummary {
         self.inner.publisher.borrow().summary(self.inner.clock.now())
     }
 }
@@ -126,7 +131,7 @@
 impl Inner {
     /// The connection's own task sees that it is no link any more.
     fn ended(&self, link: u64) {
-        self.publisher.borrow_mut().closed(link);
+        self.publisher.borrow_mut().close_link(link);
         if let Some(link) = self.links.borrow_mut().remove(&link) {
             link.ready.notify_one();
         }
@@ -138,7 +143,7 @@
         let publisher = self.publisher.borrow();
         let gone: Vec<Rc<Link>> = {
             let mut links = self.links.borrow_mut();
-            links.extract_if(.., |number, _| !publisher.holds(*number)).map(|(_, link)| link).collect()
+            links.extract_if(.., |number, _| !publisher.has_link(*number)).map(|(_, link)| link).collect()
         };
         gone.iter().for_each(|link| link.ready.notify_one());
     }
@@ -157,7 +162,7 @@
             }
         }
         loop {
-            let next = inner.publisher.borrow_mut().next(now);
+            let next = inner.publisher.borrow_mut().next_message(now);
             let Some((number, bytes)) = next else { break };
             let link = inner.links.borrow().get(&number).cloned();
             if let Some(link) = link {
@@ -165,14 +170,14 @@
                 link.ready.notify_one();
             }
         }
-        let due = inner.publisher.borrow().due().min(look);
+        let due = inner.publisher.borrow().next_deadline().min(look);
         let wait = Duration::from_secs_f64((due - now).clamp(0.001, LOOK));
         let _ = timeout(wait, inner.wake.notified()).await;
     }
 }
 
 async fn accept(inner: Rc<Inner>, listener: TcpListener) {
-    let most = inner.terms.most + PASSING;
+    let most = inner.terms.max_links + PASSING;
     let speak = |stream| {
         let inner = inner.clone();
         async move {
@@ -196,11 +201,14 @@
 /// Speaks until the connection ends; an error if it was of no use.
 async fn speak(inner: &Inner, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Say>::default(), vec![0; LONGEST_SAY]);
+    let (mut out, mut reader, mut space) = (vec![], Reader::<RouterMessage>::default(), vec![0; LONGEST_SAY]);
     let (name, incarnation) = (inner.name.clone(), inner.incarnation);
-    frames::hello_of::<Tell>(&mut out, &Hello { version: Tell::VERSION, planner: false, incarnation, name });
+    frames::hello_of::<ControlMessage>(
+        &mut out,
+        &Hello { version: ControlMessage::VERSION, planner: false, incarnation, name },
+    );
     let hello = greet(stream, &mut out, &mut reader, &mut space).await?;
-    let opened = inner.publisher.borrow_mut().opened(&hello.name, hello.incarnation, inner.clock.now());
+    let opened = inner.publisher.borrow_mut().open_link(&hello.name, hello.incarnation, inner.clock.now());
     let number = opened.map_err(|why| why.to_string())?;
     let link = Rc::new(Link { out: RefCell::default(), ready: Notify::new() });
     inner.links.borrow_mut().insert(number, link.clone());
@@ -214,7 +222,7 @@
             match reader.read().map_err(|why| format!("{}: {why}", hello.name))? {
                 Some(Read::Message(say)) => {
                     unread = 0;
-                    inner.publisher.borrow_mut().heard(number, say, inner.clock.now());
+                    inner.publisher.borrow_mut().receive(number, say, inner.clock.now());
                     inner.wake.notify_one();
                 }
                 Some(Read::Hello(_)) => return Err(format!("{} says hello twice", hello.name)),
@@ -222,7 +230,7 @@
                 None => break,
             }
         }
-        if !inner.publisher.borrow().holds(number) {
+        if !inner.publisher.borrow().has_link(number) {
             return Ok(());
         }
         let waits = {
@@ -234,7 +242,7 @@
                     Err(_) => return Ok(()),
                 }
                 if out.is_empty() {
-                    inner.publisher.borrow_mut().sent(number);
+                    inner.publisher.borrow_mut().message_sent(number);
                     inner.wake.notify_one();
                 }
             }
--- a/crates/controller/tests/store.rs
+++ b/crates/controller/tests/store.rs
@@ -1,5 +1,5 @@
 //! Stories of a control machine's disk: what was written is there after a start, and what was not is refused in one line.
-use alderway_control::consensus::{Held, Persist, Store};
+use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch};
 use alderway_controller::store::Disk;
 use rstest::rstest;
 use std::fs;
@@ -29,27 +29,34 @@
 fn what_was_written_is_there_after_a_start() {
     let folder = Folder::new("kept");
     let (mut disk, held) = Disk::open(&folder.0).expect("an empty one");
-    assert_eq!(held, Held::default());
+    assert_eq!(held, RecoveredState::default());
     let writes = [
-        Persist { identity: Some(b"who".into()), hard: Some(b"h1".into()), ..Persist::default() },
-        Persist { entries: entries(1, 9, "a"), ..Persist::default() },
-        // What a new leader has in place of it, and more.
-        Persist { entries: entries(6, 12, "b"), hard: Some(b"h2".into()), ..Persist::default() },
-        Persist { snapshot: Some(b"s".into()), floor: Some((4, 2)), ..Persist::default() },
+        WriteBatch { identity: Some(b"who".into()), hard_state: Some(b"h1".into()), ..WriteBatch::default() },
+        WriteBatch { entries: entries(1, 9, "a"), ..WriteBatch::default() },
+        // EntryKind a new leader has in place of it, and more.
+        WriteBatch { entries: entries(6, 12, "b"), hard_state: Some(b"h2".into()), ..WriteBatch::default() },
+        WriteBatch { snapshot: Some(b"s".into()), compacted_to: Some((4, 2)), ..WriteBatch::default() },
     ];
     writes.iter().for_each(|write| disk.write(write).expect("written"));
     drop(disk);
     let (mut disk, held) = Disk::open(&folder.0).expect("as it was left");
     let texts: Vec<String> = held.entries.iter().map(|e| String::from_utf8_lossy(e).into_owned()).collect();
     assert_eq!(texts, ["a5", "b6", "b7", "b8", "b9", "b10", "b11", "b12"]);
-    assert_eq!((held.floor, held.hard, held.snapshot), ((4, 2), Some(b"h2".to_vec()), Some(b"s".to_vec())));
+    assert_eq!(
+        (held.compacted_to, held.hard_state, held.snapshot),
+        ((4, 2), Some(b"h2".to_vec()), Some(b"s".to_vec()))
+    );
     // A leader's snapshot takes the place of all.
-    let snapshot =
-        Persist { snapshot: Some(b"t".into()), floor: Some((40, 3)), clear: true, ..Persist::default() };
+    let snapshot = WriteBatch {
+        snapshot: Some(b"t".into()),
+        compacted_to: Some((40, 3)),
+        clear_entries: true,
+        ..WriteBatch::default()
+    };
     disk.write(&snapshot).expect("written");
     drop(disk);
     let (_, held) = Disk::open(&folder.0).expect("as it was left");
-    assert_eq!((held.entries.len(), held.floor, held.identity), (0, (40, 3), Some(b"who".to_vec())));
+    assert_eq!((held.entries.len(), held.compacted_to, held.identity), (0, (40, 3), Some(b"who".to_vec())));
 }
 
 #[rstest]
@@ -65,7 +72,7 @@
     let folder = Folder::new("row");
     let (mut disk, _) = Disk::open(&folder.0).expect("an empty one");
     let word = b"a word that is found again in the file".to_vec();
-    disk.write(&Persist { entries: vec![(1, word.clone())], ..Persist::default() }).expect("written");
+    disk.write(&WriteBatch { entries: vec![(1, word.clone())], ..WriteBatch::default() }).expect("written");
     drop(disk);
     let path = folder.0.join("log.redb");
     let mut bytes = fs::read(&path).expect("read");
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -5,9 +5,9 @@
 use super::report::{At, Figure, Report};
 use crate::draw;
 use crate::program::{Setting, beside};
-use alderway_control::machine::Answer;
-use alderway_control::subscriber::{Machine, Terms};
-use alderway_control::version::{Number, Proposal};
+use alderway_control_plane::replica::ProposalOutcome;
+use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
+use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_controller::client;
 use alderway_controller::door::{Ask, Reply};
 use alderway_controller::hollow::{Hollow, hollow};
@@ -180,7 +180,7 @@
 }
 
 /// Settings that differ in a key which a router takes over while it serves.
-fn settings(number: Number) -> Value {
+fn settings(number: VersionNumber) -> Value {
     let text = Setting { room: 100, ..Setting::default() }.configuration(at(7000, 0), &[]);
     let mut all: Value = serde_json::from_str(&text).unwrap_or_default();
     all["settings"]["Limits"]["StreamsPerConn"] = (100 + number % 900).into();
@@ -188,12 +188,12 @@
 }
 
 /// Has the next version ordered by whoever answers first; how many bytes the question had.
-fn propose(doors: &[SocketAddr], base: Number) -> Result<usize, String> {
+fn propose(doors: &[SocketAddr], base: VersionNumber) -> Result<usize, String> {
     let proposal = Proposal {
         id: format!("p{base}"),
         base,
         author: "lab".into(),
-        why: "a trial of scale".into(),
+        reason: "a trial of scale".into(),
         at_unix_ms: 0,
         settings: settings(base + 1),
     };
@@ -202,7 +202,7 @@
     let (until, mut said) = (Instant::now() + PATIENCE, String::new());
     for door in doors.iter().cycle() {
         match client::ask(*door, &ask, Duration::from_secs(10)) {
-            Ok(Reply::Answer { answer: Answer::Ordered(number), .. }) if number == base + 1 => {
+            Ok(Reply::Answer { answer: ProposalOutcome::Committed(number), .. }) if number == base + 1 => {
                 return Ok(bytes);
             }
             Ok(other) => said = format!("{other:?}"),
@@ -221,7 +221,7 @@
     plan: &'a Control,
     group: Group,
     hollow: Hollow,
-    newest: Number,
+    newest: VersionNumber,
     chance: Pcg32,
 }
 
@@ -373,8 +373,8 @@
     async fn once(&self, repeat: u64, report: &mut Report) -> Result<(), String> {
         let seed = self.common.seed + repeat;
         let group = Group::start(self.program.clone().unwrap_or(beside("alderway")), self.machines)?;
-        let machine = |n| (Machine { name: name(n), zone: format!("z{n}") }, at(7300, n));
-        let machines: Vec<(Machine, SocketAddr)> = (1..=self.machines).map(machine).collect();
+        let machine = |n| (ControlEndpoint { name: name(n), zone: format!("z{n}") }, at(7300, n));
+        let machines: Vec<(ControlEndpoint, SocketAddr)> = (1..=self.machines).map(machine).collect();
         let zones: Vec<String> = (1..=self.machines).map(|n| format!("z{n}")).collect();
         let hollow = hollow(0, &machines, &zones, seed);
         let mut stand = Stand { plan: self, group, hollow, newest: 0, chance: Pcg32::new(seed, 11) };
@@ -383,7 +383,7 @@
         let before = memory(std::process::id());
         let (how, mut count) = (self.notes(), 0);
         for &routers in &self.routers {
-            stand.hollow.grow(routers - count, &machines, &zones, seed, Terms::default());
+            stand.hollow.grow(routers - count, &machines, &zones, seed, SubscriptionConfig::default());
             count = routers;
             let newest = stand.newest;
             stand.until("all have what stands", |all| all.all_had(newest).is_some()).await?;
--- a/crates/router/src/control/kept.rs
+++ b/crates/router/src/control/kept.rs
@@ -3,8 +3,8 @@
 use super::{Subscription, spawn_blocking, spawn_local, watch};
 use crate::life::start::{self, Read, Station};
 use crate::memory::clock::Clock;
-use alderway_control::subscriber::Settled;
-use alderway_control::words;
+use alderway_control_plane::messages;
+use alderway_control_plane::subscriber::ConfigVersion;
 use serde_json::Value;
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -14,19 +14,19 @@
 
 const WORD: &str = "alderway-version 1";
 /// A head and the longest settings.
-const LONGEST: u64 = words::LARGEST as u64 + 200;
+const LONGEST: u64 = messages::MAX_SETTINGS_BYTES as u64 + 200;
 
 /// A version as it was kept.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kept {
-    pub settled: Settled,
+    pub settled: ConfigVersion,
     /// When it was last known to be the newest, by the wall clock of that time.
     pub as_of_unix_ms: Option<u64>,
 }
 
 impl Kept {
     fn text(&self) -> String {
-        let Settled { number, digest, text } = &self.settled;
+        let ConfigVersion { number, digest, text } = &self.settled;
         let as_of = self.as_of_unix_ms.map_or("-".to_string(), |ms| ms.to_string());
         format!("{WORD} {number} {digest:016x} {as_of}\n{text}")
     }
@@ -40,7 +40,7 @@
             "-" => None,
             ms => Some(ms.parse().ok()?),
         };
-        let settled = Settled::new(number, text);
+        let settled = ConfigVersion::new(number, text);
         (settled.digest == digest && head.next().is_none()).then_some(Kept { settled, as_of_unix_ms })
     }
 }
@@ -76,7 +76,7 @@
 }
 
 /// A version, and when it was last known to be the newest.
-type Newest = Option<(Settled, Option<f64>)>;
+type Newest = Option<(ConfigVersion, Option<f64>)>;
 
 /// Between two tries to write a version that the disk refuses.
 const RETRY: Duration = Duration::from_secs(1);
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,15 +1,17 @@
 //! The router's subscription on sockets: one connection to a control machine, what is kept on disk, lines of the log and
-//! counters. Which machine, what of its words is taken and when what is said stands in `alderway_control::subscriber`.
+//! counters. Which machine, what of its words is taken and when what is said stands in `alderway_control_plane::subscriber`.
 pub mod kept;
 
 use crate::life::settings::{Live, Outcome as Offered};
 use crate::memory::clock::Clock;
 use crate::memory::counters::Counters;
 use crate::memory::house::{Figures, House};
-use alderway_control::bucket::{Bucket, READ};
-use alderway_control::subscriber::{Machine, Order, Settled, Subscriber, Terms};
-use alderway_control::version::Number;
-use alderway_control::words::{Outcome, Say, Tell};
+use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage};
+use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
+use alderway_control_plane::subscriber::{
+    Command, ConfigVersion, ControlEndpoint, Subscriber, SubscriptionConfig,
+};
+use alderway_control_plane::version::VersionNumber;
 use alderway_sockets::Sender;
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use alderway_tier::{Incarnation, Name};
@@ -38,9 +40,9 @@
 /// What the operator's file says, and what was kept.
 pub struct Subscription {
     /// With where each listens for routers.
-    pub machines: Vec<(Machine, SocketAddr)>,
+    pub machines: Vec<(ControlEndpoint, SocketAddr)>,
     pub zone: String,
-    pub terms: Terms,
+    pub terms: SubscriptionConfig,
     pub keep: Option<PathBuf>,
     /// The version that this router starts with.
     pub kept: Option<Kept>,
@@ -50,7 +52,7 @@
 
 type Soon<T> = Pin<Box<dyn Future<Output = T>>>;
 /// Brings settings to the running router, under their number.
-pub type Offer = Box<dyn Fn(Value, Number) -> Soon<Outcome>>;
+pub type Offer = Box<dyn Fn(Value, VersionNumber) -> Soon<ApplyOutcome>>;
 /// Is shown the subscription a few times a second, with the bytes that came in and went out.
 pub type Show = Box<dyn FnMut(&Subscriber, (u64, u64), f64)>;
 
@@ -63,7 +65,7 @@
     pub clock: Clock,
     pub offer: Offer,
     /// What the next start is to be with, and when that was known to be the newest.
-    pub keep: Box<dyn Fn(Settled, Option<f64>)>,
+    pub keep: Box<dyn Fn(ConfigVersion, Option<f64>)>,
     pub show: Show,
     /// Whether notes are written to the log.
     pub logs: bool,
@@ -75,9 +77,9 @@
         let live = live.clone();
         Box::pin(async move {
             match live.offer(settings, Some(number)).await {
-                Offered::InForce | Offered::Unchanged => Outcome::InForce,
-                Offered::Refused(why) => Outcome::Refused(why),
-                Offered::Waits(keys) => Outcome::Waits(keys),
+                Offered::InForce | Offered::Unchanged => ApplyOutcome::Applied,
+                Offered::Refused(why) => ApplyOutcome::Rejected(why),
+                Offered::Waits(keys) => ApplyOutcome::PendingRestart(keys),
             }
         })
     })
@@ -127,20 +129,20 @@
 }
 
 fn figures(subscriber: &Subscriber, (bytes_in, bytes_out): (u64, u64), now: f64) -> Figures {
-    let (met, mut counters) = (subscriber.met, Counters::default());
+    let (metrics, mut counters) = (subscriber.metrics, Counters::default());
     for (name, count) in [
-        ("control_dials", met.dials),
-        ("control_connections_lost", met.lost),
-        ("control_machines_silent", met.silent),
-        ("control_machines_behind", met.behind),
-        ("control_versions_in_force", met.taken_over),
-        ("control_versions_refused", met.refused),
-        ("control_versions_waiting", met.waits),
-        ("control_wholes", met.whole),
-        ("control_deltas", met.deltas),
-        ("control_mismatches", met.mismatches),
-        ("control_clashes", met.clashes),
-        ("control_words_old", met.old_words),
+        ("control_dials", metrics.connect_attempts),
+        ("control_connections_lost", metrics.connections_lost),
+        ("control_machines_silent", metrics.connections_timed_out),
+        ("control_machines_behind", metrics.replicas_behind),
+        ("control_versions_in_force", metrics.versions_applied),
+        ("control_versions_refused", metrics.versions_rejected),
+        ("control_versions_waiting", metrics.versions_pending_restart),
+        ("control_wholes", metrics.snapshots),
+        ("control_deltas", metrics.patches),
+        ("control_mismatches", metrics.digest_mismatches),
+        ("control_clashes", metrics.conflicts),
+        ("control_words_old", metrics.stale_messages),
         ("control_bytes_in", bytes_in),
         ("control_bytes_out", bytes_out),
     ] {
@@ -148,13 +150,13 @@
     }
     let ms = |span: f64| (span * 1e3) as u64;
     let mut open = vec![
-        ("control_version", subscriber.holding().held().number),
-        ("control_version_got", subscriber.holding().got().number),
-        ("control_connected", u64::from(subscriber.connected().is_some())),
-        ("control_quiet_ms", ms(subscriber.quiet(now))),
+        ("control_version", subscriber.versions().active().number),
+        ("control_version_got", subscriber.versions().received().number),
+        ("control_connected", u64::from(subscriber.connected_to().is_some())),
+        ("control_quiet_ms", ms(subscriber.unconfirmed_s(now))),
     ];
     // What may be of any age has none.
-    open.extend(subscriber.age(now).map(|age| ("control_version_age_ms", ms(age))));
+    open.extend(subscriber.staleness_s(now).map(|age| ("control_version_age_ms", ms(age))));
     Figures { counters, open }
 }
 
@@ -164,7 +166,7 @@
     sender: Sender,
     machine: usize,
     greeted: bool,
-    reader: Reader<Tell>,
+    reader: Reader<ControlMessage>,
     out: Vec<u8>,
 }
 
@@ -172,26 +174,26 @@
 pub async fn run(mut subscriber: Subscriber, mut ends: Ends) {
     let clock = ends.clock;
     let mut dial: Option<(usize, Soon<io::Result<TcpStream>>)> = None;
-    let mut offer: Option<(Number, Soon<Outcome>)> = None;
+    let mut offer: Option<(VersionNumber, Soon<ApplyOutcome>)> = None;
     let mut wire: Option<Wire> = None;
-    let mut budget = Bucket::empty(READ, clock.now());
-    let (mut space, mut bytes, mut look) = (vec![0; READ.burst as usize], (0, 0), 0.0);
+    let mut budget = TokenBucket::empty(ROUTER_READ, clock.now());
+    let (mut space, mut bytes, mut look) = (vec![0; ROUTER_READ.burst_bytes as usize], (0, 0), 0.0);
     loop {
         let now = clock.now();
         subscriber.tick(now);
-        while let Some(order) = subscriber.order() {
+        while let Some(order) = subscriber.next_command() {
             match order {
-                Order::Dial(machine) => {
+                Command::Connect(machine) => {
                     wire = None;
                     let Some((_, at)) = ends.machines.get(machine).cloned() else { continue };
                     dial = Some((machine, Box::pin(alderway_sockets::dial(at))));
                 }
-                Order::Leave => (wire, dial) = (None, None),
-                Order::Offer { number, settings } => offer = Some((number, (ends.offer)(settings, number))),
-                Order::Keep(settled) => (ends.keep)(settled, subscriber.as_of()),
-                Order::Note(note) if !ends.logs => drop(note),
-                Order::Note(note) if note.warns() => tracing::warn!(target: "control", "{note}"),
-                Order::Note(note) => tracing::info!(target: "control", "{note}"),
+                Command::Disconnect => (wire, dial) = (None, None),
+                Command::Apply { number, settings } => offer = Some((number, (ends.offer)(settings, number))),
+                Command::Persist(settled) => (ends.keep)(settled, subscriber.confirmed_at()),
+                Command::Log(note) if !ends.logs => drop(note),
+                Command::Log(note) if note.is_warning() => tracing::warn!(target: "control", "{note}"),
+                Command::Log(note) => tracing::info!(target: "control", "{note}"),
             }
         }
         if now >= look {
@@ -202,7 +204,7 @@
         if let Some(held) = &mut wire {
             while held.greeted
                 && held.out.is_empty()
-                && let Some(word) = subscriber.word(now)
+                && let Some(word) = subscriber.next_message(now)
             {
                 held.out = word;
                 if !flush(held, &mut bytes.1) {
@@ -211,10 +213,10 @@
             }
             waits = !held.out.is_empty();
         }
-        let room = budget.room(now).min(space.len());
+        let room = budget.available_bytes(now).min(space.len());
         let reads = room >= SIP;
-        let refill = if reads || wire.is_none() { f64::INFINITY } else { budget.when(SIP) };
-        let until = (subscriber.due().min(refill).min(now + 1.0) - now).max(0.0005);
+        let refill = if reads || wire.is_none() { f64::INFINITY } else { budget.ready_at(SIP) };
+        let until = (subscriber.next_deadline().min(refill).min(now + 1.0) - now).max(0.0005);
         tokio::select! {
             biased;
             came = dialled(&mut dial) => {
@@ -223,18 +225,18 @@
                     Ok(stream) => {
                         let _ = stream.set_nodelay(true);
                         let (name, incarnation) = (ends.name.clone(), ends.incarnation);
-                        let hello = Hello { version: Say::VERSION, planner: false, incarnation, name };
+                        let hello = Hello { version: RouterMessage::VERSION, planner: false, incarnation, name };
                         let mut out = vec![];
-                        frames::hello_of::<Say>(&mut out, &hello);
+                        frames::hello_of::<RouterMessage>(&mut out, &hello);
                         let (sender, reader) = (Sender::default(), Reader::default());
                         wire = Some(Wire { stream, sender, machine, greeted: false, reader, out });
                     }
-                    Err(_) => subscriber.closed(clock.now()),
+                    Err(_) => subscriber.connection_closed(clock.now()),
                 }
             }
             outcome = offered(&mut offer) => {
                 if let Some((number, _)) = offer.take() {
-                    subscriber.ended(number, outcome);
+                    subscriber.offer_completed(number, outcome);
                 }
             }
             ready = readable(&wire), if reads => {
@@ -243,7 +245,7 @@
                     match alderway_sockets::read(&held.stream, space) {
                         Ok(Some(0)) | Err(_) => false,
                         Ok(Some(count)) => {
-                            budget.take(count, clock.now());
+                            budget.try_take(count, clock.now());
                             bytes.0 += count as u64;
                             held.reader.feed(&space[..count]);
                             true
@@ -253,13 +255,13 @@
                 });
                 let sound = read && wire.as_mut().is_some_and(|held| hear(held, &mut subscriber, &ends));
                 if !sound && wire.take().is_some() {
-                    subscriber.closed(clock.now());
+                    subscriber.connection_closed(clock.now());
                 }
             }
             () = writable(&wire), if waits => {
                 let sound = wire.as_mut().is_some_and(|held| flush(held, &mut bytes.1));
                 if !sound && wire.take().is_some() {
-                    subscriber.closed(clock.now());
+                    subscriber.connection_closed(clock.now());
                 }
             }
             () = sleep(Duration::from_secs_f64(until)) => {}
@@ -275,13 +277,13 @@
         match wire.reader.read() {
             Ok(Some(Read::Hello(hello))) if !wire.greeted && Some(&hello.name) == expected => {
                 wire.greeted = true;
-                subscriber.opened(now);
+                subscriber.connection_opened(now);
             }
             Ok(Some(Read::Hello(hello))) => {
                 tracing::warn!(target: "control", "`{}` answers where another control machine is", hello.name);
                 return false;
             }
-            Ok(Some(Read::Message(tell))) => subscriber.heard(tell, now),
+            Ok(Some(Read::Message(tell))) => subscriber.receive(tell, now),
             Ok(None) => return true,
             Err(why) => {
                 tracing::warn!(target: "control", "{why}");
@@ -310,7 +312,7 @@
     }
 }
 
-async fn offered(offer: &mut Option<(Number, Soon<Outcome>)>) -> Outcome {
+async fn offered(offer: &mut Option<(VersionNumber, Soon<ApplyOutcome>)>) -> ApplyOutcome {
     match offer {
         Some((_, offer)) => offer.await,
         None => pending().await,
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -1,10 +1,10 @@
 //! Stories of a router's subscription over sockets, to control machines that are fed versions by hand. Each waits on what
 //! the router counts.
-use alderway_control::outlet::Outlet;
-use alderway_control::publisher;
-use alderway_control::subscriber::{Machine, Settled, Terms};
-use alderway_control::version::{Number, Version};
-use alderway_control::words::{Outcome, Say};
+use alderway_control_plane::messages::{ApplyOutcome, RouterMessage};
+use alderway_control_plane::publisher;
+use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, SubscriptionConfig};
+use alderway_control_plane::version::{Version, VersionNumber};
+use alderway_control_plane::version_sink::VersionSink;
 use alderway_controller::hollow::hollow;
 use alderway_controller::subscriptions::Subscriptions;
 use alderway_router::control::kept::{self, Kept};
@@ -39,18 +39,18 @@
     });
 }
 
-fn version(number: Number, settings: Value) -> Version {
+fn version(number: VersionNumber, settings: Value) -> Version {
     Version {
         number,
-        proposal: format!("p{number}"),
+        proposal_id: format!("p{number}"),
         author: "a".into(),
-        why: "w".into(),
+        reason: "w".into(),
         at_unix_ms: 0,
         settings,
     }
 }
 
-fn settings(number: Number) -> Value {
+fn settings(number: VersionNumber) -> Value {
     let mut settings: Value = serde_json::from_str(&common::settings(1000, 180)).expect("settings");
     settings["Limits"]["MaxOpen"] = json!(100 + number);
     settings
@@ -70,54 +70,69 @@
 }
 
 impl Desk {
-    async fn at(name: &str, at: SocketAddr, upto: Number) -> Desk {
-        let listening = Subscriptions::listen(name, 1, at, publisher::Terms::default());
+    async fn at(name: &str, at: SocketAddr, upto: VersionNumber) -> Desk {
+        let listening = Subscriptions::listen(name, 1, at, publisher::PublisherConfig::default());
         let mut subscriptions = listening.await.expect("a listener");
-        subscriptions.as_of(0.0, true);
+        subscriptions.freshness(0.0, true);
         (1..=upto).for_each(|n| subscriptions.committed(&version(n, settings(n))));
         let mut told = subscriptions.clone();
         let ticks = spawn_local(async move {
             let mut ticks = interval(Duration::from_millis(100));
             loop {
                 ticks.tick().await;
-                told.as_of(0.0, true);
+                told.freshness(0.0, true);
             }
         });
         Desk { subscriptions, ticks }
     }
 
-    async fn new(name: &str, upto: Number) -> Desk {
+    async fn new(name: &str, upto: VersionNumber) -> Desk {
         Desk::at(name, ([127, 0, 0, 1], 0).into(), upto).await
     }
 
-    fn commit(&mut self, number: Number) {
+    fn commit(&mut self, number: VersionNumber) {
         self.subscriptions.committed(&version(number, settings(number)));
     }
 }
 
 struct Router {
     house: Arc<House>,
-    offered: Rc<RefCell<Vec<(Number, Value)>>>,
+    offered: Rc<RefCell<Vec<(VersionNumber, Value)>>>,
 }
 
-fn machine(name: &str, zone: &str) -> Machine {
-    Machine { name: name.into(), zone: zone.into() }
+fn machine(name: &str, zone: &str) -> ControlEndpoint {
+    ControlEndpoint { name: name.into(), zone: zone.into() }
 }
 
-fn quick() -> Terms {
-    Terms { behind: 0.3, least: 0.05, pulse: 0.2, silent: 1.0, old: 1.0, ..Terms::default() }
+fn quick() -> SubscriptionConfig {
+    SubscriptionConfig {
+        behind_timeout_s: 0.3,
+        min_backoff_s: 0.05,
+        heartbeat_interval_s: 0.2,
+        heartbeat_timeout_s: 1.0,
+        stale_after_s: 1.0,
+        ..SubscriptionConfig::default()
+    }
 }
 
 impl Router {
     /// Takes over whatever is offered, but what is in `refuses`.
-    fn new(machines: Vec<(Machine, SocketAddr)>, keep: Option<PathBuf>, refuses: &[Number]) -> Router {
+    fn new(
+        machines: Vec<(ControlEndpoint, SocketAddr)>,
+        keep: Option<PathBuf>,
+        refuses: &[VersionNumber],
+    ) -> Router {
         let (offered, refuses) = (Rc::new(RefCell::new(vec![])), refuses.to_vec());
         let taken = offered.clone();
         let offer: Offer = Box::new(move |settings, number| {
             taken.borrow_mut().push((number, settings));
             let refused = refuses.contains(&number);
             Box::pin(async move {
-                if refused { Outcome::Refused("key `x`: expected y".into()) } else { Outcome::InForce }
+                if refused {
+                    ApplyOutcome::Rejected("key `x`: expected y".into())
+                } else {
+                    ApplyOutcome::Applied
+                }
             })
         });
         let kept = keep.as_deref().and_then(|path| kept::read(path).ok().flatten());
@@ -196,9 +211,9 @@
 fn with_a_start(held: Value) -> Offer {
     Box::new(move |settings, _| {
         let outcome = match alderway_deployment::router(0, &settings) {
-            Err(why) => Outcome::Refused(format!("key `settings`: expected {why}")),
-            Ok(_) if settings == held => Outcome::InForce,
-            Ok(_) => Outcome::Waits(vec!["settings".into()]),
+            Err(why) => ApplyOutcome::Rejected(format!("key `settings`: expected {why}")),
+            Ok(_) if settings == held => ApplyOutcome::Applied,
+            Ok(_) => ApplyOutcome::PendingRestart(vec!["settings".into()]),
         };
         Box::pin(async move { outcome })
     })
@@ -216,14 +231,14 @@
         desk.commit(3);
         router.until(is("control_versions_refused", 1)).await;
         // What it said back is on its way: the machine's word for it.
-        until(|| desk.subscriptions.summary().lagging.iter().any(|l| l.why.contains("key `x`"))).await;
+        until(|| desk.subscriptions.summary().lagging.iter().any(|l| l.reason.contains("key `x`"))).await;
         let summary = desk.subscriptions.summary();
         assert_eq!((summary.by_version.get(&2), summary.lagging.len()), (Some(&1), 1));
-        assert_eq!(summary.lagging[0].why, "refused 3: key `x`: expected y");
+        assert_eq!(summary.lagging[0].reason, "refused 3: key `x`: expected y");
         desk.commit(4);
         router.until(is("control_version", 4)).await;
         let offered = router.offered.borrow().clone();
-        let expected: Vec<(Number, Value)> = (1..5).map(|n| (n, settings(n))).collect();
+        let expected: Vec<(VersionNumber, Value)> = (1..5).map(|n| (n, settings(n))).collect();
         assert_eq!(offered, expected);
         router.until(|f| is("control_wholes", 1)(f) && is("control_deltas", 3)(f)).await;
         router.until(some("control_version_age_ms")).await;
@@ -279,8 +294,9 @@
             let at = desk.subscriptions.address();
             let mut stream = TcpStream::connect(at).await.expect("a connection");
             let mut hello = vec![];
-            let said = Hello { version: Say::VERSION, planner: false, incarnation, name: "r".into() };
-            frames::hello_of::<Say>(&mut hello, &said);
+            let said =
+                Hello { version: RouterMessage::VERSION, planner: false, incarnation, name: "r".into() };
+            frames::hello_of::<RouterMessage>(&mut hello, &said);
             stream.write_all(&hello).await.expect("written");
             stream
         };
@@ -355,7 +371,7 @@
         router.until(is("control_versions_waiting", 1)).await;
         until(|| kept::read(&keep).ok().flatten().is_some_and(|kept| kept.settled.number == 3)).await;
         until(|| {
-            desk.subscriptions.summary().lagging.iter().any(|l| l.why == "3 waits for a start: settings")
+            desk.subscriptions.summary().lagging.iter().any(|l| l.reason == "3 waits for a start: settings")
         })
         .await;
     });
@@ -372,7 +388,7 @@
 }
 
 /// What a router with that configuration starts with, given a kept file.
-fn started_from(place: &Place, keep: PathBuf, machines: Vec<(Machine, SocketAddr)>) -> Station {
+fn started_from(place: &Place, keep: PathBuf, machines: Vec<(ControlEndpoint, SocketAddr)>) -> Station {
     let (zone, keep) = (String::new(), Some(keep));
     let subscription = Subscription { machines, zone, terms: quick(), keep, kept: None, said: None };
     kept::station(subscription, &configured(place), Clock::default(), None).expect("a station")
@@ -386,8 +402,10 @@
 fn a_torn_kept_file_is_said_and_ignored(#[case] tear: fn(&str) -> String, #[case] why: &str) {
     let place = Place::new("torn");
     let keep = place.file("version");
-    let sound =
-        Kept { settled: Settled::new(7, &settings(7).to_string()), as_of_unix_ms: Some(1_700_000_000_000) };
+    let sound = Kept {
+        settled: ConfigVersion::new(7, &settings(7).to_string()),
+        as_of_unix_ms: Some(1_700_000_000_000),
+    };
     kept::write(&keep, &sound).expect("written");
     assert_eq!(kept::read(&keep), Ok(Some(sound)));
     let text = std::fs::read_to_string(&keep).expect("there");
@@ -404,7 +422,7 @@
 fn a_kept_version_that_is_faulty_here_is_said_and_ignored() {
     let place = Place::new("faulty");
     let keep = place.file("version");
-    let faulty = Kept { settled: Settled::new(7, r#"{"Limits":{}}"#), as_of_unix_ms: None };
+    let faulty = Kept { settled: ConfigVersion::new(7, r#"{"Limits":{}}"#), as_of_unix_ms: None };
     kept::write(&keep, &faulty).expect("written");
     let station = started_from(&place, keep, vec![]);
     assert_eq!(station.settings, settings(0));
@@ -427,7 +445,7 @@
         second.commit(2);
         until(|| hollow.have(2) == 60).await;
         let mut summary = first.subscriptions.summary();
-        summary.add(&second.subscriptions.summary());
+        summary.merge(&second.subscriptions.summary());
         assert_eq!(summary.by_version.values().sum::<u64>(), 60);
         let seen = hollow.seen();
         assert!(seen.iter().all(|seen| seen.in_force.iter().map(|f| f.1).eq([1, 2])));
@@ -442,7 +460,7 @@
         let path = folder.join("version");
         let keep = kept::keeper(path.clone(), Clock::default());
         // There is no such folder yet, so nothing can be written.
-        let settled = Settled::new(7, "{}");
+        let settled = ConfigVersion::new(7, "{}");
         keep.send_replace(Some((settled.clone(), None)));
         sleep(Duration::from_millis(200)).await;
         assert_eq!(kept::read(&path), Ok(None));
