--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -2,7 +2,7 @@
 //! bounded link can take between other words: whole, or as a JSON Patch (RFC 6902) upon a version that the router has,
 //! with a digest of what must come out.
 use crate::version::VersionNumber;
-use alderway_tier::frames::{self, Speech};
+use alderway_transport::frames::{self, Speech};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
--- a/crates/control-plane/src/publisher.rs
+++ b/crates/control-plane/src/publisher.rs
@@ -8,7 +8,7 @@
 use crate::rate_limit::{CONTROL_TO_ALL_ROUTERS, CONTROL_TO_ROUTER, RateLimit, TokenBucket};
 use crate::version::{Version, VersionNumber};
 use crate::version_sink::{LaggingRouter, RouterSummary};
-use alderway_tier::{Incarnation, Name};
+use alderway_transport::{Incarnation, Name};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::rc::Rc;
--- a/crates/control-plane/tests/subscription.rs
+++ b/crates/control-plane/tests/subscription.rs
@@ -10,7 +10,7 @@
     Command, ConfigVersion, ControlEndpoint, Event, Subscriber, SubscriptionConfig,
 };
 use alderway_control_plane::version::{Version, VersionNumber};
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_pcg::Pcg32;
--- a/crates/control-plane/tests/wire_format.rs
+++ b/crates/control-plane/tests/wire_format.rs
@@ -10,7 +10,7 @@
 use alderway_control_plane::version::{Proposal, Version};
 use alderway_control_plane::version_log::{ProposalError, UndoneVersion, VersionLog};
 use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeType, ConfChangeV2, Entry, EntryType, HardState, Message, MessageType, Snapshot,
--- a/crates/controller/src/door.rs
+++ b/crates/controller/src/door.rs
@@ -7,8 +7,8 @@
 use alderway_control_plane::version::{Proposal, Version, VersionNumber};
 use alderway_control_plane::version_log::changed_keys;
 use alderway_control_plane::version_sink::RouterSummary;
-use alderway_router::tier::links::{greet, write_out};
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::links::{greet, write_out};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -6,7 +6,6 @@
 use alderway_control_plane::replica::{ClientId, ProposalOutcome, Replica, ReplicaName, TICK_S};
 use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_control_plane::version_sink::{RouterSummary, VersionSink};
-use alderway_router::memory::clock::Clock;
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use nix::sys::signal::Signal;
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -3,7 +3,6 @@
 use crate::driver::{Held, Told};
 use crate::listen::serve_each;
 use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
-use alderway_router::tier::links::{PATIENCE, Waits, greet};
 use alderway_sockets::Sender;
 use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
 use alderway_transport::links::{PATIENCE, Waits, greet};
--- a/crates/controller/src/subscriptions.rs
+++ b/crates/controller/src/subscriptions.rs
@@ -5,8 +5,6 @@
 use alderway_control_plane::publisher::{Publisher, PublisherConfig, PublisherMetrics};
 use alderway_control_plane::version::{Version, VersionNumber};
 use alderway_control_plane::version_sink::{RouterSummary, VersionSink};
-use alderway_router::memory::clock::Clock;
-use alderway_router::tier::links::greet;
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
 use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
--- a/crates/router/src/control/kept.rs
+++ b/crates/router/src/control/kept.rs
@@ -1,10 +1,10 @@
 //! The version that a router starts with when no control machine can be asked: one file, written whole beside itself,
 //! synced and renamed, with a head that tells a torn one.
 use super::{Subscription, spawn_blocking, spawn_local, watch};
-use crate::life::start::{self, Read, Station};
-use crate::memory::clock::Clock;
+use crate::lifecycle::start::{self, Read, Station};
 use alderway_control_plane::messages;
 use alderway_control_plane::subscriber::ConfigVersion;
+use alderway_telemetry::clock::Clock;
 use serde_json::Value;
 use std::fs::{self, File};
 use std::io::{self, Write};
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -2,10 +2,9 @@
 //! counters. Which machine, what of its words is taken and when what is said stands in `alderway_control_plane::subscriber`.
 pub mod kept;
 
-use crate::life::settings::{Live, Outcome as Offered};
-use crate::memory::clock::Clock;
-use crate::memory::counters::Counters;
-use crate::memory::house::{Figures, House};
+use crate::lifecycle::settings::{Live, Outcome as Offered};
+use crate::state::counters::Counters;
+use crate::state::house::{Figures, House};
 use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage};
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
 use alderway_control_plane::subscriber::{
