--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -8,7 +8,7 @@
 use alderway_controller::door::{Ask, Overall, Reply, Text};
 use alderway_lab::program::Setting;
 use alderway_lab::wires::Wires;
-use alderway_transport::frames::{self, Hello};
+use alderway_transport::{Hello, encode_hello, encode_message};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rstest::rstest;
@@ -519,12 +519,12 @@
     house.all_have(1);
     let member = house.wires.address("c2", "c1");
     let mut hello = vec![];
-    let word = Hello { version: 1, planner: false, incarnation: 1, name: "c9".into() };
-    frames::hello_of::<Text>(&mut hello, &word);
+    let word = Hello { version: 1, is_planner: false, incarnation: 1, name: "c9".into() };
+    encode_hello::<Text>(&mut hello, &word);
     let mut long = hello.clone();
     long.extend([0xff; 64]);
     let mut unread = hello.clone();
-    frames::message(&mut unread, &Text("{}".repeat(9)));
+    encode_message(&mut unread, &Text("{}".repeat(9))).expect("it fits a frame");
     let spoken: [(&[u8], &str); 4] =
         [(b"GET / HTTP/1.1\r\n\r\n", ""), (&long, ""), (&[0xff; 4096], ""), (&unread, "not a question")];
     for (bytes, says) in spoken {
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -10,7 +10,7 @@
 use alderway_lab::wires::{Act, Fault, Schedule, Wires};
 use alderway_peers::Frame;
 use alderway_peers::words::{What, Word};
-use alderway_transport::frames::{self, Hello, Read as _Read, Reader};
+use alderway_transport::{FrameReader, Hello, Received, encode_hello, encode_message};
 use common::{PATIENCE, until};
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -234,23 +234,23 @@
 }
 
 /// A peer that this story plays: it says hello under a member's name.
-fn play(house: &House, to: usize, name: &str, incarnation: u64) -> (TcpStream, Reader<Frame>) {
+fn play(house: &House, to: usize, name: &str, incarnation: u64) -> (TcpStream, FrameReader<Frame>) {
     let at = house.routers[&house.names[to]].1;
     let mut stream = TcpStream::connect(at).expect("dialled");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     let mut bytes = vec![];
-    let hello = Hello { version: 1, planner: false, incarnation, name: name.into() };
-    frames::hello_of::<Frame>(&mut bytes, &hello);
+    let hello = Hello { version: 1, is_planner: false, incarnation, name: name.into() };
+    encode_hello::<Frame>(&mut bytes, &hello);
     stream.write_all(&bytes).expect("written");
-    (stream, Reader::default())
+    (stream, FrameReader::default())
 }
 
-fn frame(stream: &mut TcpStream, reader: &mut Reader<Frame>) -> Option<Frame> {
+fn frame(stream: &mut TcpStream, reader: &mut FrameReader<Frame>) -> Option<Frame> {
     let mut space = [0; 65536];
     loop {
-        match reader.read() {
-            Ok(Some(_Read::Message(frame))) => return Some(frame),
-            Ok(Some(_Read::Hello(_))) => {}
+        match reader.next_frame() {
+            Ok(Some(Received::Message(frame))) => return Some(frame),
+            Ok(Some(Received::Hello(_))) => {}
             Ok(None) => match stream.read(&mut space) {
                 Ok(count @ 1..) => reader.feed(&space[..count]),
                 _ => return None,
@@ -276,7 +276,8 @@
     });
     let mut bytes = vec![];
     let words = lies.collect();
-    assert!(frames::message(&mut bytes, &Frame { stamp: 1.0, echo: Some((heard.stamp, 0.0)), words }));
+    encode_message(&mut bytes, &Frame { stamp: 1.0, echo: Some((heard.stamp, 0.0)), words })
+        .expect("it fits a frame");
     stream.write_all(&bytes).expect("written");
     let taken = counted(house.router(0), "words_taken");
     until(house.router(0), "the lies are taken in", |c| c["words_taken"] >= taken + 6);
--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -8,8 +8,8 @@
 use alderway_lab::model::{Fault, Make};
 use alderway_lab::program::{Build, Program, Setting};
 use alderway_tier::custody::Custody;
-use alderway_tier::frames::{self, Message};
-use alderway_transport::frames::{Hello, message};
+use alderway_tier::messages::Message;
+use alderway_transport::{Hello, WireMessage, encode_hello, encode_message};
 use common::{Client, logged, until};
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -248,7 +248,10 @@
             match version {
                 Some(version) => {
                     let name = "p-9".to_string();
-                    frames::hello(&mut bytes, &Hello { version, planner: true, incarnation: 1, name });
+                    encode_hello::<Message>(
+                        &mut bytes,
+                        &Hello { version, is_planner: true, incarnation: 1, name },
+                    );
                 }
                 None => bytes.extend_from_slice(b"HTTP/1.1 400 Bad Request\r\n\r\n"),
             }
@@ -274,11 +277,12 @@
             let (mut stream, _) = listener.accept().expect("a forwarder");
             let mut bytes = vec![];
             let name = "p-9".to_string();
-            frames::hello(
+            encode_hello::<Message>(
                 &mut bytes,
-                &Hello { version: frames::VERSION, planner: true, incarnation: 1, name },
+                &Hello { version: Message::VERSION, is_planner: true, incarnation: 1, name },
             );
-            assert!(message(&mut bytes, &Message::Beat { number: 1, roster: 1_000_000, able: true }));
+            encode_message(&mut bytes, &Message::Beat { number: 1, roster: 1_000_000, able: true })
+                .expect("it fits a frame");
             stream.write_all(&bytes).expect("written");
             // Reads all, says nothing.
             let mut space = [0; 4096];
--- a/crates/control/src/words.rs
+++ b/crates/control/src/words.rs
@@ -2,7 +2,7 @@
 //! bounded link can take between other words: whole, or as a JSON Patch (RFC 6902) upon a version that the router has,
 //! with a digest of what must come out.
 use crate::version::Number;
-use alderway_transport::frames::{self, Speech};
+use alderway_transport::{WireMessage, encode_message};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -37,8 +37,8 @@
     Beat { stamp: u64, newest: Number, digest: Digest, age: f64, majority: bool },
 }
 
-impl Speech for Tell {
-    const WORD: [u8; 4] = *b"ALDC";
+impl WireMessage for Tell {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
@@ -53,8 +53,8 @@
     Outcome { number: Number, outcome: Outcome },
 }
 
-impl Speech for Say {
-    const WORD: [u8; 4] = *b"ALDS";
+impl WireMessage for Say {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDS";
     const VERSION: u16 = 1;
 }
 
@@ -100,9 +100,10 @@
 }
 
 /// A word as it goes out.
-pub fn framed<M: Speech>(word: &M) -> Vec<u8> {
+pub fn framed<M: WireMessage>(word: &M) -> Vec<u8> {
     let mut out = vec![];
-    frames::message(&mut out, word);
+    // A message over the limit is not sent; parts are far shorter.
+    let _ = encode_message(&mut out, word);
     out
 }
 
--- a/crates/control/tests/subscription.rs
+++ b/crates/control/tests/subscription.rs
@@ -6,7 +6,7 @@
 use alderway_control::subscriber::{Machine, Note, Order, Settled, Subscriber, Terms};
 use alderway_control::version::{Number, Version};
 use alderway_control::words::{self, Content, LARGEST, Outcome, Say, Tell};
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_pcg::Pcg32;
@@ -75,8 +75,8 @@
     greeted: bool,
     to_router: VecDeque<(f64, Vec<u8>)>,
     to_machine: VecDeque<(f64, Vec<u8>)>,
-    by_router: Reader<Tell>,
-    by_machine: Reader<Say>,
+    by_router: FrameReader<Tell>,
+    by_machine: FrameReader<Say>,
 }
 
 struct Desk {
@@ -281,8 +281,8 @@
                         greeted: false,
                         to_router: VecDeque::new(),
                         to_machine: VecDeque::new(),
-                        by_router: Reader::default(),
-                        by_machine: Reader::default(),
+                        by_router: FrameReader::default(),
+                        by_machine: FrameReader::default(),
                     };
                     self.conns.insert(self.last, conn);
                     self.routers[n].conn = Some(self.last);
@@ -398,12 +398,12 @@
             (conn.greeted, conn.link) = (true, Some(link));
             let mut hello = vec![];
             let said =
-                Hello { version: Tell::VERSION, planner: false, incarnation: 1, name: desk.name.clone() };
-            frames::hello_of::<Tell>(&mut hello, &said);
+                Hello { version: Tell::VERSION, is_planner: false, incarnation: 1, name: desk.name.clone() };
+            encode_hello::<Tell>(&mut hello, &said);
             conn.by_router.feed(&hello);
-            let said = Hello { version: Say::VERSION, planner: false, incarnation, name };
+            let said = Hello { version: Say::VERSION, is_planner: false, incarnation, name };
             hello.clear();
-            frames::hello_of::<Say>(&mut hello, &said);
+            encode_hello::<Say>(&mut hello, &said);
             conn.by_machine.feed(&hello);
             let clock = self.local(router);
             self.routers[router].subscriber.opened(clock);
@@ -423,8 +423,8 @@
             while conn.to_router.front().is_some_and(|(at, _)| *at <= self.now) {
                 let (_, bytes) = conn.to_router.pop_front().expect("looked at");
                 conn.by_router.feed(&bytes);
-                while let Some(read) = conn.by_router.read().expect("sound frames") {
-                    if let Read::Message(tell) = read {
+                while let Some(read) = conn.by_router.next_frame().expect("sound frames") {
+                    if let Received::Message(tell) = read {
                         tells.push(tell);
                     }
                 }
@@ -432,8 +432,8 @@
             while conn.to_machine.front().is_some_and(|(at, _)| *at <= self.now) {
                 let (_, bytes) = conn.to_machine.pop_front().expect("looked at");
                 conn.by_machine.feed(&bytes);
-                while let Some(read) = conn.by_machine.read().expect("sound frames") {
-                    if let Read::Message(say) = read {
+                while let Some(read) = conn.by_machine.next_frame().expect("sound frames") {
+                    if let Received::Message(say) = read {
                         says.push(say);
                     }
                 }
@@ -736,15 +736,15 @@
 }
 
 fn asked(bytes: &[u8]) -> Say {
-    let mut reader = Reader::<Say>::default();
+    let mut reader = FrameReader::<Say>::default();
     let mut hello = vec![];
-    let said = Hello { version: Say::VERSION, planner: false, incarnation: 1, name: "r".into() };
-    frames::hello_of::<Say>(&mut hello, &said);
+    let said = Hello { version: Say::VERSION, is_planner: false, incarnation: 1, name: "r".into() };
+    encode_hello::<Say>(&mut hello, &said);
     reader.feed(&hello);
     reader.feed(bytes);
-    assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))));
-    match reader.read() {
-        Ok(Some(Read::Message(say))) => say,
+    assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(_)))));
+    match reader.next_frame() {
+        Ok(Some(Received::Message(say))) => say,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/controller/src/client.rs
+++ b/crates/controller/src/client.rs
@@ -1,6 +1,8 @@
 //! An operator's side of the door: asks one machine after the other until one answers.
 use crate::door::{Ask, Reply, Text};
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{
+    FrameReader, Hello, MAX_MESSAGE_BYTES, Received, WireMessage, encode_hello, encode_message,
+};
 use std::fmt;
 use std::io::{Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -36,32 +38,36 @@
     let _ = stream.set_nodelay(true);
     let mut out = vec![];
     let incarnation = u64::from(std::process::id());
-    let hello = Hello { version: Text::VERSION, planner: false, incarnation, name: "operator".into() };
-    frames::hello_of::<Text>(&mut out, &hello);
+    let hello = Hello { version: Text::VERSION, is_planner: false, incarnation, name: "operator".into() };
+    encode_hello::<Text>(&mut out, &hello);
     stream.set_write_timeout(Some(MEET)).map_err(|why| why.to_string())?;
     stream.write_all(&out).map_err(|why| why.to_string())?;
-    let (mut reader, met) = (Reader::<Text>::default(), Instant::now() + MEET);
+    let (mut reader, met) = (FrameReader::<Text>::default(), Instant::now() + MEET);
     // A machine that is stopped is connected to, and says no hello.
     next(&mut stream, &mut reader, met).map_err(|why| format!("no hello: {why}"))?;
     let text = serde_json::to_string(ask).map_err(|why| why.to_string())?;
     out.clear();
-    if !frames::message(&mut out, &Text(text)) {
-        return Err(format!("longer than {} bytes", frames::LONGEST));
+    if encode_message(&mut out, &Text(text)).is_err() {
+        return Err(format!("longer than {} bytes", MAX_MESSAGE_BYTES));
     }
     *sent = true;
     let end = Instant::now() + wait;
     stream.set_write_timeout(Some(wait.max(MEET))).map_err(|why| why.to_string())?;
     stream.write_all(&out).map_err(|why| why.to_string())?;
     match next(&mut stream, &mut reader, end)? {
-        Read::Message(Text(text)) => serde_json::from_str(&text).map_err(|why| why.to_string()),
-        Read::Hello(_) => Err("it says hello twice".into()),
+        Received::Message(Text(text)) => serde_json::from_str(&text).map_err(|why| why.to_string()),
+        Received::Hello(_) => Err("it says hello twice".into()),
     }
 }
 
-fn next(stream: &mut TcpStream, reader: &mut Reader<Text>, end: Instant) -> Result<Read<Text>, String> {
+fn next(
+    stream: &mut TcpStream,
+    reader: &mut FrameReader<Text>,
+    end: Instant,
+) -> Result<Received<Text>, String> {
     let mut space = vec![0; 64 * 1024];
     loop {
-        if let Some(read) = reader.read().map_err(|why| why.to_string())? {
+        if let Some(read) = reader.next_frame().map_err(|why| why.to_string())? {
             return Ok(read);
         }
         let left = end.saturating_duration_since(Instant::now());
--- a/crates/controller/src/door.rs
+++ b/crates/controller/src/door.rs
@@ -7,8 +7,9 @@
 use alderway_control::machine::{Answer, Name, Status, Word};
 use alderway_control::outlet::Summary;
 use alderway_control::version::{Number, Proposal, Version};
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
-use alderway_transport::links::{greet, write_out};
+use alderway_transport::{
+    FrameReader, Hello, Received, WireMessage, encode_hello, encode_message, exchange_hellos, write_all,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,8 +36,8 @@
 #[serde(transparent)]
 pub struct Text(pub String);
 
-impl Speech for Text {
-    const WORD: [u8; 4] = *b"ALDO";
+impl WireMessage for Text {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDO";
     const VERSION: u16 = 1;
 }
 
@@ -132,10 +133,10 @@
 
 async fn serve(held: &Held, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Text>::default(), vec![0; 64 * 1024]);
+    let (mut out, mut reader, mut space) = (vec![], FrameReader::<Text>::default(), vec![0; 64 * 1024]);
     let (incarnation, name) = (held.borrow().machine.id(), held.borrow().machine.name().to_string());
-    frames::hello_of::<Text>(&mut out, &Hello { version: Text::VERSION, planner: false, incarnation, name });
-    greet(stream, &mut out, &mut reader, &mut space).await?;
+    encode_hello::<Text>(&mut out, &Hello { version: Text::VERSION, is_planner: false, incarnation, name });
+    exchange_hellos(stream, &mut out, &mut reader, &mut space).await.map_err(|why| why.to_string())?;
     loop {
         let ask = match next(stream, &mut reader, &mut space).await? {
             Some(Text(text)) => serde_json::from_str(&text),
@@ -147,24 +148,25 @@
         };
         let Some(reply) = reply else { return Ok(()) };
         let text = serde_json::to_string(&reply).map_err(|why| why.to_string())?;
-        if !frames::message(&mut out, &Text(text)) {
+        if encode_message(&mut out, &Text(text)).is_err() {
             let why = Reply::Wrong { why: "the answer is longer than a frame".into() };
-            frames::message(&mut out, &Text(serde_json::to_string(&why).unwrap_or_default()));
+            let _ = encode_message(&mut out, &Text(serde_json::to_string(&why).unwrap_or_default()));
         }
-        timeout(IDLE, write_out(stream, &mut out)).await.map_err(|_| "it does not read".to_string())??;
+        let written = timeout(IDLE, write_all(stream, &mut out)).await;
+        written.map_err(|_| "it does not read".to_string())?.map_err(|why| why.to_string())?;
     }
 }
 
 /// The next question; none at the connection's end.
 async fn next(
     stream: &TcpStream,
-    reader: &mut Reader<Text>,
+    reader: &mut FrameReader<Text>,
     space: &mut [u8],
 ) -> Result<Option<Text>, String> {
     loop {
-        match reader.read().map_err(|why| why.to_string())? {
-            Some(Read::Message(text)) => return Ok(Some(text)),
-            Some(Read::Hello(_)) => return Err("it says hello twice".into()),
+        match reader.next_frame().map_err(|why| why.to_string())? {
+            Some(Received::Message(text)) => return Ok(Some(text)),
+            Some(Received::Hello(_)) => return Err("it says hello twice".into()),
             None => {}
         }
         let ready = timeout(IDLE, stream.readable()).await.map_err(|_| "it says nothing".to_string())?;
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -4,8 +4,10 @@
 use crate::listen::serve_each;
 use alderway_control::machine::{Name, Word};
 use alderway_sockets::Sender;
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
-use alderway_transport::links::{PATIENCE, Waits, greet};
+use alderway_transport::{
+    Backoff, CONNECT_TIMEOUT, FrameReader, Hello, Received, WireMessage, encode_hello, encode_message,
+    exchange_hellos,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,8 +34,8 @@
 #[serde(transparent)]
 pub struct Said(pub Word);
 
-impl Speech for Said {
-    const WORD: [u8; 4] = *b"ALDC";
+impl WireMessage for Said {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
@@ -57,7 +59,7 @@
         let Some(post) = self.0.get_mut(to).filter(|post| post.up && post.bytes.len() < WAITING) else {
             return false;
         };
-        let put = frames::message(&mut post.bytes, &Said(word.clone()));
+        let put = encode_message(&mut post.bytes, &Said(word.clone())).is_ok();
         post.wake.notify_one();
         put
     }
@@ -84,33 +86,39 @@
 
 fn hello(held: &Held) -> Hello {
     let machine = &held.borrow().machine;
-    Hello { version: Said::VERSION, planner: false, incarnation: machine.id(), name: machine.name().into() }
+    Hello {
+        version: Said::VERSION,
+        is_planner: false,
+        incarnation: machine.id(),
+        name: machine.name().into(),
+    }
 }
 
 /// Keeps up the link to another machine for as long as the program runs.
 async fn keep(held: Held, name: Name, at: SocketAddr, seed: u64) {
-    let mut waits = Waits::new(seed);
+    let mut backoff = Backoff::new(seed);
     loop {
-        if let Ok(Ok(stream)) = timeout(PATIENCE, alderway_sockets::dial(at)).await {
+        if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, alderway_sockets::dial(at)).await {
             let from = Instant::now();
             if let Err(why) = speak(&held, &name, &stream).await {
                 tracing::warn!(target: "links", "{name} at {at}: {why}");
             }
             held.borrow_mut().posts.set(&name, false);
             if from.elapsed() > OF_USE {
-                waits.met();
+                backoff.reset();
             }
         }
-        waits.wait().await;
+        backoff.wait().await;
     }
 }
 
 async fn speak(held: &Held, name: &str, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
     let mut sender = Sender::default();
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Said>::default(), vec![0; 1024]);
-    frames::hello_of::<Said>(&mut out, &hello(held));
-    let met = greet(stream, &mut out, &mut reader, &mut space).await?;
+    let (mut out, mut reader, mut space) = (vec![], FrameReader::<Said>::default(), vec![0; 1024]);
+    encode_hello::<Said>(&mut out, &hello(held));
+    let met =
+        exchange_hellos(stream, &mut out, &mut reader, &mut space).await.map_err(|why| why.to_string())?;
     if met.name != name {
         return Err(format!("it is {}", met.name));
     }
@@ -178,9 +186,10 @@
 
 async fn hear(held: &Held, stream: &TcpStream, newest: &Newest) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Said>::default(), vec![0; 64 * 1024]);
-    frames::hello_of::<Said>(&mut out, &hello(held));
-    let met = greet(stream, &mut out, &mut reader, &mut space).await?;
+    let (mut out, mut reader, mut space) = (vec![], FrameReader::<Said>::default(), vec![0; 64 * 1024]);
+    encode_hello::<Said>(&mut out, &hello(held));
+    let met =
+        exchange_hellos(stream, &mut out, &mut reader, &mut space).await.map_err(|why| why.to_string())?;
     let own = {
         let mut held = held.borrow_mut();
         if !held.doors.contains_key(&met.name) || met.name == held.machine.name() {
@@ -193,15 +202,15 @@
     loop {
         let mut fed = false;
         loop {
-            match reader.read() {
-                Ok(Some(Read::Message(Said(word)))) => {
+            match reader.next_frame() {
+                Ok(Some(Received::Message(Said(word)))) => {
                     if newest.borrow().get(&met.name) != Some(&own) {
                         return Ok(());
                     }
                     came(held, &met.name, word);
                     fed = true;
                 }
-                Ok(Some(Read::Hello(_))) => return Err("it says hello twice".into()),
+                Ok(Some(Received::Hello(_))) => return Err("it says hello twice".into()),
                 Ok(None) => break,
                 Err(why) => return Err(why.to_string()),
             }
--- a/crates/controller/src/subscriptions.rs
+++ b/crates/controller/src/subscriptions.rs
@@ -7,8 +7,7 @@
 use alderway_control::words::{Say, Tell};
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
-use alderway_transport::links::greet;
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, exchange_hellos};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -196,10 +195,11 @@
 /// Speaks until the connection ends; an error if it was of no use.
 async fn speak(inner: &Inner, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Say>::default(), vec![0; LONGEST_SAY]);
+    let (mut out, mut reader, mut space) = (vec![], FrameReader::<Say>::default(), vec![0; LONGEST_SAY]);
     let (name, incarnation) = (inner.name.clone(), inner.incarnation);
-    frames::hello_of::<Tell>(&mut out, &Hello { version: Tell::VERSION, planner: false, incarnation, name });
-    let hello = greet(stream, &mut out, &mut reader, &mut space).await?;
+    encode_hello::<Tell>(&mut out, &Hello { version: Tell::VERSION, is_planner: false, incarnation, name });
+    let hello =
+        exchange_hellos(stream, &mut out, &mut reader, &mut space).await.map_err(|why| why.to_string())?;
     let opened = inner.publisher.borrow_mut().opened(&hello.name, hello.incarnation, inner.clock.now());
     let number = opened.map_err(|why| why.to_string())?;
     let link = Rc::new(Link { out: RefCell::default(), ready: Notify::new() });
@@ -211,13 +211,13 @@
     let mut sender = Sender::default();
     loop {
         loop {
-            match reader.read().map_err(|why| format!("{}: {why}", hello.name))? {
-                Some(Read::Message(say)) => {
+            match reader.next_frame().map_err(|why| format!("{}: {why}", hello.name))? {
+                Some(Received::Message(say)) => {
                     unread = 0;
                     inner.publisher.borrow_mut().heard(number, say, inner.clock.now());
                     inner.wake.notify_one();
                 }
-                Some(Read::Hello(_)) => return Err(format!("{} says hello twice", hello.name)),
+                Some(Received::Hello(_)) => return Err(format!("{} says hello twice", hello.name)),
                 None if unread > LONGEST_SAY => return Err(format!("{}: a word too long", hello.name)),
                 None => break,
             }
--- a/crates/lab/src/capacity/words.rs
+++ b/crates/lab/src/capacity/words.rs
@@ -5,7 +5,7 @@
 //! few enough for one machine's memory, the worst second after a fifth of them is gone.
 use alderway_peers::view::View;
 use alderway_peers::{Frame, Name, Terms};
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use clap::Args;
 use nix::time::{ClockId, clock_gettime};
 use rand_pcg::Pcg32;
@@ -78,7 +78,7 @@
     ways: Vec<Way>,
     /// Queries end all the time.
     queries: bool,
-    reader: Reader<Frame>,
+    reader: FrameReader<Frame>,
     words: usize,
     bytes: usize,
     frames: usize,
@@ -115,12 +115,12 @@
                 }
             }
         }
-        let mut reader = Reader::default();
+        let mut reader = FrameReader::default();
         let mut hello = vec![];
-        let said = Hello { version: Frame::VERSION, planner: false, incarnation: STARTED, name: name(0) };
-        frames::hello_of::<Frame>(&mut hello, &said);
+        let said = Hello { version: Frame::VERSION, is_planner: false, incarnation: STARTED, name: name(0) };
+        encode_hello::<Frame>(&mut hello, &said);
         reader.feed(&hello);
-        let _ = reader.read();
+        let _ = reader.next_frame();
         Mesh {
             now: 0.0,
             beat: terms.beat,
@@ -158,7 +158,7 @@
             let router = &mut self.routers[way.from];
             if let Some(frame) = router.view.frame(way.link, self.now + router.offset) {
                 self.words += frame.words.len();
-                frames::message(&mut bytes, &frame);
+                encode_message(&mut bytes, &frame).expect("a frame of gossip fits");
                 self.frames += 1;
             }
             ends.push(bytes.len());
@@ -168,7 +168,7 @@
         for (way, end) in self.ways.iter().zip(ends) {
             self.reader.feed(&bytes[begin..end]);
             begin = end;
-            while let Ok(Some(Read::Message(frame))) = self.reader.read() {
+            while let Ok(Some(Received::Message(frame))) = self.reader.next_frame() {
                 let router = &mut self.routers[way.to];
                 let now = self.now + router.offset + 0.4 * self.beat;
                 router.view.came(way.there, frame, now);
@@ -216,7 +216,7 @@
     /// Bytes of a frame without words.
     fn empty(&self) -> usize {
         let (frame, mut bytes) = (Frame { echo: Some((self.now, self.beat)), ..Frame::default() }, vec![]);
-        frames::message(&mut bytes, &frame);
+        encode_message(&mut bytes, &frame).expect("a frame of gossip fits");
         bytes.len()
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod view;
 pub mod words;
 
-use alderway_transport::frames::Speech;
+use alderway_transport::WireMessage;
 use serde::{Deserialize, Serialize};
 use words::Word;
 
@@ -31,8 +31,8 @@
     pub words: Vec<Word>,
 }
 
-impl Speech for Frame {
-    const WORD: [u8; 4] = *b"ALDP";
+impl WireMessage for Frame {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDP";
     const VERSION: u16 = 1;
 }
 
--- a/crates/peers/tests/mesh.rs
+++ b/crates/peers/tests/mesh.rs
@@ -3,7 +3,7 @@
 use alderway_peers::view::{State, View};
 use alderway_peers::words::{What, Word, Words};
 use alderway_peers::{Frame, Name, Terms, ring};
-use alderway_transport::frames::{self, Hello, Reader};
+use alderway_transport::{FrameReader, Hello, Received, encode_hello, encode_message};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_pcg::Pcg32;
@@ -469,21 +469,21 @@
         sick in any::<f32>(),
     ) {
         let mut good = vec![];
-        let hello = Hello { version: 1, planner: false, incarnation: 1, name: name(1) };
-        frames::hello_of::<Frame>(&mut good, &hello);
+        let hello = Hello { version: 1, is_planner: false, incarnation: 1, name: name(1) };
+        encode_hello::<Frame>(&mut good, &hello);
         let (started, far) = (Some(age as f32), stamp as f32);
         let what = What::Verdict { node: "s".into(), started, ago: sick, late: sick, far, sick };
         let word = Word { origin: name(1), incarnation: 1, number: u64::MAX, age, what };
-        frames::message(&mut good, &Frame { stamp, echo: Some((age, f64::from(sick))), words: vec![word] });
+        encode_message(&mut good, &Frame { stamp, echo: Some((age, f64::from(sick))), words: vec![word] }).expect("it fits a frame");
         good.append(&mut bytes);
         let mut view = View::new(&name(0), 1, &members(3), Terms::default(), 5.0);
         let link = view.greeted(&name(1), 1).expect("a member");
-        let mut reader: Reader<Frame> = Reader::default();
+        let mut reader: FrameReader<Frame> = FrameReader::default();
         let (first, rest) = good.split_at(at.index(good.len()));
         for bytes in [first, rest] {
             reader.feed(bytes);
-            while let Ok(Some(read)) = reader.read() {
-                if let frames::Read::Message(frame) = read {
+            while let Ok(Some(read)) = reader.next_frame() {
+                if let Received::Message(frame) = read {
                     view.came(link, frame, 6.0);
                     for (_, verdict) in view.heard(|_| Some(None), 6.0) {
                         prop_assert!(verdict.sick <= 2.0 + 1e9);
--- a/crates/peers/tests/wire_format.rs
+++ b/crates/peers/tests/wire_format.rs
@@ -2,7 +2,7 @@
 //! bytes in hex. Each is decoded, compared field by field with the value that it stands for, and encoded again.
 use alderway_peers::Frame;
 use alderway_peers::words::{What, Word};
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 }
 
 fn expected_hello() -> Hello {
-    Hello { version: 1, planner: false, incarnation: 0x0102_0304_0506_0708, name: "n0".into() }
+    Hello { version: 1, is_planner: false, incarnation: 0x0102_0304_0506_0708, name: "n0".into() }
 }
 
 /// A frame with one word of each kind, and those with variants of what it holds.
@@ -91,12 +91,12 @@
 fn the_hello_decodes_to_its_fields_and_encodes_to_the_same_bytes() {
     assert_eq!(Frame::VERSION, 1);
     let recorded = recorded_frames();
-    let mut reader = Reader::<Frame>::default();
+    let mut reader = FrameReader::<Frame>::default();
     reader.feed(&recorded["hello"]);
-    assert_eq!(reader.read(), Ok(Some(Read::Hello(expected_hello()))));
-    assert_eq!(reader.read(), Ok(None));
+    assert_eq!(reader.next_frame(), Ok(Some(Received::Hello(expected_hello()))));
+    assert_eq!(reader.next_frame(), Ok(None));
     let mut bytes = vec![];
-    frames::hello_of::<Frame>(&mut bytes, &expected_hello());
+    encode_hello::<Frame>(&mut bytes, &expected_hello());
     assert_eq!(bytes, recorded["hello"]);
 }
 
@@ -105,14 +105,14 @@
     let recorded = recorded_frames();
     for (name, frame) in expected_frames() {
         assert_variants_known(&frame);
-        let mut reader = Reader::<Frame>::default();
+        let mut reader = FrameReader::<Frame>::default();
         reader.feed(&recorded["hello"]);
-        assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))), "{name}");
+        assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(_)))), "{name}");
         reader.feed(&recorded[name]);
-        assert_eq!(reader.read(), Ok(Some(Read::Message(frame.clone()))), "{name}");
-        assert_eq!(reader.read(), Ok(None), "{name}");
+        assert_eq!(reader.next_frame(), Ok(Some(Received::Message(frame.clone()))), "{name}");
+        assert_eq!(reader.next_frame(), Ok(None), "{name}");
         let mut bytes = vec![];
-        assert!(frames::message(&mut bytes, &frame), "{name}");
+        assert_eq!(encode_message(&mut bytes, &frame), Ok(()), "{name}");
         assert_eq!(bytes, recorded[name], "{name}");
     }
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -11,8 +11,7 @@
 use alderway_control::words::{Outcome, Say, Tell};
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
-use alderway_transport::{Incarnation, Name};
+use alderway_transport::{FrameReader, Hello, Incarnation, Name, Received, WireMessage, encode_hello};
 use kept::Kept;
 use serde_json::Value;
 use std::future::pending;
@@ -164,7 +163,7 @@
     sender: Sender,
     machine: usize,
     greeted: bool,
-    reader: Reader<Tell>,
+    reader: FrameReader<Tell>,
     out: Vec<u8>,
 }
 
@@ -223,10 +222,10 @@
                     Ok(stream) => {
                         let _ = stream.set_nodelay(true);
                         let (name, incarnation) = (ends.name.clone(), ends.incarnation);
-                        let hello = Hello { version: Say::VERSION, planner: false, incarnation, name };
+                        let hello = Hello { version: Say::VERSION, is_planner: false, incarnation, name };
                         let mut out = vec![];
-                        frames::hello_of::<Say>(&mut out, &hello);
-                        let (sender, reader) = (Sender::default(), Reader::default());
+                        encode_hello::<Say>(&mut out, &hello);
+                        let (sender, reader) = (Sender::default(), FrameReader::default());
                         wire = Some(Wire { stream, sender, machine, greeted: false, reader, out });
                     }
                     Err(_) => subscriber.closed(clock.now()),
@@ -272,16 +271,16 @@
     loop {
         let now = ends.clock.now();
         let expected = ends.machines.get(wire.machine).map(|machine| &machine.0);
-        match wire.reader.read() {
-            Ok(Some(Read::Hello(hello))) if !wire.greeted && Some(&hello.name) == expected => {
+        match wire.reader.next_frame() {
+            Ok(Some(Received::Hello(hello))) if !wire.greeted && Some(&hello.name) == expected => {
                 wire.greeted = true;
                 subscriber.opened(now);
             }
-            Ok(Some(Read::Hello(hello))) => {
+            Ok(Some(Received::Hello(hello))) => {
                 tracing::warn!(target: "control", "`{}` answers where another control machine is", hello.name);
                 return false;
             }
-            Ok(Some(Read::Message(tell))) => subscriber.heard(tell, now),
+            Ok(Some(Received::Message(tell))) => subscriber.heard(tell, now),
             Ok(None) => return true,
             Err(why) => {
                 tracing::warn!(target: "control", "{why}");
--- a/crates/router/src/peers/mod.rs
+++ b/crates/router/src/peers/mod.rs
@@ -9,8 +9,10 @@
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
-use alderway_transport::links::{PATIENCE, Waits, greet};
+use alderway_transport::{
+    FrameReader, Hello, Received, SessionEnd, WireMessage, encode_hello, encode_message, exchange_hellos,
+    keep_connected,
+};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +23,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
-use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
+use tokio::time::{MissedTickBehavior, interval, sleep};
 
 /// Without a frame for so many pulses a link is dialled anew.
 const SILENT: f64 = 6.0;
@@ -70,7 +72,7 @@
 
     fn hello(&self) -> Hello {
         let (incarnation, name) = (self.view.incarnation(), self.name.clone());
-        Hello { version: Frame::VERSION, planner: false, incarnation, name }
+        Hello { version: Frame::VERSION, is_planner: false, incarnation, name }
     }
 
     pub fn figures(&self) -> (Counters, Vec<(&'static str, u64)>) {
@@ -244,19 +246,19 @@
 
 /// Keeps up a link for as long as it is wanted.
 async fn keep(ends: Ends, at: SocketAddr, seed: u64) {
-    let mut waits = Waits::new(seed);
-    loop {
-        if let Ok(Ok(stream)) = timeout(PATIENCE, alderway_sockets::dial(at)).await {
-            let from = ends.clock();
-            match speak(&ends, &stream).await {
-                // One that ends at once, as where the other side's list lacks this router, is dialled ever less.
-                Ok(()) if ends.clock() - from > ends.terms.pulse => waits.met(),
-                Ok(()) => {}
-                Err(why) => tracing::warn!(target: "peers", "peer at {at}: {why}"),
+    let session = async |stream: TcpStream| {
+        let connected_at = ends.clock();
+        match speak(&ends, &stream).await {
+            // A peer whose list lacks this router ends the connection at once: it is dialled ever less.
+            Ok(()) if ends.clock() - connected_at > ends.terms.pulse => SessionEnd::Established,
+            Ok(()) => SessionEnd::Unusable,
+            Err(why) => {
+                tracing::warn!(target: "peers", "peer at {at}: {why}");
+                SessionEnd::Unusable
             }
         }
-        waits.wait().await;
-    }
+    };
+    keep_connected(at, seed, session).await;
 }
 
 /// The link of one connection: it ends with it, whoever ended that.
@@ -272,18 +274,19 @@
 async fn speak(ends: &Ends, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
     let mut sender = Sender::default();
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Frame>::default(), vec![0; 64 * 1024]);
-    frames::hello_of::<Frame>(&mut out, &ends.peers.borrow().hello());
-    let hello = greet(stream, &mut out, &mut reader, &mut space).await?;
+    let (mut out, mut reader, mut space) = (vec![], FrameReader::<Frame>::default(), vec![0; 64 * 1024]);
+    encode_hello::<Frame>(&mut out, &ends.peers.borrow().hello());
+    let hello =
+        exchange_hellos(stream, &mut out, &mut reader, &mut space).await.map_err(|why| why.to_string())?;
     let link = Link(ends, ends.greeted(&hello).map_err(|why| why.to_string())?);
     let (mut heard, patience) = (ends.clock(), SILENT * ends.terms.pulse);
     let mut beats = interval(Duration::from_secs_f64(ends.terms.beat));
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         loop {
-            match reader.read() {
-                Ok(Some(Read::Message(frame))) => ends.came(link.1, frame),
-                Ok(Some(Read::Hello(_))) => return Err("it says hello twice".into()),
+            match reader.next_frame() {
+                Ok(Some(Received::Message(frame))) => ends.came(link.1, frame),
+                Ok(Some(Received::Hello(_))) => return Err("it says hello twice".into()),
                 Ok(None) => break,
                 Err(why) => return Err(why.to_string()),
             }
@@ -306,7 +309,8 @@
                 }
                 if out.is_empty() {
                     let Some(frame) = ends.peers.borrow_mut().view.frame(link.1, now) else { return Ok(()) };
-                    frames::message(&mut out, &frame);
+                    // A frame that is too long is left out; the next one holds what is newest.
+                    let _ = encode_message(&mut out, &frame);
                 }
                 continue;
             }
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -7,10 +7,9 @@
 use alderway::host::{Ending, Evidence, Intake, NodeState, Records, Writer};
 use alderway_telemetry::clock::Clock;
 use alderway_tier::custody::{Asking, Custody, Decider};
-use alderway_tier::frames::{Message, Tried, VERSION};
 use alderway_tier::members::{Change, Members, Watch};
-use alderway_transport::frames::Hello;
-use alderway_transport::{Incarnation, Name};
+use alderway_tier::messages::{Message, Tried};
+use alderway_transport::{Hello, Incarnation, Name, WireMessage};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -83,7 +82,12 @@
     }
 
     pub fn hello(&self) -> Hello {
-        Hello { version: VERSION, planner: false, incarnation: self.incarnation, name: self.name.clone() }
+        Hello {
+            version: Message::VERSION,
+            is_planner: false,
+            incarnation: self.incarnation,
+            name: self.name.clone(),
+        }
     }
 
     fn able(&self) -> Vec<Name> {
--- a/crates/router/src/tier/links.rs
+++ b/crates/router/src/tier/links.rs
@@ -6,9 +6,8 @@
 use crate::memory::Shared;
 use crate::memory::descriptors::Share;
 use alderway_sockets::Sender;
-use alderway_tier::frames::Message;
-use alderway_transport::frames::{Hello, Read, Reader};
-use alderway_transport::links::{PATIENCE, Waits, greet};
+use alderway_tier::messages::Message;
+use alderway_transport::{FrameReader, Hello, Received, SessionEnd, exchange_hellos, keep_connected};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use tokio::time::{MissedTickBehavior, interval, timeout};
+use tokio::time::{MissedTickBehavior, interval};
 
 pub type Tier = Rc<RefCell<Forwarder>>;
 
@@ -45,25 +44,23 @@
 }
 
 async fn keep(desk: Shared, tier: Tier, planner: SocketAddr, share: Arc<Share>, seed: u64) {
-    let mut waits = Waits::new(seed);
-    loop {
-        if let Ok(Ok(stream)) = timeout(PATIENCE, alderway_sockets::dial(planner)).await {
-            let _ = stream.set_nodelay(true);
-            match speak(&desk, &tier, &stream, &share).await {
-                Ok(()) => waits.met(),
-                Err(why) => tracing::warn!(target: "tier", "planner at {planner}: {why}"),
-            }
+    let session = async |stream: TcpStream| match speak(&desk, &tier, &stream, &share).await {
+        Ok(()) => SessionEnd::Established,
+        Err(why) => {
+            tracing::warn!(target: "tier", "planner at {planner}: {why}");
+            SessionEnd::Unusable
         }
-        waits.wait().await;
-    }
+    };
+    keep_connected(planner, seed, session).await;
 }
 
 /// Speaks until the connection ends; an error if it was of no use.
 async fn speak(desk: &Shared, tier: &Tier, stream: &TcpStream, share: &Arc<Share>) -> Result<(), String> {
     let mut first = Outbox::new(&tier.borrow().hello()).bytes;
-    let (mut reader, mut space) = (Reader::default(), vec![0; 64 * 1024]);
-    let hello = greet(stream, &mut first, &mut reader, &mut space).await?;
-    if !hello.planner {
+    let (mut reader, mut space) = (FrameReader::default(), vec![0; 64 * 1024]);
+    let hello =
+        exchange_hellos(stream, &mut first, &mut reader, &mut space).await.map_err(|why| why.to_string())?;
+    if !hello.is_planner {
         return Err("it is no planner".into());
     }
     let Some(wake) = tier.borrow_mut().greeted(&hello) else {
@@ -91,7 +88,7 @@
     share: &Arc<Share>,
     hello: &Hello,
     wake: &Rc<Notify>,
-    mut reader: Reader<Message>,
+    mut reader: FrameReader<Message>,
     mut space: Vec<u8>,
 ) -> Option<String> {
     let mut sender = Sender::default();
@@ -111,12 +108,12 @@
         }
         let mut called = false;
         loop {
-            match reader.read() {
-                Ok(Some(Read::Message(message))) => {
+            match reader.next_frame() {
+                Ok(Some(Received::Message(message))) => {
                     called = true;
                     tier.borrow_mut().read(hello, message, &mut Pen::bare(desk));
                 }
-                Ok(Some(Read::Hello(_))) => return Some("it says hello twice".into()),
+                Ok(Some(Received::Hello(_))) => return Some("it says hello twice".into()),
                 Ok(None) => break,
                 Err(why) => return Some(why.to_string()),
             }
--- a/crates/router/src/tier/mod.rs
+++ b/crates/router/src/tier/mod.rs
@@ -7,8 +7,8 @@
 pub mod planner;
 pub mod post;
 
-use alderway_tier::frames::{self, Message};
-use alderway_transport::frames::Hello;
+use alderway_tier::messages::Message;
+use alderway_transport::{Hello, encode_hello, encode_message};
 use std::rc::Rc;
 use tokio::sync::Notify;
 
@@ -27,12 +27,12 @@
 impl Outbox {
     pub fn new(hello: &Hello) -> Self {
         let mut outbox = Outbox::default();
-        frames::hello(&mut outbox.bytes, hello);
+        encode_hello::<Message>(&mut outbox.bytes, hello);
         outbox
     }
 
     pub fn send(&mut self, message: &Message) {
-        if self.bytes.len() > MOST || !alderway_transport::frames::message(&mut self.bytes, message) {
+        if self.bytes.len() > MOST || encode_message(&mut self.bytes, message).is_err() {
             self.over = true;
         }
         self.wake.notify_one();
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -10,8 +10,8 @@
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log;
-use alderway_tier::frames::VERSION;
-use alderway_transport::frames::{Hello, Read, Reader};
+use alderway_tier::messages::Message;
+use alderway_transport::{FrameReader, Hello, Received, WireMessage};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
 use std::io;
@@ -50,7 +50,7 @@
     let (agent, address) = watch::channel(discovery);
     spawn_local(discovery::run(shared.clone(), address));
     spawn_local(reload::at_sighup(hangups, Was { path, beside, fixed }, agent, clock, None));
-    let hello = Hello { version: VERSION, planner: true, incarnation: incarnation(), name };
+    let hello = Hello { version: Message::VERSION, is_planner: true, incarnation: incarnation(), name };
     spawn_local(accept(shared.clone(), listener, hello));
     spawn_local(beats(shared.clone()));
     let mut rounds = spawn_local(rounds(shared.clone(), router));
@@ -111,7 +111,7 @@
 }
 
 async fn speak(planner: &Shared, stream: &TcpStream, hello: &Hello) -> Result<(), String> {
-    let (mut reader, mut space) = (Reader::default(), vec![0; 64 * 1024]);
+    let (mut reader, mut space) = (FrameReader::default(), vec![0; 64 * 1024]);
     let (session, wake) = planner.borrow_mut().begin(hello);
     let mut greeted = false;
     let mut sender = Sender::default();
@@ -128,15 +128,15 @@
                 waits = !outbox.bytes.is_empty();
             }
         }
-        match reader.read() {
-            Ok(Some(Read::Hello(theirs))) if theirs.planner => break Err("it is a planner".into()),
-            Ok(Some(Read::Hello(theirs))) => {
+        match reader.next_frame() {
+            Ok(Some(Received::Hello(theirs))) if theirs.is_planner => break Err("it is a planner".into()),
+            Ok(Some(Received::Hello(theirs))) => {
                 tracing::info!(target: "tier", "forwarder {} is met", theirs.name);
                 planner.borrow_mut().greeted(session, &theirs.name);
                 greeted = true;
                 continue;
             }
-            Ok(Some(Read::Message(message))) => {
+            Ok(Some(Received::Message(message))) => {
                 if !planner.borrow_mut().read(session, message) {
                     break Err("it sends what only planners send".into());
                 }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -12,7 +12,7 @@
 use alderway_router::life::start::Station;
 use alderway_router::memory::house::{Figures, House, Sharing};
 use alderway_telemetry::clock::Clock;
-use alderway_transport::frames::{self, Hello, Speech};
+use alderway_transport::{Hello, WireMessage, encode_hello};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -279,8 +279,8 @@
             let at = desk.subscriptions.address();
             let mut stream = TcpStream::connect(at).await.expect("a connection");
             let mut hello = vec![];
-            let said = Hello { version: Say::VERSION, planner: false, incarnation, name: "r".into() };
-            frames::hello_of::<Say>(&mut hello, &said);
+            let said = Hello { version: Say::VERSION, is_planner: false, incarnation, name: "r".into() };
+            encode_hello::<Say>(&mut hello, &said);
             stream.write_all(&hello).await.expect("written");
             stream
         };
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -2,15 +2,15 @@
 //! what was learnt. This package says what they say to each other and decides who decides for whom, free of I/O and
 //! clocks: bytes and times are passed in. It never chooses a data node; that is the decision module's, wherever it runs.
 //!
-//! - `frames`: their wire, versioned and checksummed.
+//! - `messages`: what they say to each other on the wire.
 //! - `members`: which planners are there, by heartbeats with incarnations.
 //! - `custody`: which planner decides for a query, through deaths, hangs and partitions.
 //! - `ramp`: how a planner that has just started takes load.
 //! - `leases`: shares of a stated amount with an end, so that the sum holds whoever cannot be reached.
 pub mod custody;
-pub mod frames;
 pub mod leases;
 pub mod members;
+pub mod messages;
 pub mod ramp;
 
 pub use alderway_transport::{Incarnation, Name};
--- a/crates/tier/src/frames.rs
+++ b/crates/tier/src/messages.rs
@@ -1,13 +1,11 @@
 //! What forwarders and planners say to each other, in the frames of `alderway_transport`.
 use alderway::host::Ending;
-use alderway_transport::frames::{Hello, Speech, hello_of};
+use alderway_transport::WireMessage;
 use serde::{Deserialize, Serialize};
 
-pub const VERSION: u16 = 1;
-
-impl Speech for Message {
-    const WORD: [u8; 4] = *b"ALDT";
-    const VERSION: u16 = VERSION;
+impl WireMessage for Message {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDT";
+    const VERSION: u16 = 1;
 }
 
 /// A leaf call as a forwarder made it, for a planner that takes a query over.
@@ -134,7 +132,3 @@
         relay: bool,
     },
 }
-
-pub fn hello(out: &mut Vec<u8>, hello: &Hello) {
-    hello_of::<Message>(out, hello);
-}
--- a/crates/tier/tests/stories.rs
+++ b/crates/tier/tests/stories.rs
@@ -1,10 +1,12 @@
 //! Stories of planners that die, hang, come back and speak again, of shares that end, and of bytes that are no frames.
 use alderway_tier::custody::{Asking, Custody, Decider};
-use alderway_tier::frames::{self, Ended, Message, Tried};
 use alderway_tier::leases::{Dealer, Holder, Terms};
 use alderway_tier::members::{Change, Members, Watch};
+use alderway_tier::messages::{Ended, Message, Tried};
 use alderway_tier::ramp;
-use alderway_transport::frames::{Fault, Hello, Read, Reader};
+use alderway_transport::{
+    FrameError, FrameReader, Hello, Received, WireMessage, encode_hello, encode_message,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -132,11 +134,11 @@
 
 fn sent(messages: &[Message]) -> Vec<u8> {
     let mut bytes = vec![];
-    frames::hello(
+    encode_hello::<Message>(
         &mut bytes,
-        &Hello { version: frames::VERSION, planner: true, incarnation: 7, name: "p-1".into() },
+        &Hello { version: Message::VERSION, is_planner: true, incarnation: 7, name: "p-1".into() },
     );
-    messages.iter().for_each(|message| assert!(alderway_transport::frames::message(&mut bytes, message)));
+    messages.iter().for_each(|message| assert_eq!(encode_message(&mut bytes, message), Ok(())));
     bytes
 }
 
@@ -162,33 +164,36 @@
 #[case::byte_by_byte(1)]
 #[case::in_threes(3)]
 fn messages_are_read_wherever_they_are_cut(#[case] size: usize) {
-    let (bytes, mut reader, mut read) = (sent(&some()), Reader::default(), vec![]);
+    let (bytes, mut reader, mut read) = (sent(&some()), FrameReader::default(), vec![]);
     for piece in bytes.chunks(size.min(bytes.len())) {
         reader.feed(piece);
-        while let Some(next) = reader.read().expect("sound") {
+        while let Some(next) = reader.next_frame().expect("sound") {
             read.push(next);
         }
     }
-    let hello = Hello { version: frames::VERSION, planner: true, incarnation: 7, name: "p-1".into() };
-    let messages = some().into_iter().map(Read::Message);
-    assert_eq!(read, [Read::Hello(hello)].into_iter().chain(messages).collect::<Vec<_>>());
+    let hello = Hello { version: Message::VERSION, is_planner: true, incarnation: 7, name: "p-1".into() };
+    let messages = some().into_iter().map(Received::Message);
+    assert_eq!(read, [Received::Hello(hello)].into_iter().chain(messages).collect::<Vec<_>>());
 }
 
 #[rstest]
 fn another_version_is_told_in_one_line() {
     let mut bytes = vec![];
-    frames::hello(&mut bytes, &Hello { version: 2, planner: false, incarnation: 1, name: "f".into() });
-    let mut reader: Reader<Message> = Reader::default();
+    encode_hello::<Message>(
+        &mut bytes,
+        &Hello { version: 2, is_planner: false, incarnation: 1, name: "f".into() },
+    );
+    let mut reader: FrameReader<Message> = FrameReader::default();
     reader.feed(&bytes);
-    let why = reader.read().expect_err("another version");
+    let why = reader.next_frame().expect_err("another version");
     assert_eq!(why.to_string(), "the peer speaks version 2 of the protocol, this side version 1");
 }
 
 #[rstest]
 fn whoever_speaks_something_else_is_told_so_at_once() {
-    let mut reader: Reader<Message> = Reader::default();
+    let mut reader: FrameReader<Message> = FrameReader::default();
     reader.feed(b"GET /up HTTP/1.1\r\n\r\n");
-    assert_eq!(reader.read(), Err(Fault::NoHello));
+    assert_eq!(reader.next_frame(), Err(FrameError::OtherProtocol));
 }
 
 proptest! {
@@ -201,9 +206,9 @@
         let mut bytes = sent(&some());
         let at = at.min(bytes.len());
         bytes.splice(at..(at + noise.len() / 2).min(bytes.len()), noise);
-        let mut reader: Reader<Message> = Reader::default();
+        let mut reader: FrameReader<Message> = FrameReader::default();
         reader.feed(&bytes);
-        while let Ok(Some(_)) = reader.read() {}
+        while let Ok(Some(_)) = reader.next_frame() {}
     }
 
     /// A spoilt byte is never a message of its own: the checksum tells.
@@ -212,13 +217,13 @@
         let mut bytes = sent(&some());
         let at = at % bytes.len();
         bytes[at] ^= flip;
-        let (mut reader, mut read) = (Reader::default(), vec![]);
+        let (mut reader, mut read) = (FrameReader::default(), vec![]);
         reader.feed(&bytes);
         let mut ended = false;
         loop {
-            match reader.read() {
-                Ok(Some(Read::Message(message))) => read.push(message),
-                Ok(Some(Read::Hello(_))) => {}
+            match reader.next_frame() {
+                Ok(Some(Received::Message(message))) => read.push(message),
+                Ok(Some(Received::Hello(_))) => {}
                 Ok(None) => break,
                 Err(_) => {
                     ended = true;
--- a/crates/tier/tests/wire_format.rs
+++ b/crates/tier/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! The wire format of forwarders and planners against recorded bytes: `data/frames.hex` holds a line a frame, its name and
 //! its bytes in hex. Each is decoded, compared field by field with the value that it stands for, and encoded again.
-use alderway_tier::frames::{self, Ended, Message, Tried};
-use alderway_transport::frames::{Hello, Read, Reader};
+use alderway_tier::messages::{Ended, Message, Tried};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
 use std::collections::BTreeMap;
 
@@ -22,14 +22,14 @@
             "hello_of_a_planner",
             Hello {
                 version: 1,
-                planner: true,
+                is_planner: true,
                 incarnation: 0x0102_0304_0506_0708,
                 name: "10.0.0.5:6000".into(),
             },
         ),
         (
             "hello_of_a_forwarder",
-            Hello { version: 1, planner: false, incarnation: 7, name: "n0-f\u{fc}r".into() },
+            Hello { version: 1, is_planner: false, incarnation: 7, name: "n0-f\u{fc}r".into() },
         ),
     ]
 }
@@ -142,15 +142,15 @@
 
 #[rstest]
 fn hellos_decode_to_their_fields_and_encode_to_the_same_bytes() {
-    assert_eq!(frames::VERSION, 1);
+    assert_eq!(Message::VERSION, 1);
     let recorded = recorded_frames();
     for (name, hello) in hellos() {
-        let mut reader: Reader<Message> = Reader::default();
+        let mut reader: FrameReader<Message> = FrameReader::default();
         reader.feed(&recorded[name]);
-        assert_eq!(reader.read(), Ok(Some(Read::Hello(hello.clone()))), "{name}");
-        assert_eq!(reader.read(), Ok(None), "{name}");
+        assert_eq!(reader.next_frame(), Ok(Some(Received::Hello(hello.clone()))), "{name}");
+        assert_eq!(reader.next_frame(), Ok(None), "{name}");
         let mut bytes = vec![];
-        frames::hello(&mut bytes, &hello);
+        encode_hello::<Message>(&mut bytes, &hello);
         assert_eq!(bytes, recorded[name], "{name}");
     }
 }
@@ -160,14 +160,14 @@
     let recorded = recorded_frames();
     for (name, message) in messages() {
         assert_variants_known(&message);
-        let mut reader: Reader<Message> = Reader::default();
+        let mut reader: FrameReader<Message> = FrameReader::default();
         reader.feed(&recorded["hello_of_a_planner"]);
-        assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))), "{name}");
+        assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(_)))), "{name}");
         reader.feed(&recorded[name]);
-        assert_eq!(reader.read(), Ok(Some(Read::Message(message.clone()))), "{name}");
-        assert_eq!(reader.read(), Ok(None), "{name}");
+        assert_eq!(reader.next_frame(), Ok(Some(Received::Message(message.clone()))), "{name}");
+        assert_eq!(reader.next_frame(), Ok(None), "{name}");
         let mut bytes = vec![];
-        assert!(alderway_transport::frames::message(&mut bytes, &message), "{name}");
+        assert_eq!(encode_message(&mut bytes, &message), Ok(()), "{name}");
         assert_eq!(bytes, recorded[name], "{name}");
     }
 }
--- a/crates/transport/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -1,154 +1,154 @@
-//! Their wire: four bytes of length, most significant first, four of CRC-32 over the rest, then one message. The first
-//! frame of each side is a hello, whose form never changes: a word, the protocol's version, and who it is. Fed bytes, in
-//! pieces of any size; whatever they are, an error or a message, never a panic.
-use crate::{Incarnation, Name};
+//! Frames: four bytes of length, big-endian, four bytes of CRC-32 over the body, big-endian, then the body. The first frame
+//! of either side holds a [`Hello`], each further one a message in postcard's encoding.
+use crate::hello::Hello;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use std::fmt;
 use std::marker::PhantomData;
+use thiserror::Error;
 
-/// What follows a hello between two programs of one kind; the word and the version tell kinds apart.
-pub trait Speech: Serialize + DeserializeOwned {
-    const WORD: [u8; 4];
+/// Bytes of length and checksum before each body.
+const HEADER_BYTES: usize = 8;
+/// The longest body of a frame, in bytes: room for a query of some thousands of shard requests.
+pub const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
+
+/// A message of one protocol. The hello of a connection names the protocol and its version.
+pub trait WireMessage: Serialize + DeserializeOwned {
+    /// Opens the hello and tells this protocol from others.
+    const PROTOCOL_ID: [u8; 4];
+    /// Both sides of a connection have to speak the same version.
     const VERSION: u16;
 }
 
-const HEAD: usize = 8;
-/// The longest message: a query of some thousands of parts.
-pub const LONGEST: usize = 1024 * 1024;
-
-/// Who speaks; the first frame of a connection, in bytes that every version reads alike.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Hello {
-    pub version: u16,
-    pub planner: bool,
-    pub incarnation: Incarnation,
-    pub name: Name,
+/// Why bytes from a peer cannot be used. The connection is of no further use then.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum FrameError {
+    /// The header announces a body over [`MAX_MESSAGE_BYTES`].
+    #[error("the peer sent a frame of {length_bytes} bytes; {MAX_MESSAGE_BYTES} at most")]
+    TooLong {
+        /// The announced length.
+        length_bytes: usize,
+    },
+    /// The checksum does not match the body.
+    #[error("the peer sent a frame with a wrong checksum")]
+    ChecksumMismatch,
+    /// The body is not exactly one message of the protocol.
+    #[error("the peer sent a frame that holds no message")]
+    NoMessage,
+    /// What came first is not a hello of this protocol.
+    #[error("the peer does not speak this protocol")]
+    OtherProtocol,
+    /// The hello is of another version of the protocol.
+    #[error("the peer speaks version {theirs} of the protocol, this side version {ours}")]
+    OtherVersion {
+        /// The peer's version.
+        theirs: u16,
+        /// The version of this side.
+        ours: u16,
+    },
 }
 
-/// Why bytes cannot be used, in one line that says what the peer did.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
-    TooLong(usize),
-    Spoilt,
-    Unreadable,
-    NoHello,
-    Version { theirs: u16, ours: u16 },
+/// Why a message was not encoded; nothing was appended.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum EncodeError {
+    /// No peer would read it.
+    #[error("a message of {length_bytes} bytes; {MAX_MESSAGE_BYTES} at most")]
+    TooLong {
+        /// The length of the encoded message.
+        length_bytes: usize,
+    },
+    /// The message has no form on the wire.
+    #[error("a message that cannot be encoded: {0}")]
+    Unserializable(#[from] postcard::Error),
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Fault::TooLong(length) => {
-                write!(out, "the peer sent a frame of {length} bytes; {LONGEST} at most")
-            }
-            Fault::Spoilt => write!(out, "the peer sent a frame whose checksum is not its own"),
-            Fault::Unreadable => write!(out, "the peer sent a frame that holds no message"),
-            Fault::NoHello => write!(out, "the peer does not speak this protocol"),
-            Fault::Version { theirs, ours } => {
-                write!(out, "the peer speaks version {theirs} of the protocol, this side version {ours}")
-            }
-        }
-    }
-}
-
-impl std::error::Error for Fault {}
-
-fn frame(out: &mut Vec<u8>, body: &[u8]) {
+pub(crate) fn append_frame(out: &mut Vec<u8>, body: &[u8]) {
     out.extend_from_slice(&(body.len() as u32).to_be_bytes());
     out.extend_from_slice(&crc32fast::hash(body).to_be_bytes());
     out.extend_from_slice(body);
 }
 
-pub fn hello_of<M: Speech>(out: &mut Vec<u8>, hello: &Hello) {
-    let mut body = M::WORD.to_vec();
-    body.extend_from_slice(&hello.version.to_be_bytes());
-    body.push(u8::from(hello.planner));
-    body.extend_from_slice(&hello.incarnation.to_be_bytes());
-    body.extend_from_slice(hello.name.as_bytes());
-    frame(out, &body);
+/// Appends the frame of a message to `out`.
+///
+/// # Errors
+/// The message is longer than a peer would read, or cannot be encoded; `out` is unchanged then.
+pub fn encode_message<M: WireMessage>(out: &mut Vec<u8>, message: &M) -> Result<(), EncodeError> {
+    let body = postcard::to_stdvec(message)?;
+    if body.len() > MAX_MESSAGE_BYTES {
+        return Err(EncodeError::TooLong { length_bytes: body.len() });
+    }
+    append_frame(out, &body);
+    Ok(())
 }
 
-/// Writes a message; one that is too long to be read is not written, and false.
-pub fn message<M: Speech>(out: &mut Vec<u8>, message: &M) -> bool {
-    let Ok(body) = postcard::to_stdvec(message) else { return false };
-    let fits = body.len() <= LONGEST;
-    if fits {
-        frame(out, &body);
-    }
-    fits
+/// What a frame held.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Received<M> {
+    /// The first frame of a connection.
+    Hello(Hello),
+    /// Any further frame.
+    Message(M),
 }
 
-/// What one side reads: hello first, then messages.
+/// Reads frames of one connection from the pieces in which its bytes arrive. Whatever the bytes are, the result is a
+/// frame or an error, never a panic.
 #[derive(Debug)]
-pub struct Reader<M> {
+pub struct FrameReader<M> {
     bytes: Vec<u8>,
-    used: usize,
-    greeted: bool,
-    speech: PhantomData<M>,
+    /// How many of `bytes` have been returned as frames.
+    consumed: usize,
+    hello_received: bool,
+    message_type: PhantomData<M>,
 }
 
-impl<M> Default for Reader<M> {
+impl<M> Default for FrameReader<M> {
     fn default() -> Self {
-        Reader { bytes: vec![], used: 0, greeted: false, speech: PhantomData }
+        FrameReader { bytes: vec![], consumed: 0, hello_received: false, message_type: PhantomData }
     }
 }
 
-/// One thing that was read.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Read<M> {
-    Hello(Hello),
-    Message(M),
-}
-
-impl<M: Speech> Reader<M> {
+impl<M: WireMessage> FrameReader<M> {
+    /// Takes in the next bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.used);
-        self.used = 0;
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole thing; after an error the connection is of no further use.
-    pub fn read(&mut self) -> Result<Option<Read<M>>, Fault> {
-        let rest = &self.bytes[self.used..];
-        let Some((head, rest)) = rest.split_at_checked(HEAD) else { return Ok(None) };
-        let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let length = word(0) as usize;
-        if length > LONGEST {
-            // Before a hello whatever comes is more likely no frame at all.
-            return Err(if self.greeted { Fault::TooLong(length) } else { Fault::NoHello });
+    /// The next complete frame; none until more bytes are fed.
+    ///
+    /// # Errors
+    /// The peer broke the protocol; see [`FrameError`].
+    pub fn next_frame(&mut self) -> Result<Option<Received<M>>, FrameError> {
+        let unread = &self.bytes[self.consumed..];
+        let Some((length, unread)) = unread.split_first_chunk::<4>() else { return Ok(None) };
+        let Some((checksum, unread)) = unread.split_first_chunk::<4>() else { return Ok(None) };
+        let length_bytes = u32::from_be_bytes(*length) as usize;
+        if length_bytes > MAX_MESSAGE_BYTES {
+            return Err(self.header_error(FrameError::TooLong { length_bytes }));
         }
-        let Some(body) = rest.get(..length) else { return Ok(None) };
-        if crc32fast::hash(body) != word(4) {
-            return Err(if self.greeted { Fault::Spoilt } else { Fault::NoHello });
+        let Some(body) = unread.get(..length_bytes) else { return Ok(None) };
+        if crc32fast::hash(body) != u32::from_be_bytes(*checksum) {
+            return Err(self.header_error(FrameError::ChecksumMismatch));
         }
-        let read = if self.greeted {
-            let (message, left) = postcard::take_from_bytes(body).map_err(|_| Fault::Unreadable)?;
-            if !left.is_empty() {
-                return Err(Fault::Unreadable);
-            }
-            Read::Message(message)
+        let received = if self.hello_received {
+            Received::Message(decode_message(body)?)
         } else {
-            Read::Hello(read_hello::<M>(body)?)
+            Received::Hello(Hello::decode::<M>(body)?)
         };
-        self.greeted = true;
-        self.used += HEAD + length;
-        Ok(Some(read))
+        self.hello_received = true;
+        self.consumed += HEADER_BYTES + length_bytes;
+        Ok(Some(received))
     }
-}
 
-fn read_hello<M: Speech>(body: &[u8]) -> Result<Hello, Fault> {
-    let (word, body) = body.split_first_chunk::<4>().ok_or(Fault::NoHello)?;
-    let (version, body) = body.split_first_chunk::<2>().ok_or(Fault::NoHello)?;
-    if *word != M::WORD {
-        return Err(Fault::NoHello);
+    /// Before the hello, a faulty header means that the peer speaks something else altogether.
+    fn header_error(&self, error: FrameError) -> FrameError {
+        if self.hello_received { error } else { FrameError::OtherProtocol }
     }
-    let version = u16::from_be_bytes(*version);
-    if version != M::VERSION {
-        return Err(Fault::Version { theirs: version, ours: M::VERSION });
+}
+
+fn decode_message<M: WireMessage>(body: &[u8]) -> Result<M, FrameError> {
+    match postcard::take_from_bytes(body) {
+        Ok((message, [])) => Ok(message),
+        _ => Err(FrameError::NoMessage),
     }
-    let (planner, body) = body.split_first_chunk::<1>().ok_or(Fault::NoHello)?;
-    let (incarnation, name) = body.split_first_chunk::<8>().ok_or(Fault::NoHello)?;
-    let name = std::str::from_utf8(name).map_err(|_| Fault::NoHello)?.to_string();
-    Ok(Hello { version, planner: planner[0] == 1, incarnation: u64::from_be_bytes(*incarnation), name })
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,11 +1,29 @@
-//! Framed connections between the programs of alderway.
+//! Framed connections between the programs of alderway: routers, forwarders, planners and control servers.
 //!
-//! - `frames`: length, checksum, hello and messages.
-//! - `links`: waits between dials, and the exchange of hellos.
-pub mod frames;
-pub mod links;
+//! - `frames`: length and checksum round each message; reading them back from any pieces of a stream.
+//! - `hello`: the first frame of a connection, which says who speaks which protocol in which version.
+//! - `handshake`: the exchange of hellos on a socket, within a time limit.
+//! - `dial`: connecting within a time limit, again and again, with `backoff` between the attempts.
+//!
+//! What a protocol's messages mean stands in the crate that implements [`WireMessage`] for them.
+#![warn(missing_docs, clippy::missing_errors_doc)]
+
+mod backoff;
+mod dial;
+mod frames;
+mod handshake;
+mod hello;
 
-/// A planner's or forwarder's name, as the operator's file gives it.
+pub use backoff::Backoff;
+pub use dial::{CONNECT_TIMEOUT, SessionEnd, connect, keep_connected};
+pub use frames::{
+    EncodeError, FrameError, FrameReader, MAX_MESSAGE_BYTES, Received, WireMessage, encode_message,
+};
+pub use handshake::{HANDSHAKE_TIMEOUT, HandshakeError, exchange_hellos, write_all};
+pub use hello::{Hello, encode_hello};
+
+/// The name of a program among its peers, as the operator's file gives it.
 pub type Name = String;
-/// How often a program of a name has started: a later one ends all that the earlier held.
+
+/// Tells the starts of a program of one name apart: a later incarnation supersedes every earlier one.
 pub type Incarnation = u64;
