--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -6,7 +6,7 @@
 use alderway_controller::subscriptions::Subscriptions;
 use alderway_operator::{LogForm, Operator};
 use alderway_router::tier::post;
-use alderway_telemetry::log::{self, Form};
+use alderway_telemetry::log::{self, LogFormat};
 use clap::Args;
 use std::io;
 use std::net::SocketAddr;
@@ -52,9 +52,9 @@
             return ExitCode::from(2);
         }
     };
-    log::start(match log {
-        LogForm::Text => Form::Text,
-        LogForm::Json => Form::Json,
+    log::init(match log {
+        LogForm::Text => LogFormat::Text,
+        LogForm::Json => LogFormat::Json,
     });
     match driver::run(plan) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -15,7 +15,7 @@
 use alderway_router::memory::house::Sharing;
 use alderway_router::peers::{Circle, Members};
 use alderway_telemetry::clock::Clock;
-use alderway_telemetry::log::{self, Form};
+use alderway_telemetry::log::{self, LogFormat};
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -56,7 +56,7 @@
 struct Plan {
     station: start::Station,
     sharing: Sharing,
-    form: Form,
+    form: LogFormat,
     operator: Operator,
 }
 
@@ -158,8 +158,8 @@
         return Err(format!("`cores`: `node_connections` leaves some of {cores} cores without any"));
     }
     let form = match operator.log {
-        LogForm::Text => Form::Text,
-        LogForm::Json => Form::Json,
+        LogForm::Text => LogFormat::Text,
+        LogForm::Json => LogFormat::Json,
     };
     Ok(Plan { station, sharing: Sharing { cores, node_connections, evidence }, form, operator })
 }
@@ -245,7 +245,7 @@
         print!("{}", show(&plan));
         return ExitCode::SUCCESS;
     }
-    log::start(plan.form);
+    log::init(plan.form);
     match serve::serve(plan.station, plan.sharing, clock) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -100,7 +100,7 @@
         let number = kept.settled.number;
         tracing::info!(target: "control", "version {number} in force, from the kept file");
         house.version.store(number, Relaxed);
-        let as_of = kept.as_of_unix_ms.and_then(|ms| clock.from_unix(ms));
+        let as_of = kept.as_of_unix_ms.and_then(|ms| clock.from_unix_ms(ms));
         (kept.settled, as_of.map(|as_of| as_of.min(now)))
     });
     let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
--- a/crates/router/src/drive/core.rs
+++ b/crates/router/src/drive/core.rs
@@ -82,7 +82,7 @@
 
 /// Runs until the program stops, through failures.
 pub fn run(mut berth: Berth) {
-    log::on_core(berth.core);
+    log::set_thread_core(berth.core);
     let mut gossip = berth.house.listen();
     let mut board = Board::default();
     loop {
--- a/crates/router/src/drive/discovery.rs
+++ b/crates/router/src/drive/discovery.rs
@@ -246,7 +246,7 @@
     discovery::entries(line, |name, told| match told {
         Ok(node) => {
             entries += 1;
-            let started = clock.from_unix(node.since);
+            let started = clock.from_unix_ms(node.since);
             roster.told(name, node.address, node.cell, node.state, started, now);
         }
         Err((state, why)) => {
--- a/crates/router/src/drive/lead.rs
+++ b/crates/router/src/drive/lead.rs
@@ -253,7 +253,7 @@
     }
     let mut figures = Figures::default();
     house.add_others(None, &mut figures);
-    log::last_words(&figures.text());
+    log::write_unlimited(&figures.text());
     watched
 }
 
--- a/crates/router/src/life/serve.rs
+++ b/crates/router/src/life/serve.rs
@@ -90,7 +90,7 @@
         () = stop::at_sigterm(terms, desk.clone(), close, listening) => {}
         failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
     }
-    log::last_words(&desk.borrow().figures());
+    log::write_unlimited(&desk.borrow().figures());
     Ok(())
 }
 
--- a/crates/router/src/life/start.rs
+++ b/crates/router/src/life/start.rs
@@ -179,7 +179,7 @@
     let mut wrong = None;
     discovery::entries(text.as_bytes(), |name, told| match told {
         Ok(node) => {
-            let (started, now) = (clock.from_unix(node.since), clock.now());
+            let (started, now) = (clock.from_unix_ms(node.since), clock.now());
             roster.told(name, node.address, node.cell, node.state, started, now);
         }
         Err((_, why)) => wrong = wrong.or(Some(why)),
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -2,11 +2,11 @@
 use alderway_router::life::{serve, start};
 use alderway_router::memory::house::Sharing;
 use alderway_telemetry::clock::Clock;
-use alderway_telemetry::log::{self, Form};
+use alderway_telemetry::log::{self, LogFormat};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    log::start(Form::Text);
+    log::init(LogFormat::Text);
     let clock = Clock::default();
     let station = match start::read(clock) {
         Ok(station) => station,
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -67,7 +67,7 @@
     // Decisions on their way go out.
     sleep(Duration::from_millis(50)).await;
     tracing::info!(target: "stop", "ended: {} queries open", shared.borrow().open());
-    log::last_words(&shared.borrow().counters.text());
+    log::write_unlimited(&shared.borrow().counters.text());
     Ok(())
 }
 
--- a/crates/telemetry/src/clock.rs
+++ b/crates/telemetry/src/clock.rs
@@ -1,35 +1,46 @@
-//! The steady clock: seconds since this program started, and what Unix times are on it.
+//! The clock of the process. All times inside a program are seconds of this clock, as `f64`; wall time is read here only.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-#[derive(Clone, Copy)]
+/// Far in the future: an [`Instant`] cannot be moved by any number of seconds.
+const MAX_TIME_S: f64 = 1e9;
+
+/// A monotonic clock that counts seconds from its creation, and knows what Unix time that was. Copies agree.
+#[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    unix: f64,
+    /// Unix time at `start`, in seconds.
+    start_unix_s: f64,
 }
 
 impl Default for Clock {
     fn default() -> Self {
-        let clock = Clock { start: Instant::now(), unix: 0.0 };
-        Clock { unix: clock.unix_now(), ..clock }
+        Clock { start: Instant::now(), start_unix_s: unix_now_s() }
     }
 }
 
 impl Clock {
-    /// What the wall clock shows now, in seconds of Unix time.
-    pub fn unix_now(&self) -> f64 {
-        SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
-    }
-
+    /// Seconds since the clock was created; never goes back.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
+    /// What the wall clock shows now, in seconds of Unix time. It may jump either way.
+    pub fn unix_now(&self) -> f64 {
+        unix_now_s()
+    }
+
+    /// A time of this clock, in seconds, as the operating system's monotonic time.
     pub fn instant(&self, at: f64) -> Instant {
-        self.start + Duration::from_secs_f64(at.clamp(0.0, 1e9))
+        self.start + Duration::from_secs_f64(at.clamp(0.0, MAX_TIME_S))
     }
 
-    /// A Unix time in milliseconds on this clock; 0 stands for long ago.
-    pub fn from_unix(&self, ms: u64) -> Option<f64> {
-        (ms > 0).then(|| ms as f64 / 1e3 - self.unix)
+    /// A Unix time in milliseconds as a time of this clock, in seconds; negative before the clock was created. None for 0,
+    /// which stands for an unknown time long ago.
+    pub fn from_unix_ms(&self, unix_ms: u64) -> Option<f64> {
+        (unix_ms > 0).then(|| unix_ms as f64 / 1e3 - self.start_unix_s)
     }
 }
+
+fn unix_now_s() -> f64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+}
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,6 +1,8 @@
-//! What every program of alderway needs to be observed: its log and its clock.
+//! What every program of alderway needs to be observed.
 //!
-//! - `clock`: the monotonic clock of the process, in seconds since its start.
-//! - `log`: one line a record on standard error, never blocking, limited in rate for each target.
+//! - [`clock`]: the monotonic clock of the process, in seconds since its start.
+//! - [`log`]: the log on standard error: one line a record, never blocking, limited in rate for each target.
+#![warn(missing_docs, clippy::missing_errors_doc)]
+
 pub mod clock;
 pub mod log;
