--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -4,16 +4,16 @@
 mod control;
 mod settings;
 
-use alderway_control::subscriber::{Machine, Terms as Patience};
+use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, kept};
-use alderway_router::life::start::Role;
-use alderway_router::life::{serve, start};
-use alderway_router::memory::descriptors;
-use alderway_router::memory::ground::Following;
-use alderway_router::memory::house::Sharing;
-use alderway_router::peers::{Circle, Members};
+use alderway_router::gossip::{Circle, Members};
+use alderway_router::lifecycle::start::Role;
+use alderway_router::lifecycle::{serve, start};
+use alderway_router::state::descriptors;
+use alderway_router::state::ground::Following;
+use alderway_router::state::house::Sharing;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log::{self, LogFormat};
 use clap::{Args, Parser, Subcommand};
@@ -107,10 +107,14 @@
 fn subscription(operator: &Operator) -> Option<Subscription> {
     let said = operator.subscription.as_ref()?;
     let (zone, keep) = (said.zone.clone(), said.keep.clone().map(PathBuf::from));
-    let terms = Patience { silent: said.silent, old: said.old, ..Patience::default() };
+    let terms = SubscriptionConfig {
+        heartbeat_timeout_s: said.silent,
+        stale_after_s: said.old,
+        ..SubscriptionConfig::default()
+    };
     let machines = said.control.iter().map(|(name, (at, zone))| {
         let (name, zone) = (name.clone(), zone.clone());
-        (Machine { name, zone }, *at)
+        (ControlEndpoint { name, zone }, *at)
     });
     Some(Subscription { machines: machines.collect(), zone, terms, keep, kept: None, said: None })
 }
@@ -210,7 +214,7 @@
         ("discovery", station.discovery.to_string()),
         ("data nodes known", station.roster.nodes.len().to_string()),
         ("verticals", station.verticals.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
-        ("queries and parts held", station.room.room.to_string()),
+        ("queries and parts held", station.room.max_open.to_string()),
         ("descriptors", station.sockets.to_string()),
         ("memory", format!("{} MiB", station.memory / 1024 / 1024)),
         ("cores", sharing.cores.to_string()),
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,6 +1,6 @@
 //! Starts one query router as the platform runs it: by its configuration alone, on one core.
-use alderway_router::life::{serve, start};
-use alderway_router::memory::house::Sharing;
+use alderway_router::lifecycle::{serve, start};
+use alderway_router::state::house::Sharing;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log::{self, LogFormat};
 use std::process::ExitCode;
