--- /dev/null
+++ b/crates/controller/tests/admin_json.rs
@@ -0,0 +1,269 @@
+//! The admin endpoint's JSON, which operators' programs read and write: every request and every response as reference text,
+//! decoded, compared field by field, and encoded to the same bytes.
+use alderway_control::history::{Refusal, Undone};
+use alderway_control::machine::{Answer, Status};
+use alderway_control::outlet::{Lagging, Summary};
+use alderway_control::version::{Proposal, Version};
+use alderway_controller::door::{Ask, Line, Overall, Reply, Text};
+use alderway_tier::frames::{self, Hello, Speech};
+use rstest::rstest;
+use serde_json::json;
+use std::collections::{BTreeMap, BTreeSet};
+
+fn decoded_request(text: &str) -> Ask {
+    let request: Ask = serde_json::from_str(text).expect(text);
+    assert_eq!(serde_json::to_string(&request).expect("encoded"), text);
+    request
+}
+
+fn decoded_response(text: &str) -> Reply {
+    let response: Reply = serde_json::from_str(text).expect(text);
+    assert_eq!(serde_json::to_string(&response).expect("encoded"), text);
+    response
+}
+
+fn names(all: &[&str]) -> BTreeSet<String> {
+    all.iter().map(ToString::to_string).collect()
+}
+
+#[rstest]
+fn request_check() {
+    let Ask::Check { settings } = decoded_request(r#"{"check":{"settings":{"A":[1,0.5,null]}}}"#) else {
+        panic!("another variant")
+    };
+    assert_eq!(settings, json!({"A": [1, 0.5, null]}));
+}
+
+#[rstest]
+fn request_propose() {
+    let text = concat!(
+        r#"{"propose":{"proposal":{"id":"p1","base":7,"author":"ada","why":"more room","#,
+        r#""at_unix_ms":1700000000001,"settings":{"Limits":{"MaxOpen":101}}},"wait_s":2.5}}"#,
+    );
+    let Ask::Propose { proposal, wait_s } = decoded_request(text) else { panic!("another variant") };
+    let expected = Proposal {
+        id: "p1".into(),
+        base: 7,
+        author: "ada".into(),
+        why: "more room".into(),
+        at_unix_ms: 1_700_000_000_001,
+        settings: json!({"Limits": {"MaxOpen": 101}}),
+    };
+    assert_eq!((proposal, wait_s), (expected, 2.5));
+}
+
+#[rstest]
+#[case(r#"{"history":{"before":null,"count":20}}"#, None, 20)]
+#[case(r#"{"history":{"before":9,"count":0}}"#, Some(9), 0)]
+fn request_history(#[case] text: &str, #[case] expected_before: Option<u64>, #[case] expected_count: usize) {
+    let Ask::History { before, count } = decoded_request(text) else { panic!("another variant") };
+    assert_eq!((before, count), (expected_before, expected_count));
+}
+
+#[rstest]
+#[case(r#"{"show":{"number":null}}"#, None)]
+#[case(r#"{"show":{"number":12}}"#, Some(12))]
+fn request_show(#[case] text: &str, #[case] expected: Option<u64>) {
+    let Ask::Show { number } = decoded_request(text) else { panic!("another variant") };
+    assert_eq!(number, expected);
+}
+
+#[rstest]
+fn request_status() {
+    assert!(matches!(decoded_request(r#""status""#), Ask::Status));
+}
+
+#[rstest]
+fn response_sound() {
+    assert!(matches!(decoded_response(r#""sound""#), Reply::Sound));
+}
+
+#[rstest]
+fn response_faulty() {
+    let Reply::Faulty { why } = decoded_response(r#"{"faulty":{"why":"key `x`: expected y"}}"#) else {
+        panic!("another variant")
+    };
+    assert_eq!(why, "key `x`: expected y");
+}
+
+#[rstest]
+#[case(r#"{"ordered":5}"#, Answer::Ordered(5))]
+#[case(
+    r#"{"refused":{"would_undo":{"newest":9,"count":3,"undone":[{"number":7,"author":"bo","why":"less","keys":["Limits","Verticals.web.Slo"]}]}}}"#,
+    Answer::Refused(Refusal::WouldUndo {
+        newest: 9,
+        count: 3,
+        undone: vec![Undone {
+            number: 7,
+            author: "bo".into(),
+            why: "less".into(),
+            keys: vec!["Limits".into(), "Verticals.web.Slo".into()],
+        }],
+    })
+)]
+#[case(
+    r#"{"refused":{"base_unknown":{"base":12,"newest":9}}}"#,
+    Answer::Refused(Refusal::BaseUnknown { base: 12, newest: 9 })
+)]
+#[case(r#"{"refused":{"id_taken":{"number":4}}}"#, Answer::Refused(Refusal::IdTaken { number: 4 }))]
+#[case(r#"{"refused":"unreadable"}"#, Answer::Refused(Refusal::Unreadable))]
+#[case(r#"{"too_long":{"bytes":300000,"most":262144}}"#, Answer::TooLong { bytes: 300_000, most: 262_144 })]
+#[case(r#"{"too_many":{"most":64}}"#, Answer::TooMany { most: 64 })]
+#[case(
+    r#"{"no_majority":{"leader":null,"seconds":null}}"#,
+    Answer::NoMajority { leader: None, seconds: None }
+)]
+#[case(
+    r#"{"no_majority":{"leader":"a","seconds":3.5}}"#,
+    Answer::NoMajority { leader: Some("a".into()), seconds: Some(3.5) }
+)]
+#[case(r#"{"unsettled":{"leader":null}}"#, Answer::Unsettled { leader: None })]
+#[case(r#"{"unsettled":{"leader":"b"}}"#, Answer::Unsettled { leader: Some("b".into()) })]
+#[case(r#"{"out":{"why":"its disk is empty"}}"#, Answer::Out { why: "its disk is empty".into() })]
+fn response_answer(#[case] outcome: &str, #[case] expected: Answer) {
+    let text =
+        format!(r#"{{"answer":{{"answer":{outcome},"doors":{{"a":"127.0.0.1:7001","b":"[::1]:7002"}}}}}}"#);
+    let Reply::Answer { answer, doors } = decoded_response(&text) else { panic!("another variant") };
+    assert_eq!(answer, expected);
+    let expected_doors = [("a", "127.0.0.1:7001"), ("b", "[::1]:7002")];
+    let expected_doors: BTreeMap<_, _> =
+        expected_doors.map(|(name, at)| (name.to_string(), at.parse().expect("an address"))).into();
+    assert_eq!(doors, expected_doors);
+}
+
+#[rstest]
+fn response_history() {
+    let text = concat!(
+        r#"{"history":{"newest":9,"versions":[{"number":9,"proposal":"p9","author":"ada","why":"more","#,
+        r#""at_unix_ms":1700000000009,"keys":["Limits"]}]}}"#,
+    );
+    let Reply::History { newest, versions } = decoded_response(text) else { panic!("another variant") };
+    let expected = Line {
+        number: 9,
+        proposal: "p9".into(),
+        author: "ada".into(),
+        why: "more".into(),
+        at_unix_ms: 1_700_000_000_009,
+        keys: vec!["Limits".into()],
+    };
+    assert_eq!((newest, versions), (9, vec![expected]));
+}
+
+#[rstest]
+fn response_version() {
+    let text = concat!(
+        r#"{"version":{"version":{"number":3,"proposal":"p3","author":"ada","why":"more","#,
+        r#""at_unix_ms":1700000000003,"settings":{"Limits":{"MaxOpen":103}}}}}"#,
+    );
+    let Reply::Version { version } = decoded_response(text) else { panic!("another variant") };
+    let expected = Version {
+        number: 3,
+        proposal: "p3".into(),
+        author: "ada".into(),
+        why: "more".into(),
+        at_unix_ms: 1_700_000_000_003,
+        settings: json!({"Limits": {"MaxOpen": 103}}),
+    };
+    assert_eq!(version, expected);
+}
+
+#[rstest]
+fn response_no_such() {
+    let Reply::NoSuch { oldest, newest } = decoded_response(r#"{"no_such":{"oldest":2,"newest":9}}"#) else {
+        panic!("another variant")
+    };
+    assert_eq!((oldest, newest), (2, 9));
+}
+
+#[rstest]
+fn response_status() {
+    let text = concat!(
+        r#"{"status":{"machine":{"name":"a","version":9,"leader":"b","term":4,"majority":true,"#,
+        r#""age_s":0.25,"out":null,"voters":["a","b"],"learners":["c"],"changing":true},"#,
+        r#""versions":{"a":9,"b":8},"out":{"b":"its disk is empty"},"silent":["c"],"#,
+        r#""routers":{"by_version":{"8":1,"9":20},"lagging":[{"router":"r1","version":8,"#,
+        r#""since_s":12.5,"why":"key `x`"}],"left_out":3}}}"#,
+    );
+    let Reply::Status(overall) = decoded_response(text) else { panic!("another variant") };
+    let machine = Status {
+        name: "a".into(),
+        version: 9,
+        leader: Some("b".into()),
+        term: 4,
+        majority: true,
+        age_s: Some(0.25),
+        out: None,
+        voters: names(&["a", "b"]),
+        learners: names(&["c"]),
+        changing: true,
+    };
+    let lagging = Lagging { router: "r1".into(), version: 8, since_s: 12.5, why: "key `x`".into() };
+    let expected = Overall {
+        machine,
+        versions: [("a".to_string(), 9), ("b".to_string(), 8)].into(),
+        out: [("b".to_string(), "its disk is empty".to_string())].into(),
+        silent: names(&["c"]),
+        routers: Summary { by_version: [(8, 1), (9, 20)].into(), lagging: vec![lagging], left_out: 3 },
+    };
+    assert_eq!(*overall, expected);
+}
+
+#[rstest]
+fn response_status_of_a_machine_that_takes_no_part() {
+    let text = concat!(
+        r#"{"status":{"machine":{"name":"a","version":0,"leader":null,"term":0,"majority":false,"#,
+        r#""age_s":null,"out":"not heard yet: b","voters":[],"learners":[],"changing":true},"#,
+        r#""versions":{},"out":{},"silent":[],"#,
+        r#""routers":{"by_version":{},"lagging":[],"left_out":0}}}"#,
+    );
+    let Reply::Status(overall) = decoded_response(text) else { panic!("another variant") };
+    let machine = Status {
+        name: "a".into(),
+        version: 0,
+        leader: None,
+        term: 0,
+        majority: false,
+        age_s: None,
+        out: Some("not heard yet: b".into()),
+        voters: names(&[]),
+        learners: names(&[]),
+        changing: true,
+    };
+    let expected = Overall {
+        machine,
+        versions: BTreeMap::new(),
+        out: BTreeMap::new(),
+        silent: names(&[]),
+        routers: Summary::default(),
+    };
+    assert_eq!(*overall, expected);
+}
+
+#[rstest]
+fn response_wrong() {
+    let text = r#"{"wrong":{"why":"`wait_s` is 0 to 120"}}"#;
+    let Reply::Wrong { why } = decoded_response(text) else { panic!("another variant") };
+    assert_eq!(why, "`wait_s` is 0 to 120");
+}
+
+/// The frames that carry the JSON: a hello, then the text with its length in front.
+#[rstest]
+fn frames_of_the_admin_endpoint() {
+    let mut bytes = vec![];
+    let hello = Hello { version: Text::VERSION, planner: false, incarnation: 5, name: "operator".into() };
+    frames::hello_of::<Text>(&mut bytes, &hello);
+    assert_eq!(bytes.escape_ascii().to_string(), HELLO_FRAME);
+    bytes.clear();
+    assert!(frames::message(&mut bytes, &Text(r#""status""#.into())));
+    assert_eq!(bytes.escape_ascii().to_string(), TEXT_FRAME);
+    let mut reader = frames::Reader::<Text>::default();
+    let mut hello_bytes = vec![];
+    frames::hello_of::<Text>(&mut hello_bytes, &hello);
+    reader.feed(&hello_bytes);
+    reader.feed(&bytes);
+    assert!(matches!(reader.read(), Ok(Some(frames::Read::Hello(read))) if read == hello));
+    assert!(matches!(reader.read(), Ok(Some(frames::Read::Message(Text(text)))) if text == r#""status""#));
+}
+
+const HELLO_FRAME: &str = r"\x00\x00\x00\x17{\x8bS\\ALDO\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x05operator";
+const TEXT_FRAME: &str = r#"\x00\x00\x00\th\xf6\xfe\xa0\x08\"status\""#;
--- /dev/null
+++ b/crates/controller/tests/replica_frames.rs
@@ -0,0 +1,51 @@
+//! The frames that control machines exchange: each kind as reference bytes, decoded, compared field by field, and encoded
+//! to the same bytes.
+use alderway_control::machine::Word;
+use alderway_control::outlet::{Lagging, Summary};
+use alderway_controller::links::Said;
+use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use rstest::rstest;
+
+const HELLO: &str = r"\x00\x00\x00\x10\xa3>,\xedALDC\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x0ba";
+
+fn hello() -> Hello {
+    Hello { version: 1, planner: false, incarnation: 11, name: "a".into() }
+}
+
+#[rstest]
+fn the_hello_frame_keeps_its_bytes() {
+    assert_eq!((Said::WORD, Said::VERSION), (*b"ALDC", 1));
+    let mut bytes = vec![];
+    frames::hello_of::<Said>(&mut bytes, &hello());
+    assert_eq!(bytes.escape_ascii().to_string(), HELLO);
+}
+
+fn summary() -> Summary {
+    let lagging = Lagging { router: "r1".into(), version: 8, since_s: 12.5, why: "late".into() };
+    Summary { by_version: [(8, 1), (9, 300)].into(), lagging: vec![lagging], left_out: 2 }
+}
+
+#[rstest]
+#[case(Word::Stands { id: 11, group: 0x0b, roster: vec![("a".into(), 11), ("b".into(), 300)] }, r"\x00\x00\x00\x0b^K\xdf\x03\x00\x0b\x0b\x02\x01a\x0b\x01b\xac\x02")]
+#[case(Word::Order { group: 11, to: 12, piece: 3, last: true, bytes: b"raft".to_vec() }, r"\x00\x00\x00\n:jW&\x01\x0b\x0c\x03\x01\x04raft")]
+#[case(Word::Summarise { question: 300 }, r"\x00\x00\x00\x03\x10y\x9f\xb5\x02\xac\x02")]
+#[case(Word::Summary { question: 7, version: 9, out: None, summary: summary() }, r"\x00\x00\x00\x1d\x98V6\xff\x03\x07\t\x00\x02\x08\x01\t\xac\x02\x01\x02r1\x08\x00\x00\x00\x00\x00\x00)@\x04late\x02")]
+#[case(
+    Word::Summary { question: 7, version: 9, out: Some("no disk".into()), summary: Summary::default() },
+    r"\x00\x00\x00\x0f!\xbdT\xc3\x03\x07\t\x01\x07no disk\x00\x00\x00"
+)]
+fn each_message_frame_keeps_its_bytes(#[case] word: Word, #[case] expected: &str) {
+    let mut bytes = vec![];
+    assert!(frames::message(&mut bytes, &Said(word.clone())));
+    assert_eq!(bytes.escape_ascii().to_string(), expected);
+    let mut reader = Reader::<Said>::default();
+    let mut hello_bytes = vec![];
+    frames::hello_of::<Said>(&mut hello_bytes, &hello());
+    reader.feed(&hello_bytes);
+    reader.feed(&bytes);
+    assert!(matches!(reader.read(), Ok(Some(Read::Hello(read))) if read == hello()));
+    match reader.read() {
+        Ok(Some(Read::Message(Said(read)))) => assert_eq!(read, word),
+        _ => panic!("no message"),
+    }
+}
