--- a/crates/alderway/src/config.rs
+++ b/crates/alderway/src/config.rs
@@ -4,8 +4,10 @@
 use alderway_control::history::Refusal;
 use alderway_control::machine::Answer;
 use alderway_control::version::{Number, Proposal, Version};
-use alderway_controller::client;
-use alderway_controller::door::{Ask, Line, Overall, Reply, WAIT_MOST};
+use alderway_control_server::admin::client;
+use alderway_control_server::admin::{
+    AdminRequest, AdminResponse, ClusterStatus, MAX_WAIT_S, VersionSummary,
+};
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use std::io::Write;
@@ -149,11 +151,11 @@
 }
 
 /// Asks the machines in turn; none that answers is a failure that names each.
-fn asked(all: &[SocketAddr], ask: &Ask, wait: Duration) -> Result<Reply, Failure> {
+fn asked(all: &[SocketAddr], ask: &AdminRequest, wait: Duration) -> Result<AdminResponse, Failure> {
     let mut faults = vec![];
     for at in all {
         match client::ask(*at, ask, wait) {
-            Ok(Reply::Wrong { why }) => return Err(failed(format!("{at}: {why}"))),
+            Ok(AdminResponse::Wrong { why }) => return Err(failed(format!("{at}: {why}"))),
             Ok(reply) => return Ok(reply),
             Err(fault) => faults.push(fault.why),
         }
@@ -177,9 +179,9 @@
     let (settings, text) = settings_of(file)?;
     let name = file.display().to_string();
     if !at.is_empty() {
-        match asked(at, &Ask::Check { settings }, ANSWER)? {
-            Reply::Sound => {}
-            Reply::Faulty { why } => return Err(failed(settings::located(&name, &text, &why))),
+        match asked(at, &AdminRequest::Check { settings }, ANSWER)? {
+            AdminResponse::Sound => {}
+            AdminResponse::Faulty { why } => return Err(failed(settings::located(&name, &text, &why))),
             _ => return Err(odd()),
         }
     }
@@ -188,10 +190,10 @@
 }
 
 fn version(at: &[SocketAddr], number: Option<Number>) -> Result<Version, Failure> {
-    match asked(at, &Ask::Show { number }, ANSWER)? {
-        Reply::Version { version } => Ok(version),
-        Reply::NoSuch { newest: 0, .. } => Err(failed("there is no version yet")),
-        Reply::NoSuch { oldest, newest } => {
+    match asked(at, &AdminRequest::Show { number }, ANSWER)? {
+        AdminResponse::Version { version } => Ok(version),
+        AdminResponse::NoSuch { newest: 0, .. } => Err(failed("there is no version yet")),
+        AdminResponse::NoSuch { oldest, newest } => {
             let asked = number.unwrap_or(newest);
             Err(failed(format!("version {asked} is not kept: there are {oldest} to {newest}")))
         }
@@ -206,15 +208,17 @@
     Ok(())
 }
 
-fn told(line: &Line) -> String {
-    let Line { number, author, why, keys, at_unix_ms, .. } = line;
+fn told(line: &VersionSummary) -> String {
+    let VersionSummary { number, author, why, keys, at_unix_ms, .. } = line;
     let age = unix_ms().saturating_sub(*at_unix_ms) / 1000;
     let keys = if keys.is_empty() { String::new() } else { format!("  [{}]", keys.join(", ")) };
     format!("{number}  {age} s ago  {author}: {why}{keys}")
 }
 
 fn history(at: &[SocketAddr], before: Option<Number>, count: usize, json: bool) -> Done {
-    let Reply::History { newest, versions } = asked(at, &Ask::History { before, count }, ANSWER)? else {
+    let AdminResponse::History { newest, versions } =
+        asked(at, &AdminRequest::History { before, count }, ANSWER)?
+    else {
         return Err(odd());
     };
     if json {
@@ -225,9 +229,9 @@
     Ok(())
 }
 
-fn overall(at: &[SocketAddr]) -> Result<Overall, Failure> {
-    match asked(at, &Ask::Status, ANSWER)? {
-        Reply::Status(overall) => Ok(*overall),
+fn overall(at: &[SocketAddr]) -> Result<ClusterStatus, Failure> {
+    match asked(at, &AdminRequest::Status, ANSWER)? {
+        AdminResponse::Status(overall) => Ok(*overall),
         _ => Err(odd()),
     }
 }
@@ -243,7 +247,7 @@
     if majority { Ok(()) } else { Err(unsettled(format!("{} knows of no majority", all.machine.name))) }
 }
 
-fn shown(all: &Overall) {
+fn shown(all: &ClusterStatus) {
     let machine = &all.machine;
     let age = machine.age_s.map_or("never since its start".into(), |age| format!("{age:.1} s ago"));
     say(&format!("version: {}, as {} knew it to be the newest {age}", machine.version, machine.name));
@@ -294,8 +298,8 @@
 
 fn propose(settings: Value, how: &How, file: Option<(&Path, &str)>) -> Done {
     let at = &how.at.at;
-    if !(0.0..=WAIT_MOST).contains(&how.wait) {
-        return Err(faulty(format!("`--wait` is 0 to {WAIT_MOST} seconds")));
+    if !(0.0..=MAX_WAIT_S).contains(&how.wait) {
+        return Err(faulty(format!("`--wait` is 0 to {MAX_WAIT_S} seconds")));
     }
     let end = Instant::now() + Duration::from_secs_f64(how.wait);
     let base = match how.base {
@@ -326,15 +330,15 @@
         if left <= 0.0 && sent {
             break;
         }
-        let ask = Ask::Propose { proposal: proposal.clone(), wait_s: left };
+        let ask = AdminRequest::Propose { proposal: proposal.clone(), wait_s: left };
         let (answer, doors) = match client::ask(*at, &ask, Duration::from_secs_f64(left + 2.0)) {
-            Ok(Reply::Answer { answer, doors }) => (answer, doors),
-            Ok(Reply::Faulty { why }) => {
+            Ok(AdminResponse::Answer { answer, doors }) => (answer, doors),
+            Ok(AdminResponse::Faulty { why }) => {
                 let located =
                     file.map(|(path, text)| settings::located(&path.display().to_string(), text, &why));
                 return Err(failed(located.unwrap_or(why)));
             }
-            Ok(Reply::Wrong { why }) => return Err(failed(why)),
+            Ok(AdminResponse::Wrong { why }) => return Err(failed(why)),
             Ok(_) => return Err(odd()),
             Err(fault) => {
                 sent = sent || fault.sent;
--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -2,8 +2,8 @@
 use crate::settings;
 use alderway_control::outlet::{Nowhere, Outlet};
 use alderway_control::publisher::Terms;
-use alderway_controller::driver::{self, Plan};
-use alderway_controller::subscriptions::Subscriptions;
+use alderway_control_server::server::{self, ServerConfig};
+use alderway_control_server::subscriptions::Subscriptions;
 use alderway_operator::{LogForm, Operator};
 use alderway_router::life::logger::{self, Form};
 use alderway_router::tier::post;
@@ -20,12 +20,12 @@
     operator: PathBuf,
 }
 
-fn plan(operator: &Operator, path: &std::path::Path) -> Result<Plan, String> {
+fn plan(operator: &Operator, path: &std::path::Path) -> Result<ServerConfig, String> {
     let Some(control) = operator.control.clone() else {
         return Err(format!("{}: it says nothing of `control`", path.display()));
     };
     let name = control.name.clone();
-    Ok(Plan {
+    Ok(ServerConfig {
         name: control.name,
         members: control.members,
         doors: control.doors,
@@ -56,7 +56,7 @@
         LogForm::Text => Form::Text,
         LogForm::Json => Form::Json,
     });
-    match driver::run(plan) {
+    match server::run(plan) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("alderway: {why}");
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -7,7 +7,7 @@
 use alderway_control::subscriber::{Machine, Terms as Patience};
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::Terms;
-use alderway_router::control::{Subscription, kept};
+use alderway_router::control::{Subscription, persisted_version};
 use alderway_router::life::logger::{self, Form};
 use alderway_router::life::start::Role;
 use alderway_router::life::{serve, start};
@@ -112,7 +112,14 @@
         let (name, zone) = (name.clone(), zone.clone());
         (Machine { name, zone }, *at)
     });
-    Some(Subscription { machines: machines.collect(), zone, terms, keep, kept: None, said: None })
+    Some(Subscription {
+        machines: machines.collect(),
+        zone,
+        terms,
+        persist_path: keep,
+        persisted: None,
+        load_error: None,
+    })
 }
 
 fn plan(files: &Files, clock: Clock) -> Result<Plan, String> {
@@ -129,7 +136,7 @@
     let peers = peers.map(|peers| peers.ceil() as u64);
     let mut station = match subscription(&operator) {
         None => start::read_among(&files.config, clock, peers)?,
-        Some(subscription) => kept::station(subscription, &files.config, clock, peers)?,
+        Some(subscription) => persisted_version::station(subscription, &files.config, clock, peers)?,
     };
     if let Some(path) = files.operator.clone() {
         let held = operator.clone();
@@ -187,10 +194,10 @@
         ),
     };
     let settings = match (&operator.subscription, &station.control) {
-        (Some(said), Some(Subscription { kept: Some(kept), .. })) => {
+        (Some(said), Some(Subscription { persisted: Some(persisted), .. })) => {
             format!(
                 "version {} as kept, then by {} control machines",
-                kept.settled.number,
+                persisted.version.number,
                 said.control.len()
             )
         }
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -4,8 +4,8 @@
 use alderway_control::machine::Answer;
 use alderway_control::version::{Number, Proposal};
 use alderway_control::words::LARGEST;
-use alderway_controller::client;
-use alderway_controller::door::{Ask, Overall, Reply, Text};
+use alderway_control_server::admin::client;
+use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, JsonFrame};
 use alderway_lab::program::Setting;
 use alderway_lab::wires::Wires;
 use alderway_tier::frames::{self, Hello};
@@ -147,20 +147,20 @@
         self.programs.remove(name);
     }
 
-    fn ask(&self, name: &str, ask: &Ask) -> Result<Reply, client::Fault> {
+    fn ask(&self, name: &str, ask: &AdminRequest) -> Result<AdminResponse, client::RequestError> {
         client::ask(self.doors[name], ask, Duration::from_secs(10))
     }
 
-    fn status(&self, name: &str) -> Option<Overall> {
-        match self.ask(name, &Ask::Status) {
-            Ok(Reply::Status(all)) => Some(*all),
+    fn status(&self, name: &str) -> Option<ClusterStatus> {
+        match self.ask(name, &AdminRequest::Status) {
+            Ok(AdminResponse::Status(all)) => Some(*all),
             _ => None,
         }
     }
 
     fn has(&self, name: &str) -> Number {
-        match self.ask(name, &Ask::Show { number: None }) {
-            Ok(Reply::Version { version }) => version.number,
+        match self.ask(name, &AdminRequest::Show { number: None }) {
+            Ok(AdminResponse::Version { version }) => version.number,
             _ => 0,
         }
     }
@@ -271,7 +271,7 @@
     assert_eq!((told["newest"].as_u64(), told["versions"][0]["number"].as_u64()), (Some(3), Some(2)));
     ends(&house.config(&any, &["status"]), 0, &["version: 3", "majority: stands", "routers: none"]);
     let status = house.config(&any, &["status", "--json"]);
-    let status: Overall = serde_json::from_slice(&status.stdout).expect("JSON");
+    let status: ClusterStatus = serde_json::from_slice(&status.stdout).expect("JSON");
     assert!(status.silent.is_empty() && status.versions.len() == 5, "{status:?}");
     // Faulty at the door, by key and line; bad input; nobody there.
     let faulty = house.folder.join("faulty.json");
@@ -293,7 +293,9 @@
     long["Note"] = "x".repeat(LARGEST).into();
     fs::write(&faulty, long.to_string()).expect("written");
     ends(&house.config(&any, &["propose", path, "--why", "w"]), 1, &["settings are larger than"]);
-    let Ok(Reply::Faulty { why }) = house.ask("c3", &Ask::Check { settings: serde_json::json!({}) }) else {
+    let Ok(AdminResponse::Faulty { why }) =
+        house.ask("c3", &AdminRequest::Check { settings: serde_json::json!({}) })
+    else {
         panic!("not refused at the door")
     };
     assert!(why.contains("key `settings`"), "{why}");
@@ -312,7 +314,8 @@
     ends(&house.propose(&["c1"], 100, &[]), 0, &[]);
     house.all_have(1);
     let (leader, follower) = (house.leader().expect("led"), house.follower());
-    let (door, ask) = (house.doors[&leader], Ask::Propose { proposal: proposal("p", 1, 200), wait_s: 25.0 });
+    let (door, ask) =
+        (house.doors[&leader], AdminRequest::Propose { proposal: proposal("p", 1, 200), wait_s: 25.0 });
     std::thread::scope(|scope| {
         // Cut from its followers it can't have the change ordered; then it is stopped with it.
         let others: Vec<&str> =
@@ -335,7 +338,7 @@
         );
         until("5 s are over", || stopped.elapsed() > Duration::from_secs(5));
         house.programs[&leader].signal(Signal::SIGCONT);
-        let Ok(Ok(Reply::Answer { answer, .. })) = asked.join() else { panic!("no answer") };
+        let Ok(Ok(AdminResponse::Answer { answer, .. })) = asked.join() else { panic!("no answer") };
         assert!(matches!(answer, Answer::Refused(Refusal::WouldUndo { newest: 2, .. })), "{answer:?}");
     });
     house.all_have(2);
@@ -500,9 +503,9 @@
     for n in 0..650 {
         settings["Limits"]["StreamsPerConn"] = (100 + n).into();
         let proposal = Proposal { settings: settings.clone(), ..proposal(&format!("p{n}"), n, 100) };
-        let ask = Ask::Propose { proposal, wait_s: 10.0 };
+        let ask = AdminRequest::Propose { proposal, wait_s: 10.0 };
         // Whoever answers: each door takes changes.
-        let Ok(Reply::Answer { answer, .. }) = house.ask(&house.names[n as usize % 5], &ask) else {
+        let Ok(AdminResponse::Answer { answer, .. }) = house.ask(&house.names[n as usize % 5], &ask) else {
             panic!("no answer")
         };
         assert_eq!(answer, Answer::Ordered(n + 1));
@@ -520,11 +523,11 @@
     let member = house.wires.address("c2", "c1");
     let mut hello = vec![];
     let word = Hello { version: 1, planner: false, incarnation: 1, name: "c9".into() };
-    frames::hello_of::<Text>(&mut hello, &word);
+    frames::hello_of::<JsonFrame>(&mut hello, &word);
     let mut long = hello.clone();
     long.extend([0xff; 64]);
     let mut unread = hello.clone();
-    frames::message(&mut unread, &Text("{}".repeat(9)));
+    frames::message(&mut unread, &JsonFrame("{}".repeat(9)));
     let spoken: [(&[u8], &str); 4] =
         [(b"GET / HTTP/1.1\r\n\r\n", ""), (&long, ""), (&[0xff; 4096], ""), (&unread, "not a question")];
     for (bytes, says) in spoken {
@@ -541,8 +544,8 @@
     }
     let wrong = Proposal { why: " ".into(), ..proposal("p", 1, 200) };
     for (proposal, wait_s) in [(wrong, 1.0), (proposal("p", 1, 200), 1e9)] {
-        let reply = house.ask("c1", &Ask::Propose { proposal, wait_s });
-        assert!(matches!(reply, Ok(Reply::Wrong { .. })), "{reply:?}");
+        let reply = house.ask("c1", &AdminRequest::Propose { proposal, wait_s });
+        assert!(matches!(reply, Ok(AdminResponse::Wrong { .. })), "{reply:?}");
     }
     ends(&house.propose(&["c1"], 200, &["--base", "1"]), 0, &["in order: version 2"]);
     house.all_have(2);
--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -4,7 +4,7 @@
 use alderway_control::outlet::Outlet;
 use alderway_control::publisher::Terms;
 use alderway_control::version::Version;
-use alderway_controller::subscriptions::Subscriptions;
+use alderway_control_server::subscriptions::Subscriptions;
 use alderway_lab::agent::Agent;
 use alderway_lab::program::{Build, Program, Setting};
 use common::{logged, until};
--- a/crates/controller/src/client.rs
+++ b/crates/control-server/src/admin/client.rs
@@ -1,5 +1,5 @@
 //! An operator's side of the door: asks one machine after the other until one answers.
-use crate::door::{Ask, Reply, Text};
+use super::{AdminRequest, AdminResponse, JsonFrame};
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use std::fmt;
 use std::io::{Read as _, Write};
@@ -7,58 +7,67 @@
 use std::time::{Duration, Instant};
 
 /// For a connection, and for the hello of a machine that is able to answer.
-const MEET: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why there is no answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct RequestError {
     pub why: String,
     /// The question went out: it may have been heard.
     pub sent: bool,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for RequestError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(&self.why)
     }
 }
 
 /// Asks the machine at one address, and waits so long for its answer.
-pub fn ask(at: SocketAddr, ask: &Ask, wait: Duration) -> Result<Reply, Fault> {
+pub fn ask(at: SocketAddr, ask: &AdminRequest, wait: Duration) -> Result<AdminResponse, RequestError> {
     let mut sent = false;
     let tell = |why: String| format!("{at}: {why}");
     let reply = talk(at, ask, wait, &mut sent).map_err(tell);
-    reply.map_err(|why| Fault { why, sent })
+    reply.map_err(|why| RequestError { why, sent })
 }
 
-fn talk(at: SocketAddr, ask: &Ask, wait: Duration, sent: &mut bool) -> Result<Reply, String> {
-    let mut stream = TcpStream::connect_timeout(&at, MEET).map_err(|why| why.to_string())?;
+fn talk(
+    at: SocketAddr,
+    ask: &AdminRequest,
+    wait: Duration,
+    sent: &mut bool,
+) -> Result<AdminResponse, String> {
+    let mut stream = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).map_err(|why| why.to_string())?;
     let _ = stream.set_nodelay(true);
     let mut out = vec![];
     let incarnation = u64::from(std::process::id());
-    let hello = Hello { version: Text::VERSION, planner: false, incarnation, name: "operator".into() };
-    frames::hello_of::<Text>(&mut out, &hello);
-    stream.set_write_timeout(Some(MEET)).map_err(|why| why.to_string())?;
+    let hello = Hello { version: JsonFrame::VERSION, planner: false, incarnation, name: "operator".into() };
+    frames::hello_of::<JsonFrame>(&mut out, &hello);
+    stream.set_write_timeout(Some(CONNECT_TIMEOUT)).map_err(|why| why.to_string())?;
     stream.write_all(&out).map_err(|why| why.to_string())?;
-    let (mut reader, met) = (Reader::<Text>::default(), Instant::now() + MEET);
+    let (mut reader, met) = (Reader::<JsonFrame>::default(), Instant::now() + CONNECT_TIMEOUT);
     // A machine that is stopped is connected to, and says no hello.
     next(&mut stream, &mut reader, met).map_err(|why| format!("no hello: {why}"))?;
     let text = serde_json::to_string(ask).map_err(|why| why.to_string())?;
     out.clear();
-    if !frames::message(&mut out, &Text(text)) {
+    if !frames::message(&mut out, &JsonFrame(text)) {
         return Err(format!("longer than {} bytes", frames::LONGEST));
     }
     *sent = true;
     let end = Instant::now() + wait;
-    stream.set_write_timeout(Some(wait.max(MEET))).map_err(|why| why.to_string())?;
+    stream.set_write_timeout(Some(wait.max(CONNECT_TIMEOUT))).map_err(|why| why.to_string())?;
     stream.write_all(&out).map_err(|why| why.to_string())?;
     match next(&mut stream, &mut reader, end)? {
-        Read::Message(Text(text)) => serde_json::from_str(&text).map_err(|why| why.to_string()),
+        Read::Message(JsonFrame(text)) => serde_json::from_str(&text).map_err(|why| why.to_string()),
         Read::Hello(_) => Err("it says hello twice".into()),
     }
 }
 
-fn next(stream: &mut TcpStream, reader: &mut Reader<Text>, end: Instant) -> Result<Read<Text>, String> {
+fn next(
+    stream: &mut TcpStream,
+    reader: &mut Reader<JsonFrame>,
+    end: Instant,
+) -> Result<Read<JsonFrame>, String> {
     let mut space = vec![0; 64 * 1024];
     loop {
         if let Some(read) = reader.read().map_err(|why| why.to_string())? {
--- a/crates/controller/src/door.rs
+++ b/crates/control-server/src/admin/mod.rs
@@ -1,8 +1,10 @@
 //! The door for operators: one question a frame, as JSON, one answer for each, in order. A faulty change is refused here,
 //! before anything is proposed, by the same checks as a router's at its start.
-use crate::driver::{Controller, Held};
-use crate::links::PAUSE;
-use crate::listen::serve_each;
+pub mod client;
+
+use crate::listener::serve_each;
+use crate::replica_links::ACCEPT_RETRY_DELAY;
+use crate::server::{ServerState, SharedServer};
 use alderway_control::history::differing;
 use alderway_control::machine::{Answer, Name, Status, Word};
 use alderway_control::outlet::Summary;
@@ -19,30 +21,30 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// Operators at once, and how long one may say nothing.
-pub const OPERATORS_MOST: usize = 32;
-const IDLE: Duration = Duration::from_secs(60);
+pub const MAX_OPERATOR_CONNECTIONS: usize = 32;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The longest that one may wait for an answer.
-pub const WAIT_MOST: f64 = 120.0;
+pub const MAX_WAIT_S: f64 = 120.0;
 /// Versions told at once, without their settings.
-pub const TOLD_MOST: usize = 200;
+pub const MAX_LISTED_VERSIONS: usize = 200;
 /// How long the other machines have to tell of their routers.
-const GATHER: Duration = Duration::from_millis(700);
+const GATHER_TIMEOUT: Duration = Duration::from_millis(700);
 /// The longest author, reason and id.
-const TEXT_MOST: usize = 500;
+const MAX_TEXT_BYTES: usize = 500;
 
 /// A question or an answer on the wire: JSON.
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Text(pub String);
+pub struct JsonFrame(pub String);
 
-impl Speech for Text {
+impl Speech for JsonFrame {
     const WORD: [u8; 4] = *b"ALDO";
     const VERSION: u16 = 1;
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
+pub enum AdminRequest {
     Check {
         settings: Value,
     },
@@ -64,7 +66,7 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reply {
+pub enum AdminResponse {
     Sound,
     /// Refused by the checks; nothing was proposed.
     Faulty {
@@ -77,7 +79,7 @@
     },
     History {
         newest: Number,
-        versions: Vec<Line>,
+        versions: Vec<VersionSummary>,
     },
     Version {
         version: Version,
@@ -87,7 +89,7 @@
         oldest: Number,
         newest: Number,
     },
-    Status(Box<Overall>),
+    Status(Box<ClusterStatus>),
     /// The question cannot be used.
     Wrong {
         why: String,
@@ -96,7 +98,7 @@
 
 /// A version without its settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct VersionSummary {
     pub number: Number,
     pub proposal: String,
     pub author: String,
@@ -108,7 +110,7 @@
 
 /// How all stands, as one machine gathered it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Overall {
+pub struct ClusterStatus {
     pub machine: Status,
     /// Of each machine that answered.
     pub versions: BTreeMap<Name, Number>,
@@ -118,7 +120,7 @@
     pub routers: Summary,
 }
 
-pub async fn accept(held: Held, listener: TcpListener) {
+pub async fn accept(held: SharedServer, listener: TcpListener) {
     let serve = |stream| {
         let held = held.clone();
         async move {
@@ -127,47 +129,55 @@
             }
         }
     };
-    serve_each(listener, OPERATORS_MOST, PAUSE, serve).await;
+    serve_each(listener, MAX_OPERATOR_CONNECTIONS, ACCEPT_RETRY_DELAY, serve).await;
 }
 
-async fn serve(held: &Held, stream: &TcpStream) -> Result<(), String> {
+async fn serve(held: &SharedServer, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Text>::default(), vec![0; 64 * 1024]);
+    let (mut out, mut reader, mut space) = (vec![], Reader::<JsonFrame>::default(), vec![0; 64 * 1024]);
     let (incarnation, name) = (held.borrow().machine.id(), held.borrow().machine.name().to_string());
-    frames::hello_of::<Text>(&mut out, &Hello { version: Text::VERSION, planner: false, incarnation, name });
+    frames::hello_of::<JsonFrame>(
+        &mut out,
+        &Hello { version: JsonFrame::VERSION, planner: false, incarnation, name },
+    );
     greet(stream, &mut out, &mut reader, &mut space).await?;
     loop {
         let ask = match next(stream, &mut reader, &mut space).await? {
-            Some(Text(text)) => serde_json::from_str(&text),
+            Some(JsonFrame(text)) => serde_json::from_str(&text),
             None => return Ok(()),
         };
         let reply = match ask {
             Ok(ask) => answer(held, stream, ask).await,
-            Err(why) => Some(Reply::Wrong { why: format!("not a question that this version knows: {why}") }),
+            Err(why) => {
+                Some(AdminResponse::Wrong { why: format!("not a question that this version knows: {why}") })
+            }
         };
         let Some(reply) = reply else { return Ok(()) };
         let text = serde_json::to_string(&reply).map_err(|why| why.to_string())?;
-        if !frames::message(&mut out, &Text(text)) {
-            let why = Reply::Wrong { why: "the answer is longer than a frame".into() };
-            frames::message(&mut out, &Text(serde_json::to_string(&why).unwrap_or_default()));
+        if !frames::message(&mut out, &JsonFrame(text)) {
+            let why = AdminResponse::Wrong { why: "the answer is longer than a frame".into() };
+            frames::message(&mut out, &JsonFrame(serde_json::to_string(&why).unwrap_or_default()));
         }
-        timeout(IDLE, write_out(stream, &mut out)).await.map_err(|_| "it does not read".to_string())??;
+        timeout(IDLE_TIMEOUT, write_out(stream, &mut out))
+            .await
+            .map_err(|_| "it does not read".to_string())??;
     }
 }
 
 /// The next question; none at the connection's end.
 async fn next(
     stream: &TcpStream,
-    reader: &mut Reader<Text>,
+    reader: &mut Reader<JsonFrame>,
     space: &mut [u8],
-) -> Result<Option<Text>, String> {
+) -> Result<Option<JsonFrame>, String> {
     loop {
         match reader.read().map_err(|why| why.to_string())? {
             Some(Read::Message(text)) => return Ok(Some(text)),
             Some(Read::Hello(_)) => return Err("it says hello twice".into()),
             None => {}
         }
-        let ready = timeout(IDLE, stream.readable()).await.map_err(|_| "it says nothing".to_string())?;
+        let ready =
+            timeout(IDLE_TIMEOUT, stream.readable()).await.map_err(|_| "it says nothing".to_string())?;
         if ready.is_err() {
             return Ok(None);
         }
@@ -180,36 +190,43 @@
 }
 
 /// None where whoever asked is gone.
-async fn answer(held: &Held, stream: &TcpStream, ask: Ask) -> Option<Reply> {
+async fn answer(held: &SharedServer, stream: &TcpStream, ask: AdminRequest) -> Option<AdminResponse> {
     Some(match ask {
-        Ask::Check { settings } => match sound(&held.borrow(), &settings) {
-            Ok(()) => Reply::Sound,
-            Err(why) => Reply::Faulty { why },
+        AdminRequest::Check { settings } => match sound(&held.borrow(), &settings) {
+            Ok(()) => AdminResponse::Sound,
+            Err(why) => AdminResponse::Faulty { why },
         },
-        Ask::Propose { proposal, wait_s } => return propose(held, stream, &proposal, wait_s).await,
-        Ask::History { before, count } => history(&held.borrow(), before, count),
-        Ask::Show { number } => show(&held.borrow(), number),
-        Ask::Status => Reply::Status(Box::new(overall(held).await)),
+        AdminRequest::Propose { proposal, wait_s } => return propose(held, stream, &proposal, wait_s).await,
+        AdminRequest::History { before, count } => history(&held.borrow(), before, count),
+        AdminRequest::Show { number } => show(&held.borrow(), number),
+        AdminRequest::Status => AdminResponse::Status(Box::new(overall(held).await)),
     })
 }
 
-fn sound(held: &Controller, settings: &Value) -> Result<(), String> {
+fn sound(held: &ServerState, settings: &Value) -> Result<(), String> {
     let newest = held.machine.history().newest().map(|version| &version.settings);
     (held.check)(settings, newest)
 }
 
-async fn propose(held: &Held, stream: &TcpStream, proposal: &Proposal, wait: f64) -> Option<Reply> {
+async fn propose(
+    held: &SharedServer,
+    stream: &TcpStream,
+    proposal: &Proposal,
+    wait: f64,
+) -> Option<AdminResponse> {
     let texts = [("id", &proposal.id), ("author", &proposal.author), ("why", &proposal.why)];
     for (name, text) in texts {
-        if text.len() > TEXT_MOST || (name != "author" && text.trim().is_empty()) {
-            return Some(Reply::Wrong { why: format!("`{name}` is 1 to {TEXT_MOST} bytes long") });
+        if text.len() > MAX_TEXT_BYTES || (name != "author" && text.trim().is_empty()) {
+            return Some(AdminResponse::Wrong {
+                why: format!("`{name}` is 1 to {MAX_TEXT_BYTES} bytes long"),
+            });
         }
     }
-    if !(0.0..=WAIT_MOST).contains(&wait) {
-        return Some(Reply::Wrong { why: format!("`wait_s` is 0 to {WAIT_MOST}") });
+    if !(0.0..=MAX_WAIT_S).contains(&wait) {
+        return Some(AdminResponse::Wrong { why: format!("`wait_s` is 0 to {MAX_WAIT_S}") });
     }
     if let Err(why) = sound(&held.borrow(), &proposal.settings) {
-        return Some(Reply::Faulty { why });
+        return Some(AdminResponse::Faulty { why });
     }
     let (asker, answer) = held.borrow_mut().propose(proposal, wait);
     let answer = tokio::select! {
@@ -220,7 +237,7 @@
         held.borrow_mut().forget(asker);
         return None;
     };
-    Some(Reply::Answer { answer, doors: held.borrow().doors.clone() })
+    Some(AdminResponse::Answer { answer, doors: held.borrow().doors.clone() })
 }
 
 /// Ends when the other side has left.
@@ -238,34 +255,34 @@
     }
 }
 
-fn history(held: &Controller, before: Option<Number>, count: usize) -> Reply {
+fn history(held: &ServerState, before: Option<Number>, count: usize) -> AdminResponse {
     let history = held.machine.history();
     let line = |version: &Version| {
         let former = version.number.checked_sub(1).and_then(|number| history.at(number));
         let keys = former.map_or(vec![], |former| differing(&former.settings, &version.settings));
         let Version { number, proposal, author, why, at_unix_ms, .. } = version.clone();
-        Line { number, proposal, author, why, at_unix_ms, keys }
+        VersionSummary { number, proposal, author, why, at_unix_ms, keys }
     };
     let newest_first = history.versions().iter().rev();
     let asked = newest_first.filter(|version| before.is_none_or(|before| version.number < before));
-    let mut versions: Vec<Line> = asked.take(count.min(TOLD_MOST)).map(line).collect();
+    let mut versions: Vec<VersionSummary> = asked.take(count.min(MAX_LISTED_VERSIONS)).map(line).collect();
     versions.reverse();
-    Reply::History { newest: history.number(), versions }
+    AdminResponse::History { newest: history.number(), versions }
 }
 
-fn show(held: &Controller, number: Option<Number>) -> Reply {
+fn show(held: &ServerState, number: Option<Number>) -> AdminResponse {
     let history = held.machine.history();
     match history.at(number.unwrap_or(history.number())) {
-        Some(version) => Reply::Version { version: version.clone() },
+        Some(version) => AdminResponse::Version { version: version.clone() },
         None => {
             let oldest = history.versions().front().map_or(0, |version| version.number);
-            Reply::NoSuch { oldest, newest: history.number() }
+            AdminResponse::NoSuch { oldest, newest: history.number() }
         }
     }
 }
 
 /// Asks the other machines for their routers, and adds up what comes in time.
-async fn overall(held: &Held) -> Overall {
+async fn overall(held: &SharedServer) -> ClusterStatus {
     let (sender, mut told) = mpsc::unbounded_channel();
     let (question, mut all) = {
         let mut held = held.borrow_mut();
@@ -276,7 +293,7 @@
             held.posts.put(name, &Word::Summarise { question });
         }
         held.asking.insert(question, sender);
-        let all = Overall {
+        let all = ClusterStatus {
             versions: BTreeMap::from([(machine.name.clone(), machine.version)]),
             out: machine.out.iter().map(|why| (machine.name.clone(), why.clone())).collect(),
             silent: others.into_iter().collect(),
@@ -285,7 +302,7 @@
         };
         (question, all)
     };
-    let end = Instant::now() + GATHER;
+    let end = Instant::now() + GATHER_TIMEOUT;
     while !all.silent.is_empty() {
         let Ok(Some(word)) = timeout_at(end, told.recv()).await else { break };
         if word.question == question && all.silent.remove(&word.from) {
--- a/crates/controller/src/store.rs
+++ b/crates/control-server/src/log_store.rs
@@ -10,14 +10,14 @@
 
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
-const FORM: &str = "alderway control 1";
+const FORMAT: &str = "alderway control 1";
 /// Bytes of the file that may be held in memory.
-const CACHE: usize = 16 * 1024 * 1024;
+const CACHE_BYTES: usize = 16 * 1024 * 1024;
 /// In the folder of a machine's data.
-const FILE: &str = "log.redb";
+const FILE_NAME: &str = "log.redb";
 
 /// The file, and the folder's lock while the program runs.
-pub struct Disk {
+pub struct LogStore {
     path: PathBuf,
     /// None after a failed write: it is opened anew before the next.
     open: Option<Database>,
@@ -46,10 +46,10 @@
     }
 }
 
-impl Disk {
+impl LogStore {
     /// Opens the folder's file, or makes an empty one, and reads what it holds.
-    pub fn open(folder: &Path) -> Result<(Disk, Held), String> {
-        let path = folder.join(FILE);
+    pub fn open(folder: &Path) -> Result<(LogStore, Held), String> {
+        let path = folder.join(FILE_NAME);
         let tell = |why: String| format!("{}: {why}", path.display());
         fs::create_dir_all(folder).map_err(|why| tell(why.to_string()))?;
         let lock = File::create(folder.join("lock")).map_err(|why| tell(why.to_string()))?;
@@ -57,24 +57,24 @@
         // An empty file promised nobody anything: the disk gets an id of its own.
         let fresh = fs::metadata(&path).map_or(true, |about| about.len() == 0);
         let refused = |why: String| tell(format!("{why}; {REPLACE}"));
-        let open = Disk::database(&path).map_err(refused)?;
+        let open = LogStore::database(&path).map_err(refused)?;
         if fresh {
-            guarded(|| Disk::make(&open)).map_err(tell)?;
+            guarded(|| LogStore::make(&open)).map_err(tell)?;
             // That there is such a file has to be on disk too.
             File::open(folder).and_then(|folder| folder.sync_all()).map_err(|why| tell(why.to_string()))?;
         }
-        let held = Disk::read(&open).map_err(refused)?;
-        Ok((Disk { path, open: Some(open), _lock: lock }, held))
+        let held = LogStore::read(&open).map_err(refused)?;
+        Ok((LogStore { path, open: Some(open), _lock: lock }, held))
     }
 
     fn database(path: &Path) -> Result<Database, String> {
-        guarded(|| Ok(Builder::new().set_cache_size(CACHE).create(path)?))
+        guarded(|| Ok(Builder::new().set_cache_size(CACHE_BYTES).create(path)?))
     }
 
     fn make(open: &Database) -> Result<(), redb::Error> {
         let writes = open.begin_write()?;
         writes.open_table(ENTRIES)?;
-        writes.open_table(STATE)?.insert("form", sealed(FORM.as_bytes()).as_slice())?;
+        writes.open_table(STATE)?.insert("form", sealed(FORMAT.as_bytes()).as_slice())?;
         Ok(writes.commit()?)
     }
 
@@ -108,7 +108,7 @@
                 _ => return Err(format!("`{key}` is nothing that this version writes")),
             }
         }
-        if form != FORM.as_bytes() {
+        if form != FORMAT.as_bytes() {
             return Err("it is not a log of this version".into());
         }
         for (index, value) in entries {
@@ -151,14 +151,14 @@
     }
 }
 
-impl Store for Disk {
+impl Store for LogStore {
     fn write(&mut self, what: &Persist) -> Result<(), String> {
         let open = match self.open.take() {
             Some(open) => open,
-            None => Disk::database(&self.path)?,
+            None => LogStore::database(&self.path)?,
         };
         self.open = Some(guarded(move || {
-            Disk::keep(&open, what)?;
+            LogStore::keep(&open, what)?;
             Ok(open)
         })?);
         Ok(())
--- a/crates/controller/src/links.rs
+++ b/crates/control-server/src/replica_links.rs
@@ -1,7 +1,7 @@
 //! Links among control machines: each dials every other one and speaks on what it dialled; what others dialled it only
 //! reads. A link that is of no use is dialled anew after waits that are drawn and grow.
-use crate::driver::{Held, Told};
-use crate::listen::serve_each;
+use crate::listener::serve_each;
+use crate::server::{RouterSummaryReply, SharedServer};
 use alderway_control::machine::{Name, Word};
 use alderway_router::tier::links::{PATIENCE, Waits, greet};
 use alderway_sockets::Sender;
@@ -17,47 +17,48 @@
 use tokio::time::{sleep, timeout};
 
 /// What waits for one machine at most; past that words are dropped, as the order stands it.
-const WAITING: usize = 48 * 1024 * 1024;
+const MAX_OUTBOX_BYTES: usize = 48 * 1024 * 1024;
 /// A machine that takes nothing of what waits for so long is dialled anew.
-const STUCK: Duration = Duration::from_secs(3);
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Before another try, where the system has no descriptor for a connection.
-pub const PAUSE: Duration = Duration::from_millis(10);
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Connections that others may hold here at once.
-const HEARD_MOST: usize = 64;
+const MAX_PEER_CONNECTIONS: usize = 64;
 /// A link that lasted so long was of use.
-const OF_USE: Duration = Duration::from_secs(1);
+const STABLE_CONNECTION_AGE: Duration = Duration::from_secs(1);
 
 /// A word on the wire.
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Said(pub Word);
+pub struct PeerFrame(pub Word);
 
-impl Speech for Said {
+impl Speech for PeerFrame {
     const WORD: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
 /// What waits to be written, by machine; nothing for one whose link is down.
-pub struct Posts(BTreeMap<Name, Post>);
+pub struct Outboxes(BTreeMap<Name, Outbox>);
 
-struct Post {
+struct Outbox {
     up: bool,
     bytes: Vec<u8>,
     wake: Rc<Notify>,
 }
 
-impl Posts {
-    pub fn to<'a>(names: impl Iterator<Item = &'a Name>) -> Posts {
-        let post = || Post { up: false, bytes: vec![], wake: Rc::default() };
-        Posts(names.map(|name| (name.clone(), post())).collect())
+impl Outboxes {
+    pub fn to<'a>(names: impl Iterator<Item = &'a Name>) -> Outboxes {
+        let post = || Outbox { up: false, bytes: vec![], wake: Rc::default() };
+        Outboxes(names.map(|name| (name.clone(), post())).collect())
     }
 
     /// False where it was dropped.
     pub fn put(&mut self, to: &str, word: &Word) -> bool {
-        let Some(post) = self.0.get_mut(to).filter(|post| post.up && post.bytes.len() < WAITING) else {
+        let Some(post) = self.0.get_mut(to).filter(|post| post.up && post.bytes.len() < MAX_OUTBOX_BYTES)
+        else {
             return false;
         };
-        let put = frames::message(&mut post.bytes, &Said(word.clone()));
+        let put = frames::message(&mut post.bytes, &PeerFrame(word.clone()));
         post.wake.notify_one();
         put
     }
@@ -74,7 +75,7 @@
     }
 }
 
-pub fn start(held: &Held, listener: TcpListener, others: &BTreeMap<Name, SocketAddr>, seed: u64) {
+pub fn start(held: &SharedServer, listener: TcpListener, others: &BTreeMap<Name, SocketAddr>, seed: u64) {
     spawn_local(accept(held.clone(), listener));
     for (n, (name, at)) in others.iter().enumerate() {
         let (held, name, at, seed) = (held.clone(), name.clone(), *at, seed ^ (n as u64) << 17);
@@ -82,13 +83,18 @@
     }
 }
 
-fn hello(held: &Held) -> Hello {
+fn hello(held: &SharedServer) -> Hello {
     let machine = &held.borrow().machine;
-    Hello { version: Said::VERSION, planner: false, incarnation: machine.id(), name: machine.name().into() }
+    Hello {
+        version: PeerFrame::VERSION,
+        planner: false,
+        incarnation: machine.id(),
+        name: machine.name().into(),
+    }
 }
 
 /// Keeps up the link to another machine for as long as the program runs.
-async fn keep(held: Held, name: Name, at: SocketAddr, seed: u64) {
+async fn keep(held: SharedServer, name: Name, at: SocketAddr, seed: u64) {
     let mut waits = Waits::new(seed);
     loop {
         if let Ok(Ok(stream)) = timeout(PATIENCE, alderway_sockets::dial(at)).await {
@@ -97,7 +103,7 @@
                 tracing::warn!(target: "links", "{name} at {at}: {why}");
             }
             held.borrow_mut().posts.set(&name, false);
-            if from.elapsed() > OF_USE {
+            if from.elapsed() > STABLE_CONNECTION_AGE {
                 waits.met();
             }
         }
@@ -105,11 +111,11 @@
     }
 }
 
-async fn speak(held: &Held, name: &str, stream: &TcpStream) -> Result<(), String> {
+async fn speak(held: &SharedServer, name: &str, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
     let mut sender = Sender::default();
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Said>::default(), vec![0; 1024]);
-    frames::hello_of::<Said>(&mut out, &hello(held));
+    let (mut out, mut reader, mut space) = (vec![], Reader::<PeerFrame>::default(), vec![0; 1024]);
+    frames::hello_of::<PeerFrame>(&mut out, &hello(held));
     let met = greet(stream, &mut out, &mut reader, &mut space).await?;
     if met.name != name {
         return Err(format!("it is {}", met.name));
@@ -152,15 +158,15 @@
             }
             () = sender.ready(stream), if !out.is_empty() => {}
             () = wake.notified(), if out.is_empty() => {}
-            () = sleep(STUCK), if !out.is_empty() => {}
+            () = sleep(WRITE_STALL_TIMEOUT), if !out.is_empty() => {}
         }
-        if !out.is_empty() && moved.elapsed() > STUCK {
+        if !out.is_empty() && moved.elapsed() > WRITE_STALL_TIMEOUT {
             return Err("it takes nothing of what it is sent".into());
         }
     }
 }
 
-async fn accept(held: Held, listener: TcpListener) {
+async fn accept(held: SharedServer, listener: TcpListener) {
     let newest = Rc::<Newest>::default();
     let hear = |stream| {
         let (held, newest) = (held.clone(), newest.clone());
@@ -170,16 +176,16 @@
             }
         }
     };
-    serve_each(listener, HEARD_MOST, PAUSE, hear).await;
+    serve_each(listener, MAX_PEER_CONNECTIONS, ACCEPT_RETRY_DELAY, hear).await;
 }
 
 /// The newest connection of each machine counts; an earlier one is read no further.
 type Newest = std::cell::RefCell<BTreeMap<Name, u64>>;
 
-async fn hear(held: &Held, stream: &TcpStream, newest: &Newest) -> Result<(), String> {
+async fn hear(held: &SharedServer, stream: &TcpStream, newest: &Newest) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Said>::default(), vec![0; 64 * 1024]);
-    frames::hello_of::<Said>(&mut out, &hello(held));
+    let (mut out, mut reader, mut space) = (vec![], Reader::<PeerFrame>::default(), vec![0; 64 * 1024]);
+    frames::hello_of::<PeerFrame>(&mut out, &hello(held));
     let met = greet(stream, &mut out, &mut reader, &mut space).await?;
     let own = {
         let mut held = held.borrow_mut();
@@ -194,7 +200,7 @@
         let mut fed = false;
         loop {
             match reader.read() {
-                Ok(Some(Read::Message(Said(word)))) => {
+                Ok(Some(Read::Message(PeerFrame(word)))) => {
                     if newest.borrow().get(&met.name) != Some(&own) {
                         return Ok(());
                     }
@@ -220,7 +226,7 @@
     }
 }
 
-fn came(held: &Held, from: &str, word: Word) {
+fn came(held: &SharedServer, from: &str, word: Word) {
     let mut held = held.borrow_mut();
     match word {
         Word::Summarise { question } => {
@@ -231,7 +237,8 @@
         Word::Summary { question, version, out, summary } => {
             if let Some(asking) = held.asking.get(&question) {
                 // One that has gone needs no answer.
-                let _ = asking.send(Told { question, from: from.into(), version, out, summary });
+                let _ =
+                    asking.send(RouterSummaryReply { question, from: from.into(), version, out, summary });
             }
         }
         word => {
--- a/crates/controller/src/driver.rs
+++ b/crates/control-server/src/server.rs
@@ -1,8 +1,8 @@
 //! A control machine as a program: one thread that feeds the machine ticks, words and proposals, and carries out what
 //! comes of each. The disk is written in between, on the same thread: nothing else goes on until it is synced.
-use crate::links::{self, Posts};
-use crate::store::Disk;
-use crate::{door, store};
+use crate::log_store::LogStore;
+use crate::replica_links::{self, Outboxes};
+use crate::{admin, log_store};
 use alderway_control::machine::{Answer, Asker, Machine, Name, TICK};
 use alderway_control::outlet::{Outlet, Summary};
 use alderway_control::version::{Number, Proposal};
@@ -25,24 +25,24 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 /// Whether settings are sound, and can come after those before them; else one line.
-pub type Check = Box<dyn Fn(&Value, Option<&Value>) -> Result<(), String>>;
+pub type SettingsCheck = Box<dyn Fn(&Value, Option<&Value>) -> Result<(), String>>;
 
 /// Makes the place that committed versions go to, on the machine's own thread.
-pub type MakeOutlet = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn Outlet>>>>>>;
+pub type OutletFactory = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn Outlet>>>>>>;
 
 /// What a control machine runs by.
-pub struct Plan {
+pub struct ServerConfig {
     pub name: Name,
     /// All machines, this one among them: where each hears the others, and operators.
     pub members: BTreeMap<Name, SocketAddr>,
     pub doors: BTreeMap<Name, SocketAddr>,
     pub data: PathBuf,
-    pub check: Check,
-    pub outlet: MakeOutlet,
+    pub check: SettingsCheck,
+    pub outlet: OutletFactory,
 }
 
 /// Another machine's word on its routers.
-pub struct Told {
+pub struct RouterSummaryReply {
     pub question: u64,
     pub from: Name,
     pub version: Number,
@@ -51,23 +51,23 @@
 }
 
 /// What all tasks share.
-pub struct Controller {
+pub struct ServerState {
     pub machine: Machine,
-    pub posts: Posts,
+    pub posts: Outboxes,
     pub outlet: Box<dyn Outlet>,
-    pub check: Check,
+    pub check: SettingsCheck,
     pub doors: BTreeMap<Name, SocketAddr>,
-    disk: Disk,
+    disk: LogStore,
     clock: Clock,
     waiting: BTreeMap<Asker, oneshot::Sender<Answer>>,
     /// Those who ask all machines for their summaries.
-    pub asking: BTreeMap<u64, mpsc::UnboundedSender<Told>>,
+    pub asking: BTreeMap<u64, mpsc::UnboundedSender<RouterSummaryReply>>,
     count: u64,
 }
 
-pub type Held = Rc<RefCell<Controller>>;
+pub type SharedServer = Rc<RefCell<ServerState>>;
 
-impl Controller {
+impl ServerState {
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
@@ -141,13 +141,13 @@
 }
 
 /// Runs until SIGTERM or SIGINT.
-pub fn run(plan: Plan) -> io::Result<()> {
+pub fn run(plan: ServerConfig) -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve(plan))
 }
 
-async fn serve(plan: Plan) -> io::Result<()> {
-    let (disk, found) = store::Disk::open(&plan.data).map_err(io::Error::other)?;
+async fn serve(plan: ServerConfig) -> io::Result<()> {
+    let (disk, found) = log_store::LogStore::open(&plan.data).map_err(io::Error::other)?;
     let names = plan.members.keys().cloned().collect();
     let machine = Machine::new(&plan.name, &names, &found, drawn(), drawn());
     let machine = machine.map_err(|why| {
@@ -167,9 +167,9 @@
     tracing::info!(target: "start", "{} hears operators at {}", plan.name, door.local_addr()?);
     let others = plan.members.iter().filter(|(name, _)| **name != plan.name);
     let others: BTreeMap<Name, SocketAddr> = others.map(|(name, at)| (name.clone(), *at)).collect();
-    let controller = Controller {
+    let controller = ServerState {
         machine,
-        posts: Posts::to(others.keys()),
+        posts: Outboxes::to(others.keys()),
         outlet: (plan.outlet)().await?,
         check: plan.check,
         doors: plan.doors,
@@ -181,8 +181,8 @@
     };
     let held = Rc::new(RefCell::new(controller));
     held.borrow_mut().run();
-    links::start(&held, heard, &others, drawn());
-    spawn_local(door::accept(held.clone(), door));
+    replica_links::start(&held, heard, &others, drawn());
+    spawn_local(admin::accept(held.clone(), door));
     let (mut terms, mut interrupts) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGINT)?);
     let mut ticks = interval(Duration::from_secs_f64(TICK));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/controller/src/subscriptions.rs
+++ b/crates/control-server/src/subscriptions.rs
@@ -1,6 +1,6 @@
 //! The listener of a control machine for routers: a task for each connection, and one that hands out what is due. Who is
 //! told what, and when, stands in `alderway_control::publisher`.
-use crate::listen::serve_each;
+use crate::listener::serve_each;
 use alderway_control::outlet::{Outlet, Summary};
 use alderway_control::publisher::{Met, Publisher, Terms};
 use alderway_control::version::{Number, Version};
@@ -21,13 +21,13 @@
 use tokio::time::timeout;
 
 /// Connections beside those of subscribed routers: on their way in, or about to be refused.
-const PASSING: usize = 64;
+const MAX_PENDING_CONNECTIONS: usize = 64;
 /// No word of a router is longer.
-const LONGEST_SAY: usize = 2048;
+const MAX_ROUTER_MESSAGE_BYTES: usize = 2048;
 /// How often silences are looked at.
-const LOOK: f64 = 0.5;
+const SILENCE_CHECK_INTERVAL_S: f64 = 0.5;
 /// Before another try, where the system has no descriptor for a connection.
-const PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 struct Link {
     out: RefCell<Vec<u8>>,
@@ -149,7 +149,7 @@
     loop {
         let now = inner.clock.now();
         if now >= look {
-            look = now + LOOK;
+            look = now + SILENCE_CHECK_INTERVAL_S;
             let silent = inner.publisher.borrow_mut().tick(now);
             for (link, router) in silent {
                 tracing::warn!(target: "subscriptions", "router {router} is silent: its connection ends");
@@ -166,13 +166,13 @@
             }
         }
         let due = inner.publisher.borrow().due().min(look);
-        let wait = Duration::from_secs_f64((due - now).clamp(0.001, LOOK));
+        let wait = Duration::from_secs_f64((due - now).clamp(0.001, SILENCE_CHECK_INTERVAL_S));
         let _ = timeout(wait, inner.wake.notified()).await;
     }
 }
 
 async fn accept(inner: Rc<Inner>, listener: TcpListener) {
-    let most = inner.terms.most + PASSING;
+    let most = inner.terms.most + MAX_PENDING_CONNECTIONS;
     let speak = |stream| {
         let inner = inner.clone();
         async move {
@@ -181,13 +181,13 @@
             }
         }
     };
-    serve_each(listener, most, PAUSE, speak).await;
+    serve_each(listener, most, ACCEPT_RETRY_DELAY, speak).await;
 }
 
 /// The link of one connection: it ends with it, whoever ended that.
-struct Held<'a>(&'a Inner, u64, Rc<Link>);
+struct OpenLink<'a>(&'a Inner, u64, Rc<Link>);
 
-impl Drop for Held<'_> {
+impl Drop for OpenLink<'_> {
     fn drop(&mut self) {
         self.0.ended(self.1);
     }
@@ -196,7 +196,8 @@
 /// Speaks until the connection ends; an error if it was of no use.
 async fn speak(inner: &Inner, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
-    let (mut out, mut reader, mut space) = (vec![], Reader::<Say>::default(), vec![0; LONGEST_SAY]);
+    let (mut out, mut reader, mut space) =
+        (vec![], Reader::<Say>::default(), vec![0; MAX_ROUTER_MESSAGE_BYTES]);
     let (name, incarnation) = (inner.name.clone(), inner.incarnation);
     frames::hello_of::<Tell>(&mut out, &Hello { version: Tell::VERSION, planner: false, incarnation, name });
     let hello = greet(stream, &mut out, &mut reader, &mut space).await?;
@@ -204,7 +205,7 @@
     let number = opened.map_err(|why| why.to_string())?;
     let link = Rc::new(Link { out: RefCell::default(), ready: Notify::new() });
     inner.links.borrow_mut().insert(number, link.clone());
-    let held = Held(inner, number, link);
+    let held = OpenLink(inner, number, link);
     inner.end_formers();
     // Bytes since the last whole word.
     let mut unread = 0;
@@ -218,7 +219,9 @@
                     inner.wake.notify_one();
                 }
                 Some(Read::Hello(_)) => return Err(format!("{} says hello twice", hello.name)),
-                None if unread > LONGEST_SAY => return Err(format!("{}: a word too long", hello.name)),
+                None if unread > MAX_ROUTER_MESSAGE_BYTES => {
+                    return Err(format!("{}: a word too long", hello.name));
+                }
                 None => break,
             }
         }
--- a/crates/controller/tests/admin_json.rs
+++ b/crates/control-server/tests/admin_json.rs
@@ -4,20 +4,20 @@
 use alderway_control::machine::{Answer, Status};
 use alderway_control::outlet::{Lagging, Summary};
 use alderway_control::version::{Proposal, Version};
-use alderway_controller::door::{Ask, Line, Overall, Reply, Text};
+use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, JsonFrame, VersionSummary};
 use alderway_tier::frames::{self, Hello, Speech};
 use rstest::rstest;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn decoded_request(text: &str) -> Ask {
-    let request: Ask = serde_json::from_str(text).expect(text);
+fn decoded_request(text: &str) -> AdminRequest {
+    let request: AdminRequest = serde_json::from_str(text).expect(text);
     assert_eq!(serde_json::to_string(&request).expect("encoded"), text);
     request
 }
 
-fn decoded_response(text: &str) -> Reply {
-    let response: Reply = serde_json::from_str(text).expect(text);
+fn decoded_response(text: &str) -> AdminResponse {
+    let response: AdminResponse = serde_json::from_str(text).expect(text);
     assert_eq!(serde_json::to_string(&response).expect("encoded"), text);
     response
 }
@@ -28,7 +28,8 @@
 
 #[rstest]
 fn request_check() {
-    let Ask::Check { settings } = decoded_request(r#"{"check":{"settings":{"A":[1,0.5,null]}}}"#) else {
+    let AdminRequest::Check { settings } = decoded_request(r#"{"check":{"settings":{"A":[1,0.5,null]}}}"#)
+    else {
         panic!("another variant")
     };
     assert_eq!(settings, json!({"A": [1, 0.5, null]}));
@@ -40,7 +41,7 @@
         r#"{"propose":{"proposal":{"id":"p1","base":7,"author":"ada","why":"more room","#,
         r#""at_unix_ms":1700000000001,"settings":{"Limits":{"MaxOpen":101}}},"wait_s":2.5}}"#,
     );
-    let Ask::Propose { proposal, wait_s } = decoded_request(text) else { panic!("another variant") };
+    let AdminRequest::Propose { proposal, wait_s } = decoded_request(text) else { panic!("another variant") };
     let expected = Proposal {
         id: "p1".into(),
         base: 7,
@@ -56,7 +57,7 @@
 #[case(r#"{"history":{"before":null,"count":20}}"#, None, 20)]
 #[case(r#"{"history":{"before":9,"count":0}}"#, Some(9), 0)]
 fn request_history(#[case] text: &str, #[case] expected_before: Option<u64>, #[case] expected_count: usize) {
-    let Ask::History { before, count } = decoded_request(text) else { panic!("another variant") };
+    let AdminRequest::History { before, count } = decoded_request(text) else { panic!("another variant") };
     assert_eq!((before, count), (expected_before, expected_count));
 }
 
@@ -64,23 +65,24 @@
 #[case(r#"{"show":{"number":null}}"#, None)]
 #[case(r#"{"show":{"number":12}}"#, Some(12))]
 fn request_show(#[case] text: &str, #[case] expected: Option<u64>) {
-    let Ask::Show { number } = decoded_request(text) else { panic!("another variant") };
+    let AdminRequest::Show { number } = decoded_request(text) else { panic!("another variant") };
     assert_eq!(number, expected);
 }
 
 #[rstest]
 fn request_status() {
-    assert!(matches!(decoded_request(r#""status""#), Ask::Status));
+    assert!(matches!(decoded_request(r#""status""#), AdminRequest::Status));
 }
 
 #[rstest]
 fn response_sound() {
-    assert!(matches!(decoded_response(r#""sound""#), Reply::Sound));
+    assert!(matches!(decoded_response(r#""sound""#), AdminResponse::Sound));
 }
 
 #[rstest]
 fn response_faulty() {
-    let Reply::Faulty { why } = decoded_response(r#"{"faulty":{"why":"key `x`: expected y"}}"#) else {
+    let AdminResponse::Faulty { why } = decoded_response(r#"{"faulty":{"why":"key `x`: expected y"}}"#)
+    else {
         panic!("another variant")
     };
     assert_eq!(why, "key `x`: expected y");
@@ -123,7 +125,7 @@
 fn response_answer(#[case] outcome: &str, #[case] expected: Answer) {
     let text =
         format!(r#"{{"answer":{{"answer":{outcome},"doors":{{"a":"127.0.0.1:7001","b":"[::1]:7002"}}}}}}"#);
-    let Reply::Answer { answer, doors } = decoded_response(&text) else { panic!("another variant") };
+    let AdminResponse::Answer { answer, doors } = decoded_response(&text) else { panic!("another variant") };
     assert_eq!(answer, expected);
     let expected_doors = [("a", "127.0.0.1:7001"), ("b", "[::1]:7002")];
     let expected_doors: BTreeMap<_, _> =
@@ -137,8 +139,10 @@
         r#"{"history":{"newest":9,"versions":[{"number":9,"proposal":"p9","author":"ada","why":"more","#,
         r#""at_unix_ms":1700000000009,"keys":["Limits"]}]}}"#,
     );
-    let Reply::History { newest, versions } = decoded_response(text) else { panic!("another variant") };
-    let expected = Line {
+    let AdminResponse::History { newest, versions } = decoded_response(text) else {
+        panic!("another variant")
+    };
+    let expected = VersionSummary {
         number: 9,
         proposal: "p9".into(),
         author: "ada".into(),
@@ -155,7 +159,7 @@
         r#"{"version":{"version":{"number":3,"proposal":"p3","author":"ada","why":"more","#,
         r#""at_unix_ms":1700000000003,"settings":{"Limits":{"MaxOpen":103}}}}}"#,
     );
-    let Reply::Version { version } = decoded_response(text) else { panic!("another variant") };
+    let AdminResponse::Version { version } = decoded_response(text) else { panic!("another variant") };
     let expected = Version {
         number: 3,
         proposal: "p3".into(),
@@ -169,7 +173,8 @@
 
 #[rstest]
 fn response_no_such() {
-    let Reply::NoSuch { oldest, newest } = decoded_response(r#"{"no_such":{"oldest":2,"newest":9}}"#) else {
+    let AdminResponse::NoSuch { oldest, newest } = decoded_response(r#"{"no_such":{"oldest":2,"newest":9}}"#)
+    else {
         panic!("another variant")
     };
     assert_eq!((oldest, newest), (2, 9));
@@ -184,7 +189,7 @@
         r#""routers":{"by_version":{"8":1,"9":20},"lagging":[{"router":"r1","version":8,"#,
         r#""since_s":12.5,"why":"key `x`"}],"left_out":3}}}"#,
     );
-    let Reply::Status(overall) = decoded_response(text) else { panic!("another variant") };
+    let AdminResponse::Status(overall) = decoded_response(text) else { panic!("another variant") };
     let machine = Status {
         name: "a".into(),
         version: 9,
@@ -198,7 +203,7 @@
         changing: true,
     };
     let lagging = Lagging { router: "r1".into(), version: 8, since_s: 12.5, why: "key `x`".into() };
-    let expected = Overall {
+    let expected = ClusterStatus {
         machine,
         versions: [("a".to_string(), 9), ("b".to_string(), 8)].into(),
         out: [("b".to_string(), "its disk is empty".to_string())].into(),
@@ -216,7 +221,7 @@
         r#""versions":{},"out":{},"silent":[],"#,
         r#""routers":{"by_version":{},"lagging":[],"left_out":0}}}"#,
     );
-    let Reply::Status(overall) = decoded_response(text) else { panic!("another variant") };
+    let AdminResponse::Status(overall) = decoded_response(text) else { panic!("another variant") };
     let machine = Status {
         name: "a".into(),
         version: 0,
@@ -229,7 +234,7 @@
         learners: names(&[]),
         changing: true,
     };
-    let expected = Overall {
+    let expected = ClusterStatus {
         machine,
         versions: BTreeMap::new(),
         out: BTreeMap::new(),
@@ -242,7 +247,7 @@
 #[rstest]
 fn response_wrong() {
     let text = r#"{"wrong":{"why":"`wait_s` is 0 to 120"}}"#;
-    let Reply::Wrong { why } = decoded_response(text) else { panic!("another variant") };
+    let AdminResponse::Wrong { why } = decoded_response(text) else { panic!("another variant") };
     assert_eq!(why, "`wait_s` is 0 to 120");
 }
 
@@ -250,19 +255,22 @@
 #[rstest]
 fn frames_of_the_admin_endpoint() {
     let mut bytes = vec![];
-    let hello = Hello { version: Text::VERSION, planner: false, incarnation: 5, name: "operator".into() };
-    frames::hello_of::<Text>(&mut bytes, &hello);
+    let hello =
+        Hello { version: JsonFrame::VERSION, planner: false, incarnation: 5, name: "operator".into() };
+    frames::hello_of::<JsonFrame>(&mut bytes, &hello);
     assert_eq!(bytes.escape_ascii().to_string(), HELLO_FRAME);
     bytes.clear();
-    assert!(frames::message(&mut bytes, &Text(r#""status""#.into())));
+    assert!(frames::message(&mut bytes, &JsonFrame(r#""status""#.into())));
     assert_eq!(bytes.escape_ascii().to_string(), TEXT_FRAME);
-    let mut reader = frames::Reader::<Text>::default();
+    let mut reader = frames::Reader::<JsonFrame>::default();
     let mut hello_bytes = vec![];
-    frames::hello_of::<Text>(&mut hello_bytes, &hello);
+    frames::hello_of::<JsonFrame>(&mut hello_bytes, &hello);
     reader.feed(&hello_bytes);
     reader.feed(&bytes);
     assert!(matches!(reader.read(), Ok(Some(frames::Read::Hello(read))) if read == hello));
-    assert!(matches!(reader.read(), Ok(Some(frames::Read::Message(Text(text)))) if text == r#""status""#));
+    assert!(
+        matches!(reader.read(), Ok(Some(frames::Read::Message(JsonFrame(text)))) if text == r#""status""#)
+    );
 }
 
 const HELLO_FRAME: &str = r"\x00\x00\x00\x17{\x8bS\\ALDO\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x05operator";
--- a/crates/controller/tests/store.rs
+++ b/crates/control-server/tests/log_store.rs
@@ -1,6 +1,6 @@
 //! Stories of a control machine's disk: what was written is there after a start, and what was not is refused in one line.
 use alderway_control::consensus::{Held, Persist, Store};
-use alderway_controller::store::Disk;
+use alderway_control_server::log_store::LogStore;
 use rstest::rstest;
 use std::fs;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 #[rstest]
 fn what_was_written_is_there_after_a_start() {
     let folder = Folder::new("kept");
-    let (mut disk, held) = Disk::open(&folder.0).expect("an empty one");
+    let (mut disk, held) = LogStore::open(&folder.0).expect("an empty one");
     assert_eq!(held, Held::default());
     let writes = [
         Persist { identity: Some(b"who".into()), hard: Some(b"h1".into()), ..Persist::default() },
@@ -39,7 +39,7 @@
     ];
     writes.iter().for_each(|write| disk.write(write).expect("written"));
     drop(disk);
-    let (mut disk, held) = Disk::open(&folder.0).expect("as it was left");
+    let (mut disk, held) = LogStore::open(&folder.0).expect("as it was left");
     let texts: Vec<String> = held.entries.iter().map(|e| String::from_utf8_lossy(e).into_owned()).collect();
     assert_eq!(texts, ["a5", "b6", "b7", "b8", "b9", "b10", "b11", "b12"]);
     assert_eq!((held.floor, held.hard, held.snapshot), ((4, 2), Some(b"h2".to_vec()), Some(b"s".to_vec())));
@@ -48,22 +48,22 @@
         Persist { snapshot: Some(b"t".into()), floor: Some((40, 3)), clear: true, ..Persist::default() };
     disk.write(&snapshot).expect("written");
     drop(disk);
-    let (_, held) = Disk::open(&folder.0).expect("as it was left");
+    let (_, held) = LogStore::open(&folder.0).expect("as it was left");
     assert_eq!((held.entries.len(), held.floor, held.identity), (0, (40, 3), Some(b"who".to_vec())));
 }
 
 #[rstest]
 fn two_programs_do_not_use_one_folder() {
     let folder = Folder::new("twice");
-    let _first = Disk::open(&folder.0).expect("opened");
-    let why = Disk::open(&folder.0).err().expect("refused");
+    let _first = LogStore::open(&folder.0).expect("opened");
+    let why = LogStore::open(&folder.0).err().expect("refused");
     assert!(why.ends_with("another program uses it"), "{why}");
 }
 
 #[rstest]
 fn a_row_that_is_not_what_was_written_is_named() {
     let folder = Folder::new("row");
-    let (mut disk, _) = Disk::open(&folder.0).expect("an empty one");
+    let (mut disk, _) = LogStore::open(&folder.0).expect("an empty one");
     let word = b"a word that is found again in the file".to_vec();
     disk.write(&Persist { entries: vec![(1, word.clone())], ..Persist::default() }).expect("written");
     drop(disk);
@@ -74,6 +74,6 @@
     assert!(!found.is_empty());
     found.iter().for_each(|at| bytes[*at] ^= 1);
     fs::write(&path, bytes).expect("written");
-    let why = Disk::open(&folder.0).err().expect("refused");
+    let why = LogStore::open(&folder.0).err().expect("refused");
     assert!(why.contains("log.redb: ") && why.contains("by an empty one") && !why.contains('\n'), "{why}");
 }
--- a/crates/controller/tests/replica_frames.rs
+++ b/crates/control-server/tests/replica_frames.rs
@@ -2,7 +2,7 @@
 //! to the same bytes.
 use alderway_control::machine::Word;
 use alderway_control::outlet::{Lagging, Summary};
-use alderway_controller::links::Said;
+use alderway_control_server::replica_links::PeerFrame;
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use rstest::rstest;
 
@@ -14,9 +14,9 @@
 
 #[rstest]
 fn the_hello_frame_keeps_its_bytes() {
-    assert_eq!((Said::WORD, Said::VERSION), (*b"ALDC", 1));
+    assert_eq!((PeerFrame::WORD, PeerFrame::VERSION), (*b"ALDC", 1));
     let mut bytes = vec![];
-    frames::hello_of::<Said>(&mut bytes, &hello());
+    frames::hello_of::<PeerFrame>(&mut bytes, &hello());
     assert_eq!(bytes.escape_ascii().to_string(), HELLO);
 }
 
@@ -36,16 +36,16 @@
 )]
 fn each_message_frame_keeps_its_bytes(#[case] word: Word, #[case] expected: &str) {
     let mut bytes = vec![];
-    assert!(frames::message(&mut bytes, &Said(word.clone())));
+    assert!(frames::message(&mut bytes, &PeerFrame(word.clone())));
     assert_eq!(bytes.escape_ascii().to_string(), expected);
-    let mut reader = Reader::<Said>::default();
+    let mut reader = Reader::<PeerFrame>::default();
     let mut hello_bytes = vec![];
-    frames::hello_of::<Said>(&mut hello_bytes, &hello());
+    frames::hello_of::<PeerFrame>(&mut hello_bytes, &hello());
     reader.feed(&hello_bytes);
     reader.feed(&bytes);
     assert!(matches!(reader.read(), Ok(Some(Read::Hello(read))) if read == hello()));
     match reader.read() {
-        Ok(Some(Read::Message(Said(read)))) => assert_eq!(read, word),
+        Ok(Some(Read::Message(PeerFrame(read)))) => assert_eq!(read, word),
         _ => panic!("no message"),
     }
 }
--- a/crates/controller/tests/stored_data.rs
+++ b/crates/control-server/tests/stored_data.rs
@@ -4,7 +4,7 @@
 use alderway_control::consensus::{Held, Persist, Store};
 use alderway_control::machine::{Answer, Machine, Word};
 use alderway_control::version::{Proposal, Version};
-use alderway_controller::store::Disk;
+use alderway_control_server::log_store::LogStore;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use rstest::rstest;
 use serde_json::json;
@@ -143,7 +143,7 @@
 #[rstest]
 fn the_reference_log_is_read_field_by_field() {
     let folder = Folder::with_reference("read");
-    let (_disk, held) = Disk::open(&folder.0).expect("readable");
+    let (_disk, held) = LogStore::open(&folder.0).expect("readable");
     let Held { identity, snapshot: stored_snapshot, floor, entries: stored_entries, hard } = held;
     assert_eq!(identity.as_deref(), Some(IDENTITY.as_bytes()));
     assert_eq!(stored_snapshot, Some(snapshot()));
@@ -155,10 +155,10 @@
 #[rstest]
 fn the_reference_records_are_written_again_to_the_same_bytes() {
     let folder = Folder::with_reference("source");
-    let (disk, held) = Disk::open(&folder.0).expect("readable");
+    let (disk, held) = LogStore::open(&folder.0).expect("readable");
     drop(disk);
     let copy = Folder::new("copy");
-    let (mut disk, _) = Disk::open(&copy.0).expect("an empty one");
+    let (mut disk, _) = LogStore::open(&copy.0).expect("an empty one");
     let entries = (held.floor.0 + 1..).zip(held.entries).collect();
     let batch = Persist {
         identity: held.identity,
@@ -176,7 +176,7 @@
 #[rstest]
 fn a_machine_resumes_from_the_reference_log() {
     let folder = Folder::with_reference("resume");
-    let (mut disk, held) = Disk::open(&folder.0).expect("readable");
+    let (mut disk, held) = LogStore::open(&folder.0).expect("readable");
     let names: BTreeSet<String> = ["a", "b", "c"].map(String::from).into();
     let mut machine = Machine::new("a", &names, &held, 99, 1).expect("a machine");
     let output = machine.run(&mut disk, 0.0);
@@ -194,7 +194,7 @@
 /// Three machines with their disks, and the messages between them.
 struct Cluster {
     now: f64,
-    machines: BTreeMap<String, (Machine, Disk)>,
+    machines: BTreeMap<String, (Machine, LogStore)>,
     answers: Vec<(u64, Answer)>,
     folder: Folder,
 }
@@ -202,7 +202,7 @@
 impl Cluster {
     fn start(&mut self, name: &str, data: &str, id: u64) {
         let names = ["a", "b", "c"].map(String::from).into();
-        let (disk, held) = Disk::open(&self.folder.0.join(data)).expect("a disk");
+        let (disk, held) = LogStore::open(&self.folder.0.join(data)).expect("a disk");
         let mut machine = Machine::new(name, &names, &held, id, id * 7).expect("a machine");
         machine.snapshot_after = 6;
         self.machines.insert(name.into(), (machine, disk));
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -8,9 +8,9 @@
 use alderway_control::machine::Answer;
 use alderway_control::subscriber::{Machine, Terms};
 use alderway_control::version::{Number, Proposal};
-use alderway_controller::client;
-use alderway_controller::door::{Ask, Reply};
-use alderway_controller::hollow::{Hollow, hollow};
+use alderway_control_server::admin::client;
+use alderway_control_server::admin::{AdminRequest, AdminResponse};
+use alderway_control_server::simulated_router::SimulatedRouters;
 use clap::Args;
 use nix::time::{ClockId, clock_gettime};
 use rand_pcg::Pcg32;
@@ -197,12 +197,12 @@
         at_unix_ms: 0,
         settings: settings(base + 1),
     };
-    let ask = Ask::Propose { proposal, wait_s: 8.0 };
+    let ask = AdminRequest::Propose { proposal, wait_s: 8.0 };
     let bytes = serde_json::to_string(&ask).map_err(|why| why.to_string())?.len();
     let (until, mut said) = (Instant::now() + PATIENCE, String::new());
     for door in doors.iter().cycle() {
         match client::ask(*door, &ask, Duration::from_secs(10)) {
-            Ok(Reply::Answer { answer: Answer::Ordered(number), .. }) if number == base + 1 => {
+            Ok(AdminResponse::Answer { answer: Answer::Ordered(number), .. }) if number == base + 1 => {
                 return Ok(bytes);
             }
             Ok(other) => said = format!("{other:?}"),
@@ -220,7 +220,7 @@
 struct Stand<'a> {
     plan: &'a Control,
     group: Group,
-    hollow: Hollow,
+    hollow: SimulatedRouters,
     newest: Number,
     chance: Pcg32,
 }
@@ -244,7 +244,7 @@
         doors
     }
 
-    async fn until(&self, what: &str, holds: impl Fn(&Hollow) -> bool) -> Result<(), String> {
+    async fn until(&self, what: &str, holds: impl Fn(&SimulatedRouters) -> bool) -> Result<(), String> {
         let end = Instant::now() + PATIENCE;
         while !holds(&self.hollow) {
             if Instant::now() > end {
@@ -310,9 +310,9 @@
     /// The leader killed while a change is asked for, then all.
     async fn faults(&mut self) -> Result<Vec<Figure>, String> {
         let door = self.doors()[0];
-        let status = spawn_blocking(move || client::ask(door, &Ask::Status, Duration::from_secs(5)));
+        let status = spawn_blocking(move || client::ask(door, &AdminRequest::Status, Duration::from_secs(5)));
         let leader = match status.await.map_err(|why| why.to_string())? {
-            Ok(Reply::Status(all)) => all.machine.leader.ok_or("nobody leads")?,
+            Ok(AdminResponse::Status(all)) => all.machine.leader.ok_or("nobody leads")?,
             other => return Err(format!("no status: {other:?}")),
         };
         let n = (1..=self.group.count).find(|n| name(*n) == leader).ok_or("no such leader")?;
@@ -376,7 +376,7 @@
         let machine = |n| (Machine { name: name(n), zone: format!("z{n}") }, at(7300, n));
         let machines: Vec<(Machine, SocketAddr)> = (1..=self.machines).map(machine).collect();
         let zones: Vec<String> = (1..=self.machines).map(|n| format!("z{n}")).collect();
-        let hollow = hollow(0, &machines, &zones, seed);
+        let hollow = SimulatedRouters::start(0, &machines, &zones, seed);
         let mut stand = Stand { plan: self, group, hollow, newest: 0, chance: Pcg32::new(seed, 11) };
         // The first version, once they are founded.
         stand.change().await?;
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,6 +1,6 @@
 //! The router's subscription on sockets: one connection to a control machine, what is kept on disk, lines of the log and
 //! counters. Which machine, what of its words is taken and when what is said stands in `alderway_control::subscriber`.
-pub mod kept;
+pub mod persisted_version;
 
 use crate::life::settings::{Live, Outcome as Offered};
 use crate::memory::clock::Clock;
@@ -13,7 +13,7 @@
 use alderway_sockets::Sender;
 use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
 use alderway_tier::{Incarnation, Name};
-use kept::Kept;
+use persisted_version::PersistedVersion;
 use serde_json::Value;
 use std::future::pending;
 use std::io;
@@ -41,36 +41,36 @@
     pub machines: Vec<(Machine, SocketAddr)>,
     pub zone: String,
     pub terms: Terms,
-    pub keep: Option<PathBuf>,
+    pub persist_path: Option<PathBuf>,
     /// The version that this router starts with.
-    pub kept: Option<Kept>,
+    pub persisted: Option<PersistedVersion>,
     /// What was wrong with the kept file, for the log.
-    pub said: Option<String>,
+    pub load_error: Option<String>,
 }
 
 type Soon<T> = Pin<Box<dyn Future<Output = T>>>;
 /// Brings settings to the running router, under their number.
-pub type Offer = Box<dyn Fn(Value, Number) -> Soon<Outcome>>;
+pub type ApplySettings = Box<dyn Fn(Value, Number) -> Soon<Outcome>>;
 /// Is shown the subscription a few times a second, with the bytes that came in and went out.
-pub type Show = Box<dyn FnMut(&Subscriber, (u64, u64), f64)>;
+pub type ObserveSubscriber = Box<dyn FnMut(&Subscriber, (u64, u64), f64)>;
 
 /// What a subscription does with the world.
-pub struct Ends {
+pub struct SubscriptionHost {
     pub name: Name,
     pub incarnation: Incarnation,
     /// In the order of the subscriber's list, each with its name.
     pub machines: Vec<(Name, SocketAddr)>,
     pub clock: Clock,
-    pub offer: Offer,
+    pub apply: ApplySettings,
     /// What the next start is to be with, and when that was known to be the newest.
-    pub keep: Box<dyn Fn(Settled, Option<f64>)>,
-    pub show: Show,
+    pub persist: Box<dyn Fn(Settled, Option<f64>)>,
+    pub observe: ObserveSubscriber,
     /// Whether notes are written to the log.
-    pub logs: bool,
+    pub log_events: bool,
 }
 
 /// For a running router: what can change while it serves is in force once all its cores have taken it over.
-pub fn to_running(live: Live) -> Offer {
+pub fn to_running(live: Live) -> ApplySettings {
     Box::new(move |settings, number| {
         let live = live.clone();
         Box::pin(async move {
@@ -88,42 +88,42 @@
     subscription: Subscription,
     name: &str,
     seed: u64,
-    offer: Offer,
+    apply: ApplySettings,
     house: Arc<House>,
     clock: Clock,
 ) {
-    let Subscription { machines, zone, terms, keep, kept, said } = subscription;
-    if let Some(said) = said {
-        tracing::warn!(target: "control", "{said}");
+    let Subscription { machines, zone, terms, persist_path, persisted, load_error } = subscription;
+    if let Some(error) = load_error {
+        tracing::warn!(target: "control", "{error}");
     }
     let now = clock.now();
-    let kept = kept.map(|kept| {
-        let number = kept.settled.number;
+    let persisted = persisted.map(|persisted| {
+        let number = persisted.version.number;
         tracing::info!(target: "control", "version {number} in force, from the kept file");
         house.version.store(number, Relaxed);
-        let as_of = kept.as_of_unix_ms.and_then(|ms| clock.from_unix(ms));
-        (kept.settled, as_of.map(|as_of| as_of.min(now)))
+        let as_of = persisted.as_of_unix_ms.and_then(|ms| clock.from_unix(ms));
+        (persisted.version, as_of.map(|as_of| as_of.min(now)))
     });
     let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
-    let subscriber = Subscriber::new(terms, list, &zone, kept, seed, now);
-    let keeper = keep.map(|path| kept::keeper(path, clock));
-    let ends = Ends {
+    let subscriber = Subscriber::new(terms, list, &zone, persisted, seed, now);
+    let writer = persist_path.map(|path| persisted_version::spawn_writer(path, clock));
+    let host = SubscriptionHost {
         name: name.into(),
         incarnation: seed,
         machines: machines.into_iter().map(|(machine, at)| (machine.name, at)).collect(),
         clock,
-        offer,
-        keep: Box::new(move |settled, as_of| {
-            if let Some(keeper) = &keeper {
-                keeper.send_replace(Some((settled, as_of)));
+        apply,
+        persist: Box::new(move |settled, as_of| {
+            if let Some(writer) = &writer {
+                writer.send_replace(Some((settled, as_of)));
             }
         }),
-        show: Box::new(move |subscriber, bytes, now| {
+        observe: Box::new(move |subscriber, bytes, now| {
             house.control.send_replace(Arc::new(figures(subscriber, bytes, now)));
         }),
-        logs: true,
+        log_events: true,
     };
-    spawn_local(run(subscriber, ends));
+    spawn_local(run(subscriber, host));
 }
 
 fn figures(subscriber: &Subscriber, (bytes_in, bytes_out): (u64, u64), now: f64) -> Figures {
@@ -169,8 +169,8 @@
 }
 
 /// The driver: follows the subscriber's orders and tells it what came of them.
-pub async fn run(mut subscriber: Subscriber, mut ends: Ends) {
-    let clock = ends.clock;
+pub async fn run(mut subscriber: Subscriber, mut host: SubscriptionHost) {
+    let clock = host.clock;
     let mut dial: Option<(usize, Soon<io::Result<TcpStream>>)> = None;
     let mut offer: Option<(Number, Soon<Outcome>)> = None;
     let mut wire: Option<Wire> = None;
@@ -183,19 +183,19 @@
             match order {
                 Order::Dial(machine) => {
                     wire = None;
-                    let Some((_, at)) = ends.machines.get(machine).cloned() else { continue };
+                    let Some((_, at)) = host.machines.get(machine).cloned() else { continue };
                     dial = Some((machine, Box::pin(alderway_sockets::dial(at))));
                 }
                 Order::Leave => (wire, dial) = (None, None),
-                Order::Offer { number, settings } => offer = Some((number, (ends.offer)(settings, number))),
-                Order::Keep(settled) => (ends.keep)(settled, subscriber.as_of()),
-                Order::Note(note) if !ends.logs => drop(note),
+                Order::Offer { number, settings } => offer = Some((number, (host.apply)(settings, number))),
+                Order::Keep(settled) => (host.persist)(settled, subscriber.as_of()),
+                Order::Note(note) if !host.log_events => drop(note),
                 Order::Note(note) if note.warns() => tracing::warn!(target: "control", "{note}"),
                 Order::Note(note) => tracing::info!(target: "control", "{note}"),
             }
         }
         if now >= look {
-            (ends.show)(&subscriber, bytes, now);
+            (host.observe)(&subscriber, bytes, now);
             look = now + LOOK;
         }
         let mut waits = false;
@@ -222,7 +222,7 @@
                 match came {
                     Ok(stream) => {
                         let _ = stream.set_nodelay(true);
-                        let (name, incarnation) = (ends.name.clone(), ends.incarnation);
+                        let (name, incarnation) = (host.name.clone(), host.incarnation);
                         let hello = Hello { version: Say::VERSION, planner: false, incarnation, name };
                         let mut out = vec![];
                         frames::hello_of::<Say>(&mut out, &hello);
@@ -251,7 +251,7 @@
                         Ok(None) => true,
                     }
                 });
-                let sound = read && wire.as_mut().is_some_and(|held| hear(held, &mut subscriber, &ends));
+                let sound = read && wire.as_mut().is_some_and(|held| hear(held, &mut subscriber, &host));
                 if !sound && wire.take().is_some() {
                     subscriber.closed(clock.now());
                 }
@@ -267,11 +267,11 @@
     }
 }
 
-/// Takes in all that is there; false ends the connection.
-fn hear(wire: &mut Wire, subscriber: &mut Subscriber, ends: &Ends) -> bool {
+/// Takes in all that is there; false host the connection.
+fn hear(wire: &mut Wire, subscriber: &mut Subscriber, host: &SubscriptionHost) -> bool {
     loop {
-        let now = ends.clock.now();
-        let expected = ends.machines.get(wire.machine).map(|machine| &machine.0);
+        let now = host.clock.now();
+        let expected = host.machines.get(wire.machine).map(|machine| &machine.0);
         match wire.reader.read() {
             Ok(Some(Read::Hello(hello))) if !wire.greeted && Some(&hello.name) == expected => {
                 wire.greeted = true;
@@ -291,7 +291,7 @@
     }
 }
 
-/// Writes what waits, as far as it is taken; false ends the connection.
+/// Writes what waits, as far as it is taken; false host the connection.
 fn flush(wire: &mut Wire, sum: &mut u64) -> bool {
     match wire.sender.write(&wire.stream, &wire.out) {
         Ok(count) => {
--- a/crates/router/src/control/kept.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -18,20 +18,20 @@
 
 /// A version as it was kept.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
-    pub settled: Settled,
+pub struct PersistedVersion {
+    pub version: Settled,
     /// When it was last known to be the newest, by the wall clock of that time.
     pub as_of_unix_ms: Option<u64>,
 }
 
-impl Kept {
+impl PersistedVersion {
     fn text(&self) -> String {
-        let Settled { number, digest, text } = &self.settled;
+        let Settled { number, digest, text } = &self.version;
         let as_of = self.as_of_unix_ms.map_or("-".to_string(), |ms| ms.to_string());
         format!("{WORD} {number} {digest:016x} {as_of}\n{text}")
     }
 
-    fn read(text: &str) -> Option<Kept> {
+    fn read(text: &str) -> Option<PersistedVersion> {
         let (head, text) = text.split_once('\n')?;
         let mut head = head.strip_prefix(WORD)?.split_whitespace();
         let number = head.next()?.parse().ok().filter(|number| *number > 0)?;
@@ -40,13 +40,14 @@
             "-" => None,
             ms => Some(ms.parse().ok()?),
         };
-        let settled = Settled::new(number, text);
-        (settled.digest == digest && head.next().is_none()).then_some(Kept { settled, as_of_unix_ms })
+        let version = Settled::new(number, text);
+        (version.digest == digest && head.next().is_none())
+            .then_some(PersistedVersion { version, as_of_unix_ms })
     }
 }
 
 /// What is kept there; none where nothing is. Guards against a file that is torn, too long or another's.
-pub fn read(path: &Path) -> Result<Option<Kept>, String> {
+pub fn read(path: &Path) -> Result<Option<PersistedVersion>, String> {
     let torn = |why: &str| Err(format!("kept file {}: {why}; ignored", path.display()));
     match fs::metadata(path) {
         Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -58,13 +59,13 @@
         Err(why) => torn(&why.to_string()),
         Ok(Err(_)) => torn("torn or not of this program"),
         Ok(Ok(text)) => {
-            Kept::read(&text).map_or_else(|| torn("torn or not of this program"), |k| Ok(Some(k)))
+            PersistedVersion::read(&text).map_or_else(|| torn("torn or not of this program"), |k| Ok(Some(k)))
         }
     }
 }
 
 /// Writes beside, syncs, renames, and syncs the directory: at any moment the old one is there whole, or the new one.
-pub fn write(path: &Path, kept: &Kept) -> io::Result<()> {
+pub fn write(path: &Path, kept: &PersistedVersion) -> io::Result<()> {
     let beside = path.with_extension("new");
     let mut file = File::create(&beside)?;
     file.write_all(kept.text().as_bytes())?;
@@ -82,7 +83,7 @@
 const RETRY: Duration = Duration::from_secs(1);
 
 /// Keeps the newest of what it is sent, off the thread that serves.
-pub fn keeper(path: PathBuf, clock: Clock) -> watch::Sender<Newest> {
+pub fn spawn_writer(path: PathBuf, clock: Clock) -> watch::Sender<Newest> {
     let (sender, mut news) = watch::channel::<Newest>(None);
     spawn_local(async move {
         while news.changed().await.is_ok() {
@@ -106,24 +107,24 @@
     clock: Clock,
     peers: Option<u64>,
 ) -> Read<Station> {
-    let kept = subscription.keep.as_deref().map_or(Ok(None), read);
+    let kept = subscription.persist_path.as_deref().map_or(Ok(None), read);
     let (kept, mut said) = match kept {
         Ok(kept) => (kept, None),
         Err(why) => (None, Some(why)),
     };
     if let Some(kept) = kept {
-        let number = kept.settled.number;
-        let settings = serde_json::from_str::<Value>(&kept.settled.text).map_err(|why| why.to_string());
+        let number = kept.version.number;
+        let settings = serde_json::from_str::<Value>(&kept.version.text).map_err(|why| why.to_string());
         match settings.and_then(|settings| start::read_with(config, clock, peers, Some(settings))) {
             Ok(mut station) => {
-                subscription.kept = Some(kept);
+                subscription.persisted = Some(kept);
                 station.control = Some(subscription);
                 return Ok(station);
             }
             Err(why) => said = Some(format!("version {number} of the kept file: {why}; ignored")),
         }
     }
-    subscription.said = said;
+    subscription.load_error = said;
     let mut station = start::read_among(config, clock, peers)?;
     station.control = Some(subscription);
     Ok(station)
@@ -131,11 +132,11 @@
 
 /// Writes the newest version; why it is not kept, if it is not.
 async fn keep_newest(news: &mut watch::Receiver<Newest>, path: &Path, clock: Clock) -> Option<String> {
-    let (settled, as_of) = news.borrow_and_update().clone()?;
-    let (number, path) = (settled.number, path.to_path_buf());
+    let (version, as_of) = news.borrow_and_update().clone()?;
+    let (number, path) = (version.number, path.to_path_buf());
     let age = as_of.map(|as_of| clock.now() - as_of);
     let as_of_unix_ms = age.map(|age| ((clock.unix_now() - age).max(0.0) * 1e3) as u64);
-    let kept = Kept { settled, as_of_unix_ms };
+    let kept = PersistedVersion { version, as_of_unix_ms };
     let why = match spawn_blocking(move || write(&path, &kept)).await {
         Ok(Ok(())) => return None,
         Ok(Err(why)) => why.to_string(),
--- a/crates/router/tests/persisted_version.rs
+++ b/crates/router/tests/persisted_version.rs
@@ -1,7 +1,7 @@
 //! The file of a persisted configuration version stays readable: reference files are read, compared field by field, and
 //! written again to the same bytes.
 use alderway_control::subscriber::Settled;
-use alderway_router::control::kept::{self, Kept};
+use alderway_router::control::persisted_version::{self, PersistedVersion};
 use rstest::rstest;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -33,13 +33,14 @@
     #[case] as_of_unix_ms: Option<u64>,
 ) {
     let reference = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(file);
-    let persisted = kept::read(&reference).expect("sound").expect("there");
-    let Kept { settled: Settled { number, digest, text }, as_of_unix_ms: read_as_of } = persisted.clone();
+    let persisted = persisted_version::read(&reference).expect("sound").expect("there");
+    let PersistedVersion { version: Settled { number, digest, text }, as_of_unix_ms: read_as_of } =
+        persisted.clone();
     assert_eq!((number, digest, &*text), (7, 0x0000_0042_5779_502b, SETTINGS));
     assert_eq!(read_as_of, as_of_unix_ms);
     let folder = Folder::new(file);
     let copy = folder.0.join("version");
-    kept::write(&copy, &persisted).expect("written");
+    persisted_version::write(&copy, &persisted).expect("written");
     assert_eq!(fs::read(&copy).expect("read"), fs::read(&reference).expect("read"));
     assert_eq!(fs::read_dir(&folder.0).expect("a folder").count(), 1);
 }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -5,10 +5,10 @@
 use alderway_control::subscriber::{Machine, Settled, Terms};
 use alderway_control::version::{Number, Version};
 use alderway_control::words::{Outcome, Say};
-use alderway_controller::hollow::hollow;
-use alderway_controller::subscriptions::Subscriptions;
-use alderway_router::control::kept::{self, Kept};
-use alderway_router::control::{Offer, Subscription, start};
+use alderway_control_server::simulated_router::SimulatedRouters;
+use alderway_control_server::subscriptions::Subscriptions;
+use alderway_router::control::persisted_version::{self, PersistedVersion};
+use alderway_router::control::{ApplySettings, Subscription, start};
 use alderway_router::life::start::Station;
 use alderway_router::memory::clock::Clock;
 use alderway_router::memory::house::{Figures, House, Sharing};
@@ -113,20 +113,26 @@
     fn new(machines: Vec<(Machine, SocketAddr)>, keep: Option<PathBuf>, refuses: &[Number]) -> Router {
         let (offered, refuses) = (Rc::new(RefCell::new(vec![])), refuses.to_vec());
         let taken = offered.clone();
-        let offer: Offer = Box::new(move |settings, number| {
+        let offer: ApplySettings = Box::new(move |settings, number| {
             taken.borrow_mut().push((number, settings));
             let refused = refuses.contains(&number);
             Box::pin(async move {
                 if refused { Outcome::Refused("key `x`: expected y".into()) } else { Outcome::InForce }
             })
         });
-        let kept = keep.as_deref().and_then(|path| kept::read(path).ok().flatten());
-        let subscription =
-            Subscription { machines, zone: "z1".into(), terms: quick(), keep, kept, said: None };
+        let kept = keep.as_deref().and_then(|path| persisted_version::read(path).ok().flatten());
+        let subscription = Subscription {
+            machines,
+            zone: "z1".into(),
+            terms: quick(),
+            persist_path: keep,
+            persisted: kept,
+            load_error: None,
+        };
         Router { house: Router::started(subscription, offer), offered }
     }
 
-    fn started(subscription: Subscription, offer: Offer) -> Arc<House> {
+    fn started(subscription: Subscription, offer: ApplySettings) -> Arc<House> {
         let sharing = Sharing { cores: 1, node_connections: None, evidence: false };
         let house = House::new(100, sharing, f64::INFINITY).0;
         start(subscription, "r", 5, offer, house.clone(), Clock::default());
@@ -193,7 +199,7 @@
 }
 
 /// For a router whose settings only change with a start: what is sound and differs from the held waits for one.
-fn with_a_start(held: Value) -> Offer {
+fn with_a_start(held: Value) -> ApplySettings {
     Box::new(move |settings, _| {
         let outcome = match alderway_deployment::router(0, &settings) {
             Err(why) => Outcome::Refused(format!("key `settings`: expected {why}")),
@@ -330,21 +336,23 @@
         router.until(is("control_version", 1)).await;
         desk.commit(2);
         router.until(is("control_version", 2)).await;
-        until(|| kept::read(&keep).ok().flatten().is_some_and(|kept| kept.settled.number == 2)).await;
+        until(|| persisted_version::read(&keep).ok().flatten().is_some_and(|kept| kept.version.number == 2))
+            .await;
     });
     let at = closed();
     let subscription = || Subscription {
         machines: vec![(machine("c1", "z1"), at)],
         zone: "z1".into(),
         terms: quick(),
-        keep: Some(keep.clone()),
-        kept: None,
-        said: None,
+        persist_path: Some(keep.clone()),
+        persisted: None,
+        load_error: None,
     };
-    let station = kept::station(subscription(), &config, Clock::default(), None).expect("a station");
+    let station =
+        persisted_version::station(subscription(), &config, Clock::default(), None).expect("a station");
     assert_eq!(station.settings, settings(2));
     let control = station.control.expect("a subscription");
-    assert_eq!(control.kept.as_ref().map(|kept| kept.settled.number), Some(2));
+    assert_eq!(control.persisted.as_ref().map(|kept| kept.version.number), Some(2));
     story(async {
         let router =
             Router { house: Router::started(control, with_a_start(settings(2))), offered: Rc::default() };
@@ -353,13 +361,15 @@
         // What changes waits for a start here, and is kept for it.
         let desk = Desk::at("c1", at, 3).await;
         router.until(is("control_versions_waiting", 1)).await;
-        until(|| kept::read(&keep).ok().flatten().is_some_and(|kept| kept.settled.number == 3)).await;
+        until(|| persisted_version::read(&keep).ok().flatten().is_some_and(|kept| kept.version.number == 3))
+            .await;
         until(|| {
             desk.subscriptions.summary().lagging.iter().any(|l| l.why == "3 waits for a start: settings")
         })
         .await;
     });
-    let station = kept::station(subscription(), &config, Clock::default(), None).expect("a station");
+    let station =
+        persisted_version::station(subscription(), &config, Clock::default(), None).expect("a station");
     assert_eq!(station.settings, settings(3));
 }
 
@@ -374,8 +384,15 @@
 /// What a router with that configuration starts with, given a kept file.
 fn started_from(place: &Place, keep: PathBuf, machines: Vec<(Machine, SocketAddr)>) -> Station {
     let (zone, keep) = (String::new(), Some(keep));
-    let subscription = Subscription { machines, zone, terms: quick(), keep, kept: None, said: None };
-    kept::station(subscription, &configured(place), Clock::default(), None).expect("a station")
+    let subscription = Subscription {
+        machines,
+        zone,
+        terms: quick(),
+        persist_path: keep,
+        persisted: None,
+        load_error: None,
+    };
+    persisted_version::station(subscription, &configured(place), Clock::default(), None).expect("a station")
 }
 
 #[rstest]
@@ -386,17 +403,19 @@
 fn a_torn_kept_file_is_said_and_ignored(#[case] tear: fn(&str) -> String, #[case] why: &str) {
     let place = Place::new("torn");
     let keep = place.file("version");
-    let sound =
-        Kept { settled: Settled::new(7, &settings(7).to_string()), as_of_unix_ms: Some(1_700_000_000_000) };
-    kept::write(&keep, &sound).expect("written");
-    assert_eq!(kept::read(&keep), Ok(Some(sound)));
+    let sound = PersistedVersion {
+        version: Settled::new(7, &settings(7).to_string()),
+        as_of_unix_ms: Some(1_700_000_000_000),
+    };
+    persisted_version::write(&keep, &sound).expect("written");
+    assert_eq!(persisted_version::read(&keep), Ok(Some(sound)));
     let text = std::fs::read_to_string(&keep).expect("there");
     std::fs::write(&keep, tear(&text)).expect("written");
     let station = started_from(&place, keep, vec![(machine("c1", "z1"), closed())]);
     assert_eq!(station.settings, settings(0));
     let control = station.control.expect("a subscription");
-    assert!(control.kept.is_none());
-    let said = control.said.expect("a line of the log");
+    assert!(control.persisted.is_none());
+    let said = control.load_error.expect("a line of the log");
     assert!(said.ends_with(&format!("{why}; ignored")), "{said}");
 }
 
@@ -404,11 +423,11 @@
 fn a_kept_version_that_is_faulty_here_is_said_and_ignored() {
     let place = Place::new("faulty");
     let keep = place.file("version");
-    let faulty = Kept { settled: Settled::new(7, r#"{"Limits":{}}"#), as_of_unix_ms: None };
-    kept::write(&keep, &faulty).expect("written");
+    let faulty = PersistedVersion { version: Settled::new(7, r#"{"Limits":{}}"#), as_of_unix_ms: None };
+    persisted_version::write(&keep, &faulty).expect("written");
     let station = started_from(&place, keep, vec![]);
     assert_eq!(station.settings, settings(0));
-    let said = station.control.and_then(|control| control.said).expect("a line of the log");
+    let said = station.control.and_then(|control| control.load_error).expect("a line of the log");
     assert!(said.starts_with("version 7 of the kept file: key `settings`: expected "), "{said}");
 }
 
@@ -420,7 +439,7 @@
             (machine("c1", "z1"), first.subscriptions.address()),
             (machine("c2", "z2"), second.subscriptions.address()),
         ];
-        let hollow = hollow(60, &list, &["z1".into(), "z2".into()], 3);
+        let hollow = SimulatedRouters::start(60, &list, &["z1".into(), "z2".into()], 3);
         until(|| hollow.have(1) == 60).await;
         assert_eq!((first.subscriptions.links(), second.subscriptions.links()), (30, 30));
         first.commit(2);
@@ -440,18 +459,18 @@
         let folder = std::env::temp_dir().join(format!("alderway-kept-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         let path = folder.join("version");
-        let keep = kept::keeper(path.clone(), Clock::default());
+        let keep = persisted_version::spawn_writer(path.clone(), Clock::default());
         // There is no such folder yet, so nothing can be written.
         let settled = Settled::new(7, "{}");
         keep.send_replace(Some((settled.clone(), None)));
         sleep(Duration::from_millis(200)).await;
-        assert_eq!(kept::read(&path), Ok(None));
+        assert_eq!(persisted_version::read(&path), Ok(None));
         std::fs::create_dir_all(&folder).expect("a folder");
-        while kept::read(&path).ok().flatten().is_none() {
+        while persisted_version::read(&path).ok().flatten().is_none() {
             sleep(Duration::from_millis(20)).await;
         }
-        let kept = kept::read(&path).expect("sound").expect("kept");
-        assert_eq!(kept.settled, settled);
+        let kept = persisted_version::read(&path).expect("sound").expect("kept");
+        assert_eq!(kept.version, settled);
         let _ = std::fs::remove_dir_all(&folder);
     });
 }
