--- a/crates/control-server/src/log_store.rs
+++ b/crates/control-server/src/log_store.rs
@@ -1,166 +1,299 @@
-//! The disk of a control machine: one file in which an embedded database keeps the order's log. Each write is one
-//! transaction, synced before it counts. Every value has a checksum of its own: a file that is torn, of another program or
-//! of another version is refused with one line.
+//! The control log on disk: one file of an embedded database in the replica's data folder.
+//!
+//! A batch of the replica is one transaction. [`Store::write`] returns only once the transaction has been synced to disk;
+//! the replica sends no vote, no acknowledgement and no answer that follows from a batch before that. Each value carries a
+//! CRC-32 of its own, so that a truncated file, a file of another program and one of another version are told apart from a
+//! sound one and refused when they are opened.
 use alderway_control::consensus::{Held, Persist, Store};
 use alderway_control::machine::REPLACE;
 use redb::{Builder, Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
-use std::fs::{self, File};
+use std::fs::{self, File, TryLockError};
+use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
+/// Entries of the log by their index.
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
+/// Everything else, by the keys below.
 const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
+
+const KEY_FORMAT: &str = "form";
+const KEY_IDENTITY: &str = "identity";
+const KEY_SNAPSHOT: &str = "snapshot";
+const KEY_HARD_STATE: &str = "hard";
+/// Index and term of the last compacted entry, eight bytes each, most significant byte first.
+const KEY_FLOOR: &str = "floor";
+
+/// The value of [`KEY_FORMAT`] in files that this version reads and writes.
 const FORMAT: &str = "alderway control 1";
-/// Bytes of the file that may be held in memory.
+/// The part of the file that may be held in memory.
 const CACHE_BYTES: usize = 16 * 1024 * 1024;
-/// In the folder of a machine's data.
 const FILE_NAME: &str = "log.redb";
+const LOCK_FILE_NAME: &str = "lock";
+
+/// Why the control log cannot be opened or written. Each message names the file.
+#[derive(Debug, Error)]
+pub enum LogStoreError {
+    /// The data folder or a file in it cannot be created, locked or synced.
+    #[error("{path}: {source}", path = path.display())]
+    Io {
+        /// The log file.
+        path: PathBuf,
+        /// What the system reported.
+        source: io::Error,
+    },
+    /// Another process holds the lock of the data folder.
+    #[error("{path}: another program uses it", path = path.display())]
+    InUse {
+        /// The log file.
+        path: PathBuf,
+    },
+    /// The file exists, but what it holds cannot be used: the replica's disk has to be replaced by an empty one.
+    #[error("{path}: {source}; {REPLACE}", path = path.display())]
+    Unreadable {
+        /// The log file.
+        path: PathBuf,
+        /// What is wrong with the contents.
+        source: ContentError,
+    },
+    /// A transaction failed. All of it or nothing may have reached the disk.
+    #[error("{path}: {source}", path = path.display())]
+    Write {
+        /// The log file.
+        path: PathBuf,
+        /// What the database reported.
+        source: DatabaseError,
+    },
+}
 
-/// The file, and the folder's lock while the program runs.
+/// Why the contents of a log file cannot be used.
+#[derive(Debug, Error)]
+pub enum ContentError {
+    /// The database cannot read the file.
+    #[error(transparent)]
+    Database(#[from] DatabaseError),
+    /// A value is shorter than its checksum and fixed fields.
+    #[error("{record} is torn")]
+    Truncated {
+        /// The key of the state, or the entry.
+        record: String,
+    },
+    /// A value's checksum is not that of its bytes.
+    #[error("{record} is not what was written")]
+    ChecksumMismatch {
+        /// The key of the state, or the entry.
+        record: String,
+    },
+    /// The state has a key that this version doesn't know.
+    #[error("`{0}` is nothing that this version writes")]
+    UnknownKey(String),
+    /// The file's format isn't [`FORMAT`].
+    #[error("it is not a log of this version")]
+    UnknownFormat,
+}
+
+/// Why the database refused an operation.
+#[derive(Debug, Error)]
+pub enum DatabaseError {
+    /// As the database reports it.
+    #[error(transparent)]
+    Reported(#[from] Box<redb::Error>),
+    /// The database panicked, as it does on some damaged files.
+    #[error("its pages contradict each other")]
+    InconsistentPages,
+}
+
+/// The open log file. The data folder stays locked for as long as this value lives.
 pub struct LogStore {
     path: PathBuf,
-    /// None after a failed write: it is opened anew before the next.
-    open: Option<Database>,
+    /// `None` after a failed write: the database can't be used after an error, and is opened anew for the next write.
+    database: Option<Database>,
     _lock: File,
 }
 
-fn sealed(bytes: &[u8]) -> Vec<u8> {
-    let mut sealed = crc32fast::hash(bytes).to_be_bytes().to_vec();
-    sealed.extend_from_slice(bytes);
-    sealed
+impl LogStore {
+    /// Opens the log in `folder`, or creates an empty one, and reads everything that it holds.
+    ///
+    /// # Errors
+    /// The folder is in use or can't be written, or the log in it is damaged or of another version.
+    pub fn open(folder: &Path) -> Result<(LogStore, Held), LogStoreError> {
+        let path = folder.join(FILE_NAME);
+        let io_error = |source| LogStoreError::Io { path: path.clone(), source };
+        let unreadable = |source| LogStoreError::Unreadable { path: path.clone(), source };
+        fs::create_dir_all(folder).map_err(io_error)?;
+        let lock = lock_folder(folder, &path)?;
+        // A replica with an empty file has made no promise to its peers yet: it gets a new identity.
+        let is_new = fs::metadata(&path).map_or(true, |metadata| metadata.len() == 0);
+        let database = open_database(&path).map_err(|source| unreadable(source.into()))?;
+        if is_new {
+            let initialized = without_panic(|| initialize(&database));
+            initialized.map_err(|source| LogStoreError::Write { path: path.clone(), source })?;
+            // Without this a crash can lose the new file's directory entry, and with it promises made later.
+            File::open(folder).and_then(|folder| folder.sync_all()).map_err(io_error)?;
+        }
+        let recovered = recover(&database).map_err(unreadable)?;
+        Ok((LogStore { path, database: Some(database), _lock: lock }, recovered))
+    }
+
+    /// Writes a batch as one transaction and syncs it.
+    ///
+    /// # Errors
+    /// The disk or the database refused it; all of the batch or nothing may be on disk.
+    fn write_batch(&mut self, batch: &Persist) -> Result<(), DatabaseError> {
+        let database = match self.database.take() {
+            Some(database) => database,
+            None => open_database(&self.path)?,
+        };
+        // Moved in, as closing a database after a failed write may panic too.
+        let written = without_panic(move || {
+            commit_batch(&database, batch)?;
+            Ok(database)
+        });
+        self.database = Some(written?);
+        Ok(())
+    }
 }
 
-fn unsealed(sealed: &[u8], what: &str) -> Result<Vec<u8>, String> {
-    let (seal, bytes) = sealed.split_first_chunk::<4>().ok_or_else(|| format!("{what} is torn"))?;
-    if u32::from_be_bytes(*seal) != crc32fast::hash(bytes) {
-        return Err(format!("{what} is not what was written"));
+impl Store for LogStore {
+    fn write(&mut self, batch: &Persist) -> Result<(), String> {
+        let written = self.write_batch(batch);
+        written.map_err(|source| LogStoreError::Write { path: self.path.clone(), source }.to_string())
     }
-    Ok(bytes.to_vec())
 }
 
-/// The database's errors, and what it does not stand of a spoilt file.
-fn guarded<T>(act: impl FnOnce() -> Result<T, redb::Error>) -> Result<T, String> {
-    match catch_unwind(AssertUnwindSafe(act)) {
-        Ok(done) => done.map_err(|why| why.to_string()),
-        Err(_) => Err("its pages contradict each other".into()),
+fn lock_folder(folder: &Path, log_path: &Path) -> Result<File, LogStoreError> {
+    let path = || log_path.to_path_buf();
+    let lock = File::create(folder.join(LOCK_FILE_NAME))
+        .map_err(|source| LogStoreError::Io { path: path(), source })?;
+    match lock.try_lock() {
+        Ok(()) => Ok(lock),
+        Err(TryLockError::WouldBlock) => Err(LogStoreError::InUse { path: path() }),
+        Err(TryLockError::Error(source)) => Err(LogStoreError::Io { path: path(), source }),
     }
 }
 
-impl LogStore {
-    /// Opens the folder's file, or makes an empty one, and reads what it holds.
-    pub fn open(folder: &Path) -> Result<(LogStore, Held), String> {
-        let path = folder.join(FILE_NAME);
-        let tell = |why: String| format!("{}: {why}", path.display());
-        fs::create_dir_all(folder).map_err(|why| tell(why.to_string()))?;
-        let lock = File::create(folder.join("lock")).map_err(|why| tell(why.to_string()))?;
-        lock.try_lock().map_err(|_| tell("another program uses it".into()))?;
-        // An empty file promised nobody anything: the disk gets an id of its own.
-        let fresh = fs::metadata(&path).map_or(true, |about| about.len() == 0);
-        let refused = |why: String| tell(format!("{why}; {REPLACE}"));
-        let open = LogStore::database(&path).map_err(refused)?;
-        if fresh {
-            guarded(|| LogStore::make(&open)).map_err(tell)?;
-            // That there is such a file has to be on disk too.
-            File::open(folder).and_then(|folder| folder.sync_all()).map_err(|why| tell(why.to_string()))?;
-        }
-        let held = LogStore::read(&open).map_err(refused)?;
-        Ok((LogStore { path, open: Some(open), _lock: lock }, held))
+/// Runs a database operation. The database panics on some damaged files where it should report an error.
+fn without_panic<T>(operation: impl FnOnce() -> Result<T, redb::Error>) -> Result<T, DatabaseError> {
+    match catch_unwind(AssertUnwindSafe(operation)) {
+        Ok(result) => result.map_err(|error| DatabaseError::Reported(Box::new(error))),
+        Err(_) => Err(DatabaseError::InconsistentPages),
     }
+}
+
+fn open_database(path: &Path) -> Result<Database, DatabaseError> {
+    without_panic(|| Ok(Builder::new().set_cache_size(CACHE_BYTES).create(path)?))
+}
+
+fn initialize(database: &Database) -> Result<(), redb::Error> {
+    let transaction = database.begin_write()?;
+    transaction.open_table(ENTRIES)?;
+    transaction.open_table(STATE)?.insert(KEY_FORMAT, with_checksum(FORMAT.as_bytes()).as_slice())?;
+    Ok(transaction.commit()?)
+}
 
-    fn database(path: &Path) -> Result<Database, String> {
-        guarded(|| Ok(Builder::new().set_cache_size(CACHE_BYTES).create(path)?))
+/// The rows of both tables, with their checksums.
+struct StoredRows {
+    state: Vec<(String, Vec<u8>)>,
+    entries: Vec<(u64, Vec<u8>)>,
+}
+
+fn read_rows(database: &Database) -> Result<StoredRows, redb::Error> {
+    let transaction = database.begin_read()?;
+    let mut rows = StoredRows { state: vec![], entries: vec![] };
+    for row in transaction.open_table(STATE)?.iter()? {
+        let (key, value) = row?;
+        rows.state.push((key.value().to_string(), value.value().to_vec()));
     }
+    for row in transaction.open_table(ENTRIES)?.iter()? {
+        let (index, value) = row?;
+        rows.entries.push((index.value(), value.value().to_vec()));
+    }
+    Ok(rows)
+}
 
-    fn make(open: &Database) -> Result<(), redb::Error> {
-        let writes = open.begin_write()?;
-        writes.open_table(ENTRIES)?;
-        writes.open_table(STATE)?.insert("form", sealed(FORMAT.as_bytes()).as_slice())?;
-        Ok(writes.commit()?)
+fn recover(database: &Database) -> Result<Held, ContentError> {
+    let rows = without_panic(|| read_rows(database))?;
+    let mut recovered = Held::default();
+    let mut format = None;
+    for (key, value) in rows.state {
+        let bytes = verified(&value, || format!("`{key}`"))?;
+        match key.as_str() {
+            KEY_FORMAT => format = Some(bytes),
+            KEY_IDENTITY => recovered.identity = Some(bytes),
+            KEY_SNAPSHOT => recovered.snapshot = Some(bytes),
+            KEY_HARD_STATE => recovered.hard = Some(bytes),
+            KEY_FLOOR => recovered.floor = decode_floor(&bytes)?,
+            _ => return Err(ContentError::UnknownKey(key)),
+        }
+    }
+    if format.as_deref() != Some(FORMAT.as_bytes()) {
+        return Err(ContentError::UnknownFormat);
+    }
+    for (index, value) in rows.entries {
+        recovered.entries.push(verified(&value, || format!("entry {index}"))?);
     }
+    Ok(recovered)
+}
 
-    fn read(open: &Database) -> Result<Held, String> {
-        let (state, entries) = guarded(|| {
-            let reads = open.begin_read()?;
-            let (mut state, mut entries) = (vec![], vec![]);
-            for row in reads.open_table(STATE)?.iter()? {
-                let (key, value) = row?;
-                state.push((key.value().to_string(), value.value().to_vec()));
-            }
-            for row in reads.open_table(ENTRIES)?.iter()? {
-                let (key, value) = row?;
-                entries.push((key.value(), value.value().to_vec()));
-            }
-            Ok((state, entries))
-        })?;
-        let mut held = Held::default();
-        let mut form = vec![];
-        for (key, value) in state {
-            let bytes = unsealed(&value, &format!("`{key}`"))?;
-            match key.as_str() {
-                "form" => form = bytes,
-                "identity" => held.identity = Some(bytes),
-                "snapshot" => held.snapshot = Some(bytes),
-                "hard" => held.hard = Some(bytes),
-                "floor" => {
-                    let word = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_be_bytes);
-                    held.floor = word(0).zip(word(8)).ok_or("`floor` is torn")?;
-                }
-                _ => return Err(format!("`{key}` is nothing that this version writes")),
+fn encode_floor((index, term): (u64, u64)) -> Vec<u8> {
+    [index, term].map(u64::to_be_bytes).concat()
+}
+
+fn decode_floor(bytes: &[u8]) -> Result<(u64, u64), ContentError> {
+    let number = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_be_bytes);
+    number(0).zip(number(8)).ok_or(ContentError::Truncated { record: format!("`{KEY_FLOOR}`") })
+}
+
+/// The order of steps is that of [`Persist`]: state, entries that go, entries that are replaced.
+fn commit_batch(database: &Database, batch: &Persist) -> Result<(), redb::Error> {
+    let mut transaction = database.begin_write()?;
+    // The commit below returns only after the file has been synced.
+    transaction.set_durability(Durability::Immediate)?;
+    let floor = batch.floor.map(encode_floor);
+    let state_rows = [
+        (KEY_IDENTITY, &batch.identity),
+        (KEY_SNAPSHOT, &batch.snapshot),
+        (KEY_HARD_STATE, &batch.hard),
+        (KEY_FLOOR, &floor),
+    ];
+    {
+        let mut state = transaction.open_table(STATE)?;
+        for (key, value) in state_rows {
+            if let Some(bytes) = value {
+                state.insert(key, with_checksum(bytes).as_slice())?;
             }
         }
-        if form != FORMAT.as_bytes() {
-            return Err("it is not a log of this version".into());
+        let mut entries = transaction.open_table(ENTRIES)?;
+        if batch.clear {
+            entries.retain(|_, _| false)?;
+        } else if let Some((compacted_index, _)) = batch.floor {
+            entries.retain_in(..=compacted_index, |_, _| false)?;
         }
-        for (index, value) in entries {
-            held.entries.push(unsealed(&value, &format!("entry {index}"))?);
+        if let Some((first_index, _)) = batch.entries.first() {
+            entries.retain_in(*first_index.., |_, _| false)?;
         }
-        Ok(held)
-    }
-
-    fn keep(open: &Database, what: &Persist) -> Result<(), redb::Error> {
-        let mut writes = open.begin_write()?;
-        writes.set_durability(Durability::Immediate)?;
-        {
-            let mut state = writes.open_table(STATE)?;
-            let floor = what.floor.map(|(index, term)| [index, term].map(u64::to_be_bytes).concat());
-            let rows = [
-                ("identity", &what.identity),
-                ("snapshot", &what.snapshot),
-                ("hard", &what.hard),
-                ("floor", &floor),
-            ];
-            for (key, value) in rows {
-                if let Some(bytes) = value {
-                    state.insert(key, sealed(bytes).as_slice())?;
-                }
-            }
-            let mut entries = writes.open_table(ENTRIES)?;
-            if what.clear {
-                entries.retain(|_, _| false)?;
-            } else if let Some((index, _)) = what.floor {
-                entries.retain_in(..=index, |_, _| false)?;
-            }
-            if let Some((first, _)) = what.entries.first() {
-                entries.retain_in(*first.., |_, _| false)?;
-            }
-            for (index, bytes) in &what.entries {
-                entries.insert(index, sealed(bytes).as_slice())?;
-            }
+        for (index, bytes) in &batch.entries {
+            entries.insert(index, with_checksum(bytes).as_slice())?;
         }
-        Ok(writes.commit()?)
     }
+    Ok(transaction.commit()?)
 }
 
-impl Store for LogStore {
-    fn write(&mut self, what: &Persist) -> Result<(), String> {
-        let open = match self.open.take() {
-            Some(open) => open,
-            None => LogStore::database(&self.path)?,
-        };
-        self.open = Some(guarded(move || {
-            LogStore::keep(&open, what)?;
-            Ok(open)
-        })?);
-        Ok(())
+/// A value as it is stored: CRC-32, most significant byte first, then the bytes.
+fn with_checksum(bytes: &[u8]) -> Vec<u8> {
+    let mut stored = crc32fast::hash(bytes).to_be_bytes().to_vec();
+    stored.extend_from_slice(bytes);
+    stored
+}
+
+/// The bytes of a stored value; `record` names it for an error.
+fn verified(stored: &[u8], record: impl Fn() -> String) -> Result<Vec<u8>, ContentError> {
+    let Some((checksum, bytes)) = stored.split_first_chunk::<4>() else {
+        return Err(ContentError::Truncated { record: record() });
+    };
+    if u32::from_be_bytes(*checksum) != crc32fast::hash(bytes) {
+        return Err(ContentError::ChecksumMismatch { record: record() });
     }
+    Ok(bytes.to_vec())
 }
--- a/crates/control-server/tests/log_store.rs
+++ b/crates/control-server/tests/log_store.rs
@@ -56,7 +56,7 @@
 fn two_programs_do_not_use_one_folder() {
     let folder = Folder::new("twice");
     let _first = LogStore::open(&folder.0).expect("opened");
-    let why = LogStore::open(&folder.0).err().expect("refused");
+    let why = LogStore::open(&folder.0).err().expect("refused").to_string();
     assert!(why.ends_with("another program uses it"), "{why}");
 }
 
@@ -74,6 +74,6 @@
     assert!(!found.is_empty());
     found.iter().for_each(|at| bytes[*at] ^= 1);
     fs::write(&path, bytes).expect("written");
-    let why = LogStore::open(&folder.0).err().expect("refused");
+    let why = LogStore::open(&folder.0).err().expect("refused").to_string();
     assert!(why.contains("log.redb: ") && why.contains("by an empty one") && !why.contains('\n'), "{why}");
 }
