--- a/crates/alderway/src/config.rs
+++ b/crates/alderway/src/config.rs
@@ -154,10 +154,10 @@
 fn asked(all: &[SocketAddr], ask: &AdminRequest, wait: Duration) -> Result<AdminResponse, Failure> {
     let mut faults = vec![];
     for at in all {
-        match client::ask(*at, ask, wait) {
+        match client::send(*at, ask, wait) {
             Ok(AdminResponse::Wrong { why }) => return Err(failed(format!("{at}: {why}"))),
             Ok(reply) => return Ok(reply),
-            Err(fault) => faults.push(fault.why),
+            Err(fault) => faults.push(fault.to_string()),
         }
     }
     Err(unsettled(format!("no control machine answers: {}", faults.join("; "))))
@@ -331,7 +331,7 @@
             break;
         }
         let ask = AdminRequest::Propose { proposal: proposal.clone(), wait_s: left };
-        let (answer, doors) = match client::ask(*at, &ask, Duration::from_secs_f64(left + 2.0)) {
+        let (answer, doors) = match client::send(*at, &ask, Duration::from_secs_f64(left + 2.0)) {
             Ok(AdminResponse::Answer { answer, doors }) => (answer, doors),
             Ok(AdminResponse::Faulty { why }) => {
                 let located =
@@ -341,9 +341,9 @@
             Ok(AdminResponse::Wrong { why }) => return Err(failed(why)),
             Ok(_) => return Err(odd()),
             Err(fault) => {
-                sent = sent || fault.sent;
+                sent = sent || fault.request_sent;
                 eprintln!("{fault}");
-                last = fault.why;
+                last = fault.to_string();
                 continue;
             }
         };
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -148,7 +148,7 @@
     }
 
     fn ask(&self, name: &str, ask: &AdminRequest) -> Result<AdminResponse, client::RequestError> {
-        client::ask(self.doors[name], ask, Duration::from_secs(10))
+        client::send(self.doors[name], ask, Duration::from_secs(10))
     }
 
     fn status(&self, name: &str) -> Option<ClusterStatus> {
@@ -321,7 +321,7 @@
         let others: Vec<&str> =
             house.names.iter().map(String::as_str).filter(|name| *name != leader).collect();
         house.wires.part(&others);
-        let asked = scope.spawn(|| client::ask(door, &ask, PATIENCE));
+        let asked = scope.spawn(|| client::send(door, &ask, PATIENCE));
         house.programs[&leader].says("p by ada on version 1");
         house.programs[&leader].signal(Signal::SIGSTOP);
         house.wires.heal();
--- a/crates/control-server/src/admin/client.rs
+++ b/crates/control-server/src/admin/client.rs
@@ -1,88 +1,141 @@
-//! An operator's side of the door: asks one machine after the other until one answers.
+//! The operator's side of the admin endpoint: one request over one connection, blocking.
 use super::{AdminRequest, AdminResponse, JsonFrame};
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
-use std::fmt;
-use std::io::{Read as _, Write};
+use alderway_tier::frames::{self, Fault, Hello, Read, Reader, Speech};
+use std::io::{self, Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// For a connection, and for the hello of a machine that is able to answer.
+/// For the connection, and for the server's hello.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// The name that operators' programs give in their hello.
+const CLIENT_NAME: &str = "operator";
 
-/// Why there is no answer.
-#[derive(Clone, Debug, PartialEq)]
+/// Why there is no response.
+#[derive(Debug, Error)]
+#[error("{address}: {cause}")]
 pub struct RequestError {
-    pub why: String,
-    /// The question went out: it may have been heard.
-    pub sent: bool,
+    /// The control machine that was asked.
+    pub address: SocketAddr,
+    /// Whether the request was written: the control machine may have acted on it.
+    pub request_sent: bool,
+    /// What went wrong.
+    pub cause: RequestFailure,
 }
 
-impl fmt::Display for RequestError {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        out.write_str(&self.why)
-    }
+/// What went wrong with a request.
+#[derive(Debug, Error)]
+pub enum RequestFailure {
+    /// The connection failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A machine whose process is stopped accepts connections, but sends no hello.
+    #[error("no hello: {0}")]
+    NoHello(Box<RequestFailure>),
+    /// The request doesn't fit into a frame.
+    #[error("longer than {} bytes", frames::LONGEST)]
+    RequestTooLong,
+    /// A second hello came in place of a response.
+    #[error("it says hello twice")]
+    RepeatedHello,
+    /// No response came within the time that the caller allows.
+    #[error("no answer in time")]
+    TimedOut,
+    /// The control machine closed the connection.
+    #[error("it ended the connection")]
+    ConnectionClosed,
+    /// What came is no frame of this protocol.
+    #[error(transparent)]
+    Frame(#[from] Fault),
+    /// What came is no response that this version knows.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
 }
 
-/// Asks the machine at one address, and waits so long for its answer.
-pub fn ask(at: SocketAddr, ask: &AdminRequest, wait: Duration) -> Result<AdminResponse, RequestError> {
-    let mut sent = false;
-    let tell = |why: String| format!("{at}: {why}");
-    let reply = talk(at, ask, wait, &mut sent).map_err(tell);
-    reply.map_err(|why| RequestError { why, sent })
+/// Sends `request` to the control machine at `address`, and waits up to `timeout` for the response.
+///
+/// # Errors
+/// No response came; [`RequestError::request_sent`] says whether the control machine may have acted on the request.
+pub fn send(
+    address: SocketAddr,
+    request: &AdminRequest,
+    timeout: Duration,
+) -> Result<AdminResponse, RequestError> {
+    let mut request_sent = false;
+    let response = exchange(address, request, timeout, &mut request_sent);
+    response.map_err(|cause| RequestError { address, request_sent, cause })
 }
 
-fn talk(
-    at: SocketAddr,
-    ask: &AdminRequest,
-    wait: Duration,
-    sent: &mut bool,
-) -> Result<AdminResponse, String> {
-    let mut stream = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).map_err(|why| why.to_string())?;
-    let _ = stream.set_nodelay(true);
-    let mut out = vec![];
-    let incarnation = u64::from(std::process::id());
-    let hello = Hello { version: JsonFrame::VERSION, planner: false, incarnation, name: "operator".into() };
-    frames::hello_of::<JsonFrame>(&mut out, &hello);
-    stream.set_write_timeout(Some(CONNECT_TIMEOUT)).map_err(|why| why.to_string())?;
-    stream.write_all(&out).map_err(|why| why.to_string())?;
-    let (mut reader, met) = (Reader::<JsonFrame>::default(), Instant::now() + CONNECT_TIMEOUT);
-    // A machine that is stopped is connected to, and says no hello.
-    next(&mut stream, &mut reader, met).map_err(|why| format!("no hello: {why}"))?;
-    let text = serde_json::to_string(ask).map_err(|why| why.to_string())?;
-    out.clear();
-    if !frames::message(&mut out, &JsonFrame(text)) {
-        return Err(format!("longer than {} bytes", frames::LONGEST));
+fn exchange(
+    address: SocketAddr,
+    request: &AdminRequest,
+    timeout: Duration,
+    request_sent: &mut bool,
+) -> Result<AdminResponse, RequestFailure> {
+    let mut connection = Connection::open(address)?;
+    connection.greet()?;
+    let mut frame = vec![];
+    if !frames::message(&mut frame, &JsonFrame(serde_json::to_string(request)?)) {
+        return Err(RequestFailure::RequestTooLong);
     }
-    *sent = true;
-    let end = Instant::now() + wait;
-    stream.set_write_timeout(Some(wait.max(CONNECT_TIMEOUT))).map_err(|why| why.to_string())?;
-    stream.write_all(&out).map_err(|why| why.to_string())?;
-    match next(&mut stream, &mut reader, end)? {
-        Read::Message(JsonFrame(text)) => serde_json::from_str(&text).map_err(|why| why.to_string()),
-        Read::Hello(_) => Err("it says hello twice".into()),
+    // Set before the write: part of a request that fails to be written may still arrive whole.
+    *request_sent = true;
+    let deadline = Instant::now() + timeout;
+    connection.stream.set_write_timeout(Some(timeout.max(CONNECT_TIMEOUT)))?;
+    connection.stream.write_all(&frame)?;
+    match connection.next_frame(deadline)? {
+        Read::Message(JsonFrame(text)) => Ok(serde_json::from_str(&text)?),
+        Read::Hello(_) => Err(RequestFailure::RepeatedHello),
     }
 }
 
-fn next(
-    stream: &mut TcpStream,
-    reader: &mut Reader<JsonFrame>,
-    end: Instant,
-) -> Result<Read<JsonFrame>, String> {
-    let mut space = vec![0; 64 * 1024];
-    loop {
-        if let Some(read) = reader.read().map_err(|why| why.to_string())? {
-            return Ok(read);
-        }
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() {
-            return Err("no answer in time".into());
+struct Connection {
+    stream: TcpStream,
+    reader: Reader<JsonFrame>,
+    buffer: Vec<u8>,
+}
+
+impl Connection {
+    fn open(address: SocketAddr) -> io::Result<Connection> {
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
+        // Only a matter of latency: the exchange works without it.
+        let _ = stream.set_nodelay(true);
+        Ok(Connection { stream, reader: Reader::default(), buffer: vec![0; READ_BUFFER_BYTES] })
+    }
+
+    /// Sends the own hello and reads the server's.
+    fn greet(&mut self) -> Result<(), RequestFailure> {
+        let incarnation = u64::from(std::process::id());
+        let hello =
+            Hello { version: JsonFrame::VERSION, planner: false, incarnation, name: CLIENT_NAME.into() };
+        let mut frame = vec![];
+        frames::hello_of::<JsonFrame>(&mut frame, &hello);
+        self.stream.set_write_timeout(Some(CONNECT_TIMEOUT))?;
+        self.stream.write_all(&frame)?;
+        let deadline = Instant::now() + CONNECT_TIMEOUT;
+        match self.next_frame(deadline) {
+            Ok(_) => Ok(()),
+            Err(failure) => Err(RequestFailure::NoHello(Box::new(failure))),
         }
-        stream.set_read_timeout(Some(left)).map_err(|why| why.to_string())?;
-        match stream.read(&mut space) {
-            Ok(0) => return Err("it ended the connection".into()),
-            Ok(count) => reader.feed(&space[..count]),
-            Err(_) if Instant::now() >= end => return Err("no answer in time".into()),
-            Err(why) => return Err(why.to_string()),
+    }
+
+    fn next_frame(&mut self, deadline: Instant) -> Result<Read<JsonFrame>, RequestFailure> {
+        loop {
+            if let Some(frame) = self.reader.read()? {
+                return Ok(frame);
+            }
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return Err(RequestFailure::TimedOut);
+            }
+            self.stream.set_read_timeout(Some(remaining))?;
+            match self.stream.read(&mut self.buffer) {
+                Ok(0) => return Err(RequestFailure::ConnectionClosed),
+                Ok(count) => self.reader.feed(&self.buffer[..count]),
+                Err(_) if Instant::now() >= deadline => return Err(RequestFailure::TimedOut),
+                Err(error) => return Err(RequestFailure::Io(error)),
+            }
         }
     }
 }
--- a/crates/control-server/src/listener.rs
+++ b/crates/control-server/src/listener.rs
@@ -1,4 +1,4 @@
-//! The one accept loop of a control machine's listeners: a task for each connection, so many at once.
+//! The accept loop that all listeners of a control machine share: a task for each connection, a limited number at once.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,28 +6,29 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Has each connection served, `most` at once; one past that is closed unheard. `pause`: before another try, where the
-/// system has no descriptor for a connection.
-pub async fn serve_each<F: Future<Output = ()> + 'static>(
+/// Accepts connections for as long as the program runs and has each served by a task of its own. While
+/// `max_connections` are open, further ones are closed at once. Accepting is tried again after `retry_delay` where the
+/// listener reports an error.
+pub(crate) async fn serve_each<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
-    most: usize,
-    pause: Duration,
+    max_connections: usize,
+    retry_delay: Duration,
     serve: impl Fn(TcpStream) -> F,
 ) {
-    let open = Rc::new(Cell::new(0));
+    let open_count = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, _)) = alderway_sockets::accept(&listener).await else {
-            sleep(pause).await;
+            sleep(retry_delay).await;
             continue;
         };
-        if open.get() >= most {
+        if open_count.get() >= max_connections {
             continue;
         }
-        open.set(open.get() + 1);
-        let (open, served) = (open.clone(), serve(stream));
+        open_count.set(open_count.get() + 1);
+        let (open_count, served) = (open_count.clone(), serve(stream));
         spawn_local(async move {
             served.await;
-            open.set(open.get() - 1);
+            open_count.set(open_count.get() - 1);
         });
     }
 }
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -201,7 +201,7 @@
     let bytes = serde_json::to_string(&ask).map_err(|why| why.to_string())?.len();
     let (until, mut said) = (Instant::now() + PATIENCE, String::new());
     for door in doors.iter().cycle() {
-        match client::ask(*door, &ask, Duration::from_secs(10)) {
+        match client::send(*door, &ask, Duration::from_secs(10)) {
             Ok(AdminResponse::Answer { answer: Answer::Ordered(number), .. }) if number == base + 1 => {
                 return Ok(bytes);
             }
@@ -310,7 +310,8 @@
     /// The leader killed while a change is asked for, then all.
     async fn faults(&mut self) -> Result<Vec<Figure>, String> {
         let door = self.doors()[0];
-        let status = spawn_blocking(move || client::ask(door, &AdminRequest::Status, Duration::from_secs(5)));
+        let status =
+            spawn_blocking(move || client::send(door, &AdminRequest::Status, Duration::from_secs(5)));
         let leader = match status.await.map_err(|why| why.to_string())? {
             Ok(AdminResponse::Status(all)) => all.machine.leader.ok_or("nobody leads")?,
             other => return Err(format!("no status: {other:?}")),
