--- a/crates/alderway/src/config.rs
+++ b/crates/alderway/src/config.rs
@@ -155,7 +155,7 @@
     let mut faults = vec![];
     for at in all {
         match client::send(*at, ask, wait) {
-            Ok(AdminResponse::Wrong { why }) => return Err(failed(format!("{at}: {why}"))),
+            Ok(AdminResponse::BadRequest { reason }) => return Err(failed(format!("{at}: {reason}"))),
             Ok(reply) => return Ok(reply),
             Err(fault) => faults.push(fault.to_string()),
         }
@@ -171,7 +171,7 @@
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|why| faulty(format!("{name}: {why}")))?;
     let read = settings::read(&name, &text).map_err(faulty)?;
-    settings::check(&read, None).map_err(|why| Failure(1, settings::located(&name, &text, &why)))?;
+    settings::check(&read, None).map_err(|reason| Failure(1, settings::located(&name, &text, &reason)))?;
     Ok((read, text))
 }
 
@@ -180,8 +180,10 @@
     let name = file.display().to_string();
     if !at.is_empty() {
         match asked(at, &AdminRequest::Check { settings }, ANSWER)? {
-            AdminResponse::Sound => {}
-            AdminResponse::Faulty { why } => return Err(failed(settings::located(&name, &text, &why))),
+            AdminResponse::Valid => {}
+            AdminResponse::Invalid { reason } => {
+                return Err(failed(settings::located(&name, &text, &reason)));
+            }
             _ => return Err(odd()),
         }
     }
@@ -192,8 +194,8 @@
 fn version(at: &[SocketAddr], number: Option<Number>) -> Result<Version, Failure> {
     match asked(at, &AdminRequest::Show { number }, ANSWER)? {
         AdminResponse::Version { version } => Ok(version),
-        AdminResponse::NoSuch { newest: 0, .. } => Err(failed("there is no version yet")),
-        AdminResponse::NoSuch { oldest, newest } => {
+        AdminResponse::VersionNotFound { newest: 0, .. } => Err(failed("there is no version yet")),
+        AdminResponse::VersionNotFound { oldest, newest } => {
             let asked = number.unwrap_or(newest);
             Err(failed(format!("version {asked} is not kept: there are {oldest} to {newest}")))
         }
@@ -209,10 +211,11 @@
 }
 
 fn told(line: &VersionSummary) -> String {
-    let VersionSummary { number, author, why, keys, at_unix_ms, .. } = line;
+    let VersionSummary { number, author, reason, changed_keys, at_unix_ms, .. } = line;
     let age = unix_ms().saturating_sub(*at_unix_ms) / 1000;
-    let keys = if keys.is_empty() { String::new() } else { format!("  [{}]", keys.join(", ")) };
-    format!("{number}  {age} s ago  {author}: {why}{keys}")
+    let keys =
+        if changed_keys.is_empty() { String::new() } else { format!("  [{}]", changed_keys.join(", ")) };
+    format!("{number}  {age} s ago  {author}: {reason}{keys}")
 }
 
 fn history(at: &[SocketAddr], before: Option<Number>, count: usize, json: bool) -> Done {
@@ -243,12 +246,12 @@
     } else {
         shown(&all);
     }
-    let majority = all.machine.majority;
-    if majority { Ok(()) } else { Err(unsettled(format!("{} knows of no majority", all.machine.name))) }
+    let majority = all.replica.majority;
+    if majority { Ok(()) } else { Err(unsettled(format!("{} knows of no majority", all.replica.name))) }
 }
 
 fn shown(all: &ClusterStatus) {
-    let machine = &all.machine;
+    let machine = &all.replica;
     let age = machine.age_s.map_or("never since its start".into(), |age| format!("{age:.1} s ago"));
     say(&format!("version: {}, as {} knew it to be the newest {age}", machine.version, machine.name));
     let leader = machine.leader.as_deref().unwrap_or("none is known");
@@ -257,14 +260,14 @@
     let versions: Vec<String> =
         all.versions.iter().map(|(name, number)| format!("{name} has {number}")).collect();
     say(&format!("control machines: {}", versions.join(", ")));
-    for (name, why) in &all.out {
+    for (name, why) in &all.unavailable {
         say(&format!("control machine {name} takes no part: {why}"));
     }
     if machine.changing {
         say("a replaced control machine is being taken in");
     }
-    if !all.silent.is_empty() {
-        let silent: Vec<&str> = all.silent.iter().map(String::as_str).collect();
+    if !all.unresponsive.is_empty() {
+        let silent: Vec<&str> = all.unresponsive.iter().map(String::as_str).collect();
         say(&format!("not answering, and their routers not counted: {}", silent.join(", ")));
     }
     if all.routers.by_version.is_empty() {
@@ -304,7 +307,7 @@
     let end = Instant::now() + Duration::from_secs_f64(how.wait);
     let base = match how.base {
         Some(base) => base,
-        None => overall(at)?.machine.version,
+        None => overall(at)?.replica.version,
     };
     let id = how.id.clone().unwrap_or_else(fresh_id);
     let (author, why) = (how.author.clone(), how.why.clone());
@@ -331,14 +334,14 @@
             break;
         }
         let ask = AdminRequest::Propose { proposal: proposal.clone(), wait_s: left };
-        let (answer, doors) = match client::send(*at, &ask, Duration::from_secs_f64(left + 2.0)) {
-            Ok(AdminResponse::Answer { answer, doors }) => (answer, doors),
-            Ok(AdminResponse::Faulty { why }) => {
+        let (outcome, admin_addresses) = match client::send(*at, &ask, Duration::from_secs_f64(left + 2.0)) {
+            Ok(AdminResponse::Proposed { outcome, admin_addresses }) => (outcome, admin_addresses),
+            Ok(AdminResponse::Invalid { reason }) => {
                 let located =
-                    file.map(|(path, text)| settings::located(&path.display().to_string(), text, &why));
-                return Err(failed(located.unwrap_or(why)));
+                    file.map(|(path, text)| settings::located(&path.display().to_string(), text, &reason));
+                return Err(failed(located.unwrap_or(reason)));
             }
-            Ok(AdminResponse::Wrong { why }) => return Err(failed(why)),
+            Ok(AdminResponse::BadRequest { reason }) => return Err(failed(reason)),
             Ok(_) => return Err(odd()),
             Err(fault) => {
                 sent = sent || fault.request_sent;
@@ -347,7 +350,7 @@
                 continue;
             }
         };
-        match answer {
+        match outcome {
             Answer::Ordered(number) => return Ok(number),
             Answer::Refused(refusal) => return Err(failed(refused(&refusal))),
             Answer::TooLong { bytes, most } => {
@@ -357,13 +360,15 @@
             Answer::Out { why } => last = format!("{at}: it takes no part: {why}"),
             Answer::NoMajority { leader, seconds } => {
                 let since = seconds.map_or("since its start".into(), |s| format!("for {s:.1} s"));
-                let known =
-                    leader.and_then(|name| Some(format!("; its leader was {name} at {}", doors.get(&name)?)));
+                let known = leader.and_then(|name| {
+                    Some(format!("; its leader was {name} at {}", admin_addresses.get(&name)?))
+                });
                 last = format!("{at}: no majority is known {since}{}", known.unwrap_or_default());
             }
             Answer::Unsettled { leader } => {
                 sent = true;
-                let known = leader.and_then(|name| Some(format!("; {name} at {} leads", doors.get(&name)?)));
+                let known = leader
+                    .and_then(|name| Some(format!("; {name} at {} leads", admin_addresses.get(&name)?)));
                 last = format!("{at}: no answer of a majority in time{}", known.unwrap_or_default());
             }
         }
@@ -413,9 +418,9 @@
             say(&line);
             former = line;
         }
-        if without == 0 && all.machine.version >= number {
-            if !all.silent.is_empty() {
-                let silent: Vec<&str> = all.silent.iter().map(String::as_str).collect();
+        if without == 0 && all.replica.version >= number {
+            if !all.unresponsive.is_empty() {
+                let silent: Vec<&str> = all.unresponsive.iter().map(String::as_str).collect();
                 say(&format!("routers of {} are not counted: no answer", silent.join(", ")));
             }
             return Ok(());
--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -2,6 +2,7 @@
 use crate::settings;
 use alderway_control::outlet::{Nowhere, Outlet};
 use alderway_control::publisher::Terms;
+use alderway_control_server::InvalidSettings;
 use alderway_control_server::server::{self, ServerConfig};
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_operator::{LogForm, Operator};
@@ -27,11 +28,13 @@
     let name = control.name.clone();
     Ok(ServerConfig {
         name: control.name,
-        members: control.members,
-        doors: control.doors,
-        data: control.data.into(),
-        check: Box::new(settings::check),
-        outlet: Box::new(move || Box::pin(outlet(name, control.routers))),
+        replica_addresses: control.members,
+        admin_addresses: control.doors,
+        data_path: control.data.into(),
+        settings_check: Box::new(|settings, earlier| {
+            settings::check(settings, earlier).map_err(InvalidSettings)
+        }),
+        version_sink: Box::new(move || Box::pin(outlet(name, control.routers))),
     })
 }
 
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -168,7 +168,7 @@
     /// Whom those that run and know of a majority agree on.
     fn leader(&self) -> Option<String> {
         let mut leaders = self.programs.keys().map(|name| {
-            self.status(name).filter(|all| all.machine.majority && all.machine.out.is_none())?.machine.leader
+            self.status(name).filter(|all| all.replica.majority && all.replica.out.is_none())?.replica.leader
         });
         let first = leaders.next()??;
         leaders.all(|leader| leader.as_ref() == Some(&first)).then_some(first)
@@ -272,7 +272,7 @@
     ends(&house.config(&any, &["status"]), 0, &["version: 3", "majority: stands", "routers: none"]);
     let status = house.config(&any, &["status", "--json"]);
     let status: ClusterStatus = serde_json::from_slice(&status.stdout).expect("JSON");
-    assert!(status.silent.is_empty() && status.versions.len() == 5, "{status:?}");
+    assert!(status.unresponsive.is_empty() && status.versions.len() == 5, "{status:?}");
     // Faulty at the door, by key and line; bad input; nobody there.
     let faulty = house.folder.join("faulty.json");
     let text = settings(100).to_string().replace("\"MaxOpen\":100", "\n\"MaxOpen\":\"x\"");
@@ -293,12 +293,12 @@
     long["Note"] = "x".repeat(LARGEST).into();
     fs::write(&faulty, long.to_string()).expect("written");
     ends(&house.config(&any, &["propose", path, "--why", "w"]), 1, &["settings are larger than"]);
-    let Ok(AdminResponse::Faulty { why }) =
+    let Ok(AdminResponse::Invalid { reason }) =
         house.ask("c3", &AdminRequest::Check { settings: serde_json::json!({}) })
     else {
         panic!("not refused at the door")
     };
-    assert!(why.contains("key `settings`"), "{why}");
+    assert!(reason.contains("key `settings`"), "{reason}");
     ends(&house.config(&any, &["check", house.file(100).to_str().expect("a path")]), 0, &["sound"]);
     fs::write(&faulty, "{").expect("written");
     ends(&house.config(&any, &["propose", path, "--why", "w"]), 2, &["faulty.json:1: not JSON"]);
@@ -328,7 +328,7 @@
         let stopped = Instant::now();
         until("another leads", || {
             let status = house.status(&follower);
-            status.is_some_and(|all| all.machine.majority && all.machine.leader.is_some_and(|l| l != leader))
+            status.is_some_and(|all| all.replica.majority && all.replica.leader.is_some_and(|l| l != leader))
         });
         // A stopped machine is passed over: it says no hello.
         ends(
@@ -338,8 +338,8 @@
         );
         until("5 s are over", || stopped.elapsed() > Duration::from_secs(5));
         house.programs[&leader].signal(Signal::SIGCONT);
-        let Ok(Ok(AdminResponse::Answer { answer, .. })) = asked.join() else { panic!("no answer") };
-        assert!(matches!(answer, Answer::Refused(Refusal::WouldUndo { newest: 2, .. })), "{answer:?}");
+        let Ok(Ok(AdminResponse::Proposed { outcome, .. })) = asked.join() else { panic!("no answer") };
+        assert!(matches!(outcome, Answer::Refused(Refusal::WouldUndo { newest: 2, .. })), "{outcome:?}");
     });
     house.all_have(2);
 }
@@ -355,7 +355,7 @@
     house.all_have(2);
     house.kill("c3");
     until("it is known that no majority stands", || {
-        ["c4", "c5"].iter().all(|name| house.status(name).is_some_and(|all| !all.machine.majority))
+        ["c4", "c5"].iter().all(|name| house.status(name).is_some_and(|all| !all.replica.majority))
     });
     let refused = house.propose(&["c4", "c5"], 300, &["--base", "2", "--wait", "2"]);
     ends(&refused, 3, &["no majority is known for", "nothing was changed"]);
@@ -380,9 +380,9 @@
     house.all_have(1);
     house.wires.part(&["c1", "c2"]);
     until("the small side knows it", || {
-        ["c1", "c2"].iter().all(|name| house.status(name).is_some_and(|all| !all.machine.majority))
+        ["c1", "c2"].iter().all(|name| house.status(name).is_some_and(|all| !all.replica.majority))
     });
-    until("the large side is led", || house.status("c4").is_some_and(|all| all.machine.majority));
+    until("the large side is led", || house.status("c4").is_some_and(|all| all.replica.majority));
     ends(&house.propose(&["c1", "c2"], 200, &["--base", "1", "--wait", "2"]), 3, &["nothing was changed"]);
     ends(&house.propose(&["c4"], 300, &["--base", "1"]), 0, &["in order: version 2"]);
     assert_eq!((house.has("c1"), house.has("c2")), (1, 1));
@@ -407,7 +407,7 @@
     let whole = |house: &House| {
         house.programs.keys().all(|name| {
             house.status(name).is_some_and(|all| {
-                !all.machine.changing && all.machine.out.is_none() && all.machine.voters.len() == 5
+                !all.replica.changing && all.replica.out.is_none() && all.replica.voters.len() == 5
             })
         })
     };
@@ -505,10 +505,11 @@
         let proposal = Proposal { settings: settings.clone(), ..proposal(&format!("p{n}"), n, 100) };
         let ask = AdminRequest::Propose { proposal, wait_s: 10.0 };
         // Whoever answers: each door takes changes.
-        let Ok(AdminResponse::Answer { answer, .. }) = house.ask(&house.names[n as usize % 5], &ask) else {
+        let Ok(AdminResponse::Proposed { outcome, .. }) = house.ask(&house.names[n as usize % 5], &ask)
+        else {
             panic!("no answer")
         };
-        assert_eq!(answer, Answer::Ordered(n + 1));
+        assert_eq!(outcome, Answer::Ordered(n + 1));
     }
     println!("650 changes in {:.1} s", from.elapsed().as_secs_f64());
     assert!(from.elapsed() < Duration::from_secs(180));
@@ -545,7 +546,7 @@
     let wrong = Proposal { why: " ".into(), ..proposal("p", 1, 200) };
     for (proposal, wait_s) in [(wrong, 1.0), (proposal("p", 1, 200), 1e9)] {
         let reply = house.ask("c1", &AdminRequest::Propose { proposal, wait_s });
-        assert!(matches!(reply, Ok(AdminResponse::Wrong { .. })), "{reply:?}");
+        assert!(matches!(reply, Ok(AdminResponse::BadRequest { .. })), "{reply:?}");
     }
     ends(&house.propose(&["c1"], 200, &["--base", "1"]), 0, &["in order: version 2"]);
     house.all_have(2);
--- a/crates/control-server/src/admin/client.rs
+++ b/crates/control-server/src/admin/client.rs
@@ -1,5 +1,5 @@
 //! The operator's side of the admin endpoint: one request over one connection, blocking.
-use super::{AdminRequest, AdminResponse, JsonFrame};
+use super::messages::{AdminRequest, AdminResponse, JsonFrame};
 use alderway_tier::frames::{self, Fault, Hello, Read, Reader, Speech};
 use std::io::{self, Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
--- /dev/null
+++ b/crates/control-server/src/admin/endpoint.rs
@@ -0,0 +1,123 @@
+//! The listener for operators and the connections to them.
+use super::handlers::respond;
+use super::messages::{AdminResponse, JsonFrame};
+use crate::listener::serve_each;
+use crate::state::SharedState;
+use alderway_router::tier::links::{greet, write_out};
+use alderway_tier::frames::{self, Fault, Hello, Read, Reader, Speech};
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::timeout;
+
+/// Connections of operators at once.
+const MAX_CONNECTIONS: usize = 32;
+/// How long a client may send no request, or not read its response.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Before accepting again after the listener reported an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+
+/// Why a connection was ended by this side.
+#[derive(Debug, Error)]
+enum ConnectionError {
+    #[error("{0}")]
+    Handshake(String),
+    #[error("it says hello twice")]
+    RepeatedHello,
+    #[error("it says nothing")]
+    IdleTooLong,
+    #[error("it does not read")]
+    WriteTimedOut,
+    #[error("{0}")]
+    Write(String),
+    #[error(transparent)]
+    Frame(#[from] Fault),
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+/// Serves operators for as long as the program runs.
+pub(crate) async fn accept(state: SharedState, listener: TcpListener) {
+    let serve = |stream| {
+        let state = state.clone();
+        async move {
+            if let Err(error) = serve(&state, &stream).await {
+                tracing::warn!(target: "admin", "an operator: {error}");
+            }
+        }
+    };
+    serve_each(listener, MAX_CONNECTIONS, ACCEPT_RETRY_DELAY, serve).await;
+}
+
+/// Answers requests until the client closes the connection.
+async fn serve(state: &SharedState, stream: &TcpStream) -> Result<(), ConnectionError> {
+    let _ = stream.set_nodelay(true);
+    let mut output = vec![];
+    let mut requests = RequestReader::new(stream);
+    frames::hello_of::<JsonFrame>(&mut output, &own_hello(state));
+    greet(stream, &mut output, &mut requests.reader, &mut requests.buffer)
+        .await
+        .map_err(ConnectionError::Handshake)?;
+    while let Some(JsonFrame(text)) = requests.next().await? {
+        let response = match serde_json::from_str(&text) {
+            Ok(request) => respond(state, stream, request).await,
+            Err(error) => Some(AdminResponse::BadRequest {
+                reason: format!("not a question that this version knows: {error}"),
+            }),
+        };
+        let Some(response) = response else { return Ok(()) };
+        encode(&mut output, &response)?;
+        let written = timeout(IDLE_TIMEOUT, write_out(stream, &mut output)).await;
+        written.map_err(|_| ConnectionError::WriteTimedOut)?.map_err(ConnectionError::Write)?;
+    }
+    Ok(())
+}
+
+fn own_hello(state: &SharedState) -> Hello {
+    let replica = &state.borrow().replica;
+    let (incarnation, name) = (replica.id(), replica.name().to_string());
+    Hello { version: JsonFrame::VERSION, planner: false, incarnation, name }
+}
+
+/// Appends the frame of a response, or of an error where the response doesn't fit into one.
+fn encode(output: &mut Vec<u8>, response: &AdminResponse) -> Result<(), serde_json::Error> {
+    if !frames::message(output, &JsonFrame(serde_json::to_string(response)?)) {
+        let reason = "the answer is longer than a frame".into();
+        let too_long = serde_json::to_string(&AdminResponse::BadRequest { reason })?;
+        frames::message(output, &JsonFrame(too_long));
+    }
+    Ok(())
+}
+
+struct RequestReader<'a> {
+    stream: &'a TcpStream,
+    reader: Reader<JsonFrame>,
+    buffer: Vec<u8>,
+}
+
+impl<'a> RequestReader<'a> {
+    fn new(stream: &'a TcpStream) -> Self {
+        RequestReader { stream, reader: Reader::default(), buffer: vec![0; READ_BUFFER_BYTES] }
+    }
+
+    /// The next request; none once the client has closed the connection.
+    async fn next(&mut self) -> Result<Option<JsonFrame>, ConnectionError> {
+        loop {
+            match self.reader.read()? {
+                Some(Read::Message(frame)) => return Ok(Some(frame)),
+                Some(Read::Hello(_)) => return Err(ConnectionError::RepeatedHello),
+                None => {}
+            }
+            let readable = timeout(IDLE_TIMEOUT, self.stream.readable()).await;
+            if readable.map_err(|_| ConnectionError::IdleTooLong)?.is_err() {
+                return Ok(None);
+            }
+            match alderway_sockets::read(self.stream, &mut self.buffer) {
+                Ok(Some(0)) | Err(_) => return Ok(None),
+                Ok(Some(count)) => self.reader.feed(&self.buffer[..count]),
+                Ok(None) => {}
+            }
+        }
+    }
+}
--- a/crates/control-server/src/lib.rs
+++ b/crates/control-server/src/lib.rs
@@ -1,9 +1,25 @@
-//! A control machine: the drivers of `alderway-control` on sockets and on disk, and the door through which operators
-//! change the configuration. Called by `alderway control`; serves no query and knows no data node.
+//! A control machine as a program: the replica of `alderway-control` on sockets and on disk, the admin endpoint through
+//! which operators change the configuration, and the subscriptions of routers. Run by `alderway control`; it serves no
+//! query and knows no data node.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | [`server`] | starts the tasks below and ticks the replica |
+//! | `state` | what the tasks share; the order of durable writes and what is sent |
+//! | [`log_store`] | the replica's log on disk |
+//! | `outbox` | frames that wait for other control machines |
+//! | [`replica_links`] | connections among control machines |
+//! | [`admin`] | requests of operators, server and client |
+//! | [`subscriptions`] | subscriptions of routers |
+//! | [`simulated_router`] | routers that only subscribe, for trials of scale |
 pub mod admin;
 mod listener;
 pub mod log_store;
+mod outbox;
 pub mod replica_links;
 pub mod server;
 pub mod simulated_router;
+mod state;
 pub mod subscriptions;
+
+pub use state::{InvalidSettings, SettingsCheck};
--- /dev/null
+++ b/crates/control-server/src/replica_links/incoming.rs
@@ -0,0 +1,125 @@
+//! Connections that other control machines opened, and the messages that come on them.
+use super::link::{LinkError, own_hello};
+use crate::listener::serve_each;
+use crate::outbox::PeerFrame;
+use crate::state::{RouterSummaryReply, SharedState};
+use alderway_control::machine::{Name, Word};
+use alderway_router::tier::links::greet;
+use alderway_tier::frames::{self, Read, Reader};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+
+/// Connections that others may hold at once.
+const MAX_CONNECTIONS: usize = 64;
+/// Before accepting again after the listener reported an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+
+/// The latest connection of each peer. An earlier one is read no further: its messages are older than those on the latest.
+type LatestConnections = RefCell<BTreeMap<Name, u64>>;
+
+/// Serves other control machines for as long as the program runs.
+pub(crate) async fn accept(state: SharedState, listener: TcpListener) {
+    let latest = Rc::<LatestConnections>::default();
+    let serve = |stream| {
+        let (state, latest) = (state.clone(), latest.clone());
+        async move {
+            if let Err(error) = serve(&state, &stream, &latest).await {
+                tracing::warn!(target: "replica_links", "one that dialled: {error}");
+            }
+        }
+    };
+    serve_each(listener, MAX_CONNECTIONS, ACCEPT_RETRY_DELAY, serve).await;
+}
+
+/// Feeds the replica what a peer sends until the connection ends or a later one of the same peer replaces it.
+async fn serve(state: &SharedState, stream: &TcpStream, latest: &LatestConnections) -> Result<(), LinkError> {
+    let _ = stream.set_nodelay(true);
+    let (mut output, mut reader) = (vec![], Reader::<PeerFrame>::default());
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    frames::hello_of::<PeerFrame>(&mut output, &own_hello(state));
+    let hello = greet(stream, &mut output, &mut reader, &mut buffer).await.map_err(LinkError::Handshake)?;
+    let peer = hello.name;
+    let connection = register(state, &peer, latest)?;
+    let is_latest = || latest.borrow().get(&peer) == Some(&connection);
+    loop {
+        if !receive_all(state, &peer, &mut reader, &is_latest)? {
+            return Ok(());
+        }
+        if stream.readable().await.is_err() {
+            return Ok(());
+        }
+        match alderway_sockets::read(stream, &mut buffer) {
+            Ok(Some(0)) | Err(_) => return Ok(()),
+            Ok(Some(count)) => reader.feed(&buffer[..count]),
+            Ok(None) => {}
+        }
+    }
+}
+
+/// Makes this the peer's latest connection. Parts of a message from an earlier one are dropped.
+fn register(state: &SharedState, peer: &str, latest: &LatestConnections) -> Result<u64, LinkError> {
+    let mut state = state.borrow_mut();
+    let is_member = state.admin_addresses.contains_key(peer);
+    if !is_member || peer == state.replica.name() {
+        return Err(LinkError::UnknownPeer(peer.into()));
+    }
+    state.replica.unlinked(peer);
+    let connection = state.next_number();
+    latest.borrow_mut().insert(peer.into(), connection);
+    Ok(connection)
+}
+
+/// Hands all whole messages to the replica, and has it act on them together; false where a later connection has replaced
+/// this one.
+fn receive_all(
+    state: &SharedState,
+    peer: &str,
+    reader: &mut Reader<PeerFrame>,
+    is_latest: &impl Fn() -> bool,
+) -> Result<bool, LinkError> {
+    let mut received_any = false;
+    loop {
+        match reader.read()? {
+            Some(Read::Message(PeerFrame(message))) => {
+                if !is_latest() {
+                    return Ok(false);
+                }
+                receive(state, peer, message);
+                received_any = true;
+            }
+            Some(Read::Hello(_)) => return Err(LinkError::RepeatedHello),
+            None => break,
+        }
+    }
+    if received_any {
+        state.borrow_mut().advance();
+    }
+    Ok(true)
+}
+
+fn receive(state: &SharedState, peer: &str, message: Word) {
+    let mut state = state.borrow_mut();
+    match message {
+        Word::Summarise { question } => {
+            let reply = Word::Summary {
+                question,
+                version: state.replica.history().number(),
+                out: state.replica.out(),
+                summary: state.version_sink.summary(),
+            };
+            state.outboxes.push(peer, &reply);
+        }
+        Word::Summary { question: request, version, out: unavailable, summary: routers } => {
+            let from = peer.into();
+            state.deliver_summary(RouterSummaryReply { request, from, version, unavailable, routers });
+        }
+        message => {
+            let now = state.now();
+            state.replica.came(peer, message, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-server/src/replica_links/link.rs
@@ -0,0 +1,37 @@
+//! What incoming and outgoing connections share.
+use crate::outbox::PeerFrame;
+use crate::state::SharedState;
+use alderway_tier::frames::{Fault, Hello, Speech};
+use thiserror::Error;
+
+/// Why a connection between control machines was ended by this side.
+#[derive(Debug, Error)]
+pub(super) enum LinkError {
+    #[error("{0}")]
+    Handshake(String),
+    /// Another machine answers at the peer's address.
+    #[error("it is {0}")]
+    UnexpectedPeer(String),
+    /// A machine connected that isn't a member by this machine's configuration.
+    #[error("{0} is not of the members here")]
+    UnknownPeer(String),
+    /// The peer sent something on a connection that this side opened.
+    #[error("it speaks on a link that it did not dial")]
+    UnexpectedMessage,
+    #[error("it takes nothing of what it is sent")]
+    WriteStalled,
+    #[error("it says hello twice")]
+    RepeatedHello,
+    #[error(transparent)]
+    Frame(#[from] Fault),
+}
+
+pub(super) fn own_hello(state: &SharedState) -> Hello {
+    let replica = &state.borrow().replica;
+    Hello {
+        version: PeerFrame::VERSION,
+        planner: false,
+        incarnation: replica.id(),
+        name: replica.name().into(),
+    }
+}
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -1,198 +1,177 @@
-//! A control machine as a program: one thread that feeds the machine ticks, words and proposals, and carries out what
-//! comes of each. The disk is written in between, on the same thread: nothing else goes on until it is synced.
-use crate::log_store::LogStore;
-use crate::replica_links::{self, Outboxes};
-use crate::{admin, log_store};
-use alderway_control::machine::{Answer, Asker, Machine, Name, TICK};
-use alderway_control::outlet::{Outlet, Summary};
-use alderway_control::version::{Number, Proposal};
-use alderway_router::memory::clock::Clock;
+//! The program of a control machine: opens its log and its listeners, then runs its tasks on one thread until a signal.
+use crate::admin;
+use crate::log_store::{LogStore, LogStoreError};
+use crate::outbox::Outboxes;
+use crate::replica_links;
+use crate::state::{ServerState, SettingsCheck, SharedState};
+use alderway_control::machine::{Machine, Name, REPLACE, TICK};
+use alderway_control::outlet::Outlet;
 use alderway_sockets::signals::Signals;
 use nix::sys::signal::Signal;
-use serde_json::Value;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::io;
+use std::fs::File;
+use std::io::{self, Read};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 use tokio::net::TcpListener;
 use tokio::runtime::Builder;
-use tokio::sync::{mpsc, oneshot};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Whether settings are sound, and can come after those before them; else one line.
-pub type SettingsCheck = Box<dyn Fn(&Value, Option<&Value>) -> Result<(), String>>;
+/// Makes the sink for committed versions, on the control machine's own thread.
+pub type VersionSinkFactory = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn Outlet>>>>>>;
 
-/// Makes the place that committed versions go to, on the machine's own thread.
-pub type OutletFactory = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn Outlet>>>>>>;
-
-/// What a control machine runs by.
+/// What a control machine is started with.
 pub struct ServerConfig {
+    /// Its name among the control machines.
     pub name: Name,
-    /// All machines, this one among them: where each hears the others, and operators.
-    pub members: BTreeMap<Name, SocketAddr>,
-    pub doors: BTreeMap<Name, SocketAddr>,
-    pub data: PathBuf,
-    pub check: SettingsCheck,
-    pub outlet: OutletFactory,
+    /// Where each control machine, this one among them, listens for the others.
+    pub replica_addresses: BTreeMap<Name, SocketAddr>,
+    /// Where each control machine, this one among them, listens for operators.
+    pub admin_addresses: BTreeMap<Name, SocketAddr>,
+    /// The folder of its log.
+    pub data_path: PathBuf,
+    /// Checks settings before they are proposed.
+    pub settings_check: SettingsCheck,
+    /// Makes the sink for committed versions.
+    pub version_sink: VersionSinkFactory,
 }
 
-/// Another machine's word on its routers.
-pub struct RouterSummaryReply {
-    pub question: u64,
-    pub from: Name,
-    pub version: Number,
-    pub out: Option<String>,
-    pub summary: Summary,
+/// Why a control machine could not start or go on.
+#[derive(Debug, Error)]
+pub enum ServerError {
+    /// The runtime or a signal handler could not be set up.
+    #[error(transparent)]
+    Runtime(io::Error),
+    /// The log could not be opened.
+    #[error(transparent)]
+    LogStore(#[from] LogStoreError),
+    /// The log could be read, but not as that of this replica.
+    #[error("{path}: {reason}; {REPLACE}", path = data_path.display())]
+    Recovery {
+        /// The folder of the log.
+        data_path: PathBuf,
+        /// What contradicts what.
+        reason: String,
+    },
+    /// The addresses of the control machines don't name this one.
+    #[error("not of the members")]
+    NotAMember,
+    /// A listener could not be opened.
+    #[error("{listener} at {address}: {source}")]
+    Listen {
+        /// Whom it is for.
+        listener: &'static str,
+        /// Where.
+        address: SocketAddr,
+        /// What the system reported.
+        source: io::Error,
+    },
+    /// The sink for committed versions could not be made.
+    #[error(transparent)]
+    VersionSink(io::Error),
 }
 
-/// What all tasks share.
-pub struct ServerState {
-    pub machine: Machine,
-    pub posts: Outboxes,
-    pub outlet: Box<dyn Outlet>,
-    pub check: SettingsCheck,
-    pub doors: BTreeMap<Name, SocketAddr>,
-    disk: LogStore,
-    clock: Clock,
-    waiting: BTreeMap<Asker, oneshot::Sender<Answer>>,
-    /// Those who ask all machines for their summaries.
-    pub asking: BTreeMap<u64, mpsc::UnboundedSender<RouterSummaryReply>>,
-    count: u64,
+/// Runs a control machine until SIGTERM or SIGINT.
+///
+/// # Errors
+/// Its log can't be used, or it can't listen.
+pub fn run(config: ServerConfig) -> Result<(), ServerError> {
+    let runtime = Builder::new_current_thread().enable_all().build().map_err(ServerError::Runtime)?;
+    LocalSet::new().block_on(&runtime, serve(config))
 }
 
-pub type SharedServer = Rc<RefCell<ServerState>>;
-
-impl ServerState {
-    pub fn now(&self) -> f64 {
-        self.clock.now()
-    }
-
-    /// A number that is used once.
-    pub fn count(&mut self) -> u64 {
-        self.count += 1;
-        self.count
-    }
-
-    /// Writes what has to be kept, and carries out what comes of it.
-    pub fn run(&mut self) {
-        let now = self.now();
-        let output = self.machine.run(&mut self.disk, now);
-        for line in output.said {
-            tracing::info!(target: "control", "{line}");
-        }
-        for version in output.committed {
-            tracing::info!(target: "control", "version {} by {}: {}", version.number, version.author, version.why);
-            self.outlet.committed(&version);
-        }
-        for (to, word) in output.send {
-            if !self.posts.put(&to, &word) {
-                self.machine.unreachable(&to);
-            }
-        }
-        for (asker, answer) in output.answers {
-            if let Some(waiting) = self.waiting.remove(&asker) {
-                // One that has gone needs no answer.
-                let _ = waiting.send(answer);
-            }
-        }
-    }
-
-    fn tick(&mut self) {
-        let now = self.now();
-        self.machine.tick(now);
-        self.run();
-        let (age, majority) = (self.machine.age(now), self.machine.majority(now));
-        self.outlet.as_of(age, majority);
-    }
+async fn serve(config: ServerConfig) -> Result<(), ServerError> {
+    let (replica, log_store) = recover(&config)?;
+    let peer_listener = listen("members", own_address(&config, &config.replica_addresses)?).await?;
+    let admin_listener = listen("operators", own_address(&config, &config.admin_addresses)?).await?;
+    let name = config.name.clone();
+    let address_of = |listener: &TcpListener| listener.local_addr().map_err(ServerError::Runtime);
+    tracing::info!(target: "start", "{name} hears members at {}", address_of(&peer_listener)?);
+    tracing::info!(target: "start", "{name} hears operators at {}", address_of(&admin_listener)?);
+    let mut peers = config.replica_addresses;
+    peers.remove(&name);
+    let version_sink = (config.version_sink)().await.map_err(ServerError::VersionSink)?;
+    let outboxes = Outboxes::new(peers.keys());
+    let state = ServerState::new(
+        replica,
+        log_store,
+        outboxes,
+        version_sink,
+        config.admin_addresses,
+        config.settings_check,
+    );
+    let state = Rc::new(RefCell::new(state));
+    state.borrow_mut().advance();
+    start_tasks(&state, peers, peer_listener, admin_listener);
+    tick_until_signal(&state).await?;
+    tracing::info!(target: "stop", "{name} ends");
+    Ok(())
+}
 
-    /// The answer comes within `wait` seconds and a tick.
-    pub fn propose(&mut self, proposal: &Proposal, wait: f64) -> (Asker, oneshot::Receiver<Answer>) {
-        let (asker, now) = (self.count(), self.now());
-        let Proposal { id, author, base, .. } = proposal;
-        tracing::info!(target: "proposal", "{id} by {author} on version {base}");
-        let (sender, answer) = oneshot::channel();
-        self.waiting.insert(asker, sender);
-        self.machine.propose(asker, proposal, wait, now);
-        self.run();
-        (asker, answer)
-    }
+/// Opens the log, and the replica as the log left it.
+fn recover(config: &ServerConfig) -> Result<(Machine, LogStore), ServerError> {
+    let (log_store, recovered) = LogStore::open(&config.data_path)?;
+    let names = config.replica_addresses.keys().cloned().collect();
+    let replica = Machine::new(&config.name, &names, &recovered, random_number(), random_number());
+    let data_path = config.data_path.clone();
+    let replica = replica.map_err(|reason| ServerError::Recovery { data_path, reason })?;
+    Ok((replica, log_store))
+}
 
-    pub fn forget(&mut self, asker: Asker) {
-        self.waiting.remove(&asker);
-        self.machine.forget(asker);
-    }
+fn own_address(
+    config: &ServerConfig,
+    addresses: &BTreeMap<Name, SocketAddr>,
+) -> Result<SocketAddr, ServerError> {
+    addresses.get(&config.name).copied().ok_or(ServerError::NotAMember)
 }
 
-/// Drawn by the system; the time and the process stand in where it has nothing to draw from.
-fn drawn() -> u64 {
-    let mut bytes = [0; 8];
-    let read =
-        std::fs::File::open("/dev/urandom").and_then(|mut file| io::Read::read_exact(&mut file, &mut bytes));
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-    match read {
-        Ok(()) => u64::from_ne_bytes(bytes),
-        Err(_) => now.rotate_left(20) ^ u64::from(std::process::id()),
-    }
+async fn listen(listener: &'static str, address: SocketAddr) -> Result<TcpListener, ServerError> {
+    let bound = TcpListener::bind(address).await;
+    bound.map_err(|source| ServerError::Listen { listener, address, source })
 }
 
-/// Runs until SIGTERM or SIGINT.
-pub fn run(plan: ServerConfig) -> io::Result<()> {
-    let runtime = Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, serve(plan))
+fn start_tasks(
+    state: &SharedState,
+    peers: BTreeMap<Name, SocketAddr>,
+    peer_listener: TcpListener,
+    admin_listener: TcpListener,
+) {
+    spawn_local(replica_links::accept(state.clone(), peer_listener));
+    let seed = random_number();
+    for (n, (peer, address)) in (0_u64..).zip(peers) {
+        spawn_local(replica_links::keep_connected(state.clone(), peer, address, seed ^ n << 17));
+    }
+    spawn_local(admin::endpoint::accept(state.clone(), admin_listener));
 }
 
-async fn serve(plan: ServerConfig) -> io::Result<()> {
-    let (disk, found) = log_store::LogStore::open(&plan.data).map_err(io::Error::other)?;
-    let names = plan.members.keys().cloned().collect();
-    let machine = Machine::new(&plan.name, &names, &found, drawn(), drawn());
-    let machine = machine.map_err(|why| {
-        io::Error::other(format!("{}: {why}; {}", plan.data.display(), alderway_control::machine::REPLACE))
-    })?;
-    drop(found);
-    let at = |all: &BTreeMap<Name, SocketAddr>| {
-        all.get(&plan.name).copied().ok_or_else(|| io::Error::other("not of the members"))
-    };
-    let bind = async |what: &str, at: SocketAddr| {
-        let listener = TcpListener::bind(at).await;
-        listener.map_err(|why| io::Error::other(format!("{what} at {at}: {why}")))
-    };
-    let heard = bind("members", at(&plan.members)?).await?;
-    let door = bind("operators", at(&plan.doors)?).await?;
-    tracing::info!(target: "start", "{} hears members at {}", plan.name, heard.local_addr()?);
-    tracing::info!(target: "start", "{} hears operators at {}", plan.name, door.local_addr()?);
-    let others = plan.members.iter().filter(|(name, _)| **name != plan.name);
-    let others: BTreeMap<Name, SocketAddr> = others.map(|(name, at)| (name.clone(), *at)).collect();
-    let controller = ServerState {
-        machine,
-        posts: Outboxes::to(others.keys()),
-        outlet: (plan.outlet)().await?,
-        check: plan.check,
-        doors: plan.doors,
-        disk,
-        clock: Clock::default(),
-        waiting: BTreeMap::new(),
-        asking: BTreeMap::new(),
-        count: 0,
-    };
-    let held = Rc::new(RefCell::new(controller));
-    held.borrow_mut().run();
-    replica_links::start(&held, heard, &others, drawn());
-    spawn_local(admin::accept(held.clone(), door));
-    let (mut terms, mut interrupts) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGINT)?);
+async fn tick_until_signal(state: &SharedState) -> Result<(), ServerError> {
+    let mut terminations = Signals::of(Signal::SIGTERM).map_err(ServerError::Runtime)?;
+    let mut interrupts = Signals::of(Signal::SIGINT).map_err(ServerError::Runtime)?;
     let mut ticks = interval(Duration::from_secs_f64(TICK));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = ticks.tick() => held.borrow_mut().tick(),
-            _ = terms.recv() => break,
-            _ = interrupts.recv() => break,
+            _ = ticks.tick() => state.borrow_mut().tick(),
+            _ = terminations.recv() => return Ok(()),
+            _ = interrupts.recv() => return Ok(()),
+        }
+    }
+}
+
+/// From the system's source of randomness; made of the time and the process id where that can't be read.
+fn random_number() -> u64 {
+    let mut bytes = [0; 8];
+    match File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes)) {
+        Ok(()) => u64::from_ne_bytes(bytes),
+        Err(_) => {
+            let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+            now.rotate_left(20) ^ u64::from(std::process::id())
         }
     }
-    tracing::info!(target: "stop", "{} ends", plan.name);
-    Ok(())
 }
--- /dev/null
+++ b/crates/control-server/src/state.rs
@@ -0,0 +1,171 @@
+//! What all tasks of a control machine share, on one thread: the replica, its log on disk, the outboxes to its peers and
+//! the clients that wait for an outcome.
+//!
+//! # What is durable before what is said
+//! [`ServerState::advance`] is the only way in which anything that the replica decides leaves the process. The replica
+//! hands its writes to the [`LogStore`], which returns once they are synced, and only then returns the messages, committed
+//! versions and outcomes that follow from them. So a vote, an acknowledgement of entries and the outcome of a proposal are
+//! sent only after what they promise is on this machine's disk. The disk is written on the same thread: nothing else
+//! happens in between. After a failed write nothing is sent, and the replica tries the same write again later.
+use crate::log_store::LogStore;
+use crate::outbox::Outboxes;
+use alderway_control::machine::{Answer, Asker, Machine, Name};
+use alderway_control::outlet::{Outlet, Summary};
+use alderway_control::version::{Number, Proposal};
+use alderway_router::memory::clock::Clock;
+use serde_json::Value;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use thiserror::Error;
+use tokio::sync::{mpsc, oneshot};
+
+/// Settings that a router would refuse: one line that names the key.
+#[derive(Clone, Debug, Error, PartialEq)]
+#[error("{0}")]
+pub struct InvalidSettings(pub String);
+
+/// Checks settings as a router does at its start, and that they can follow the given earlier ones.
+pub type SettingsCheck = Box<dyn Fn(&Value, Option<&Value>) -> Result<(), InvalidSettings>>;
+
+/// What another control machine says of its routers.
+pub(crate) struct RouterSummaryReply {
+    /// The number of the request.
+    pub(crate) request: u64,
+    pub(crate) from: Name,
+    pub(crate) version: Number,
+    /// Why that machine takes no part.
+    pub(crate) unavailable: Option<String>,
+    pub(crate) routers: Summary,
+}
+
+pub(crate) struct ServerState {
+    pub(crate) replica: Machine,
+    pub(crate) outboxes: Outboxes,
+    /// Where committed versions go.
+    pub(crate) version_sink: Box<dyn Outlet>,
+    /// Admin endpoints of all control machines.
+    pub(crate) admin_addresses: BTreeMap<Name, SocketAddr>,
+    settings_check: SettingsCheck,
+    log_store: LogStore,
+    clock: Clock,
+    waiting_clients: BTreeMap<Asker, oneshot::Sender<Answer>>,
+    summary_requests: BTreeMap<u64, mpsc::UnboundedSender<RouterSummaryReply>>,
+    last_number: u64,
+}
+
+pub(crate) type SharedState = Rc<RefCell<ServerState>>;
+
+impl ServerState {
+    pub(crate) fn new(
+        replica: Machine,
+        log_store: LogStore,
+        outboxes: Outboxes,
+        version_sink: Box<dyn Outlet>,
+        admin_addresses: BTreeMap<Name, SocketAddr>,
+        settings_check: SettingsCheck,
+    ) -> ServerState {
+        ServerState {
+            replica,
+            outboxes,
+            version_sink,
+            admin_addresses,
+            settings_check,
+            log_store,
+            clock: Clock::default(),
+            waiting_clients: BTreeMap::new(),
+            summary_requests: BTreeMap::new(),
+            last_number: 0,
+        }
+    }
+
+    /// Seconds since the program started.
+    pub(crate) fn now(&self) -> f64 {
+        self.clock.now()
+    }
+
+    /// A number that this process uses once: for clients, summary requests and connections.
+    pub(crate) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+
+    /// Has the replica write what must be durable, then carries out what follows from it. Called after everything that was
+    /// fed to the replica.
+    pub(crate) fn advance(&mut self) {
+        let now = self.now();
+        let output = self.replica.run(&mut self.log_store, now);
+        for line in output.said {
+            tracing::info!(target: "control", "{line}");
+        }
+        for version in output.committed {
+            tracing::info!(target: "control", "version {} by {}: {}", version.number, version.author, version.why);
+            self.version_sink.committed(&version);
+        }
+        for (peer, message) in output.send {
+            if !self.outboxes.push(&peer, &message) {
+                self.replica.unreachable(&peer);
+            }
+        }
+        for (client, outcome) in output.answers {
+            if let Some(waiting) = self.waiting_clients.remove(&client) {
+                // A client that has gone needs no outcome.
+                let _ = waiting.send(outcome);
+            }
+        }
+    }
+
+    /// To be called every `TICK` seconds.
+    pub(crate) fn tick(&mut self) {
+        let now = self.now();
+        self.replica.tick(now);
+        self.advance();
+        let (staleness_s, has_quorum) = (self.replica.age(now), self.replica.majority(now));
+        self.version_sink.as_of(staleness_s, has_quorum);
+    }
+
+    pub(crate) fn check_settings(&self, settings: &Value) -> Result<(), InvalidSettings> {
+        let latest = self.replica.history().newest().map(|version| &version.settings);
+        (self.settings_check)(settings, latest)
+    }
+
+    /// Proposes a version; its outcome comes within `wait_s` seconds and a tick.
+    pub(crate) fn propose(&mut self, proposal: &Proposal, wait_s: f64) -> (Asker, oneshot::Receiver<Answer>) {
+        let (client, now) = (self.next_number(), self.now());
+        let Proposal { id, author, base, .. } = proposal;
+        tracing::info!(target: "proposal", "{id} by {author} on version {base}");
+        let (sender, outcome) = oneshot::channel();
+        self.waiting_clients.insert(client, sender);
+        self.replica.propose(client, proposal, wait_s, now);
+        self.advance();
+        (client, outcome)
+    }
+
+    /// The client has gone; what it proposed may still be committed.
+    pub(crate) fn forget_client(&mut self, client: Asker) {
+        self.waiting_clients.remove(&client);
+        self.replica.forget(client);
+    }
+
+    /// Has replies to a new summary request sent to `replies`, until [`Self::end_summary_request`].
+    pub(crate) fn start_summary_request(
+        &mut self,
+        replies: mpsc::UnboundedSender<RouterSummaryReply>,
+    ) -> u64 {
+        let request = self.next_number();
+        self.summary_requests.insert(request, replies);
+        request
+    }
+
+    pub(crate) fn end_summary_request(&mut self, request: u64) {
+        self.summary_requests.remove(&request);
+    }
+
+    pub(crate) fn deliver_summary(&mut self, reply: RouterSummaryReply) {
+        if let Some(replies) = self.summary_requests.get(&reply.request) {
+            // A client that has gone needs no reply.
+            let _ = replies.send(reply);
+        }
+    }
+}
--- a/crates/control-server/tests/admin_json.rs
+++ b/crates/control-server/tests/admin_json.rs
@@ -76,16 +76,16 @@
 
 #[rstest]
 fn response_sound() {
-    assert!(matches!(decoded_response(r#""sound""#), AdminResponse::Sound));
+    assert!(matches!(decoded_response(r#""sound""#), AdminResponse::Valid));
 }
 
 #[rstest]
 fn response_faulty() {
-    let AdminResponse::Faulty { why } = decoded_response(r#"{"faulty":{"why":"key `x`: expected y"}}"#)
+    let AdminResponse::Invalid { reason } = decoded_response(r#"{"faulty":{"why":"key `x`: expected y"}}"#)
     else {
         panic!("another variant")
     };
-    assert_eq!(why, "key `x`: expected y");
+    assert_eq!(reason, "key `x`: expected y");
 }
 
 #[rstest]
@@ -125,12 +125,14 @@
 fn response_answer(#[case] outcome: &str, #[case] expected: Answer) {
     let text =
         format!(r#"{{"answer":{{"answer":{outcome},"doors":{{"a":"127.0.0.1:7001","b":"[::1]:7002"}}}}}}"#);
-    let AdminResponse::Answer { answer, doors } = decoded_response(&text) else { panic!("another variant") };
-    assert_eq!(answer, expected);
-    let expected_doors = [("a", "127.0.0.1:7001"), ("b", "[::1]:7002")];
-    let expected_doors: BTreeMap<_, _> =
-        expected_doors.map(|(name, at)| (name.to_string(), at.parse().expect("an address"))).into();
-    assert_eq!(doors, expected_doors);
+    let AdminResponse::Proposed { outcome, admin_addresses } = decoded_response(&text) else {
+        panic!("another variant")
+    };
+    assert_eq!(outcome, expected);
+    let expected_addresses = [("a", "127.0.0.1:7001"), ("b", "[::1]:7002")];
+    let expected_addresses: BTreeMap<_, _> =
+        expected_addresses.map(|(name, at)| (name.to_string(), at.parse().expect("an address"))).into();
+    assert_eq!(admin_addresses, expected_addresses);
 }
 
 #[rstest]
@@ -146,9 +148,9 @@
         number: 9,
         proposal: "p9".into(),
         author: "ada".into(),
-        why: "more".into(),
+        reason: "more".into(),
         at_unix_ms: 1_700_000_000_009,
-        keys: vec!["Limits".into()],
+        changed_keys: vec!["Limits".into()],
     };
     assert_eq!((newest, versions), (9, vec![expected]));
 }
@@ -173,7 +175,8 @@
 
 #[rstest]
 fn response_no_such() {
-    let AdminResponse::NoSuch { oldest, newest } = decoded_response(r#"{"no_such":{"oldest":2,"newest":9}}"#)
+    let AdminResponse::VersionNotFound { oldest, newest } =
+        decoded_response(r#"{"no_such":{"oldest":2,"newest":9}}"#)
     else {
         panic!("another variant")
     };
@@ -204,10 +207,10 @@
     };
     let lagging = Lagging { router: "r1".into(), version: 8, since_s: 12.5, why: "key `x`".into() };
     let expected = ClusterStatus {
-        machine,
+        replica: machine,
         versions: [("a".to_string(), 9), ("b".to_string(), 8)].into(),
-        out: [("b".to_string(), "its disk is empty".to_string())].into(),
-        silent: names(&["c"]),
+        unavailable: [("b".to_string(), "its disk is empty".to_string())].into(),
+        unresponsive: names(&["c"]),
         routers: Summary { by_version: [(8, 1), (9, 20)].into(), lagging: vec![lagging], left_out: 3 },
     };
     assert_eq!(*overall, expected);
@@ -235,10 +238,10 @@
         changing: true,
     };
     let expected = ClusterStatus {
-        machine,
+        replica: machine,
         versions: BTreeMap::new(),
-        out: BTreeMap::new(),
-        silent: names(&[]),
+        unavailable: BTreeMap::new(),
+        unresponsive: names(&[]),
         routers: Summary::default(),
     };
     assert_eq!(*overall, expected);
@@ -247,8 +250,8 @@
 #[rstest]
 fn response_wrong() {
     let text = r#"{"wrong":{"why":"`wait_s` is 0 to 120"}}"#;
-    let AdminResponse::Wrong { why } = decoded_response(text) else { panic!("another variant") };
-    assert_eq!(why, "`wait_s` is 0 to 120");
+    let AdminResponse::BadRequest { reason } = decoded_response(text) else { panic!("another variant") };
+    assert_eq!(reason, "`wait_s` is 0 to 120");
 }
 
 /// The frames that carry the JSON: a hello, then the text with its length in front.
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -202,7 +202,7 @@
     let (until, mut said) = (Instant::now() + PATIENCE, String::new());
     for door in doors.iter().cycle() {
         match client::send(*door, &ask, Duration::from_secs(10)) {
-            Ok(AdminResponse::Answer { answer: Answer::Ordered(number), .. }) if number == base + 1 => {
+            Ok(AdminResponse::Proposed { outcome: Answer::Ordered(number), .. }) if number == base + 1 => {
                 return Ok(bytes);
             }
             Ok(other) => said = format!("{other:?}"),
@@ -313,7 +313,7 @@
         let status =
             spawn_blocking(move || client::send(door, &AdminRequest::Status, Duration::from_secs(5)));
         let leader = match status.await.map_err(|why| why.to_string())? {
-            Ok(AdminResponse::Status(all)) => all.machine.leader.ok_or("nobody leads")?,
+            Ok(AdminResponse::Status(all)) => all.replica.leader.ok_or("nobody leads")?,
             other => return Err(format!("no status: {other:?}")),
         };
         let n = (1..=self.group.count).find(|n| name(*n) == leader).ok_or("no such leader")?;
