--- a/crates/control-server/src/lib.rs
+++ b/crates/control-server/src/lib.rs
@@ -12,6 +12,7 @@
 //! | [`admin`] | requests of operators, server and client |
 //! | [`subscriptions`] | subscriptions of routers |
 //! | [`simulated_router`] | routers that only subscribe, for trials of scale |
+#![warn(missing_docs, clippy::missing_errors_doc)]
 pub mod admin;
 mod listener;
 pub mod log_store;
--- a/crates/control-server/src/simulated_router.rs
+++ b/crates/control-server/src/simulated_router.rs
@@ -1,5 +1,5 @@
-//! SimulatedRouters routers, for trials of scale: the subscription of a router as it is, state machine and sockets, with a take-over
-//! that only counts. Hundreds of them share a thread.
+//! Simulated routers for trials of scale: the subscription of a router as it is, state machine and sockets, in front of a
+//! router that applies each version at once and only records it. Hundreds of them share a thread.
 use alderway_control::subscriber::{Machine, Subscriber, Terms};
 use alderway_control::version::Number;
 use alderway_control::words::Outcome;
@@ -10,24 +10,29 @@
 use std::rc::Rc;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// What came of one of them.
+/// A control machine, and where it listens for routers.
+pub type ControlAddress = (Machine, SocketAddr);
+
+/// What one simulated router has done so far.
 #[derive(Clone, Debug, Default)]
 pub struct RouterState {
+    /// Its name in the hello.
     pub name: String,
-    /// Versions as they came in force, by the common clock.
-    pub in_force: Vec<(f64, Number)>,
-    /// Bytes that came in and went out.
+    /// Versions and when they were applied, in seconds of [`SimulatedRouters::clock`].
+    pub applied: Vec<(f64, Number)>,
+    /// Bytes received and sent.
     pub bytes: (u64, u64),
-    /// The machine that it is subscribed at.
-    pub machine: Option<String>,
-    /// How old its version may be, if anything is known.
-    pub age: Option<f64>,
+    /// The control machine that it is subscribed at.
+    pub control_machine: Option<String>,
+    /// For how many seconds its version has not been known to be the latest, if that is known.
+    pub staleness_s: Option<f64>,
 }
 
-/// They end with it.
+/// Any number of simulated routers on the current thread. Dropping it ends them.
 pub struct SimulatedRouters {
+    /// The clock of all times recorded.
     pub clock: Clock,
-    seen: Vec<Rc<RefCell<RouterState>>>,
+    states: Vec<Rc<RefCell<RouterState>>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -38,77 +43,94 @@
 }
 
 impl SimulatedRouters {
-    /// Starts so many, dealt out over the zones in turn, in this thread.
-    pub fn start(count: usize, machines: &[(Machine, SocketAddr)], zones: &[String], seed: u64) -> Self {
-        let mut all = SimulatedRouters { clock: Clock::default(), seen: vec![], tasks: vec![] };
+    /// Starts `count` routers, spread over `zones` in turn.
+    pub fn start(count: usize, machines: &[ControlAddress], zones: &[String], seed: u64) -> Self {
+        let mut all = SimulatedRouters { clock: Clock::default(), states: vec![], tasks: vec![] };
         all.grow(count, machines, zones, seed, Terms::default());
         all
     }
 
-    pub fn seen(&self) -> Vec<RouterState> {
-        self.seen.iter().map(|seen| seen.borrow().clone()).collect()
-    }
-
-    /// How many have this version or a later one in force.
-    pub fn have(&self, number: Number) -> usize {
-        let newest = |seen: &Rc<RefCell<RouterState>>| seen.borrow().in_force.last().map_or(0, |last| last.1);
-        self.seen.iter().filter(|seen| newest(seen) >= number).count()
-    }
-
-    /// When the last of them had this version or a later one, by the common clock; none while one lacks it.
-    pub fn all_had(&self, number: Number) -> Option<f64> {
-        let first = |seen: &Rc<RefCell<RouterState>>| {
-            let seen = seen.borrow();
-            let later = seen.in_force.iter().rev().take_while(|had| had.1 >= number);
-            later.last().map(|had| had.0)
-        };
-        self.seen.iter().map(first).try_fold(0.0, |last: f64, had| Some(last.max(had?)))
-    }
-
-    /// Starts so many more, numbered on.
+    /// Starts `count` more.
     pub fn grow(
         &mut self,
         count: usize,
-        machines: &[(Machine, SocketAddr)],
+        machines: &[ControlAddress],
         zones: &[String],
         seed: u64,
-        terms: Terms,
+        config: Terms,
     ) {
-        let (clock, first) = (self.clock, self.seen.len());
+        let first = self.states.len();
         for n in first..first + count {
-            let name = format!("hollow-{n:04}");
             let zone = zones.get(n % zones.len().max(1)).map_or("", String::as_str);
-            let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
-            let own = seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            let subscriber = Subscriber::new(terms, list, zone, None, own, clock.now());
-            let seen = Rc::new(RefCell::new(RouterState { name: name.clone(), ..RouterState::default() }));
-            let (taken, shown) = (seen.clone(), seen.clone());
-            let ends = SubscriptionHost {
-                name,
-                incarnation: 1,
-                machines: machines.iter().map(|(machine, at)| (machine.name.clone(), *at)).collect(),
-                clock,
-                apply: Box::new(move |_, number| {
-                    taken.borrow_mut().in_force.push((clock.now(), number));
-                    Box::pin(async { Outcome::InForce })
-                }),
-                persist: Box::new(|_, _| {}),
-                observe: Box::new(move |subscriber, bytes, now| {
-                    let mut seen = shown.borrow_mut();
-                    seen.bytes = bytes;
-                    seen.machine = subscriber.connected().map(|machine| machine.name.clone());
-                    seen.age = subscriber.age(now);
-                }),
-                log_events: false,
-            };
-            self.seen.push(seen);
-            self.tasks.push(spawn_local(run(subscriber, ends)));
+            self.start_one(n, machines, zone, seed, config);
         }
     }
 
-    /// Bytes in and out of all of them so far.
+    fn start_one(&mut self, n: usize, machines: &[ControlAddress], zone: &str, seed: u64, config: Terms) {
+        let name = format!("hollow-{n:04}");
+        let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
+        let own_seed = seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let subscriber = Subscriber::new(config, list, zone, None, own_seed, self.clock.now());
+        let state = Rc::new(RefCell::new(RouterState { name: name.clone(), ..RouterState::default() }));
+        let host = recording_host(name, machines, self.clock, &state);
+        self.states.push(state);
+        self.tasks.push(spawn_local(run(subscriber, host)));
+    }
+
+    /// What each has done so far.
+    pub fn states(&self) -> Vec<RouterState> {
+        self.states.iter().map(|state| state.borrow().clone()).collect()
+    }
+
+    /// How many have applied this version or a later one.
+    pub fn count_with(&self, number: Number) -> usize {
+        let latest =
+            |state: &Rc<RefCell<RouterState>>| state.borrow().applied.last().map_or(0, |last| last.1);
+        self.states.iter().filter(|state| latest(state) >= number).count()
+    }
+
+    /// When the last of them had applied this version or a later one, in seconds of the common clock; none while one has
+    /// not.
+    pub fn all_applied_at(&self, number: Number) -> Option<f64> {
+        let first_applied_at = |state: &Rc<RefCell<RouterState>>| {
+            let state = state.borrow();
+            let later = state.applied.iter().rev().take_while(|applied| applied.1 >= number);
+            later.last().map(|applied| applied.0)
+        };
+        self.states.iter().map(first_applied_at).try_fold(0.0, |last: f64, at| Some(last.max(at?)))
+    }
+
+    /// Bytes received and sent by all of them.
     pub fn bytes(&self) -> (u64, u64) {
-        let each = self.seen.iter().map(|seen| seen.borrow().bytes);
+        let each = self.states.iter().map(|state| state.borrow().bytes);
         each.fold((0, 0), |sum, bytes| (sum.0 + bytes.0, sum.1 + bytes.1))
     }
 }
+
+/// The host of a subscription that applies everything and records it.
+fn recording_host(
+    name: String,
+    machines: &[ControlAddress],
+    clock: Clock,
+    state: &Rc<RefCell<RouterState>>,
+) -> SubscriptionHost {
+    let (applied, observed) = (state.clone(), state.clone());
+    SubscriptionHost {
+        name,
+        incarnation: 1,
+        machines: machines.iter().map(|(machine, at)| (machine.name.clone(), *at)).collect(),
+        clock,
+        apply: Box::new(move |_, number| {
+            applied.borrow_mut().applied.push((clock.now(), number));
+            Box::pin(async { Outcome::InForce })
+        }),
+        persist: Box::new(|_, _| {}),
+        observe: Box::new(move |subscriber, bytes, now| {
+            let mut state = observed.borrow_mut();
+            state.bytes = bytes;
+            state.control_machine = subscriber.connected().map(|machine| machine.name.clone());
+            state.staleness_s = subscriber.age(now);
+        }),
+        log_events: false,
+    }
+}
--- /dev/null
+++ b/crates/control-server/src/subscriptions/connection.rs
@@ -0,0 +1,165 @@
+//! The connection of one router.
+use super::hub::{Hub, Link, LinkNumber};
+use crate::listener::serve_each;
+use alderway_control::publisher::Refused;
+use alderway_control::words::{Say, Tell};
+use alderway_router::tier::links::greet;
+use alderway_sockets::Sender;
+use alderway_tier::frames::{self, Fault, Hello, Read, Reader, Speech};
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::{TcpListener, TcpStream};
+
+/// Connections beside those of subscribed routers: those that have not sent their hello yet, and those about to be refused.
+const MAX_UNSUBSCRIBED_CONNECTIONS: usize = 64;
+/// No message of a router is longer.
+const MAX_MESSAGE_BYTES: usize = 2048;
+/// Before accepting again after the listener reported an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Why a connection was ended by this side.
+#[derive(Debug, Error)]
+enum ConnectionError {
+    #[error("{0}")]
+    Handshake(String),
+    #[error("{0}")]
+    Refused(Refused),
+    #[error("{router}: {source}")]
+    Frame { router: String, source: Fault },
+    #[error("{0} says hello twice")]
+    RepeatedHello(String),
+    #[error("{0}: a word too long")]
+    MessageTooLong(String),
+}
+
+/// Serves routers for as long as the subscriptions live.
+pub(super) async fn accept(hub: Rc<Hub>, listener: TcpListener) {
+    let max_connections = hub.config.most + MAX_UNSUBSCRIBED_CONNECTIONS;
+    let serve = |stream| {
+        let hub = hub.clone();
+        async move {
+            if let Err(error) = serve(&hub, &stream).await {
+                tracing::warn!(target: "subscriptions", "one that dialled: {error}");
+            }
+        }
+    };
+    serve_each(listener, max_connections, ACCEPT_RETRY_DELAY, serve).await;
+}
+
+/// Reads requests and writes messages until the connection or its link ends.
+async fn serve(hub: &Hub, stream: &TcpStream) -> Result<(), ConnectionError> {
+    let _ = stream.set_nodelay(true);
+    let mut connection = Connection::open(hub, stream).await?;
+    loop {
+        connection.receive_all()?;
+        if !connection.has_link() {
+            return Ok(());
+        }
+        let Ok(is_pending) = connection.write() else { return Ok(()) };
+        tokio::select! {
+            readable = stream.readable() => if readable.is_err() { return Ok(()) },
+            () = connection.sender.ready(stream), if is_pending => continue,
+            () = connection.link.changed.notified() => continue,
+        }
+        let is_open = connection.read();
+        if !is_open {
+            return Ok(());
+        }
+    }
+}
+
+/// The connection was closed, by either side or by the network.
+struct ConnectionOver;
+
+/// A subscribed router's connection. Dropping it closes its link, however the connection ended.
+struct Connection<'a> {
+    hub: &'a Hub,
+    stream: &'a TcpStream,
+    router: String,
+    number: LinkNumber,
+    link: Rc<Link>,
+    reader: Reader<Say>,
+    sender: Sender,
+    buffer: Vec<u8>,
+    /// Bytes received since the last whole message.
+    partial_bytes: usize,
+}
+
+impl Drop for Connection<'_> {
+    fn drop(&mut self) {
+        self.hub.close(self.number);
+    }
+}
+
+impl<'a> Connection<'a> {
+    /// Exchanges hellos and opens a link with the publisher.
+    async fn open(hub: &'a Hub, stream: &'a TcpStream) -> Result<Self, ConnectionError> {
+        let (mut output, mut reader) = (vec![], Reader::<Say>::default());
+        let mut buffer = vec![0; MAX_MESSAGE_BYTES];
+        let (name, incarnation) = (hub.name.clone(), hub.incarnation);
+        let own_hello = Hello { version: Tell::VERSION, planner: false, incarnation, name };
+        frames::hello_of::<Tell>(&mut output, &own_hello);
+        let hello = greet(stream, &mut output, &mut reader, &mut buffer).await;
+        let Hello { name: router, incarnation, .. } = hello.map_err(ConnectionError::Handshake)?;
+        let number = hub.publisher.borrow_mut().opened(&router, incarnation, hub.clock.now());
+        let number = number.map_err(ConnectionError::Refused)?;
+        let link = hub.add(number);
+        hub.close_replaced();
+        let sender = Sender::default();
+        Ok(Connection { hub, stream, router, number, link, reader, sender, buffer, partial_bytes: 0 })
+    }
+
+    fn has_link(&self) -> bool {
+        self.hub.publisher.borrow().holds(self.number)
+    }
+
+    /// Hands all whole messages to the publisher.
+    fn receive_all(&mut self) -> Result<(), ConnectionError> {
+        let router = || self.router.clone();
+        loop {
+            let frame = self.reader.read();
+            match frame.map_err(|source| ConnectionError::Frame { router: router(), source })? {
+                Some(Read::Message(message)) => {
+                    self.partial_bytes = 0;
+                    self.hub.publisher.borrow_mut().heard(self.number, message, self.hub.clock.now());
+                    self.hub.changed.notify_one();
+                }
+                Some(Read::Hello(_)) => return Err(ConnectionError::RepeatedHello(router())),
+                None if self.partial_bytes > MAX_MESSAGE_BYTES => {
+                    return Err(ConnectionError::MessageTooLong(router()));
+                }
+                None => return Ok(()),
+            }
+        }
+    }
+
+    /// Writes what the socket takes of the link's output, and tells the publisher once all of it is written; true where
+    /// some is left.
+    fn write(&mut self) -> Result<bool, ConnectionOver> {
+        let mut output = self.link.output.borrow_mut();
+        if output.is_empty() {
+            return Ok(false);
+        }
+        let count = self.sender.write(self.stream, &output).map_err(|_| ConnectionOver)?;
+        output.drain(..count);
+        if output.is_empty() {
+            self.hub.publisher.borrow_mut().sent(self.number);
+            self.hub.changed.notify_one();
+        }
+        Ok(!output.is_empty())
+    }
+
+    /// Reads what has arrived; false at the end of the connection.
+    fn read(&mut self) -> bool {
+        match alderway_sockets::read(self.stream, &mut self.buffer) {
+            Ok(Some(0)) | Err(_) => false,
+            Ok(Some(count)) => {
+                self.partial_bytes += count;
+                self.reader.feed(&self.buffer[..count]);
+                true
+            }
+            Ok(None) => true,
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-server/src/subscriptions/mod.rs
@@ -0,0 +1,106 @@
+//! The listener for routers: each holds one connection, asks for versions and is sent those that it lacks. Which router is
+//! sent what, and when, is decided by [`alderway_control::publisher`]; here are the sockets.
+mod connection;
+mod distributor;
+mod hub;
+
+use alderway_control::outlet::{Outlet, Summary};
+use alderway_control::publisher::{Met, Terms};
+use alderway_control::version::{Number, Version};
+use hub::Hub;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::task::{JoinHandle, spawn_local};
+
+/// The subscriptions at one control machine. A clone is another handle on the same ones; the tasks run on the thread that
+/// called [`Subscriptions::listen`] until the last handle is dropped.
+#[derive(Clone)]
+pub struct Subscriptions {
+    hub: Rc<Hub>,
+    tasks: Rc<Tasks>,
+    address: SocketAddr,
+}
+
+struct Tasks(Vec<JoinHandle<()>>);
+
+impl Tasks {
+    fn abort(&self) {
+        self.0.iter().for_each(JoinHandle::abort);
+    }
+}
+
+impl Drop for Tasks {
+    fn drop(&mut self) {
+        self.abort();
+    }
+}
+
+impl Subscriptions {
+    /// Listens for routers. `name` is what routers' lists call this control machine, `incarnation` a number that each of its
+    /// starts has for itself.
+    ///
+    /// # Errors
+    /// The address can't be listened on.
+    pub async fn listen(
+        name: &str,
+        incarnation: u64,
+        address: SocketAddr,
+        config: Terms,
+    ) -> io::Result<Self> {
+        let listener = TcpListener::bind(address).await?;
+        let address = listener.local_addr()?;
+        let hub = Rc::new(Hub::new(name, incarnation, config));
+        let accept = spawn_local(connection::accept(hub.clone(), listener));
+        let distribute = spawn_local(distributor::run(hub.clone()));
+        Ok(Subscriptions { hub, tasks: Rc::new(Tasks(vec![accept, distribute])), address })
+    }
+
+    /// Where it listens, with the port that the system chose if none was given.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Connections of routers.
+    pub fn link_count(&self) -> usize {
+        self.hub.publisher.borrow().links()
+    }
+
+    /// The latest version that it has to send; 0: none.
+    pub fn latest(&self) -> Number {
+        self.hub.publisher.borrow().newest()
+    }
+
+    /// What was sent and received so far.
+    pub fn metrics(&self) -> Met {
+        self.hub.publisher.borrow().met
+    }
+
+    /// Stops listening and ends every connection.
+    pub fn stop(&self) {
+        self.tasks.abort();
+        self.hub.close_all();
+    }
+}
+
+impl Outlet for Subscriptions {
+    fn committed(&mut self, version: &Version) {
+        let now = self.hub.clock.now();
+        match self.hub.publisher.borrow_mut().commit(version, now) {
+            Ok(true) => tracing::info!(target: "subscriptions", "version {} goes out", version.number),
+            Ok(false) => {}
+            Err(error) => tracing::error!(target: "subscriptions", "{error}"),
+        }
+        self.hub.changed.notify_one();
+    }
+
+    fn as_of(&mut self, staleness_s: f64, has_quorum: bool) {
+        let now = self.hub.clock.now();
+        self.hub.publisher.borrow_mut().stands(staleness_s, has_quorum, now);
+    }
+
+    fn summary(&self) -> Summary {
+        self.hub.publisher.borrow().summary(self.hub.clock.now())
+    }
+}
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -271,8 +271,8 @@
         let bytes = asked.map_err(|why| format!("{why}; last said: {}", self.group.told()))?;
         self.newest += 1;
         let newest = self.newest;
-        self.until("all have a version", |all| all.all_had(newest).is_some()).await?;
-        let had = self.hollow.all_had(newest).unwrap_or(f64::NAN);
+        self.until("all have a version", |all| all.all_applied_at(newest).is_some()).await?;
+        let had = self.hollow.all_applied_at(newest).unwrap_or(f64::NAN);
         Ok(Change { decided: answered - from, in_force: had - from, bytes })
     }
 
@@ -283,11 +283,11 @@
         let seconds = from.elapsed().as_secs_f64();
         let (used, after) = (own_cpu() - used, self.group.used());
         let spent = spent.iter().zip(&after).map(|(from, to)| to - from).fold(0.0, f64::max) / seconds;
-        let seen = self.hollow.seen();
+        let seen = self.hollow.states();
         let (count, now) = (seen.len() as f64, self.hollow.bytes());
         let (came, went) = ((now.0 - bytes.0) as f64 / seconds, (now.1 - bytes.1) as f64 / seconds);
         let mut linked: BTreeMap<Option<&str>, f64> = BTreeMap::new();
-        seen.iter().for_each(|seen| *linked.entry(seen.machine.as_deref()).or_default() += 1.0);
+        seen.iter().for_each(|seen| *linked.entry(seen.control_machine.as_deref()).or_default() += 1.0);
         linked.remove(&None);
         let machines = self.group.running.len() as f64;
         let router = vec![
@@ -321,7 +321,7 @@
         self.group.kill(n);
         let sent = self.send();
         self.until("its routers are elsewhere", |all| {
-            all.seen().iter().all(|seen| seen.machine.as_ref().is_some_and(|at| *at != leader))
+            all.states().iter().all(|seen| seen.control_machine.as_ref().is_some_and(|at| *at != leader))
         })
         .await?;
         let moved = from.elapsed().as_secs_f64();
@@ -331,7 +331,7 @@
         (1..=self.group.count).for_each(|n| self.group.kill(n));
         (1..=self.group.count).try_for_each(|n| self.group.begin(n))?;
         self.change().await?;
-        let all = self.hollow.all_had(self.newest).unwrap_or(f64::NAN) - from;
+        let all = self.hollow.all_applied_at(self.newest).unwrap_or(f64::NAN) - from;
         Ok(vec![
             ("next change in force everywhere, leader killed", "s", one),
             ("routers of a killed machine back", "s", moved),
@@ -387,7 +387,7 @@
             stand.hollow.grow(routers - count, &machines, &zones, seed, Terms::default());
             count = routers;
             let newest = stand.newest;
-            stand.until("all have what stands", |all| all.all_had(newest).is_some()).await?;
+            stand.until("all have what stands", |all| all.all_applied_at(newest).is_some()).await?;
             let place = At::from([("routers", json!(routers)), ("machines", json!(self.machines))]);
             let (mut router, machine) = stand.at_rest().await;
             // A later repeat is given room that the one before left.
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -244,10 +244,10 @@
         let at = (first.subscriptions.address(), second.subscriptions.address());
         let router = Router::new(vec![(machine("c1", "z1"), at.0), (machine("c2", "z2"), at.1)], None, &[]);
         router.until(is("control_version", 1)).await;
-        assert_eq!((first.subscriptions.links(), second.subscriptions.links()), (1, 0));
+        assert_eq!((first.subscriptions.link_count(), second.subscriptions.link_count()), (1, 0));
         drop(first);
         router.until(|f| is("control_connections_lost", 1)(f) && is("control_connected", 1)(f)).await;
-        assert_eq!(second.subscriptions.links(), 1);
+        assert_eq!(second.subscriptions.link_count(), 1);
         second.commit(2);
         router.until(is("control_version", 2)).await;
     });
@@ -291,14 +291,14 @@
             stream
         };
         let mut former = dial(1).await;
-        until(|| desk.subscriptions.links() == 1).await;
+        until(|| desk.subscriptions.link_count() == 1).await;
         let later = dial(2).await;
         // The machine's hello, and then its end.
         let mut read = vec![];
         former.read_to_end(&mut read).await.expect("its end");
-        assert_eq!(desk.subscriptions.links(), 1);
+        assert_eq!(desk.subscriptions.link_count(), 1);
         drop(later);
-        until(|| desk.subscriptions.links() == 0).await;
+        until(|| desk.subscriptions.link_count() == 0).await;
     });
 }
 
@@ -439,17 +439,17 @@
             (machine("c1", "z1"), first.subscriptions.address()),
             (machine("c2", "z2"), second.subscriptions.address()),
         ];
-        let hollow = SimulatedRouters::start(60, &list, &["z1".into(), "z2".into()], 3);
-        until(|| hollow.have(1) == 60).await;
-        assert_eq!((first.subscriptions.links(), second.subscriptions.links()), (30, 30));
+        let routers = SimulatedRouters::start(60, &list, &["z1".into(), "z2".into()], 3);
+        until(|| routers.count_with(1) == 60).await;
+        assert_eq!((first.subscriptions.link_count(), second.subscriptions.link_count()), (30, 30));
         first.commit(2);
         second.commit(2);
-        until(|| hollow.have(2) == 60).await;
+        until(|| routers.count_with(2) == 60).await;
         let mut summary = first.subscriptions.summary();
         summary.add(&second.subscriptions.summary());
         assert_eq!(summary.by_version.values().sum::<u64>(), 60);
-        let seen = hollow.seen();
-        assert!(seen.iter().all(|seen| seen.in_force.iter().map(|f| f.1).eq([1, 2])));
+        let states = routers.states();
+        assert!(states.iter().all(|state| state.applied.iter().map(|f| f.1).eq([1, 2])));
     });
 }
 
