--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -1,13 +1,13 @@
 //! `alderway control`: a control machine by the operator's file.
 use crate::settings;
-use alderway_control::outlet::{Nowhere, Outlet};
-use alderway_control::publisher::Terms;
+use alderway_control_plane::publisher::PublisherConfig;
+use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
 use alderway_control_server::InvalidSettings;
 use alderway_control_server::server::{self, ServerConfig};
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_operator::{LogForm, Operator};
-use alderway_router::life::logger::{self, Form};
 use alderway_router::tier::post;
+use alderway_telemetry::log::{self, Form};
 use clap::Args;
 use std::io;
 use std::net::SocketAddr;
@@ -39,9 +39,10 @@
 }
 
 /// Where routers subscribe, if the file says where they are heard.
-async fn outlet(name: String, routers: Option<SocketAddr>) -> io::Result<Box<dyn Outlet>> {
-    let Some(at) = routers else { return Ok(Box::new(Nowhere)) };
-    let subscriptions = Subscriptions::listen(&name, post::incarnation(), at, Terms::default()).await?;
+async fn outlet(name: String, routers: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
+    let Some(at) = routers else { return Ok(Box::new(DiscardVersions)) };
+    let subscriptions =
+        Subscriptions::listen(&name, post::incarnation(), at, PublisherConfig::default()).await?;
     Ok(Box::new(subscriptions))
 }
 
@@ -55,7 +56,7 @@
             return ExitCode::from(2);
         }
     };
-    logger::start(match log {
+    log::start(match log {
         LogForm::Text => Form::Text,
         LogForm::Json => Form::Json,
     });
--- a/crates/control-server/src/admin/client.rs
+++ b/crates/control-server/src/admin/client.rs
@@ -1,6 +1,6 @@
 //! The operator's side of the admin endpoint: one request over one connection, blocking.
 use super::messages::{AdminRequest, AdminResponse, JsonFrame};
-use alderway_tier::frames::{self, Fault, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Fault, Hello, Read, Reader, Speech};
 use std::io::{self, Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/control-server/src/admin/handlers.rs
+++ b/crates/control-server/src/admin/handlers.rs
@@ -1,9 +1,9 @@
 //! What each request of an operator does.
 use super::messages::{AdminRequest, AdminResponse, ClusterStatus, MAX_WAIT_S, VersionSummary};
 use crate::state::{InvalidSettings, ServerState, SharedState};
-use alderway_control::history::{History, differing};
-use alderway_control::machine::{Name, Word};
-use alderway_control::version::{Number, Proposal, Version};
+use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
+use alderway_control_plane::version::{Proposal, Version, VersionNumber};
+use alderway_control_plane::version_log::{VersionLog, changed_keys};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -46,7 +46,7 @@
 
 /// The first thing wrong with a proposal's own fields, if any.
 fn malformed(proposal: &Proposal, wait_s: f64) -> Option<String> {
-    let texts = [("id", &proposal.id), ("author", &proposal.author), ("why", &proposal.why)];
+    let texts = [("id", &proposal.id), ("author", &proposal.author), ("why", &proposal.reason)];
     for (key, text) in texts {
         let may_be_empty = key == "author";
         if text.len() > MAX_TEXT_BYTES || (!may_be_empty && text.trim().is_empty()) {
@@ -96,30 +96,31 @@
     }
 }
 
-fn list_versions(state: &ServerState, before: Option<Number>, count: usize) -> AdminResponse {
-    let log = state.replica.history();
+fn list_versions(state: &ServerState, before: Option<VersionNumber>, count: usize) -> AdminResponse {
+    let log = state.replica.version_log();
     let latest_first = log.versions().iter().rev();
     let earlier = latest_first.filter(|version| before.is_none_or(|before| version.number < before));
     let listed = earlier.take(count.min(MAX_LISTED_VERSIONS));
     let mut versions: Vec<VersionSummary> = listed.map(|version| summarize(log, version)).collect();
     versions.reverse();
-    AdminResponse::History { newest: log.number(), versions }
+    AdminResponse::History { newest: log.latest_number(), versions }
 }
 
-fn summarize(log: &History, version: &Version) -> VersionSummary {
-    let previous = version.number.checked_sub(1).and_then(|number| log.at(number));
-    let changed_keys = previous.map_or(vec![], |previous| differing(&previous.settings, &version.settings));
-    let Version { number, proposal, author, why: reason, at_unix_ms, .. } = version.clone();
+fn summarize(log: &VersionLog, version: &Version) -> VersionSummary {
+    let previous = version.number.checked_sub(1).and_then(|number| log.get(number));
+    let changed_keys =
+        previous.map_or(vec![], |previous| changed_keys(&previous.settings, &version.settings));
+    let Version { number, proposal_id: proposal, author, reason, at_unix_ms, .. } = version.clone();
     VersionSummary { number, proposal, author, reason, at_unix_ms, changed_keys }
 }
 
-fn show(state: &ServerState, number: Option<Number>) -> AdminResponse {
-    let log = state.replica.history();
-    match log.at(number.unwrap_or(log.number())) {
+fn show(state: &ServerState, number: Option<VersionNumber>) -> AdminResponse {
+    let log = state.replica.version_log();
+    match log.get(number.unwrap_or(log.latest_number())) {
         Some(version) => AdminResponse::Version { version: version.clone() },
         None => {
             let oldest = log.versions().front().map_or(0, |version| version.number);
-            AdminResponse::VersionNotFound { oldest, newest: log.number() }
+            AdminResponse::VersionNotFound { oldest, newest: log.latest_number() }
         }
     }
 }
@@ -132,7 +133,7 @@
         let request = state.start_summary_request(sender);
         let status = own_status(&mut state);
         for peer in &status.unresponsive {
-            state.outboxes.push(peer, &Word::Summarise { question: request });
+            state.outboxes.push(peer, &ReplicaMessage::SummaryRequest { request_id: request });
         }
         (request, status)
     };
@@ -142,7 +143,7 @@
         if reply.request == request && status.unresponsive.remove(&reply.from) {
             status.versions.insert(reply.from.clone(), reply.version);
             status.unavailable.extend(reply.unavailable.map(|reason| (reply.from.clone(), reason)));
-            status.routers.add(&reply.routers);
+            status.routers.merge(&reply.routers);
         }
     }
     state.borrow_mut().end_summary_request(request);
@@ -155,8 +156,12 @@
     let peers = state.admin_addresses.keys().filter(|name| **name != replica.name);
     ClusterStatus {
         versions: BTreeMap::from([(replica.name.clone(), replica.version)]),
-        unavailable: replica.out.iter().map(|reason| (replica.name.clone(), reason.clone())).collect(),
-        unresponsive: peers.cloned().collect::<std::collections::BTreeSet<Name>>(),
+        unavailable: replica
+            .unavailable_reason
+            .iter()
+            .map(|reason| (replica.name.clone(), reason.clone()))
+            .collect(),
+        unresponsive: peers.cloned().collect::<std::collections::BTreeSet<ReplicaName>>(),
         routers: state.version_sink.summary(),
         replica,
     }
--- a/crates/control-server/src/admin/messages.rs
+++ b/crates/control-server/src/admin/messages.rs
@@ -1,9 +1,9 @@
-//! Requests and responses of the admin endpoint, as JSON in the frames of `alderway_tier`. The JSON names are older than the
+//! Requests and responses of the admin endpoint, as JSON in the frames of `alderway_transport`. The JSON names are older than the
 //! names here; `#[serde(rename)]` maps them, in this file only.
-use alderway_control::machine::{Answer, Name, Status};
-use alderway_control::outlet::Summary;
-use alderway_control::version::{Number, Proposal, Version};
-use alderway_tier::frames::Speech;
+use alderway_control_plane::replica::{ProposalOutcome, ReplicaName, ReplicaStatus};
+use alderway_control_plane::version::{Proposal, Version, VersionNumber};
+use alderway_control_plane::version_sink::RouterSummary;
+use alderway_transport::frames::Speech;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,14 +41,14 @@
     /// The latest versions without their settings.
     History {
         /// Only versions before this one.
-        before: Option<Number>,
+        before: Option<VersionNumber>,
         /// How many at most.
         count: usize,
     },
     /// One version with its settings.
     Show {
         /// The latest where there is none.
-        number: Option<Number>,
+        number: Option<VersionNumber>,
     },
     /// The state of all control machines and routers.
     Status,
@@ -73,15 +73,15 @@
     Proposed {
         /// The replica's outcome.
         #[serde(rename = "answer")]
-        outcome: Answer,
+        outcome: ProposalOutcome,
         /// The admin endpoints of all control machines, for a client that tries another one.
         #[serde(rename = "doors")]
-        admin_addresses: BTreeMap<Name, SocketAddr>,
+        admin_addresses: BTreeMap<ReplicaName, SocketAddr>,
     },
     /// The versions asked for, oldest first.
     History {
-        /// Number of the latest version; 0: there is none.
-        newest: Number,
+        /// VersionNumber of the latest version; 0: there is none.
+        newest: VersionNumber,
         /// As many as asked for, up to a limit of the server.
         versions: Vec<VersionSummary>,
     },
@@ -94,9 +94,9 @@
     #[serde(rename = "no_such")]
     VersionNotFound {
         /// The oldest version that is stored.
-        oldest: Number,
+        oldest: VersionNumber,
         /// The latest version; 0: there is none.
-        newest: Number,
+        newest: VersionNumber,
     },
     /// The state of all control machines and routers.
     Status(Box<ClusterStatus>),
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionSummary {
     /// Its place in the order of versions.
-    pub number: Number,
+    pub number: VersionNumber,
     /// The id of the proposal that made it.
     pub proposal: String,
     /// Who proposed it.
@@ -133,15 +133,15 @@
 pub struct ClusterStatus {
     /// The control machine that answers.
     #[serde(rename = "machine")]
-    pub replica: Status,
+    pub replica: ReplicaStatus,
     /// The latest version of each control machine that answered in time.
-    pub versions: BTreeMap<Name, Number>,
+    pub versions: BTreeMap<ReplicaName, VersionNumber>,
     /// Why a control machine takes no part, for each that said so.
     #[serde(rename = "out")]
-    pub unavailable: BTreeMap<Name, String>,
+    pub unavailable: BTreeMap<ReplicaName, String>,
     /// Control machines that did not answer in time; their routers are not counted.
     #[serde(rename = "silent")]
-    pub unresponsive: BTreeSet<Name>,
+    pub unresponsive: BTreeSet<ReplicaName>,
     /// The routers subscribed at the control machines that answered.
-    pub routers: Summary,
+    pub routers: RouterSummary,
 }
--- a/crates/control-server/src/lib.rs
+++ b/crates/control-server/src/lib.rs
@@ -1,4 +1,4 @@
-//! A control machine as a program: the replica of `alderway-control` on sockets and on disk, the admin endpoint through
+//! A control machine as a program: the replica of `alderway-control-plane` on sockets and on disk, the admin endpoint through
 //! which operators change the configuration, and the subscriptions of routers. Run by `alderway control`; it serves no
 //! query and knows no data node.
 //!
--- a/crates/control-server/src/log_store.rs
+++ b/crates/control-server/src/log_store.rs
@@ -1,11 +1,11 @@
 //! The control log on disk: one file of an embedded database in the replica's data folder.
 //!
-//! A batch of the replica is one transaction. [`Store::write`] returns only once the transaction has been synced to disk;
+//! A batch of the replica is one transaction. [`StableStorage::write`] returns only once the transaction has been synced to disk;
 //! the replica sends no vote, no acknowledgement and no answer that follows from a batch before that. Each value carries a
 //! CRC-32 of its own, so that a truncated file, a file of another program and one of another version are told apart from a
 //! sound one and refused when they are opened.
-use alderway_control::consensus::{Held, Persist, Store};
-use alderway_control::machine::REPLACE;
+use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch};
+use alderway_control_plane::replica::REPLACE_DISK_ADVICE;
 use redb::{Builder, Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs::{self, File, TryLockError};
 use std::io;
@@ -50,7 +50,7 @@
         path: PathBuf,
     },
     /// The file exists, but what it holds cannot be used: the replica's disk has to be replaced by an empty one.
-    #[error("{path}: {source}; {REPLACE}", path = path.display())]
+    #[error("{path}: {source}; {REPLACE_DISK_ADVICE}", path = path.display())]
     Unreadable {
         /// The log file.
         path: PathBuf,
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     /// The folder is in use or can't be written, or the log in it is damaged or of another version.
-    pub fn open(folder: &Path) -> Result<(LogStore, Held), LogStoreError> {
+    pub fn open(folder: &Path) -> Result<(LogStore, RecoveredState), LogStoreError> {
         let path = folder.join(FILE_NAME);
         let io_error = |source| LogStoreError::Io { path: path.clone(), source };
         let unreadable = |source| LogStoreError::Unreadable { path: path.clone(), source };
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     /// The disk or the database refused it; all of the batch or nothing may be on disk.
-    fn write_batch(&mut self, batch: &Persist) -> Result<(), DatabaseError> {
+    fn write_batch(&mut self, batch: &WriteBatch) -> Result<(), DatabaseError> {
         let database = match self.database.take() {
             Some(database) => database,
             None => open_database(&self.path)?,
@@ -155,8 +155,8 @@
     }
 }
 
-impl Store for LogStore {
-    fn write(&mut self, batch: &Persist) -> Result<(), String> {
+impl StableStorage for LogStore {
+    fn write(&mut self, batch: &WriteBatch) -> Result<(), String> {
         let written = self.write_batch(batch);
         written.map_err(|source| LogStoreError::Write { path: self.path.clone(), source }.to_string())
     }
@@ -212,9 +212,9 @@
     Ok(rows)
 }
 
-fn recover(database: &Database) -> Result<Held, ContentError> {
+fn recover(database: &Database) -> Result<RecoveredState, ContentError> {
     let rows = without_panic(|| read_rows(database))?;
-    let mut recovered = Held::default();
+    let mut recovered = RecoveredState::default();
     let mut format = None;
     for (key, value) in rows.state {
         let bytes = verified(&value, || format!("`{key}`"))?;
@@ -222,8 +222,8 @@
             KEY_FORMAT => format = Some(bytes),
             KEY_IDENTITY => recovered.identity = Some(bytes),
             KEY_SNAPSHOT => recovered.snapshot = Some(bytes),
-            KEY_HARD_STATE => recovered.hard = Some(bytes),
-            KEY_FLOOR => recovered.floor = decode_floor(&bytes)?,
+            KEY_HARD_STATE => recovered.hard_state = Some(bytes),
+            KEY_FLOOR => recovered.compacted_to = decode_floor(&bytes)?,
             _ => return Err(ContentError::UnknownKey(key)),
         }
     }
@@ -245,16 +245,16 @@
     number(0).zip(number(8)).ok_or(ContentError::Truncated { record: format!("`{KEY_FLOOR}`") })
 }
 
-/// The order of steps is that of [`Persist`]: state, entries that go, entries that are replaced.
-fn commit_batch(database: &Database, batch: &Persist) -> Result<(), redb::Error> {
+/// The order of steps is that of [`WriteBatch`]: state, entries that go, entries that are replaced.
+fn commit_batch(database: &Database, batch: &WriteBatch) -> Result<(), redb::Error> {
     let mut transaction = database.begin_write()?;
     // The commit below returns only after the file has been synced.
     transaction.set_durability(Durability::Immediate)?;
-    let floor = batch.floor.map(encode_floor);
+    let floor = batch.compacted_to.map(encode_floor);
     let state_rows = [
         (KEY_IDENTITY, &batch.identity),
         (KEY_SNAPSHOT, &batch.snapshot),
-        (KEY_HARD_STATE, &batch.hard),
+        (KEY_HARD_STATE, &batch.hard_state),
         (KEY_FLOOR, &floor),
     ];
     {
@@ -265,9 +265,9 @@
             }
         }
         let mut entries = transaction.open_table(ENTRIES)?;
-        if batch.clear {
+        if batch.clear_entries {
             entries.retain(|_, _| false)?;
-        } else if let Some((compacted_index, _)) = batch.floor {
+        } else if let Some((compacted_index, _)) = batch.compacted_to {
             entries.retain_in(..=compacted_index, |_, _| false)?;
         }
         if let Some((first_index, _)) = batch.entries.first() {
--- a/crates/control-server/src/outbox.rs
+++ b/crates/control-server/src/outbox.rs
@@ -1,6 +1,6 @@
 //! Frames to other control machines, and where they wait to be written.
-use alderway_control::machine::{Name, Word};
-use alderway_tier::frames::{self, Speech};
+use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
+use alderway_transport::frames::{self, Speech};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 /// The message of a frame between control machines.
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct PeerFrame(pub Word);
+pub struct PeerFrame(pub ReplicaMessage);
 
 impl Speech for PeerFrame {
     const WORD: [u8; 4] = *b"ALDC";
@@ -20,7 +20,7 @@
 const MAX_OUTBOX_BYTES: usize = 48 * 1024 * 1024;
 
 /// An outbox for each other control machine; nothing is put into that of a machine without a connection.
-pub(crate) struct Outboxes(BTreeMap<Name, Outbox>);
+pub(crate) struct Outboxes(BTreeMap<ReplicaName, Outbox>);
 
 struct Outbox {
     is_connected: bool,
@@ -30,13 +30,13 @@
 }
 
 impl Outboxes {
-    pub(crate) fn new<'a>(peers: impl Iterator<Item = &'a Name>) -> Outboxes {
+    pub(crate) fn new<'a>(peers: impl Iterator<Item = &'a ReplicaName>) -> Outboxes {
         let outbox = || Outbox { is_connected: false, bytes: vec![], filled: Rc::default() };
         Outboxes(peers.map(|peer| (peer.clone(), outbox())).collect())
     }
 
     /// Puts a message into a peer's outbox; false where it was dropped.
-    pub(crate) fn push(&mut self, peer: &str, message: &Word) -> bool {
+    pub(crate) fn push(&mut self, peer: &str, message: &ReplicaMessage) -> bool {
         let Some(outbox) = self.0.get_mut(peer) else { return false };
         if !outbox.is_connected || outbox.bytes.len() >= MAX_OUTBOX_BYTES {
             return false;
--- a/crates/control-server/src/replica_links/incoming.rs
+++ b/crates/control-server/src/replica_links/incoming.rs
@@ -3,9 +3,9 @@
 use crate::listener::serve_each;
 use crate::outbox::PeerFrame;
 use crate::state::{RouterSummaryReply, SharedState};
-use alderway_control::machine::{Name, Word};
-use alderway_router::tier::links::greet;
-use alderway_tier::frames::{self, Read, Reader};
+use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
+use alderway_transport::frames::{self, Read, Reader};
+use alderway_transport::links::greet;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
 /// The latest connection of each peer. An earlier one is read no further: its messages are older than those on the latest.
-type LatestConnections = RefCell<BTreeMap<Name, u64>>;
+type LatestConnections = RefCell<BTreeMap<ReplicaName, u64>>;
 
 /// Serves other control machines for as long as the program runs.
 pub(crate) async fn accept(state: SharedState, listener: TcpListener) {
@@ -67,7 +67,7 @@
     if !is_member || peer == state.replica.name() {
         return Err(LinkError::UnknownPeer(peer.into()));
     }
-    state.replica.unlinked(peer);
+    state.replica.link_replaced(peer);
     let connection = state.next_number();
     latest.borrow_mut().insert(peer.into(), connection);
     Ok(connection)
@@ -101,25 +101,30 @@
     Ok(true)
 }
 
-fn receive(state: &SharedState, peer: &str, message: Word) {
+fn receive(state: &SharedState, peer: &str, message: ReplicaMessage) {
     let mut state = state.borrow_mut();
     match message {
-        Word::Summarise { question } => {
-            let reply = Word::Summary {
-                question,
-                version: state.replica.history().number(),
-                out: state.replica.out(),
+        ReplicaMessage::SummaryRequest { request_id } => {
+            let reply = ReplicaMessage::SummaryResponse {
+                request_id,
+                version: state.replica.version_log().latest_number(),
+                unavailable_reason: state.replica.unavailable_reason(),
                 summary: state.version_sink.summary(),
             };
             state.outboxes.push(peer, &reply);
         }
-        Word::Summary { question: request, version, out: unavailable, summary: routers } => {
+        ReplicaMessage::SummaryResponse {
+            request_id: request,
+            version,
+            unavailable_reason: unavailable,
+            summary: routers,
+        } => {
             let from = peer.into();
             state.deliver_summary(RouterSummaryReply { request, from, version, unavailable, routers });
         }
         message => {
             let now = state.now();
-            state.replica.came(peer, message, now);
+            state.replica.receive(peer, message, now);
         }
     }
 }
--- a/crates/control-server/src/replica_links/link.rs
+++ b/crates/control-server/src/replica_links/link.rs
@@ -1,7 +1,7 @@
 //! What incoming and outgoing connections share.
 use crate::outbox::PeerFrame;
 use crate::state::SharedState;
-use alderway_tier::frames::{Fault, Hello, Speech};
+use alderway_transport::frames::{Fault, Hello, Speech};
 use thiserror::Error;
 
 /// Why a connection between control machines was ended by this side.
--- a/crates/control-server/src/replica_links/outgoing.rs
+++ b/crates/control-server/src/replica_links/outgoing.rs
@@ -2,10 +2,10 @@
 use super::link::{LinkError, own_hello};
 use crate::outbox::PeerFrame;
 use crate::state::SharedState;
-use alderway_control::machine::Name;
-use alderway_router::tier::links::{PATIENCE, Waits, greet};
+use alderway_control_plane::replica::ReplicaName;
 use alderway_sockets::Sender;
-use alderway_tier::frames::{self, Reader};
+use alderway_transport::frames::{self, Reader};
+use alderway_transport::links::{PATIENCE, Waits, greet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,7 +21,12 @@
 const READ_BUFFER_BYTES: usize = 1024;
 
 /// Keeps a connection to `peer` for as long as the program runs.
-pub(crate) async fn keep_connected(state: SharedState, peer: Name, address: SocketAddr, backoff_seed: u64) {
+pub(crate) async fn keep_connected(
+    state: SharedState,
+    peer: ReplicaName,
+    address: SocketAddr,
+    backoff_seed: u64,
+) {
     let mut backoff = Waits::new(backoff_seed);
     loop {
         if let Ok(Ok(stream)) = timeout(PATIENCE, alderway_sockets::dial(address)).await {
@@ -77,7 +82,7 @@
 fn open_outbox(state: &SharedState, peer: &str) -> Result<Rc<Notify>, LinkError> {
     let mut state = state.borrow_mut();
     let filled = state.outboxes.connect(peer).ok_or_else(|| LinkError::UnknownPeer(peer.into()))?;
-    let first_message = state.replica.linked();
+    let first_message = state.replica.link_opened();
     state.outboxes.push(peer, &first_message);
     Ok(filled)
 }
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -4,8 +4,8 @@
 use crate::outbox::Outboxes;
 use crate::replica_links;
 use crate::state::{ServerState, SettingsCheck, SharedState};
-use alderway_control::machine::{Machine, Name, REPLACE, TICK};
-use alderway_control::outlet::Outlet;
+use alderway_control_plane::replica::{REPLACE_DISK_ADVICE, Replica, ReplicaName, TICK_S};
+use alderway_control_plane::version_sink::VersionSink;
 use alderway_sockets::signals::Signals;
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
@@ -24,16 +24,17 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 /// Makes the sink for committed versions, on the control machine's own thread.
-pub type VersionSinkFactory = Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn Outlet>>>>>>;
+pub type VersionSinkFactory =
+    Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn VersionSink>>>>>>;
 
 /// What a control machine is started with.
 pub struct ServerConfig {
     /// Its name among the control machines.
-    pub name: Name,
+    pub name: ReplicaName,
     /// Where each control machine, this one among them, listens for the others.
-    pub replica_addresses: BTreeMap<Name, SocketAddr>,
+    pub replica_addresses: BTreeMap<ReplicaName, SocketAddr>,
     /// Where each control machine, this one among them, listens for operators.
-    pub admin_addresses: BTreeMap<Name, SocketAddr>,
+    pub admin_addresses: BTreeMap<ReplicaName, SocketAddr>,
     /// The folder of its log.
     pub data_path: PathBuf,
     /// Checks settings before they are proposed.
@@ -52,7 +53,7 @@
     #[error(transparent)]
     LogStore(#[from] LogStoreError),
     /// The log could be read, but not as that of this replica.
-    #[error("{path}: {reason}; {REPLACE}", path = data_path.display())]
+    #[error("{path}: {reason}; {REPLACE_DISK_ADVICE}", path = data_path.display())]
     Recovery {
         /// The folder of the log.
         data_path: PathBuf,
@@ -115,10 +116,10 @@
 }
 
 /// Opens the log, and the replica as the log left it.
-fn recover(config: &ServerConfig) -> Result<(Machine, LogStore), ServerError> {
+fn recover(config: &ServerConfig) -> Result<(Replica, LogStore), ServerError> {
     let (log_store, recovered) = LogStore::open(&config.data_path)?;
     let names = config.replica_addresses.keys().cloned().collect();
-    let replica = Machine::new(&config.name, &names, &recovered, random_number(), random_number());
+    let replica = Replica::new(&config.name, &names, &recovered, random_number(), random_number());
     let data_path = config.data_path.clone();
     let replica = replica.map_err(|reason| ServerError::Recovery { data_path, reason })?;
     Ok((replica, log_store))
@@ -126,7 +127,7 @@
 
 fn own_address(
     config: &ServerConfig,
-    addresses: &BTreeMap<Name, SocketAddr>,
+    addresses: &BTreeMap<ReplicaName, SocketAddr>,
 ) -> Result<SocketAddr, ServerError> {
     addresses.get(&config.name).copied().ok_or(ServerError::NotAMember)
 }
@@ -138,7 +139,7 @@
 
 fn start_tasks(
     state: &SharedState,
-    peers: BTreeMap<Name, SocketAddr>,
+    peers: BTreeMap<ReplicaName, SocketAddr>,
     peer_listener: TcpListener,
     admin_listener: TcpListener,
 ) {
@@ -153,7 +154,7 @@
 async fn tick_until_signal(state: &SharedState) -> Result<(), ServerError> {
     let mut terminations = Signals::of(Signal::SIGTERM).map_err(ServerError::Runtime)?;
     let mut interrupts = Signals::of(Signal::SIGINT).map_err(ServerError::Runtime)?;
-    let mut ticks = interval(Duration::from_secs_f64(TICK));
+    let mut ticks = interval(Duration::from_secs_f64(TICK_S));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
--- a/crates/control-server/src/simulated_router.rs
+++ b/crates/control-server/src/simulated_router.rs
@@ -1,17 +1,17 @@
 //! Simulated routers for trials of scale: the subscription of a router as it is, state machine and sockets, in front of a
 //! router that applies each version at once and only records it. Hundreds of them share a thread.
-use alderway_control::subscriber::{Machine, Subscriber, Terms};
-use alderway_control::version::Number;
-use alderway_control::words::Outcome;
+use alderway_control_plane::messages::ApplyOutcome;
+use alderway_control_plane::subscriber::{ControlEndpoint, Subscriber, SubscriptionConfig};
+use alderway_control_plane::version::VersionNumber;
 use alderway_router::control::{SubscriptionHost, run};
-use alderway_router::memory::clock::Clock;
+use alderway_telemetry::clock::Clock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::task::{JoinHandle, spawn_local};
 
 /// A control machine, and where it listens for routers.
-pub type ControlAddress = (Machine, SocketAddr);
+pub type ControlAddress = (ControlEndpoint, SocketAddr);
 
 /// What one simulated router has done so far.
 #[derive(Clone, Debug, Default)]
@@ -19,7 +19,7 @@
     /// Its name in the hello.
     pub name: String,
     /// Versions and when they were applied, in seconds of [`SimulatedRouters::clock`].
-    pub applied: Vec<(f64, Number)>,
+    pub applied: Vec<(f64, VersionNumber)>,
     /// Bytes received and sent.
     pub bytes: (u64, u64),
     /// The control machine that it is subscribed at.
@@ -46,7 +46,7 @@
     /// Starts `count` routers, spread over `zones` in turn.
     pub fn start(count: usize, machines: &[ControlAddress], zones: &[String], seed: u64) -> Self {
         let mut all = SimulatedRouters { clock: Clock::default(), states: vec![], tasks: vec![] };
-        all.grow(count, machines, zones, seed, Terms::default());
+        all.grow(count, machines, zones, seed, SubscriptionConfig::default());
         all
     }
 
@@ -57,7 +57,7 @@
         machines: &[ControlAddress],
         zones: &[String],
         seed: u64,
-        config: Terms,
+        config: SubscriptionConfig,
     ) {
         let first = self.states.len();
         for n in first..first + count {
@@ -66,7 +66,14 @@
         }
     }
 
-    fn start_one(&mut self, n: usize, machines: &[ControlAddress], zone: &str, seed: u64, config: Terms) {
+    fn start_one(
+        &mut self,
+        n: usize,
+        machines: &[ControlAddress],
+        zone: &str,
+        seed: u64,
+        config: SubscriptionConfig,
+    ) {
         let name = format!("hollow-{n:04}");
         let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
         let own_seed = seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -83,7 +90,7 @@
     }
 
     /// How many have applied this version or a later one.
-    pub fn count_with(&self, number: Number) -> usize {
+    pub fn count_with(&self, number: VersionNumber) -> usize {
         let latest =
             |state: &Rc<RefCell<RouterState>>| state.borrow().applied.last().map_or(0, |last| last.1);
         self.states.iter().filter(|state| latest(state) >= number).count()
@@ -91,7 +98,7 @@
 
     /// When the last of them had applied this version or a later one, in seconds of the common clock; none while one has
     /// not.
-    pub fn all_applied_at(&self, number: Number) -> Option<f64> {
+    pub fn all_applied_at(&self, number: VersionNumber) -> Option<f64> {
         let first_applied_at = |state: &Rc<RefCell<RouterState>>| {
             let state = state.borrow();
             let later = state.applied.iter().rev().take_while(|applied| applied.1 >= number);
@@ -122,14 +129,14 @@
         clock,
         apply: Box::new(move |_, number| {
             applied.borrow_mut().applied.push((clock.now(), number));
-            Box::pin(async { Outcome::InForce })
+            Box::pin(async { ApplyOutcome::Applied })
         }),
         persist: Box::new(|_, _| {}),
         observe: Box::new(move |subscriber, bytes, now| {
             let mut state = observed.borrow_mut();
             state.bytes = bytes;
-            state.control_machine = subscriber.connected().map(|machine| machine.name.clone());
-            state.staleness_s = subscriber.age(now);
+            state.control_machine = subscriber.connected_to().map(|machine| machine.name.clone());
+            state.staleness_s = subscriber.staleness_s(now);
         }),
         log_events: false,
     }
--- a/crates/control-server/src/state.rs
+++ b/crates/control-server/src/state.rs
@@ -9,10 +9,10 @@
 //! happens in between. After a failed write nothing is sent, and the replica tries the same write again later.
 use crate::log_store::LogStore;
 use crate::outbox::Outboxes;
-use alderway_control::machine::{Answer, Asker, Machine, Name};
-use alderway_control::outlet::{Outlet, Summary};
-use alderway_control::version::{Number, Proposal};
-use alderway_router::memory::clock::Clock;
+use alderway_control_plane::replica::{ClientId, ProposalOutcome, Replica, ReplicaName};
+use alderway_control_plane::version::{Proposal, VersionNumber};
+use alderway_control_plane::version_sink::{RouterSummary, VersionSink};
+use alderway_telemetry::clock::Clock;
 use serde_json::Value;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -33,24 +33,24 @@
 pub(crate) struct RouterSummaryReply {
     /// The number of the request.
     pub(crate) request: u64,
-    pub(crate) from: Name,
-    pub(crate) version: Number,
+    pub(crate) from: ReplicaName,
+    pub(crate) version: VersionNumber,
     /// Why that machine takes no part.
     pub(crate) unavailable: Option<String>,
-    pub(crate) routers: Summary,
+    pub(crate) routers: RouterSummary,
 }
 
 pub(crate) struct ServerState {
-    pub(crate) replica: Machine,
+    pub(crate) replica: Replica,
     pub(crate) outboxes: Outboxes,
     /// Where committed versions go.
-    pub(crate) version_sink: Box<dyn Outlet>,
+    pub(crate) version_sink: Box<dyn VersionSink>,
     /// Admin endpoints of all control machines.
-    pub(crate) admin_addresses: BTreeMap<Name, SocketAddr>,
+    pub(crate) admin_addresses: BTreeMap<ReplicaName, SocketAddr>,
     settings_check: SettingsCheck,
     log_store: LogStore,
     clock: Clock,
-    waiting_clients: BTreeMap<Asker, oneshot::Sender<Answer>>,
+    waiting_clients: BTreeMap<ClientId, oneshot::Sender<ProposalOutcome>>,
     summary_requests: BTreeMap<u64, mpsc::UnboundedSender<RouterSummaryReply>>,
     last_number: u64,
 }
@@ -59,11 +59,11 @@
 
 impl ServerState {
     pub(crate) fn new(
-        replica: Machine,
+        replica: Replica,
         log_store: LogStore,
         outboxes: Outboxes,
-        version_sink: Box<dyn Outlet>,
-        admin_addresses: BTreeMap<Name, SocketAddr>,
+        version_sink: Box<dyn VersionSink>,
+        admin_addresses: BTreeMap<ReplicaName, SocketAddr>,
         settings_check: SettingsCheck,
     ) -> ServerState {
         ServerState {
@@ -95,20 +95,20 @@
     /// fed to the replica.
     pub(crate) fn advance(&mut self) {
         let now = self.now();
-        let output = self.replica.run(&mut self.log_store, now);
-        for line in output.said {
+        let output = self.replica.advance(&mut self.log_store, now);
+        for line in output.log_lines {
             tracing::info!(target: "control", "{line}");
         }
         for version in output.committed {
-            tracing::info!(target: "control", "version {} by {}: {}", version.number, version.author, version.why);
+            tracing::info!(target: "control", "version {} by {}: {}", version.number, version.author, version.reason);
             self.version_sink.committed(&version);
         }
-        for (peer, message) in output.send {
+        for (peer, message) in output.messages {
             if !self.outboxes.push(&peer, &message) {
-                self.replica.unreachable(&peer);
+                self.replica.report_unreachable(&peer);
             }
         }
-        for (client, outcome) in output.answers {
+        for (client, outcome) in output.outcomes {
             if let Some(waiting) = self.waiting_clients.remove(&client) {
                 // A client that has gone needs no outcome.
                 let _ = waiting.send(outcome);
@@ -116,22 +116,26 @@
         }
     }
 
-    /// To be called every `TICK` seconds.
+    /// To be called every `TICK_S` seconds.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
         self.replica.tick(now);
         self.advance();
-        let (staleness_s, has_quorum) = (self.replica.age(now), self.replica.majority(now));
-        self.version_sink.as_of(staleness_s, has_quorum);
+        let (staleness_s, has_quorum) = (self.replica.staleness_s(now), self.replica.has_quorum(now));
+        self.version_sink.freshness(staleness_s, has_quorum);
     }
 
     pub(crate) fn check_settings(&self, settings: &Value) -> Result<(), InvalidSettings> {
-        let latest = self.replica.history().newest().map(|version| &version.settings);
+        let latest = self.replica.version_log().latest().map(|version| &version.settings);
         (self.settings_check)(settings, latest)
     }
 
     /// Proposes a version; its outcome comes within `wait_s` seconds and a tick.
-    pub(crate) fn propose(&mut self, proposal: &Proposal, wait_s: f64) -> (Asker, oneshot::Receiver<Answer>) {
+    pub(crate) fn propose(
+        &mut self,
+        proposal: &Proposal,
+        wait_s: f64,
+    ) -> (ClientId, oneshot::Receiver<ProposalOutcome>) {
         let (client, now) = (self.next_number(), self.now());
         let Proposal { id, author, base, .. } = proposal;
         tracing::info!(target: "proposal", "{id} by {author} on version {base}");
@@ -143,9 +147,9 @@
     }
 
     /// The client has gone; what it proposed may still be committed.
-    pub(crate) fn forget_client(&mut self, client: Asker) {
+    pub(crate) fn forget_client(&mut self, client: ClientId) {
         self.waiting_clients.remove(&client);
-        self.replica.forget(client);
+        self.replica.forget_client(client);
     }
 
     /// Has replies to a new summary request sent to `replies`, until [`Self::end_summary_request`].
--- a/crates/control-server/src/subscriptions/connection.rs
+++ b/crates/control-server/src/subscriptions/connection.rs
@@ -1,11 +1,11 @@
 //! The connection of one router.
 use super::hub::{Hub, Link, LinkNumber};
 use crate::listener::serve_each;
-use alderway_control::publisher::Refused;
-use alderway_control::words::{Say, Tell};
-use alderway_router::tier::links::greet;
+use alderway_control_plane::messages::{ControlMessage, RouterMessage};
+use alderway_control_plane::publisher::LinkError;
 use alderway_sockets::Sender;
-use alderway_tier::frames::{self, Fault, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Fault, Hello, Read, Reader, Speech};
+use alderway_transport::links::greet;
 use std::rc::Rc;
 use std::time::Duration;
 use thiserror::Error;
@@ -24,7 +24,7 @@
     #[error("{0}")]
     Handshake(String),
     #[error("{0}")]
-    Refused(Refused),
+    Refused(LinkError),
     #[error("{router}: {source}")]
     Frame { router: String, source: Fault },
     #[error("{0} says hello twice")]
@@ -35,7 +35,7 @@
 
 /// Serves routers for as long as the subscriptions live.
 pub(super) async fn accept(hub: Rc<Hub>, listener: TcpListener) {
-    let max_connections = hub.config.most + MAX_UNSUBSCRIBED_CONNECTIONS;
+    let max_connections = hub.config.max_links + MAX_UNSUBSCRIBED_CONNECTIONS;
     let serve = |stream| {
         let hub = hub.clone();
         async move {
@@ -79,7 +79,7 @@
     router: String,
     number: LinkNumber,
     link: Rc<Link>,
-    reader: Reader<Say>,
+    reader: Reader<RouterMessage>,
     sender: Sender,
     buffer: Vec<u8>,
     /// Bytes received since the last whole message.
@@ -95,14 +95,14 @@
 impl<'a> Connection<'a> {
     /// Exchanges hellos and opens a link with the publisher.
     async fn open(hub: &'a Hub, stream: &'a TcpStream) -> Result<Self, ConnectionError> {
-        let (mut output, mut reader) = (vec![], Reader::<Say>::default());
+        let (mut output, mut reader) = (vec![], Reader::<RouterMessage>::default());
         let mut buffer = vec![0; MAX_MESSAGE_BYTES];
         let (name, incarnation) = (hub.name.clone(), hub.incarnation);
-        let own_hello = Hello { version: Tell::VERSION, planner: false, incarnation, name };
-        frames::hello_of::<Tell>(&mut output, &own_hello);
+        let own_hello = Hello { version: ControlMessage::VERSION, planner: false, incarnation, name };
+        frames::hello_of::<ControlMessage>(&mut output, &own_hello);
         let hello = greet(stream, &mut output, &mut reader, &mut buffer).await;
         let Hello { name: router, incarnation, .. } = hello.map_err(ConnectionError::Handshake)?;
-        let number = hub.publisher.borrow_mut().opened(&router, incarnation, hub.clock.now());
+        let number = hub.publisher.borrow_mut().open_link(&router, incarnation, hub.clock.now());
         let number = number.map_err(ConnectionError::Refused)?;
         let link = hub.add(number);
         hub.close_replaced();
@@ -111,7 +111,7 @@
     }
 
     fn has_link(&self) -> bool {
-        self.hub.publisher.borrow().holds(self.number)
+        self.hub.publisher.borrow().has_link(self.number)
     }
 
     /// Hands all whole messages to the publisher.
@@ -122,7 +122,7 @@
             match frame.map_err(|source| ConnectionError::Frame { router: router(), source })? {
                 Some(Read::Message(message)) => {
                     self.partial_bytes = 0;
-                    self.hub.publisher.borrow_mut().heard(self.number, message, self.hub.clock.now());
+                    self.hub.publisher.borrow_mut().receive(self.number, message, self.hub.clock.now());
                     self.hub.changed.notify_one();
                 }
                 Some(Read::Hello(_)) => return Err(ConnectionError::RepeatedHello(router())),
@@ -144,7 +144,7 @@
         let count = self.sender.write(self.stream, &output).map_err(|_| ConnectionOver)?;
         output.drain(..count);
         if output.is_empty() {
-            self.hub.publisher.borrow_mut().sent(self.number);
+            self.hub.publisher.borrow_mut().message_sent(self.number);
             self.hub.changed.notify_one();
         }
         Ok(!output.is_empty())
--- a/crates/control-server/src/subscriptions/distributor.rs
+++ b/crates/control-server/src/subscriptions/distributor.rs
@@ -18,7 +18,7 @@
             close_timed_out(&hub, now);
         }
         distribute(&hub, now);
-        let deadline = hub.publisher.borrow().due().min(next_timeout_check);
+        let deadline = hub.publisher.borrow().next_deadline().min(next_timeout_check);
         let wait_s = (deadline - now).clamp(MIN_WAIT_S, TIMEOUT_CHECK_INTERVAL_S);
         // What ended the wait makes no difference.
         let _ = timeout(Duration::from_secs_f64(wait_s), hub.changed.notified()).await;
@@ -35,7 +35,7 @@
 
 fn distribute(hub: &Hub, now: f64) {
     loop {
-        let next = hub.publisher.borrow_mut().next(now);
+        let next = hub.publisher.borrow_mut().next_message(now);
         let Some((number, bytes)) = next else { return };
         if let Some(link) = hub.link(number) {
             *link.output.borrow_mut() = bytes;
--- a/crates/control-server/src/subscriptions/hub.rs
+++ b/crates/control-server/src/subscriptions/hub.rs
@@ -1,6 +1,6 @@
 //! What the tasks of the subscriptions share: the publisher, and the output of each connection.
-use alderway_control::publisher::{Publisher, Terms};
-use alderway_router::memory::clock::Clock;
+use alderway_control_plane::publisher::{Publisher, PublisherConfig};
+use alderway_telemetry::clock::Clock;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
     pub(super) name: String,
     pub(super) incarnation: u64,
     pub(super) clock: Clock,
-    pub(super) config: Terms,
+    pub(super) config: PublisherConfig,
     pub(super) publisher: RefCell<Publisher>,
     links: RefCell<BTreeMap<LinkNumber, Rc<Link>>>,
     /// Notified when a message may be due that was not due before.
@@ -31,7 +31,7 @@
 }
 
 impl Hub {
-    pub(super) fn new(name: &str, incarnation: u64, config: Terms) -> Hub {
+    pub(super) fn new(name: &str, incarnation: u64, config: PublisherConfig) -> Hub {
         let clock = Clock::default();
         Hub {
             name: name.into(),
@@ -57,7 +57,7 @@
     /// Closes a link. The task that serves its connection is woken, sees that the publisher has no such link any more, and
     /// ends the connection.
     pub(super) fn close(&self, number: LinkNumber) {
-        self.publisher.borrow_mut().closed(number);
+        self.publisher.borrow_mut().close_link(number);
         if let Some(link) = self.links.borrow_mut().remove(&number) {
             link.changed.notify_one();
         }
@@ -74,7 +74,7 @@
         let publisher = self.publisher.borrow();
         let replaced: Vec<Rc<Link>> = {
             let mut links = self.links.borrow_mut();
-            links.extract_if(.., |number, _| !publisher.holds(*number)).map(|(_, link)| link).collect()
+            links.extract_if(.., |number, _| !publisher.has_link(*number)).map(|(_, link)| link).collect()
         };
         replaced.iter().for_each(|link| link.changed.notify_one());
     }
--- a/crates/control-server/src/subscriptions/mod.rs
+++ b/crates/control-server/src/subscriptions/mod.rs
@@ -1,12 +1,12 @@
 //! The listener for routers: each holds one connection, asks for versions and is sent those that it lacks. Which router is
-//! sent what, and when, is decided by [`alderway_control::publisher`]; here are the sockets.
+//! sent what, and when, is decided by [`alderway_control_plane::publisher`]; here are the sockets.
 mod connection;
 mod distributor;
 mod hub;
 
-use alderway_control::outlet::{Outlet, Summary};
-use alderway_control::publisher::{Met, Terms};
-use alderway_control::version::{Number, Version};
+use alderway_control_plane::publisher::{PublisherConfig, PublisherMetrics};
+use alderway_control_plane::version::{Version, VersionNumber};
+use alderway_control_plane::version_sink::{RouterSummary, VersionSink};
 use hub::Hub;
 use std::io;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
         name: &str,
         incarnation: u64,
         address: SocketAddr,
-        config: Terms,
+        config: PublisherConfig,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -64,17 +64,17 @@
 
     /// Connections of routers.
     pub fn link_count(&self) -> usize {
-        self.hub.publisher.borrow().links()
+        self.hub.publisher.borrow().link_count()
     }
 
     /// The latest version that it has to send; 0: none.
-    pub fn latest(&self) -> Number {
-        self.hub.publisher.borrow().newest()
+    pub fn latest(&self) -> VersionNumber {
+        self.hub.publisher.borrow().latest()
     }
 
     /// What was sent and received so far.
-    pub fn metrics(&self) -> Met {
-        self.hub.publisher.borrow().met
+    pub fn metrics(&self) -> PublisherMetrics {
+        self.hub.publisher.borrow().metrics
     }
 
     /// Stops listening and ends every connection.
@@ -84,7 +84,7 @@
     }
 }
 
-impl Outlet for Subscriptions {
+impl VersionSink for Subscriptions {
     fn committed(&mut self, version: &Version) {
         let now = self.hub.clock.now();
         match self.hub.publisher.borrow_mut().commit(version, now) {
@@ -95,12 +95,12 @@
         self.hub.changed.notify_one();
     }
 
-    fn as_of(&mut self, staleness_s: f64, has_quorum: bool) {
+    fn freshness(&mut self, staleness_s: f64, has_quorum: bool) {
         let now = self.hub.clock.now();
-        self.hub.publisher.borrow_mut().stands(staleness_s, has_quorum, now);
+        self.hub.publisher.borrow_mut().set_freshness(staleness_s, has_quorum, now);
     }
 
-    fn summary(&self) -> Summary {
+    fn summary(&self) -> RouterSummary {
         self.hub.publisher.borrow().summary(self.hub.clock.now())
     }
 }
--- a/crates/control-server/tests/admin_json.rs
+++ b/crates/control-server/tests/admin_json.rs
@@ -1,11 +1,11 @@
 //! The admin endpoint's JSON, which operators' programs read and write: every request and every response as reference text,
 //! decoded, compared field by field, and encoded to the same bytes.
-use alderway_control::history::{Refusal, Undone};
-use alderway_control::machine::{Answer, Status};
-use alderway_control::outlet::{Lagging, Summary};
-use alderway_control::version::{Proposal, Version};
+use alderway_control_plane::replica::{ProposalOutcome, ReplicaStatus};
+use alderway_control_plane::version::{Proposal, Version};
+use alderway_control_plane::version_log::{ProposalError, UndoneVersion};
+use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
 use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, JsonFrame, VersionSummary};
-use alderway_tier::frames::{self, Hello, Speech};
+use alderway_transport::frames::{self, Hello, Speech};
 use rstest::rstest;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -46,7 +46,7 @@
         id: "p1".into(),
         base: 7,
         author: "ada".into(),
-        why: "more room".into(),
+        reason: "more room".into(),
         at_unix_ms: 1_700_000_000_001,
         settings: json!({"Limits": {"MaxOpen": 101}}),
     };
@@ -89,40 +89,40 @@
 }
 
 #[rstest]
-#[case(r#"{"ordered":5}"#, Answer::Ordered(5))]
+#[case(r#"{"ordered":5}"#, ProposalOutcome::Committed(5))]
 #[case(
     r#"{"refused":{"would_undo":{"newest":9,"count":3,"undone":[{"number":7,"author":"bo","why":"less","keys":["Limits","Verticals.web.Slo"]}]}}}"#,
-    Answer::Refused(Refusal::WouldUndo {
+    ProposalOutcome::Rejected(ProposalError::WouldUndo {
         newest: 9,
         count: 3,
-        undone: vec![Undone {
+        undone: vec![UndoneVersion {
             number: 7,
             author: "bo".into(),
-            why: "less".into(),
-            keys: vec!["Limits".into(), "Verticals.web.Slo".into()],
+            reason: "less".into(),
+            changed_keys: vec!["Limits".into(), "Verticals.web.Slo".into()],
         }],
     })
 )]
 #[case(
     r#"{"refused":{"base_unknown":{"base":12,"newest":9}}}"#,
-    Answer::Refused(Refusal::BaseUnknown { base: 12, newest: 9 })
+    ProposalOutcome::Rejected(ProposalError::BaseUnknown { base: 12, newest: 9 })
 )]
-#[case(r#"{"refused":{"id_taken":{"number":4}}}"#, Answer::Refused(Refusal::IdTaken { number: 4 }))]
-#[case(r#"{"refused":"unreadable"}"#, Answer::Refused(Refusal::Unreadable))]
-#[case(r#"{"too_long":{"bytes":300000,"most":262144}}"#, Answer::TooLong { bytes: 300_000, most: 262_144 })]
-#[case(r#"{"too_many":{"most":64}}"#, Answer::TooMany { most: 64 })]
+#[case(r#"{"refused":{"id_taken":{"number":4}}}"#, ProposalOutcome::Rejected(ProposalError::IdTaken { number: 4 }))]
+#[case(r#"{"refused":"unreadable"}"#, ProposalOutcome::Rejected(ProposalError::Unreadable))]
+#[case(r#"{"too_long":{"bytes":300000,"most":262144}}"#, ProposalOutcome::TooLong { bytes: 300_000, limit: 262_144 })]
+#[case(r#"{"too_many":{"most":64}}"#, ProposalOutcome::TooMany { limit: 64 })]
 #[case(
     r#"{"no_majority":{"leader":null,"seconds":null}}"#,
-    Answer::NoMajority { leader: None, seconds: None }
+    ProposalOutcome::NoQuorum { leader: None, for_s: None }
 )]
 #[case(
     r#"{"no_majority":{"leader":"a","seconds":3.5}}"#,
-    Answer::NoMajority { leader: Some("a".into()), seconds: Some(3.5) }
+    ProposalOutcome::NoQuorum { leader: Some("a".into()), for_s: Some(3.5) }
 )]
-#[case(r#"{"unsettled":{"leader":null}}"#, Answer::Unsettled { leader: None })]
-#[case(r#"{"unsettled":{"leader":"b"}}"#, Answer::Unsettled { leader: Some("b".into()) })]
-#[case(r#"{"out":{"why":"its disk is empty"}}"#, Answer::Out { why: "its disk is empty".into() })]
-fn response_answer(#[case] outcome: &str, #[case] expected: Answer) {
+#[case(r#"{"unsettled":{"leader":null}}"#, ProposalOutcome::Undecided { leader: None })]
+#[case(r#"{"unsettled":{"leader":"b"}}"#, ProposalOutcome::Undecided { leader: Some("b".into()) })]
+#[case(r#"{"out":{"why":"its disk is empty"}}"#, ProposalOutcome::Unavailable { reason: "its disk is empty".into() })]
+fn response_answer(#[case] outcome: &str, #[case] expected: ProposalOutcome) {
     let text =
         format!(r#"{{"answer":{{"answer":{outcome},"doors":{{"a":"127.0.0.1:7001","b":"[::1]:7002"}}}}}}"#);
     let AdminResponse::Proposed { outcome, admin_addresses } = decoded_response(&text) else {
@@ -164,9 +164,9 @@
     let AdminResponse::Version { version } = decoded_response(text) else { panic!("another variant") };
     let expected = Version {
         number: 3,
-        proposal: "p3".into(),
+        proposal_id: "p3".into(),
         author: "ada".into(),
-        why: "more".into(),
+        reason: "more".into(),
         at_unix_ms: 1_700_000_000_003,
         settings: json!({"Limits": {"MaxOpen": 103}}),
     };
@@ -193,25 +193,25 @@
         r#""since_s":12.5,"why":"key `x`"}],"left_out":3}}}"#,
     );
     let AdminResponse::Status(overall) = decoded_response(text) else { panic!("another variant") };
-    let machine = Status {
+    let machine = ReplicaStatus {
         name: "a".into(),
         version: 9,
         leader: Some("b".into()),
         term: 4,
-        majority: true,
-        age_s: Some(0.25),
-        out: None,
+        has_quorum: true,
+        staleness_s: Some(0.25),
+        unavailable_reason: None,
         voters: names(&["a", "b"]),
         learners: names(&["c"]),
-        changing: true,
+        membership_changing: true,
     };
-    let lagging = Lagging { router: "r1".into(), version: 8, since_s: 12.5, why: "key `x`".into() };
+    let lagging = LaggingRouter { router: "r1".into(), version: 8, since_s: 12.5, reason: "key `x`".into() };
     let expected = ClusterStatus {
         replica: machine,
         versions: [("a".to_string(), 9), ("b".to_string(), 8)].into(),
         unavailable: [("b".to_string(), "its disk is empty".to_string())].into(),
         unresponsive: names(&["c"]),
-        routers: Summary { by_version: [(8, 1), (9, 20)].into(), lagging: vec![lagging], left_out: 3 },
+        routers: RouterSummary { by_version: [(8, 1), (9, 20)].into(), lagging: vec![lagging], omitted: 3 },
     };
     assert_eq!(*overall, expected);
 }
@@ -225,24 +225,24 @@
         r#""routers":{"by_version":{},"lagging":[],"left_out":0}}}"#,
     );
     let AdminResponse::Status(overall) = decoded_response(text) else { panic!("another variant") };
-    let machine = Status {
+    let machine = ReplicaStatus {
         name: "a".into(),
         version: 0,
         leader: None,
         term: 0,
-        majority: false,
-        age_s: None,
-        out: Some("not heard yet: b".into()),
+        has_quorum: false,
+        staleness_s: None,
+        unavailable_reason: Some("not heard yet: b".into()),
         voters: names(&[]),
         learners: names(&[]),
-        changing: true,
+        membership_changing: true,
     };
     let expected = ClusterStatus {
         replica: machine,
         versions: BTreeMap::new(),
         unavailable: BTreeMap::new(),
         unresponsive: names(&[]),
-        routers: Summary::default(),
+        routers: RouterSummary::default(),
     };
     assert_eq!(*overall, expected);
 }
--- a/crates/control-server/tests/replica_frames.rs
+++ b/crates/control-server/tests/replica_frames.rs
@@ -1,9 +1,9 @@
 //! The frames that control machines exchange: each kind as reference bytes, decoded, compared field by field, and encoded
 //! to the same bytes.
-use alderway_control::machine::Word;
-use alderway_control::outlet::{Lagging, Summary};
+use alderway_control_plane::replica::ReplicaMessage;
+use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
 use alderway_control_server::replica_links::PeerFrame;
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
 use rstest::rstest;
 
 const HELLO: &str = r"\x00\x00\x00\x10\xa3>,\xedALDC\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x0ba";
@@ -20,21 +20,21 @@
     assert_eq!(bytes.escape_ascii().to_string(), HELLO);
 }
 
-fn summary() -> Summary {
-    let lagging = Lagging { router: "r1".into(), version: 8, since_s: 12.5, why: "late".into() };
-    Summary { by_version: [(8, 1), (9, 300)].into(), lagging: vec![lagging], left_out: 2 }
+fn summary() -> RouterSummary {
+    let lagging = LaggingRouter { router: "r1".into(), version: 8, since_s: 12.5, reason: "late".into() };
+    RouterSummary { by_version: [(8, 1), (9, 300)].into(), lagging: vec![lagging], omitted: 2 }
 }
 
 #[rstest]
-#[case(Word::Stands { id: 11, group: 0x0b, roster: vec![("a".into(), 11), ("b".into(), 300)] }, r"\x00\x00\x00\x0b^K\xdf\x03\x00\x0b\x0b\x02\x01a\x0b\x01b\xac\x02")]
-#[case(Word::Order { group: 11, to: 12, piece: 3, last: true, bytes: b"raft".to_vec() }, r"\x00\x00\x00\n:jW&\x01\x0b\x0c\x03\x01\x04raft")]
-#[case(Word::Summarise { question: 300 }, r"\x00\x00\x00\x03\x10y\x9f\xb5\x02\xac\x02")]
-#[case(Word::Summary { question: 7, version: 9, out: None, summary: summary() }, r"\x00\x00\x00\x1d\x98V6\xff\x03\x07\t\x00\x02\x08\x01\t\xac\x02\x01\x02r1\x08\x00\x00\x00\x00\x00\x00)@\x04late\x02")]
+#[case(ReplicaMessage::Announce { replica_id: 11, group_id: 0x0b, founders: vec![("a".into(), 11), ("b".into(), 300)] }, r"\x00\x00\x00\x0b^K\xdf\x03\x00\x0b\x0b\x02\x01a\x0b\x01b\xac\x02")]
+#[case(ReplicaMessage::ConsensusFragment { group_id: 11, to: 12, index: 3, is_last: true, bytes: b"raft".to_vec() }, r"\x00\x00\x00\n:jW&\x01\x0b\x0c\x03\x01\x04raft")]
+#[case(ReplicaMessage::SummaryRequest { request_id: 300 }, r"\x00\x00\x00\x03\x10y\x9f\xb5\x02\xac\x02")]
+#[case(ReplicaMessage::SummaryResponse { request_id: 7, version: 9, unavailable_reason: None, summary: summary() }, r"\x00\x00\x00\x1d\x98V6\xff\x03\x07\t\x00\x02\x08\x01\t\xac\x02\x01\x02r1\x08\x00\x00\x00\x00\x00\x00)@\x04late\x02")]
 #[case(
-    Word::Summary { question: 7, version: 9, out: Some("no disk".into()), summary: Summary::default() },
+    ReplicaMessage::SummaryResponse { request_id: 7, version: 9, unavailable_reason: Some("no disk".into()), summary: RouterSummary::default() },
     r"\x00\x00\x00\x0f!\xbdT\xc3\x03\x07\t\x01\x07no disk\x00\x00\x00"
 )]
-fn each_message_frame_keeps_its_bytes(#[case] word: Word, #[case] expected: &str) {
+fn each_message_frame_keeps_its_bytes(#[case] word: ReplicaMessage, #[case] expected: &str) {
     let mut bytes = vec![];
     assert!(frames::message(&mut bytes, &PeerFrame(word.clone())));
     assert_eq!(bytes.escape_ascii().to_string(), expected);
--- a/crates/control-server/tests/stored_data.rs
+++ b/crates/control-server/tests/stored_data.rs
@@ -1,9 +1,9 @@
 //! The control log on disk stays readable: `data/control-log.redb` was written by build 088605e, for three
 //! machines that ordered two versions, replaced the third machine's disk, compacted their logs and ordered three more.
 //! Every record is compared with literal bytes, and written again to the same bytes.
-use alderway_control::consensus::{Held, Persist, Store};
-use alderway_control::machine::{Answer, Machine, Word};
-use alderway_control::version::{Proposal, Version};
+use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch};
+use alderway_control_plane::replica::{ProposalOutcome, Replica, ReplicaMessage};
+use alderway_control_plane::version::{Proposal, Version};
 use alderway_control_server::log_store::LogStore;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use rstest::rstest;
@@ -64,9 +64,9 @@
 fn version(n: u64) -> Version {
     Version {
         number: n,
-        proposal: format!("p{n}"),
+        proposal_id: format!("p{n}"),
         author: "ada".into(),
-        why: format!("change {n}"),
+        reason: format!("change {n}"),
         at_unix_ms: 1_700_000_000_000 + n,
         settings: json!({"Limits": {"MaxOpen": 100 + n}, "Verticals": [{"Name": "web", "Slo": 0.25}]}),
     }
@@ -144,12 +144,18 @@
 fn the_reference_log_is_read_field_by_field() {
     let folder = Folder::with_reference("read");
     let (_disk, held) = LogStore::open(&folder.0).expect("readable");
-    let Held { identity, snapshot: stored_snapshot, floor, entries: stored_entries, hard } = held;
+    let RecoveredState {
+        identity,
+        snapshot: stored_snapshot,
+        compacted_to,
+        entries: stored_entries,
+        hard_state,
+    } = held;
     assert_eq!(identity.as_deref(), Some(IDENTITY.as_bytes()));
     assert_eq!(stored_snapshot, Some(snapshot()));
-    assert_eq!(floor, FLOOR);
+    assert_eq!(compacted_to, FLOOR);
     assert_eq!(stored_entries, entries());
-    assert_eq!(hard.as_deref(), Some(HARD_STATE));
+    assert_eq!(hard_state.as_deref(), Some(HARD_STATE));
 }
 
 #[rstest]
@@ -159,14 +165,14 @@
     drop(disk);
     let copy = Folder::new("copy");
     let (mut disk, _) = LogStore::open(&copy.0).expect("an empty one");
-    let entries = (held.floor.0 + 1..).zip(held.entries).collect();
-    let batch = Persist {
+    let entries = (held.compacted_to.0 + 1..).zip(held.entries).collect();
+    let batch = WriteBatch {
         identity: held.identity,
         snapshot: held.snapshot,
-        floor: Some(held.floor),
-        clear: false,
+        compacted_to: Some(held.compacted_to),
+        clear_entries: false,
         entries,
-        hard: held.hard,
+        hard_state: held.hard_state,
     };
     disk.write(&batch).expect("written");
     drop(disk);
@@ -178,24 +184,27 @@
     let folder = Folder::with_reference("resume");
     let (mut disk, held) = LogStore::open(&folder.0).expect("readable");
     let names: BTreeSet<String> = ["a", "b", "c"].map(String::from).into();
-    let mut machine = Machine::new("a", &names, &held, 99, 1).expect("a machine");
-    let output = machine.run(&mut disk, 0.0);
+    let mut machine = Replica::new("a", &names, &held, 99, 1).expect("a machine");
+    let output = machine.advance(&mut disk, 0.0);
     assert_eq!(machine.id(), 11);
-    let versions: Vec<Version> = machine.history().versions().iter().cloned().collect();
+    let versions: Vec<Version> = machine.version_log().versions().iter().cloned().collect();
     assert_eq!(versions, (1..=5).map(version).collect::<Vec<_>>());
     // Once from the snapshot, then each entry behind it.
     assert_eq!(output.committed, (2..=5).map(version).collect::<Vec<_>>());
     let status = machine.status(0.0);
     assert_eq!((status.name.as_str(), status.version, status.term), ("a", 5, 2));
-    assert_eq!((status.leader, status.majority, status.age_s, status.out), (None, false, None, None));
-    assert_eq!((status.voters, status.learners, status.changing), (names, BTreeSet::new(), false));
+    assert_eq!(
+        (status.leader, status.has_quorum, status.staleness_s, status.unavailable_reason),
+        (None, false, None, None)
+    );
+    assert_eq!((status.voters, status.learners, status.membership_changing), (names, BTreeSet::new(), false));
 }
 
 /// Three machines with their disks, and the messages between them.
 struct Cluster {
     now: f64,
-    machines: BTreeMap<String, (Machine, LogStore)>,
-    answers: Vec<(u64, Answer)>,
+    machines: BTreeMap<String, (Replica, LogStore)>,
+    answers: Vec<(u64, ProposalOutcome)>,
     folder: Folder,
 }
 
@@ -203,8 +212,8 @@
     fn start(&mut self, name: &str, data: &str, id: u64) {
         let names = ["a", "b", "c"].map(String::from).into();
         let (disk, held) = LogStore::open(&self.folder.0.join(data)).expect("a disk");
-        let mut machine = Machine::new(name, &names, &held, id, id * 7).expect("a machine");
-        machine.snapshot_after = 6;
+        let mut machine = Replica::new(name, &names, &held, id, id * 7).expect("a machine");
+        machine.snapshot_after_entries = 6;
         self.machines.insert(name.into(), (machine, disk));
     }
 
@@ -218,24 +227,24 @@
     }
 
     fn exchange(&mut self) {
-        let mut messages: Vec<(String, String, Word)> = vec![];
+        let mut messages: Vec<(String, String, ReplicaMessage)> = vec![];
         for (name, (machine, disk)) in &mut self.machines {
-            let output = machine.run(disk, self.now);
-            messages.extend(output.send.into_iter().map(|(to, word)| (name.clone(), to, word)));
-            self.answers.extend(output.answers);
+            let output = machine.advance(disk, self.now);
+            messages.extend(output.messages.into_iter().map(|(to, word)| (name.clone(), to, word)));
+            self.answers.extend(output.outcomes);
         }
         for (from, to, word) in messages {
             if let Some((machine, _)) = self.machines.get_mut(&to) {
-                machine.came(&from, word, self.now);
+                machine.receive(&from, word, self.now);
             }
         }
     }
 
     fn propose(&mut self, n: u64) {
-        let Version { proposal: id, author, why, at_unix_ms, settings, .. } = version(n);
-        let proposal = Proposal { id, base: n - 1, author, why, at_unix_ms, settings };
+        let Version { proposal_id: id, author, reason, at_unix_ms, settings, .. } = version(n);
+        let proposal = Proposal { id, base: n - 1, author, reason, at_unix_ms, settings };
         let now = self.now;
-        let leader = self.machines.values_mut().find(|(machine, _)| machine.leads()).expect("a leader");
+        let leader = self.machines.values_mut().find(|(machine, _)| machine.is_leader()).expect("a leader");
         leader.0.propose(n, &proposal, 5.0, now);
         (0..10).for_each(|_| self.tick());
     }
@@ -253,7 +262,7 @@
     cluster.start("c", "c-replaced", 23);
     (0..60).for_each(|_| cluster.tick());
     (3..=5).for_each(|n| cluster.propose(n));
-    let ordered: Vec<_> = (1..=5).map(|n| (n, Answer::Ordered(n))).collect();
+    let ordered: Vec<_> = (1..=5).map(|n| (n, ProposalOutcome::Committed(n))).collect();
     assert_eq!(cluster.answers, ordered);
     cluster.machines.clear();
     assert_eq!(rows(&cluster.folder.0.join("a")), expected_rows());
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -1,15 +1,17 @@
 //! A planner's drivers: the listener for forwarders, a task a connection, discovery, and the rounds of its module.
 use super::planner::{self, Planner};
-use crate::drive::{discovery, until};
-use crate::life::reload::{self, Was};
-use crate::life::start::Station;
-use crate::life::{logger, stop};
-use crate::memory::clock::Clock;
-use alderway::choice::Router;
-use alderway::host::Common;
+use crate::io::{discovery, until};
+use crate::lifecycle::reload::{self, Was};
+use crate::lifecycle::start::Station;
+use crate::lifecycle::stop;
+use alderway::interface::SharedLimits;
+use alderway::policy::Policy;
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
-use alderway_tier::frames::{Hello, Read, Reader, VERSION};
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
+use alderway_tier::frames::VERSION;
+use alderway_transport::frames::{Hello, Read, Reader};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
 use std::io;
@@ -36,11 +38,11 @@
 pub async fn run(station: Station, clock: Clock) -> io::Result<()> {
     let Station { path, beside, name, listen, discovery, roster, seed, fixed, .. } = station;
     let (mut terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
-    let mut router = Router::new(seed, station.began.terms);
+    let mut router = Policy::new(seed, station.began.terms);
     // It tells forwarders what it sees of data nodes, as one core tells others.
-    router.join(Common::new(2).of(0));
+    router.join(SharedLimits::new(2).for_core(0));
     let verticals = station.verticals.len();
-    let (deadline, room) = (station.room.deadline, station.room.room);
+    let (deadline, room) = (station.room.max_deadline_s, station.room.max_open);
     let shared = Rc::new(RefCell::new(Planner::new(clock, verticals, deadline, room, roster)));
     let listener = TcpListener::bind(listen).await?;
     let at = listener.local_addr()?;
@@ -65,11 +67,11 @@
     // Decisions on their way go out.
     sleep(Duration::from_millis(50)).await;
     tracing::info!(target: "stop", "ended: {} queries open", shared.borrow().open());
-    logger::last_words(&shared.borrow().counters.text());
+    log::last_words(&shared.borrow().counters.text());
     Ok(())
 }
 
-async fn rounds(planner: Shared, mut router: Router) {
+async fn rounds(planner: Shared, mut router: Policy) {
     let (clock, wake) = (planner.borrow().clock, planner.borrow().wake.clone());
     loop {
         let due = planner.borrow().next_due();
--- a/crates/router/tests/persisted_version.rs
+++ b/crates/router/tests/persisted_version.rs
@@ -1,6 +1,6 @@
 //! The file of a persisted configuration version stays readable: reference files are read, compared field by field, and
 //! written again to the same bytes.
-use alderway_control::subscriber::Settled;
+use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_router::control::persisted_version::{self, PersistedVersion};
 use rstest::rstest;
 use std::fs;
@@ -34,7 +34,7 @@
 ) {
     let reference = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(file);
     let persisted = persisted_version::read(&reference).expect("sound").expect("there");
-    let PersistedVersion { version: Settled { number, digest, text }, as_of_unix_ms: read_as_of } =
+    let PersistedVersion { version: ConfigVersion { number, digest, text }, as_of_unix_ms: read_as_of } =
         persisted.clone();
     assert_eq!((number, digest, &*text), (7, 0x0000_0042_5779_502b, SETTINGS));
     assert_eq!(read_as_of, as_of_unix_ms);
