--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -1,5 +1,5 @@
 //! The checks of settings that a control machine makes at its door, and `alderway config check` here: a router's own.
-use alderway_control_plane::messages::{MAX_SETTINGS_BYTES, canonical_json};
+use alderway_control_plane::content::{MAX_SETTINGS_BYTES, canonical_json};
 use serde_json::Value;
 
 /// Whether a router would start by these settings, and could take them over while it serves by those in force before.
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -1,6 +1,6 @@
 //! Control machines as processes on loopback, with the lab's relay between any two: stopped, killed, cut off, replaced by
 //! empty ones, on full disks and torn logs; and the operators' commands with what they say and how they end.
-use alderway_control_plane::messages::MAX_SETTINGS_BYTES;
+use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::replica::ProposalOutcome;
 use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_control_plane::version_log::ProposalError;
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -1,47 +1,45 @@
-//! What a control machine and a router say to each other, in the frames of `alderway_tier`. Contents are told in parts that a
-//! bounded link can take between other words: whole, or as a JSON Patch (RFC 6902) upon a version that the router has,
-//! with a digest of what must come out.
+//! Messages between a control server and a router. They travel in the frames of `alderway_tier`, encoded by `postcard`: the
+//! order of variants and fields is the wire format. Durations are seconds; no message carries a point in time, because
+//! the clocks of the two ends are not comparable.
+use crate::content::Digest;
 use crate::version::VersionNumber;
 use alderway_tier::frames::{self, Speech};
 use serde::{Deserialize, Serialize};
-use serde_json::Value;
 
-/// The longest settings in canonical form: they go through a router's budget whole in 13.5 s.
-pub const MAX_SETTINGS_BYTES: usize = 64_000;
-/// Bytes of a content in one part, and what a part takes beside them at most.
-pub const MAX_PART_BYTES: usize = 900;
-pub const PART_HEADER_BYTES: usize = 60;
-/// The longest text that says why.
+/// Bytes of a reason, or of a list of keys, in an [`ApplyOutcome`].
 const MAX_REASON_BYTES: usize = 200;
 
-/// Length and CRC-32 of a canonical text. Against accidents, not against malice: both ends are the operators'.
-pub type Digest = u64;
-
-/// Settings as text: keys in their order, no space between.
-pub fn canonical_json(settings: &Value) -> String {
-    settings.to_string()
-}
-
-pub fn digest(text: &str) -> Digest {
-    (text.len() as u64) << 32 | u64::from(crc32fast::hash(text.as_bytes()))
-}
-
-/// From a control machine. Spans are seconds; no time of a clock is told.
+/// From a control server to a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// A part of what makes version `number`: a patch upon `base`, or with 0 the whole. `length` is that of all parts
-    /// together, `digest` that of the settings that must come out.
+    /// A part of the content of a version. Content is split so that other messages are not delayed by the rate limit.
     ContentPart {
+        /// The version.
         number: VersionNumber,
+        /// 0: the content is the complete settings. Otherwise it is a patch on the settings of this version.
         base: VersionNumber,
+        /// Digest of the resulting settings.
         digest: Digest,
+        /// Bytes of the whole content.
         total_bytes: u32,
+        /// Position of `bytes` in the content, in bytes.
         offset: u32,
+        /// The part.
         bytes: Vec<u8>,
     },
-    /// The answer to a pulse: the newest version here, how long ago it was last known to be the newest of all, and whether a
-    /// majority of the control machines stands as seen from here.
-    Heartbeat { sequence: u64, latest: VersionNumber, digest: Digest, staleness_s: f64, has_quorum: bool },
+    /// Answers [`RouterMessage::HeartbeatRequest`].
+    Heartbeat {
+        /// Of the request.
+        sequence: u64,
+        /// The newest version of this control server.
+        latest: VersionNumber,
+        /// Digest of its settings.
+        digest: Digest,
+        /// Seconds since it was confirmed to be the newest of all; infinite if it never was.
+        staleness_s: f64,
+        /// Whether this control server sees a quorum.
+        has_quorum: bool,
+    },
 }
 
 impl Speech for ControlMessage {
@@ -49,15 +47,32 @@
     const VERSION: u16 = 1;
 }
 
-/// From a router.
+/// From a router to its control server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RouterMessage {
-    /// What came after `got`, please; `whole` where a patch is of no use. `held` is in force.
-    Subscribe { received: VersionNumber, digest: Digest, active: VersionNumber, needs_snapshot: bool },
-    /// Asks for a beat.
-    HeartbeatRequest { sequence: u64 },
-    /// What became of a version there.
-    ApplyReport { number: VersionNumber, outcome: ApplyOutcome },
+    /// Requests every version after `received`.
+    Subscribe {
+        /// The newest version that the router received; 0 for none.
+        received: VersionNumber,
+        /// Digest of its settings.
+        digest: Digest,
+        /// The version that is active; 0 for none.
+        active: VersionNumber,
+        /// The last patch failed: complete settings are needed.
+        needs_snapshot: bool,
+    },
+    /// Requests a heartbeat.
+    HeartbeatRequest {
+        /// Returned by the heartbeat.
+        sequence: u64,
+    },
+    /// What the router made of a version.
+    ApplyReport {
+        /// The version.
+        number: VersionNumber,
+        /// What became of it.
+        outcome: ApplyOutcome,
+    },
 }
 
 impl Speech for RouterMessage {
@@ -65,95 +80,54 @@
     const VERSION: u16 = 1;
 }
 
-/// What a router made of a version that it was offered.
+/// What a router made of a version that it was offered. A version is applied completely or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ApplyOutcome {
+    /// The version is active.
     Applied,
-    /// Nothing of it is in force, as these keys only change with a start; the next start is with it.
+    /// These keys change only with a restart. The version becomes active with the next one.
     PendingRestart(Vec<String>),
-    /// Nothing of it is in force.
+    /// The version is not valid here, for this reason.
     Rejected(String),
 }
 
 impl ApplyOutcome {
-    /// No longer than the narrow way back allows.
-    pub fn cut(self) -> Self {
+    /// Shortens reason and keys to what the rate limit from a router allows.
+    pub fn truncated(self) -> Self {
         match self {
             ApplyOutcome::Applied => ApplyOutcome::Applied,
-            ApplyOutcome::Rejected(why) => ApplyOutcome::Rejected(cut(why)),
-            ApplyOutcome::PendingRestart(keys) => {
-                let (mut kept, mut room, all) = (vec![], MAX_REASON_BYTES, keys.len());
-                for key in keys {
-                    let key = cut(key);
-                    if key.len() + 1 > room {
-                        break;
-                    }
-                    room -= key.len() + 1;
-                    kept.push(key);
-                }
-                if kept.len() < all {
-                    kept.push(format!("and {} more", all - kept.len()));
-                }
-                ApplyOutcome::PendingRestart(kept)
-            }
+            ApplyOutcome::Rejected(reason) => ApplyOutcome::Rejected(truncate(reason)),
+            ApplyOutcome::PendingRestart(keys) => ApplyOutcome::PendingRestart(truncate_list(keys)),
         }
     }
 }
 
-fn cut(mut text: String) -> String {
-    let end = (0..=MAX_REASON_BYTES.min(text.len())).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+fn truncate(mut text: String) -> String {
+    let longest = MAX_REASON_BYTES.min(text.len());
+    let end = (0..=longest).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
     text.truncate(end);
     text
 }
 
-/// A word as it goes out.
-pub fn encode_frame<M: Speech>(word: &M) -> Vec<u8> {
-    let mut out = vec![];
-    frames::message(&mut out, word);
-    out
-}
-
-/// What makes a version: as one side tells it and the other puts it together.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct VersionContent {
-    pub number: VersionNumber,
-    /// 0: `text` is the settings, else a patch upon those of this version.
-    pub base: VersionNumber,
-    pub digest: Digest,
-    pub text: String,
-}
-
-impl VersionContent {
-    /// The part from byte `at` on.
-    pub fn part(&self, at: usize) -> ControlMessage {
-        let bytes = self.text.as_bytes();
-        let end = (at + MAX_PART_BYTES).min(bytes.len());
-        let bytes = bytes.get(at..end).unwrap_or_default().to_vec();
-        let length = self.text.len() as u32;
-        ControlMessage::ContentPart {
-            number: self.number,
-            base: self.base,
-            digest: self.digest,
-            total_bytes: length,
-            offset: at as u32,
-            bytes,
+fn truncate_list(keys: Vec<String>) -> Vec<String> {
+    let (mut listed, mut left_bytes, count) = (vec![], MAX_REASON_BYTES, keys.len());
+    for key in keys {
+        let key = truncate(key);
+        if key.len() + 1 > left_bytes {
+            break;
         }
+        left_bytes -= key.len() + 1;
+        listed.push(key);
     }
+    if listed.len() < count {
+        listed.push(format!("and {} more", count - listed.len()));
+    }
+    listed
 }
 
-/// The patch that makes `to` of `from`, both canonical; none where it would not come out so to the byte, or is no
-/// shorter than the whole.
-pub fn make_patch(from: &str, to: &str) -> Option<String> {
-    let old: Value = serde_json::from_str(from).ok()?;
-    let new: Value = serde_json::from_str(to).ok()?;
-    let patch = serde_json::to_string(&json_patch::diff(&old, &new)).ok()?;
-    (patch.len() < to.len() && apply_patch(from, &patch).as_deref() == Some(to)).then_some(patch)
-}
-
-/// The canonical text that a patch makes.
-pub fn apply_patch(from: &str, patch: &str) -> Option<String> {
-    let mut settings: Value = serde_json::from_str(from).ok()?;
-    let patch: json_patch::Patch = serde_json::from_str(patch).ok()?;
-    json_patch::patch(&mut settings, &patch).ok()?;
-    Some(canonical_json(&settings))
+/// A message as it is written to the connection.
+pub fn encode_frame<M: Speech>(message: &M) -> Vec<u8> {
+    let mut frame = vec![];
+    frames::message(&mut frame, message);
+    frame
 }
--- a/crates/control-plane/src/rate_limit.rs
+++ b/crates/control-plane/src/rate_limit.rs
@@ -1,58 +1,68 @@
-//! Bytes a second, by a token bucket: in any span of `s` seconds at most `burst + s * rate` go, whatever is asked.
+//! Token buckets that limit bytes per second: in any span of `s` seconds at most `burst_bytes + s * bytes_per_s` bytes
+//! pass. Times are seconds of a monotonic clock of the caller's choice.
+
+/// Rounding errors of sums of doubles must not make [`TokenBucket::ready_at`] fail by a fraction of a byte.
+const ROUNDING_BYTES: f64 = 1e-6;
+
+/// Sustained rate and burst of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Bytes a second.
+    /// Sustained rate, bytes per second.
     pub bytes_per_s: f64,
-    /// Bytes at once after a rest; no single word is longer.
+    /// Capacity of the bucket in bytes; no single message is longer.
     pub burst_bytes: f64,
 }
 
 impl RateLimit {
-    /// The most in any one second.
+    /// Upper bound of the bytes in any one second.
     pub fn max_bytes_in_one_second(&self) -> f64 {
         self.bytes_per_s + self.burst_bytes
     }
 }
 
-/// To a router as a control machine sends, to a router as that one reads, and from it: the latter two are 7,000 bytes in
-/// any second at most.
+/// What a control server sends to one router.
 pub const CONTROL_TO_ROUTER: RateLimit = RateLimit { bytes_per_s: 5_000.0, burst_bytes: 1_000.0 };
+/// What a router reads from its control server. Together with [`ROUTER_TO_CONTROL`] a router spends at most 7,000 bytes in
+/// any second on its subscription.
 pub const ROUTER_READ: RateLimit = RateLimit { bytes_per_s: 5_200.0, burst_bytes: 1_200.0 };
+/// What a router sends to its control server.
 pub const ROUTER_TO_CONTROL: RateLimit = RateLimit { bytes_per_s: 300.0, burst_bytes: 300.0 };
-/// From one control machine to all of its routers.
+/// What a control server sends to all its routers together.
 pub const CONTROL_TO_ALL_ROUTERS: RateLimit = RateLimit { bytes_per_s: 1_500_000.0, burst_bytes: 50_000.0 };
 
+/// A token bucket; one token is one byte.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    budget: RateLimit,
+    limit: RateLimit,
     tokens: f64,
-    at: f64,
+    refilled_at: f64,
 }
 
 impl TokenBucket {
-    pub fn full(budget: RateLimit, now: f64) -> Self {
-        TokenBucket { budget, tokens: budget.burst_bytes, at: now }
+    /// A bucket that allows a burst at once.
+    pub fn full(limit: RateLimit, now: f64) -> Self {
+        TokenBucket { limit, tokens: limit.burst_bytes, refilled_at: now }
     }
 
-    /// For one of several that follow each other, as connections or starts do: together they hold what one holds.
-    pub fn empty(budget: RateLimit, now: f64) -> Self {
-        TokenBucket { budget, tokens: 0.0, at: now }
+    /// A bucket that starts without tokens. For buckets that replace each other, as with each new connection: a full one
+    /// each time would exceed the limit.
+    pub fn empty(limit: RateLimit, now: f64) -> Self {
+        TokenBucket { limit, tokens: 0.0, refilled_at: now }
     }
 
-    fn fill(&mut self, now: f64) {
-        let span = (now - self.at).max(0.0);
-        self.tokens = (self.tokens + span * self.budget.bytes_per_s).min(self.budget.burst_bytes);
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: f64) {
+        let elapsed_s = (now - self.refilled_at).max(0.0);
+        self.tokens = (self.tokens + elapsed_s * self.limit.bytes_per_s).min(self.limit.burst_bytes);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whole bytes that may go now.
+    /// Bytes that may pass now.
     pub fn available_bytes(&mut self, now: f64) -> usize {
-        self.fill(now);
-        // What `when` promised must not fail by a rounding.
-        (self.tokens + 1e-6) as usize
+        self.refill(now);
+        (self.tokens + ROUNDING_BYTES) as usize
     }
 
-    /// Takes so many bytes if they may go now.
+    /// Takes the tokens for so many bytes, and returns whether there were enough. Takes none otherwise.
     pub fn try_take(&mut self, bytes: usize, now: f64) -> bool {
         let fits = self.available_bytes(now) >= bytes;
         if fits {
@@ -61,11 +71,11 @@
         fits
     }
 
-    /// When so many bytes may go, if nothing else does before; never, where it is more than a burst.
+    /// The time from which so many bytes may pass, if nothing else does before; infinite for more than a burst.
     pub fn ready_at(&self, bytes: usize) -> f64 {
-        if bytes as f64 > self.budget.burst_bytes {
+        if bytes as f64 > self.limit.burst_bytes {
             return f64::INFINITY;
         }
-        self.at + (bytes as f64 - self.tokens).max(0.0) / self.budget.bytes_per_s
+        self.refilled_at + (bytes as f64 - self.tokens).max(0.0) / self.limit.bytes_per_s
     }
 }
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -10,6 +10,7 @@
 use rand_pcg::rand_core::Rng;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
+use std::io;
 
 pub const COUNT: usize = 5;
 /// Seconds between two steps of the time.
@@ -41,13 +42,13 @@
 }
 
 impl StableStorage for Disk {
-    fn write(&mut self, what: &WriteBatch) -> Result<(), String> {
+    fn write(&mut self, what: &WriteBatch) -> io::Result<()> {
         if self.full {
             self.torn += 1;
             if self.torn.is_multiple_of(2) {
                 self.keep(what);
             }
-            return Err("no space left".into());
+            return Err(io::Error::other("no space left"));
         }
         self.keep(what);
         Ok(())
--- a/crates/control-plane/tests/model.rs
+++ b/crates/control-plane/tests/model.rs
@@ -2,7 +2,8 @@
 //! stale for as long as it likes, and a router that subscribes at either, takes over, refuses, keeps what it has and
 //! crashes. Words are under way for as long as they like, in any order, also past the end of their connection, and may be
 //! lost; whoever does nothing stands still. What is put on a shelf, told and taken are the program's own.
-use alderway_control_plane::messages::{self, ApplyOutcome, Digest, VersionContent};
+use alderway_control_plane::content::{self, Digest, VersionContent};
+use alderway_control_plane::messages::ApplyOutcome;
 use alderway_control_plane::publisher::{SubscriberPosition, VersionCache};
 use alderway_control_plane::subscriber::{ConfigVersion, ReceiveResult, VersionState};
 use alderway_control_plane::version::VersionNumber;
@@ -93,7 +94,7 @@
                 ReceiveResult::New
             }
             Broken::Unchecked if content.base > 0 && content.number > state.holding.received().number => {
-                match messages::apply_patch(&state.holding.received().text, &content.text) {
+                match content::apply_patch(&state.holding.received().text, &content.text) {
                     Some(text) => {
                         state.holding = VersionState::resume(ConfigVersion::new(content.number, &text));
                         state.offered = false;
--- a/crates/control-plane/tests/order.rs
+++ b/crates/control-plane/tests/order.rs
@@ -174,7 +174,7 @@
     house.pass(1.0);
     let machine = house.sites[leader].machine.as_ref().expect("runs");
     assert!(
-        machine.unavailable_reason().is_some_and(|why| why.contains("no space left")),
+        machine.unavailable_reason().is_some_and(|why| why.to_string().contains("no space left")),
         "{:?}",
         machine.unavailable_reason()
     );
@@ -215,7 +215,8 @@
     house.start(follower);
     assert!(house.until(10.0, |house| {
         let out = house.sites[follower].machine.as_ref().and_then(Replica::unavailable_reason);
-        out.is_some_and(|why| why.contains("its disk is not what it was") && why.contains("by an empty one"))
+        out.map(|why| why.to_string())
+            .is_some_and(|why| why.contains("its disk is not what it was") && why.contains("by an empty one"))
     }));
     house.wipe(follower);
     house.start(follower);
@@ -240,7 +241,7 @@
     let mut held = house.sites[0].disk.held.clone();
     spoil(&mut held);
     let members = (0..COUNT).map(name).collect();
-    let why = Replica::new(called, &members, &held, 9, 9).err().expect("refused");
+    let why = Replica::new(called, &members, &held, 9, 9).err().expect("refused").to_string();
     assert!(why.contains(says) && !why.contains('\n'), "{why}");
 }
 
--- a/crates/control-plane/tests/subscription.rs
+++ b/crates/control-plane/tests/subscription.rs
@@ -1,9 +1,8 @@
 //! Stories of control machines and routers without sockets: connections with delays that hold bytes while they are cut,
 //! clocks that agree on nothing and drift, machines that are stale, stop and start anew, routers that refuse, wait and
 //! crash. Time passes as a story says; chance is seeded. Bytes are counted as they go out.
-use alderway_control_plane::messages::{
-    self, ApplyOutcome, ControlMessage, MAX_SETTINGS_BYTES, RouterMessage, VersionContent,
-};
+use alderway_control_plane::content::{self, MAX_SETTINGS_BYTES, VersionContent};
+use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage};
 use alderway_control_plane::publisher::{self, CACHED_VERSIONS, CacheError, LinkError, Publisher};
 use alderway_control_plane::rate_limit::{CONTROL_TO_ALL_ROUTERS, CONTROL_TO_ROUTER, ROUTER_TO_CONTROL};
 use alderway_control_plane::subscriber::{
@@ -192,7 +191,7 @@
     /// A majority decides: every machine that follows has it.
     fn commit(&mut self, settings: Value) {
         let number = self.committed.last_key_value().map_or(1, |(number, _)| number + 1);
-        self.committed.insert(number, (self.now, messages::canonical_json(&settings)));
+        self.committed.insert(number, (self.now, content::canonical_json(&settings)));
         for n in 0..self.machines.len() {
             if self.machines[n].follows && self.machines[n].up {
                 let at = self.machine_clock(n);
@@ -305,7 +304,7 @@
                 Command::Apply { number, settings } => {
                     let (_, text) = &self.committed[&number];
                     assert_eq!(
-                        &messages::canonical_json(&settings),
+                        &content::canonical_json(&settings),
                         text,
                         "version {number} is what was committed"
                     );
@@ -457,7 +456,7 @@
                 // Never a version, or a content, that was not committed.
                 if let ControlMessage::ContentPart { number, digest, .. } = &tell {
                     let (_, text) = self.committed.get(number).expect("a committed version");
-                    assert_eq!(*digest, messages::digest(text));
+                    assert_eq!(*digest, content::digest(text));
                 }
                 self.routers[router].subscriber.receive(tell, clock);
             }
@@ -639,16 +638,19 @@
     let mut world = World::new(2, 1, 3);
     world.run(2.0);
     let longest = strewn(1, MAX_SETTINGS_BYTES - 32);
-    assert!(messages::canonical_json(&longest).len() > MAX_SETTINGS_BYTES - 32);
+    assert!(content::canonical_json(&longest).len() > MAX_SETTINGS_BYTES - 32);
     world.commit(longest);
     let span = world.run_until(HEALED, World::all_newest);
     world.within_budget();
     // Pulses were answered meanwhile or later; nobody was taken for silent.
-    assert!(!world.noted(0, |note| matches!(note, Event::ConnectionTimedOut(..))), "{span}");
+    assert!(!world.noted(0, |note| matches!(note, Event::ConnectionTimedOut { .. })), "{span}");
     // Longer ones are nothing that is ever told.
     let at = world.machine_clock(0);
     let long = world.machines[0].publisher.commit(&version(2, strewn(2, MAX_SETTINGS_BYTES)), at);
-    assert!(matches!(long, Err(CacheError::TooLarge(2, length)) if length > MAX_SETTINGS_BYTES), "{long:?}");
+    assert!(
+        matches!(long, Err(CacheError::TooLarge { number: 2, bytes }) if bytes > MAX_SETTINGS_BYTES),
+        "{long:?}"
+    );
     assert_eq!(world.machines[0].publisher.latest(), 1);
 }
 
@@ -674,13 +676,15 @@
     world.cut_zone(0, None);
     let span = world.run_until(HEALED, |world| world.connected(0).is_some_and(|name| name != "c0"));
     assert!(span < 3.0 + 1.0 + 0.6, "{span}");
-    assert!(world.noted(0, |note| matches!(note, Event::ConnectionTimedOut(name, _) if name == "c0")));
+    assert!(
+        world.noted(0, |note| matches!(note, Event::ConnectionTimedOut { endpoint, .. } if endpoint == "c0"))
+    );
     world.commit(settings(2, 100));
     world.run_until(1.0, World::all_newest);
     world.cut.clear();
     let span = world.run_until(500.0, |world| world.connected(0) == Some("c0".into()));
     assert!(span > 10.0, "{span}");
-    assert!(world.noted(0, |note| matches!(note, Event::ReturningToOwnZone(_))));
+    assert!(world.noted(0, |note| matches!(note, Event::ReturningToOwnZone { .. })));
     world.commit(settings(3, 100));
     world.run_until(1.0, World::all_newest);
 }
@@ -717,7 +721,7 @@
     world.cut.clear();
     let span = world.run_until(HEALED, |world| world.connected(0) == Some("c1".into()));
     assert!(span < 5.0, "{span}");
-    assert!(world.noted(0, |note| matches!(note, Event::ReplicaBehind(name) if name == "c0")));
+    assert!(world.noted(0, |note| matches!(note, Event::ReplicaBehind { endpoint } if endpoint == "c0")));
     assert_eq!(world.held(0), 3);
 }
 
@@ -793,22 +797,22 @@
     let mut router = by_hand(Some(held));
     let patch = r#"[{"op":"replace","path":"/a","value":2}]"#.to_string();
     let content =
-        VersionContent { number: 5, base: 4, digest: messages::digest(r#"{"a":3}"#), text: patch.clone() };
+        VersionContent { number: 5, base: 4, digest: content::digest(r#"{"a":3}"#), text: patch.clone() };
     router.receive(content.part(0), 1.1);
     assert_eq!(router.versions().received().number, 4);
-    assert!(matches!(router.next_command(), Some(Command::Log(Event::DigestMismatch(_, 5)))));
+    assert!(matches!(router.next_command(), Some(Command::Log(Event::DigestMismatch { number: 5, .. }))));
     let word = router.next_message(2.2).expect("asks again");
     assert!(matches!(
         asked(&word),
         RouterMessage::Subscribe { received: 4, active: 4, needs_snapshot: true, .. }
     ));
     // A patch upon a version that it has not.
-    let content = VersionContent { number: 6, base: 5, digest: messages::digest(r#"{"a":2}"#), text: patch };
+    let content = VersionContent { number: 6, base: 5, digest: content::digest(r#"{"a":2}"#), text: patch };
     router.receive(content.part(0), 2.3);
     assert_eq!(router.versions().received().number, 4);
     // The whole, and a whole that is none: its machine is left.
     let whole = r#"{"a":3}"#.to_string();
-    let content = VersionContent { number: 5, base: 0, digest: messages::digest(&whole), text: whole };
+    let content = VersionContent { number: 5, base: 0, digest: content::digest(&whole), text: whole };
     router.receive(content.part(0), 2.4);
     assert_eq!(router.versions().received().number, 5);
     let content = VersionContent { number: 6, base: 0, digest: 7, text: "{}".into() };
@@ -821,11 +825,11 @@
     let mut publisher = Publisher::new(publisher::PublisherConfig::default(), 0.0);
     assert_eq!(publisher.commit(&version(1, json!({"a": 1})), 0.0), Ok(true));
     assert_eq!(publisher.commit(&version(1, json!({"a": 1})), 0.0), Ok(false));
-    assert_eq!(publisher.commit(&version(1, json!({"a": 2})), 0.0), Err(CacheError::Conflict(1)));
+    assert_eq!(publisher.commit(&version(1, json!({"a": 2})), 0.0), Err(CacheError::Conflict { number: 1 }));
     // A router that has another one stays with it, and both sides say so.
     let mut router = by_hand(Some(ConfigVersion::new(1, r#"{"a":2}"#)));
     let link = publisher.open_link("r", 1, 0.0).expect("room");
-    let (got, digest) = (1, messages::digest(r#"{"a":2}"#));
+    let (got, digest) = (1, content::digest(r#"{"a":2}"#));
     publisher.receive(
         link,
         RouterMessage::Subscribe { received: got, digest, active: 1, needs_snapshot: false },
@@ -835,12 +839,12 @@
     let content = VersionContent {
         number: 1,
         base: 0,
-        digest: messages::digest(r#"{"a":1}"#),
+        digest: content::digest(r#"{"a":1}"#),
         text: r#"{"a":1}"#.into(),
     };
     router.receive(content.part(0), 1.1);
     assert_eq!(&*router.versions().received().text, r#"{"a":2}"#);
-    assert!(matches!(router.next_command(), Some(Command::Log(Event::Conflict(_, 1)))));
+    assert!(matches!(router.next_command(), Some(Command::Log(Event::Conflict { number: 1, .. }))));
     // The next version goes to it as a whole.
     assert_eq!(publisher.commit(&version(2, json!({"a": 1, "b": 1})), 1.0), Ok(true));
     assert!(publisher.next_message(2.0).is_some());
@@ -854,11 +858,14 @@
         0.0,
     );
     let first = publisher.open_link("r", 2, 0.0).expect("room");
-    assert_eq!(publisher.open_link("r", 1, 0.0), Err(LinkError::StaleIncarnation("r".into(), 1)));
+    assert_eq!(
+        publisher.open_link("r", 1, 0.0),
+        Err(LinkError::StaleIncarnation { router: "r".into(), incarnation: 1 })
+    );
     let later = publisher.open_link("r", 3, 0.0).expect("in the place of the first");
     assert!(!publisher.has_link(first) && publisher.has_link(later));
     assert!(publisher.open_link("s", 1, 0.0).is_ok());
-    assert_eq!(publisher.open_link("t", 1, 0.0), Err(LinkError::TooManyLinks(2)));
+    assert_eq!(publisher.open_link("t", 1, 0.0), Err(LinkError::TooManyLinks { limit: 2 }));
     assert_eq!(publisher.open_link("", 1, 0.0), Err(LinkError::InvalidName));
     let silent = publisher.tick(11.0);
     assert_eq!((silent.len(), publisher.link_count()), (2, 0));
@@ -916,7 +923,8 @@
     for n in 0..10 {
         let within = side(&world.routers[n].zone);
         assert_eq!(world.held(n), if within { 1 } else { 7 });
-        let said = world.noted(n, |note| matches!(note, Event::Stale { number: 1, age: Some(_), .. }));
+        let said =
+            world.noted(n, |note| matches!(note, Event::Stale { number: 1, staleness_s: Some(_), .. }));
         assert_eq!(said, within);
         let age = world.routers[n].subscriber.staleness_s(world.local(n)).expect("stated");
         assert!(if within { (590.0..620.0).contains(&age) } else { age < 3.0 }, "{n}: {age}");
@@ -946,7 +954,7 @@
     world.crash_router(0);
     assert_eq!(world.held(0), 3);
     world.run(30.0);
-    assert!(world.noted(0, |note| matches!(note, Event::Stale { number: 3, age: None, .. })));
+    assert!(world.noted(0, |note| matches!(note, Event::Stale { number: 3, staleness_s: None, .. })));
     // A machine comes back that has lost the last version.
     world.machines[0].follows = false;
     world.restart_machine(0, 2);
--- a/crates/control-plane/tests/wire_format.rs
+++ b/crates/control-plane/tests/wire_format.rs
@@ -4,8 +4,9 @@
 //!
 //! A reference file has one item a line: its name, a space, then hexadecimal bytes (`.hex`) or JSON (`.json.txt`). They
 //! were written once and nothing regenerates them: a difference is a change of the format.
-use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch, founding, held};
-use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage, digest, encode_frame};
+use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch, founding_batch};
+use alderway_control_plane::content::digest;
+use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage, encode_frame};
 use alderway_control_plane::replica::{ProposalOutcome, Replica, ReplicaMessage, ReplicaStatus};
 use alderway_control_plane::version::{Proposal, Version};
 use alderway_control_plane::version_log::{ProposalError, UndoneVersion, VersionLog};
@@ -21,6 +22,7 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
+use std::io;
 
 const CONTROL_MESSAGES: &str = include_str!("data/control_message.hex");
 const ROUTER_MESSAGES: &str = include_str!("data/router_message.hex");
@@ -254,7 +256,7 @@
 struct Disk(RecoveredState);
 
 impl StableStorage for Disk {
-    fn write(&mut self, what: &WriteBatch) -> Result<(), String> {
+    fn write(&mut self, what: &WriteBatch) -> io::Result<()> {
         let held = &mut self.0;
         held.identity = what.identity.clone().or(held.identity.take());
         held.snapshot = what.snapshot.clone().or(held.snapshot.take());
@@ -382,12 +384,12 @@
 
 #[test]
 fn a_founding_write() {
-    let write = founding(&[11, 12, 13], b"{\"names\":{},\"versions\":[]}".to_vec());
+    let write = founding_batch(&[11, 12, 13], b"{\"names\":{},\"versions\":[]}".to_vec());
     assert_eq!(
         (write.identity.as_ref(), write.compacted_to, write.clear_entries, write.entries.len()),
         (None, Some((1, 1)), true, 0)
     );
-    let held = held(&write);
+    let held = RecoveredState::founded(&write);
     let text = |bytes: &Option<Vec<u8>>| hex(bytes.as_deref().unwrap_or_default());
     assert_eq!(reference(FOUNDING, "snapshot"), Some(text(&held.snapshot).as_str()));
     assert_eq!(reference(FOUNDING, "hard_state"), Some(text(&held.hard_state).as_str()));
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -82,8 +82,8 @@
     pub fn run(&mut self) {
         let now = self.now();
         let output = self.machine.advance(&mut self.disk, now);
-        for line in output.log_lines {
-            tracing::info!(target: "control", "{line}");
+        for event in output.events {
+            tracing::info!(target: "control", "{event}");
         }
         for version in output.committed {
             tracing::info!(target: "control", "version {} by {}: {}", version.number, version.author, version.reason);
--- a/crates/controller/src/links.rs
+++ b/crates/controller/src/links.rs
@@ -232,7 +232,7 @@
                 &ReplicaMessage::SummaryResponse {
                     request_id: question,
                     version,
-                    unavailable_reason: out,
+                    unavailable_reason: out.map(|reason| reason.to_string()),
                     summary,
                 },
             );
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -5,6 +5,7 @@
 use alderway_control_plane::replica::REPLACE_DISK_ADVICE;
 use redb::{Builder, Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs::{self, File};
+use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 
@@ -152,15 +153,18 @@
 }
 
 impl StableStorage for Disk {
-    fn write(&mut self, what: &WriteBatch) -> Result<(), String> {
+    fn write(&mut self, what: &WriteBatch) -> io::Result<()> {
         let open = match self.open.take() {
             Some(open) => open,
-            None => Disk::database(&self.path)?,
+            None => Disk::database(&self.path).map_err(io::Error::other)?,
         };
-        self.open = Some(guarded(move || {
-            Disk::keep(&open, what)?;
-            Ok(open)
-        })?);
+        self.open = Some(
+            guarded(move || {
+                Disk::keep(&open, what)?;
+                Ok(open)
+            })
+            .map_err(io::Error::other)?,
+        );
         Ok(())
     }
 }
--- a/crates/router/src/control/kept.rs
+++ b/crates/router/src/control/kept.rs
@@ -3,7 +3,7 @@
 use super::{Subscription, spawn_blocking, spawn_local, watch};
 use crate::life::start::{self, Read, Station};
 use crate::memory::clock::Clock;
-use alderway_control_plane::messages;
+use alderway_control_plane::content;
 use alderway_control_plane::subscriber::ConfigVersion;
 use serde_json::Value;
 use std::fs::{self, File};
@@ -14,7 +14,7 @@
 
 const WORD: &str = "alderway-version 1";
 /// A head and the longest settings.
-const LONGEST: u64 = messages::MAX_SETTINGS_BYTES as u64 + 200;
+const LONGEST: u64 = content::MAX_SETTINGS_BYTES as u64 + 200;
 
 /// A version as it was kept.
 #[derive(Clone, Debug, PartialEq)]
