--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -1,9 +1,9 @@
-//! Messages between a control server and a router. They travel in the frames of `alderway_tier`, encoded by `postcard`: the
+//! Messages between a control server and a router. They travel in the frames of `alderway_transport`, encoded by `postcard`: the
 //! order of variants and fields is the wire format. Durations are seconds; no message carries a point in time, because
 //! the clocks of the two ends are not comparable.
 use crate::content::Digest;
 use crate::version::VersionNumber;
-use alderway_tier::frames::{self, Speech};
+use alderway_transport::frames::{self, Speech};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a reason, or of a list of keys, in an [`ApplyOutcome`].
--- a/crates/control-plane/src/publisher/link.rs
+++ b/crates/control-plane/src/publisher/link.rs
@@ -3,7 +3,7 @@
 use crate::messages::{ApplyOutcome, ControlMessage};
 use crate::rate_limit::TokenBucket;
 use crate::version::VersionNumber;
-use alderway_tier::{Incarnation, Name};
+use alderway_transport::{Incarnation, Name};
 use std::rc::Rc;
 
 /// Bytes of the longest name of a router.
--- a/crates/control-plane/src/publisher/mod.rs
+++ b/crates/control-plane/src/publisher/mod.rs
@@ -11,7 +11,7 @@
 use crate::rate_limit::{CONTROL_TO_ALL_ROUTERS, CONTROL_TO_ROUTER, RateLimit, TokenBucket};
 use crate::version::{Version, VersionNumber};
 use crate::version_sink::{LaggingRouter, RouterSummary};
-use alderway_tier::{Incarnation, Name};
+use alderway_transport::{Incarnation, Name};
 use link::{Link, MAX_NAME_BYTES, Transfer};
 pub use link::{LinkError, LinkId};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/controller/src/hollow.rs
+++ b/crates/controller/src/hollow.rs
@@ -4,7 +4,7 @@
 use alderway_control_plane::subscriber::{ControlEndpoint, Subscriber, SubscriptionConfig};
 use alderway_control_plane::version::VersionNumber;
 use alderway_router::control::{Ends, run};
-use alderway_router::memory::clock::Clock;
+use alderway_telemetry::clock::Clock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -2,10 +2,9 @@
 //! counters. Which machine, what of its words is taken and when what is said stands in `alderway_control_plane::subscriber`.
 pub mod kept;
 
-use crate::life::settings::{Live, Outcome as Offered};
-use crate::memory::clock::Clock;
-use crate::memory::counters::Counters;
-use crate::memory::house::{Figures, House};
+use crate::lifecycle::settings::{Live, Outcome as Offered};
+use crate::state::counters::Counters;
+use crate::state::house::{Figures, House};
 use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage};
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
 use alderway_control_plane::subscriber::{
@@ -13,8 +12,9 @@
 };
 use alderway_control_plane::version::VersionNumber;
 use alderway_sockets::Sender;
-use alderway_tier::frames::{self, Hello, Read, Reader, Speech};
-use alderway_tier::{Incarnation, Name};
+use alderway_telemetry::clock::Clock;
+use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{Incarnation, Name};
 use kept::Kept;
 use serde_json::Value;
 use std::future::pending;
--- a/crates/router/src/drive/core.rs
+++ b/crates/router/src/io/core.rs
@@ -2,18 +2,19 @@
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
 use super::{clients, rounds};
-use crate::life::{logger, stop};
-use crate::memory::Shared;
-use crate::memory::clock::Clock;
-use crate::memory::descriptors::Share;
-use crate::memory::desk::{Class, Desk, Stage};
-use crate::memory::ground::{Following, Ground};
-use crate::memory::house::{House, Order, Word};
-use crate::memory::roster::Entry;
-use crate::memory::terms::Issue;
+use crate::lifecycle::stop;
+use crate::state::Shared;
+use crate::state::descriptors::Share;
+use crate::state::desk::{Class, Desk, Stage};
+use crate::state::ground::{Following, Ground};
+use crate::state::house::{House, Order, Word};
+use crate::state::roster::Entry;
+use crate::state::terms::Issue;
 use alderway_cores::board::Board;
-use alderway_deployment::{Intake, Trunk};
+use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_layouts::layout::Layout;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
 use nix::time::{ClockId, clock_gettime};
 use std::cell::RefCell;
 use std::ops::ControlFlow;
@@ -63,8 +64,8 @@
     pub core: usize,
     pub house: Arc<House>,
     pub clock: Clock,
-    pub trunk: Trunk,
-    pub room: Intake,
+    pub trunk: ConnectionConfig,
+    pub room: AdmissionConfig,
     pub verticals: Vec<Class>,
     pub layouts: Option<Following>,
     /// The start of the module's chance, and the settings, of which the newest hold.
@@ -81,7 +82,7 @@
 
 /// Runs until the program stops, through failures.
 pub fn run(mut berth: Berth) {
-    logger::on_core(berth.core);
+    log::on_core(berth.core);
     let mut gossip = berth.house.listen();
     let mut board = Board::default();
     loop {
