--- a/crates/control-server/src/replica_links/incoming.rs
+++ b/crates/control-server/src/replica_links/incoming.rs
@@ -109,7 +109,7 @@
             let reply = ReplicaMessage::SummaryResponse {
                 request_id,
                 version: state.replica.version_log().latest_number(),
-                unavailable_reason: state.replica.unavailable_reason(),
+                unavailable_reason: state.replica.unavailable_reason().map(|reason| reason.to_string()),
                 summary: state.version_sink.summary(),
             };
             state.outboxes.push(peer, &reply);
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -4,6 +4,7 @@
 use crate::outbox::Outboxes;
 use crate::replica_links;
 use crate::state::{ServerState, SettingsCheck, SharedState};
+use alderway_control_plane::consensus::RecoveryError;
 use alderway_control_plane::replica::{REPLACE_DISK_ADVICE, Replica, ReplicaName, TICK_S};
 use alderway_control_plane::version_sink::VersionSink;
 use alderway_sockets::signals::Signals;
@@ -58,7 +59,7 @@
         /// The folder of the log.
         data_path: PathBuf,
         /// What contradicts what.
-        reason: String,
+        reason: RecoveryError,
     },
     /// The addresses of the control machines don't name this one.
     #[error("not of the members")]
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -2,7 +2,7 @@
 //! synced and renamed, with a head that tells a torn one.
 use super::{Subscription, spawn_blocking, spawn_local, watch};
 use crate::lifecycle::start::{self, Read, Station};
-use alderway_control_plane::messages;
+use alderway_control_plane::content;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_telemetry::clock::Clock;
 use serde_json::Value;
@@ -14,7 +14,7 @@
 
 const WORD: &str = "alderway-version 1";
 /// A head and the longest settings.
-const LONGEST: u64 = messages::MAX_SETTINGS_BYTES as u64 + 200;
+const LONGEST: u64 = content::MAX_SETTINGS_BYTES as u64 + 200;
 
 /// A version as it was kept.
 #[derive(Clone, Debug, PartialEq)]
