--- /dev/null
+++ b/crates/router/tests/startup.rs
@@ -0,0 +1,134 @@
+//! The configuration file at a start: what is read from it, and the line that says what is at fault.
+mod common;
+use alderway_router::lifecycle::start::{self, Role, Station};
+use alderway_telemetry::clock::Clock;
+use rstest::rstest;
+use serde_json::{Value, json};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+/// A configuration file with every key.
+fn document() -> Value {
+    let settings: Value = serde_json::from_str(&common::settings(1000, 180)).expect("settings");
+    let known = format!(
+        r#"{{"index":7,"snapshot":true,"endpoints":[{}]}}"#,
+        common::entry("s-1", ([127, 0, 0, 1], 9).into(), "SERVING")
+    );
+    json!({
+        "name": "r1",
+        "listen": "127.0.0.1:7001",
+        "discovery": "127.0.0.1:7002",
+        "seed": "1f",
+        "limits": {"sockets": 256, "memory_mb": 64},
+        "known": serde_json::from_str::<Value>(&known).expect("a list"),
+        "settings": settings,
+    })
+}
+
+/// A file that is removed with the test.
+struct ConfigFile(PathBuf);
+
+impl ConfigFile {
+    fn new(text: &str) -> ConfigFile {
+        static NEXT: AtomicUsize = AtomicUsize::new(0);
+        let name = format!("startup-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let path = std::env::temp_dir().join(name);
+        std::fs::write(&path, text).expect("written");
+        ConfigFile(path)
+    }
+}
+
+impl Drop for ConfigFile {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_file(&self.0);
+    }
+}
+
+fn read(path: &Path) -> Result<Station, String> {
+    start::read_at(path, Clock::default())
+}
+
+fn error_of(text: &str) -> String {
+    let file = ConfigFile::new(text);
+    read(&file.0).err().expect("refused").to_string()
+}
+
+#[rstest]
+fn every_key_is_read() {
+    let file = ConfigFile::new(&document().to_string());
+    let config = read(&file.0).expect("a good file");
+    assert_eq!((config.name.as_str(), config.path.as_path()), ("r1", file.0.as_path()));
+    assert_eq!(
+        (config.listen.to_string(), config.discovery.to_string()),
+        ("127.0.0.1:7001".into(), "127.0.0.1:7002".into())
+    );
+    assert_eq!((config.sockets, config.memory, config.seed), (256, 64 * 1024 * 1024, 0x1f));
+    assert_eq!(config.roster.nodes.keys().cloned().collect::<Vec<_>>(), ["s-1"]);
+    assert_eq!(config.settings, document()["settings"]);
+    assert_eq!(config.began.terms.router_count, 2);
+    let classes: Vec<&str> = config.verticals.iter().map(|class| class.name.as_str()).collect();
+    assert_eq!(classes, ["site-search", "region-report"]);
+    let fixed = document();
+    assert_eq!(config.fixed, ["name", "listen", "limits", "settings"].map(|key| (key, fixed[key].clone())));
+    assert_eq!(config.role, Role::Router);
+    assert!(config.beside.is_none() && config.layouts.is_none() && config.peers.is_none());
+}
+
+#[rstest]
+fn limits_seed_and_known_data_nodes_have_defaults() {
+    let mut document = document();
+    for key in ["seed", "limits", "known"] {
+        document.as_object_mut().expect("an object").remove(key);
+    }
+    let file = ConfigFile::new(&document.to_string());
+    let config = read(&file.0).expect("a good file");
+    assert_eq!((config.sockets, config.memory, config.seed), (1024, 192 * 1024 * 1024, 0));
+    assert!(config.roster.nodes.is_empty());
+}
+
+#[rstest]
+fn other_settings_and_another_count_of_routers_take_the_place_of_the_files() {
+    let file = ConfigFile::new(&document().to_string());
+    let mut settings = document()["settings"].clone();
+    settings["TickUs"] = json!(7000);
+    let config = start::read_with(&file.0, Clock::default(), Some(9), Some(settings.clone())).expect("good");
+    assert_eq!((&config.settings, config.began.terms.router_count), (&settings, 9));
+    assert_eq!(config.began.intake.min_round_interval_s, 0.007);
+    // A reload compares the file with itself.
+    assert_eq!(config.fixed[3], ("settings", document()["settings"].clone()));
+}
+
+#[rstest]
+#[case::no_name("/name", json!(7), "key `name`: expected text")]
+#[case::no_address("/listen", json!("here"), "key `listen`: expected address:port, found `here`")]
+#[case::no_text("/discovery", json!(null), "key `discovery`: expected text")]
+#[case::few_descriptors("/limits/sockets", json!(19), "key `limits.sockets`: expected a whole number from 20")]
+#[case::no_memory("/limits/memory_mb", json!("64"), "key `limits.memory_mb`: expected a whole number from 1")]
+#[case::no_seed("/seed", json!("xyz"), "key `seed`: expected up to 16 hex digits")]
+#[case::faulty_settings(
+    "/settings/TickUs",
+    json!("soon"),
+    "key `settings`: expected a number in setting `TickUs`"
+)]
+fn a_faulty_key_is_named(#[case] path: &str, #[case] value: Value, #[case] message: &str) {
+    let mut document = document();
+    *document.pointer_mut(path).expect("a key") = value;
+    assert_eq!(error_of(&document.to_string()), message);
+}
+
+#[rstest]
+fn known_data_nodes_that_cannot_be_read_are_named() {
+    let mut document = document();
+    document["known"] = json!({"index": "x"});
+    let error = error_of(&document.to_string());
+    assert!(error.starts_with("key `known`: "), "{error}");
+}
+
+#[rstest]
+fn what_is_no_configuration_is_told() {
+    assert!(error_of("{").starts_with("configuration: not JSON ("));
+    assert_eq!(error_of("{}"), "key `settings`: missing");
+    let missing = Path::new("/nowhere/at/all.json");
+    let error = read(missing).err().expect("refused").to_string();
+    assert!(error.starts_with("`PROXY_CONFIG` /nowhere/at/all.json: "), "{error}");
+}
