--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -12,8 +12,8 @@
 use alderway_router::lifecycle::start::Role;
 use alderway_router::lifecycle::{serve, start};
 use alderway_router::state::descriptors;
-use alderway_router::state::ground::Following;
-use alderway_router::state::house::Sharing;
+use alderway_router::state::shard_map::ShardMapConfig;
+use alderway_router::state::shared::MulticoreConfig;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log::{self, Form};
 use clap::{Args, Parser, Subcommand};
@@ -55,7 +55,7 @@
 /// What a router runs by.
 struct Plan {
     station: start::Station,
-    sharing: Sharing,
+    sharing: MulticoreConfig,
     form: Form,
     operator: Operator,
 }
@@ -140,7 +140,8 @@
         station.beside = Some(Arc::new(move || says_else(&path, &held, &text)));
     }
     station.peers = circle(&operator, files, &station.name)?;
-    station.layouts = operator.layouts.map(|l| Following { grace: l.late_clients, lag: l.lagging_nodes });
+    station.layouts =
+        operator.layouts.map(|l| ShardMapConfig { grace: l.late_clients, lag: l.lagging_nodes });
     station.role = match operator.tier.clone() {
         Tier::Alone => Role::Router,
         Tier::Forwarder { planners, beat, patience, .. } => Role::Forwarder { planners, beat, patience },
@@ -165,7 +166,7 @@
         LogForm::Text => Form::Text,
         LogForm::Json => Form::Json,
     };
-    Ok(Plan { station, sharing: Sharing { cores, node_connections, evidence }, form, operator })
+    Ok(Plan { station, sharing: MulticoreConfig { cores, node_connections, evidence }, form, operator })
 }
 
 fn show(plan: &Plan) -> String {
@@ -212,7 +213,7 @@
         ("name", station.name.clone()),
         ("listens at", station.listen.to_string()),
         ("discovery", station.discovery.to_string()),
-        ("data nodes known", station.roster.nodes.len().to_string()),
+        ("data nodes known", station.endpoints.nodes.len().to_string()),
         ("verticals", station.verticals.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
         ("queries and parts held", station.room.max_open.to_string()),
         ("descriptors", station.sockets.to_string()),
--- a/crates/lab/src/capacity/size.rs
+++ b/crates/lab/src/capacity/size.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Descriptors that a router keeps apart, and more for each core of several (`memory/descriptors.rs`).
+/// Descriptors that a router keeps apart, and more for each core of several (`state/descriptors.rs`).
 const APART: f64 = 16.0;
 const APART_A_CORE: f64 = 4.0;
 const A_DAY: f64 = 86_400.0;
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::lifecycle::settings::{Live, Outcome as Offered};
 use crate::state::counters::Counters;
-use crate::state::house::{Figures, House};
+use crate::state::shared::{MetricsSnapshot, SharedState};
 use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage};
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
 use alderway_control_plane::subscriber::{
@@ -91,7 +91,7 @@
     name: &str,
     seed: u64,
     offer: Offer,
-    house: Arc<House>,
+    shared: Arc<SharedState>,
     clock: Clock,
 ) {
     let Subscription { machines, zone, terms, keep, kept, said } = subscription;
@@ -102,7 +102,7 @@
     let kept = kept.map(|kept| {
         let number = kept.settled.number;
         tracing::info!(target: "control", "version {number} in force, from the kept file");
-        house.version.store(number, Relaxed);
+        shared.version.store(number, Relaxed);
         let as_of = kept.as_of_unix_ms.and_then(|ms| clock.from_unix(ms));
         (kept.settled, as_of.map(|as_of| as_of.min(now)))
     });
@@ -121,14 +121,14 @@
             }
         }),
         show: Box::new(move |subscriber, bytes, now| {
-            house.control.send_replace(Arc::new(figures(subscriber, bytes, now)));
+            shared.control.send_replace(Arc::new(figures(subscriber, bytes, now)));
         }),
         logs: true,
     };
     spawn_local(run(subscriber, ends));
 }
 
-fn figures(subscriber: &Subscriber, (bytes_in, bytes_out): (u64, u64), now: f64) -> Figures {
+fn figures(subscriber: &Subscriber, (bytes_in, bytes_out): (u64, u64), now: f64) -> MetricsSnapshot {
     let (metrics, mut counters) = (subscriber.metrics, Counters::default());
     for (name, count) in [
         ("control_dials", metrics.connect_attempts),
@@ -157,7 +157,7 @@
     ];
     // What may be of any age has none.
     open.extend(subscriber.staleness_s(now).map(|age| ("control_version_age_ms", ms(age))));
-    Figures { counters, open }
+    MetricsSnapshot { counters, open }
 }
 
 /// A connection to a control machine.
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -1,8 +1,8 @@
 //! Routers that know each other, on sockets: a listener for those that dial this one, a task for each that it dials, and
 //! the beat. What is told, kept and believed stands in `alderway_peers`; this is how it gets from socket to socket, and
-//! from there to the desk, as word of another decision point.
-use crate::state::house::Word;
-use crate::state::{Shared, counters::Counters};
+//! from there to the dispatcher, as word of another decision point.
+use crate::state::shared::ObservationMessage;
+use crate::state::{DispatcherHandle, counters::Counters};
 use alderway::interface::NodeObservation;
 use alderway_peers::view::{Refused, State, View};
 use alderway_peers::{Frame, Name, Terms, ring};
@@ -48,7 +48,7 @@
     }
 }
 
-/// What the desk and the links share.
+/// What the dispatcher and the links share.
 pub struct Peers {
     pub view: View,
     clock: Clock,
@@ -102,9 +102,14 @@
     }
 }
 
-/// Starts listening and dialling; the desk tells from here on what its module sees.
-pub async fn start(desk: &Shared, circle: Circle, name: &str, incarnation: u64) -> io::Result<()> {
-    let clock = desk.borrow().clock;
+/// Starts listening and dialling; the dispatcher tells from here on what its module sees.
+pub async fn start(
+    dispatcher: &DispatcherHandle,
+    circle: Circle,
+    name: &str,
+    incarnation: u64,
+) -> io::Result<()> {
+    let clock = dispatcher.borrow().clock;
     let own = circle.members.get(name).copied().ok_or_else(|| io::Error::other("not of the members"))?;
     let listener = TcpListener::bind(own).await?;
     tracing::info!(target: "peers", "{name} hears peers at {}", listener.local_addr()?);
@@ -113,8 +118,8 @@
     let (name, verdicts) = (name.to_string(), circle.verdicts);
     let held = Peers { view, clock, name: name.clone(), verdicts, counters: Counters::default() };
     let peers = Rc::new(RefCell::new(held));
-    desk.borrow_mut().peers = Some(peers.clone());
-    let ends = Ends { desk: desk.clone(), peers, terms: circle.terms };
+    dispatcher.borrow_mut().peers = Some(peers.clone());
+    let ends = Ends { dispatcher: dispatcher.clone(), peers, terms: circle.terms };
     spawn_local(accept(ends.clone(), listener));
     spawn_local(tick(ends.clone()));
     let mut dials = Dials { ends, own: name, seed: incarnation, tasks: BTreeMap::new() };
@@ -178,7 +183,7 @@
 
 #[derive(Clone)]
 struct Ends {
-    desk: Shared,
+    dispatcher: DispatcherHandle,
     peers: Held,
     terms: Terms,
 }
@@ -199,8 +204,8 @@
         let now = self.clock();
         Ends::say(self.peers.borrow_mut().view.came(link, frame, now));
         let believed = {
-            let desk = self.desk.borrow();
-            let started = |node: &str| desk.roster.nodes.get(node).map(|node| node.started);
+            let dispatcher = self.dispatcher.borrow();
+            let started = |node: &str| dispatcher.endpoints.nodes.get(node).map(|node| node.started);
             self.peers.borrow_mut().view.heard(started, now)
         };
         for (node, verdict) in believed {
@@ -212,9 +217,9 @@
                 very_slow_for_s: verdict.far,
                 unresponsive_for_s: verdict.sick,
             };
-            let mut desk = self.desk.borrow_mut();
-            let core = desk.core;
-            desk.hear(Word { core, node, seen });
+            let mut dispatcher = self.dispatcher.borrow_mut();
+            let core = dispatcher.core;
+            dispatcher.hear(ObservationMessage { core, node, seen });
         }
     }
 
@@ -232,7 +237,7 @@
         Ends::say(ends.peers.borrow_mut().view.tick(now));
         let over = ends.peers.borrow_mut().view.fleet();
         if let Some(over) = over {
-            ends.desk.borrow_mut().hear_fleet(over);
+            ends.dispatcher.borrow_mut().hear_fleet(over);
         }
     }
 }
--- a/crates/router/src/io/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -1,6 +1,6 @@
 //! Reads with the moment at which the last byte came in. The system stamps it: a router that stood still, or
 //! was kept off its core, would take old bytes for new ones and count a client's time from too late.
-use crate::state::stamps::Stamps;
+use crate::state::arrival_time::ArrivalEstimator;
 use alderway_sockets::{received, uninterrupted};
 use alderway_telemetry::clock::Clock;
 use nix::cmsg_space;
@@ -44,7 +44,7 @@
     stream: &TcpStream,
     space: &mut [u8],
     clock: Clock,
-    stamps: &mut Stamps,
+    stamps: &mut ArrivalEstimator,
     since: &mut f64,
 ) -> io::Result<Option<(usize, f64)>> {
     let before = clock.now();
--- a/crates/router/src/io/clients.rs
+++ b/crates/router/src/io/clients.rs
@@ -1,11 +1,11 @@
 //! The drivers of the listener and of clients' connections.
 use super::{arrival, until};
 use crate::requests;
-use crate::state::Shared;
-use crate::state::clients::Client;
-use crate::state::descriptors::{Held, Share};
-use crate::state::desk::Stage;
-use crate::state::house::{Order, Passenger};
+use crate::state::DispatcherHandle;
+use crate::state::clients::ClientConnection;
+use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
+use crate::state::dispatcher::ShutdownPhase;
+use crate::state::shared::{CoreCommand, TransferredConnection};
 use crate::wire::answer;
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{MESSAGE, Messages, Refusal};
@@ -35,23 +35,23 @@
 pub trait Door {
     /// Closes an idle connection, so that a descriptor comes free.
     fn make_room(&self);
-    fn take(&self, stream: TcpStream, held: Held) -> impl Future<Output = ()>;
+    fn take(&self, stream: TcpStream, held: DescriptorPermit) -> impl Future<Output = ()>;
 }
 
 /// The door of a program on one core.
-impl Door for Shared {
+impl Door for DispatcherHandle {
     fn make_room(&self) {
         let (now, patience) = (self.borrow().clock.now(), self.borrow().trunk.dial_timeout_s);
         self.borrow().clients.dismiss_oldest(now, patience);
     }
 
-    async fn take(&self, stream: TcpStream, held: Held) {
+    async fn take(&self, stream: TcpStream, held: DescriptorPermit) {
         drop(spawn_local(serve(self.clone(), stream, held, false)));
     }
 }
 
 /// Waits for a descriptor, for which idle connections make room.
-async fn descriptor(door: &impl Door, share: &Arc<Share>) -> Held {
+async fn descriptor(door: &impl Door, share: &Arc<DescriptorPool>) -> DescriptorPermit {
     loop {
         if let Some(held) = share.take() {
             return held;
@@ -63,7 +63,7 @@
 
 /// Accepts for as long as descriptors are left; idle connections make room. Ends with `close`, after taking
 /// in all that the system had accepted by then, whether or not the runtime had been told of it.
-pub async fn listen(door: impl Door, listener: TcpListener, share: Arc<Share>, close: Rc<Notify>) {
+pub async fn listen(door: impl Door, listener: TcpListener, share: Arc<DescriptorPool>, close: Rc<Notify>) {
     loop {
         let held = descriptor(&door, &share).await;
         let came = tokio::select! {
@@ -91,10 +91,10 @@
 }
 
 /// A connection that comes from the lead, or from another core between two of its requests.
-pub fn board(desk: &Shared, passenger: Passenger) {
-    let Passenger { stream, held, used } = passenger;
+pub fn board(dispatcher: &DispatcherHandle, transferred: TransferredConnection) {
+    let TransferredConnection { stream, held, used } = transferred;
     match TcpStream::from_std(stream) {
-        Ok(stream) => drop(spawn_local(serve(desk.clone(), stream, held, used))),
+        Ok(stream) => drop(spawn_local(serve(dispatcher.clone(), stream, held, used))),
         Err(why) => tracing::warn!(target: "accept", "a connection could not be taken over: {why}"),
     }
 }
@@ -125,42 +125,45 @@
 }
 
 /// One connection from its first byte to its last.
-async fn serve(desk: Shared, mut stream: TcpStream, mut held: Held, used: bool) {
+async fn serve(dispatcher: DispatcherHandle, mut stream: TcpStream, mut held: DescriptorPermit, used: bool) {
     let _ = stream.set_nodelay(true);
     let arrive = || {
-        let mut desk = desk.borrow_mut();
-        let now = desk.clock.now();
-        desk.clients.arrive(now)
+        let mut dispatcher = dispatcher.borrow_mut();
+        let now = dispatcher.clock.now();
+        dispatcher.clients.arrive(now)
     };
     if !used {
-        desk.borrow_mut().counters.one("clients{accepted}");
+        dispatcher.borrow_mut().counters.one("clients{accepted}");
     }
     let (mut id, mut client) = arrive();
     client.used.set(used);
     let end = loop {
-        let to = match converse(&desk, &client, &stream).await {
+        let to = match converse(&dispatcher, &client, &stream).await {
             End::Moves(to) => to,
             end => break end,
         };
         // Nothing of it is open or read here: what the client sends next waits in the system for the new core.
-        desk.borrow_mut().clients.depart(id);
+        dispatcher.borrow_mut().clients.depart(id);
         let Ok(socket) = stream.into_std() else { return };
-        let back = desk.borrow().house.send(to, Order::Serve(Passenger { stream: socket, held, used: true }));
-        let Err(Order::Serve(passenger)) = back else {
-            return desk.borrow_mut().counters.one("clients{moved}");
+        let back = dispatcher
+            .borrow()
+            .shared
+            .send(to, CoreCommand::Serve(TransferredConnection { stream: socket, held, used: true }));
+        let Err(CoreCommand::Serve(transferred)) = back else {
+            return dispatcher.borrow_mut().counters.one("clients{moved}");
         };
-        let Ok(again) = TcpStream::from_std(passenger.stream) else { return };
-        (stream, held) = (again, passenger.held);
+        let Ok(again) = TcpStream::from_std(transferred.stream) else { return };
+        (stream, held) = (again, transferred.held);
         (id, client) = arrive();
         client.used.set(true);
-        desk.borrow_mut().giving = None;
+        dispatcher.borrow_mut().giving = None;
     };
     if let Some(number) = client.query.get() {
-        let mut desk = desk.borrow_mut();
+        let mut dispatcher = dispatcher.borrow_mut();
         if !matches!(end, End::Left) {
-            desk.audit_closed_open(number);
+            dispatcher.audit_closed_open(number);
         }
-        desk.client_left(number);
+        dispatcher.client_left(number);
     }
     client.idle.set(None);
     if matches!(end, End::Closed) && stream.shutdown().await.is_ok() {
@@ -179,16 +182,16 @@
     }
     drop(stream);
     drop(held);
-    let mut desk = desk.borrow_mut();
-    desk.clients.depart(id);
-    desk.counters.one("clients{closed}");
-    desk.counters.one(&format!("client_closes{{{}}}", end.reason()));
+    let mut dispatcher = dispatcher.borrow_mut();
+    dispatcher.clients.depart(id);
+    dispatcher.counters.one("clients{closed}");
+    dispatcher.counters.one(&format!("client_closes{{{}}}", end.reason()));
 }
 
 /// What a connection is in the midst of.
 struct Talk<'a> {
-    desk: &'a Shared,
-    client: &'a Rc<Client>,
+    dispatcher: &'a DispatcherHandle,
+    client: &'a Rc<ClientConnection>,
     stream: &'a TcpStream,
     buffer: Buffer,
     messages: Messages,
@@ -215,7 +218,7 @@
                 Ok(true) => {
                     let (head, body) = self.messages.message(&self.buffer);
                     self.client.behind.set(self.buffer.data().len() > self.messages.end());
-                    requests::take(self.desk, self.client, head, body, self.read_at);
+                    requests::take(self.dispatcher, self.client, head, body, self.read_at);
                     self.messages.done(&mut self.buffer);
                     self.client.used.set(true);
                     self.went_ahead = false;
@@ -237,7 +240,7 @@
 
     /// The last answer on this connection, as nothing more can be made out on it.
     fn lose(&mut self, counter: &str, refusal: Refusal) {
-        self.desk.borrow_mut().counters.one(counter);
+        self.dispatcher.borrow_mut().counters.one(counter);
         answer::unreadable(&mut self.client.out.borrow_mut(), refusal);
         self.lost = true;
         self.client.closes.set(true);
@@ -250,7 +253,7 @@
         match self.sender.write(self.stream, &out[self.written..]) {
             Ok(count) => {
                 self.written += count;
-                self.desk.borrow_mut().counters.add("bytes_to_clients", count);
+                self.dispatcher.borrow_mut().counters.add("bytes_to_clients", count);
             }
             Err(_) => return ControlFlow::Break(End::Left),
         }
@@ -271,9 +274,9 @@
         let mut dropped = [0; 4096];
         self.overrun |= self.buffer.space().is_empty();
         let space = if self.overrun { &mut dropped[..] } else { self.buffer.space() };
-        let mut desk = self.desk.borrow_mut();
-        desk.stalls.look(clock.now());
-        match arrival::read(self.stream, space, clock, &mut desk.stamps, &mut self.quiet_at) {
+        let mut dispatcher = self.dispatcher.borrow_mut();
+        dispatcher.stalls.look(clock.now());
+        match arrival::read(self.stream, space, clock, &mut dispatcher.stamps, &mut self.quiet_at) {
             Ok(Some((0, _))) | Err(_) => return false,
             Ok(Some((count, at))) => {
                 if !self.overrun {
@@ -281,7 +284,7 @@
                     self.buffer.filled(count);
                     self.read_at = at;
                 }
-                desk.counters.add("bytes_from_clients", count);
+                dispatcher.counters.add("bytes_from_clients", count);
             }
             Ok(None) => {}
         }
@@ -290,12 +293,12 @@
 }
 
 /// Reads requests and writes answers.
-async fn converse(desk: &Shared, client: &Rc<Client>, stream: &TcpStream) -> End {
-    let (clock, dial) = (desk.borrow().clock, desk.borrow().trunk.dial_timeout_s);
+async fn converse(dispatcher: &DispatcherHandle, client: &Rc<ClientConnection>, stream: &TcpStream) -> End {
+    let (clock, dial) = (dispatcher.borrow().clock, dispatcher.borrow().trunk.dial_timeout_s);
     let (buffer, messages, accepted) = (Buffer::new(MESSAGE), Messages::default(), clock.now());
     let (written, lost, overrun, went_ahead) = (0, false, false, false);
     let mut talk = Talk {
-        desk,
+        dispatcher,
         client,
         stream,
         buffer,
@@ -327,11 +330,11 @@
         let waiting = !open && !writing;
         let half_sent = waiting && !talk.buffer.is_empty();
         if waiting && !talk.lost && talk.buffer.is_empty() && client.used.get() {
-            let mut desk = desk.borrow_mut();
+            let mut dispatcher = dispatcher.borrow_mut();
             // Guards against a connection that would reach a core as its stop ends.
-            let stays = desk.stage > Stage::Serving;
-            if let Some((to, left)) = desk.giving.filter(|(_, left)| *left > 0 && !stays) {
-                desk.giving = Some((to, left - 1));
+            let stays = dispatcher.stage > ShutdownPhase::Serving;
+            if let Some((to, left)) = dispatcher.giving.filter(|(_, left)| *left > 0 && !stays) {
+                dispatcher.giving = Some((to, left - 1));
                 return End::Moves(to);
             }
         }
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -1,15 +1,15 @@
-//! One core among several: a thread with a runtime, a desk, a module and clients of its own. It tends what the
+//! One core among several: a thread with a runtime, a dispatcher, a module and clients of its own. It tends what the
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
 use super::{clients, rounds};
 use crate::lifecycle::stop;
-use crate::state::Shared;
-use crate::state::descriptors::Share;
-use crate::state::desk::{Class, Desk, Stage};
-use crate::state::ground::{Following, Ground};
-use crate::state::house::{House, Order, Word};
-use crate::state::roster::Entry;
-use crate::state::terms::Issue;
+use crate::state::DispatcherHandle;
+use crate::state::descriptors::DescriptorPool;
+use crate::state::dispatcher::{ClassRules, Dispatcher, ShutdownPhase};
+use crate::state::endpoints::Endpoint;
+use crate::state::query_classes::ConfigGeneration;
+use crate::state::shard_map::{ShardMapConfig, ShardMapView};
+use crate::state::shared::{CoreCommand, ObservationMessage, SharedState};
 use alderway_cores::board::Board;
 use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_layouts::layout::Layout;
@@ -34,11 +34,11 @@
 /// How long the last answers of a core that failed may take to go out.
 const FAREWELL: Duration = Duration::from_millis(200);
 
-/// The roster as the lead tells it to the cores.
+/// The endpoint list as the lead tells it to the cores.
 #[derive(Clone, Default)]
 pub struct Told {
     pub number: u64,
-    pub entries: Arc<Vec<Entry>>,
+    pub entries: Arc<Vec<Endpoint>>,
     pub layout: Option<Layout>,
     /// How often following has failed.
     pub failures: u64,
@@ -62,18 +62,18 @@
 /// What a core starts with, and again after a failure.
 pub struct Berth {
     pub core: usize,
-    pub house: Arc<House>,
+    pub shared: Arc<SharedState>,
     pub clock: Clock,
     pub trunk: ConnectionConfig,
     pub room: AdmissionConfig,
-    pub verticals: Vec<Class>,
-    pub layouts: Option<Following>,
+    pub verticals: Vec<ClassRules>,
+    pub layouts: Option<ShardMapConfig>,
     /// The start of the module's chance, and the settings, of which the newest hold.
     pub seed: u64,
-    pub settings: watch::Receiver<Arc<Issue>>,
-    pub for_nodes: Arc<Share>,
-    pub orders: mpsc::Receiver<Order>,
-    pub roster: watch::Receiver<Told>,
+    pub settings: watch::Receiver<Arc<ConfigGeneration>>,
+    pub for_nodes: Arc<DescriptorPool>,
+    pub orders: mpsc::Receiver<CoreCommand>,
+    pub endpoints: watch::Receiver<Told>,
     pub phase: watch::Receiver<Phase>,
     pub reports: mpsc::UnboundedSender<Report>,
     /// The lead's leave to start again.
@@ -83,7 +83,7 @@
 /// Runs until the program stops, through failures.
 pub fn run(mut berth: Berth) {
     log::on_core(berth.core);
-    let mut gossip = berth.house.listen();
+    let mut gossip = berth.shared.listen();
     let mut board = Board::default();
     loop {
         let why = match Builder::new_current_thread().enable_all().build() {
@@ -102,47 +102,48 @@
     let _ = berth.reports.send(Report::Ended(berth.core));
 }
 
-/// One life: from an empty desk to the end of the program, or to a failure and its last answers. What it counted
+/// One life: from an empty dispatcher to the end of the program, or to a failure and its last answers. What it counted
 /// and what others had told it outlive it.
 fn life(
     runtime: &Runtime,
     berth: &mut Berth,
-    gossip: &mut Option<Gossip<Word>>,
+    gossip: &mut Option<Gossip<ObservationMessage>>,
     board: &mut Board,
 ) -> Result<(), String> {
     let local = LocalSet::new();
-    let (house, core) = (berth.house.clone(), berth.core);
-    let mut desk = Desk::on(house, core, berth.clock, berth.trunk, berth.room, berth.verticals.clone());
-    desk.counters = berth.house.seats[core].figures.borrow().counters.clone();
-    desk.board = std::mem::take(board);
-    desk.ground = berth.layouts.map(Ground::new);
-    desk.follow_settings(berth.settings.clone());
-    let desk = Rc::new(RefCell::new(desk));
-    let lived = catch_unwind(AssertUnwindSafe(|| local.block_on(runtime, tend(&desk, berth, gossip))));
+    let (shared, core) = (berth.shared.clone(), berth.core);
+    let mut dispatcher =
+        Dispatcher::on(shared, core, berth.clock, berth.trunk, berth.room, berth.verticals.clone());
+    dispatcher.counters = berth.shared.cores[core].figures.borrow().counters.clone();
+    dispatcher.board = std::mem::take(board);
+    dispatcher.shard_map = berth.layouts.map(ShardMapView::new);
+    dispatcher.follow_settings(berth.settings.clone());
+    let dispatcher = Rc::new(RefCell::new(dispatcher));
+    let lived = catch_unwind(AssertUnwindSafe(|| local.block_on(runtime, tend(&dispatcher, berth, gossip))));
     let why = match lived {
         Ok(Ok(())) => return Ok(()),
         Ok(Err(why)) => why,
         Err(_) => "a driver panicked".into(),
     };
     // Guards against clients that would learn nothing: what is open here gets its final answer, as far as the
-    // desk is still whole.
+    // dispatcher is still whole.
     let last = catch_unwind(AssertUnwindSafe(|| {
-        desk.borrow_mut().counters.one("core_failures");
-        desk.borrow_mut().stage = Stage::Closing;
-        desk.borrow_mut().abort_all();
-        desk.borrow().clients.dismiss_idle();
+        dispatcher.borrow_mut().counters.one("core_failures");
+        dispatcher.borrow_mut().stage = ShutdownPhase::Closing;
+        dispatcher.borrow_mut().abort_all();
+        dispatcher.borrow().clients.dismiss_idle();
         local.block_on(runtime, async {
             let _ = tokio::time::timeout(FAREWELL, async {
-                while !desk.borrow().clients.is_empty() {
+                while !dispatcher.borrow().clients.is_empty() {
                     sleep(Duration::from_millis(5)).await;
                 }
             })
             .await;
         });
-        say(&desk, berth, None);
-        *board = std::mem::take(&mut desk.borrow_mut().board);
+        say(&dispatcher, berth, None);
+        *board = std::mem::take(&mut dispatcher.borrow_mut().board);
     }));
-    // Connections and queries that are left go with their tasks, and what they held of the house with them.
+    // Connections and queries that are left go with their tasks, and what they held of the shared state with them.
     let _ = catch_unwind(AssertUnwindSafe(|| drop(local)));
     Err(if last.is_ok() { why } else { format!("{why}; its last answers could not be given") })
 }
@@ -171,25 +172,30 @@
 }
 
 /// Says how this core is, for the lead and for whoever asks another core for the counters.
-fn say(desk: &Shared, berth: &Berth, work: Option<&mut Work>) {
-    let (now, seat, desk) = (berth.clock.now(), &berth.house.seats[berth.core], desk.borrow());
-    seat.clients.store(desk.clients.len(), Relaxed);
+fn say(dispatcher: &DispatcherHandle, berth: &Berth, work: Option<&mut Work>) {
+    let (now, core_state, dispatcher) =
+        (berth.clock.now(), &berth.shared.cores[berth.core], dispatcher.borrow());
+    core_state.clients.store(dispatcher.clients.len(), Relaxed);
     if let Some(work) = work {
-        seat.active.store(desk.clients.take_active(), Relaxed);
-        seat.busy.store((work.look(now) * 1e3) as u64, Relaxed);
+        core_state.active.store(dispatcher.clients.take_active(), Relaxed);
+        core_state.busy.store((work.look(now) * 1e3) as u64, Relaxed);
     }
-    seat.figures.send_replace(Arc::new(desk.own_figures()));
-    seat.beat.store((now * 1e3) as u64, Relaxed);
+    core_state.figures.send_replace(Arc::new(dispatcher.own_figures()));
+    core_state.beat.store((now * 1e3) as u64, Relaxed);
 }
 
 /// Tends a core until the stop is seen through, or something of it has failed.
-async fn tend(desk: &Shared, berth: &mut Berth, gossip: &mut Option<Gossip<Word>>) -> Result<(), String> {
-    adopt(desk, &berth.roster.borrow_and_update().clone());
-    desk.borrow_mut().roster.whole = true;
-    desk.borrow_mut().hear_board();
-    let module = rounds::newest(desk, berth.seed);
-    let mut rounds = spawn_local(rounds::run(desk.clone(), module, berth.for_nodes.clone()));
-    let mut failures = berth.roster.borrow().failures;
+async fn tend(
+    dispatcher: &DispatcherHandle,
+    berth: &mut Berth,
+    gossip: &mut Option<Gossip<ObservationMessage>>,
+) -> Result<(), String> {
+    adopt(dispatcher, &berth.endpoints.borrow_and_update().clone());
+    dispatcher.borrow_mut().endpoints.whole = true;
+    dispatcher.borrow_mut().hear_board();
+    let module = rounds::newest(dispatcher, berth.seed);
+    let mut rounds = spawn_local(rounds::run(dispatcher.clone(), module, berth.for_nodes.clone()));
+    let mut failures = berth.endpoints.borrow().failures;
     let mut stopping: Option<JoinHandle<()>> = None;
     // A core that starts anew in the midst of a stop hears of it as of news.
     berth.phase.mark_changed();
@@ -199,15 +205,15 @@
     loop {
         tokio::select! {
             biased;
-            // First of all the roster: after a pause nothing new goes out before it (the fence sees to that).
-            changed = berth.roster.changed() => {
+            // First of all the endpoint list: after a pause nothing new goes out before it (the fence sees to that).
+            changed = berth.endpoints.changed() => {
                 if changed.is_err() {
                     return Err("the lead is gone".into());
                 }
-                let told = berth.roster.borrow_and_update().clone();
-                adopt(desk, &told);
+                let told = berth.endpoints.borrow_and_update().clone();
+                adopt(dispatcher, &told);
                 if std::mem::replace(&mut failures, told.failures) != told.failures {
-                    desk.borrow_mut().roster_failed();
+                    dispatcher.borrow_mut().roster_failed();
                 }
             }
             ended = &mut rounds => return Err(match ended {
@@ -215,11 +221,11 @@
                 _ => "its rounds panicked".into(),
             }),
             // The round takes them over.
-            Ok(()) = berth.settings.changed() => desk.borrow().came.notify_one(),
+            Ok(()) = berth.settings.changed() => dispatcher.borrow().came.notify_one(),
             changed = berth.phase.changed(), if stopping.is_none() => {
                 if changed.is_ok() && *berth.phase.borrow_and_update() != Phase::Serving {
                     let closed = closed(berth.phase.clone());
-                    stopping = Some(spawn_local(stop::see_through(desk.clone(), closed)));
+                    stopping = Some(spawn_local(stop::see_through(dispatcher.clone(), closed)));
                 }
             }
             seen = ended_of(&mut stopping) => {
@@ -228,38 +234,38 @@
                 let mut late = false;
                 while let Ok(order) = berth.orders.try_recv() {
                     late = true;
-                    carry_out(desk, order);
+                    carry_out(dispatcher, order);
                 }
                 if late {
-                    stopping = Some(spawn_local(stop::end(desk.clone())));
+                    stopping = Some(spawn_local(stop::end(dispatcher.clone())));
                     continue;
                 }
-                say(desk, berth, None);
+                say(dispatcher, berth, None);
                 return Ok(());
             }
-            Some(order) = berth.orders.recv() => carry_out(desk, order),
+            Some(order) = berth.orders.recv() => carry_out(dispatcher, order),
             word = heard(gossip) => {
                 if let ControlFlow::Continue(word) = word {
                     if word.core != berth.core {
-                        desk.borrow_mut().hear(word);
+                        dispatcher.borrow_mut().hear(word);
                     }
                 } else {
-                    desk.borrow_mut().counters.one("evidence_lost");
+                    dispatcher.borrow_mut().counters.one("evidence_lost");
                 }
             }
             _ = beats.tick() => {
-                let mut held = desk.borrow_mut();
+                let mut held = dispatcher.borrow_mut();
                 held.pass_fence();
                 let now = berth.clock.now();
-                let Desk { board, roster, .. } = &mut *held;
-                board.sweep(now, |node| roster.nodes.contains_key(node));
+                let Dispatcher { board, endpoints, .. } = &mut *held;
+                board.sweep(now, |node| endpoints.nodes.contains_key(node));
                 if berth.for_nodes.pool.is_short() {
-                    roster.retire_oldest();
+                    endpoints.retire_oldest();
                 }
                 drop(held);
-                say(desk, berth, Some(&mut work));
+                say(dispatcher, berth, Some(&mut work));
                 #[cfg(feature = "faults")]
-                play(desk.borrow_mut().fault.take());
+                play(dispatcher.borrow_mut().fault.take());
             }
         }
     }
@@ -282,7 +288,7 @@
 }
 
 /// The next word of another core, or a break where words were lost.
-async fn heard(gossip: &mut Option<Gossip<Word>>) -> ControlFlow<(), Word> {
+async fn heard(gossip: &mut Option<Gossip<ObservationMessage>>) -> ControlFlow<(), ObservationMessage> {
     let Some(gossip) = gossip else { return std::future::pending().await };
     match gossip.recv().await {
         Ok(word) => ControlFlow::Continue(word),
@@ -295,28 +301,28 @@
     let _ = phase.wait_for(|phase| *phase == Phase::Closed).await;
 }
 
-fn adopt(desk: &Shared, told: &Told) {
-    let mut desk = desk.borrow_mut();
-    if told.number > desk.known {
-        desk.roster.adopt(&told.entries);
-        desk.known = told.number;
-        desk.roster_changed();
-        let now = desk.clock.now();
-        if let (Some(ground), Some(layout)) = (&mut desk.ground, &told.layout) {
-            match ground.adopt(layout, now) {
-                Ok(shards) if !shards.is_empty() => desk.layout_changed(&shards),
+fn adopt(dispatcher: &DispatcherHandle, told: &Told) {
+    let mut dispatcher = dispatcher.borrow_mut();
+    if told.number > dispatcher.known {
+        dispatcher.endpoints.adopt(&told.entries);
+        dispatcher.known = told.number;
+        dispatcher.roster_changed();
+        let now = dispatcher.clock.now();
+        if let (Some(shard_map), Some(layout)) = (&mut dispatcher.shard_map, &told.layout) {
+            match shard_map.adopt(layout, now) {
+                Ok(shards) if !shards.is_empty() => dispatcher.layout_changed(&shards),
                 Ok(_) => {}
                 Err(why) => tracing::error!(target: "layout", "not taken over from the lead: {why}"),
             }
         }
-        desk.pass_fence();
+        dispatcher.pass_fence();
     }
 }
 
-fn carry_out(desk: &Shared, order: Order) {
+fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
     match order {
-        Order::Serve(passenger) => clients::board(desk, passenger),
-        Order::GiveAway { to, connections } => desk.borrow_mut().giving = Some((to, connections)),
-        Order::MakeRoom => clients::Door::make_room(desk),
+        CoreCommand::Serve(transferred) => clients::board(dispatcher, transferred),
+        CoreCommand::GiveAway { to, connections } => dispatcher.borrow_mut().giving = Some((to, connections)),
+        CoreCommand::MakeRoom => clients::Door::make_room(dispatcher),
     }
 }
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,9 +1,9 @@
 //! The driver of discovery's watch: through losses and silences to a new watch, while the old list holds.
 use super::arrival;
 use super::until;
-use crate::state::desk::Desk;
-use crate::state::following::{Following as Follows, Watching};
-use crate::state::roster::Roster;
+use crate::state::dispatcher::Dispatcher;
+use crate::state::endpoints::EndpointTable;
+use crate::state::watch_state::{WatchPhase, WatchState};
 use crate::wire::buffer::Buffer;
 use crate::wire::discovery::{self, Watch, Word};
 use crate::wire::layout;
@@ -21,13 +21,13 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-/// Whoever keeps the list: a core's desk, or the lead of several.
+/// Whoever keeps the list: a core's dispatcher, or the lead of several.
 pub trait Follower {
     fn clock(&self) -> Clock;
     /// Whether changes come only when the module asks to follow the list.
     fn follows(&self) -> bool;
     fn asked(&self) -> Arc<Notify>;
-    fn roster(&mut self) -> &mut Roster;
+    fn endpoints(&mut self) -> &mut EndpointTable;
     fn changed(&mut self);
     /// A watch is lost, whether or not it had answered.
     fn watch_lost(&mut self, answered: bool);
@@ -50,7 +50,7 @@
     }
 }
 
-impl Follower for Desk {
+impl Follower for Dispatcher {
     fn clock(&self) -> Clock {
         self.clock
     }
@@ -60,8 +60,8 @@
     fn asked(&self) -> Arc<Notify> {
         self.follow.clone()
     }
-    fn roster(&mut self) -> &mut Roster {
-        &mut self.roster
+    fn endpoints(&mut self) -> &mut EndpointTable {
+        &mut self.endpoints
     }
     fn changed(&mut self) {
         self.roster_changed();
@@ -79,12 +79,12 @@
         self.counters.one("discovery_moves");
     }
     fn layout_since(&self) -> Option<u64> {
-        self.ground.as_ref().map(|ground| ground.version().unwrap_or(0))
+        self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
     fn layout(&mut self, news: News) -> Result<(), Faulty> {
         let now = self.clock.now();
-        let Some(ground) = &mut self.ground else { return Ok(()) };
-        let shards = ground.take(news, now).inspect_err(|_| self.counters.one("layouts_refused"))?;
+        let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
+        let shards = shard_map.take(news, now).inspect_err(|_| self.counters.one("layouts_refused"))?;
         if !shards.is_empty() {
             self.layout_changed(&shards);
         }
@@ -92,13 +92,13 @@
     }
 }
 
-pub type Following = Rc<RefCell<dyn Follower>>;
+pub type SharedFollower = Rc<RefCell<dyn Follower>>;
 
 /// How often a follower hears that nothing is unread.
 const LOOKS: Duration = Duration::from_millis(100);
 
 /// Waits for something while there is no watch that could tell anything: the old list holds.
-async fn unwatched<T>(list: &Following, what: impl Future<Output = T>) -> T {
+async fn unwatched<T>(list: &SharedFollower, what: impl Future<Output = T>) -> T {
     if !list.borrow().leads() {
         return what.await;
     }
@@ -114,17 +114,17 @@
 
 /// Watches for as long as the program runs, at the address that `agent` holds. Where that changes the old watch
 /// ends at once and the new one begins; until it tells something, the old list holds.
-pub async fn run(list: Following, mut agent: Receiver<SocketAddr>) {
+pub async fn run(list: SharedFollower, mut agent: Receiver<SocketAddr>) {
     let (clock, follows, asked) = {
         let list = list.borrow();
         (list.clock(), list.follows(), list.asked())
     };
-    let (mut state, mut whole, mut heard) = (Follows::new(follows), false, clock.now());
+    let (mut state, mut whole, mut heard) = (WatchState::new(follows), false, clock.now());
     loop {
         let due = state.due();
         let rest = async {
             tokio::select! {
-                () = asked.notified(), if state.state == Watching::Unasked => {}
+                () = asked.notified(), if state.state == WatchPhase::Unasked => {}
                 () = until(clock, due), if due.is_finite() => {}
                 Ok(()) = agent.changed() => {}
             }
@@ -136,7 +136,7 @@
             why = watch(&list, address, &mut state, &mut whole, &mut heard) => why,
             Ok(()) = agent.changed() => {
                 list.borrow_mut().moved();
-                state.state = Watching::Pausing { until: clock.now() };
+                state.state = WatchPhase::Pausing { until: clock.now() };
                 continue;
             }
         };
@@ -148,16 +148,16 @@
 
 /// One watch; returns why it ended.
 async fn watch(
-    list: &Following,
+    list: &SharedFollower,
     address: SocketAddr,
-    state: &mut Follows,
+    state: &mut WatchState,
     whole: &mut bool,
     heard: &mut f64,
 ) -> String {
     let (clock, since, mut layout) = {
         let mut list = list.borrow_mut();
         let layout = list.layout_since();
-        (list.clock(), list.roster().index, layout)
+        (list.clock(), list.endpoints().index, layout)
     };
     // Changes could not be followed from the version held: guards against asking for them for ever.
     if std::mem::take(whole) {
@@ -219,7 +219,7 @@
                     {
                         return why.into();
                     }
-                    list.borrow_mut().roster().heard = Some(now);
+                    list.borrow_mut().endpoints().heard = Some(now);
                 }
             }
         }
@@ -231,28 +231,28 @@
 }
 
 /// One object of the watch: a list or a change.
-fn take(list: &Following, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
+fn take(list: &SharedFollower, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
     let (index, whole) = discovery::version(line)?;
     let mut list = list.borrow_mut();
-    let (clock, roster) = (list.clock(), list.roster());
+    let (clock, endpoints) = (list.clock(), list.endpoints());
     let now = clock.now();
-    if !whole && roster.index.is_none_or(|held| index < held) {
+    if !whole && endpoints.index.is_none_or(|held| index < held) {
         // Not a change to the list held: the next watch asks for the whole one.
-        roster.index = None;
+        endpoints.index = None;
         return Err("a change to an older list");
     }
-    roster.begin(index, whole);
+    endpoints.begin(index, whole);
     let (mut entries, mut unusable, mut wrong) = (0, 0, None);
     discovery::entries(line, |name, told| match told {
         Ok(node) => {
             entries += 1;
             let started = clock.from_unix(node.since);
-            roster.told(name, node.address, node.cell, node.state, started, now);
+            endpoints.told(name, node.address, node.cell, node.state, started, now);
         }
         Err((state, why)) => {
             unusable += 1;
             wrong.get_or_insert_with(|| format!("that of node `{name}`: {why}"));
-            roster.unreadable(name, state);
+            endpoints.unreadable(name, state);
         }
     })?;
     if let Some(first) = wrong {
--- a/crates/router/src/io/lead.rs
+++ b/crates/router/src/io/lead.rs
@@ -9,10 +9,12 @@
 use crate::lifecycle::start::Station;
 use crate::lifecycle::{reload, stop};
 use crate::state::counters::Counters;
-use crate::state::descriptors::{self, Held};
-use crate::state::ground::{Following, Ground};
-use crate::state::house::{Figures, House, Order, Passenger, Sharing};
-use crate::state::roster::Roster;
+use crate::state::descriptors::{self, DescriptorPermit};
+use crate::state::endpoints::EndpointTable;
+use crate::state::shard_map::{ShardMapConfig, ShardMapView};
+use crate::state::shared::{
+    CoreCommand, MetricsSnapshot, MulticoreConfig, SharedState, TransferredConnection,
+};
 use crate::tier::post;
 use alderway_cores::balance::{Balance, Load};
 use alderway_cores::crew::{Change, Crew, State};
@@ -43,22 +45,23 @@
 struct List {
     clock: Clock,
     follows: bool,
-    roster: Roster,
-    house: Arc<House>,
+    endpoints: EndpointTable,
+    shared: Arc<SharedState>,
     counters: Counters,
     /// Where layouts are followed: nothing is open here, it only checks what the cores take over.
-    ground: Option<Ground>,
+    shard_map: Option<ShardMapView>,
     told: watch::Sender<Told>,
 }
 
 impl List {
     /// Shuts the fence first: whoever has not taken in the new list sends nothing new from here on.
     fn publish(&mut self) {
-        let number = self.house.fence.publish();
-        let entries = Arc::new(self.roster.entries());
-        let layout = self.ground.as_ref().and_then(|ground| Some(ground.history()?.newest().clone()));
+        let number = self.shared.fence.publish();
+        let entries = Arc::new(self.endpoints.entries());
+        let layout =
+            self.shard_map.as_ref().and_then(|shard_map| Some(shard_map.history()?.newest().clone()));
         self.told.send_modify(|told| (told.number, told.entries, told.layout) = (number, entries, layout));
-        self.roster.forget_gone();
+        self.endpoints.forget_gone();
     }
 }
 
@@ -70,10 +73,10 @@
         self.follows
     }
     fn asked(&self) -> Arc<Notify> {
-        self.house.follow.clone()
+        self.shared.follow.clone()
     }
-    fn roster(&mut self) -> &mut Roster {
-        &mut self.roster
+    fn endpoints(&mut self) -> &mut EndpointTable {
+        &mut self.endpoints
     }
     fn changed(&mut self) {
         self.counters.one("roster_lists");
@@ -95,16 +98,16 @@
         true
     }
     fn looked(&mut self, at: f64) {
-        self.house.fence.looked(at);
+        self.shared.fence.looked(at);
     }
     fn layout_since(&self) -> Option<u64> {
-        self.ground.as_ref().map(|ground| ground.version().unwrap_or(0))
+        self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
     fn layout(&mut self, news: News) -> Result<(), Faulty> {
         let now = self.clock.now();
-        let Some(ground) = &mut self.ground else { return Ok(()) };
-        let taken = ground.take(news, now).map(drop);
-        ground.rest(now);
+        let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
+        let taken = shard_map.take(news, now).map(drop);
+        shard_map.rest(now);
         self.counters.one(if taken.is_ok() { "layouts_taken" } else { "layouts_refused" });
         taken
     }
@@ -112,7 +115,7 @@
 
 /// Deals connections out to the cores.
 struct Dealer {
-    house: Arc<House>,
+    shared: Arc<SharedState>,
     crew: Rc<RefCell<Crew>>,
     /// Whom the next word to make room goes to.
     next: RefCell<usize>,
@@ -121,17 +124,17 @@
 impl Door for Rc<Dealer> {
     fn make_room(&self) {
         let mut next = self.next.borrow_mut();
-        *next = (*next + 1) % self.house.seats.len();
-        let _ = self.house.send(*next, Order::MakeRoom);
+        *next = (*next + 1) % self.shared.cores.len();
+        let _ = self.shared.send(*next, CoreCommand::MakeRoom);
     }
 
-    async fn take(&self, stream: TcpStream, held: Held) {
+    async fn take(&self, stream: TcpStream, held: DescriptorPermit) {
         let Ok(stream) = stream.into_std() else { return };
-        let mut order = Order::Serve(Passenger { stream, held, used: false });
+        let mut order = CoreCommand::Serve(TransferredConnection { stream, held, used: false });
         loop {
             let core = self.crew.borrow_mut().deal();
             if let Some(core) = core {
-                match self.house.send(core, order) {
+                match self.shared.send(core, order) {
                     Ok(()) => return,
                     Err(back) => order = back,
                 }
@@ -159,16 +162,17 @@
 }
 
 /// Runs a router on several cores until SIGTERM has been seen through.
-pub async fn run(station: Station, sharing: Sharing, clock: Clock) -> io::Result<()> {
-    let Station { path, beside, name, listen, discovery, roster, seed, fixed, role, control, .. } = station;
+pub async fn run(station: Station, sharing: MulticoreConfig, clock: Clock) -> io::Result<()> {
+    let Station { path, beside, name, listen, discovery, endpoints, seed, fixed, role, control, .. } =
+        station;
     let (trunk, room, verticals) = (station.trunk, station.room, station.verticals);
     let was = Was { path, beside, fixed };
     let (terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let kept = control.as_ref().map_or(0, |_| control::DESCRIPTORS);
     let (for_clients, for_nodes) = descriptors::shares(station.sockets - kept, station.memory, sharing.cores);
-    let (house, inboxes) = House::new(room.max_open, sharing, PATIENCE);
+    let (shared, inboxes) = SharedState::new(room.max_open, sharing, PATIENCE);
     let longest = station.layouts.map(|_| room.max_deadline_s);
-    let live = Live::new(house.clone(), role, station.settings, station.began, longest);
+    let live = Live::new(shared.clone(), role, station.settings, station.began, longest);
     let (told, roster_told) = watch::channel(Told::default());
     let (phase, phase_told) = watch::channel(Phase::Serving);
     let (reports, mut came) = mpsc::unbounded_channel();
@@ -176,19 +180,19 @@
     let (layouts, counters) = (station.layouts, Counters::default());
     // Guards against a shard's number that the lead has forgotten and a core has not: it takes over what the lead has
     // checked, so the lead remembers for longer than a part can be open.
-    let longer = |l: Following| Following { grace: l.grace + room.max_deadline_s + 1.0, ..l };
-    let ground = layouts.map(|layouts| Ground::new(longer(layouts)));
-    let mut list = List { clock, follows, roster, house: house.clone(), counters, ground, told };
+    let longer = |l: ShardMapConfig| ShardMapConfig { grace: l.grace + room.max_deadline_s + 1.0, ..l };
+    let shard_map = layouts.map(|layouts| ShardMapView::new(longer(layouts)));
+    let mut list = List { clock, follows, endpoints, shared: shared.clone(), counters, shard_map, told };
     list.publish();
-    list.house.fence.looked(clock.now());
-    let known = list.roster.nodes.len();
+    list.shared.fence.looked(clock.now());
+    let known = list.endpoints.nodes.len();
     let list = Rc::new(RefCell::new(list));
     let mut leaves = vec![];
     for (core, orders) in inboxes.into_iter().enumerate() {
         let (leave, again) = mpsc::channel(1);
         let berth = Berth {
             core,
-            house: house.clone(),
+            shared: shared.clone(),
             clock,
             trunk,
             room,
@@ -198,7 +202,7 @@
             settings: live.news(),
             for_nodes: for_nodes.clone(),
             orders,
-            roster: roster_told.clone(),
+            endpoints: roster_told.clone(),
             phase: phase_told.clone(),
             reports: reports.clone(),
             again,
@@ -221,15 +225,15 @@
     let by_file = control.is_none().then(|| live.clone());
     if let Some(subscription) = control {
         let offer = control::to_running(live.clone());
-        control::start(subscription, &name, post::incarnation(), offer, house.clone(), clock);
+        control::start(subscription, &name, post::incarnation(), offer, shared.clone(), clock);
     }
     spawn_local(discovery::run(list.clone(), agent_of(discovery, hangups, was, clock, by_file)));
-    let dealer = Rc::new(Dealer { house: house.clone(), crew: crew.clone(), next: RefCell::new(0) });
+    let dealer = Rc::new(Dealer { shared: shared.clone(), crew: crew.clone(), next: RefCell::new(0) });
     let close = Rc::new(Notify::new());
     let listening = spawn_local(clients::listen(dealer, listener, for_clients, close.clone()));
     let balance = Balance::new(cores);
     let mut guard =
-        Guard { house: &house, clock, list: &list, crew: &crew, balance, looked: Cell::new(clock.now()) };
+        Guard { shared: &shared, clock, list: &list, crew: &crew, balance, looked: Cell::new(clock.now()) };
     let watched = guard.watch(&mut came, &leaves, terms).await;
     // Whether a core is still there or not, the stop takes no longer than on one core.
     if watched.is_ok() {
@@ -251,8 +255,8 @@
             tracing::error!(target: "stop", "{left} cores did not end in time");
         }
     }
-    let mut figures = Figures::default();
-    house.add_others(None, &mut figures);
+    let mut figures = MetricsSnapshot::default();
+    shared.add_others(None, &mut figures);
     log::last_words(&figures.text());
     watched
 }
@@ -272,7 +276,7 @@
 
 /// Watches over the cores.
 struct Guard<'a> {
-    house: &'a Arc<House>,
+    shared: &'a Arc<SharedState>,
     clock: Clock,
     list: &'a Rc<RefCell<List>>,
     crew: &'a Rc<RefCell<Crew>>,
@@ -328,9 +332,9 @@
     fn see_beats(&self) -> Vec<Change> {
         let (now, mut crew) = (self.clock.now(), self.crew.borrow_mut());
         let mut changes = vec![];
-        for (core, seat) in self.house.seats.iter().enumerate() {
-            let at = seat.beat.load(Relaxed) as f64 / 1e3;
-            changes.extend(crew.beat(core, at, seat.clients.load(Relaxed)));
+        for (core, core_state) in self.shared.cores.iter().enumerate() {
+            let at = core_state.beat.load(Relaxed) as f64 / 1e3;
+            changes.extend(crew.beat(core, at, core_state.clients.load(Relaxed)));
         }
         crew.lead_paused(self.looked.replace(now), now);
         changes.extend(crew.look(now));
@@ -341,17 +345,17 @@
         let changes = self.see_beats();
         let (now, crew) = (self.clock.now(), self.crew.borrow());
         let counters = self.list.borrow().counters.clone();
-        self.house.lead.send_replace(Arc::new(Figures { counters, open: vec![] }));
+        self.shared.lead.send_replace(Arc::new(MetricsSnapshot { counters, open: vec![] }));
         changes.iter().for_each(log_change);
-        self.house.serving.store(crew.serving(), Relaxed);
-        self.house.hung.store(crew.count(|s| matches!(s, State::Hung(_))), Relaxed);
-        self.house.lost.store(crew.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
-        let load = |(core, seat): (usize, &crate::state::house::Seat)| Load {
-            busy: seat.busy.load(Relaxed) as f64 / 1e3,
-            active: seat.active.load(Relaxed),
+        self.shared.serving.store(crew.serving(), Relaxed);
+        self.shared.hung.store(crew.count(|s| matches!(s, State::Hung(_))), Relaxed);
+        self.shared.lost.store(crew.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
+        let load = |(core, core_state): (usize, &crate::state::shared::CoreState)| Load {
+            busy: core_state.busy.load(Relaxed) as f64 / 1e3,
+            active: core_state.active.load(Relaxed),
             serving: crew.state(core) == State::Serving,
         };
-        let loads: Vec<Load> = self.house.seats.iter().enumerate().map(load).collect();
+        let loads: Vec<Load> = self.shared.cores.iter().enumerate().map(load).collect();
         if let Some(going) = self.balance.next(now, &loads) {
             let (from, to, connections) = (going.from, going.to, going.connections);
             tracing::info!(
@@ -360,7 +364,7 @@
                 loads[from].busy,
                 loads[to].busy
             );
-            let _ = self.house.send(from, Order::GiveAway { to, connections });
+            let _ = self.shared.send(from, CoreCommand::GiveAway { to, connections });
         }
     }
 }
--- a/crates/router/src/io/nodes.rs
+++ b/crates/router/src/io/nodes.rs
@@ -1,8 +1,8 @@
 //! The driver of one connection to a data node.
 use super::{arrival, rounds, until};
-use crate::state::Shared;
-use crate::state::descriptors::{Held, Share};
-use crate::state::desk::Dial;
+use crate::state::DispatcherHandle;
+use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
+use crate::state::dispatcher::Dial;
 use crate::wire::buffer::Buffer;
 use crate::wire::{Fault, frames};
 use alderway::interface::AttemptOutcome;
@@ -19,53 +19,53 @@
 type Spoilt = (Fault, Option<String>);
 
 /// Dials, speaks until the connection ends, and gives everything back.
-pub async fn run(desk: Shared, dial: Dial, share: Arc<Share>) {
+pub async fn run(dispatcher: DispatcherHandle, dial: Dial, share: Arc<DescriptorPool>) {
     let Dial { node, line, address } = dial;
-    let limit = Duration::from_secs_f64(desk.borrow().trunk.dial_timeout_s);
+    let limit = Duration::from_secs_f64(dispatcher.borrow().trunk.dial_timeout_s);
     let short = Cell::new(false);
-    match timeout(limit, connect(&desk, address, &share, &short)).await {
+    match timeout(limit, connect(&dispatcher, address, &share, &short)).await {
         // In this order: the stream closes before its share is given back, or another takes that in between.
         Ok(Ok((_held, stream))) => {
-            desk.borrow_mut().counters.one("connections{opened}");
-            let reason = match speak(&desk, &node, line, &stream).await {
+            dispatcher.borrow_mut().counters.one("connections{opened}");
+            let reason = match speak(&dispatcher, &node, line, &stream).await {
                 Ok(reason) => reason,
                 Err((why, part)) => {
                     tracing::warn!(target: "frame", "node {node}: {why}; its connection is closed");
-                    desk.borrow_mut().spoilt(&node, line, part.as_deref());
+                    dispatcher.borrow_mut().spoilt(&node, line, part.as_deref());
                     "spoilt"
                 }
             };
-            let mut desk = desk.borrow_mut();
-            desk.counters.one("connections{closed}");
-            desk.counters.one(&format!("connection_closes{{{reason}}}"));
+            let mut dispatcher = dispatcher.borrow_mut();
+            dispatcher.counters.one("connections{closed}");
+            dispatcher.counters.one(&format!("connection_closes{{{reason}}}"));
         }
-        Ok(Err(_)) => desk.borrow_mut().counters.one("connections{refused}"),
+        Ok(Err(_)) => dispatcher.borrow_mut().counters.one("connections{refused}"),
         Err(_) if short.get() => {
             // Guards against blaming a data node for what this machine or this program lacks.
-            desk.borrow_mut().counters.one("connections{short_of_resources}");
-            desk.borrow_mut().line_not_opened(&node, line);
+            dispatcher.borrow_mut().counters.one("connections{short_of_resources}");
+            dispatcher.borrow_mut().line_not_opened(&node, line);
         }
-        Err(_) => desk.borrow_mut().counters.one("connections{dial_timed_out}"),
+        Err(_) => dispatcher.borrow_mut().counters.one("connections{dial_timed_out}"),
     }
-    desk.borrow_mut().line_lost(&node, line);
-    rounds::post(&desk, &share);
+    dispatcher.borrow_mut().line_lost(&node, line);
+    rounds::post(&dispatcher, &share);
 }
 
 /// Waits for a descriptor, making room where all are taken, and dials.
 async fn connect(
-    desk: &Shared,
+    dispatcher: &DispatcherHandle,
     address: SocketAddr,
-    share: &Arc<Share>,
+    share: &Arc<DescriptorPool>,
     short: &Cell<bool>,
-) -> std::io::Result<(Held, TcpStream)> {
+) -> std::io::Result<(DescriptorPermit, TcpStream)> {
     let mut waits = None;
     let held = loop {
         if let Some(held) = share.take() {
             break held;
         }
         short.set(true);
-        desk.borrow_mut().counters.one("dials_short_of_descriptors");
-        desk.borrow_mut().roster.retire_oldest();
+        dispatcher.borrow_mut().counters.one("dials_short_of_descriptors");
+        dispatcher.borrow_mut().endpoints.retire_oldest();
         // Guards against idle connections of other cores that hold what this one lacks: they let some go.
         waits.get_or_insert_with(|| share.pool.waits());
         share.released.notified().await;
@@ -79,16 +79,22 @@
 }
 
 /// Writes what waits and reads what comes; says why the connection ended. An error is a frame that cannot be read.
-async fn speak(desk: &Shared, node: &str, line: u64, stream: &TcpStream) -> Result<&'static str, Spoilt> {
+async fn speak(
+    dispatcher: &DispatcherHandle,
+    node: &str,
+    line: u64,
+    stream: &TcpStream,
+) -> Result<&'static str, Spoilt> {
     let (clock, wake, idle, patience) = {
-        let mut desk = desk.borrow_mut();
-        let patience = desk.trunk.dial_timeout_s;
+        let mut dispatcher = dispatcher.borrow_mut();
+        let patience = dispatcher.trunk.dial_timeout_s;
         // Idle connections close a dial's length before the node's machine would.
         let (clock, idle) = (
-            desk.clock,
-            (desk.trunk.idle_timeout_s - desk.trunk.dial_timeout_s).max(0.5 * desk.trunk.idle_timeout_s),
+            dispatcher.clock,
+            (dispatcher.trunk.idle_timeout_s - dispatcher.trunk.dial_timeout_s)
+                .max(0.5 * dispatcher.trunk.idle_timeout_s),
         );
-        let Some(line) = desk.roster.line(node, line) else { return Ok("forgotten") };
+        let Some(line) = dispatcher.endpoints.line(node, line) else { return Ok("forgotten") };
         line.up = true;
         (clock, line.wake.clone(), idle, patience)
     };
@@ -98,15 +104,15 @@
     let mut whole_by = f64::INFINITY;
     loop {
         let before = out.taken;
-        settle(desk, node, line, &mut settled).await;
+        settle(dispatcher, node, line, &mut settled).await;
         // Guards against a call written to a connection that its node has closed as idle, which would count as one
         // that may have run.
-        let unasked = desk.borrow_mut().roster.line(node, line).is_some_and(|l| l.is_unasked());
+        let unasked = dispatcher.borrow_mut().endpoints.line(node, line).is_some_and(|l| l.is_unasked());
         if unasked && arrival::ended(stream) {
-            desk.borrow_mut().put_back(node, line);
+            dispatcher.borrow_mut().put_back(node, line);
             return Ok("ended_idle");
         }
-        let wrote = write(desk, node, line, stream, &mut out);
+        let wrote = write(dispatcher, node, line, stream, &mut out);
         if wrote == Wrote::Broken {
             return Ok("cut_or_broken");
         }
@@ -117,8 +123,8 @@
             stuck = clock.now() + idle;
         }
         let idle_since = {
-            let mut desk = desk.borrow_mut();
-            let Some(line) = desk.roster.line(node, line) else { return Ok("forgotten") };
+            let mut dispatcher = dispatcher.borrow_mut();
+            let Some(line) = dispatcher.endpoints.line(node, line) else { return Ok("forgotten") };
             let idle_since = line.idle_since();
             if idle_since.is_some_and(|since| line.retired || since + idle <= clock.now()) {
                 let reason = if line.retired { "retired" } else { "idle" };
@@ -129,7 +135,7 @@
         };
         tokio::select! {
             ready = stream.readable() => {
-                let came = if ready.is_ok() { read(desk, node, line, stream, &mut buffer)? } else { None };
+                let came = if ready.is_ok() { read(dispatcher, node, line, stream, &mut buffer)? } else { None };
                 let Some(frames) = came else { return Ok("ended_by_node") };
                 // A data node writes an answer in one go. Guards against a length that says more than comes,
                 // which would hold the calls out here, and take the next answer for its rest.
@@ -152,13 +158,13 @@
 
 /// Has what came while this thread stood still read before a call begins. Guards against calls for clients that have
 /// left, or to data nodes that drain, where the word of it waits unread behind this connection.
-async fn settle(desk: &Shared, node: &str, line: u64, settled: &mut u64) {
+async fn settle(dispatcher: &DispatcherHandle, node: &str, line: u64, settled: &mut u64) {
     loop {
         let stall = {
-            let mut desk = desk.borrow_mut();
-            let now = desk.clock.now();
-            let stall = desk.stalls.look(now);
-            if !desk.roster.line(node, line).is_some_and(|line| line.next_is_call()) {
+            let mut dispatcher = dispatcher.borrow_mut();
+            let now = dispatcher.clock.now();
+            let stall = dispatcher.stalls.look(now);
+            if !dispatcher.endpoints.line(node, line).is_some_and(|line| line.next_is_call()) {
                 return;
             }
             stall
@@ -193,41 +199,47 @@
 }
 
 /// Writes frame after frame until none waits or the socket takes no more.
-fn write(desk: &Shared, node: &str, line: u64, stream: &TcpStream, out: &mut Outgoing) -> Wrote {
+fn write(
+    dispatcher: &DispatcherHandle,
+    node: &str,
+    line: u64,
+    stream: &TcpStream,
+    out: &mut Outgoing,
+) -> Wrote {
     loop {
         // Guards against the rest of a frame going out after the final answer of a query in it.
-        if desk.borrow_mut().roster.line(node, line).is_none_or(|l| l.cut) {
+        if dispatcher.borrow_mut().endpoints.line(node, line).is_none_or(|l| l.cut) {
             return Wrote::Broken;
         }
         if out.written == out.frame.len() {
             if !out.frame.is_empty() {
-                let mut desk = desk.borrow_mut();
-                let now = desk.clock.now();
-                if let Some(line) = desk.roster.line(node, line) {
+                let mut dispatcher = dispatcher.borrow_mut();
+                let now = dispatcher.clock.now();
+                if let Some(line) = dispatcher.endpoints.line(node, line) {
                     line.written(now);
                 }
                 out.frame.clear();
                 out.written = 0;
             }
-            if !desk.borrow_mut().next_frame(node, line, &mut out.frame) {
+            if !dispatcher.borrow_mut().next_frame(node, line, &mut out.frame) {
                 return Wrote::All;
             }
         }
         match out.sender.write(stream, &out.frame[out.written..]) {
             Ok(0) => {
                 if out.written == 0 {
-                    desk.borrow_mut().frame_not_begun(node, line);
+                    dispatcher.borrow_mut().frame_not_begun(node, line);
                     out.frame.clear();
                 }
                 return Wrote::Blocked;
             }
             Ok(count) => {
                 if out.written == 0 {
-                    desk.borrow_mut().audit_begun(node, line);
+                    dispatcher.borrow_mut().audit_begun(node, line);
                 }
                 out.written += count;
                 out.taken += count as u64;
-                desk.borrow_mut().counters.add("bytes_to_nodes", count);
+                dispatcher.borrow_mut().counters.add("bytes_to_nodes", count);
             }
             Err(_) => return Wrote::Broken,
         }
@@ -237,7 +249,7 @@
 /// Reads once what has come and says how many frames that made; none when the connection has ended. Whoever has
 /// more to say waits for its next turn, so that no data node can keep the core to itself.
 fn read(
-    desk: &Shared,
+    dispatcher: &DispatcherHandle,
     node: &str,
     line: u64,
     stream: &TcpStream,
@@ -247,7 +259,7 @@
         Ok(Some(0)) | Err(_) => return Ok(None),
         Ok(Some(count)) => {
             buffer.filled(count);
-            desk.borrow_mut().counters.add("bytes_from_nodes", count);
+            dispatcher.borrow_mut().counters.add("bytes_from_nodes", count);
         }
         Ok(None) => return Ok(Some(0)),
     }
@@ -263,7 +275,7 @@
                     "full" => AttemptOutcome::Rejected,
                     _ => return Err(("a reply with an unknown ending", Some(part.to_string()))),
                 };
-                if !desk.borrow_mut().answered(node, line, part, ending, report, value) {
+                if !dispatcher.borrow_mut().answered(node, line, part, ending, report, value) {
                     return Err(nameless("a reply for a part not asked for"));
                 }
             }
--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -1,7 +1,7 @@
 //! The driver of the module: one round for all that came in.
 use super::{nodes, until};
-use crate::state::Shared;
-use crate::state::descriptors::Share;
+use crate::state::DispatcherHandle;
+use crate::state::descriptors::DescriptorPool;
 use crate::tier::forwarder::Split;
 use crate::tier::links::Tier;
 use alderway::interface::{DecisionSink, NodeObservation, PolicyInput, SharedLimits};
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 use tokio::task::{spawn_local, yield_now};
 
-/// The desk as the module writes to it; a forwarder notes what its own module decides.
-pub struct Pen<'a>(&'a Shared, Option<&'a Tier>);
+/// The dispatcher as the module writes to it; a forwarder notes what its own module decides.
+pub struct Pen<'a>(&'a DispatcherHandle, Option<&'a Tier>);
 
 impl<'a> Pen<'a> {
     /// For decisions that a forwarder has noted already.
-    pub fn bare(desk: &'a Shared) -> Self {
-        Pen(desk, None)
+    pub fn bare(dispatcher: &'a DispatcherHandle) -> Self {
+        Pen(dispatcher, None)
     }
 
     fn finished(&self, query: &str) {
@@ -63,20 +63,20 @@
 }
 
 /// Gives calls their places on connections, and dials those that this takes.
-pub fn post(desk: &Shared, share: &Arc<Share>) {
-    let now = desk.borrow().clock.now();
-    let dials = desk.borrow_mut().post(now);
+pub fn post(dispatcher: &DispatcherHandle, share: &Arc<DescriptorPool>) {
+    let now = dispatcher.borrow().clock.now();
+    let dials = dispatcher.borrow_mut().post(now);
     for dial in dials {
-        spawn_local(nodes::run(desk.clone(), dial, share.clone()));
+        spawn_local(nodes::run(dispatcher.clone(), dial, share.clone()));
     }
 }
 
-/// Makes a module by the newest settings that the desk has taken over; without any there is none to make.
-pub fn newest(desk: &Shared, seed: u64) -> impl Fn() -> Result<Policy, String> + 'static {
-    let desk = desk.clone();
+/// Makes a module by the newest settings that the dispatcher has taken over; without any there is none to make.
+pub fn newest(dispatcher: &DispatcherHandle, seed: u64) -> impl Fn() -> Result<Policy, String> + 'static {
+    let dispatcher = dispatcher.clone();
     move || {
-        let desk = desk.borrow();
-        let terms = desk.terms.newest().ok_or("no settings")?;
+        let dispatcher = dispatcher.borrow();
+        let terms = dispatcher.terms.newest().ok_or("no settings")?;
         Ok(Policy::new(seed, terms.clone()))
     }
 }
@@ -84,16 +84,17 @@
 /// Plays rounds for as long as the program runs, the settings' tick apart at least. `module` makes the module,
 /// at the start and again if it has failed; returns only where that is impossible.
 pub async fn run<E>(
-    desk: Shared,
+    dispatcher: DispatcherHandle,
     module: impl Fn() -> Result<Policy, E>,
-    share: Arc<Share>,
+    share: Arc<DescriptorPool>,
 ) -> Result<(), E> {
     let (clock, came, common) = {
-        let desk = desk.borrow();
+        let dispatcher = dispatcher.borrow();
         // Who has peers tells them what it sees, as one core tells others.
-        let common = if desk.peers.is_some() { SharedLimits::new(2) } else { desk.house.common.clone() };
-        let common = common.for_core(desk.core as u8);
-        (desk.clock, desk.came.clone(), common)
+        let common =
+            if dispatcher.peers.is_some() { SharedLimits::new(2) } else { dispatcher.shared.common.clone() };
+        let common = common.for_core(dispatcher.core as u8);
+        (dispatcher.clock, dispatcher.came.clone(), common)
     };
     let module = || {
         let mut router = module()?;
@@ -101,45 +102,45 @@
         Ok(router)
     };
     let mut router = module()?;
-    let tier = desk.borrow().tier.clone();
+    let tier = dispatcher.borrow().tier.clone();
     let mut settled = 0;
     loop {
-        let due = desk.borrow().next_due();
+        let due = dispatcher.borrow().next_due();
         tokio::select! {
             () = came.notified() => {}
             () = until(clock, due), if due.is_finite() => {}
         }
-        let stall = desk.borrow_mut().stalls.look(clock.now());
+        let stall = dispatcher.borrow_mut().stalls.look(clock.now());
         if std::mem::replace(&mut settled, stall) != stall {
             // What came while this thread stood still is read before anything is decided by its absence.
             yield_now().await;
         }
         let now = clock.now();
-        desk.borrow_mut().expire(now);
+        dispatcher.borrow_mut().expire(now);
         let tell = |intake: &mut dyn PolicyInput| {
             match &tier {
-                None => desk.borrow_mut().tell(now, intake),
+                None => dispatcher.borrow_mut().tell(now, intake),
                 Some(tier) => {
                     let mut tier = tier.borrow_mut();
                     let mut split = Split::begin(&mut tier, intake);
-                    desk.borrow_mut().tell(now, &mut split);
+                    dispatcher.borrow_mut().tell(now, &mut split);
                     split.end();
                 }
             }
             Ok::<(), Infallible>(())
         };
-        let round = AssertUnwindSafe(|| router.round(now, tell, &mut Pen(&desk, tier.as_ref())));
+        let round = AssertUnwindSafe(|| router.round(now, tell, &mut Pen(&dispatcher, tier.as_ref())));
         // Guards against a fault of the module that some rare query brings out: what is open is aborted, and
         // the router goes on with a module that has yet to learn, as after a restart.
         if catch_unwind(round).is_err() {
             tracing::error!(target: "failure", "the module failed: open queries are aborted, it starts anew");
             router = module()?;
             tier.iter().for_each(|tier| tier.borrow_mut().start_over());
-            desk.borrow_mut().start_over();
+            dispatcher.borrow_mut().start_over();
         }
-        desk.borrow_mut().counters.one("rounds");
-        post(&desk, &share);
-        let tick = desk.borrow().room.min_round_interval_s;
+        dispatcher.borrow_mut().counters.one("rounds");
+        post(&dispatcher, &share);
+        let tick = dispatcher.borrow().room.min_round_interval_s;
         until(clock, now + tick).await;
     }
 }
--- a/crates/router/src/lifecycle/serve.rs
+++ b/crates/router/src/lifecycle/serve.rs
@@ -6,12 +6,12 @@
 use crate::control;
 use crate::gossip::{self, Circle};
 use crate::io::{arrival, clients, discovery, lead, rounds};
-use crate::state::Shared;
+use crate::state::DispatcherHandle;
 use crate::state::descriptors;
-use crate::state::desk::Desk;
-use crate::state::ground::Ground;
-use crate::state::house::{House, Sharing};
-use crate::state::terms::Issue;
+use crate::state::dispatcher::Dispatcher;
+use crate::state::query_classes::ConfigGeneration;
+use crate::state::shard_map::ShardMapView;
+use crate::state::shared::{MulticoreConfig, SharedState};
 use crate::tier::forwarder::Forwarder;
 use crate::tier::{links, post};
 use alderway_sockets::signals::Signals;
@@ -29,7 +29,7 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// Serves until SIGTERM has been seen through.
-pub fn serve(station: Station, sharing: Sharing, clock: Clock) -> io::Result<()> {
+pub fn serve(station: Station, sharing: MulticoreConfig, clock: Clock) -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
     if station.role == Role::Planner {
@@ -41,62 +41,65 @@
     }
 }
 
-async fn alone(station: Station, sharing: Sharing, clock: Clock) -> io::Result<()> {
-    let Station { path, beside, name, listen, discovery, roster, seed, fixed, peers, role, control, .. } =
-        station;
+async fn alone(station: Station, sharing: MulticoreConfig, clock: Clock) -> io::Result<()> {
+    let Station {
+        path, beside, name, listen, discovery, endpoints, seed, fixed, peers, role, control, ..
+    } = station;
     // Before anybody can know that this program is up: unhandled, either of them would end it.
     let (terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let kept =
         peers.as_ref().map_or(0, Circle::descriptors) + control.as_ref().map_or(0, |_| control::DESCRIPTORS);
     let (for_clients, for_nodes) = descriptors::shares(station.sockets - kept, station.memory, 1);
-    let house = House::new(station.room.max_open, sharing, f64::INFINITY).0;
-    let live = Live::new(house.clone(), role.clone(), station.settings, station.began, None);
-    let mut desk = Desk::on(house.clone(), 0, clock, station.trunk, station.room, station.verticals);
-    desk.follow_settings(live.news());
-    desk.roster = roster;
-    desk.ground = station.layouts.map(Ground::new);
-    desk.came.notify_one();
+    let shared = SharedState::new(station.room.max_open, sharing, f64::INFINITY).0;
+    let live = Live::new(shared.clone(), role.clone(), station.settings, station.began, None);
+    let mut dispatcher =
+        Dispatcher::on(shared.clone(), 0, clock, station.trunk, station.room, station.verticals);
+    dispatcher.follow_settings(live.news());
+    dispatcher.endpoints = endpoints;
+    dispatcher.shard_map = station.layouts.map(ShardMapView::new);
+    dispatcher.came.notify_one();
     let listener = TcpListener::bind(listen).await?;
     arrival::stamp(&listener)?;
-    let (at, known) = (listener.local_addr()?, desk.roster.nodes.len());
+    let (at, known) = (listener.local_addr()?, dispatcher.endpoints.nodes.len());
     tracing::info!(target: "start", "{name} listens at {at}: {known} data nodes known");
-    let desk = Rc::new(RefCell::new(desk));
+    let dispatcher = Rc::new(RefCell::new(dispatcher));
     if let Role::Forwarder { planners, beat, patience } = &role {
-        let (watch, came) = (Watch { beat: *beat, patience: *patience }, desk.borrow().came.clone());
+        let (watch, came) = (Watch { beat: *beat, patience: *patience }, dispatcher.borrow().came.clone());
         let tier = Rc::new(RefCell::new(Forwarder::new(&name, post::incarnation(), watch, clock, came)));
-        desk.borrow_mut().tier = Some(tier.clone());
-        links::start(&desk, &tier, planners, &for_nodes, post::incarnation());
+        dispatcher.borrow_mut().tier = Some(tier.clone());
+        links::start(&dispatcher, &tier, planners, &for_nodes, post::incarnation());
     }
     if let Some(circle) = peers {
-        gossip::start(&desk, circle, &name, post::incarnation()).await?;
+        gossip::start(&dispatcher, circle, &name, post::incarnation()).await?;
     }
     let close = Rc::default();
-    let rounds = spawn_local(rounds::run(desk.clone(), rounds::newest(&desk, seed), for_nodes));
-    spawn_local(wake(desk.clone(), live.news()));
-    let counts = desk.clone();
+    let rounds = spawn_local(rounds::run(dispatcher.clone(), rounds::newest(&dispatcher, seed), for_nodes));
+    spawn_local(wake(dispatcher.clone(), live.news()));
+    let counts = dispatcher.clone();
     live.attach(Box::new(move |what| counts.borrow_mut().counters.one(what)), None);
     let (agent, at) = watch::channel(discovery);
-    spawn_local(discovery::run(desk.clone(), at));
+    spawn_local(discovery::run(dispatcher.clone(), at));
     // Where control machines tell the settings, a file at SIGHUP would undo a version unseen.
     let by_file = control.is_none().then(|| live.clone());
     if let Some(subscription) = control {
         let offer = control::to_running(live.clone());
-        control::start(subscription, &name, post::incarnation(), offer, house, clock);
+        control::start(subscription, &name, post::incarnation(), offer, shared, clock);
     }
     spawn_local(reload::at_sighup(hangups, Was { path, beside, fixed }, agent, clock, by_file));
-    let listening = spawn_local(clients::listen(desk.clone(), listener, for_clients, Rc::clone(&close)));
+    let listening =
+        spawn_local(clients::listen(dispatcher.clone(), listener, for_clients, Rc::clone(&close)));
     // A router whose module has failed must not go on as if it served.
     tokio::select! {
-        () = stop::at_sigterm(terms, desk.clone(), close, listening) => {}
+        () = stop::at_sigterm(terms, dispatcher.clone(), close, listening) => {}
         failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
     }
-    log::last_words(&desk.borrow().figures());
+    log::last_words(&dispatcher.borrow().figures());
     Ok(())
 }
 
 /// Has a round played for settings that are new, with nothing else to play it for.
-async fn wake(desk: Shared, mut news: watch::Receiver<Arc<Issue>>) {
+async fn wake(dispatcher: DispatcherHandle, mut news: watch::Receiver<Arc<ConfigGeneration>>) {
     while news.changed().await.is_ok() {
-        desk.borrow().came.notify_one();
+        dispatcher.borrow().came.notify_one();
     }
 }
--- a/crates/router/src/lifecycle/settings.rs
+++ b/crates/router/src/lifecycle/settings.rs
@@ -3,8 +3,8 @@
 //! between two of its rounds.
 use super::start::Role;
 use crate::io::core::BEAT;
-use crate::state::house::House;
-use crate::state::terms::Issue;
+use crate::state::query_classes::ConfigGeneration;
+use crate::state::shared::SharedState;
 use alderway_deployment::live::{self, Changes, Settings};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -82,13 +82,13 @@
 pub type Serves = Box<dyn Fn(usize) -> bool>;
 
 struct Inner {
-    house: Arc<House>,
+    shared: Arc<SharedState>,
     role: Role,
     /// Where a deadline must not grow past the longest at the start.
     longest: Option<f64>,
     held: RefCell<Arc<Value>>,
     serial: Cell<u64>,
-    news: watch::Sender<Arc<Issue>>,
+    news: watch::Sender<Arc<ConfigGeneration>>,
     /// The longest deadline of all settings so far.
     deadline: Cell<f64>,
     count: RefCell<Option<Count>>,
@@ -101,12 +101,18 @@
 
 impl Live {
     /// For a router that starts with these settings, `began` read from them. `longest`: of any deadline, ever.
-    pub fn new(house: Arc<House>, role: Role, held: Value, began: Settings, longest: Option<f64>) -> Self {
+    pub fn new(
+        shared: Arc<SharedState>,
+        role: Role,
+        held: Value,
+        began: Settings,
+        longest: Option<f64>,
+    ) -> Self {
         let deadline = Cell::new(began.intake.max_deadline_s);
-        let news = watch::channel(Arc::new(Issue { serial: 0, settings: began })).0;
+        let news = watch::channel(Arc::new(ConfigGeneration { serial: 0, settings: began })).0;
         let (held, serial, count, serves) = (RefCell::new(Arc::new(held)), Cell::new(0), None, None);
         let (count, serves) = (RefCell::new(count), RefCell::new(serves));
-        Live(Rc::new(Inner { house, role, longest, held, serial, news, deadline, count, serves }))
+        Live(Rc::new(Inner { shared, role, longest, held, serial, news, deadline, count, serves }))
     }
 
     /// Who counts, and which cores serve; without a word all do.
@@ -115,8 +121,8 @@
         *self.0.serves.borrow_mut() = serves;
     }
 
-    /// The newest settings, for a core's desk.
-    pub fn news(&self) -> watch::Receiver<Arc<Issue>> {
+    /// The newest settings, for a core's dispatcher.
+    pub fn news(&self) -> watch::Receiver<Arc<ConfigGeneration>> {
         self.0.news.subscribe()
     }
 
@@ -127,7 +133,7 @@
 
     /// The number of the version in force, if what is in force came with one.
     pub fn number(&self) -> Option<u64> {
-        Some(self.0.house.version.load(Relaxed)).filter(|number| *number > 0)
+        Some(self.0.shared.version.load(Relaxed)).filter(|number| *number > 0)
     }
 
     /// The longest deadline of any query that may be open.
@@ -176,7 +182,7 @@
                 };
             }
         };
-        self.0.house.version.store(number.unwrap_or(0), Relaxed);
+        self.0.shared.version.store(number.unwrap_or(0), Relaxed);
         *self.0.held.borrow_mut() = Arc::new(settings);
         if checked.changed.is_empty() {
             tracing::info!(target: "settings", "{name}: as those in force");
@@ -185,7 +191,7 @@
         let serial = self.0.serial.get() + 1;
         self.0.serial.set(serial);
         self.0.deadline.set(self.0.deadline.get().max(checked.settings.intake.max_deadline_s));
-        self.0.news.send_replace(Arc::new(Issue { serial, settings: checked.settings }));
+        self.0.news.send_replace(Arc::new(ConfigGeneration { serial, settings: checked.settings }));
         let late = self.taken_over(serial).await;
         self.counts("settings_taken");
         let keys = checked.changed.join("`, `");
@@ -201,8 +207,8 @@
     /// Waits until the cores have it; those that did not while nobody could expect them to.
     async fn taken_over(&self, serial: u64) -> Vec<usize> {
         let (end, mut late) = (Instant::now() + PATIENCE, vec![]);
-        for (core, seat) in self.0.house.seats.iter().enumerate() {
-            let mut taken = seat.settings.subscribe();
+        for (core, core_state) in self.0.shared.cores.iter().enumerate() {
+            let mut taken = core_state.settings.subscribe();
             loop {
                 if timeout(BEAT, taken.wait_for(|taken| *taken >= serial)).await.is_ok() {
                     break;
--- a/crates/router/src/lifecycle/start.rs
+++ b/crates/router/src/lifecycle/start.rs
@@ -1,9 +1,9 @@
 //! The one place where the configuration is read, checked and given defaults. Every message names its key.
 use crate::control::Subscription;
 use crate::gossip::Circle;
-use crate::state::desk::Class;
-use crate::state::ground::Following;
-use crate::state::roster::Roster;
+use crate::state::dispatcher::ClassRules;
+use crate::state::endpoints::EndpointTable;
+use crate::state::shard_map::ShardMapConfig;
 use crate::wire::discovery;
 use alderway_deployment as deployment;
 use alderway_telemetry::clock::Clock;
@@ -29,17 +29,17 @@
     pub discovery: SocketAddr,
     pub sockets: usize,
     pub memory: usize,
-    pub roster: Roster,
+    pub endpoints: EndpointTable,
     /// Of the decision module: the start of its chance, and the settings, as the file has them and as read.
     pub seed: u64,
     pub settings: Value,
     pub began: deployment::live::Settings,
-    pub verticals: Vec<Class>,
+    pub verticals: Vec<ClassRules>,
     pub trunk: deployment::ConnectionConfig,
     pub room: deployment::AdmissionConfig,
     pub fixed: Fixed,
     /// Whether shards lie by layouts that change, and how those are followed; the ring where not.
-    pub layouts: Option<Following>,
+    pub layouts: Option<ShardMapConfig>,
     /// What this program is in an installation of two levels.
     pub role: Role,
     /// The routers that it tells what it sees, and hears from; none where it knows of no other.
@@ -144,7 +144,7 @@
     if let Some(peers) = peers {
         began.terms.router_count = peers as usize;
     }
-    let verticals = Class::all(&began);
+    let verticals = ClassRules::all(&began);
     let (trunk, room) = (began.trunk, began.intake);
     Ok(Station {
         path: PathBuf::new(),
@@ -154,7 +154,7 @@
         discovery: address("discovery", "PROXY_DISCOVERY")?,
         sockets: limit("sockets", SOCKETS, LEAST_SOCKETS)? as usize,
         memory: limit("memory_mb", MEMORY_MB, 1)? as usize * 1024 * 1024,
-        roster: known(all.get("known"), clock).map_err(|why| format!("key `known`: {why}"))?,
+        endpoints: known(all.get("known"), clock).map_err(|why| format!("key `known`: {why}"))?,
         seed,
         settings: settings.clone(),
         began,
@@ -169,20 +169,20 @@
     })
 }
 
-/// The roster as this router last held it, in discovery's form; it may be old, or none.
-fn known(list: Option<&Value>, clock: Clock) -> Read<Roster> {
-    let mut roster = Roster::default();
-    let Some(list) = list.filter(|l| !l.is_null()) else { return Ok(roster) };
+/// The endpoint list as this router last held it, in discovery's form; it may be old, or none.
+fn known(list: Option<&Value>, clock: Clock) -> Read<EndpointTable> {
+    let mut endpoints = EndpointTable::default();
+    let Some(list) = list.filter(|l| !l.is_null()) else { return Ok(endpoints) };
     let text = list.to_string();
     let (index, _) = discovery::version(text.as_bytes())?;
-    roster.begin(index, true);
+    endpoints.begin(index, true);
     let mut wrong = None;
     discovery::entries(text.as_bytes(), |name, told| match told {
         Ok(node) => {
             let (started, now) = (clock.from_unix(node.since), clock.now());
-            roster.told(name, node.address, node.cell, node.state, started, now);
+            endpoints.told(name, node.address, node.cell, node.state, started, now);
         }
         Err((_, why)) => wrong = wrong.or(Some(why)),
     })?;
-    wrong.map_or(Ok(roster), |why| Err(why.into()))
+    wrong.map_or(Ok(endpoints), |why| Err(why.into()))
 }
--- a/crates/router/src/lifecycle/stop.rs
+++ b/crates/router/src/lifecycle/stop.rs
@@ -1,6 +1,6 @@
 //! The way out after SIGTERM: nothing that was taken is lost, and clients keep their connections while they can.
-use crate::state::Shared;
-use crate::state::desk::Stage;
+use crate::state::DispatcherHandle;
+use crate::state::dispatcher::ShutdownPhase;
 use alderway_sockets::signals::Signals;
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,9 +23,14 @@
 }
 
 /// Waits for SIGTERM and sees the stop through on one core, whose listener ends with `close`.
-pub async fn at_sigterm(mut terms: Signals, desk: Shared, close: Rc<Notify>, listening: JoinHandle<()>) {
+pub async fn at_sigterm(
+    mut terms: Signals,
+    dispatcher: DispatcherHandle,
+    close: Rc<Notify>,
+    listening: JoinHandle<()>,
+) {
     terms.recv().await;
-    see_through(desk, listener_closed(close, listening)).await;
+    see_through(dispatcher, listener_closed(close, listening)).await;
 }
 
 /// Ends once no new client comes: guards against ending with connections that the system has accepted and nobody
@@ -39,45 +44,50 @@
 /// Sees a stop through; returns when the program may end. Clients go on using the connections that they have, and
 /// may have nowhere else to go while another router is away: they are served until a query that came now might
 /// find no time for its answer, which is when the connections close. `closed` ends when no new client comes.
-pub async fn see_through(desk: Shared, closed: impl Future<Output = ()>) {
+pub async fn see_through(dispatcher: DispatcherHandle, closed: impl Future<Output = ()>) {
     let (clock, began, limit, slo) = {
-        let mut desk = desk.borrow_mut();
-        let began = desk.clock.now();
-        desk.stage = Stage::Stopping;
-        let (queries, clients) = (desk.queries.len(), desk.clients.len());
+        let mut dispatcher = dispatcher.borrow_mut();
+        let began = dispatcher.clock.now();
+        dispatcher.stage = ShutdownPhase::Stopping;
+        let (queries, clients) = (dispatcher.queries.len(), dispatcher.clients.len());
         tracing::info!(target: "stop", "SIGTERM: {queries} queries open, {clients} clients");
-        (desk.clock, began, limit(desk.longest_deadline(began)), desk.room.max_latency_objective_s)
+        (
+            dispatcher.clock,
+            began,
+            limit(dispatcher.longest_deadline(began)),
+            dispatcher.room.max_latency_objective_s,
+        )
     };
     closed.await;
     // Guards against ending before what was accepted last has its task run for the first time.
     sleep(LOOK).await;
-    while clock.now() < began + limit && !desk.borrow().clients.is_empty() {
+    while clock.now() < began + limit && !dispatcher.borrow().clients.is_empty() {
         if clock.now() >= began + limit - slo {
-            desk.borrow_mut().stage = Stage::Closing;
-            desk.borrow().clients.dismiss_idle();
+            dispatcher.borrow_mut().stage = ShutdownPhase::Closing;
+            dispatcher.borrow().clients.dismiss_idle();
         }
         sleep(LOOK).await;
     }
-    let open = desk.borrow().queries.len();
-    desk.borrow_mut().stage = Stage::Ended;
-    desk.borrow_mut().abort_all();
-    last_answers(&desk, began + limit + 0.5 * AHEAD).await;
+    let open = dispatcher.borrow().queries.len();
+    dispatcher.borrow_mut().stage = ShutdownPhase::Ended;
+    dispatcher.borrow_mut().abort_all();
+    last_answers(&dispatcher, began + limit + 0.5 * AHEAD).await;
     tracing::info!(target: "stop", "ended after {:.1} s: {open} queries aborted", clock.now() - began);
 }
 
 /// The last answers go out, until a time at the latest.
-async fn last_answers(desk: &Shared, until: f64) {
-    let clock = desk.borrow().clock;
-    while clock.now() < until && !desk.borrow().clients.is_empty() {
+async fn last_answers(dispatcher: &DispatcherHandle, until: f64) {
+    let clock = dispatcher.borrow().clock;
+    while clock.now() < until && !dispatcher.borrow().clients.is_empty() {
         sleep(LOOK).await;
     }
 }
 
 /// Ends connections that came to a core whose stop was seen through: what they ask for is refused at once.
-pub async fn end(desk: Shared) {
-    let now = desk.borrow().clock.now();
+pub async fn end(dispatcher: DispatcherHandle) {
+    let now = dispatcher.borrow().clock.now();
     // Their tasks have yet to run for the first time.
     sleep(LOOK).await;
-    desk.borrow().clients.dismiss_idle();
-    last_answers(&desk, now + 0.5 * AHEAD).await;
+    dispatcher.borrow().clients.dismiss_idle();
+    last_answers(&dispatcher, now + 0.5 * AHEAD).await;
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,6 +1,6 @@
 //! Starts one query router as the platform runs it: by its configuration alone, on one core.
 use alderway_router::lifecycle::{serve, start};
-use alderway_router::state::house::Sharing;
+use alderway_router::state::shared::MulticoreConfig;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log::{self, Form};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
             return ExitCode::from(2);
         }
     };
-    match serve::serve(station, Sharing::default(), clock) {
+    match serve::serve(station, MulticoreConfig::default(), clock) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("alderway-router: {why}");
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -1,7 +1,7 @@
 //! What a request asks for: a query, readiness or the counters; anything else is told why not.
-use crate::state::Shared;
-use crate::state::clients::Client;
-use crate::state::queries::{Part, Query};
+use crate::state::DispatcherHandle;
+use crate::state::clients::ClientConnection;
+use crate::state::queries::{Query, ShardRequest};
 use crate::wire::frames::LONGEST_ID;
 use crate::wire::http::{Head, Refusal};
 use crate::wire::{answer, query};
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 
 /// Takes a whole request whose last byte came at `at`; it is answered now, or it is an open query then.
-pub fn take(desk: &Shared, client: &Rc<Client>, head: Head, body: &[u8], at: f64) {
+pub fn take(dispatcher: &DispatcherHandle, client: &Rc<ClientConnection>, head: Head, body: &[u8], at: f64) {
     // The answers here have a body, which an answer to HEAD must not: no further message could be told apart.
     let closes = head.closes() || head.first().starts_with("HEAD ");
-    client.closes.set(client.closes.get() || closes || desk.borrow().closes_connection(client));
+    client.closes.set(client.closes.get() || closes || dispatcher.borrow().closes_connection(client));
     let mut words = head.first().split(' ');
     let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
@@ -25,29 +25,35 @@
     }
     #[cfg(feature = "faults")]
     if let Ok(Some(fault)) = head.field("X-Fault") {
-        let mut desk = desk.borrow_mut();
-        match &mut desk.ground {
-            Some(ground) if fault == "count-by-answers" => ground.by_answers = true,
-            _ => desk.fault = Some(fault.to_string()),
+        let mut dispatcher = dispatcher.borrow_mut();
+        match &mut dispatcher.shard_map {
+            Some(shard_map) if fault == "count-by-answers" => shard_map.by_answers = true,
+            _ => dispatcher.fault = Some(fault.to_string()),
         }
     }
     match (method, path) {
         ("POST", "/api") => {
-            let taken = read(desk, client, head, body, at);
+            let taken = read(dispatcher, client, head, body, at);
             if let Err((status, why)) = taken {
-                desk.borrow_mut().counters.one("requests{not_in_form}");
+                dispatcher.borrow_mut().counters.one("requests{not_in_form}");
                 plain(status, why);
             }
         }
-        ("GET", "/up") if desk.borrow().able() => plain(200, "up"),
+        ("GET", "/up") if dispatcher.borrow().able() => plain(200, "up"),
         ("GET", "/up") => plain(503, "not able to serve"),
-        ("GET", "/counters") => plain(200, desk.borrow().figures().trim_end()),
+        ("GET", "/counters") => plain(200, dispatcher.borrow().figures().trim_end()),
         (_, "/api" | "/up" | "/counters") => plain(405, "not that method here"),
         _ => plain(404, "no such path"),
     }
 }
 
-fn read(desk: &Shared, client: &Rc<Client>, head: Head, body: &[u8], at: f64) -> Result<(), Refusal> {
+fn read(
+    dispatcher: &DispatcherHandle,
+    client: &Rc<ClientConnection>,
+    head: Head,
+    body: &[u8],
+    at: f64,
+) -> Result<(), Refusal> {
     let field = |name, lacking| head.field(name)?.filter(|v| !v.is_empty()).ok_or((400, lacking));
     let id = field("X-Correlation-Id", "X-Correlation-Id is missing")?;
     if id.len() > LONGEST_ID || !id.bytes().all(|b| b.is_ascii_graphic()) {
@@ -58,14 +64,14 @@
     let digits = left.bytes().all(|b| b.is_ascii_digit());
     let left =
         left.parse::<u32>().ok().filter(|_| digits).ok_or((400, "X-Time-Left-Ms is not a whole number"))?;
-    let mut desk = desk.borrow_mut();
-    desk.renew();
-    let vertical = desk.vertical(class).ok_or((400, "an unknown vertical"))?;
-    if desk.queries.is_open(id) {
+    let mut dispatcher = dispatcher.borrow_mut();
+    dispatcher.renew();
+    let vertical = dispatcher.vertical(class).ok_or((400, "an unknown vertical"))?;
+    if dispatcher.queries.is_open(id) {
         return Err((400, "a query with this X-Correlation-Id is open"));
     }
-    let not_after = at + (f64::from(left) / 1e3).min(desk.room.max_deadline_s);
-    if let Some(ground) = &desk.ground {
+    let not_after = at + (f64::from(left) / 1e3).min(dispatcher.room.max_deadline_s);
+    if let Some(shard_map) = &dispatcher.shard_map {
         let mut targets = Vec::new();
         let text = query::targets(body, true, |shard, keys, weight| {
             targets.push((shard, keys, weight));
@@ -75,11 +81,12 @@
         if targets.is_empty() {
             return Err((400, "`targets` is empty"));
         }
-        let (parts, coverage) = ground.map(id, &targets)?;
+        let (parts, coverage) = shard_map.map(id, &targets)?;
         let (id, client, coverage) = (id.into(), client.clone(), Some(coverage));
-        return desk.take(&client.clone(), Query { id, vertical, not_after, text, parts, client, coverage });
+        return dispatcher
+            .take(&client.clone(), Query { id, vertical, not_after, text, parts, client, coverage });
     }
-    let (mut parts, mut asked, shards) = (Vec::new(), BTreeSet::new(), desk.room.shard_count);
+    let (mut parts, mut asked, shards) = (Vec::new(), BTreeSet::new(), dispatcher.room.shard_count);
     let text = query::read(body, |shard, weight| {
         if shard >= shards {
             return Err("`partition` is no shard here");
@@ -87,7 +94,7 @@
         if !asked.insert(shard) {
             return Err("`partition` stands twice");
         }
-        parts.push(Part::new(format!("{id}.{shard}").into(), shard, weight));
+        parts.push(ShardRequest::new(format!("{id}.{shard}").into(), shard, weight));
         Ok(())
     });
     let text = text.map_err(|why| (400, why))?.into_owned();
@@ -95,5 +102,5 @@
         return Err((400, "`targets` is empty"));
     }
     let (id, client, coverage) = (id.into(), client.clone(), None);
-    desk.take(&client.clone(), Query { id, vertical, not_after, text, parts, client, coverage })
+    dispatcher.take(&client.clone(), Query { id, vertical, not_after, text, parts, client, coverage })
 }
--- a/crates/router/src/state/stamps.rs
+++ b/crates/router/src/state/arrival_time.rs
@@ -13,16 +13,16 @@
 
 /// The stamps of one thread's connections.
 #[derive(Debug)]
-pub struct Stamps {
+pub struct ArrivalEstimator {
     /// Stamps less the times at which their bytes were read, in turn.
     differences: Vec<f64>,
     next: usize,
 }
 
-impl Stamps {
+impl ArrivalEstimator {
     /// Begins with what the wall clock shows, which may be wrong.
     pub fn new(now: f64, unix_now: f64) -> Self {
-        Stamps { differences: vec![unix_now - now], next: 0 }
+        ArrivalEstimator { differences: vec![unix_now - now], next: 0 }
     }
 
     /// When bytes came that are read now: not before `since`, when nothing of the connection was unread.
--- a/crates/router/src/state/clients.rs
+++ b/crates/router/src/state/clients.rs
@@ -6,7 +6,7 @@
 
 /// What the rest of the program wants of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Wish {
+pub enum CloseRequest {
     #[default]
     Stay,
     /// To close while nothing of a request has come: what has begun to come is served first.
@@ -17,14 +17,14 @@
 
 /// One connection of a client. Its driver owns the socket; what is to be written stands in `out`.
 #[derive(Default)]
-pub struct Client {
+pub struct ClientConnection {
     pub out: RefCell<Vec<u8>>,
     pub wake: Notify,
     /// The open query, one at a time.
     pub query: Cell<Option<u64>>,
     /// Ends after the present answer.
     pub closes: Cell<bool>,
-    pub wish: Cell<Wish>,
+    pub wish: Cell<CloseRequest>,
     /// Has sent a request before.
     pub used: Cell<bool>,
     /// Since when it stands idle, or waits for the rest of a request; `None` from a whole request to the last
@@ -38,31 +38,35 @@
     pub served: Cell<bool>,
 }
 
-impl Client {
+impl ClientConnection {
     fn dismiss(&self) {
-        self.wish.set(if self.half_sent.get() { Wish::CloseHalfSent } else { Wish::CloseIdle });
+        self.wish.set(if self.half_sent.get() {
+            CloseRequest::CloseHalfSent
+        } else {
+            CloseRequest::CloseIdle
+        });
         self.wake.notify_one();
     }
 
     /// Whether it is to close now, with nothing open on it.
     pub fn is_dismissed(&self) -> bool {
         match self.wish.get() {
-            Wish::Stay => false,
-            Wish::CloseIdle => !self.half_sent.get(),
-            Wish::CloseHalfSent => true,
+            CloseRequest::Stay => false,
+            CloseRequest::CloseIdle => !self.half_sent.get(),
+            CloseRequest::CloseHalfSent => true,
         }
     }
 }
 
 #[derive(Default)]
-pub struct Clients {
-    all: BTreeMap<u64, Rc<Client>>,
+pub struct ClientTable {
+    all: BTreeMap<u64, Rc<ClientConnection>>,
     next: u64,
 }
 
-impl Clients {
-    pub fn arrive(&mut self, now: f64) -> (u64, Rc<Client>) {
-        let client = Rc::new(Client::default());
+impl ClientTable {
+    pub fn arrive(&mut self, now: f64) -> (u64, Rc<ClientConnection>) {
+        let client = Rc::new(ClientConnection::default());
         client.idle.set(Some(now));
         self.next += 1;
         self.all.insert(self.next, client.clone());
--- a/crates/router/src/state/descriptors.rs
+++ b/crates/router/src/state/descriptors.rs
@@ -11,27 +11,27 @@
 const APART_A_CORE: usize = 4;
 
 /// One share, of all cores. What is taken is given back when its holder is dropped, and nowhere else.
-pub struct Share {
+pub struct DescriptorPool {
     pub pool: Arc<Pool>,
     pub released: Notify,
 }
 
-pub struct Held {
+pub struct DescriptorPermit {
     taken: Option<Taken>,
-    share: Arc<Share>,
+    share: Arc<DescriptorPool>,
 }
 
-impl Share {
+impl DescriptorPool {
     fn new(count: usize) -> Arc<Self> {
-        Arc::new(Share { pool: Pool::new(count), released: Notify::new() })
+        Arc::new(DescriptorPool { pool: Pool::new(count), released: Notify::new() })
     }
 
-    pub fn take(self: &Arc<Self>) -> Option<Held> {
-        Some(Held { taken: Some(self.pool.take(1)?), share: self.clone() })
+    pub fn take(self: &Arc<Self>) -> Option<DescriptorPermit> {
+        Some(DescriptorPermit { taken: Some(self.pool.take(1)?), share: self.clone() })
     }
 }
 
-impl Drop for Held {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.taken.take();
         self.share.released.notify_one();
@@ -51,8 +51,8 @@
 /// The shares of clients and of data nodes, out of so many descriptors and so many bytes of memory. Clients get
 /// a third, which is what usual ones hold at most (LATER); what all of them may make this program keep of
 /// half-sent requests is held to a quarter of the memory.
-pub fn shares(limit: usize, memory: usize, cores: usize) -> (Arc<Share>, Arc<Share>) {
+pub fn shares(limit: usize, memory: usize, cores: usize) -> (Arc<DescriptorPool>, Arc<DescriptorPool>) {
     let rest = limit.saturating_sub(apart(cores)).max(2);
     let clients = (limit / 3).min(rest - rest / 2);
-    (Share::new(clients.min(memory / 4 / MESSAGE).max(1)), Share::new(rest - clients))
+    (DescriptorPool::new(clients.min(memory / 4 / MESSAGE).max(1)), DescriptorPool::new(rest - clients))
 }
--- a/crates/router/src/state/desk.rs
+++ b/crates/router/src/state/dispatcher.rs
@@ -1,16 +1,16 @@
-//! The desk: where a thing that came in, or a decision of the module, meets what is kept.
-use super::CallId;
-use super::calls::Calls;
-use super::clients::{Client, Clients};
+//! The dispatcher: where a thing that came in, or a decision of the module, meets what is kept.
+use super::AttemptId;
+use super::arrival_time::ArrivalEstimator;
+use super::attempts::AttemptTable;
+use super::clients::{ClientConnection, ClientTable};
 use super::counters::Counters;
-use super::ground::Ground;
-use super::house::{Figures, House, Word};
-use super::lines::{Frame, Line, Place};
-use super::queries::{self, Queries, Query};
-use super::roster::Roster;
-use super::stalls::Stalls;
-use super::stamps::Stamps;
-use super::terms::Places;
+use super::endpoints::EndpointTable;
+use super::node_connection::{AttemptPosition, NodeConnection, OutboundFrame};
+use super::queries::{self, Query, QueryTable};
+use super::query_classes::ClassTable;
+use super::shard_map::ShardMapView;
+use super::shared::{MetricsSnapshot, ObservationMessage, SharedState};
+use super::stall_detector::StallDetector;
 use crate::tier::links::Tier;
 use crate::wire::http::Refusal;
 use crate::wire::{answer, frames};
@@ -41,7 +41,7 @@
 
 /// How far a program is on its way out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub enum Stage {
+pub enum ShutdownPhase {
     #[default]
     Serving,
     /// SIGTERM has come: no new connection is wanted.
@@ -52,9 +52,9 @@
     Ended,
 }
 
-/// A vertical as the desk knows it.
+/// A vertical as the dispatcher knows it.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct ClassRules {
     pub name: String,
     pub effect: Idempotency,
     /// The share that makes a whole answer, and the least of any.
@@ -62,49 +62,49 @@
     pub floor: f64,
 }
 
-impl Class {
+impl ClassRules {
     /// All verticals of some settings, in their order.
-    pub fn all(settings: &Settings) -> Vec<Class> {
+    pub fn all(settings: &Settings) -> Vec<ClassRules> {
         let both = settings.names.iter().zip(&settings.terms.query_classes);
         let class = |(name, vertical): (&String, &QueryClass)| {
             let QueryClass { idempotency: effect, complete_fraction: need, minimum_fraction: floor, .. } =
                 *vertical;
-            Class { name: name.clone(), effect, need, floor }
+            ClassRules { name: name.clone(), effect, need, floor }
         };
         both.map(class).collect()
     }
 }
 
-impl From<&str> for Class {
+impl From<&str> for ClassRules {
     fn from(name: &str) -> Self {
-        Class { name: name.into(), effect: Idempotency::Idempotent, need: 0.0, floor: 0.0 }
+        ClassRules { name: name.into(), effect: Idempotency::Idempotent, need: 0.0, floor: 0.0 }
     }
 }
 
-pub struct Desk {
+pub struct Dispatcher {
     pub clock: Clock,
     pub trunk: ConnectionConfig,
     pub room: AdmissionConfig,
     /// By their places, of which `terms` says who has them.
-    pub verticals: Vec<Class>,
-    pub terms: Places,
-    pub queries: Queries,
-    pub calls: Calls,
-    pub roster: Roster,
-    pub clients: Clients,
+    pub verticals: Vec<ClassRules>,
+    pub terms: ClassTable,
+    pub queries: QueryTable,
+    pub calls: AttemptTable,
+    pub endpoints: EndpointTable,
+    pub clients: ClientTable,
     pub counters: Counters,
     /// What this core shares with others, and its number there.
-    pub house: Arc<House>,
+    pub shared: Arc<SharedState>,
     pub core: usize,
-    /// The number of the roster that this core has taken in.
+    /// The number of the endpoint list that this core has taken in.
     pub known: u64,
     /// Calls wait until this core knows all that it must know.
     pub fenced: bool,
     /// What other cores saw of data nodes: all that still holds, and whose word has yet to be told.
     pub board: Board,
     /// Where shards lie, where layouts are followed.
-    pub ground: Option<Ground>,
-    /// What stands between desk and module, on a forwarder.
+    pub shard_map: Option<ShardMapView>,
+    /// What stands between dispatcher and module, on a forwarder.
     pub tier: Option<Tier>,
     /// Other routers, which hear what the own module sees of data nodes.
     pub peers: Option<crate::gossip::Held>,
@@ -118,13 +118,13 @@
     pub giving: Option<(usize, usize)>,
     /// Something came in that the next round tells.
     pub came: Rc<Notify>,
-    /// The module asks to follow the roster.
+    /// The module asks to follow the endpoint list.
     pub follow: Arc<Notify>,
-    pub stage: Stage,
+    pub stage: ShutdownPhase,
     /// Times at which this thread stood still.
-    pub stalls: Stalls,
+    pub stalls: StallDetector,
     /// When bytes came, by the system's stamps.
-    pub stamps: Stamps,
+    pub stamps: ArrivalEstimator,
     /// Queries could be served once, and the log has said so.
     ready: bool,
     new: Vec<u64>,
@@ -135,28 +135,33 @@
     sending: BTreeSet<String>,
 }
 
-impl Desk {
-    /// A desk that shares with nobody.
-    pub fn new(clock: Clock, trunk: ConnectionConfig, room: AdmissionConfig, verticals: Vec<Class>) -> Self {
-        Desk::on(House::alone(room.max_open), 0, clock, trunk, room, verticals)
+impl Dispatcher {
+    /// A dispatcher that shares with nobody.
+    pub fn new(
+        clock: Clock,
+        trunk: ConnectionConfig,
+        room: AdmissionConfig,
+        verticals: Vec<ClassRules>,
+    ) -> Self {
+        Dispatcher::on(SharedState::alone(room.max_open), 0, clock, trunk, room, verticals)
     }
 
     pub fn on(
-        house: Arc<House>,
+        shared: Arc<SharedState>,
         core: usize,
         clock: Clock,
         trunk: ConnectionConfig,
         room: AdmissionConfig,
-        verticals: Vec<Class>,
+        verticals: Vec<ClassRules>,
     ) -> Self {
-        Desk {
-            follow: house.follow.clone(),
-            house,
+        Dispatcher {
+            follow: shared.follow.clone(),
+            shared,
             core,
             known: 0,
             fenced: false,
             board: Board::default(),
-            ground: None,
+            shard_map: None,
             tier: None,
             peers: None,
             heard: BTreeMap::new(),
@@ -168,16 +173,16 @@
             trunk,
             room,
             verticals,
-            terms: Places::default(),
-            queries: Queries::default(),
-            calls: Calls::default(),
-            roster: Roster::default(),
-            clients: Clients::default(),
+            terms: ClassTable::default(),
+            queries: QueryTable::default(),
+            calls: AttemptTable::default(),
+            endpoints: EndpointTable::default(),
+            clients: ClientTable::default(),
             counters: Counters::default(),
             came: Rc::default(),
-            stage: Stage::default(),
-            stalls: Stalls::default(),
-            stamps: Stamps::new(clock.now(), clock.unix_now()),
+            stage: ShutdownPhase::default(),
+            stalls: StallDetector::default(),
+            stamps: ArrivalEstimator::new(clock.now(), clock.unix_now()),
             ready: false,
             new: vec![],
             left: vec![],
@@ -189,21 +194,21 @@
 
     /// Whether queries can be served: any data node is known, from the start or from discovery.
     pub fn able(&self) -> bool {
-        let led = self.house.fence.passes(u64::MAX, self.clock.now()).is_ok();
-        let mapped = self.ground.as_ref().is_none_or(|ground| ground.version().is_some());
-        self.roster.names_any() && self.stage == Stage::Serving && led && mapped
+        let led = self.shared.fence.passes(u64::MAX, self.clock.now()).is_ok();
+        let mapped = self.shard_map.as_ref().is_none_or(|shard_map| shard_map.version().is_some());
+        self.endpoints.names_any() && self.stage == ShutdownPhase::Serving && led && mapped
     }
 
     /// What this core counted, and what is open on it now.
-    pub fn own_figures(&self) -> Figures {
-        let lines: usize = self.roster.nodes.values().map(|n| n.lines.len()).sum();
+    pub fn own_figures(&self) -> MetricsSnapshot {
+        let lines: usize = self.endpoints.nodes.values().map(|n| n.lines.len()).sum();
         let mut open = vec![
             ("queries_open", self.queries.len() as u64),
             ("queries_and_parts_held", self.queries.held() as u64),
             ("leaf_calls_open", self.calls.count_out() as u64),
             ("connections_open", lines as u64),
             ("clients_open", self.clients.len() as u64),
-            ("nodes_known", self.roster.nodes.len() as u64),
+            ("nodes_known", self.endpoints.nodes.len() as u64),
         ];
         let mut counters = self.counters.clone();
         if let Some(peers) = &self.peers {
@@ -216,13 +221,13 @@
             counters.join(&tier.counters);
             open.extend(tier.figures());
         }
-        Figures { counters, open }
+        MetricsSnapshot { counters, open }
     }
 
     /// All counters, and what is open now, on all cores.
     pub fn figures(&self) -> String {
         let mut figures = self.own_figures();
-        self.house.add_others(Some(self.core), &mut figures);
+        self.shared.add_others(Some(self.core), &mut figures);
         figures.text()
     }
 
@@ -235,15 +240,15 @@
 
     /// Takes a query in, or turns it away with no room left; either way it will have its one answer. Refused where
     /// its id is open on some core.
-    pub fn take(&mut self, client: &Rc<Client>, query: Query) -> Result<(), Refusal> {
+    pub fn take(&mut self, client: &Rc<ClientConnection>, query: Query) -> Result<(), Refusal> {
         let vertical = query.vertical;
-        let room = self.house.room.take(1 + query.parts.len());
-        let id = self.house.ids.claim(self.core as u8, &query.id);
+        let room = self.shared.room.take(1 + query.parts.len());
+        let id = self.shared.ids.claim(self.core as u8, &query.id);
         if matches!(id, Err(Refused::Open)) {
             return Err((400, "a query with this X-Correlation-Id is open"));
         }
         self.count("taken", vertical);
-        let permit = permits::take(self.stage == Stage::Ended, room.is_some() && id.is_ok());
+        let permit = permits::take(self.stage == ShutdownPhase::Ended, room.is_some() && id.is_ok());
         let (Some(room), Ok(id), Ok(())) = (room, id, permit) else {
             self.count("turned_away", vertical);
             self.counters.one(&format!("queries_denied{{{}}}", permit.err().map_or("", Denial::label)));
@@ -256,10 +261,10 @@
         for id in query.parts.iter().flat_map(|part| self.calls.of_part(&part.id)).collect::<Vec<_>>() {
             self.give_up(&id, AttemptOutcome::Cancelled);
         }
-        if let Some(ground) = &mut self.ground {
-            query.parts.iter().for_each(|part| ground.opened(part));
+        if let Some(shard_map) = &mut self.shard_map {
+            query.parts.iter().for_each(|part| shard_map.opened(part));
         }
-        let number = self.queries.hold(query, queries::Place { id, room: vec![room] });
+        let number = self.queries.hold(query, queries::QueryReservation { id, room: vec![room] });
         client.query.set(Some(number));
         self.new.push(number);
         self.came.notify_one();
@@ -286,8 +291,8 @@
     }
 
     fn close_parts(&mut self, query: &Query) {
-        if let Some(ground) = &mut self.ground {
-            query.parts.iter().for_each(|part| ground.closed(part));
+        if let Some(shard_map) = &mut self.shard_map {
+            query.parts.iter().for_each(|part| shard_map.closed(part));
         }
     }
 
@@ -300,15 +305,15 @@
         // A change is rare, a query is not: what is open is looked through here, not kept by shard.
         let open = self.queries.parts_in(shards);
         for &shard in shards {
-            let Some(ground) = &self.ground else { return };
-            let holders = ground.holders(shard);
+            let Some(shard_map) = &self.shard_map else { return };
+            let holders = shard_map.holders(shard);
             for part in open.get(&shard).into_iter().flatten() {
                 for id in self.calls_for(part) {
                     let Some(call) = self.calls.get(&id) else { continue };
-                    let Some(node) = self.roster.nodes.get(&call.node) else { continue };
+                    let Some(node) = self.endpoints.nodes.get(&call.node) else { continue };
                     let line = call.line.and_then(|line| node.lines.get(&line));
                     if !holders.contains(&node.cell)
-                        && matches!(line.map(|l| l.place(&id)), Some(Place::Waiting))
+                        && matches!(line.map(|l| l.place(&id)), Some(AttemptPosition::Queued))
                     {
                         self.counters.one("calls_taken_back{moved}");
                         self.give_up(&id, AttemptOutcome::NeverSent);
@@ -321,34 +326,39 @@
     }
 
     /// Calls out for a part, those of the parts that it came from among them.
-    fn calls_for(&self, part: &Rc<str>) -> Vec<CallId> {
-        match &self.ground {
-            Some(ground) => ground.families.line(part).flat_map(|part| self.calls.of_part(part)).collect(),
+    fn calls_for(&self, part: &Rc<str>) -> Vec<AttemptId> {
+        match &self.shard_map {
+            Some(shard_map) => {
+                shard_map.families.line(part).flat_map(|part| self.calls.of_part(part)).collect()
+            }
             None => self.calls.of_part(part),
         }
     }
 
     fn divide(&mut self, id: &Rc<str>) {
         let Some((number, query, i)) = self.queries.of_part(id) else { return };
-        let Some(ground) = self.ground.as_mut().filter(|ground| ground.is_to_divide(&query.parts[i])) else {
+        let Some(shard_map) =
+            self.shard_map.as_mut().filter(|shard_map| shard_map.is_to_divide(&query.parts[i]))
+        else {
             return;
         };
-        let heirs = ground.heirs(&query.id, &query.parts[i]);
+        let heirs = shard_map.heirs(&query.id, &query.parts[i]);
         // Guards against many queries that grow by a change of layout past what memory is for.
-        let Some(room) = self.house.room.take(heirs.len()) else {
+        let Some(room) = self.shared.room.take(heirs.len()) else {
             return self.counters.one("divisions_without_room");
         };
-        ground.closed(&query.parts[i]);
-        heirs.iter().for_each(|heir| ground.opened(heir));
+        shard_map.closed(&query.parts[i]);
+        heirs.iter().for_each(|heir| shard_map.opened(heir));
         let into = heirs.iter().map(|heir| (heir.id.clone(), heir.shard, heir.weight)).collect();
-        ground.divided((number, id.clone(), into), self.new.contains(&number));
+        shard_map.divided((number, id.clone(), into), self.new.contains(&number));
         self.queries.divide(id, heirs, room);
         self.counters.one("parts_divided");
     }
 
     /// A part's answer is in, for its keys: those of the parts that it was divided into as well.
     fn take_in(&mut self, part: &Rc<str>, value: &str) {
-        let heirs = self.ground.as_ref().map_or(vec![], |ground| ground.families.heirs(part).to_vec());
+        let heirs =
+            self.shard_map.as_ref().map_or(vec![], |shard_map| shard_map.families.heirs(part).to_vec());
         let Some((_, query, i)) = self.queries.of_part(part) else { return };
         if let (Some(coverage), Some(keys)) = (&mut query.coverage, query.parts[i].keys) {
             let count = coverage.take(keys.range, (query.parts[i].shard, value.to_string()));
@@ -357,7 +367,7 @@
             }
         }
         #[cfg(feature = "faults")]
-        if self.ground.as_ref().is_some_and(|ground| ground.by_answers) {
+        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.by_answers) {
             query.parts[i].value = Some(value.to_string());
         }
         for id in heirs.iter().chain([part]) {
@@ -381,13 +391,13 @@
         value: &str,
     ) -> bool {
         let mut ending = ending;
-        if let Some(ground) = &mut self.ground
+        if let Some(shard_map) = &mut self.shard_map
             && let Some(record) = self.queries.part(part)
         {
             let success = ending == AttemptOutcome::Success;
             let keys = if success { frames::keys(report).unwrap_or(Some((0, 0))) } else { None };
             let moved = if success { None } else { frames::moved(report) };
-            let judged = ground.judge(node, record, ending, moved, keys, self.clock.now());
+            let judged = shard_map.judge(node, record, ending, moved, keys, self.clock.now());
             if judged == AttemptOutcome::ShardMoved {
                 self.counters.one("parts_disowned");
             } else if judged != ending {
@@ -409,13 +419,13 @@
         value: &str,
     ) -> bool {
         let now = self.clock.now();
-        let Some(line) = self.roster.line(node, line) else { return true };
+        let Some(line) = self.endpoints.line(node, line) else { return true };
         let Some(hop) = line.replied(part, now) else { return false };
         let Some(hop) = hop else {
             self.counters.one("replies_for_parts_over");
             return true;
         };
-        let id: CallId = (part.into(), hop);
+        let id: AttemptId = (part.into(), hop);
         self.end(&id, ending);
         if let (AttemptOutcome::Success, Some(part)) = (ending, self.queries.part(part)) {
             if part.keys.is_some() {
@@ -434,11 +444,11 @@
     /// as a break for every call beside it, which would show a sound data node as one that is down.
     pub fn spoilt(&mut self, node: &str, line: u64, part: Option<&str>) {
         self.counters.one("answers_spoilt");
-        let record = self.roster.nodes.get_mut(node);
+        let record = self.endpoints.nodes.get_mut(node);
         let Some(line) = record.and_then(|n| n.lines.remove(&line)) else { return };
         let (unsent, mut out) = line.remains();
         unsent.iter().for_each(|id| self.end(id, AttemptOutcome::NeverSent));
-        let since = |id: &CallId| self.calls.get(id).map_or(f64::INFINITY, |c| c.at);
+        let since = |id: &AttemptId| self.calls.get(id).map_or(f64::INFINITY, |c| c.at);
         let named = out.iter().position(|id| Some(&*id.0) == part);
         let longest = (0..out.len()).min_by(|&a, &b| since(&out[a]).total_cmp(&since(&out[b])));
         if let Some(at) = named.or(longest) {
@@ -449,7 +459,7 @@
 
     /// A connection has ended, or never came up. What had not gone out whole never ran.
     pub fn line_lost(&mut self, node: &str, line: u64) {
-        let record = self.roster.nodes.get_mut(node);
+        let record = self.endpoints.nodes.get_mut(node);
         let Some(line) = record.and_then(|n| n.lines.remove(&line)) else { return };
         let (unsent, out) = line.remains();
         unsent.iter().for_each(|id| self.end(id, AttemptOutcome::Unreachable));
@@ -459,7 +469,7 @@
     /// A connection could not be opened for want of something on this side: its calls never ran, and say nothing of
     /// the data node.
     pub fn line_not_opened(&mut self, node: &str, line: u64) {
-        let record = self.roster.nodes.get_mut(node);
+        let record = self.endpoints.nodes.get_mut(node);
         let Some(line) = record.and_then(|n| n.lines.remove(&line)) else { return };
         let (unsent, _) = line.remains();
         unsent.iter().for_each(|id| self.end(id, AttemptOutcome::NeverSent));
@@ -468,7 +478,7 @@
     /// A data node has closed a connection that stood idle. What waits there goes out on another, which was no
     /// decision of whoever chose the node; each such connection has served before, so none is tried for ever.
     pub fn put_back(&mut self, node: &str, line: u64) {
-        let Some(record) = self.roster.nodes.get_mut(node) else { return };
+        let Some(record) = self.endpoints.nodes.get_mut(node) else { return };
         let Some(mut line) = record.lines.remove(&line) else { return };
         let calls = line.take_waiting();
         self.counters.add("calls_put_back", calls.len());
@@ -481,7 +491,7 @@
         }
     }
 
-    fn end(&mut self, id: &CallId, ending: AttemptOutcome) {
+    fn end(&mut self, id: &AttemptId, ending: AttemptOutcome) {
         if ending.had_no_effect()
             && let Some(part) = self.queries.part(&id.0)
         {
@@ -495,20 +505,20 @@
 
     /// Ends a call from this side. A frame that has not begun is taken back; one that has gone out is
     /// followed by word that the part is given up; in the midst of one only closing the connection helps.
-    fn give_up(&mut self, id: &CallId, ending: AttemptOutcome) {
+    fn give_up(&mut self, id: &AttemptId, ending: AttemptOutcome) {
         let Some(call) = self.calls.get(id) else { return };
         let (node, line) = (call.node.clone(), call.line);
-        if let Some(record) = self.roster.nodes.get_mut(&node) {
+        if let Some(record) = self.endpoints.nodes.get_mut(&node) {
             record.fresh.retain(|fresh| fresh != id);
         }
         let (now, dial) = (self.clock.now(), self.trunk.dial_timeout_s);
         let longest = self.longest_deadline(now);
-        if let Some(line) = line.and_then(|l| self.roster.line(&node, l)) {
+        if let Some(line) = line.and_then(|l| self.endpoints.line(&node, l)) {
             match line.place(id) {
-                Place::Waiting => line.take_back(id),
-                Place::Out => line.give_up(id, now, now + longest, dial),
-                Place::Begun => line.cut_over(id),
-                Place::Nowhere => {}
+                AttemptPosition::Queued => line.take_back(id),
+                AttemptPosition::InFlight => line.give_up(id, now, now + longest, dial),
+                AttemptPosition::Writing => line.cut_over(id),
+                AttemptPosition::Absent => {}
             }
         }
         self.end(id, ending);
@@ -518,8 +528,8 @@
     fn take_back(&mut self, part: &str, ending: AttemptOutcome) {
         for id in self.calls.of_part(part) {
             let Some(call) = self.calls.get(&id) else { continue };
-            let line = call.line.and_then(|l| self.roster.nodes.get(&call.node)?.lines.get(&l));
-            if line.is_none_or(|l| !matches!(l.place(&id), Place::Out)) {
+            let line = call.line.and_then(|l| self.endpoints.nodes.get(&call.node)?.lines.get(&l));
+            if line.is_none_or(|l| !matches!(l.place(&id), AttemptPosition::InFlight)) {
                 self.give_up(&id, ending);
             }
         }
@@ -529,11 +539,11 @@
     pub fn next_frame(&mut self, node: &str, line: u64, out: &mut Vec<u8>) -> bool {
         self.sift(node, line);
         let now = self.clock.now();
-        let passes = self.house.fence.passes(self.known, now);
-        let version = self.ground.as_ref().and_then(Ground::version).unwrap_or(0);
-        let Some(line) = self.roster.line(node, line) else { return false };
-        // Guards against a core that stood still while its roster changed: what it decided before it stood still,
-        // or since by the old roster, waits until it has caught up.
+        let passes = self.shared.fence.passes(self.known, now);
+        let version = self.shard_map.as_ref().and_then(ShardMapView::version).unwrap_or(0);
+        let Some(line) = self.endpoints.line(node, line) else { return false };
+        // Guards against a core that stood still while its endpoint list changed: what it decided before it stood still,
+        // or since by the old endpoint list, waits until it has caught up.
         if let (Err(why), true) = (passes, line.next_is_call()) {
             if !std::mem::replace(&mut self.fenced, true) {
                 self.counters.one(match why {
@@ -545,11 +555,11 @@
         }
         match line.begin() {
             None => return false,
-            Some(Frame::GiveUp(part)) => {
+            Some(OutboundFrame::Cancel(part)) => {
                 frames::give_up(out, part);
                 self.counters.one("frames_sent{give_up}");
             }
-            Some(Frame::Call(parts)) => {
+            Some(OutboundFrame::Attempts(parts)) => {
                 let asked = parts.iter().filter_map(|id| {
                     let (shard, text, not_after, keys) = self.queries.asked(&id.0)?;
                     let until = self.calls.get(id).map_or(not_after, |c| c.until);
@@ -572,7 +582,7 @@
     /// The socket takes no byte of the frame that was to begin. Guards against a call that goes out as it was composed,
     /// long after: it is looked at, and composed, anew.
     pub fn frame_not_begun(&mut self, node: &str, line: u64) {
-        let Some(line) = self.roster.line(node, line) else { return };
+        let Some(line) = self.endpoints.line(node, line) else { return };
         let calls = line.begun_call().to_vec();
         line.not_begun();
         for (part, hop) in calls {
@@ -585,7 +595,7 @@
 
     /// Of a call whose frame is next: why a part may not begin, if it may not. What was decided may have waited for a dial or for
     /// a place since, past a part's time, or past the window in which its node drops what it has run before.
-    fn denied(&self, id: &CallId, node: NodeState, now: f64) -> Option<Denial> {
+    fn denied(&self, id: &AttemptId, node: NodeState, now: f64) -> Option<Denial> {
         let Some((vertical, part)) = self.queries.vertical_and_part(&id.0) else {
             return Some(Denial::QueryOver);
         };
@@ -599,17 +609,17 @@
     fn sift(&mut self, node: &str, number: u64) {
         let now = self.clock.now();
         loop {
-            let Some(line) = self.roster.line(node, number) else { return };
+            let Some(line) = self.endpoints.line(node, number) else { return };
             let next = line.next_call().to_vec();
-            let state = self.roster.nodes.get(node).map_or(NodeState::Removed, |record| record.state);
-            let denied = |id: &CallId| Some((id.clone(), self.denied(id, state, now)?));
-            let late: Vec<(CallId, Denial)> = next.iter().filter_map(denied).collect();
+            let state = self.endpoints.nodes.get(node).map_or(NodeState::Removed, |record| record.state);
+            let denied = |id: &AttemptId| Some((id.clone(), self.denied(id, state, now)?));
+            let late: Vec<(AttemptId, Denial)> = next.iter().filter_map(denied).collect();
             self.counters.add("calls_too_late_to_begin", late.len());
             for (id, denial) in &late {
                 self.counters.one(&format!("calls_denied{{{}}}", denial.label()));
                 self.give_up(id, AttemptOutcome::NeverSent);
                 // Guards against a call that has ended and waits here still: nothing is left to give up.
-                self.roster.line(node, number).into_iter().for_each(|line| line.take_back(id));
+                self.endpoints.line(node, number).into_iter().for_each(|line| line.take_back(id));
             }
             // A frame with nothing left in it is gone, and the one behind it is next.
             if late.is_empty() || late.len() < next.len() {
@@ -624,7 +634,7 @@
     /// connections of gone nodes close as they fall idle.
     pub fn roster_changed(&mut self) {
         let mut unbegun = Vec::new();
-        for (name, node) in &mut self.roster.nodes {
+        for (name, node) in &mut self.endpoints.nodes {
             if node.state == NodeState::Removed {
                 for line in node.lines.values_mut() {
                     line.retired = true;
@@ -638,8 +648,8 @@
         for name in unbegun {
             for id in self.calls.of_node(&name) {
                 let line = self.calls.get(&id).and_then(|c| c.line);
-                let place = line.and_then(|l| self.roster.line(&name, l)).map(|l| l.place(&id));
-                if line.is_none() || matches!(place, Some(Place::Waiting)) {
+                let place = line.and_then(|l| self.endpoints.line(&name, l)).map(|l| l.place(&id));
+                if line.is_none() || matches!(place, Some(AttemptPosition::Queued)) {
                     self.give_up(&id, AttemptOutcome::NeverSent);
                 }
             }
@@ -650,15 +660,15 @@
 
     /// Lets calls go on that the fence held back, once it lets them pass.
     pub fn pass_fence(&mut self) {
-        if self.fenced && self.house.fence.passes(self.known, self.clock.now()).is_ok() {
+        if self.fenced && self.shared.fence.passes(self.known, self.clock.now()).is_ok() {
             self.fenced = false;
-            let lines = self.roster.nodes.values().flat_map(|n| n.lines.values());
+            let lines = self.endpoints.nodes.values().flat_map(|n| n.lines.values());
             lines.for_each(|line| line.wake.notify_one());
         }
     }
 
     /// What another core saw of a data node, for the next round.
-    pub fn hear(&mut self, word: Word) {
+    pub fn hear(&mut self, word: ObservationMessage) {
         self.counters.one("evidence_heard");
         self.board.note(&word.node, word.seen);
         self.heard.insert(word.node, word.seen);
@@ -681,7 +691,7 @@
     }
 
     pub fn roster_failed(&mut self) {
-        self.roster.failed = true;
+        self.endpoints.failed = true;
         self.came.notify_one();
     }
 
@@ -711,18 +721,18 @@
     pub fn tell(&mut self, now: f64, module: &mut dyn PolicyInput) {
         if !self.ready && self.able() {
             self.ready = true;
-            tracing::info!(target: "ready", "serves: {} data nodes known", self.roster.nodes.len());
+            tracing::info!(target: "ready", "serves: {} data nodes known", self.endpoints.nodes.len());
         }
         self.tell_terms(module);
-        self.roster.tell(module);
+        self.endpoints.tell(module);
         if let Some((late, in_time)) = self.fleet.take() {
             module.fleet_latency_counts(late, in_time);
         }
         for (node, seen) in std::mem::take(&mut self.heard) {
             module.node_observed(&node, seen);
         }
-        if let Some(ground) = &mut self.ground {
-            ground.tell_shards(now, module);
+        if let Some(shard_map) = &mut self.shard_map {
+            shard_map.tell_shards(now, module);
         }
         for number in std::mem::take(&mut self.new) {
             let Some(query) = self.queries.get(number) else { continue };
@@ -731,11 +741,11 @@
                 module.shard_request_added(number, &part.id, part.shard, part.weight);
             }
         }
-        if let Some(ground) = &mut self.ground {
-            ground.tell_divided(module);
+        if let Some(shard_map) = &mut self.shard_map {
+            shard_map.tell_divided(module);
         }
         for (id, node, ending, latency) in self.calls.take_ended() {
-            match self.ground.as_ref().and_then(|ground| ground.told_of(&id, ending)) {
+            match self.shard_map.as_ref().and_then(|shard_map| shard_map.told_of(&id, ending)) {
                 Some(heirs) => {
                     heirs.iter().for_each(|heir| module.attempt_ended(heir, id.1, &node, ending, latency));
                 }
@@ -745,19 +755,19 @@
         for query in std::mem::take(&mut self.left) {
             module.client_disconnected(&query);
         }
-        if self.stage < Stage::Ended {
+        if self.stage < ShutdownPhase::Ended {
             self.tell_places(module);
         }
         let due: Vec<u64> = self.alarms.extract_if(.., |a| a.0 <= now).map(|a| a.1).collect();
         due.into_iter().for_each(|tag| module.timer_fired(tag));
-        if let Some(ground) = &mut self.ground {
-            ground.tell_over(now, module);
-            if !ground.families.is_empty() {
+        if let Some(shard_map) = &mut self.shard_map {
+            shard_map.tell_over(now, module);
+            if !shard_map.families.is_empty() {
                 let (queries, calls) = (&self.queries, &self.calls);
-                ground.families.forget(|part| !queries.knows(part) && calls.of_part(part).is_empty());
+                shard_map.families.forget(|part| !queries.knows(part) && calls.of_part(part).is_empty());
             }
         }
-        self.roster.forget_gone();
+        self.endpoints.forget_gone();
     }
 
     /// Gives every open query its final answer.
@@ -779,9 +789,9 @@
         self.left.clear();
         self.alarms.clear();
         self.begin_terms();
-        self.roster.whole = true;
-        self.roster.changed = self.roster.nodes.keys().cloned().collect();
-        self.ground.iter_mut().for_each(Ground::tell_all);
+        self.endpoints.whole = true;
+        self.endpoints.changed = self.endpoints.nodes.keys().cloned().collect();
+        self.shard_map.iter_mut().for_each(ShardMapView::tell_all);
         self.hear_board();
     }
 
@@ -789,7 +799,7 @@
     /// place on a connection.
     pub fn post(&mut self, now: f64) -> Vec<Dial> {
         for node in std::mem::take(&mut self.sending) {
-            let Some(record) = self.roster.nodes.get_mut(&node) else { continue };
+            let Some(record) = self.endpoints.nodes.get_mut(&node) else { continue };
             let parts = std::mem::take(&mut record.fresh);
             for call in parts.chunks(self.trunk.max_batch.min(self.trunk.streams_per_connection)) {
                 match self.line_for(&node, call, now) {
@@ -799,8 +809,8 @@
                                 call.line = Some(line);
                             }
                         }
-                        if let Some(line) = self.roster.line(&node, line) {
-                            line.queue(Frame::Call(call.to_vec()));
+                        if let Some(line) = self.endpoints.line(&node, line) {
+                            line.queue(OutboundFrame::Attempts(call.to_vec()));
                         }
                     }
                     None => call.iter().for_each(|id| self.end(id, AttemptOutcome::Unreachable)),
@@ -811,9 +821,9 @@
     }
 
     /// A connection with places for a call: one that is up, else one on its way, else a new one.
-    fn line_for(&mut self, name: &str, call: &[CallId], now: f64) -> Option<u64> {
+    fn line_for(&mut self, name: &str, call: &[AttemptId], now: f64) -> Option<u64> {
         let places = self.trunk.streams_per_connection;
-        let node = self.roster.nodes.get(name)?;
+        let node = self.endpoints.nodes.get(name)?;
         let open = |places| node.lines.iter().filter(move |(_, l)| l.takes(call, places));
         if let Some((line, _)) = open(places).min_by_key(|(_, l)| (!l.up, l.taken())) {
             return Some(*line);
@@ -821,25 +831,25 @@
         // Guards against cores that together open more connections than a data node holds: past the number that
         // is stated, parts wait on those that are there, unread by the node until a place is free.
         let usable = node.lines.values().filter(|l| !l.retired && !l.cut).count();
-        if usable >= self.house.node_connections
+        if usable >= self.shared.node_connections
             && let Some((line, _)) = open(usize::MAX).min_by_key(|(_, l)| (!l.up, l.taken()))
         {
             self.counters.one("calls_past_places");
             return Some(*line);
         }
-        self.roster.last_line += 1;
-        let line = self.roster.last_line;
-        let node = self.roster.nodes.get_mut(name)?;
-        node.lines.insert(line, Line::new(now));
+        self.endpoints.last_line += 1;
+        let line = self.endpoints.last_line;
+        let node = self.endpoints.nodes.get_mut(name)?;
+        node.lines.insert(line, NodeConnection::new(now));
         self.dials.push(Dial { node: name.into(), line, address: node.address });
         Some(line)
     }
 
     /// Whether this side ends a connection with its present answer. Guards against dropping what has been read behind
     /// the request: it is owed an answer as well.
-    pub fn closes_connection(&self, client: &Client) -> bool {
+    pub fn closes_connection(&self, client: &ClientConnection) -> bool {
         let closing = permits::Closing { query_open: false, unwritten: false, unread: client.behind.get() };
-        self.stage >= Stage::Closing && permits::close(&closing).is_ok()
+        self.stage >= ShutdownPhase::Closing && permits::close(&closing).is_ok()
     }
 
     fn close(&mut self, query: &str, what: &str) -> Option<(Query, bool)> {
@@ -857,10 +867,10 @@
 }
 
 /// The module's decisions, carried out as they are written.
-impl DecisionSink for Desk {
+impl DecisionSink for Dispatcher {
     fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
-        let others_out = match &self.ground {
-            Some(ground) if !ground.families.is_empty() => !self.calls_for(&part.into()).is_empty(),
+        let others_out = match &self.shard_map {
+            Some(shard_map) if !shard_map.families.is_empty() => !self.calls_for(&part.into()).is_empty(),
             _ => !self.calls.of_part(part).is_empty(),
         };
         let now = self.clock.now();
@@ -880,7 +890,7 @@
             self.counters.one("calls_twice_at_a_node");
             return self.end(&id, AttemptOutcome::NeverSent);
         }
-        match self.roster.nodes.get_mut(node) {
+        match self.endpoints.nodes.get_mut(node) {
             // Guards against a planner that has not heard of a drain: its decision is no more than a wish.
             Some(there) if there.state == NodeState::Serving => {
                 if there.fresh.is_empty() {
@@ -897,19 +907,19 @@
 
     fn cancel_attempt(&mut self, part: &str, hop: usize) {
         self.counters.one("leaf_calls_cancelled");
-        let id: CallId = (part.into(), hop);
-        let shared = match &mut self.ground {
-            Some(ground) if self.calls.get(&id).is_none() => {
-                let mut line = ground.families.line(&id.0).map(|part| (part.clone(), hop));
+        let id: AttemptId = (part.into(), hop);
+        let shared = match &mut self.shard_map {
+            Some(shard_map) if self.calls.get(&id).is_none() => {
+                let mut line = shard_map.families.line(&id.0).map(|part| (part.clone(), hop));
                 line.find(|call| self.calls.get(call).is_some())
             }
             _ => None,
         };
-        let (Some(call), Some(ground)) = (shared, &mut self.ground) else {
+        let (Some(call), Some(shard_map)) = (shared, &mut self.shard_map) else {
             return self.give_up(&id, AttemptOutcome::Cancelled);
         };
         // Others may wait for it still: it is over for this part, and given up with the last.
-        let last = ground.families.release(&call, &id.0);
+        let last = shard_map.families.release(&call, &id.0);
         if let Some(record) = self.calls.get(&call) {
             let (node, latency) = (record.node.clone(), self.clock.now() - record.at);
             self.calls.tell(id, &node, AttemptOutcome::Cancelled, latency);
@@ -926,7 +936,7 @@
         self.audit_answer(&query, whole);
         let mut out = query.client.out.borrow_mut();
         #[cfg(feature = "faults")]
-        if self.ground.as_ref().is_some_and(|ground| ground.by_answers) {
+        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.by_answers) {
             let parts = query.parts.iter().filter_map(|p| {
                 let keys = p.keys.map(|keys| (keys.range.from, keys.range.to));
                 Some((p.shard, keys, p.value.as_deref()?))
@@ -967,7 +977,7 @@
             peers.borrow_mut().say(node, seen);
             self.counters.one("evidence_told");
         }
-        if self.house.tell(Word { core: self.core, node: node.into(), seen }) {
+        if self.shared.tell(ObservationMessage { core: self.core, node: node.into(), seen }) {
             self.counters.one("evidence_told");
         }
     }
--- a/crates/router/src/state/roster.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -1,12 +1,12 @@
 //! The data nodes as discovery names them: one record each, found by its name, with its connections.
-use super::CallId;
-use super::lines::Line;
+use super::AttemptId;
+use super::node_connection::NodeConnection;
 use alderway::interface::{NodeState, PolicyInput};
 use alderway::slow_start;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-pub struct Node {
+pub struct NodeRecord {
     pub address: SocketAddr,
     pub cell: u32,
     pub state: NodeState,
@@ -15,14 +15,14 @@
     /// Since when its process is taken to run, and the start as discovery told it, which says whether it is the same.
     pub started: Option<f64>,
     told_start: Option<f64>,
-    pub lines: BTreeMap<u64, Line>,
+    pub lines: BTreeMap<u64, NodeConnection>,
     /// Parts that this round sends here, not yet made into calls.
-    pub fresh: Vec<CallId>,
+    pub fresh: Vec<AttemptId>,
 }
 
 /// A data node as one core tells it to another.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     pub name: String,
     pub address: SocketAddr,
     pub cell: u32,
@@ -31,8 +31,8 @@
 }
 
 #[derive(Default)]
-pub struct Roster {
-    pub nodes: BTreeMap<String, Node>,
+pub struct EndpointTable {
+    pub nodes: BTreeMap<String, NodeRecord>,
     /// The version held.
     pub index: Option<u64>,
     /// Since the last round: whether a whole list came, whether following failed, and who changed.
@@ -50,7 +50,7 @@
     newest: u64,
 }
 
-impl Roster {
+impl EndpointTable {
     /// A list or a change begins; with a whole list, nodes that it does not name are gone.
     pub fn begin(&mut self, index: u64, whole: bool) {
         self.index = Some(index);
@@ -114,7 +114,7 @@
             let before = state;
             self.nodes.insert(
                 name.into(),
-                Node { address, cell, state, before, started, told_start: started, lines, fresh },
+                NodeRecord { address, cell, state, before, started, told_start: started, lines, fresh },
             );
             return;
         };
@@ -139,17 +139,17 @@
     }
 
     /// All that serve or drain.
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<Endpoint> {
         let here = self.nodes.iter().filter(|(_, n)| n.state != NodeState::Removed);
         here.map(|(name, n)| {
             let (name, address, cell, state, started) = (name.clone(), n.address, n.cell, n.state, n.started);
-            Entry { name, address, cell, state, started }
+            Endpoint { name, address, cell, state, started }
         })
         .collect()
     }
 
     /// Takes over the whole list as another holds it; what is the same stays untouched.
-    pub fn adopt(&mut self, list: &[Entry]) {
+    pub fn adopt(&mut self, list: &[Endpoint]) {
         let named: BTreeSet<&str> = list.iter().map(|e| e.name.as_str()).collect();
         for (name, node) in &mut self.nodes {
             if node.state != NodeState::Removed && !named.contains(name.as_str()) {
@@ -181,7 +181,7 @@
         }
     }
 
-    pub fn line(&mut self, node: &str, line: u64) -> Option<&mut Line> {
+    pub fn line(&mut self, node: &str, line: u64) -> Option<&mut NodeConnection> {
         self.nodes.get_mut(node)?.lines.get_mut(&line)
     }
 
--- a/crates/router/src/state/audit.rs
+++ b/crates/router/src/state/invariants.rs
@@ -1,7 +1,7 @@
 //! Checks the rules at run time, in the moment of each act and by the facts of that moment, whatever decided it. A
 //! violation is counted as `rule_violations{...}` and logged with the request's id; nothing is changed by it.
-use super::CallId;
-use super::desk::Desk;
+use super::AttemptId;
+use super::dispatcher::Dispatcher;
 use super::queries::Query;
 use alderway::interface::NodeState;
 use alderway::permits;
@@ -11,7 +11,7 @@
 /// STANDING: an answer that comes later than this after its time is lost.
 const LATE: f64 = 0.5;
 
-impl Desk {
+impl Dispatcher {
     fn violation(&mut self, rule: &str, id: &str, what: &str) {
         self.counters.one(&format!("rule_violations{{{rule}}}"));
         tracing::error!(target: "rules", "{rule}: {id}: {what}");
@@ -20,14 +20,14 @@
     /// The first byte of a call's frame has been written.
     pub fn audit_begun(&mut self, node: &str, line: u64) {
         let now = self.clock.now();
-        let Some(record) = self.roster.nodes.get(node) else { return };
+        let Some(record) = self.endpoints.nodes.get(node) else { return };
         let (state, calls) = (record.state, record.lines.get(&line).map(|line| line.begun_call().to_vec()));
         for id in calls.into_iter().flatten() {
             self.audit_call(&id, node, state, now);
         }
     }
 
-    fn audit_call(&mut self, id: &CallId, node: &str, state: NodeState, now: f64) {
+    fn audit_call(&mut self, id: &AttemptId, node: &str, state: NodeState, now: f64) {
         let Some((vertical, part)) = self.queries.vertical_and_part(&id.0) else {
             return self.violation("call_after_answer", &id.0, "its query is over");
         };
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -1,27 +1,27 @@
-//! What is kept: open queries, leaf calls, the roster with its connections, clients, descriptors, counters.
-//! The `Desk` holds them all and is the one place where a thing that came in meets what is kept; drivers and
-//! the round call it. Each core has one, used by its thread alone, and no borrow outlasts a call; the `House` is
-//! what the desks of several cores hold in common.
-pub mod audit;
-pub mod calls;
+//! What is kept: open queries, leaf calls, the endpoint list with its connections, clients, descriptors, counters.
+//! The `Dispatcher` holds them all and is the one place where a thing that came in meets what is kept; drivers and
+//! the round call it. Each core has one, used by its thread alone, and no borrow outlasts a call; the `SharedState` is
+//! what the dispatchers of several cores hold in common.
+pub mod arrival_time;
+pub mod attempts;
 pub mod clients;
 pub mod counters;
 pub mod descriptors;
-pub mod desk;
-pub mod due;
-pub mod following;
-pub mod ground;
-pub mod house;
-pub mod lines;
+pub mod dispatcher;
+pub mod endpoints;
+pub mod invariants;
+pub mod node_connection;
 pub mod queries;
-pub mod roster;
-pub mod stalls;
-pub mod stamps;
-pub mod terms;
+pub mod query_classes;
+pub mod shard_map;
+pub mod shared;
+pub mod stall_detector;
+pub mod timer_queue;
+pub mod watch_state;
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
-pub type Shared = Rc<RefCell<desk::Desk>>;
+pub type DispatcherHandle = Rc<RefCell<dispatcher::Dispatcher>>;
 /// A leaf call: its part's id and its number among that part's calls.
-pub type CallId = (Rc<str>, usize);
+pub type AttemptId = (Rc<str>, usize);
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -1,6 +1,6 @@
 //! Open queries and their parts, from the last byte of a request to its final answer.
-use super::clients::Client;
-use super::due::Due;
+use super::clients::ClientConnection;
+use super::timer_queue::TimerQueue;
 use alderway_cores::ids::Claim;
 use alderway_cores::pool::Taken;
 use alderway_layouts::coverage::Coverage;
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-pub struct Part {
+pub struct ShardRequest {
     pub id: Rc<str>,
     pub shard: u32,
     pub weight: f64,
@@ -19,12 +19,12 @@
     /// Those of them whose frame has begun and that may have run, with when it began.
     pub begun: Vec<(usize, f64)>,
     /// What of a layout it asks for, where layouts are followed.
-    pub keys: Option<Piece>,
+    pub keys: Option<RequestedKeys>,
 }
 
 /// Keys that a part asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Piece {
+pub struct RequestedKeys {
     pub range: Range,
     /// The client asked for a shard and can use nothing but one value for it.
     pub single: bool,
@@ -34,15 +34,15 @@
     pub merged: bool,
 }
 
-impl Piece {
+impl RequestedKeys {
     pub fn new(range: Range, single: bool) -> Self {
-        Piece { range, single, divided: false, merged: false }
+        RequestedKeys { range, single, divided: false, merged: false }
     }
 }
 
-impl Part {
+impl ShardRequest {
     pub fn new(id: Rc<str>, shard: u32, weight: f64) -> Self {
-        Part { id, shard, weight, value: None, calls: 0, begun: vec![], keys: None }
+        ShardRequest { id, shard, weight, value: None, calls: 0, begun: vec![], keys: None }
     }
 
     /// When the first of its calls that may have run began, one of them left out.
@@ -62,24 +62,24 @@
     pub not_after: f64,
     /// What every part has to carry.
     pub text: String,
-    pub parts: Vec<Part>,
-    pub client: Rc<Client>,
+    pub parts: Vec<ShardRequest>,
+    pub client: Rc<ClientConnection>,
     /// What is in, by keys, where layouts are followed.
     pub coverage: Option<Coverage<(ShardId, String)>>,
 }
 
 /// What an open query takes of what all cores hold in common; dropped with it.
-pub struct Place {
+pub struct QueryReservation {
     pub id: Claim,
     pub room: Vec<Taken>,
 }
 
 /// A query is held from `hold` to `release`, and counts with its parts against the room.
 #[derive(Default)]
-pub struct Queries {
+pub struct QueryTable {
     open: BTreeMap<u64, Query>,
-    places: BTreeMap<u64, Place>,
-    due: Due<u64>,
+    places: BTreeMap<u64, QueryReservation>,
+    due: TimerQueue<u64>,
     numbers: BTreeMap<Rc<str>, u64>,
     parts: BTreeMap<Rc<str>, (u64, usize)>,
     /// How many are open in each vertical's place.
@@ -87,7 +87,7 @@
     last: u64,
 }
 
-impl Queries {
+impl QueryTable {
     /// Queries and parts held.
     pub fn held(&self) -> usize {
         self.open.len() + self.parts.len()
@@ -114,7 +114,7 @@
         self.numbers.keys().cloned().collect()
     }
 
-    pub fn hold(&mut self, query: Query, place: Place) -> u64 {
+    pub fn hold(&mut self, query: Query, place: QueryReservation) -> u64 {
         self.last += 1;
         self.places.insert(self.last, place);
         self.due.add(query.not_after, self.last);
@@ -172,7 +172,7 @@
     }
 
     /// A part of an open query.
-    pub fn part(&mut self, id: &str) -> Option<&mut Part> {
+    pub fn part(&mut self, id: &str) -> Option<&mut ShardRequest> {
         let &(number, i) = self.parts.get(id)?;
         self.open.get_mut(&number)?.parts.get_mut(i)
     }
@@ -186,7 +186,7 @@
     }
 
     /// An open part and its query's vertical.
-    pub fn vertical_and_part(&self, id: &str) -> Option<(usize, &Part)> {
+    pub fn vertical_and_part(&self, id: &str) -> Option<(usize, &ShardRequest)> {
         let &(number, i) = self.parts.get(id)?;
         let query = self.open.get(&number)?;
         Some((query.vertical, query.parts.get(i)?))
@@ -199,7 +199,7 @@
     }
 
     /// A part becomes several, which take room.
-    pub fn divide(&mut self, id: &str, into: Vec<Part>, room: Taken) {
+    pub fn divide(&mut self, id: &str, into: Vec<ShardRequest>, room: Taken) {
         let Some(&(number, i)) = self.parts.get(id) else { return };
         let Some(query) = self.open.get_mut(&number) else { return };
         if let Some(keys) = query.parts.get_mut(i).and_then(|part| part.keys.as_mut()) {
--- a/crates/router/src/state/terms.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -1,6 +1,6 @@
-//! Settings that change while the router serves, as a desk takes them over: which place each vertical has, so that an
+//! Settings that change while the router serves, as a dispatcher takes them over: which place each vertical has, so that an
 //! open query goes on by what it was promised and a new one by the newest, and what the module has yet to be told.
-use super::desk::{Class, Desk};
+use super::dispatcher::{ClassRules, Dispatcher};
 use alderway::interface::{ClassSlot, PolicyConfig, PolicyInput, QueryClass};
 use alderway_deployment::AdmissionConfig;
 use alderway_deployment::live::Settings;
@@ -10,7 +10,7 @@
 
 /// Settings that every core is to take over; a later one has a larger serial.
 #[derive(Debug)]
-pub struct Issue {
+pub struct ConfigGeneration {
     pub serial: u64,
     pub settings: Settings,
 }
@@ -19,28 +19,28 @@
 /// promised, or free; a place that is left behind is free with the last of them, so that there are never more places than
 /// verticals that anybody goes by.
 #[derive(Default)]
-pub struct Places {
-    news: Option<watch::Receiver<Arc<Issue>>>,
-    held: Option<Arc<Issue>>,
+pub struct ClassTable {
+    news: Option<watch::Receiver<Arc<ConfigGeneration>>>,
+    held: Option<Arc<ConfigGeneration>>,
     /// Of the newest verticals, in their order; as they stand where there has been no change.
     newest: Option<Vec<usize>>,
     known: BTreeMap<usize, QueryClass>,
     left: BTreeSet<usize>,
     free: BTreeSet<usize>,
     /// What the next round tells.
-    untold: Vec<(Arc<Issue>, Vec<ClassSlot>)>,
+    untold: Vec<(Arc<ConfigGeneration>, Vec<ClassSlot>)>,
     /// The longest deadline of before, and until when it may matter.
     before: (f64, f64),
 }
 
-impl Places {
+impl ClassTable {
     /// What a module that starts now is started with.
     pub fn newest(&self) -> Option<&PolicyConfig> {
         Some(&self.held.as_ref()?.settings.terms)
     }
 
     /// The place of a vertical for queries that come now.
-    fn find(&self, verticals: &[Class], name: &str) -> Option<usize> {
+    fn find(&self, verticals: &[ClassRules], name: &str) -> Option<usize> {
         match &self.newest {
             None => verticals.iter().position(|class| class.name == name),
             Some(newest) => newest.iter().copied().find(|&at| verticals[at].name == name),
@@ -48,7 +48,7 @@
     }
 
     /// Each vertical in its order, as at a start.
-    fn begin(&mut self, issue: Arc<Issue>) {
+    fn begin(&mut self, issue: Arc<ConfigGeneration>) {
         self.known = issue.settings.terms.query_classes.iter().cloned().enumerate().collect();
         (self.newest, self.left, self.free) = (None, BTreeSet::new(), BTreeSet::new());
         self.untold.clear();
@@ -56,11 +56,11 @@
     }
 
     /// Gives each vertical its place: the one that it has where nothing of it changed, else one of its own.
-    fn place(&mut self, issue: &Issue, verticals: &mut Vec<Class>) -> Vec<ClassSlot> {
+    fn place(&mut self, issue: &ConfigGeneration, verticals: &mut Vec<ClassRules>) -> Vec<ClassSlot> {
         let mut before = self.newest.take().unwrap_or_else(|| (0..verticals.len()).collect());
         let (mut placed, mut moved) = (vec![], vec![]);
         for (class, vertical) in
-            Class::all(&issue.settings).into_iter().zip(&issue.settings.terms.query_classes)
+            ClassRules::all(&issue.settings).into_iter().zip(&issue.settings.terms.query_classes)
         {
             let follows = before.iter().position(|&at| verticals[at].name == class.name);
             let follows = follows.map(|i| before.remove(i));
@@ -80,18 +80,18 @@
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Follows settings from the newest on.
-    pub fn follow_settings(&mut self, mut news: watch::Receiver<Arc<Issue>>) {
+    pub fn follow_settings(&mut self, mut news: watch::Receiver<Arc<ConfigGeneration>>) {
         let issue = news.borrow_and_update().clone();
         (self.trunk, self.room) = (issue.settings.trunk, self.room_by(&issue));
-        self.verticals = Class::all(&issue.settings);
+        self.verticals = ClassRules::all(&issue.settings);
         self.terms.news = Some(news);
         self.terms.begin(issue);
     }
 
     /// Queries and shards, and how discovery is followed, are as at the start.
-    fn room_by(&self, issue: &Issue) -> AdmissionConfig {
+    fn room_by(&self, issue: &ConfigGeneration) -> AdmissionConfig {
         let AdmissionConfig { max_open: room, shard_count: shards, polls_endpoints: follow, .. } = self.room;
         AdmissionConfig {
             max_open: room,
@@ -111,7 +111,7 @@
         self.take_over(issue);
     }
 
-    pub fn take_over(&mut self, issue: Arc<Issue>) {
+    pub fn take_over(&mut self, issue: Arc<ConfigGeneration>) {
         let now = self.clock.now();
         let longest = self.longest_deadline(now);
         self.terms.before = (longest, now + longest);
@@ -144,7 +144,7 @@
 
     /// Tells the module which places nobody is open in any more, after it has been told who left.
     pub(super) fn tell_places(&mut self, module: &mut dyn PolicyInput) {
-        let Places { left, free, .. } = &mut self.terms;
+        let ClassTable { left, free, .. } = &mut self.terms;
         for at in left.extract_if(.., |at| self.queries.open_in(*at) == 0) {
             module.class_retired(at);
             free.insert(at);
@@ -154,7 +154,7 @@
     /// The module starts anew with the newest settings and nothing open.
     pub(super) fn begin_terms(&mut self) {
         if let Some(issue) = self.terms.held.clone() {
-            self.verticals = Class::all(&issue.settings);
+            self.verticals = ClassRules::all(&issue.settings);
             self.terms.begin(issue);
             self.say_taken();
         }
@@ -163,7 +163,7 @@
     fn say_taken(&self) {
         if let Some(issue) = &self.terms.held {
             let taken = |serial: &mut u64| std::mem::replace(serial, issue.serial) != issue.serial;
-            self.house.seats[self.core].settings.send_if_modified(taken);
+            self.shared.cores[self.core].settings.send_if_modified(taken);
         }
     }
 
--- a/crates/router/src/state/ground.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -1,6 +1,6 @@
 //! The layout as one core follows it: its history, which open parts lie in which shards, and what the next round has to
 //! tell the module of it. A core whose shards lie in the platform's ring has none.
-use super::queries::{Part, Piece};
+use super::queries::{RequestedKeys, ShardRequest};
 use crate::wire::http::Refusal;
 use alderway::interface::{AttemptOutcome, PolicyInput, ShardHolders};
 use alderway_layouts::coverage::Coverage;
@@ -13,7 +13,7 @@
 
 /// How layouts are followed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Following {
+pub struct ShardMapConfig {
     /// Seconds for which a client may name a shard that is gone.
     pub grace: f64,
     /// Seconds that a data node which lags behind has to catch up.
@@ -21,16 +21,16 @@
 }
 
 /// A part that has become several: its query, its id, and what it became.
-pub type Division = (u64, Rc<str>, Vec<(Rc<str>, ShardId, f64)>);
+pub type SplitShardRequest = (u64, Rc<str>, Vec<(Rc<str>, ShardId, f64)>);
 
 /// What a client asks for: a shard, or keys, and its share.
-pub type Target = (Option<u32>, Option<(u32, u32)>, f64);
+pub type QueryTarget = (Option<u32>, Option<(u32, u32)>, f64);
 
 /// What is in of a query, by keys: from which shard, and its value.
-pub type Answered = Coverage<(ShardId, String)>;
+pub type AnswerCoverage = Coverage<(ShardId, String)>;
 
-pub struct Ground {
-    following: Following,
+pub struct ShardMapView {
+    following: ShardMapConfig,
     history: Option<History>,
     pub families: Families<Rc<str>>,
     /// For tests: every answer counts, whatever keys it is for.
@@ -39,13 +39,13 @@
     /// What the next round tells.
     follows: Vec<(ShardId, Vec<ShardId>)>,
     held: BTreeSet<ShardId>,
-    divided: Vec<Division>,
+    divided: Vec<SplitShardRequest>,
 }
 
-impl Ground {
-    pub fn new(following: Following) -> Self {
+impl ShardMapView {
+    pub fn new(following: ShardMapConfig) -> Self {
         let (history, families, follows, held, divided) = Default::default();
-        Ground {
+        ShardMapView {
             following,
             history,
             families,
@@ -67,7 +67,7 @@
 
     /// Takes news in; a faulty one changes nothing. Returns the shards whose open parts are to be looked at.
     pub fn take(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, Faulty> {
-        let Following { grace, lag } = self.following;
+        let ShardMapConfig { grace, lag } = self.following;
         match &mut self.history {
             Some(history) => {
                 let followed = history.take(news, now)?;
@@ -83,7 +83,7 @@
 
     /// Takes over a layout that another core has checked.
     pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, Faulty> {
-        let Following { grace, lag } = self.following;
+        let ShardMapConfig { grace, lag } = self.following;
         match &mut self.history {
             Some(history) if history.newest().version() == layout.version() => Ok(vec![]),
             Some(history) => {
@@ -115,7 +115,11 @@
     }
 
     /// The parts of a query that asks for these targets, by the newest layout.
-    pub fn map(&self, id: &str, targets: &[Target]) -> Result<(Vec<Part>, Answered), Refusal> {
+    pub fn map(
+        &self,
+        id: &str,
+        targets: &[QueryTarget],
+    ) -> Result<(Vec<ShardRequest>, AnswerCoverage), Refusal> {
         let history = self.history.as_ref().ok_or((503, "no layout is known yet"))?;
         let (mut parts, mut asked) = (vec![], vec![]);
         for &(shard, keys, share) in targets {
@@ -125,8 +129,8 @@
                         .keys(shard)
                         .filter(|_| !history.is_gone(shard) || !history.holders(shard).is_empty());
                     let range = range.ok_or((400, "`partition` is no shard here"))?;
-                    let mut part = Part::new(format!("{id}.{shard}").into(), shard, share);
-                    part.keys = Some(Piece::new(range, true));
+                    let mut part = ShardRequest::new(format!("{id}.{shard}").into(), shard, share);
+                    part.keys = Some(RequestedKeys::new(range, true));
                     parts.push(part);
                     asked.push((range, share));
                 }
@@ -146,7 +150,7 @@
     }
 
     /// What a part becomes by the newest layout.
-    pub fn heirs(&self, id: &str, part: &Part) -> Vec<Part> {
+    pub fn heirs(&self, id: &str, part: &ShardRequest) -> Vec<ShardRequest> {
         let (Some(history), Some(keys)) = (&self.history, part.keys) else { return vec![] };
         let mut heirs = pieces(history, id, keys.range, part.weight);
         heirs.iter_mut().for_each(|heir| heir.calls = part.calls);
@@ -156,20 +160,20 @@
     /// Whether an open part is to be divided: its shard is gone, and its keys lie with other cells here and there, or
     /// nothing was sent for it yet, so that it may as well go by the newest layout. Guards against a part whose one
     /// common holder hangs or dies while each piece of it has another.
-    pub fn is_to_divide(&self, part: &Part) -> bool {
+    pub fn is_to_divide(&self, part: &ShardRequest) -> bool {
         let (Some(history), Some(keys)) = (&self.history, part.keys) else { return false };
         let over = keys.single || keys.divided || keys.merged || !history.is_gone(part.shard);
         !over && (part.calls == 0 || history.is_scattered(part.shard))
     }
 
-    pub fn opened(&mut self, part: &Part) {
+    pub fn opened(&mut self, part: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| part.keys.is_some()) {
             history.opened(part.shard);
         }
     }
 
     /// One that was divided has been closed by that.
-    pub fn closed(&mut self, part: &Part) {
+    pub fn closed(&mut self, part: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| part.keys.is_some_and(|keys| !keys.divided)) {
             history.closed(part.shard);
         }
@@ -180,7 +184,7 @@
     }
 
     /// A part has become several. A query that the module has not heard of yet is told as it is then.
-    pub fn divided(&mut self, division: Division, new: bool) {
+    pub fn divided(&mut self, division: SplitShardRequest, new: bool) {
         let into: Vec<Rc<str>> = division.2.iter().map(|heir| heir.0.clone()).collect();
         self.families.divide(&division.1, &into);
         if !new {
@@ -194,7 +198,7 @@
     pub fn judge(
         &mut self,
         node: &str,
-        part: &Part,
+        part: &ShardRequest,
         ending: AttemptOutcome,
         moved: Option<Version>,
         keys: Option<(u32, u32)>,
@@ -258,7 +262,7 @@
 
     /// Those to whom the end of a call is told in its part's place: heirs that still wait for it, or all of them
     /// where it brought an answer; none where the part is what it was.
-    pub fn told_of(&self, call: &super::CallId, ending: AttemptOutcome) -> Option<Vec<Rc<str>>> {
+    pub fn told_of(&self, call: &super::AttemptId, ending: AttemptOutcome) -> Option<Vec<Rc<str>>> {
         if self.families.is_empty() {
             return None;
         }
@@ -269,12 +273,12 @@
 }
 
 /// Keys as parts by the newest layout; each key weighs the same.
-fn pieces(history: &History, id: &str, range: Range, weight: f64) -> Vec<Part> {
+fn pieces(history: &History, id: &str, range: Range, weight: f64) -> Vec<ShardRequest> {
     let each = weight / range.keys() as f64;
     let piece = |(shard, keys): (ShardId, Range)| {
         let id = format!("{id}.{shard}.{}-{}", keys.from, keys.to).into();
-        let mut part = Part::new(id, shard, each * keys.keys() as f64);
-        part.keys = Some(Piece::new(keys, false));
+        let mut part = ShardRequest::new(id, shard, each * keys.keys() as f64);
+        part.keys = Some(RequestedKeys::new(keys, false));
         part
     };
     history.cover(range).into_iter().map(piece).collect()
--- a/crates/router/src/state/house.rs
+++ b/crates/router/src/state/shared.rs
@@ -1,7 +1,7 @@
 //! What the cores of this program hold in common, and what they say to each other: a single atomic each, or a
-//! message. A program on one core has a house of its own with nobody else in it.
+//! message. A program on one core has a shared state of its own with nobody else in it.
 use super::counters::Counters;
-use super::descriptors::Held;
+use super::descriptors::DescriptorPermit;
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::fence::Fence;
 use alderway_cores::ids::Ids;
@@ -11,23 +11,23 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use tokio::sync::{Notify, broadcast, mpsc, watch};
 
-/// NodeObservation under way between cores; a core that is further behind loses the oldest, which the roster and its own
+/// Observations under way between cores; a core that is further behind loses the oldest, which the endpoint list and its own
 /// calls make up for.
 const GOSSIP: usize = 4096;
 /// Connections and words under way to one core.
 const INBOX: usize = 1024;
 
 /// A connection of a client on its way to a core. Nothing of it is read that is not answered.
-pub struct Passenger {
+pub struct TransferredConnection {
     pub stream: std::net::TcpStream,
-    pub held: Held,
+    pub held: DescriptorPermit,
     /// Has sent a request before, on another core.
     pub used: bool,
 }
 
 /// What a core is told to do.
-pub enum Order {
-    Serve(Passenger),
+pub enum CoreCommand {
+    Serve(TransferredConnection),
     /// To give so many connections to another core, as they fall idle after an answer.
     GiveAway {
         to: usize,
@@ -39,7 +39,7 @@
 
 /// What one core tells the others of a data node.
 #[derive(Clone, Debug)]
-pub struct Word {
+pub struct ObservationMessage {
     pub core: usize,
     pub node: String,
     pub seen: NodeObservation,
@@ -47,14 +47,14 @@
 
 /// What a core counts, and what is open on it.
 #[derive(Clone, Default)]
-pub struct Figures {
+pub struct MetricsSnapshot {
     pub counters: Counters,
     pub open: Vec<(&'static str, u64)>,
 }
 
-impl Figures {
+impl MetricsSnapshot {
     /// Adds those of another core. All know the same data nodes.
-    pub fn join(&mut self, other: &Figures) {
+    pub fn join(&mut self, other: &MetricsSnapshot) {
         self.counters.join(&other.counters);
         for &(name, figure) in &other.open {
             match self.open.iter_mut().find(|(known, _)| *known == name) {
@@ -74,7 +74,7 @@
 }
 
 /// What a core last said of itself.
-pub struct Seat {
+pub struct CoreState {
     /// When, in milliseconds of the common clock.
     pub beat: AtomicU64,
     pub clients: AtomicUsize,
@@ -82,39 +82,39 @@
     pub active: AtomicUsize,
     /// Of a thousand parts of its time lately, how many it worked.
     pub busy: AtomicU64,
-    pub figures: watch::Sender<Arc<Figures>>,
+    pub figures: watch::Sender<Arc<MetricsSnapshot>>,
     /// The serial of the settings that its module goes by.
     pub settings: watch::Sender<u64>,
-    inbox: Option<mpsc::Sender<Order>>,
+    inbox: Option<mpsc::Sender<CoreCommand>>,
 }
 
-pub struct House {
+pub struct SharedState {
     pub ids: Arc<Ids>,
     /// Queries and parts held.
     pub room: Arc<Pool>,
     pub fence: Arc<Fence>,
     pub common: SharedLimits,
-    pub seats: Vec<Seat>,
-    /// The module of some core asks to follow the roster.
+    pub cores: Vec<CoreState>,
+    /// The module of some core asks to follow the endpoint list.
     pub follow: Arc<Notify>,
     /// Most connections of one core to one data node.
     pub node_connections: usize,
-    gossip: Option<broadcast::Sender<Word>>,
+    gossip: Option<broadcast::Sender<ObservationMessage>>,
     /// Cores that serve, hang and are lost, as the lead sees them.
     pub serving: AtomicUsize,
     pub hung: AtomicUsize,
     pub lost: AtomicUsize,
     /// What the lead itself counts.
-    pub lead: watch::Sender<Arc<Figures>>,
+    pub lead: watch::Sender<Arc<MetricsSnapshot>>,
     /// The number of the settings in force, if they came with one.
     pub version: AtomicU64,
     /// What the subscription to control machines counts, where there is one.
-    pub control: watch::Sender<Arc<Figures>>,
+    pub control: watch::Sender<Arc<MetricsSnapshot>>,
 }
 
 /// How several cores share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sharing {
+pub struct MulticoreConfig {
     pub cores: usize,
     /// Most connections to one data node, of all cores together; one for each core at least.
     pub node_connections: Option<usize>,
@@ -122,17 +122,21 @@
     pub evidence: bool,
 }
 
-impl Default for Sharing {
+impl Default for MulticoreConfig {
     fn default() -> Self {
-        Sharing { cores: 1, node_connections: None, evidence: true }
+        MulticoreConfig { cores: 1, node_connections: None, evidence: true }
     }
 }
 
-impl House {
-    /// A house for so many cores, with the inbox of each, for so many queries and parts.
-    pub fn new(room: usize, sharing: Sharing, patience: f64) -> (Arc<Self>, Vec<mpsc::Receiver<Order>>) {
+impl SharedState {
+    /// A shared state for so many cores, with the inbox of each, for so many queries and parts.
+    pub fn new(
+        room: usize,
+        sharing: MulticoreConfig,
+        patience: f64,
+    ) -> (Arc<Self>, Vec<mpsc::Receiver<CoreCommand>>) {
         let many = sharing.cores > 1;
-        let seat = |inbox| Seat {
+        let core_state = |inbox| CoreState {
             beat: AtomicU64::new(0),
             clients: AtomicUsize::new(0),
             active: AtomicUsize::new(0),
@@ -143,15 +147,18 @@
         };
         let (senders, inboxes): (Vec<_>, Vec<_>) =
             if many { (0..sharing.cores).map(|_| mpsc::channel(INBOX)).unzip() } else { (vec![], vec![]) };
-        let seats =
-            if many { senders.into_iter().map(|s| seat(Some(s))).collect() } else { vec![seat(None)] };
+        let cores = if many {
+            senders.into_iter().map(|s| core_state(Some(s))).collect()
+        } else {
+            vec![core_state(None)]
+        };
         let each = sharing.node_connections.map_or(usize::MAX, |all| (all / sharing.cores).max(1));
-        let house = House {
+        let shared = SharedState {
             ids: Ids::new(room),
             room: Pool::new(room),
             fence: Fence::new(if many { patience } else { f64::INFINITY }),
             common: SharedLimits::new(sharing.cores),
-            seats,
+            cores,
             follow: Arc::default(),
             node_connections: each,
             gossip: (many && sharing.evidence).then(|| broadcast::channel(GOSSIP).0),
@@ -162,38 +169,38 @@
             version: AtomicU64::new(0),
             control: watch::channel(Arc::default()).0,
         };
-        (Arc::new(house), inboxes)
+        (Arc::new(shared), inboxes)
     }
 
     /// For a program on one core.
     pub fn alone(room: usize) -> Arc<Self> {
-        House::new(room, Sharing::default(), f64::INFINITY).0
+        SharedState::new(room, MulticoreConfig::default(), f64::INFINITY).0
     }
 
     pub fn is_shared(&self) -> bool {
-        self.seats.len() > 1
+        self.cores.len() > 1
     }
 
     /// Gives a core something to do; what it has no room for comes back.
-    pub fn send(&self, core: usize, order: Order) -> Result<(), Order> {
-        let Some(inbox) = self.seats.get(core).and_then(|s| s.inbox.as_ref()) else { return Err(order) };
+    pub fn send(&self, core: usize, order: CoreCommand) -> Result<(), CoreCommand> {
+        let Some(inbox) = self.cores.get(core).and_then(|s| s.inbox.as_ref()) else { return Err(order) };
         inbox.try_send(order).map_err(|why| match why {
             mpsc::error::TrySendError::Full(order) | mpsc::error::TrySendError::Closed(order) => order,
         })
     }
 
     /// Tells the other cores; false where each keeps to itself what it sees.
-    pub fn tell(&self, word: Word) -> bool {
+    pub fn tell(&self, word: ObservationMessage) -> bool {
         // An error says that nobody listens.
         self.gossip.as_ref().map(|gossip| gossip.send(word)).is_some()
     }
 
-    pub fn listen(&self) -> Option<broadcast::Receiver<Word>> {
+    pub fn listen(&self) -> Option<broadcast::Receiver<ObservationMessage>> {
         self.gossip.as_ref().map(broadcast::Sender::subscribe)
     }
 
     /// Adds what the other cores last said to one's own figures, and how the cores are.
-    pub fn add_others(&self, core: Option<usize>, figures: &mut Figures) {
+    pub fn add_others(&self, core: Option<usize>, figures: &mut MetricsSnapshot) {
         let version = self.version.load(Relaxed);
         if version > 0 {
             figures.open.push(("settings_version", version));
@@ -202,8 +209,8 @@
         if !self.is_shared() {
             return;
         }
-        let others = self.seats.iter().enumerate().filter(|(at, _)| Some(*at) != core);
-        others.for_each(|(_, seat)| figures.join(&seat.figures.borrow()));
+        let others = self.cores.iter().enumerate().filter(|(at, _)| Some(*at) != core);
+        others.for_each(|(_, core_state)| figures.join(&core_state.figures.borrow()));
         figures.join(&self.lead.borrow());
         let cores =
             [("cores_serving", &self.serving), ("cores_hung", &self.hung), ("cores_lost", &self.lost)];
--- a/crates/router/src/state/due.rs
+++ b/crates/router/src/state/timer_queue.rs
@@ -19,15 +19,15 @@
     }
 }
 
-pub struct Due<K>(BTreeSet<(At, K)>);
+pub struct TimerQueue<K>(BTreeSet<(At, K)>);
 
-impl<K> Default for Due<K> {
+impl<K> Default for TimerQueue<K> {
     fn default() -> Self {
-        Due(BTreeSet::new())
+        TimerQueue(BTreeSet::new())
     }
 }
 
-impl<K: Ord + Clone> Due<K> {
+impl<K: Ord + Clone> TimerQueue<K> {
     pub fn add(&mut self, at: f64, what: K) {
         self.0.insert((At(at), what));
     }
--- a/crates/router/src/state/following.rs
+++ b/crates/router/src/state/watch_state.rs
@@ -11,7 +11,7 @@
 pub const PAUSE: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Watching {
+pub enum WatchPhase {
     /// Changes come only when asked for, and the module has not asked.
     Unasked,
     /// No watch; the next one opens then.
@@ -24,51 +24,51 @@
 
 /// One router's following of discovery.
 #[derive(Debug)]
-pub struct Following {
+pub struct WatchState {
     asks: bool,
-    pub state: Watching,
+    pub state: WatchPhase,
 }
 
-impl Following {
+impl WatchState {
     /// `asks` where changes come only when the module asks for them.
     pub fn new(asks: bool) -> Self {
-        let state = if asks { Watching::Unasked } else { Watching::Pausing { until: 0.0 } };
-        Following { asks, state }
+        let state = if asks { WatchPhase::Unasked } else { WatchPhase::Pausing { until: 0.0 } };
+        WatchState { asks, state }
     }
 
     /// The next watch opens now: its time has come, the module asks for it, or discovery has moved.
     pub fn open(&mut self, now: f64) {
-        self.state = Watching::Opening { by: now + ANSWER };
+        self.state = WatchPhase::Opening { by: now + ANSWER };
     }
 
     /// The head of the answer has come: the agent is there, and has yet to say what it has.
     pub fn answered(&mut self) {
-        if let Watching::Opening { by } = self.state {
-            self.state = Watching::Open { by: by - ANSWER + SILENCE };
+        if let WatchPhase::Opening { by } = self.state {
+            self.state = WatchPhase::Open { by: by - ANSWER + SILENCE };
         }
     }
 
     /// A blank line or an object has come whole. Bytes alone say nothing: guards against a watch that drips, or that
     /// never ends what it began.
     pub fn heard(&mut self, now: f64) {
-        self.state = Watching::Open { by: now + SILENCE };
+        self.state = WatchPhase::Open { by: now + SILENCE };
     }
 
     /// The watch is lost; true where one that had answered is. What the module asked for and never got an answer to
     /// is still asked for.
     pub fn lost(&mut self, now: f64) -> bool {
-        let answered = matches!(self.state, Watching::Open { .. });
+        let answered = matches!(self.state, WatchPhase::Open { .. });
         let ask = answered && self.asks;
-        self.state = if ask { Watching::Unasked } else { Watching::Pausing { until: now + PAUSE } };
+        self.state = if ask { WatchPhase::Unasked } else { WatchPhase::Pausing { until: now + PAUSE } };
         answered
     }
 
     /// When the present state ends by itself.
     pub fn due(&self) -> f64 {
         match self.state {
-            Watching::Unasked => f64::INFINITY,
-            Watching::Pausing { until } => until,
-            Watching::Opening { by } | Watching::Open { by } => by,
+            WatchPhase::Unasked => f64::INFINITY,
+            WatchPhase::Pausing { until } => until,
+            WatchPhase::Opening { by } | WatchPhase::Open { by } => by,
         }
     }
 }
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -1,5 +1,5 @@
-//! A forwarder's part between desk and module: queries go to a planner or to the own module, endings of leaf calls to
-//! whoever has to know them, and decisions to the desk only from whoever decides. What was tried for a part is kept
+//! A forwarder's part between dispatcher and module: queries go to a planner or to the own module, endings of leaf calls to
+//! whoever has to know them, and decisions to the dispatcher only from whoever decides. What was tried for a part is kept
 //! here, so that whoever takes a query over knows what may have run. No sockets.
 use super::Outbox;
 use super::planner::same_start;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// For how long a planner may know less of the roster than this side before it is asked no more: half the grace.
+/// For how long a planner may know less of the endpoint list than this side before it is asked no more: half the grace.
 const BEHIND: f64 = 1.0;
 
 struct Part {
@@ -52,8 +52,8 @@
     /// Queries that the own module takes over in the next round.
     own_due: Vec<String>,
     heard: Vec<(String, NodeObservation)>,
-    /// The roster's version here, and the one that planners must know by now.
-    roster: (u64, f64),
+    /// The endpoint list's version here, and the one that planners must know by now.
+    endpoints: (u64, f64),
     due: u64,
     /// When data nodes started, by the clock here.
     starts: BTreeMap<String, Option<f64>>,
@@ -76,7 +76,7 @@
             fresh: vec![],
             own_due: vec![],
             heard: vec![],
-            roster: (0, 0.0),
+            endpoints: (0, 0.0),
             due: 0,
             starts: BTreeMap::new(),
             counters: Counters::default(),
@@ -98,14 +98,14 @@
         }
     }
 
-    /// What the desk knows of the roster now.
-    pub fn knows(&mut self, roster: u64) {
+    /// What the dispatcher knows of the endpoint list now.
+    pub fn knows(&mut self, endpoints: u64) {
         let now = self.clock.now();
-        if now - self.roster.1 >= BEHIND {
-            self.due = self.roster.0;
+        if now - self.endpoints.1 >= BEHIND {
+            self.due = self.endpoints.0;
         }
-        if roster != self.roster.0 {
-            self.roster = (roster, now);
+        if endpoints != self.endpoints.0 {
+            self.endpoints = (endpoints, now);
         }
     }
 
@@ -139,8 +139,8 @@
     pub fn tick(&mut self) {
         let (beats, changes) = self.members.tick(self.clock.now());
         for (planner, number) in beats {
-            let roster = self.roster.0;
-            self.send(&planner, &Message::Beat { number, roster, able: true });
+            let endpoints = self.endpoints.0;
+            self.send(&planner, &Message::Beat { number, roster: endpoints, able: true });
         }
         self.changed(changes);
     }
@@ -214,13 +214,13 @@
 
     // What comes from planners.
 
-    /// Takes a planner's message in; its decisions go to the desk if it is the one that decides.
-    pub fn read(&mut self, hello: &Hello, message: Message, desk: &mut dyn DecisionSink) {
+    /// Takes a planner's message in; its decisions go to the dispatcher if it is the one that decides.
+    pub fn read(&mut self, hello: &Hello, message: Message, dispatcher: &mut dyn DecisionSink) {
         let from = Decider::Planner(hello.name.clone());
         match message {
-            Message::Beat { number, roster, able } => {
+            Message::Beat { number, roster: endpoints, able } => {
                 self.send(&hello.name, &Message::Heard { number });
-                let changes = self.members.beat(&hello.name, hello.incarnation, roster, able);
+                let changes = self.members.beat(&hello.name, hello.incarnation, endpoints, able);
                 self.changed(changes);
             }
             Message::Heard { number } => self.members.heard(&hello.name, hello.incarnation, number),
@@ -263,13 +263,13 @@
                 if let Some(record) = self.queries.get_mut(&query).map(|query| &mut query.parts[at]) {
                     self.calls.insert((part.clone(), record.calls.len()), hello.name.clone());
                     record.calls.push((node.clone(), now, None));
-                    desk.start_attempt(&part, &node, limit);
+                    dispatcher.start_attempt(&part, &node, limit);
                 }
             }
             Message::Cancel { part, hop, .. } => {
                 // After the final answer as well: the losers of its race.
                 match self.calls.get(&(part.clone(), hop as usize)) {
-                    Some(planner) if *planner == hello.name => desk.cancel_attempt(&part, hop as usize),
+                    Some(planner) if *planner == hello.name => dispatcher.cancel_attempt(&part, hop as usize),
                     Some(_) => self.counters.one("decisions_refused"),
                     // The call ended here while the word to cancel it was on its way.
                     None => self.counters.one("cancels_crossed"),
@@ -277,17 +277,17 @@
             }
             Message::Answer { term, query, whole } => {
                 if self.finish(&from, term, &query) {
-                    desk.answer(&query, whole);
+                    dispatcher.answer(&query, whole);
                 }
             }
             Message::Reject { term, query, come_back } => {
                 if self.finish(&from, term, &query) {
-                    desk.reject(&query, come_back);
+                    dispatcher.reject(&query, come_back);
                 }
             }
             Message::Abort { term, query } => {
                 if self.finish(&from, term, &query) {
-                    desk.fail(&query);
+                    dispatcher.fail(&query);
                 }
             }
             Message::Take { .. } | Message::Ended { .. } | Message::Left { .. } => {
@@ -351,7 +351,7 @@
     }
 }
 
-/// What the desk tells, on its way to whoever decides.
+/// What the dispatcher tells, on its way to whoever decides.
 pub struct Split<'a> {
     forwarder: &'a mut Forwarder,
     own: &'a mut dyn PolicyInput,
--- a/crates/router/src/tier/links.rs
+++ b/crates/router/src/tier/links.rs
@@ -3,8 +3,8 @@
 use super::Outbox;
 use super::forwarder::Forwarder;
 use crate::io::rounds::{self, Pen};
-use crate::state::Shared;
-use crate::state::descriptors::Share;
+use crate::state::DispatcherHandle;
+use crate::state::descriptors::DescriptorPool;
 use alderway_sockets::Sender;
 use alderway_tier::frames::Message;
 use alderway_transport::frames::{Hello, Read, Reader};
@@ -25,18 +25,24 @@
 const TICK: Duration = Duration::from_millis(10);
 
 /// Keeps up connections to all planners, for as long as the program runs.
-pub fn start(desk: &Shared, tier: &Tier, planners: &[SocketAddr], share: &Arc<Share>, seed: u64) {
+pub fn start(
+    dispatcher: &DispatcherHandle,
+    tier: &Tier,
+    planners: &[SocketAddr],
+    share: &Arc<DescriptorPool>,
+    seed: u64,
+) {
     for (n, planner) in planners.iter().enumerate() {
-        let (desk, tier, share, planner) = (desk.clone(), tier.clone(), share.clone(), *planner);
-        spawn_local(async move { keep(desk, tier, planner, share, seed ^ (n as u64) << 17).await });
+        let (dispatcher, tier, share, planner) = (dispatcher.clone(), tier.clone(), share.clone(), *planner);
+        spawn_local(async move { keep(dispatcher, tier, planner, share, seed ^ (n as u64) << 17).await });
     }
-    let (tier, desk) = (tier.clone(), desk.clone());
+    let (tier, dispatcher) = (tier.clone(), dispatcher.clone());
     spawn_local(async move {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            let index = desk.borrow().roster.index.unwrap_or(0);
+            let index = dispatcher.borrow().endpoints.index.unwrap_or(0);
             let mut tier = tier.borrow_mut();
             tier.knows(index);
             tier.tick();
@@ -44,12 +50,18 @@
     });
 }
 
-async fn keep(desk: Shared, tier: Tier, planner: SocketAddr, share: Arc<Share>, seed: u64) {
+async fn keep(
+    dispatcher: DispatcherHandle,
+    tier: Tier,
+    planner: SocketAddr,
+    share: Arc<DescriptorPool>,
+    seed: u64,
+) {
     let mut waits = Waits::new(seed);
     loop {
         if let Ok(Ok(stream)) = timeout(PATIENCE, alderway_sockets::dial(planner)).await {
             let _ = stream.set_nodelay(true);
-            match speak(&desk, &tier, &stream, &share).await {
+            match speak(&dispatcher, &tier, &stream, &share).await {
                 Ok(()) => waits.met(),
                 Err(why) => tracing::warn!(target: "tier", "planner at {planner}: {why}"),
             }
@@ -59,7 +71,12 @@
 }
 
 /// Speaks until the connection ends; an error if it was of no use.
-async fn speak(desk: &Shared, tier: &Tier, stream: &TcpStream, share: &Arc<Share>) -> Result<(), String> {
+async fn speak(
+    dispatcher: &DispatcherHandle,
+    tier: &Tier,
+    stream: &TcpStream,
+    share: &Arc<DescriptorPool>,
+) -> Result<(), String> {
     let mut first = Outbox::new(&tier.borrow().hello()).bytes;
     let (mut reader, mut space) = (Reader::default(), vec![0; 64 * 1024]);
     let hello = greet(stream, &mut first, &mut reader, &mut space).await?;
@@ -73,9 +90,9 @@
     if let Some(outbox) = tier.borrow_mut().outbox(&hello) {
         outbox.bytes.clear();
     }
-    let ended = talk(desk, tier, stream, share, &hello, &wake, reader, space).await;
+    let ended = talk(dispatcher, tier, stream, share, &hello, &wake, reader, space).await;
     tier.borrow_mut().ended(&hello);
-    desk.borrow().came.notify_one();
+    dispatcher.borrow().came.notify_one();
     match ended {
         Some(why) => Err(why),
         None => Ok(()),
@@ -85,10 +102,10 @@
 /// Writes what waits and reads what comes; returns what was wrong with the peer, if anything.
 #[allow(clippy::too_many_arguments)]
 async fn talk(
-    desk: &Shared,
+    dispatcher: &DispatcherHandle,
     tier: &Tier,
     stream: &TcpStream,
-    share: &Arc<Share>,
+    share: &Arc<DescriptorPool>,
     hello: &Hello,
     wake: &Rc<Notify>,
     mut reader: Reader<Message>,
@@ -114,7 +131,7 @@
             match reader.read() {
                 Ok(Some(Read::Message(message))) => {
                     called = true;
-                    tier.borrow_mut().read(hello, message, &mut Pen::bare(desk));
+                    tier.borrow_mut().read(hello, message, &mut Pen::bare(dispatcher));
                 }
                 Ok(Some(Read::Hello(_))) => return Some("it says hello twice".into()),
                 Ok(None) => break,
@@ -122,7 +139,7 @@
             }
         }
         if called {
-            rounds::post(desk, share);
+            rounds::post(dispatcher, share);
             continue;
         }
         tokio::select! {
--- a/crates/router/src/tier/mod.rs
+++ b/crates/router/src/tier/mod.rs
@@ -1,5 +1,5 @@
 //! The two levels on sockets. A forwarder is a router whose decisions come from planners, as far as any can be asked: it
-//! holds clients, queries, leaf calls and connections to data nodes, and stands between its desk and its own module
+//! holds clients, queries, leaf calls and connections to data nodes, and stands between its dispatcher and its own module
 //! (`forwarder`); `links` are its connections to planners. A planner holds the module for many forwarders (`planner`);
 //! `post` is its listener. Who decides for what stands in `alderway_tier`, which data node in the decision module.
 pub mod forwarder;
