--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -4,7 +4,7 @@
 use super::Outbox;
 use crate::io::discovery::Follower;
 use crate::state::counters::Counters;
-use crate::state::roster::Roster;
+use crate::state::endpoints::EndpointTable;
 use alderway::interface::{AttemptOutcome, DecisionSink, NodeObservation, PolicyInput};
 use alderway::policy::Policy;
 use alderway_telemetry::clock::Clock;
@@ -71,7 +71,7 @@
     verticals: usize,
     deadline: f64,
     room: usize,
-    pub roster: Roster,
+    pub endpoints: EndpointTable,
     sessions: BTreeMap<SessionId, Session>,
     queries: BTreeMap<u64, Query>,
     /// By the module's names, which hold the session's number.
@@ -112,13 +112,13 @@
 }
 
 impl Planner {
-    pub fn new(clock: Clock, verticals: usize, deadline: f64, room: usize, roster: Roster) -> Self {
+    pub fn new(clock: Clock, verticals: usize, deadline: f64, room: usize, endpoints: EndpointTable) -> Self {
         Planner {
             clock,
             verticals,
             deadline,
             room,
-            roster,
+            endpoints,
             sessions: BTreeMap::new(),
             queries: BTreeMap::new(),
             ids: BTreeMap::new(),
@@ -141,7 +141,7 @@
 
     /// Whether new queries are taken: data nodes are known, there is room, and no stop has begun.
     fn able(&self) -> bool {
-        self.roster.names_any() && !self.stopping && self.held < self.room
+        self.endpoints.names_any() && !self.stopping && self.held < self.room
     }
 
     // Forwarders.
@@ -240,7 +240,9 @@
             }
             Message::Evidence { node, started, late, far, sick, .. } => {
                 let seen = self.clock.now();
-                let Some(here) = self.roster.nodes.get(&node).map(|node| node.started) else { return true };
+                let Some(here) = self.endpoints.nodes.get(&node).map(|node| node.started) else {
+                    return true;
+                };
                 if let Some(started) = same_start(here, started, seen) {
                     self.counters.one("evidence_heard");
                     self.came.push(Came::NodeObservation(
@@ -305,15 +307,19 @@
 
     /// Says how this planner is to every forwarder; those that answered nothing for so long are over.
     pub fn beat(&mut self, patience: f64) {
-        let (able, roster, now) = (self.able(), self.roster.index.unwrap_or(0), self.clock.now());
-        if self.since.is_none() && self.roster.names_any() {
+        let (able, endpoints, now) = (self.able(), self.endpoints.index.unwrap_or(0), self.clock.now());
+        if self.since.is_none() && self.endpoints.names_any() {
             self.since = Some(now);
         }
         for session in self.sessions.values_mut() {
             session.next += 1;
             let name = session.name.as_deref();
             let taken = name.zip(self.since).is_some_and(|(name, since)| ramp::takes(name, since, RAMP, now));
-            session.outbox.send(&Message::Beat { number: session.next, roster, able: able && taken });
+            session.outbox.send(&Message::Beat {
+                number: session.next,
+                roster: endpoints,
+                able: able && taken,
+            });
             let since = *session.unanswered.get_or_insert(now);
             if now - since > patience {
                 session.outbox.over = true;
@@ -329,8 +335,8 @@
     }
 
     fn tell(&mut self, now: f64, module: &mut dyn PolicyInput) {
-        self.roster.tell(module);
-        self.roster.forget_gone();
+        self.endpoints.tell(module);
+        self.endpoints.forget_gone();
         let due: Vec<u64> = self.alarms.extract_if(.., |alarm| alarm.0 <= now).map(|alarm| alarm.1).collect();
         self.came.extend(due.into_iter().map(Came::Alarm));
         for came in std::mem::take(&mut self.came) {
@@ -446,7 +452,7 @@
     fn share_observation(&mut self, node: &str, seen: NodeObservation) {
         let mut planner = self.0.borrow_mut();
         let now = planner.clock.now();
-        let started = planner.roster.nodes.get(node).and_then(|node| node.started).map(|at| now - at);
+        let started = planner.endpoints.nodes.get(node).and_then(|node| node.started).map(|at| now - at);
         let NodeObservation { slow_for_s: late, very_slow_for_s: far, unresponsive_for_s: sick, .. } = seen;
         for (n, session) in planner.sessions.values_mut().enumerate() {
             let (node, relay) = (node.into(), n == 0);
@@ -465,8 +471,8 @@
     fn asked(&self) -> Arc<Notify> {
         self.asked.clone()
     }
-    fn roster(&mut self) -> &mut Roster {
-        &mut self.roster
+    fn endpoints(&mut self) -> &mut EndpointTable {
+        &mut self.endpoints
     }
     fn changed(&mut self) {
         self.counters.one("roster_changes");
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -36,14 +36,14 @@
 
 /// Runs a planner until SIGTERM has been seen through: it takes nothing new, and what it holds ends first.
 pub async fn run(station: Station, clock: Clock) -> io::Result<()> {
-    let Station { path, beside, name, listen, discovery, roster, seed, fixed, .. } = station;
+    let Station { path, beside, name, listen, discovery, endpoints, seed, fixed, .. } = station;
     let (mut terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let mut router = Policy::new(seed, station.began.terms);
     // It tells forwarders what it sees of data nodes, as one core tells others.
     router.join(SharedLimits::new(2).for_core(0));
     let verticals = station.verticals.len();
     let (deadline, room) = (station.room.max_deadline_s, station.room.max_open);
-    let shared = Rc::new(RefCell::new(Planner::new(clock, verticals, deadline, room, roster)));
+    let shared = Rc::new(RefCell::new(Planner::new(clock, verticals, deadline, room, endpoints)));
     let listener = TcpListener::bind(listen).await?;
     let at = listener.local_addr()?;
     tracing::info!(target: "start", "{name} listens at {at}: a planner");
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the router serves: as a desk takes them over, as they are checked, and as the program does it
+//! Settings that change while the router serves: as a dispatcher takes them over, as they are checked, and as the program does it
 //! over sockets. Each story fails when the code behind it breaks.
 mod common;
 use alderway::interface::AttemptOutcome;
@@ -6,11 +6,11 @@
 use alderway_deployment::live::{self, Changes};
 use alderway_router::lifecycle::settings::{Live, Outcome, check};
 use alderway_router::lifecycle::start::Role;
-use alderway_router::state::clients::Client;
-use alderway_router::state::desk::Desk;
-use alderway_router::state::house::{House, Sharing};
-use alderway_router::state::queries::{Part, Query};
-use alderway_router::state::terms::Issue;
+use alderway_router::state::clients::ClientConnection;
+use alderway_router::state::dispatcher::Dispatcher;
+use alderway_router::state::queries::{Query, ShardRequest};
+use alderway_router::state::query_classes::ConfigGeneration;
+use alderway_router::state::shared::{MulticoreConfig, SharedState};
 use alderway_telemetry::clock::Clock;
 use common::*;
 use rstest::rstest;
@@ -92,35 +92,35 @@
     assert_eq!(live::changes(&held(), &new), Changes::default());
 }
 
-// The desk.
+// The dispatcher.
 
 struct Started {
-    desk: Desk,
+    dispatcher: Dispatcher,
     module: Policy,
-    news: watch::Sender<Arc<Issue>>,
+    news: watch::Sender<Arc<ConfigGeneration>>,
 }
 
-fn issue(serial: u64, all: &Value) -> Arc<Issue> {
-    Arc::new(Issue { serial, settings: live::settings(all).expect("sound") })
+fn issue(serial: u64, all: &Value) -> Arc<ConfigGeneration> {
+    Arc::new(ConfigGeneration { serial, settings: live::settings(all).expect("sound") })
 }
 
-/// A desk and its module, with one data node.
-fn desk() -> Started {
+/// A dispatcher and its module, with one data node.
+fn dispatcher() -> Started {
     let began = issue(0, &held());
     let (trunk, room) = (began.settings.trunk, began.settings.intake);
-    let mut desk = Desk::new(Clock::default(), trunk, room, vec![]);
+    let mut dispatcher = Dispatcher::new(Clock::default(), trunk, room, vec![]);
     let (news, told) = watch::channel(began);
-    desk.follow_settings(told);
-    desk.roster.begin(1, true);
+    dispatcher.follow_settings(told);
+    dispatcher.endpoints.begin(1, true);
     let address = ([127, 0, 0, 1], 1).into();
-    desk.roster.entry("s", address, 0, alderway::interface::NodeState::Serving, None);
-    let module = Policy::new(7, desk.terms.newest().expect("terms").clone());
-    let mut started = Started { desk, module, news };
+    dispatcher.endpoints.entry("s", address, 0, alderway::interface::NodeState::Serving, None);
+    let module = Policy::new(7, dispatcher.terms.newest().expect("terms").clone());
+    let mut started = Started { dispatcher, module, news };
     started.round();
     started
 }
 
-/// Decisions of a round, carried out by the desk after it.
+/// Decisions of a round, carried out by the dispatcher after it.
 #[derive(Default)]
 struct Said(Vec<(String, String)>);
 
@@ -148,20 +148,20 @@
 impl Started {
     fn round(&mut self) -> Vec<String> {
         use alderway::interface::DecisionSink;
-        let (now, desk) = (self.desk.clock.now(), &mut self.desk);
+        let (now, dispatcher) = (self.dispatcher.clock.now(), &mut self.dispatcher);
         let mut said = Said::default();
         let told = |intake: &mut dyn alderway::interface::PolicyInput| {
-            desk.tell(now, intake);
+            dispatcher.tell(now, intake);
             Ok::<(), ()>(())
         };
         self.module.round(now, told, &mut said).expect("no fault");
         for (what, which) in &said.0 {
             match what.split_once(' ').expect("two words") {
-                ("call", part) => self.desk.start_attempt(part, which, 5.0),
-                ("cancel", part) => self.desk.cancel_attempt(part, which.parse().expect("a hop")),
-                ("answer", query) => self.desk.answer(query, which == "true"),
-                ("reject", query) => self.desk.reject(query, None),
-                (_, query) => self.desk.fail(query),
+                ("call", part) => self.dispatcher.start_attempt(part, which, 5.0),
+                ("cancel", part) => self.dispatcher.cancel_attempt(part, which.parse().expect("a hop")),
+                ("answer", query) => self.dispatcher.answer(query, which == "true"),
+                ("reject", query) => self.dispatcher.reject(query, None),
+                (_, query) => self.dispatcher.fail(query),
             }
         }
         said.0.into_iter().map(|(what, _)| what).collect()
@@ -172,34 +172,35 @@
     }
 
     /// As a request is taken in; the vertical's place, or none.
-    fn take(&mut self, id: &str, name: &str) -> Option<(usize, Rc<Client>)> {
-        self.desk.renew();
-        let vertical = self.desk.vertical(name)?;
-        let client = Rc::new(Client::default());
-        let parts = vec![Part::new(format!("{id}.1").into(), 1, 1.0)];
-        let (not_after, text) = (self.desk.clock.now() + self.desk.room.max_deadline_s, String::new());
+    fn take(&mut self, id: &str, name: &str) -> Option<(usize, Rc<ClientConnection>)> {
+        self.dispatcher.renew();
+        let vertical = self.dispatcher.vertical(name)?;
+        let client = Rc::new(ClientConnection::default());
+        let parts = vec![ShardRequest::new(format!("{id}.1").into(), 1, 1.0)];
+        let (not_after, text) =
+            (self.dispatcher.clock.now() + self.dispatcher.room.max_deadline_s, String::new());
         let (of, coverage) = (client.clone(), None);
         let query = Query { id: id.into(), vertical, not_after, text, parts, client: of, coverage };
-        self.desk.take(&client, query).expect("taken");
+        self.dispatcher.take(&client, query).expect("taken");
         Some((vertical, client))
     }
 
     fn ends(&mut self, part: &str, ending: AttemptOutcome) -> Vec<String> {
         let id = (part.into(), 0);
-        let node = self.desk.calls.get(&id).expect("it is out").node.clone();
-        self.desk.calls.end(&id, ending, self.desk.clock.now()).expect("it is out");
+        let node = self.dispatcher.calls.get(&id).expect("it is out").node.clone();
+        self.dispatcher.calls.end(&id, ending, self.dispatcher.clock.now()).expect("it is out");
         assert_eq!(node, "s");
         self.round()
     }
 
     fn serial(&self) -> u64 {
-        *self.desk.house.seats[0].settings.borrow()
+        *self.dispatcher.shared.cores[0].settings.borrow()
     }
 }
 
 #[rstest]
 fn an_open_query_stays_in_its_verticals_old_place_and_a_new_one_goes_by_the_newest() {
-    let mut all = desk();
+    let mut all = dispatcher();
     let (old, _client) = all.take("a", "site-search").expect("known");
     all.round();
     // At most once from here on: what was taken before may be sent again.
@@ -215,23 +216,23 @@
 
 #[rstest]
 fn a_query_that_was_taken_but_not_yet_told_keeps_what_it_was_promised() {
-    let mut all = desk();
+    let mut all = dispatcher();
     let (old, client) = all.take("a", "region-report").expect("known");
     let mut new = held();
     new["Services"].as_array_mut().expect("a list").truncate(1);
     all.offer(1, &new);
     assert_eq!(all.round(), ["call a.1"]);
     assert!(all.take("b", "region-report").is_none(), "unknown from here on");
-    assert_eq!(all.desk.queries.open_in(old), 1);
+    assert_eq!(all.dispatcher.queries.open_in(old), 1);
     assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
     assert!(client.out.borrow().starts_with(b"HTTP/1.1 200 "));
-    let counted = all.desk.figures();
+    let counted = all.dispatcher.figures();
     assert!(counted.contains("queries_merged{region-report} 1"), "{counted}");
 }
 
 #[rstest]
 fn many_changes_leave_nothing_behind() {
-    let mut all = desk();
+    let mut all = dispatcher();
     let _client = all.take("a", "site-search").expect("known");
     all.round();
     for n in 1..=650 {
@@ -240,54 +241,60 @@
         if n % 3 > 0 {
             all.round();
         } else {
-            all.desk.renew();
+            all.dispatcher.renew();
         }
     }
     all.round();
-    assert!(all.desk.places() <= 5, "{} places for two verticals and one open query", all.desk.places());
+    assert!(
+        all.dispatcher.places() <= 5,
+        "{} places for two verticals and one open query",
+        all.dispatcher.places()
+    );
     assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
 }
 
 #[rstest]
 fn a_shorter_deadline_is_for_new_queries_and_replies_to_old_ones_are_still_waited_for() {
-    let mut all = desk();
+    let mut all = dispatcher();
     let (_, client) = all.take("a", "site-search").expect("known");
-    let until = all.desk.queries.get(client.query.get().expect("open")).expect("open").not_after;
+    let until = all.dispatcher.queries.get(client.query.get().expect("open")).expect("open").not_after;
     let mut new = with("/Services/0/DeadlineUs", json!(1_000_000));
     new["Services"][1]["DeadlineUs"] = json!(1_000_000);
     all.offer(1, &new);
     all.round();
     let (_, other) = all.take("b", "site-search").expect("known");
-    let of = |client: &Rc<Client>| all.desk.queries.get(client.query.get().expect("open")).expect("open");
-    let now = all.desk.clock.now();
+    let of = |client: &Rc<ClientConnection>| {
+        all.dispatcher.queries.get(client.query.get().expect("open")).expect("open")
+    };
+    let now = all.dispatcher.clock.now();
     assert_eq!(of(&client).not_after, until);
     assert!(of(&other).not_after <= now + 1.0);
-    assert_eq!(all.desk.longest_deadline(now), 5.0);
-    assert_eq!(all.desk.longest_deadline(now + 5.1), 1.0);
+    assert_eq!(all.dispatcher.longest_deadline(now), 5.0);
+    assert_eq!(all.dispatcher.longest_deadline(now + 5.1), 1.0);
 }
 
 #[rstest]
 fn a_module_that_starts_anew_starts_with_the_newest() {
-    let mut all = desk();
+    let mut all = dispatcher();
     let _client = all.take("a", "site-search").expect("known");
     all.round();
     all.offer(1, &with("/Services/0/Effect", json!("at_most_once")));
     all.round();
-    all.desk.start_over();
-    all.module = Policy::new(7, all.desk.terms.newest().expect("terms").clone());
+    all.dispatcher.start_over();
+    all.module = Policy::new(7, all.dispatcher.terms.newest().expect("terms").clone());
     all.round();
     let (place, _client) = all.take("b", "site-search").expect("known");
-    assert_eq!((place, all.desk.places()), (0, 2), "as after a start");
+    assert_eq!((place, all.dispatcher.places()), (0, 2), "as after a start");
     assert_eq!(all.round(), ["call b.1"]);
     assert_eq!(all.ends("b.1", AttemptOutcome::Error), ["abort b"]);
 }
 
 // The one path for all that bring settings.
 
-fn live(role: Role) -> (Live, Arc<House>) {
-    let house = House::new(180, Sharing { cores: 2, ..Sharing::default() }, 1.0).0;
+fn live(role: Role) -> (Live, Arc<SharedState>) {
+    let shared = SharedState::new(180, MulticoreConfig { cores: 2, ..MulticoreConfig::default() }, 1.0).0;
     let began = live::settings(&held()).expect("sound");
-    (Live::new(house.clone(), role, held(), began, None), house)
+    (Live::new(shared.clone(), role, held(), began, None), shared)
 }
 
 fn block_on<T>(what: impl Future<Output = T>) -> T {
@@ -297,7 +304,7 @@
 
 #[rstest]
 fn an_offer_is_answered_when_every_core_that_serves_has_it() {
-    let (live, house) = live(Role::Router);
+    let (live, shared) = live(Role::Router);
     let hangs = Rc::new(std::cell::Cell::new(false));
     let serves = hangs.clone();
     live.attach(Box::new(|_| ()), Some(Box::new(move |core| core == 0 || !serves.get())));
@@ -314,7 +321,7 @@
                 }
             } => {}
         }
-        house.seats[0].settings.send_replace(1);
+        shared.cores[0].settings.send_replace(1);
         tokio::select! {
             biased;
             outcome = &mut offer => panic!("{outcome:?} though core 1 has not"),
--- a/crates/router/tests/layouts.rs
+++ b/crates/router/tests/shard_map.rs
@@ -1,4 +1,4 @@
-//! Stories of a core whose shards split, merge and move while parts are out: what its desk sends, what it tells the
+//! Stories of a core whose shards split, merge and move while parts are out: what its dispatcher sends, what it tells the
 //! module, and what it answers.
 use alderway::interface::*;
 use alderway::policy::Policy;
@@ -7,10 +7,10 @@
 use alderway_layouts::layout::{Change, Shard};
 use alderway_layouts::{Key, Range, ShardId};
 use alderway_router::io::discovery::Follower;
-use alderway_router::state::clients::Client;
-use alderway_router::state::desk::{Desk, Dial};
-use alderway_router::state::ground::{Following, Ground, Target};
+use alderway_router::state::clients::ClientConnection;
+use alderway_router::state::dispatcher::{Dial, Dispatcher};
 use alderway_router::state::queries::Query;
+use alderway_router::state::shard_map::{QueryTarget, ShardMapConfig, ShardMapView};
 use alderway_router::wire::{layout, query};
 use alderway_telemetry::clock::Clock;
 use proptest::prelude::*;
@@ -64,8 +64,8 @@
     News::Whole { version, keys: 100, shards: shards.iter().map(shard).collect() }
 }
 
-fn change(desk: &mut Desk, version: u64, changes: Vec<Change>) {
-    desk.layout(News::Changes { version, after: version - 1, changes }).expect("a sound change");
+fn change(dispatcher: &mut Dispatcher, version: u64, changes: Vec<Change>) {
+    dispatcher.layout(News::Changes { version, after: version - 1, changes }).expect("a sound change");
 }
 
 fn split(parent: ShardId, children: &[(ShardId, Key)]) -> Change {
@@ -77,7 +77,7 @@
 }
 
 /// Nodes `n0` to `n5`, one a cell; shards 1 (keys 0 to 50) and 2 (50 to 100), both held by cells 0 and 1.
-fn desk(room: usize) -> Desk {
+fn dispatcher(room: usize) -> Dispatcher {
     let trunk = deployment::ConnectionConfig {
         streams_per_connection: 8,
         max_batch: 8,
@@ -92,72 +92,77 @@
         max_deadline_s: 10.0,
         polls_endpoints: false,
     };
-    let mut desk = Desk::new(Clock::default(), trunk, room, vec!["v".into()]);
-    desk.ground = Some(Ground::new(Following { grace: 2.0, lag: 0.25 }));
-    desk.roster.begin(1, true);
+    let mut dispatcher = Dispatcher::new(Clock::default(), trunk, room, vec!["v".into()]);
+    dispatcher.shard_map = Some(ShardMapView::new(ShardMapConfig { grace: 2.0, lag: 0.25 }));
+    dispatcher.endpoints.begin(1, true);
     for cell in 0..6u32 {
         let at = ([127, 0, 0, 1], 1 + cell as u16).into();
-        desk.roster.entry(&format!("n{cell}"), at, cell, NodeState::Serving, None);
+        dispatcher.endpoints.entry(&format!("n{cell}"), at, cell, NodeState::Serving, None);
     }
-    assert!(!desk.able(), "no layout is known yet");
-    desk.layout(whole(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])])).expect("sound");
-    assert!(desk.able());
-    told(&mut desk);
-    desk
+    assert!(!dispatcher.able(), "no layout is known yet");
+    dispatcher.layout(whole(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])])).expect("sound");
+    assert!(dispatcher.able());
+    told(&mut dispatcher);
+    dispatcher
 }
 
-fn told(desk: &mut Desk) -> Vec<String> {
-    let (mut told, now) = (Told::default(), desk.clock.now());
-    desk.tell(now, &mut told);
+fn told(dispatcher: &mut Dispatcher) -> Vec<String> {
+    let (mut told, now) = (Told::default(), dispatcher.clock.now());
+    dispatcher.tell(now, &mut told);
     told.0
 }
 
-fn ask(desk: &mut Desk, id: &str, targets: &[Target]) -> Result<Rc<Client>, &'static str> {
-    let client = Rc::new(Client::default());
+fn ask(
+    dispatcher: &mut Dispatcher,
+    id: &str,
+    targets: &[QueryTarget],
+) -> Result<Rc<ClientConnection>, &'static str> {
+    let client = Rc::new(ClientConnection::default());
     let (parts, coverage) =
-        desk.ground.as_ref().expect("layouts").map(id, targets).map_err(|refusal| refusal.1)?;
-    let (not_after, text, of) = (desk.clock.now() + 5.0, "text".to_string(), client.clone());
+        dispatcher.shard_map.as_ref().expect("layouts").map(id, targets).map_err(|refusal| refusal.1)?;
+    let (not_after, text, of) = (dispatcher.clock.now() + 5.0, "text".to_string(), client.clone());
     let coverage = Some(coverage);
-    desk.take(&client, Query { id: id.into(), vertical: 0, not_after, text, parts, client: of, coverage })
+    dispatcher
+        .take(&client, Query { id: id.into(), vertical: 0, not_after, text, parts, client: of, coverage })
         .map_err(|refusal| refusal.1)?;
     Ok(client)
 }
 
-fn take(desk: &mut Desk, from: Key, to: Key) -> Rc<Client> {
-    ask(desk, "q", &[(None, Some((from, to)), 1.0)]).expect("taken")
+fn take(dispatcher: &mut Dispatcher, from: Key, to: Key) -> Rc<ClientConnection> {
+    ask(dispatcher, "q", &[(None, Some((from, to)), 1.0)]).expect("taken")
 }
 
-fn send(desk: &mut Desk, node: &str, parts: &[&str]) -> Dial {
-    parts.iter().for_each(|part| desk.start_attempt(part, node, 5.0));
-    let now = desk.clock.now();
-    desk.post(now).remove(0)
+fn send(dispatcher: &mut Dispatcher, node: &str, parts: &[&str]) -> Dial {
+    parts.iter().for_each(|part| dispatcher.start_attempt(part, node, 5.0));
+    let now = dispatcher.clock.now();
+    dispatcher.post(now).remove(0)
 }
 
-fn write(desk: &mut Desk, dial: &Dial) -> String {
+fn write(dispatcher: &mut Dispatcher, dial: &Dial) -> String {
     let mut out = vec![];
-    assert!(desk.next_frame(&dial.node, dial.line, &mut out));
-    let now = desk.clock.now();
-    desk.roster.line(&dial.node, dial.line).expect("a connection").written(now);
+    assert!(dispatcher.next_frame(&dial.node, dial.line, &mut out));
+    let now = dispatcher.clock.now();
+    dispatcher.endpoints.line(&dial.node, dial.line).expect("a connection").written(now);
     String::from_utf8_lossy(&out[4..]).to_string()
 }
 
-fn body(client: &Client) -> String {
+fn body(client: &ClientConnection) -> String {
     let text = String::from_utf8_lossy(&client.out.borrow()).to_string();
     text.split("\r\n\r\n").nth(1).unwrap_or_default().to_string()
 }
 
 #[rstest]
 fn keys_are_asked_of_the_shards_that_cover_them_and_each_weighs_the_same() {
-    let mut desk = desk(100);
-    let client = take(&mut desk, 40, 60);
-    assert_eq!(told(&mut desk), ["query q", "part q.1.40-50 1 0.50", "part q.2.50-60 2 0.50"]);
-    let dial = send(&mut desk, "n0", &["q.1.40-50", "q.2.50-60"]);
-    let text = write(&mut desk, &dial);
+    let mut dispatcher = dispatcher(100);
+    let client = take(&mut dispatcher, 40, 60);
+    assert_eq!(told(&mut dispatcher), ["query q", "part q.1.40-50 1 0.50", "part q.2.50-60 2 0.50"]);
+    let dial = send(&mut dispatcher, "n0", &["q.1.40-50", "q.2.50-60"]);
+    let text = write(&mut dispatcher, &dial);
     assert!(text.starts_with("Sq.1.40-50 1 d=") && text.contains(",v=1,k=40-50 4\ntext"), "{text}");
     for (part, keys) in [("q.1.40-50", "keys=40-50"), ("q.2.50-60", "load=3,keys=50-60")] {
-        assert!(desk.answered("n0", dial.line, part, AttemptOutcome::Success, keys, "v"));
+        assert!(dispatcher.answered("n0", dial.line, part, AttemptOutcome::Success, keys, "v"));
     }
-    desk.answer("q", true);
+    dispatcher.answer("q", true);
     assert_eq!(
         body(&client),
         r#"{"whole":true,"results":[{"partition":1,"keys":[40,50],"value":"v"},{"partition":2,"keys":[50,60],"value":"v"}]}"#
@@ -172,52 +177,52 @@
 #[case::twice(&[(None, Some((0, 10)), 0.5), (None, Some((9, 20)), 0.5)], "`keys` stand twice")]
 #[case::a_shard_and_its_keys(&[(Some(1), None, 0.5), (None, Some((9, 20)), 0.5)], "`keys` stand twice")]
 #[case::both(&[(Some(1), Some((0, 10)), 1.0)], "a target names either `partition` or `keys`")]
-fn a_query_for_what_is_not_there_is_refused(#[case] targets: &[Target], #[case] why: &str) {
-    assert_eq!(ask(&mut desk(100), "q", targets).err(), Some(why));
+fn a_query_for_what_is_not_there_is_refused(#[case] targets: &[QueryTarget], #[case] why: &str) {
+    assert_eq!(ask(&mut dispatcher(100), "q", targets).err(), Some(why));
 }
 
 #[rstest]
 fn a_part_that_nobody_holds_whole_is_divided_and_its_late_answer_takes_the_place_of_its_heirs() {
-    let mut desk = desk(100);
-    let client = take(&mut desk, 0, 50);
-    let old = send(&mut desk, "n0", &["q.1.0-50"]);
-    write(&mut desk, &old);
-    told(&mut desk);
+    let mut dispatcher = dispatcher(100);
+    let client = take(&mut dispatcher, 0, 50);
+    let old = send(&mut dispatcher, "n0", &["q.1.0-50"]);
+    write(&mut dispatcher, &old);
+    told(&mut dispatcher);
     // Split alone, it goes on as it is: the same cells hold all of it.
-    change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)])]);
-    assert!(!told(&mut desk).iter().any(|t| t.contains("into")));
-    change(&mut desk, 3, vec![moved(3, &[2]), moved(4, &[3])]);
-    let told_now = told(&mut desk);
+    change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)])]);
+    assert!(!told(&mut dispatcher).iter().any(|t| t.contains("into")));
+    change(&mut dispatcher, 3, vec![moved(3, &[2]), moved(4, &[3])]);
+    let told_now = told(&mut dispatcher);
     assert!(
         told_now.contains(&r#"q.1.0-50 into [("q.3.0-20", 3, 0.4), ("q.4.20-50", 4, 0.6)]"#.to_string()),
         "{told_now:?}"
     );
     // A copy for one heir: its number follows on the parent's call.
-    let new = send(&mut desk, "n2", &["q.3.0-20"]);
-    write(&mut desk, &new);
-    assert!(desk.answered("n2", new.line, "q.3.0-20", AttemptOutcome::Success, "keys=0-20", "new"));
-    assert_eq!(told(&mut desk), ["q.3.0-20 1 n2 Success"]);
-    assert!(desk.answered("n0", old.line, "q.1.0-50", AttemptOutcome::Success, "keys=0-50", "old"));
-    assert_eq!(told(&mut desk), ["q.3.0-20 0 n0 Success", "q.4.20-50 0 n0 Success"]);
-    desk.answer("q", true);
+    let new = send(&mut dispatcher, "n2", &["q.3.0-20"]);
+    write(&mut dispatcher, &new);
+    assert!(dispatcher.answered("n2", new.line, "q.3.0-20", AttemptOutcome::Success, "keys=0-20", "new"));
+    assert_eq!(told(&mut dispatcher), ["q.3.0-20 1 n2 Success"]);
+    assert!(dispatcher.answered("n0", old.line, "q.1.0-50", AttemptOutcome::Success, "keys=0-50", "old"));
+    assert_eq!(told(&mut dispatcher), ["q.3.0-20 0 n0 Success", "q.4.20-50 0 n0 Success"]);
+    dispatcher.answer("q", true);
     assert_eq!(body(&client), r#"{"whole":true,"results":[{"partition":1,"keys":[0,50],"value":"old"}]}"#);
     // Nothing of it is left once the shard's time is over.
-    told(&mut desk);
-    let ground = desk.ground.as_ref().expect("layouts");
-    assert!(ground.families.is_empty());
-    assert_eq!(ground.history().expect("known").kept(), (1, 0, 0));
+    told(&mut dispatcher);
+    let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
+    assert!(shard_map.families.is_empty());
+    assert_eq!(shard_map.history().expect("known").kept(), (1, 0, 0));
 }
 
 /// Guards against a part that only a node which hangs holds whole, while others hold each piece of it.
 #[rstest]
 fn a_part_is_divided_though_one_cell_still_holds_all_of_it() {
-    let mut desk = desk(100);
-    take(&mut desk, 0, 50);
-    let old = send(&mut desk, "n0", &["q.1.0-50"]);
-    write(&mut desk, &old);
-    told(&mut desk);
-    change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[0, 2]), moved(4, &[0, 3])]);
-    let told = told(&mut desk);
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 0, 50);
+    let old = send(&mut dispatcher, "n0", &["q.1.0-50"]);
+    write(&mut dispatcher, &old);
+    told(&mut dispatcher);
+    change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[0, 2]), moved(4, &[0, 3])]);
+    let told = told(&mut dispatcher);
     assert!(told.iter().any(|t| t.starts_with("q.1.0-50 into")), "{told:?}");
     assert!(
         told.contains(&"shard 3 [0, 2] without {}".into())
@@ -227,30 +232,30 @@
 
 #[rstest]
 fn a_call_shared_by_heirs_is_given_up_only_when_none_waits() {
-    let mut desk = desk(100);
-    take(&mut desk, 0, 50);
-    let old = send(&mut desk, "n0", &["q.1.0-50"]);
-    write(&mut desk, &old);
-    change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
-    told(&mut desk);
-    desk.cancel_attempt("q.3.0-20", 0);
-    assert_eq!(told(&mut desk), ["q.3.0-20 0 n0 Cancelled"]);
-    assert_eq!(desk.calls.count_out(), 1, "the other heir waits for it");
-    desk.cancel_attempt("q.4.20-50", 0);
-    assert_eq!(told(&mut desk), ["q.4.20-50 0 n0 Cancelled"]);
-    assert_eq!((desk.calls.count_out(), write(&mut desk, &old).as_str()), (0, "Cq.1.0-50"));
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 0, 50);
+    let old = send(&mut dispatcher, "n0", &["q.1.0-50"]);
+    write(&mut dispatcher, &old);
+    change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
+    told(&mut dispatcher);
+    dispatcher.cancel_attempt("q.3.0-20", 0);
+    assert_eq!(told(&mut dispatcher), ["q.3.0-20 0 n0 Cancelled"]);
+    assert_eq!(dispatcher.calls.count_out(), 1, "the other heir waits for it");
+    dispatcher.cancel_attempt("q.4.20-50", 0);
+    assert_eq!(told(&mut dispatcher), ["q.4.20-50 0 n0 Cancelled"]);
+    assert_eq!((dispatcher.calls.count_out(), write(&mut dispatcher, &old).as_str()), (0, "Cq.1.0-50"));
 }
 
 #[rstest]
 fn a_failed_call_of_the_parent_is_told_to_each_heir() {
-    let mut desk = desk(100);
-    take(&mut desk, 0, 50);
-    let old = send(&mut desk, "n0", &["q.1.0-50"]);
-    write(&mut desk, &old);
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 0, 50);
+    let old = send(&mut dispatcher, "n0", &["q.1.0-50"]);
+    write(&mut dispatcher, &old);
     // It ends, untold yet, before the change comes.
-    desk.line_lost("n0", old.line);
-    change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
-    let told = told(&mut desk);
+    dispatcher.line_lost("n0", old.line);
+    change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
+    let told = told(&mut dispatcher);
     assert!(
         told.ends_with(&["q.3.0-20 0 n0 ConnectionReset".into(), "q.4.20-50 0 n0 ConnectionReset".into()]),
         "{told:?}"
@@ -259,23 +264,23 @@
 
 #[rstest]
 fn a_query_that_the_module_has_not_heard_of_is_told_as_it_is_now() {
-    let mut desk = desk(100);
-    take(&mut desk, 10, 30);
-    change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)])]);
-    let told = told(&mut desk);
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 10, 30);
+    change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)])]);
+    let told = told(&mut dispatcher);
     let parts: Vec<&String> = told.iter().filter(|t| t.starts_with("part") || t.contains("into")).collect();
     assert_eq!(parts, ["part q.3.10-20 3 0.50", "part q.4.20-30 4 0.50"]);
 }
 
 #[rstest]
 fn a_call_that_has_not_begun_is_taken_back_from_a_node_that_lost_the_shard() {
-    let mut desk = desk(100);
-    take(&mut desk, 0, 50);
-    let dial = send(&mut desk, "n0", &["q.1.0-50"]);
-    told(&mut desk);
-    change(&mut desk, 2, vec![moved(1, &[1, 2])]);
-    assert_eq!(told(&mut desk), ["shard 1 [1, 2] without {}", "q.1.0-50 0 n0 NeverSent"]);
-    assert!(!desk.next_frame("n0", dial.line, &mut vec![]));
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 0, 50);
+    let dial = send(&mut dispatcher, "n0", &["q.1.0-50"]);
+    told(&mut dispatcher);
+    change(&mut dispatcher, 2, vec![moved(1, &[1, 2])]);
+    assert_eq!(told(&mut dispatcher), ["shard 1 [1, 2] without {}", "q.1.0-50 0 n0 NeverSent"]);
+    assert!(!dispatcher.next_frame("n0", dial.line, &mut vec![]));
 }
 
 #[rstest]
@@ -289,13 +294,13 @@
     #[case] report: &str,
     #[case] told_as: AttemptOutcome,
 ) {
-    let mut desk = desk(100);
-    take(&mut desk, 0, 50);
-    let dial = send(&mut desk, "n0", &["q.1.0-50"]);
-    write(&mut desk, &dial);
-    told(&mut desk);
-    assert!(desk.answered("n0", dial.line, "q.1.0-50", ending, report, "v"));
-    let told = told(&mut desk);
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 0, 50);
+    let dial = send(&mut dispatcher, "n0", &["q.1.0-50"]);
+    write(&mut dispatcher, &dial);
+    told(&mut dispatcher);
+    assert!(dispatcher.answered("n0", dial.line, "q.1.0-50", ending, report, "v"));
+    let told = told(&mut dispatcher);
     assert!(told.contains(&format!("q.1.0-50 0 n0 {told_as:?}")), "{told:?}");
     let left_out = told.contains(&r#"shard 1 [0, 1] without {"n0"}"#.to_string());
     assert_eq!(left_out, told_as == AttemptOutcome::ShardMoved, "{told:?}");
@@ -303,65 +308,68 @@
 
 #[rstest]
 fn a_node_that_knows_no_layouts_cannot_answer_for_a_piece_of_its_shard() {
-    let mut desk = desk(100);
-    take(&mut desk, 0, 20);
-    let dial = send(&mut desk, "n0", &["q.1.0-20"]);
-    write(&mut desk, &dial);
-    desk.answered("n0", dial.line, "q.1.0-20", AttemptOutcome::Success, "-", "of all its keys");
-    assert!(told(&mut desk).contains(&"q.1.0-20 0 n0 Error".into()));
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 0, 20);
+    let dial = send(&mut dispatcher, "n0", &["q.1.0-20"]);
+    write(&mut dispatcher, &dial);
+    dispatcher.answered("n0", dial.line, "q.1.0-20", AttemptOutcome::Success, "-", "of all its keys");
+    assert!(told(&mut dispatcher).contains(&"q.1.0-20 0 n0 Error".into()));
 }
 
 #[rstest]
 fn a_client_that_asked_for_a_shard_gets_one_value_for_it_or_none() {
-    let mut desk = desk(100);
-    let client = ask(&mut desk, "q", &[(Some(1), None, 1.0)]).expect("taken");
-    let dial = send(&mut desk, "n0", &["q.1"]);
-    assert!(write(&mut desk, &dial).contains(",k=0-50 "));
-    told(&mut desk);
-    change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
-    assert!(!told(&mut desk).iter().any(|t| t.contains("into")), "pieces would be of no use to it");
-    desk.answered("n0", dial.line, "q.1", AttemptOutcome::Success, "keys=0-50", "v");
-    desk.answer("q", true);
+    let mut dispatcher = dispatcher(100);
+    let client = ask(&mut dispatcher, "q", &[(Some(1), None, 1.0)]).expect("taken");
+    let dial = send(&mut dispatcher, "n0", &["q.1"]);
+    assert!(write(&mut dispatcher, &dial).contains(",k=0-50 "));
+    told(&mut dispatcher);
+    change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
+    assert!(!told(&mut dispatcher).iter().any(|t| t.contains("into")), "pieces would be of no use to it");
+    dispatcher.answered("n0", dial.line, "q.1", AttemptOutcome::Success, "keys=0-50", "v");
+    dispatcher.answer("q", true);
     assert_eq!(body(&client), r#"{"whole":true,"results":[{"partition":1,"keys":[0,50],"value":"v"}]}"#);
-    assert_eq!(ask(&mut desk, "r", &[(Some(1), None, 1.0)]).err(), Some("`partition` is no shard here"));
+    assert_eq!(
+        ask(&mut dispatcher, "r", &[(Some(1), None, 1.0)]).err(),
+        Some("`partition` is no shard here")
+    );
 }
 
 #[rstest]
 fn without_room_a_part_stays_whole_and_its_query_still_ends() {
     // One query, one part: no room for three heirs.
-    let mut desk = desk(2);
-    take(&mut desk, 0, 50);
-    told(&mut desk);
-    change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20), (5, 30)])]);
-    assert!(!told(&mut desk).iter().any(|t| t.contains("into")));
-    assert!(desk.figures().contains("divisions_without_room 1"));
-    desk.reject("q", None);
-    assert_eq!((desk.queries.held(), desk.house.room.free()), (0, 2));
+    let mut dispatcher = dispatcher(2);
+    take(&mut dispatcher, 0, 50);
+    told(&mut dispatcher);
+    change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20), (5, 30)])]);
+    assert!(!told(&mut dispatcher).iter().any(|t| t.contains("into")));
+    assert!(dispatcher.figures().contains("divisions_without_room 1"));
+    dispatcher.reject("q", None);
+    assert_eq!((dispatcher.queries.held(), dispatcher.shared.room.free()), (0, 2));
 }
 
 #[rstest]
 fn room_and_records_of_divided_parts_are_given_back_with_their_query() {
-    let mut desk = desk(100);
-    take(&mut desk, 0, 100);
-    let old = send(&mut desk, "n0", &["q.1.0-50", "q.2.50-100"]);
-    write(&mut desk, &old);
-    change(&mut desk, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
-    change(&mut desk, 3, vec![split(4, &[(5, 20), (6, 30)]), moved(5, &[2]), moved(6, &[0, 1])]);
-    let number = desk.queries.number("q").expect("open");
-    desk.client_left(number);
-    told(&mut desk);
-    let ground = desk.ground.as_ref().expect("layouts");
-    assert!(ground.families.is_empty());
-    assert_eq!(ground.history().expect("known").kept().1, 0);
-    assert_eq!((desk.calls.count_out(), desk.house.room.free()), (0, 100));
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 0, 100);
+    let old = send(&mut dispatcher, "n0", &["q.1.0-50", "q.2.50-100"]);
+    write(&mut dispatcher, &old);
+    change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
+    change(&mut dispatcher, 3, vec![split(4, &[(5, 20), (6, 30)]), moved(5, &[2]), moved(6, &[0, 1])]);
+    let number = dispatcher.queries.number("q").expect("open");
+    dispatcher.client_left(number);
+    told(&mut dispatcher);
+    let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
+    assert!(shard_map.families.is_empty());
+    assert_eq!(shard_map.history().expect("known").kept().1, 0);
+    assert_eq!((dispatcher.calls.count_out(), dispatcher.shared.room.free()), (0, 100));
 }
 
 #[rstest]
 fn a_module_that_starts_anew_is_told_every_shard() {
-    let mut desk = desk(100);
-    take(&mut desk, 0, 50);
-    desk.start_over();
-    let told = told(&mut desk);
+    let mut dispatcher = dispatcher(100);
+    take(&mut dispatcher, 0, 50);
+    dispatcher.start_over();
+    let told = told(&mut dispatcher);
     assert!(
         told.contains(&"shard 1 [0, 1] without {}".into())
             && told.contains(&"shard 2 [0, 1] without {}".into())
@@ -370,13 +378,13 @@
 
 #[rstest]
 fn faulty_news_change_nothing() {
-    let mut desk = desk(100);
+    let mut dispatcher = dispatcher(100);
     let hole = whole(2, &[(1, 0, 50, &[0, 1])]);
-    assert_eq!(desk.layout(hole).expect_err("a hole").to_string(), "no shard covers key 50");
+    assert_eq!(dispatcher.layout(hole).expect_err("a hole").to_string(), "no shard covers key 50");
     let unknown = News::Changes { version: 3, after: 2, changes: vec![moved(1, &[4])] };
-    assert!(desk.layout(unknown).is_err());
-    assert_eq!(desk.layout_since(), Some(1));
-    assert!(told(&mut desk).is_empty());
+    assert!(dispatcher.layout(unknown).is_err());
+    assert_eq!(dispatcher.layout_since(), Some(1));
+    assert!(told(&mut dispatcher).is_empty());
 }
 
 const CHANGES: &str = r#"{"index":4,"snapshot":false,"endpoints":[],"layout":{"version":9,"after":8,"changes":[
@@ -444,8 +452,8 @@
     assert!(query::targets(body.as_bytes(), false, |_, _, _| Ok(())).is_ok());
 }
 
-/// The desk as the module writes to it.
-struct Pen<'a>(&'a RefCell<Desk>);
+/// The dispatcher as the module writes to it.
+struct Pen<'a>(&'a RefCell<Dispatcher>);
 
 impl DecisionSink for Pen<'_> {
     fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
@@ -514,13 +522,13 @@
 
 /// One core with its module and data nodes that a test plays.
 struct World {
-    desk: RefCell<Desk>,
+    dispatcher: RefCell<Dispatcher>,
     router: Policy,
     /// How far the module's time is ahead of the clock.
     ahead: f64,
     out: Vec<Out>,
     lines: Vec<(String, u64)>,
-    clients: Vec<(Rc<Client>, Range, bool)>,
+    clients: Vec<(Rc<ClientConnection>, Range, bool)>,
     next: ShardId,
     /// Keys that were sent for, by query, where each may be had once.
     ran: Vec<(String, Range)>,
@@ -528,11 +536,11 @@
 
 impl World {
     fn new(effect: Idempotency) -> World {
-        let mut desk = desk(10_000);
+        let mut dispatcher = dispatcher(10_000);
         // Nothing is told yet.
-        desk.start_over();
+        dispatcher.start_over();
         World {
-            desk: RefCell::new(desk),
+            dispatcher: RefCell::new(dispatcher),
             router: module(effect),
             ahead: 0.0,
             out: vec![],
@@ -544,19 +552,20 @@
     }
 
     fn round(&mut self) {
-        let now = self.desk.borrow().clock.now() + self.ahead;
-        let desk = &self.desk;
+        let now = self.dispatcher.borrow().clock.now() + self.ahead;
+        let dispatcher = &self.dispatcher;
         let tell = |intake: &mut dyn PolicyInput| {
-            desk.borrow_mut().tell(now, intake);
+            dispatcher.borrow_mut().tell(now, intake);
             Ok::<(), ()>(())
         };
-        self.router.round(now, tell, &mut Pen(desk)).expect("a round");
-        self.lines.extend(self.desk.borrow_mut().post(now).into_iter().map(|dial| (dial.node, dial.line)));
+        self.router.round(now, tell, &mut Pen(dispatcher)).expect("a round");
+        self.lines
+            .extend(self.dispatcher.borrow_mut().post(now).into_iter().map(|dial| (dial.node, dial.line)));
         for (node, line) in &self.lines {
             let mut frame = vec![];
-            while self.desk.borrow_mut().next_frame(node, *line, &mut frame) {
-                let now = self.desk.borrow().clock.now();
-                if let Some(line) = self.desk.borrow_mut().roster.line(node, *line) {
+            while self.dispatcher.borrow_mut().next_frame(node, *line, &mut frame) {
+                let now = self.dispatcher.borrow().clock.now();
+                if let Some(line) = self.dispatcher.borrow_mut().endpoints.line(node, *line) {
                     (line.up, _) = (true, line.written(now));
                 }
                 let text = String::from_utf8(frame.split_off(4)).expect("text");
@@ -583,15 +592,15 @@
             return;
         }
         let (node, line, part, keys) = self.out.swap_remove(which % self.out.len());
-        let mut desk = self.desk.borrow_mut();
+        let mut dispatcher = self.dispatcher.borrow_mut();
         let (ending, report, value) = match how % 8 {
             0 => (AttemptOutcome::Rejected, "moved=99".to_string(), String::new()),
             1 => (AttemptOutcome::Rejected, "moved=1".to_string(), String::new()),
             2 => (AttemptOutcome::Error, "-".to_string(), String::new()),
             3 => {
-                drop(desk);
+                drop(dispatcher);
                 self.out.retain(|out| out.1 != line);
-                return self.desk.borrow_mut().line_lost(&node, line);
+                return self.dispatcher.borrow_mut().line_lost(&node, line);
             }
             _ => {
                 let value = format!("{}-{}", keys.from, keys.to);
@@ -605,13 +614,14 @@
             }
         }
         assert!(
-            desk.answered(&node, line, &part, ending, &report, &value),
+            dispatcher.answered(&node, line, &part, ending, &report, &value),
             "an answer that was not asked for"
         );
     }
 
     fn change(&mut self, kind: u8, at: Key) {
-        let layout = self.desk.borrow().ground.as_ref().and_then(|g| Some(g.history()?.newest().clone()));
+        let layout =
+            self.dispatcher.borrow().shard_map.as_ref().and_then(|g| Some(g.history()?.newest().clone()));
         let layout = layout.expect("known");
         let shard = layout.of(at % 100).expect("covered");
         let keys = layout.shard(shard).expect("known").keys;
@@ -635,12 +645,13 @@
             }
             _ => vec![cells(at)],
         };
-        change(&mut self.desk.borrow_mut(), layout.version() + 1, changes);
+        change(&mut self.dispatcher.borrow_mut(), layout.version() + 1, changes);
     }
 
     fn query(&mut self, n: usize, from: Key, keys: Key) {
         let to = (from + keys).min(100);
-        let client = ask(&mut self.desk.borrow_mut(), &format!("q{n}"), &[(None, Some((from, to)), 1.0)]);
+        let client =
+            ask(&mut self.dispatcher.borrow_mut(), &format!("q{n}"), &[(None, Some((from, to)), 1.0)]);
         self.clients.push((client.expect("taken"), Range::new(from, to), false));
     }
 }
@@ -654,8 +665,8 @@
     "leaf_calls_sent{copy}",
 ];
 
-fn program_figures(desk: &Desk) -> BTreeMap<String, u64> {
-    let text = desk.figures();
+fn program_figures(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
+    let text = dispatcher.figures();
     let lines = text.lines().filter_map(|line| line.split_once(' '));
     lines.filter_map(|(name, figure)| Some((name.to_string(), figure.parse().ok()?))).collect()
 }
@@ -687,7 +698,7 @@
                     if let Some(client) = open.filter(|_| kind % 4 == 0) {
                         client.2 = true;
                         let number = client.0.query.get().expect("open");
-                        world.desk.borrow_mut().client_left(number);
+                        world.dispatcher.borrow_mut().client_left(number);
                     }
                 }
             }
@@ -727,18 +738,18 @@
                 prop_assert!(!again, "{} ran again for {:?}", query, keys);
             }
         }
-        let desk = world.desk.borrow();
-        let counted = program_figures(&desk);
+        let dispatcher = world.dispatcher.borrow();
+        let counted = program_figures(&dispatcher);
         for (total, name) in totals.iter().zip(NAMES) {
             total.set(total.get() + counted.get(name).copied().unwrap_or(0));
         }
         prop_assert_eq!(
-            (desk.queries.held(), desk.calls.count_out(), desk.house.room.free()),
+            (dispatcher.queries.held(), dispatcher.calls.count_out(), dispatcher.shared.room.free()),
             (0, 0, 10_000)
         );
-        let ground = desk.ground.as_ref().expect("layouts");
-        prop_assert!(ground.families.is_empty());
-        prop_assert_eq!(ground.history().expect("known").kept().1, 0);
+        let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
+        prop_assert!(shard_map.families.is_empty());
+        prop_assert_eq!(shard_map.history().expect("known").kept().1, 0);
         Ok(())
     });
     played.unwrap_or_else(|why| panic!("{why}"));
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -10,7 +10,7 @@
 use alderway_router::control::kept::{self, Kept};
 use alderway_router::control::{Offer, Subscription, start};
 use alderway_router::lifecycle::start::Station;
-use alderway_router::state::house::{Figures, House, Sharing};
+use alderway_router::state::shared::{MetricsSnapshot, MulticoreConfig, SharedState};
 use alderway_telemetry::clock::Clock;
 use alderway_transport::frames::{self, Hello, Speech};
 use rstest::rstest;
@@ -57,20 +57,20 @@
 }
 
 /// A control machine that says that its majority stands, until it is stopped.
-struct Desk {
+struct Dispatcher {
     subscriptions: Subscriptions,
     ticks: JoinHandle<()>,
 }
 
-impl Drop for Desk {
+impl Drop for Dispatcher {
     fn drop(&mut self) {
         self.ticks.abort();
         self.subscriptions.stop();
     }
 }
 
-impl Desk {
-    async fn at(name: &str, at: SocketAddr, upto: VersionNumber) -> Desk {
+impl Dispatcher {
+    async fn at(name: &str, at: SocketAddr, upto: VersionNumber) -> Dispatcher {
         let listening = Subscriptions::listen(name, 1, at, publisher::PublisherConfig::default());
         let mut subscriptions = listening.await.expect("a listener");
         subscriptions.freshness(0.0, true);
@@ -83,11 +83,11 @@
                 told.freshness(0.0, true);
             }
         });
-        Desk { subscriptions, ticks }
+        Dispatcher { subscriptions, ticks }
     }
 
-    async fn new(name: &str, upto: VersionNumber) -> Desk {
-        Desk::at(name, ([127, 0, 0, 1], 0).into(), upto).await
+    async fn new(name: &str, upto: VersionNumber) -> Dispatcher {
+        Dispatcher::at(name, ([127, 0, 0, 1], 0).into(), upto).await
     }
 
     fn commit(&mut self, number: VersionNumber) {
@@ -96,7 +96,7 @@
 }
 
 struct Router {
-    house: Arc<House>,
+    shared: Arc<SharedState>,
     offered: Rc<RefCell<Vec<(VersionNumber, Value)>>>,
 }
 
@@ -138,35 +138,35 @@
         let kept = keep.as_deref().and_then(|path| kept::read(path).ok().flatten());
         let subscription =
             Subscription { machines, zone: "z1".into(), terms: quick(), keep, kept, said: None };
-        Router { house: Router::started(subscription, offer), offered }
+        Router { shared: Router::started(subscription, offer), offered }
     }
 
-    fn started(subscription: Subscription, offer: Offer) -> Arc<House> {
-        let sharing = Sharing { cores: 1, node_connections: None, evidence: false };
-        let house = House::new(100, sharing, f64::INFINITY).0;
-        start(subscription, "r", 5, offer, house.clone(), Clock::default());
-        house
+    fn started(subscription: Subscription, offer: Offer) -> Arc<SharedState> {
+        let sharing = MulticoreConfig { cores: 1, node_connections: None, evidence: false };
+        let shared = SharedState::new(100, sharing, f64::INFINITY).0;
+        start(subscription, "r", 5, offer, shared.clone(), Clock::default());
+        shared
     }
 
-    async fn until(&self, what: impl Fn(&Figures) -> bool) {
-        let mut figures = self.house.control.subscribe();
+    async fn until(&self, what: impl Fn(&MetricsSnapshot) -> bool) {
+        let mut figures = self.shared.control.subscribe();
         let came = timeout(PATIENCE, figures.wait_for(|figures| what(figures))).await;
-        let now = self.house.control.borrow().text();
+        let now = self.shared.control.borrow().text();
         assert!(matches!(came, Ok(Ok(_))), "not in time:\n{now}");
     }
 }
 
-fn figure(figures: &Figures, name: &str) -> Option<u64> {
+fn figure(figures: &MetricsSnapshot, name: &str) -> Option<u64> {
     let text = figures.text();
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     line.and_then(|figure| figure.parse().ok())
 }
 
-fn is(name: &'static str, expected: u64) -> impl Fn(&Figures) -> bool {
+fn is(name: &'static str, expected: u64) -> impl Fn(&MetricsSnapshot) -> bool {
     move |figures| figure(figures, name) == Some(expected)
 }
 
-fn some(name: &'static str) -> impl Fn(&Figures) -> bool {
+fn some(name: &'static str) -> impl Fn(&MetricsSnapshot) -> bool {
     move |figures| figure(figures, name).is_some_and(|figure| figure > 0)
 }
 
@@ -222,34 +222,35 @@
 #[rstest]
 fn versions_come_in_force_one_whole_then_patches_and_the_machine_hears_of_it() {
     story(async {
-        let mut desk = Desk::new("c1", 1).await;
-        let at = desk.subscriptions.address();
+        let mut dispatcher = Dispatcher::new("c1", 1).await;
+        let at = dispatcher.subscriptions.address();
         let router = Router::new(vec![(machine("c1", "z1"), at)], None, &[3]);
         router.until(is("control_version", 1)).await;
-        desk.commit(2);
+        dispatcher.commit(2);
         router.until(is("control_version", 2)).await;
-        desk.commit(3);
+        dispatcher.commit(3);
         router.until(is("control_versions_refused", 1)).await;
         // What it said back is on its way: the machine's word for it.
-        until(|| desk.subscriptions.summary().lagging.iter().any(|l| l.reason.contains("key `x`"))).await;
-        let summary = desk.subscriptions.summary();
+        until(|| dispatcher.subscriptions.summary().lagging.iter().any(|l| l.reason.contains("key `x`")))
+            .await;
+        let summary = dispatcher.subscriptions.summary();
         assert_eq!((summary.by_version.get(&2), summary.lagging.len()), (Some(&1), 1));
         assert_eq!(summary.lagging[0].reason, "refused 3: key `x`: expected y");
-        desk.commit(4);
+        dispatcher.commit(4);
         router.until(is("control_version", 4)).await;
         let offered = router.offered.borrow().clone();
         let expected: Vec<(VersionNumber, Value)> = (1..5).map(|n| (n, settings(n))).collect();
         assert_eq!(offered, expected);
         router.until(|f| is("control_wholes", 1)(f) && is("control_deltas", 3)(f)).await;
         router.until(some("control_version_age_ms")).await;
-        assert!(figure(&router.house.control.borrow(), "control_version_age_ms") < Some(1500));
+        assert!(figure(&router.shared.control.borrow(), "control_version_age_ms") < Some(1500));
     });
 }
 
 #[rstest]
 fn a_machine_that_is_lost_is_left_for_another() {
     story(async {
-        let (first, mut second) = (Desk::new("c1", 1).await, Desk::new("c2", 1).await);
+        let (first, mut second) = (Dispatcher::new("c1", 1).await, Dispatcher::new("c2", 1).await);
         let at = (first.subscriptions.address(), second.subscriptions.address());
         let router = Router::new(vec![(machine("c1", "z1"), at.0), (machine("c2", "z2"), at.1)], None, &[]);
         router.until(is("control_version", 1)).await;
@@ -278,7 +279,7 @@
                 all.push(stream);
             }
         });
-        let second = Desk::new("c2", 1).await;
+        let second = Dispatcher::new("c2", 1).await;
         let list = vec![(machine("c1", "z1"), at), (machine("c2", "z2"), second.subscriptions.address())];
         let router = Router::new(list, None, &[]);
         router.until(is("control_version", 1)).await;
@@ -289,9 +290,9 @@
 #[rstest]
 fn a_connection_that_its_router_has_left_without_a_word_ends_when_it_comes_again() {
     story(async {
-        let desk = Desk::new("c1", 1).await;
+        let dispatcher = Dispatcher::new("c1", 1).await;
         let dial = async |incarnation| {
-            let at = desk.subscriptions.address();
+            let at = dispatcher.subscriptions.address();
             let mut stream = TcpStream::connect(at).await.expect("a connection");
             let mut hello = vec![];
             let said =
@@ -301,21 +302,21 @@
             stream
         };
         let mut former = dial(1).await;
-        until(|| desk.subscriptions.links() == 1).await;
+        until(|| dispatcher.subscriptions.links() == 1).await;
         let later = dial(2).await;
         // The machine's hello, and then its end.
         let mut read = vec![];
         former.read_to_end(&mut read).await.expect("its end");
-        assert_eq!(desk.subscriptions.links(), 1);
+        assert_eq!(dispatcher.subscriptions.links(), 1);
         drop(later);
-        until(|| desk.subscriptions.links() == 0).await;
+        until(|| dispatcher.subscriptions.links() == 0).await;
     });
 }
 
 #[rstest]
 fn a_stale_machine_takes_nobody_back_and_is_left() {
     story(async {
-        let (stale, current) = (Desk::new("c1", 1).await, Desk::new("c2", 3).await);
+        let (stale, current) = (Dispatcher::new("c1", 1).await, Dispatcher::new("c2", 3).await);
         let list = vec![
             (machine("c1", "z2"), stale.subscriptions.address()),
             (machine("c2", "z1"), current.subscriptions.address()),
@@ -325,8 +326,8 @@
         let at = current.subscriptions.address();
         drop(current);
         router.until(some("control_machines_behind")).await;
-        assert_eq!(figure(&router.house.control.borrow(), "control_version"), Some(3));
-        let mut back = Desk::at("c2", at, 3).await;
+        assert_eq!(figure(&router.shared.control.borrow(), "control_version"), Some(3));
+        let mut back = Dispatcher::at("c2", at, 3).await;
         back.commit(4);
         router.until(is("control_version", 4)).await;
         assert_eq!(router.offered.borrow().iter().map(|o| o.0).collect::<Vec<_>>(), [3, 4]);
@@ -340,11 +341,14 @@
     let keep = place.file("version");
     let config = configured(&place);
     story(async {
-        let mut desk = Desk::new("c1", 1).await;
-        let router =
-            Router::new(vec![(machine("c1", "z1"), desk.subscriptions.address())], Some(keep.clone()), &[]);
+        let mut dispatcher = Dispatcher::new("c1", 1).await;
+        let router = Router::new(
+            vec![(machine("c1", "z1"), dispatcher.subscriptions.address())],
+            Some(keep.clone()),
+            &[],
+        );
         router.until(is("control_version", 1)).await;
-        desk.commit(2);
+        dispatcher.commit(2);
         router.until(is("control_version", 2)).await;
         until(|| kept::read(&keep).ok().flatten().is_some_and(|kept| kept.settled.number == 2)).await;
     });
@@ -363,15 +367,20 @@
     assert_eq!(control.kept.as_ref().map(|kept| kept.settled.number), Some(2));
     story(async {
         let router =
-            Router { house: Router::started(control, with_a_start(settings(2))), offered: Rc::default() };
+            Router { shared: Router::started(control, with_a_start(settings(2))), offered: Rc::default() };
         router.until(some("control_dials")).await;
-        assert_eq!(figure(&router.house.control.borrow(), "control_version"), Some(2));
+        assert_eq!(figure(&router.shared.control.borrow(), "control_version"), Some(2));
         // What changes waits for a start here, and is kept for it.
-        let desk = Desk::at("c1", at, 3).await;
+        let dispatcher = Dispatcher::at("c1", at, 3).await;
         router.until(is("control_versions_waiting", 1)).await;
         until(|| kept::read(&keep).ok().flatten().is_some_and(|kept| kept.settled.number == 3)).await;
         until(|| {
-            desk.subscriptions.summary().lagging.iter().any(|l| l.reason == "3 waits for a start: settings")
+            dispatcher
+                .subscriptions
+                .summary()
+                .lagging
+                .iter()
+                .any(|l| l.reason == "3 waits for a start: settings")
         })
         .await;
     });
@@ -433,7 +442,7 @@
 #[rstest]
 fn hollow_routers_share_a_thread_and_have_each_version() {
     story(async {
-        let (mut first, mut second) = (Desk::new("c1", 1).await, Desk::new("c2", 1).await);
+        let (mut first, mut second) = (Dispatcher::new("c1", 1).await, Dispatcher::new("c2", 1).await);
         let list = [
             (machine("c1", "z1"), first.subscriptions.address()),
             (machine("c2", "z2"), second.subscriptions.address()),
--- a/crates/router/tests/following.rs
+++ b/crates/router/tests/watch_state.rs
@@ -1,6 +1,6 @@
 //! The longest time to be told of a change: every order of what can go wrong with watches, played without a socket
 //! or a clock against the spans by which the router follows discovery.
-use alderway_router::state::following::{ANSWER, Following, PAUSE, SILENCE, Watching};
+use alderway_router::state::watch_state::{ANSWER, PAUSE, SILENCE, WatchPhase, WatchState};
 use rstest::rstest;
 
 /// What becomes of a watch that opens before discovery can be reached again, and of those right after.
@@ -24,16 +24,16 @@
 /// cannot be reached, which is until `back`; then `failing` more watches that end or stay mute. Returns how long after
 /// `back` the router is told.
 fn told_after(asks: bool, back: f64, fates: &[Fate], failing: &[Fate]) -> f64 {
-    let mut following = Following::new(asks);
+    let mut following = WatchState::new(asks);
     let (mut now, mut opened, mut after) = (0.0, 0, 0);
     following.open(now);
     following.heard(now);
     loop {
         now = match following.state {
-            Watching::Unasked => now + ASKS,
+            WatchPhase::Unasked => now + ASKS,
             _ => following.due().max(now),
         };
-        if matches!(following.state, Watching::Open { .. } | Watching::Opening { .. }) {
+        if matches!(following.state, WatchPhase::Open { .. } | WatchPhase::Opening { .. }) {
             following.lost(now);
             continue;
         }
@@ -89,14 +89,14 @@
 
 #[rstest]
 fn what_the_module_asked_for_is_still_asked_for_until_a_watch_has_answered() {
-    let mut following = Following::new(true);
-    assert_eq!(following.state, Watching::Unasked);
+    let mut following = WatchState::new(true);
+    assert_eq!(following.state, WatchPhase::Unasked);
     following.open(1.0);
     assert!(!following.lost(2.0), "nothing had answered, so the module hears of no failure");
-    assert_eq!(following.state, Watching::Pausing { until: 2.0 + PAUSE });
+    assert_eq!(following.state, WatchPhase::Pausing { until: 2.0 + PAUSE });
     following.open(2.0 + PAUSE);
     following.answered();
     following.heard(3.0);
     assert!(following.lost(6.0));
-    assert_eq!(following.state, Watching::Unasked);
+    assert_eq!(following.state, WatchPhase::Unasked);
 }
