--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -140,8 +140,10 @@
         station.beside = Some(Arc::new(move || says_else(&path, &held, &text)));
     }
     station.peers = circle(&operator, files, &station.name)?;
-    station.layouts =
-        operator.layouts.map(|l| ShardMapConfig { grace: l.late_clients, lag: l.lagging_nodes });
+    station.layouts = operator.layouts.map(|l| ShardMapConfig {
+        retired_shard_grace_s: l.late_clients,
+        lagging_node_grace_s: l.lagging_nodes,
+    });
     station.role = match operator.tier.clone() {
         Tier::Alone => Role::Router,
         Tier::Forwarder { planners, beat, patience, .. } => Role::Forwarder { planners, beat, patience },
@@ -153,7 +155,7 @@
     };
     let for_peers = station.peers.as_ref().map_or(0, Circle::descriptors);
     let for_control = station.control.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
-    let least = descriptors::least(cores) + for_peers + for_control;
+    let least = descriptors::minimum(cores) + for_peers + for_control;
     if station.sockets < least {
         let what = if for_peers > 0 { " and its peers" } else { "" };
         return Err(format!("key `limits.sockets`: {cores} cores{what} need {least} at least"));
@@ -166,13 +168,26 @@
         LogForm::Text => Form::Text,
         LogForm::Json => Form::Json,
     };
-    Ok(Plan { station, sharing: MulticoreConfig { cores, node_connections, evidence }, form, operator })
+    Ok(Plan {
+        station,
+        sharing: MulticoreConfig {
+            cores,
+            max_connections_per_node: node_connections,
+            shares_observations: evidence,
+        },
+        form,
+        operator,
+    })
 }
 
 fn show(plan: &Plan) -> String {
     let Plan { station, sharing, operator, .. } = plan;
-    let most = sharing.node_connections.map_or("as calls need".to_string(), |most| most.to_string());
-    let told = if sharing.cores > 1 && sharing.evidence { "told between cores" } else { "each core's own" };
+    let most = sharing.max_connections_per_node.map_or("as calls need".to_string(), |most| most.to_string());
+    let told = if sharing.cores > 1 && sharing.shares_observations {
+        "told between cores"
+    } else {
+        "each core's own"
+    };
     let role = match &operator.tier {
         Tier::Alone => "a router that decides by itself".to_string(),
         Tier::Forwarder { planners, count, .. } => {
--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -372,7 +372,7 @@
     let house = house(cores, 1, &Setting::default());
     let open = house.program.descriptors();
     // One more may be discovery's connection in passing.
-    assert!(open < descriptors::apart(cores), "{open} open on {cores} cores");
+    assert!(open < descriptors::reserved(cores), "{open} open on {cores} cores");
 }
 
 #[rstest]
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -102,7 +102,7 @@
     let kept = kept.map(|kept| {
         let number = kept.settled.number;
         tracing::info!(target: "control", "version {number} in force, from the kept file");
-        shared.version.store(number, Relaxed);
+        shared.config_version.store(number, Relaxed);
         let as_of = kept.as_of_unix_ms.and_then(|ms| clock.from_unix(ms));
         (kept.settled, as_of.map(|as_of| as_of.min(now)))
     });
@@ -121,7 +121,7 @@
             }
         }),
         show: Box::new(move |subscriber, bytes, now| {
-            shared.control.send_replace(Arc::new(figures(subscriber, bytes, now)));
+            shared.control_metrics.send_replace(Arc::new(figures(subscriber, bytes, now)));
         }),
         logs: true,
     };
@@ -157,7 +157,7 @@
     ];
     // What may be of any age has none.
     open.extend(subscriber.staleness_s(now).map(|age| ("control_version_age_ms", ms(age))));
-    MetricsSnapshot { counters, open }
+    MetricsSnapshot { counters, gauges: open }
 }
 
 /// A connection to a control machine.
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -118,7 +118,7 @@
     let (name, verdicts) = (name.to_string(), circle.verdicts);
     let held = Peers { view, clock, name: name.clone(), verdicts, counters: Counters::default() };
     let peers = Rc::new(RefCell::new(held));
-    dispatcher.borrow_mut().peers = Some(peers.clone());
+    dispatcher.borrow_mut().gossip = Some(peers.clone());
     let ends = Ends { dispatcher: dispatcher.clone(), peers, terms: circle.terms };
     spawn_local(accept(ends.clone(), listener));
     spawn_local(tick(ends.clone()));
@@ -205,7 +205,7 @@
         Ends::say(self.peers.borrow_mut().view.came(link, frame, now));
         let believed = {
             let dispatcher = self.dispatcher.borrow();
-            let started = |node: &str| dispatcher.endpoints.nodes.get(node).map(|node| node.started);
+            let started = |node: &str| dispatcher.endpoints.nodes.get(node).map(|node| node.started_at_s);
             self.peers.borrow_mut().view.heard(started, now)
         };
         for (node, verdict) in believed {
@@ -219,7 +219,7 @@
             };
             let mut dispatcher = self.dispatcher.borrow_mut();
             let core = dispatcher.core;
-            dispatcher.hear(ObservationMessage { core, node, seen });
+            dispatcher.remote_observation(ObservationMessage { core, node, observation: seen });
         }
     }
 
@@ -237,7 +237,7 @@
         Ends::say(ends.peers.borrow_mut().view.tick(now));
         let over = ends.peers.borrow_mut().view.fleet();
         if let Some(over) = over {
-            ends.dispatcher.borrow_mut().hear_fleet(over);
+            ends.dispatcher.borrow_mut().remote_fleet_counts(over);
         }
     }
 }
@@ -251,7 +251,7 @@
         let ends = ends.clone();
         spawn_local(async move {
             if let Err(why) = speak(&ends, &stream).await {
-                ends.peers.borrow_mut().counters.one("peer_links_refused");
+                ends.peers.borrow_mut().counters.increment("peer_links_refused");
                 tracing::warn!(target: "peers", "one that dialled: {why}");
             }
         });
--- a/crates/router/src/io/clients.rs
+++ b/crates/router/src/io/clients.rs
@@ -41,8 +41,8 @@
 /// The door of a program on one core.
 impl Door for DispatcherHandle {
     fn make_room(&self) {
-        let (now, patience) = (self.borrow().clock.now(), self.borrow().trunk.dial_timeout_s);
-        self.borrow().clients.dismiss_oldest(now, patience);
+        let (now, patience) = (self.borrow().clock.now(), self.borrow().connection_config.dial_timeout_s);
+        self.borrow().clients.close_longest_idle(now, patience);
     }
 
     async fn take(&self, stream: TcpStream, held: DescriptorPermit) {
@@ -53,7 +53,7 @@
 /// Waits for a descriptor, for which idle connections make room.
 async fn descriptor(door: &impl Door, share: &Arc<DescriptorPool>) -> DescriptorPermit {
     loop {
-        if let Some(held) = share.take() {
+        if let Some(held) = share.acquire() {
             return held;
         }
         door.make_room();
@@ -92,7 +92,7 @@
 
 /// A connection that comes from the lead, or from another core between two of its requests.
 pub fn board(dispatcher: &DispatcherHandle, transferred: TransferredConnection) {
-    let TransferredConnection { stream, held, used } = transferred;
+    let TransferredConnection { stream, permit: held, has_sent_request: used } = transferred;
     match TcpStream::from_std(stream) {
         Ok(stream) => drop(spawn_local(serve(dispatcher.clone(), stream, held, used))),
         Err(why) => tracing::warn!(target: "accept", "a connection could not be taken over: {why}"),
@@ -130,42 +130,46 @@
     let arrive = || {
         let mut dispatcher = dispatcher.borrow_mut();
         let now = dispatcher.clock.now();
-        dispatcher.clients.arrive(now)
+        dispatcher.clients.add(now)
     };
     if !used {
-        dispatcher.borrow_mut().counters.one("clients{accepted}");
+        dispatcher.borrow_mut().counters.increment("clients{accepted}");
     }
     let (mut id, mut client) = arrive();
-    client.used.set(used);
+    client.has_sent_request.set(used);
     let end = loop {
         let to = match converse(&dispatcher, &client, &stream).await {
             End::Moves(to) => to,
             end => break end,
         };
         // Nothing of it is open or read here: what the client sends next waits in the system for the new core.
-        dispatcher.borrow_mut().clients.depart(id);
+        dispatcher.borrow_mut().clients.remove(id);
         let Ok(socket) = stream.into_std() else { return };
-        let back = dispatcher
-            .borrow()
-            .shared
-            .send(to, CoreCommand::Serve(TransferredConnection { stream: socket, held, used: true }));
+        let back = dispatcher.borrow().shared.send_command(
+            to,
+            CoreCommand::Serve(TransferredConnection {
+                stream: socket,
+                permit: held,
+                has_sent_request: true,
+            }),
+        );
         let Err(CoreCommand::Serve(transferred)) = back else {
-            return dispatcher.borrow_mut().counters.one("clients{moved}");
+            return dispatcher.borrow_mut().counters.increment("clients{moved}");
         };
         let Ok(again) = TcpStream::from_std(transferred.stream) else { return };
-        (stream, held) = (again, transferred.held);
+        (stream, held) = (again, transferred.permit);
         (id, client) = arrive();
-        client.used.set(true);
-        dispatcher.borrow_mut().giving = None;
+        client.has_sent_request.set(true);
+        dispatcher.borrow_mut().handover = None;
     };
-    if let Some(number) = client.query.get() {
+    if let Some(number) = client.open_query.get() {
         let mut dispatcher = dispatcher.borrow_mut();
         if !matches!(end, End::Left) {
-            dispatcher.audit_closed_open(number);
+            dispatcher.check_closed_connection(number);
         }
-        dispatcher.client_left(number);
+        dispatcher.client_disconnected(number);
     }
-    client.idle.set(None);
+    client.idle_since.set(None);
     if matches!(end, End::Closed) && stream.shutdown().await.is_ok() {
         // As much as the longest request, so that nobody's endless body takes the core.
         let (mut rest, mut left) = ([0; 4096], MESSAGE);
@@ -183,9 +187,9 @@
     drop(stream);
     drop(held);
     let mut dispatcher = dispatcher.borrow_mut();
-    dispatcher.clients.depart(id);
-    dispatcher.counters.one("clients{closed}");
-    dispatcher.counters.one(&format!("client_closes{{{}}}", end.reason()));
+    dispatcher.clients.remove(id);
+    dispatcher.counters.increment("clients{closed}");
+    dispatcher.counters.increment(&format!("client_closes{{{}}}", end.reason()));
 }
 
 /// What a connection is in the midst of.
@@ -213,20 +217,20 @@
 impl Talk<'_> {
     /// Takes the requests that have come, one at a time: the next waits unread until the answer is out.
     fn take_requests(&mut self) {
-        while !self.lost && self.client.query.get().is_none() && self.client.out.borrow().is_empty() {
+        while !self.lost && self.client.open_query.get().is_none() && self.client.output.borrow().is_empty() {
             match self.messages.find(&mut self.buffer) {
                 Ok(true) => {
                     let (head, body) = self.messages.message(&self.buffer);
-                    self.client.behind.set(self.buffer.data().len() > self.messages.end());
+                    self.client.has_bytes_behind.set(self.buffer.data().len() > self.messages.end());
                     requests::take(self.dispatcher, self.client, head, body, self.read_at);
                     self.messages.done(&mut self.buffer);
-                    self.client.used.set(true);
+                    self.client.has_sent_request.set(true);
                     self.went_ahead = false;
                 }
                 Ok(false) => {
                     if !self.went_ahead && self.messages.awaits_go_ahead(&self.buffer) {
                         self.went_ahead = true;
-                        self.client.out.borrow_mut().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+                        self.client.output.borrow_mut().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                     if !self.overrun {
                         return;
@@ -240,16 +244,16 @@
 
     /// The last answer on this connection, as nothing more can be made out on it.
     fn lose(&mut self, counter: &str, refusal: Refusal) {
-        self.dispatcher.borrow_mut().counters.one(counter);
-        answer::unreadable(&mut self.client.out.borrow_mut(), refusal);
+        self.dispatcher.borrow_mut().counters.increment(counter);
+        answer::unreadable(&mut self.client.output.borrow_mut(), refusal);
         self.lost = true;
-        self.client.closes.set(true);
+        self.client.close_after_answer.set(true);
     }
 
     /// Writes what the socket takes of an answer: goes on with whether all of it is out, or ends the
     /// connection.
     fn write(&mut self) -> ControlFlow<End, bool> {
-        let mut out = self.client.out.borrow_mut();
+        let mut out = self.client.output.borrow_mut();
         match self.sender.write(self.stream, &out[self.written..]) {
             Ok(count) => {
                 self.written += count;
@@ -262,7 +266,7 @@
         }
         out.clear();
         self.written = 0;
-        if self.client.closes.get() && self.client.query.get().is_none() {
+        if self.client.close_after_answer.get() && self.client.open_query.get().is_none() {
             return ControlFlow::Break(End::Closed);
         }
         ControlFlow::Continue(true)
@@ -275,12 +279,12 @@
         self.overrun |= self.buffer.space().is_empty();
         let space = if self.overrun { &mut dropped[..] } else { self.buffer.space() };
         let mut dispatcher = self.dispatcher.borrow_mut();
-        dispatcher.stalls.look(clock.now());
-        match arrival::read(self.stream, space, clock, &mut dispatcher.stamps, &mut self.quiet_at) {
+        dispatcher.stall_detector.check(clock.now());
+        match arrival::read(self.stream, space, clock, &mut dispatcher.arrival_times, &mut self.quiet_at) {
             Ok(Some((0, _))) | Err(_) => return false,
             Ok(Some((count, at))) => {
                 if !self.overrun {
-                    self.client.behind.set(self.client.query.get().is_some());
+                    self.client.has_bytes_behind.set(self.client.open_query.get().is_some());
                     self.buffer.filled(count);
                     self.read_at = at;
                 }
@@ -294,7 +298,7 @@
 
 /// Reads requests and writes answers.
 async fn converse(dispatcher: &DispatcherHandle, client: &Rc<ClientConnection>, stream: &TcpStream) -> End {
-    let (clock, dial) = (dispatcher.borrow().clock, dispatcher.borrow().trunk.dial_timeout_s);
+    let (clock, dial) = (dispatcher.borrow().clock, dispatcher.borrow().connection_config.dial_timeout_s);
     let (buffer, messages, accepted) = (Buffer::new(MESSAGE), Messages::default(), clock.now());
     let (written, lost, overrun, went_ahead) = (0, false, false, false);
     let mut talk = Talk {
@@ -316,9 +320,9 @@
     let (mut quiet, mut begun, mut stuck) = (None, None, None);
     loop {
         talk.take_requests();
-        if !client.out.borrow().is_empty() {
+        if !client.output.borrow().is_empty() {
             let before = talk.written;
-            client.served.set(true);
+            client.was_served.set(true);
             match talk.write() {
                 ControlFlow::Break(end) => return end,
                 ControlFlow::Continue(true) => continue,
@@ -326,15 +330,15 @@
                 ControlFlow::Continue(false) => {}
             }
         }
-        let (open, writing) = (client.query.get().is_some(), !client.out.borrow().is_empty());
+        let (open, writing) = (client.open_query.get().is_some(), !client.output.borrow().is_empty());
         let waiting = !open && !writing;
         let half_sent = waiting && !talk.buffer.is_empty();
-        if waiting && !talk.lost && talk.buffer.is_empty() && client.used.get() {
+        if waiting && !talk.lost && talk.buffer.is_empty() && client.has_sent_request.get() {
             let mut dispatcher = dispatcher.borrow_mut();
             // Guards against a connection that would reach a core as its stop ends.
-            let stays = dispatcher.stage > ShutdownPhase::Serving;
-            if let Some((to, left)) = dispatcher.giving.filter(|(_, left)| *left > 0 && !stays) {
-                dispatcher.giving = Some((to, left - 1));
+            let stays = dispatcher.shutdown_phase > ShutdownPhase::Serving;
+            if let Some((to, left)) = dispatcher.handover.filter(|(_, left)| *left > 0 && !stays) {
+                dispatcher.handover = Some((to, left - 1));
                 return End::Moves(to);
             }
         }
@@ -345,17 +349,17 @@
         };
         let (quiet, begun, stuck) =
             (since(&mut quiet, waiting), since(&mut begun, half_sent), since(&mut stuck, writing));
-        client.idle.set(quiet);
-        client.half_sent.set(half_sent);
+        client.idle_since.set(quiet);
+        client.is_half_sent.set(half_sent);
         // Guards against connections that say nothing, send half a request, or read half an answer.
         let first = (accepted + OWED - dial).max(accepted + IDLE);
         let by = match begun {
-            Some(_) if !client.used.get() => first,
+            Some(_) if !client.has_sent_request.get() => first,
             Some(_) => begun.map_or(f64::INFINITY, |at| at + IDLE),
             None => quiet.or(stuck).map_or(f64::INFINITY, |at| at + IDLE),
         };
         let room = !talk.buffer.space().is_empty();
-        let dismissed = client.is_dismissed() || (by <= now && begun.is_none());
+        let dismissed = client.should_close() || (by <= now && begun.is_none());
         tokio::select! {
             biased;
             _ = stream.readable(), if room || open => {
@@ -368,7 +372,7 @@
             () = std::future::ready(()), if waiting && dismissed => {
                 // Guards against closing on a request that has come and is not read yet: it counts as taken.
                 if !room || !arrival::waits(stream) {
-                    return if client.used.get() { End::Closed } else { End::Gone("never_asked") };
+                    return if client.has_sent_request.get() { End::Closed } else { End::Gone("never_asked") };
                 }
                 yield_now().await;
             }
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -83,7 +83,7 @@
 /// Runs until the program stops, through failures.
 pub fn run(mut berth: Berth) {
     log::on_core(berth.core);
-    let mut gossip = berth.shared.listen();
+    let mut gossip = berth.shared.subscribe_observations();
     let mut board = Board::default();
     loop {
         let why = match Builder::new_current_thread().enable_all().build() {
@@ -114,10 +114,10 @@
     let (shared, core) = (berth.shared.clone(), berth.core);
     let mut dispatcher =
         Dispatcher::on(shared, core, berth.clock, berth.trunk, berth.room, berth.verticals.clone());
-    dispatcher.counters = berth.shared.cores[core].figures.borrow().counters.clone();
-    dispatcher.board = std::mem::take(board);
+    dispatcher.counters = berth.shared.cores[core].metrics.borrow().counters.clone();
+    dispatcher.observations = std::mem::take(board);
     dispatcher.shard_map = berth.layouts.map(ShardMapView::new);
-    dispatcher.follow_settings(berth.settings.clone());
+    dispatcher.subscribe_config(berth.settings.clone());
     let dispatcher = Rc::new(RefCell::new(dispatcher));
     let lived = catch_unwind(AssertUnwindSafe(|| local.block_on(runtime, tend(&dispatcher, berth, gossip))));
     let why = match lived {
@@ -128,10 +128,10 @@
     // Guards against clients that would learn nothing: what is open here gets its final answer, as far as the
     // dispatcher is still whole.
     let last = catch_unwind(AssertUnwindSafe(|| {
-        dispatcher.borrow_mut().counters.one("core_failures");
-        dispatcher.borrow_mut().stage = ShutdownPhase::Closing;
-        dispatcher.borrow_mut().abort_all();
-        dispatcher.borrow().clients.dismiss_idle();
+        dispatcher.borrow_mut().counters.increment("core_failures");
+        dispatcher.borrow_mut().shutdown_phase = ShutdownPhase::Closing;
+        dispatcher.borrow_mut().fail_all_queries();
+        dispatcher.borrow().clients.close_idle();
         local.block_on(runtime, async {
             let _ = tokio::time::timeout(FAREWELL, async {
                 while !dispatcher.borrow().clients.is_empty() {
@@ -141,7 +141,7 @@
             .await;
         });
         say(&dispatcher, berth, None);
-        *board = std::mem::take(&mut dispatcher.borrow_mut().board);
+        *board = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
     // Connections and queries that are left go with their tasks, and what they held of the shared state with them.
     let _ = catch_unwind(AssertUnwindSafe(|| drop(local)));
@@ -175,13 +175,13 @@
 fn say(dispatcher: &DispatcherHandle, berth: &Berth, work: Option<&mut Work>) {
     let (now, core_state, dispatcher) =
         (berth.clock.now(), &berth.shared.cores[berth.core], dispatcher.borrow());
-    core_state.clients.store(dispatcher.clients.len(), Relaxed);
+    core_state.client_count.store(dispatcher.clients.len(), Relaxed);
     if let Some(work) = work {
-        core_state.active.store(dispatcher.clients.take_active(), Relaxed);
-        core_state.busy.store((work.look(now) * 1e3) as u64, Relaxed);
+        core_state.active_clients.store(dispatcher.clients.take_active_count(), Relaxed);
+        core_state.busy_permille.store((work.look(now) * 1e3) as u64, Relaxed);
     }
-    core_state.figures.send_replace(Arc::new(dispatcher.own_figures()));
-    core_state.beat.store((now * 1e3) as u64, Relaxed);
+    core_state.metrics.send_replace(Arc::new(dispatcher.core_metrics()));
+    core_state.heartbeat_ms.store((now * 1e3) as u64, Relaxed);
 }
 
 /// Tends a core until the stop is seen through, or something of it has failed.
@@ -191,8 +191,8 @@
     gossip: &mut Option<Gossip<ObservationMessage>>,
 ) -> Result<(), String> {
     adopt(dispatcher, &berth.endpoints.borrow_and_update().clone());
-    dispatcher.borrow_mut().endpoints.whole = true;
-    dispatcher.borrow_mut().hear_board();
+    dispatcher.borrow_mut().endpoints.is_replaced = true;
+    dispatcher.borrow_mut().replay_observations();
     let module = rounds::newest(dispatcher, berth.seed);
     let mut rounds = spawn_local(rounds::run(dispatcher.clone(), module, berth.for_nodes.clone()));
     let mut failures = berth.endpoints.borrow().failures;
@@ -213,7 +213,7 @@
                 let told = berth.endpoints.borrow_and_update().clone();
                 adopt(dispatcher, &told);
                 if std::mem::replace(&mut failures, told.failures) != told.failures {
-                    dispatcher.borrow_mut().roster_failed();
+                    dispatcher.borrow_mut().endpoint_poll_failed();
                 }
             }
             ended = &mut rounds => return Err(match ended {
@@ -221,7 +221,7 @@
                 _ => "its rounds panicked".into(),
             }),
             // The round takes them over.
-            Ok(()) = berth.settings.changed() => dispatcher.borrow().came.notify_one(),
+            Ok(()) = berth.settings.changed() => dispatcher.borrow().work_ready.notify_one(),
             changed = berth.phase.changed(), if stopping.is_none() => {
                 if changed.is_ok() && *berth.phase.borrow_and_update() != Phase::Serving {
                     let closed = closed(berth.phase.clone());
@@ -247,25 +247,25 @@
             word = heard(gossip) => {
                 if let ControlFlow::Continue(word) = word {
                     if word.core != berth.core {
-                        dispatcher.borrow_mut().hear(word);
+                        dispatcher.borrow_mut().remote_observation(word);
                     }
                 } else {
-                    dispatcher.borrow_mut().counters.one("evidence_lost");
+                    dispatcher.borrow_mut().counters.increment("evidence_lost");
                 }
             }
             _ = beats.tick() => {
                 let mut held = dispatcher.borrow_mut();
-                held.pass_fence();
+                held.recheck_fence();
                 let now = berth.clock.now();
-                let Dispatcher { board, endpoints, .. } = &mut *held;
+                let Dispatcher { observations: board, endpoints, .. } = &mut *held;
                 board.sweep(now, |node| endpoints.nodes.contains_key(node));
                 if berth.for_nodes.pool.is_short() {
-                    endpoints.retire_oldest();
+                    endpoints.retire_longest_idle();
                 }
                 drop(held);
                 say(dispatcher, berth, Some(&mut work));
                 #[cfg(feature = "faults")]
-                play(dispatcher.borrow_mut().fault.take());
+                play(dispatcher.borrow_mut().injected_fault.take());
             }
         }
     }
@@ -303,26 +303,28 @@
 
 fn adopt(dispatcher: &DispatcherHandle, told: &Told) {
     let mut dispatcher = dispatcher.borrow_mut();
-    if told.number > dispatcher.known {
+    if told.number > dispatcher.endpoints_generation {
         dispatcher.endpoints.adopt(&told.entries);
-        dispatcher.known = told.number;
-        dispatcher.roster_changed();
+        dispatcher.endpoints_generation = told.number;
+        dispatcher.endpoints_changed();
         let now = dispatcher.clock.now();
         if let (Some(shard_map), Some(layout)) = (&mut dispatcher.shard_map, &told.layout) {
             match shard_map.adopt(layout, now) {
-                Ok(shards) if !shards.is_empty() => dispatcher.layout_changed(&shards),
+                Ok(shards) if !shards.is_empty() => dispatcher.shard_map_changed(&shards),
                 Ok(_) => {}
                 Err(why) => tracing::error!(target: "layout", "not taken over from the lead: {why}"),
             }
         }
-        dispatcher.pass_fence();
+        dispatcher.recheck_fence();
     }
 }
 
 fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
     match order {
         CoreCommand::Serve(transferred) => clients::board(dispatcher, transferred),
-        CoreCommand::GiveAway { to, connections } => dispatcher.borrow_mut().giving = Some((to, connections)),
-        CoreCommand::MakeRoom => clients::Door::make_room(dispatcher),
+        CoreCommand::GiveAway { to, connections } => {
+            dispatcher.borrow_mut().handover = Some((to, connections))
+        }
+        CoreCommand::CloseLongestIdle => clients::Door::make_room(dispatcher),
     }
 }
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -55,28 +55,28 @@
         self.clock
     }
     fn follows(&self) -> bool {
-        self.room.polls_endpoints
+        self.admission.polls_endpoints
     }
     fn asked(&self) -> Arc<Notify> {
-        self.follow.clone()
+        self.poll_requested.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
     fn changed(&mut self) {
-        self.roster_changed();
+        self.endpoints_changed();
     }
     fn watch_lost(&mut self, answered: bool) {
-        self.counters.one("discovery_watches_lost");
-        if self.room.polls_endpoints && answered {
-            self.roster_failed();
+        self.counters.increment("discovery_watches_lost");
+        if self.admission.polls_endpoints && answered {
+            self.endpoint_poll_failed();
         }
     }
     fn quiet(&mut self, span: f64) {
-        self.counters.most("discovery_quiet_ms_most", (span * 1e3) as u64);
+        self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
     }
     fn moved(&mut self) {
-        self.counters.one("discovery_moves");
+        self.counters.increment("discovery_moves");
     }
     fn layout_since(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
@@ -84,9 +84,10 @@
     fn layout(&mut self, news: News) -> Result<(), Faulty> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
-        let shards = shard_map.take(news, now).inspect_err(|_| self.counters.one("layouts_refused"))?;
+        let shards =
+            shard_map.apply(news, now).inspect_err(|_| self.counters.increment("layouts_refused"))?;
         if !shards.is_empty() {
-            self.layout_changed(&shards);
+            self.shard_map_changed(&shards);
         }
         Ok(())
     }
@@ -121,10 +122,10 @@
     };
     let (mut state, mut whole, mut heard) = (WatchState::new(follows), false, clock.now());
     loop {
-        let due = state.due();
+        let due = state.deadline();
         let rest = async {
             tokio::select! {
-                () = asked.notified(), if state.state == WatchPhase::Unasked => {}
+                () = asked.notified(), if state.phase == WatchPhase::NotRequested => {}
                 () = until(clock, due), if due.is_finite() => {}
                 Ok(()) = agent.changed() => {}
             }
@@ -136,7 +137,7 @@
             why = watch(&list, address, &mut state, &mut whole, &mut heard) => why,
             Ok(()) = agent.changed() => {
                 list.borrow_mut().moved();
-                state.state = WatchPhase::Pausing { until: clock.now() };
+                state.phase = WatchPhase::Waiting { until: clock.now() };
                 continue;
             }
         };
@@ -157,13 +158,13 @@
     let (clock, since, mut layout) = {
         let mut list = list.borrow_mut();
         let layout = list.layout_since();
-        (list.clock(), list.endpoints().index, layout)
+        (list.clock(), list.endpoints().version, layout)
     };
     // Changes could not be followed from the version held: guards against asking for them for ever.
     if std::mem::take(whole) {
         layout = layout.map(|_| 0);
     }
-    let limit = Duration::from_secs_f64((state.due() - clock.now()).max(0.0));
+    let limit = Duration::from_secs_f64((state.deadline() - clock.now()).max(0.0));
     let stream = match unwatched(list, timeout(limit, alderway_sockets::dial(address))).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(why)) => return format!("no connection ({why})"),
@@ -186,7 +187,7 @@
             biased;
             _ = stream.readable() => {}
             () = sender.ready(&stream), if written < out.len() => {}
-            () = until(clock, state.due()) => return "silence".into(),
+            () = until(clock, state.deadline()) => return "silence".into(),
             () = sleep(LOOKS), if leads => {
                 // The time is read first: what comes after it may be missed by this look.
                 let now = clock.now();
@@ -209,22 +210,22 @@
                 Ok(Some(word)) => {
                     let now = clock.now();
                     if word == Word::Head {
-                        state.answered();
+                        state.response_started();
                         continue;
                     }
-                    state.heard(now);
+                    state.update_received(now);
                     list.borrow_mut().quiet(now - std::mem::replace(heard, now));
                     if let Word::Object(end) = word
                         && let Err(why) = take(list, &buffer.data()[..end], whole)
                     {
                         return why.into();
                     }
-                    list.borrow_mut().endpoints().heard = Some(now);
+                    list.borrow_mut().endpoints().last_contact_s = Some(now);
                 }
             }
         }
         // Guards against bytes that keep coming and make nothing whole.
-        if clock.now() >= state.due() {
+        if clock.now() >= state.deadline() {
             return "silence".into();
         }
     }
@@ -236,23 +237,23 @@
     let mut list = list.borrow_mut();
     let (clock, endpoints) = (list.clock(), list.endpoints());
     let now = clock.now();
-    if !whole && endpoints.index.is_none_or(|held| index < held) {
+    if !whole && endpoints.version.is_none_or(|held| index < held) {
         // Not a change to the list held: the next watch asks for the whole one.
-        endpoints.index = None;
+        endpoints.version = None;
         return Err("a change to an older list");
     }
-    endpoints.begin(index, whole);
+    endpoints.begin_update(index, whole);
     let (mut entries, mut unusable, mut wrong) = (0, 0, None);
     discovery::entries(line, |name, told| match told {
         Ok(node) => {
             entries += 1;
             let started = clock.from_unix(node.since);
-            endpoints.told(name, node.address, node.cell, node.state, started, now);
+            endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
         }
         Err((state, why)) => {
             unusable += 1;
             wrong.get_or_insert_with(|| format!("that of node `{name}`: {why}"));
-            endpoints.unreadable(name, state);
+            endpoints.mark_unreadable(name, state);
         }
     })?;
     if let Some(first) = wrong {
--- a/crates/router/src/io/lead.rs
+++ b/crates/router/src/io/lead.rs
@@ -57,11 +57,11 @@
     /// Shuts the fence first: whoever has not taken in the new list sends nothing new from here on.
     fn publish(&mut self) {
         let number = self.shared.fence.publish();
-        let entries = Arc::new(self.endpoints.entries());
+        let entries = Arc::new(self.endpoints.endpoints());
         let layout =
             self.shard_map.as_ref().and_then(|shard_map| Some(shard_map.history()?.newest().clone()));
         self.told.send_modify(|told| (told.number, told.entries, told.layout) = (number, entries, layout));
-        self.endpoints.forget_gone();
+        self.endpoints.drop_removed();
     }
 }
 
@@ -73,26 +73,26 @@
         self.follows
     }
     fn asked(&self) -> Arc<Notify> {
-        self.shared.follow.clone()
+        self.shared.poll_requested.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
     fn changed(&mut self) {
-        self.counters.one("roster_lists");
+        self.counters.increment("roster_lists");
         self.publish();
     }
     fn quiet(&mut self, span: f64) {
-        self.counters.most("discovery_quiet_ms_most", (span * 1e3) as u64);
+        self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
     }
     fn watch_lost(&mut self, answered: bool) {
-        self.counters.one("discovery_watches_lost");
+        self.counters.increment("discovery_watches_lost");
         if self.follows && answered {
             self.told.send_modify(|told| told.failures += 1);
         }
     }
     fn moved(&mut self) {
-        self.counters.one("discovery_moves");
+        self.counters.increment("discovery_moves");
     }
     fn leads(&self) -> bool {
         true
@@ -106,9 +106,9 @@
     fn layout(&mut self, news: News) -> Result<(), Faulty> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
-        let taken = shard_map.take(news, now).map(drop);
-        shard_map.rest(now);
-        self.counters.one(if taken.is_ok() { "layouts_taken" } else { "layouts_refused" });
+        let taken = shard_map.apply(news, now).map(drop);
+        shard_map.discard_notifications(now);
+        self.counters.increment(if taken.is_ok() { "layouts_taken" } else { "layouts_refused" });
         taken
     }
 }
@@ -125,16 +125,17 @@
     fn make_room(&self) {
         let mut next = self.next.borrow_mut();
         *next = (*next + 1) % self.shared.cores.len();
-        let _ = self.shared.send(*next, CoreCommand::MakeRoom);
+        let _ = self.shared.send_command(*next, CoreCommand::CloseLongestIdle);
     }
 
     async fn take(&self, stream: TcpStream, held: DescriptorPermit) {
         let Ok(stream) = stream.into_std() else { return };
-        let mut order = CoreCommand::Serve(TransferredConnection { stream, held, used: false });
+        let mut order =
+            CoreCommand::Serve(TransferredConnection { stream, permit: held, has_sent_request: false });
         loop {
             let core = self.crew.borrow_mut().deal();
             if let Some(core) = core {
-                match self.shared.send(core, order) {
+                match self.shared.send_command(core, order) {
                     Ok(()) => return,
                     Err(back) => order = back,
                 }
@@ -169,7 +170,7 @@
     let was = Was { path, beside, fixed };
     let (terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let kept = control.as_ref().map_or(0, |_| control::DESCRIPTORS);
-    let (for_clients, for_nodes) = descriptors::shares(station.sockets - kept, station.memory, sharing.cores);
+    let (for_clients, for_nodes) = descriptors::split(station.sockets - kept, station.memory, sharing.cores);
     let (shared, inboxes) = SharedState::new(room.max_open, sharing, PATIENCE);
     let longest = station.layouts.map(|_| room.max_deadline_s);
     let live = Live::new(shared.clone(), role, station.settings, station.began, longest);
@@ -180,7 +181,10 @@
     let (layouts, counters) = (station.layouts, Counters::default());
     // Guards against a shard's number that the lead has forgotten and a core has not: it takes over what the lead has
     // checked, so the lead remembers for longer than a part can be open.
-    let longer = |l: ShardMapConfig| ShardMapConfig { grace: l.grace + room.max_deadline_s + 1.0, ..l };
+    let longer = |l: ShardMapConfig| ShardMapConfig {
+        retired_shard_grace_s: l.retired_shard_grace_s + room.max_deadline_s + 1.0,
+        ..l
+    };
     let shard_map = layouts.map(|layouts| ShardMapView::new(longer(layouts)));
     let mut list = List { clock, follows, endpoints, shared: shared.clone(), counters, shard_map, told };
     list.publish();
@@ -219,7 +223,7 @@
     let (counts, states) = (list.clone(), crew.clone());
     let away =
         move |core| matches!(states.borrow().state(core), State::Hung(_) | State::Failed(_) | State::Lost);
-    let counts = Box::new(move |what: &'static str| counts.borrow_mut().counters.one(what));
+    let counts = Box::new(move |what: &'static str| counts.borrow_mut().counters.increment(what));
     live.attach(counts, Some(Box::new(move |core| !away(core))));
     // Where control machines tell the settings, a file at SIGHUP would undo a version unseen.
     let by_file = control.is_none().then(|| live.clone());
@@ -256,7 +260,7 @@
         }
     }
     let mut figures = MetricsSnapshot::default();
-    shared.add_others(None, &mut figures);
+    shared.add_other_cores(None, &mut figures);
     log::last_words(&figures.text());
     watched
 }
@@ -333,8 +337,8 @@
         let (now, mut crew) = (self.clock.now(), self.crew.borrow_mut());
         let mut changes = vec![];
         for (core, core_state) in self.shared.cores.iter().enumerate() {
-            let at = core_state.beat.load(Relaxed) as f64 / 1e3;
-            changes.extend(crew.beat(core, at, core_state.clients.load(Relaxed)));
+            let at = core_state.heartbeat_ms.load(Relaxed) as f64 / 1e3;
+            changes.extend(crew.beat(core, at, core_state.client_count.load(Relaxed)));
         }
         crew.lead_paused(self.looked.replace(now), now);
         changes.extend(crew.look(now));
@@ -345,14 +349,14 @@
         let changes = self.see_beats();
         let (now, crew) = (self.clock.now(), self.crew.borrow());
         let counters = self.list.borrow().counters.clone();
-        self.shared.lead.send_replace(Arc::new(MetricsSnapshot { counters, open: vec![] }));
+        self.shared.acceptor_metrics.send_replace(Arc::new(MetricsSnapshot { counters, gauges: vec![] }));
         changes.iter().for_each(log_change);
-        self.shared.serving.store(crew.serving(), Relaxed);
-        self.shared.hung.store(crew.count(|s| matches!(s, State::Hung(_))), Relaxed);
-        self.shared.lost.store(crew.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
+        self.shared.cores_serving.store(crew.serving(), Relaxed);
+        self.shared.cores_hung.store(crew.count(|s| matches!(s, State::Hung(_))), Relaxed);
+        self.shared.cores_lost.store(crew.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
         let load = |(core, core_state): (usize, &crate::state::shared::CoreState)| Load {
-            busy: core_state.busy.load(Relaxed) as f64 / 1e3,
-            active: core_state.active.load(Relaxed),
+            busy: core_state.busy_permille.load(Relaxed) as f64 / 1e3,
+            active: core_state.active_clients.load(Relaxed),
             serving: crew.state(core) == State::Serving,
         };
         let loads: Vec<Load> = self.shared.cores.iter().enumerate().map(load).collect();
@@ -364,7 +368,7 @@
                 loads[from].busy,
                 loads[to].busy
             );
-            let _ = self.shared.send(from, CoreCommand::GiveAway { to, connections });
+            let _ = self.shared.send_command(from, CoreCommand::GiveAway { to, connections });
         }
     }
 }
--- a/crates/router/src/io/nodes.rs
+++ b/crates/router/src/io/nodes.rs
@@ -20,34 +20,34 @@
 
 /// Dials, speaks until the connection ends, and gives everything back.
 pub async fn run(dispatcher: DispatcherHandle, dial: Dial, share: Arc<DescriptorPool>) {
-    let Dial { node, line, address } = dial;
-    let limit = Duration::from_secs_f64(dispatcher.borrow().trunk.dial_timeout_s);
+    let Dial { node, connection: line, address } = dial;
+    let limit = Duration::from_secs_f64(dispatcher.borrow().connection_config.dial_timeout_s);
     let short = Cell::new(false);
     match timeout(limit, connect(&dispatcher, address, &share, &short)).await {
         // In this order: the stream closes before its share is given back, or another takes that in between.
         Ok(Ok((_held, stream))) => {
-            dispatcher.borrow_mut().counters.one("connections{opened}");
+            dispatcher.borrow_mut().counters.increment("connections{opened}");
             let reason = match speak(&dispatcher, &node, line, &stream).await {
                 Ok(reason) => reason,
                 Err((why, part)) => {
                     tracing::warn!(target: "frame", "node {node}: {why}; its connection is closed");
-                    dispatcher.borrow_mut().spoilt(&node, line, part.as_deref());
+                    dispatcher.borrow_mut().connection_corrupted(&node, line, part.as_deref());
                     "spoilt"
                 }
             };
             let mut dispatcher = dispatcher.borrow_mut();
-            dispatcher.counters.one("connections{closed}");
-            dispatcher.counters.one(&format!("connection_closes{{{reason}}}"));
+            dispatcher.counters.increment("connections{closed}");
+            dispatcher.counters.increment(&format!("connection_closes{{{reason}}}"));
         }
-        Ok(Err(_)) => dispatcher.borrow_mut().counters.one("connections{refused}"),
+        Ok(Err(_)) => dispatcher.borrow_mut().counters.increment("connections{refused}"),
         Err(_) if short.get() => {
             // Guards against blaming a data node for what this machine or this program lacks.
-            dispatcher.borrow_mut().counters.one("connections{short_of_resources}");
-            dispatcher.borrow_mut().line_not_opened(&node, line);
+            dispatcher.borrow_mut().counters.increment("connections{short_of_resources}");
+            dispatcher.borrow_mut().connection_not_opened(&node, line);
         }
-        Err(_) => dispatcher.borrow_mut().counters.one("connections{dial_timed_out}"),
+        Err(_) => dispatcher.borrow_mut().counters.increment("connections{dial_timed_out}"),
     }
-    dispatcher.borrow_mut().line_lost(&node, line);
+    dispatcher.borrow_mut().connection_lost(&node, line);
     rounds::post(&dispatcher, &share);
 }
 
@@ -60,12 +60,12 @@
 ) -> std::io::Result<(DescriptorPermit, TcpStream)> {
     let mut waits = None;
     let held = loop {
-        if let Some(held) = share.take() {
+        if let Some(held) = share.acquire() {
             break held;
         }
         short.set(true);
-        dispatcher.borrow_mut().counters.one("dials_short_of_descriptors");
-        dispatcher.borrow_mut().endpoints.retire_oldest();
+        dispatcher.borrow_mut().counters.increment("dials_short_of_descriptors");
+        dispatcher.borrow_mut().endpoints.retire_longest_idle();
         // Guards against idle connections of other cores that hold what this one lacks: they let some go.
         waits.get_or_insert_with(|| share.pool.waits());
         share.released.notified().await;
@@ -87,15 +87,15 @@
 ) -> Result<&'static str, Spoilt> {
     let (clock, wake, idle, patience) = {
         let mut dispatcher = dispatcher.borrow_mut();
-        let patience = dispatcher.trunk.dial_timeout_s;
+        let patience = dispatcher.connection_config.dial_timeout_s;
         // Idle connections close a dial's length before the node's machine would.
         let (clock, idle) = (
             dispatcher.clock,
-            (dispatcher.trunk.idle_timeout_s - dispatcher.trunk.dial_timeout_s)
-                .max(0.5 * dispatcher.trunk.idle_timeout_s),
+            (dispatcher.connection_config.idle_timeout_s - dispatcher.connection_config.dial_timeout_s)
+                .max(0.5 * dispatcher.connection_config.idle_timeout_s),
         );
-        let Some(line) = dispatcher.endpoints.line(node, line) else { return Ok("forgotten") };
-        line.up = true;
+        let Some(line) = dispatcher.endpoints.connection(node, line) else { return Ok("forgotten") };
+        line.is_up = true;
         (clock, line.wake.clone(), idle, patience)
     };
     let mut buffer = Buffer::new(frames::LONGEST + 4);
@@ -107,9 +107,10 @@
         settle(dispatcher, node, line, &mut settled).await;
         // Guards against a call written to a connection that its node has closed as idle, which would count as one
         // that may have run.
-        let unasked = dispatcher.borrow_mut().endpoints.line(node, line).is_some_and(|l| l.is_unasked());
+        let unasked =
+            dispatcher.borrow_mut().endpoints.connection(node, line).is_some_and(|l| l.is_reuse_after_idle());
         if unasked && arrival::ended(stream) {
-            dispatcher.borrow_mut().put_back(node, line);
+            dispatcher.borrow_mut().requeue_unsent(node, line);
             return Ok("ended_idle");
         }
         let wrote = write(dispatcher, node, line, stream, &mut out);
@@ -124,11 +125,11 @@
         }
         let idle_since = {
             let mut dispatcher = dispatcher.borrow_mut();
-            let Some(line) = dispatcher.endpoints.line(node, line) else { return Ok("forgotten") };
+            let Some(line) = dispatcher.endpoints.connection(node, line) else { return Ok("forgotten") };
             let idle_since = line.idle_since();
-            if idle_since.is_some_and(|since| line.retired || since + idle <= clock.now()) {
-                let reason = if line.retired { "retired" } else { "idle" };
-                line.retired = true;
+            if idle_since.is_some_and(|since| line.is_retired || since + idle <= clock.now()) {
+                let reason = if line.is_retired { "retired" } else { "idle" };
+                line.is_retired = true;
                 return Ok(reason);
             }
             idle_since
@@ -163,8 +164,8 @@
         let stall = {
             let mut dispatcher = dispatcher.borrow_mut();
             let now = dispatcher.clock.now();
-            let stall = dispatcher.stalls.look(now);
-            if !dispatcher.endpoints.line(node, line).is_some_and(|line| line.next_is_call()) {
+            let stall = dispatcher.stall_detector.check(now);
+            if !dispatcher.endpoints.connection(node, line).is_some_and(|line| line.next_starts_attempts()) {
                 return;
             }
             stall
@@ -208,15 +209,15 @@
 ) -> Wrote {
     loop {
         // Guards against the rest of a frame going out after the final answer of a query in it.
-        if dispatcher.borrow_mut().endpoints.line(node, line).is_none_or(|l| l.cut) {
+        if dispatcher.borrow_mut().endpoints.connection(node, line).is_none_or(|l| l.is_aborted) {
             return Wrote::Broken;
         }
         if out.written == out.frame.len() {
             if !out.frame.is_empty() {
                 let mut dispatcher = dispatcher.borrow_mut();
                 let now = dispatcher.clock.now();
-                if let Some(line) = dispatcher.endpoints.line(node, line) {
-                    line.written(now);
+                if let Some(line) = dispatcher.endpoints.connection(node, line) {
+                    line.frame_written(now);
                 }
                 out.frame.clear();
                 out.written = 0;
@@ -228,14 +229,14 @@
         match out.sender.write(stream, &out.frame[out.written..]) {
             Ok(0) => {
                 if out.written == 0 {
-                    dispatcher.borrow_mut().frame_not_begun(node, line);
+                    dispatcher.borrow_mut().frame_not_started(node, line);
                     out.frame.clear();
                 }
                 return Wrote::Blocked;
             }
             Ok(count) => {
                 if out.written == 0 {
-                    dispatcher.borrow_mut().audit_begun(node, line);
+                    dispatcher.borrow_mut().check_frame_started(node, line);
                 }
                 out.written += count;
                 out.taken += count as u64;
@@ -275,7 +276,7 @@
                     "full" => AttemptOutcome::Rejected,
                     _ => return Err(("a reply with an unknown ending", Some(part.to_string()))),
                 };
-                if !dispatcher.borrow_mut().answered(node, line, part, ending, report, value) {
+                if !dispatcher.borrow_mut().reply_received(node, line, part, ending, report, value) {
                     return Err(nameless("a reply for a part not asked for"));
                 }
             }
--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -65,7 +65,7 @@
 /// Gives calls their places on connections, and dials those that this takes.
 pub fn post(dispatcher: &DispatcherHandle, share: &Arc<DescriptorPool>) {
     let now = dispatcher.borrow().clock.now();
-    let dials = dispatcher.borrow_mut().post(now);
+    let dials = dispatcher.borrow_mut().flush_attempts(now);
     for dial in dials {
         spawn_local(nodes::run(dispatcher.clone(), dial, share.clone()));
     }
@@ -76,7 +76,7 @@
     let dispatcher = dispatcher.clone();
     move || {
         let dispatcher = dispatcher.borrow();
-        let terms = dispatcher.terms.newest().ok_or("no settings")?;
+        let terms = dispatcher.class_table.policy_config().ok_or("no settings")?;
         Ok(Policy::new(seed, terms.clone()))
     }
 }
@@ -92,9 +92,9 @@
         let dispatcher = dispatcher.borrow();
         // Who has peers tells them what it sees, as one core tells others.
         let common =
-            if dispatcher.peers.is_some() { SharedLimits::new(2) } else { dispatcher.shared.common.clone() };
+            if dispatcher.gossip.is_some() { SharedLimits::new(2) } else { dispatcher.shared.limits.clone() };
         let common = common.for_core(dispatcher.core as u8);
-        (dispatcher.clock, dispatcher.came.clone(), common)
+        (dispatcher.clock, dispatcher.work_ready.clone(), common)
     };
     let module = || {
         let mut router = module()?;
@@ -102,28 +102,28 @@
         Ok(router)
     };
     let mut router = module()?;
-    let tier = dispatcher.borrow().tier.clone();
+    let tier = dispatcher.borrow().forwarder.clone();
     let mut settled = 0;
     loop {
-        let due = dispatcher.borrow().next_due();
+        let due = dispatcher.borrow().next_timer_s();
         tokio::select! {
             () = came.notified() => {}
             () = until(clock, due), if due.is_finite() => {}
         }
-        let stall = dispatcher.borrow_mut().stalls.look(clock.now());
+        let stall = dispatcher.borrow_mut().stall_detector.check(clock.now());
         if std::mem::replace(&mut settled, stall) != stall {
             // What came while this thread stood still is read before anything is decided by its absence.
             yield_now().await;
         }
         let now = clock.now();
-        dispatcher.borrow_mut().expire(now);
+        dispatcher.borrow_mut().expire_due(now);
         let tell = |intake: &mut dyn PolicyInput| {
             match &tier {
-                None => dispatcher.borrow_mut().tell(now, intake),
+                None => dispatcher.borrow_mut().notify_policy(now, intake),
                 Some(tier) => {
                     let mut tier = tier.borrow_mut();
                     let mut split = Split::begin(&mut tier, intake);
-                    dispatcher.borrow_mut().tell(now, &mut split);
+                    dispatcher.borrow_mut().notify_policy(now, &mut split);
                     split.end();
                 }
             }
@@ -136,11 +136,11 @@
             tracing::error!(target: "failure", "the module failed: open queries are aborted, it starts anew");
             router = module()?;
             tier.iter().for_each(|tier| tier.borrow_mut().start_over());
-            dispatcher.borrow_mut().start_over();
+            dispatcher.borrow_mut().restart_policy();
         }
-        dispatcher.borrow_mut().counters.one("rounds");
+        dispatcher.borrow_mut().counters.increment("rounds");
         post(&dispatcher, &share);
-        let tick = dispatcher.borrow().room.min_round_interval_s;
+        let tick = dispatcher.borrow().admission.min_round_interval_s;
         until(clock, now + tick).await;
     }
 }
--- a/crates/router/src/lifecycle/serve.rs
+++ b/crates/router/src/lifecycle/serve.rs
@@ -49,24 +49,25 @@
     let (terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let kept =
         peers.as_ref().map_or(0, Circle::descriptors) + control.as_ref().map_or(0, |_| control::DESCRIPTORS);
-    let (for_clients, for_nodes) = descriptors::shares(station.sockets - kept, station.memory, 1);
+    let (for_clients, for_nodes) = descriptors::split(station.sockets - kept, station.memory, 1);
     let shared = SharedState::new(station.room.max_open, sharing, f64::INFINITY).0;
     let live = Live::new(shared.clone(), role.clone(), station.settings, station.began, None);
     let mut dispatcher =
         Dispatcher::on(shared.clone(), 0, clock, station.trunk, station.room, station.verticals);
-    dispatcher.follow_settings(live.news());
+    dispatcher.subscribe_config(live.news());
     dispatcher.endpoints = endpoints;
     dispatcher.shard_map = station.layouts.map(ShardMapView::new);
-    dispatcher.came.notify_one();
+    dispatcher.work_ready.notify_one();
     let listener = TcpListener::bind(listen).await?;
     arrival::stamp(&listener)?;
     let (at, known) = (listener.local_addr()?, dispatcher.endpoints.nodes.len());
     tracing::info!(target: "start", "{name} listens at {at}: {known} data nodes known");
     let dispatcher = Rc::new(RefCell::new(dispatcher));
     if let Role::Forwarder { planners, beat, patience } = &role {
-        let (watch, came) = (Watch { beat: *beat, patience: *patience }, dispatcher.borrow().came.clone());
+        let (watch, came) =
+            (Watch { beat: *beat, patience: *patience }, dispatcher.borrow().work_ready.clone());
         let tier = Rc::new(RefCell::new(Forwarder::new(&name, post::incarnation(), watch, clock, came)));
-        dispatcher.borrow_mut().tier = Some(tier.clone());
+        dispatcher.borrow_mut().forwarder = Some(tier.clone());
         links::start(&dispatcher, &tier, planners, &for_nodes, post::incarnation());
     }
     if let Some(circle) = peers {
@@ -76,7 +77,7 @@
     let rounds = spawn_local(rounds::run(dispatcher.clone(), rounds::newest(&dispatcher, seed), for_nodes));
     spawn_local(wake(dispatcher.clone(), live.news()));
     let counts = dispatcher.clone();
-    live.attach(Box::new(move |what| counts.borrow_mut().counters.one(what)), None);
+    live.attach(Box::new(move |what| counts.borrow_mut().counters.increment(what)), None);
     let (agent, at) = watch::channel(discovery);
     spawn_local(discovery::run(dispatcher.clone(), at));
     // Where control machines tell the settings, a file at SIGHUP would undo a version unseen.
@@ -93,13 +94,13 @@
         () = stop::at_sigterm(terms, dispatcher.clone(), close, listening) => {}
         failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
     }
-    log::last_words(&dispatcher.borrow().figures());
+    log::last_words(&dispatcher.borrow().metrics_text());
     Ok(())
 }
 
 /// Has a round played for settings that are new, with nothing else to play it for.
 async fn wake(dispatcher: DispatcherHandle, mut news: watch::Receiver<Arc<ConfigGeneration>>) {
     while news.changed().await.is_ok() {
-        dispatcher.borrow().came.notify_one();
+        dispatcher.borrow().work_ready.notify_one();
     }
 }
--- a/crates/router/src/lifecycle/settings.rs
+++ b/crates/router/src/lifecycle/settings.rs
@@ -133,7 +133,7 @@
 
     /// The number of the version in force, if what is in force came with one.
     pub fn number(&self) -> Option<u64> {
-        Some(self.0.shared.version.load(Relaxed)).filter(|number| *number > 0)
+        Some(self.0.shared.config_version.load(Relaxed)).filter(|number| *number > 0)
     }
 
     /// The longest deadline of any query that may be open.
@@ -182,7 +182,7 @@
                 };
             }
         };
-        self.0.shared.version.store(number.unwrap_or(0), Relaxed);
+        self.0.shared.config_version.store(number.unwrap_or(0), Relaxed);
         *self.0.held.borrow_mut() = Arc::new(settings);
         if checked.changed.is_empty() {
             tracing::info!(target: "settings", "{name}: as those in force");
@@ -208,7 +208,7 @@
     async fn taken_over(&self, serial: u64) -> Vec<usize> {
         let (end, mut late) = (Instant::now() + PATIENCE, vec![]);
         for (core, core_state) in self.0.shared.cores.iter().enumerate() {
-            let mut taken = core_state.settings.subscribe();
+            let mut taken = core_state.config_serial.subscribe();
             loop {
                 if timeout(BEAT, taken.wait_for(|taken| *taken >= serial)).await.is_ok() {
                     break;
--- a/crates/router/src/lifecycle/start.rs
+++ b/crates/router/src/lifecycle/start.rs
@@ -175,12 +175,12 @@
     let Some(list) = list.filter(|l| !l.is_null()) else { return Ok(endpoints) };
     let text = list.to_string();
     let (index, _) = discovery::version(text.as_bytes())?;
-    endpoints.begin(index, true);
+    endpoints.begin_update(index, true);
     let mut wrong = None;
     discovery::entries(text.as_bytes(), |name, told| match told {
         Ok(node) => {
             let (started, now) = (clock.from_unix(node.since), clock.now());
-            endpoints.told(name, node.address, node.cell, node.state, started, now);
+            endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
         }
         Err((_, why)) => wrong = wrong.or(Some(why)),
     })?;
--- a/crates/router/src/lifecycle/stop.rs
+++ b/crates/router/src/lifecycle/stop.rs
@@ -48,14 +48,14 @@
     let (clock, began, limit, slo) = {
         let mut dispatcher = dispatcher.borrow_mut();
         let began = dispatcher.clock.now();
-        dispatcher.stage = ShutdownPhase::Stopping;
+        dispatcher.shutdown_phase = ShutdownPhase::Draining;
         let (queries, clients) = (dispatcher.queries.len(), dispatcher.clients.len());
         tracing::info!(target: "stop", "SIGTERM: {queries} queries open, {clients} clients");
         (
             dispatcher.clock,
             began,
-            limit(dispatcher.longest_deadline(began)),
-            dispatcher.room.max_latency_objective_s,
+            limit(dispatcher.longest_deadline_s(began)),
+            dispatcher.admission.max_latency_objective_s,
         )
     };
     closed.await;
@@ -63,14 +63,14 @@
     sleep(LOOK).await;
     while clock.now() < began + limit && !dispatcher.borrow().clients.is_empty() {
         if clock.now() >= began + limit - slo {
-            dispatcher.borrow_mut().stage = ShutdownPhase::Closing;
-            dispatcher.borrow().clients.dismiss_idle();
+            dispatcher.borrow_mut().shutdown_phase = ShutdownPhase::Closing;
+            dispatcher.borrow().clients.close_idle();
         }
         sleep(LOOK).await;
     }
     let open = dispatcher.borrow().queries.len();
-    dispatcher.borrow_mut().stage = ShutdownPhase::Ended;
-    dispatcher.borrow_mut().abort_all();
+    dispatcher.borrow_mut().shutdown_phase = ShutdownPhase::Rejecting;
+    dispatcher.borrow_mut().fail_all_queries();
     last_answers(&dispatcher, began + limit + 0.5 * AHEAD).await;
     tracing::info!(target: "stop", "ended after {:.1} s: {open} queries aborted", clock.now() - began);
 }
@@ -88,6 +88,6 @@
     let now = dispatcher.borrow().clock.now();
     // Their tasks have yet to run for the first time.
     sleep(LOOK).await;
-    dispatcher.borrow().clients.dismiss_idle();
+    dispatcher.borrow().clients.close_idle();
     last_answers(&dispatcher, now + 0.5 * AHEAD).await;
 }
--- a/crates/router/src/state/arrival_time.rs
+++ b/crates/router/src/state/arrival_time.rs
@@ -15,32 +15,32 @@
 #[derive(Debug)]
 pub struct ArrivalEstimator {
     /// Stamps less the times at which their bytes were read, in turn.
-    differences: Vec<f64>,
+    offsets: Vec<f64>,
     next: usize,
 }
 
 impl ArrivalEstimator {
     /// Begins with what the wall clock shows, which may be wrong.
     pub fn new(now: f64, unix_now: f64) -> Self {
-        ArrivalEstimator { differences: vec![unix_now - now], next: 0 }
+        ArrivalEstimator { offsets: vec![unix_now - now], next: 0 }
     }
 
     /// When bytes came that are read now: not before `since`, when nothing of the connection was unread.
-    pub fn arrived(&mut self, now: f64, since: f64, stamp: f64) -> f64 {
+    pub fn arrival_time(&mut self, now: f64, since: f64, stamp: f64) -> f64 {
         let difference = stamp - now;
-        if self.differences.len() < KEPT {
-            self.differences.push(difference);
+        if self.offsets.len() < KEPT {
+            self.offsets.push(difference);
         } else {
-            self.differences[self.next] = difference;
+            self.offsets[self.next] = difference;
         }
         self.next = (self.next + 1) % KEPT;
-        let offset = self.differences.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        let offset = self.offsets.iter().copied().fold(f64::NEG_INFINITY, f64::max);
         let at = stamp - offset;
         if at >= since - ROUNDING {
             return at.min(now);
         }
         // The stamps' clock has stepped back, or what was kept was wrong from the start.
-        self.differences = vec![difference];
+        self.offsets = vec![difference];
         self.next = 0;
         now
     }
--- a/crates/router/src/state/clients.rs
+++ b/crates/router/src/state/clients.rs
@@ -8,52 +8,52 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum CloseRequest {
     #[default]
-    Stay,
+    KeepOpen,
     /// To close while nothing of a request has come: what has begun to come is served first.
-    CloseIdle,
+    WhenIdle,
     /// To close though part of a request has come: the rest has kept it waiting too long.
-    CloseHalfSent,
+    EvenIfHalfSent,
 }
 
 /// One connection of a client. Its driver owns the socket; what is to be written stands in `out`.
 #[derive(Default)]
 pub struct ClientConnection {
-    pub out: RefCell<Vec<u8>>,
+    pub output: RefCell<Vec<u8>>,
     pub wake: Notify,
     /// The open query, one at a time.
-    pub query: Cell<Option<u64>>,
+    pub open_query: Cell<Option<u64>>,
     /// Ends after the present answer.
-    pub closes: Cell<bool>,
-    pub wish: Cell<CloseRequest>,
+    pub close_after_answer: Cell<bool>,
+    pub close_request: Cell<CloseRequest>,
     /// Has sent a request before.
-    pub used: Cell<bool>,
+    pub has_sent_request: Cell<bool>,
     /// Since when it stands idle, or waits for the rest of a request; `None` from a whole request to the last
     /// byte of its answer.
-    pub idle: Cell<Option<f64>>,
+    pub idle_since: Cell<Option<f64>>,
     /// Part of a request has come.
-    pub half_sent: Cell<bool>,
+    pub is_half_sent: Cell<bool>,
     /// Bytes have come behind the present request.
-    pub behind: Cell<bool>,
+    pub has_bytes_behind: Cell<bool>,
     /// Has had bytes of an answer since this was last looked at.
-    pub served: Cell<bool>,
+    pub was_served: Cell<bool>,
 }
 
 impl ClientConnection {
-    fn dismiss(&self) {
-        self.wish.set(if self.half_sent.get() {
-            CloseRequest::CloseHalfSent
+    fn request_close(&self) {
+        self.close_request.set(if self.is_half_sent.get() {
+            CloseRequest::EvenIfHalfSent
         } else {
-            CloseRequest::CloseIdle
+            CloseRequest::WhenIdle
         });
         self.wake.notify_one();
     }
 
     /// Whether it is to close now, with nothing open on it.
-    pub fn is_dismissed(&self) -> bool {
-        match self.wish.get() {
-            CloseRequest::Stay => false,
-            CloseRequest::CloseIdle => !self.half_sent.get(),
-            CloseRequest::CloseHalfSent => true,
+    pub fn should_close(&self) -> bool {
+        match self.close_request.get() {
+            CloseRequest::KeepOpen => false,
+            CloseRequest::WhenIdle => !self.is_half_sent.get(),
+            CloseRequest::EvenIfHalfSent => true,
         }
     }
 }
@@ -65,15 +65,15 @@
 }
 
 impl ClientTable {
-    pub fn arrive(&mut self, now: f64) -> (u64, Rc<ClientConnection>) {
+    pub fn add(&mut self, now: f64) -> (u64, Rc<ClientConnection>) {
         let client = Rc::new(ClientConnection::default());
-        client.idle.set(Some(now));
+        client.idle_since.set(Some(now));
         self.next += 1;
         self.all.insert(self.next, client.clone());
         (self.next, client)
     }
 
-    pub fn depart(&mut self, id: u64) {
+    pub fn remove(&mut self, id: u64) {
         self.all.remove(&id);
     }
 
@@ -86,24 +86,25 @@
     }
 
     /// How many have had an answer since this was last asked.
-    pub fn take_active(&self) -> usize {
-        self.all.values().filter(|c| c.served.take()).count()
+    pub fn take_active_count(&self) -> usize {
+        self.all.values().filter(|c| c.was_served.take()).count()
     }
 
     /// Dismisses a connection to make room for a new one: the longest idle of those that have never sent a request,
     /// else one of which only part of a request has come for `patience` or longer, else one that was of use.
-    pub fn dismiss_oldest(&self, now: f64, patience: f64) {
-        let idle = self.all.values().filter(|c| !c.is_dismissed());
-        let idle = idle.filter_map(|c| Some((c.used.get(), c.half_sent.get(), c.idle.get()?, c)));
+    pub fn close_longest_idle(&self, now: f64, patience: f64) {
+        let idle = self.all.values().filter(|c| !c.should_close());
+        let idle = idle
+            .filter_map(|c| Some((c.has_sent_request.get(), c.is_half_sent.get(), c.idle_since.get()?, c)));
         let idle = idle.filter(|(_, half, since, _)| !half || since + patience <= now);
         let rank = |used, half| if half { 1 } else { 2 * i32::from(used) };
         let oldest = idle.min_by(|a, b| rank(a.0, a.1).cmp(&rank(b.0, b.1)).then(a.2.total_cmp(&b.2)));
-        oldest.into_iter().for_each(|(.., client)| client.dismiss());
+        oldest.into_iter().for_each(|(.., client)| client.request_close());
     }
 
     /// Dismisses idle connections.
-    pub fn dismiss_idle(&self) {
-        let idle = self.all.values().filter(|c| c.idle.get().is_some() && !c.half_sent.get());
-        idle.for_each(|c| c.dismiss());
+    pub fn close_idle(&self) {
+        let idle = self.all.values().filter(|c| c.idle_since.get().is_some() && !c.is_half_sent.get());
+        idle.for_each(|c| c.request_close());
     }
 }
--- a/crates/router/src/state/counters.rs
+++ b/crates/router/src/state/counters.rs
@@ -19,24 +19,24 @@
         }
     }
 
-    pub fn one(&mut self, name: &str) {
+    pub fn increment(&mut self, name: &str) {
         self.add(name, 1);
     }
 
     /// Keeps the largest figure.
-    pub fn most(&mut self, name: &str, figure: u64) {
+    pub fn record_max(&mut self, name: &str, figure: u64) {
         let held = self.most.entry(name.to_string()).or_default();
         *held = figure.max(*held);
     }
 
     /// Adds what another core counted.
-    pub fn join(&mut self, other: &Counters) {
+    pub fn merge(&mut self, other: &Counters) {
         other.sums.iter().for_each(|(name, figure)| self.add(name, *figure as usize));
-        other.most.iter().for_each(|(name, figure)| self.most(name, *figure));
+        other.most.iter().for_each(|(name, figure)| self.record_max(name, *figure));
     }
 
-    pub fn ended(&mut self, ending: AttemptOutcome) {
-        self.one(match ending {
+    pub fn attempt_ended(&mut self, ending: AttemptOutcome) {
+        self.increment(match ending {
             AttemptOutcome::Success => "leaf_calls_ended{success}",
             AttemptOutcome::Error => "leaf_calls_ended{error}",
             AttemptOutcome::Rejected => "leaf_calls_ended{full}",
--- a/crates/router/src/state/invariants.rs
+++ b/crates/router/src/state/invariants.rs
@@ -12,70 +12,71 @@
 const LATE: f64 = 0.5;
 
 impl Dispatcher {
-    fn violation(&mut self, rule: &str, id: &str, what: &str) {
-        self.counters.one(&format!("rule_violations{{{rule}}}"));
+    fn report_violation(&mut self, rule: &str, id: &str, what: &str) {
+        self.counters.increment(&format!("rule_violations{{{rule}}}"));
         tracing::error!(target: "rules", "{rule}: {id}: {what}");
     }
 
     /// The first byte of a call's frame has been written.
-    pub fn audit_begun(&mut self, node: &str, line: u64) {
+    pub fn check_frame_started(&mut self, node: &str, line: u64) {
         let now = self.clock.now();
         let Some(record) = self.endpoints.nodes.get(node) else { return };
-        let (state, calls) = (record.state, record.lines.get(&line).map(|line| line.begun_call().to_vec()));
+        let (state, calls) =
+            (record.state, record.connections.get(&line).map(|line| line.writing_attempts().to_vec()));
         for id in calls.into_iter().flatten() {
-            self.audit_call(&id, node, state, now);
+            self.check_attempt_started(&id, node, state, now);
         }
     }
 
-    fn audit_call(&mut self, id: &AttemptId, node: &str, state: NodeState, now: f64) {
-        let Some((vertical, part)) = self.queries.vertical_and_part(&id.0) else {
-            return self.violation("call_after_answer", &id.0, "its query is over");
+    fn check_attempt_started(&mut self, id: &AttemptId, node: &str, state: NodeState, now: f64) {
+        let Some((vertical, part)) = self.queries.class_and_request(&id.0) else {
+            return self.report_violation("call_after_answer", &id.0, "its query is over");
         };
-        let begun = part.first_begun(Some(id.1));
-        let effect = self.verticals[vertical].effect;
+        let begun = part.first_possible_execution(Some(id.1));
+        let effect = self.query_classes[vertical].idempotency;
         let not_after = self.queries.asked(&id.0).map_or(now, |(_, _, not_after, _)| not_after);
         // The frame was allowed to begin a moment ago: time that passed since is the system's.
         let call = permits::Call { now, until: not_after + LATE, effect, begun, node: state };
         if let Err(denial) = permits::call(&call) {
-            self.violation("call", &id.0, &format!("{} at {node}", denial.label()));
+            self.report_violation("call", &id.0, &format!("{} at {node}", denial.label()));
         }
     }
 
     /// A query is answered with the parts that are in.
-    pub(super) fn audit_answer(&mut self, query: &Query, whole: bool) {
+    pub(super) fn check_answer(&mut self, query: &Query, whole: bool) {
         let now = self.clock.now();
-        if now > query.not_after + LATE {
-            self.violation(
+        if now > query.not_after_s + LATE {
+            self.report_violation(
                 "late_answer",
                 &query.id,
-                &format!("{:.3} s after its time", now - query.not_after),
+                &format!("{:.3} s after its time", now - query.not_after_s),
             );
         }
         if query.coverage.is_some() {
             return;
         }
-        let class = &self.verticals[query.vertical];
-        let all: f64 = query.parts.iter().map(|part| part.weight).sum();
-        let merged = query.parts.iter().filter(|part| part.value.is_some()).map(|part| part.weight);
+        let class = &self.query_classes[query.class];
+        let all: f64 = query.requests.iter().map(|part| part.weight).sum();
+        let merged = query.requests.iter().filter(|part| part.value.is_some()).map(|part| part.weight);
         let share = merged.sum::<f64>() / if all > 0.0 { all } else { 1.0 };
-        let least = if whole { class.need } else { class.floor };
+        let least = if whole { class.complete_fraction } else { class.minimum_fraction };
         if share < least - SHARE_SLACK {
-            self.violation("answer_under_floor", &query.id, &format!("{share:.4} of {least:.4}"));
+            self.report_violation("answer_under_floor", &query.id, &format!("{share:.4} of {least:.4}"));
         }
     }
 
     /// A query is rejected, which promises that trying again is harmless.
-    pub(super) fn audit_reject(&mut self, query: &Query) {
-        let effect = self.verticals[query.vertical].effect;
-        let begun = query.parts.iter().any(|part| !part.begun.is_empty());
+    pub(super) fn check_rejection(&mut self, query: &Query) {
+        let effect = self.query_classes[query.class].idempotency;
+        let begun = query.requests.iter().any(|part| !part.possibly_executed.is_empty());
         if permits::reject(effect, begun).is_err() {
-            self.violation("reject", &query.id, "a call of it may have run");
+            self.report_violation("reject", &query.id, "a call of it may have run");
         }
     }
 
     /// This side has ended a client's connection with a query open on it.
-    pub fn audit_closed_open(&mut self, number: u64) {
+    pub fn check_closed_connection(&mut self, number: u64) {
         let id = self.queries.get(number).map(|query| query.id.to_string()).unwrap_or_default();
-        self.violation("closed_unanswered", &id, "its connection was ended from this side");
+        self.report_violation("closed_unanswered", &id, "its connection was ended from this side");
     }
 }
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -15,9 +15,9 @@
     /// As the data node gave it.
     pub value: Option<String>,
     /// Leaf calls so far.
-    pub calls: usize,
+    pub attempts: usize,
     /// Those of them whose frame has begun and that may have run, with when it began.
-    pub begun: Vec<(usize, f64)>,
+    pub possibly_executed: Vec<(usize, f64)>,
     /// What of a layout it asks for, where layouts are followed.
     pub keys: Option<RequestedKeys>,
 }
@@ -27,42 +27,42 @@
 pub struct RequestedKeys {
     pub range: Range,
     /// The client asked for a shard and can use nothing but one value for it.
-    pub single: bool,
+    pub is_whole_shard: bool,
     /// It has become several parts; its late answer still counts.
-    pub divided: bool,
+    pub is_split: bool,
     /// All its keys are in.
-    pub merged: bool,
+    pub is_answered: bool,
 }
 
 impl RequestedKeys {
     pub fn new(range: Range, single: bool) -> Self {
-        RequestedKeys { range, single, divided: false, merged: false }
+        RequestedKeys { range, is_whole_shard: single, is_split: false, is_answered: false }
     }
 }
 
 impl ShardRequest {
     pub fn new(id: Rc<str>, shard: u32, weight: f64) -> Self {
-        ShardRequest { id, shard, weight, value: None, calls: 0, begun: vec![], keys: None }
+        ShardRequest { id, shard, weight, value: None, attempts: 0, possibly_executed: vec![], keys: None }
     }
 
     /// When the first of its calls that may have run began, one of them left out.
-    pub fn first_begun(&self, but: Option<usize>) -> Option<f64> {
-        let others = self.begun.iter().filter(|(hop, _)| Some(*hop) != but);
+    pub fn first_possible_execution(&self, but: Option<usize>) -> Option<f64> {
+        let others = self.possibly_executed.iter().filter(|(hop, _)| Some(*hop) != but);
         others.map(|(_, at)| *at).reduce(f64::min)
     }
 
-    pub fn is_divided(&self) -> bool {
-        self.keys.is_some_and(|keys| keys.divided)
+    pub fn is_split(&self) -> bool {
+        self.keys.is_some_and(|keys| keys.is_split)
     }
 }
 
 pub struct Query {
     pub id: Rc<str>,
-    pub vertical: usize,
-    pub not_after: f64,
+    pub class: usize,
+    pub not_after_s: f64,
     /// What every part has to carry.
     pub text: String,
-    pub parts: Vec<ShardRequest>,
+    pub requests: Vec<ShardRequest>,
     pub client: Rc<ClientConnection>,
     /// What is in, by keys, where layouts are followed.
     pub coverage: Option<Coverage<(ShardId, String)>>,
@@ -70,27 +70,27 @@
 
 /// What an open query takes of what all cores hold in common; dropped with it.
 pub struct QueryReservation {
-    pub id: Claim,
-    pub room: Vec<Taken>,
+    pub id_claim: Claim,
+    pub capacity: Vec<Taken>,
 }
 
 /// A query is held from `hold` to `release`, and counts with its parts against the room.
 #[derive(Default)]
 pub struct QueryTable {
     open: BTreeMap<u64, Query>,
-    places: BTreeMap<u64, QueryReservation>,
-    due: TimerQueue<u64>,
+    reservations: BTreeMap<u64, QueryReservation>,
+    deadlines: TimerQueue<u64>,
     numbers: BTreeMap<Rc<str>, u64>,
-    parts: BTreeMap<Rc<str>, (u64, usize)>,
+    requests: BTreeMap<Rc<str>, (u64, usize)>,
     /// How many are open in each vertical's place.
-    verticals: BTreeMap<usize, usize>,
-    last: u64,
+    open_by_class: BTreeMap<usize, usize>,
+    last_number: u64,
 }
 
 impl QueryTable {
     /// Queries and parts held.
-    pub fn held(&self) -> usize {
-        self.open.len() + self.parts.len()
+    pub fn reserved_count(&self) -> usize {
+        self.open.len() + self.requests.len()
     }
 
     pub fn is_empty(&self) -> bool {
@@ -102,8 +102,8 @@
     }
 
     /// How many are open in a vertical's place.
-    pub fn open_in(&self, vertical: usize) -> usize {
-        self.verticals.get(&vertical).copied().unwrap_or(0)
+    pub fn open_in_class(&self, vertical: usize) -> usize {
+        self.open_by_class.get(&vertical).copied().unwrap_or(0)
     }
 
     pub fn is_open(&self, id: &str) -> bool {
@@ -114,31 +114,31 @@
         self.numbers.keys().cloned().collect()
     }
 
-    pub fn hold(&mut self, query: Query, place: QueryReservation) -> u64 {
-        self.last += 1;
-        self.places.insert(self.last, place);
-        self.due.add(query.not_after, self.last);
-        self.numbers.insert(query.id.clone(), self.last);
-        for (i, part) in query.parts.iter().enumerate() {
-            self.parts.insert(part.id.clone(), (self.last, i));
+    pub fn insert(&mut self, query: Query, place: QueryReservation) -> u64 {
+        self.last_number += 1;
+        self.reservations.insert(self.last_number, place);
+        self.deadlines.insert(query.not_after_s, self.last_number);
+        self.numbers.insert(query.id.clone(), self.last_number);
+        for (i, part) in query.requests.iter().enumerate() {
+            self.requests.insert(part.id.clone(), (self.last_number, i));
         }
-        *self.verticals.entry(query.vertical).or_default() += 1;
-        self.open.insert(self.last, query);
-        self.last
+        *self.open_by_class.entry(query.class).or_default() += 1;
+        self.open.insert(self.last_number, query);
+        self.last_number
     }
 
-    pub fn release(&mut self, number: u64) -> Option<Query> {
+    pub fn remove(&mut self, number: u64) -> Option<Query> {
         let query = self.open.remove(&number)?;
         self.numbers.remove(&query.id);
-        self.places.remove(&number);
-        self.due.remove(query.not_after, &number);
-        if let Some(open) = self.verticals.get_mut(&query.vertical) {
+        self.reservations.remove(&number);
+        self.deadlines.remove(query.not_after_s, &number);
+        if let Some(open) = self.open_by_class.get_mut(&query.class) {
             *open -= 1;
         }
-        for part in &query.parts {
-            self.parts.remove(&part.id);
+        for part in &query.requests {
+            self.requests.remove(&part.id);
         }
-        query.client.query.set(None);
+        query.client.open_query.set(None);
         Some(query)
     }
 
@@ -147,15 +147,15 @@
     }
 
     pub fn overdue(&self, now: f64) -> Vec<u64> {
-        self.due.by(now).copied().collect()
+        self.deadlines.due(now).copied().collect()
     }
 
     /// Parts of these shards that may still go out.
-    pub fn parts_in(&self, shards: &[ShardId]) -> BTreeMap<ShardId, Vec<Rc<str>>> {
+    pub fn unsplit_requests_of(&self, shards: &[ShardId]) -> BTreeMap<ShardId, Vec<Rc<str>>> {
         let wanted: BTreeSet<ShardId> = shards.iter().copied().collect();
         let mut found: BTreeMap<ShardId, Vec<Rc<str>>> = BTreeMap::new();
-        for part in self.open.values().flat_map(|query| &query.parts) {
-            if wanted.contains(&part.shard) && !part.is_divided() {
+        for part in self.open.values().flat_map(|query| &query.requests) {
+            if wanted.contains(&part.shard) && !part.is_split() {
                 found.entry(part.shard).or_default().push(part.id.clone());
             }
         }
@@ -163,8 +163,8 @@
     }
 
     /// Whether a part is one of an open query.
-    pub fn knows(&self, part: &str) -> bool {
-        self.parts.contains_key(part)
+    pub fn has_request(&self, part: &str) -> bool {
+        self.requests.contains_key(part)
     }
 
     pub fn number(&self, id: &str) -> Option<u64> {
@@ -172,45 +172,45 @@
     }
 
     /// A part of an open query.
-    pub fn part(&mut self, id: &str) -> Option<&mut ShardRequest> {
-        let &(number, i) = self.parts.get(id)?;
-        self.open.get_mut(&number)?.parts.get_mut(i)
+    pub fn request_mut(&mut self, id: &str) -> Option<&mut ShardRequest> {
+        let &(number, i) = self.requests.get(id)?;
+        self.open.get_mut(&number)?.requests.get_mut(i)
     }
 
     /// Shard, text and the client's last moment of an open part, for the frame that asks for it, and its keys.
     pub fn asked(&self, id: &str) -> Option<(u32, &str, f64, Option<Range>)> {
-        let &(number, i) = self.parts.get(id)?;
+        let &(number, i) = self.requests.get(id)?;
         let query = self.open.get(&number)?;
-        let part = query.parts.get(i)?;
-        Some((part.shard, &query.text, query.not_after, part.keys.map(|keys| keys.range)))
+        let part = query.requests.get(i)?;
+        Some((part.shard, &query.text, query.not_after_s, part.keys.map(|keys| keys.range)))
     }
 
     /// An open part and its query's vertical.
-    pub fn vertical_and_part(&self, id: &str) -> Option<(usize, &ShardRequest)> {
-        let &(number, i) = self.parts.get(id)?;
+    pub fn class_and_request(&self, id: &str) -> Option<(usize, &ShardRequest)> {
+        let &(number, i) = self.requests.get(id)?;
         let query = self.open.get(&number)?;
-        Some((query.vertical, query.parts.get(i)?))
+        Some((query.class, query.requests.get(i)?))
     }
 
     /// An open query and where in it a part stands.
-    pub fn of_part(&mut self, id: &str) -> Option<(u64, &mut Query, usize)> {
-        let &(number, i) = self.parts.get(id)?;
+    pub fn query_of_request(&mut self, id: &str) -> Option<(u64, &mut Query, usize)> {
+        let &(number, i) = self.requests.get(id)?;
         Some((number, self.open.get_mut(&number)?, i))
     }
 
     /// A part becomes several, which take room.
-    pub fn divide(&mut self, id: &str, into: Vec<ShardRequest>, room: Taken) {
-        let Some(&(number, i)) = self.parts.get(id) else { return };
+    pub fn split_request(&mut self, id: &str, into: Vec<ShardRequest>, room: Taken) {
+        let Some(&(number, i)) = self.requests.get(id) else { return };
         let Some(query) = self.open.get_mut(&number) else { return };
-        if let Some(keys) = query.parts.get_mut(i).and_then(|part| part.keys.as_mut()) {
-            keys.divided = true;
+        if let Some(keys) = query.requests.get_mut(i).and_then(|part| part.keys.as_mut()) {
+            keys.is_split = true;
         }
         for part in into {
-            self.parts.insert(part.id.clone(), (number, query.parts.len()));
-            query.parts.push(part);
+            self.requests.insert(part.id.clone(), (number, query.requests.len()));
+            query.requests.push(part);
         }
-        if let Some(place) = self.places.get_mut(&number) {
-            place.room.push(room);
+        if let Some(place) = self.reservations.get_mut(&number) {
+            place.capacity.push(room);
         }
     }
 }
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardMapConfig {
     /// Seconds for which a client may name a shard that is gone.
-    pub grace: f64,
+    pub retired_shard_grace_s: f64,
     /// Seconds that a data node which lags behind has to catch up.
-    pub lag: f64,
+    pub lagging_node_grace_s: f64,
 }
 
 /// A part that has become several: its query, its id, and what it became.
@@ -30,30 +30,30 @@
 pub type AnswerCoverage = Coverage<(ShardId, String)>;
 
 pub struct ShardMapView {
-    following: ShardMapConfig,
+    config: ShardMapConfig,
     history: Option<History>,
     pub families: Families<Rc<str>>,
     /// For tests: every answer counts, whatever keys it is for.
     #[cfg(feature = "faults")]
     pub by_answers: bool,
     /// What the next round tells.
-    follows: Vec<(ShardId, Vec<ShardId>)>,
-    held: BTreeSet<ShardId>,
-    divided: Vec<SplitShardRequest>,
+    inherited: Vec<(ShardId, Vec<ShardId>)>,
+    changed_shards: BTreeSet<ShardId>,
+    splits: Vec<SplitShardRequest>,
 }
 
 impl ShardMapView {
     pub fn new(following: ShardMapConfig) -> Self {
         let (history, families, follows, held, divided) = Default::default();
         ShardMapView {
-            following,
+            config: following,
             history,
             families,
             #[cfg(feature = "faults")]
             by_answers: false,
-            follows,
-            held,
-            divided,
+            inherited: follows,
+            changed_shards: held,
+            splits: divided,
         }
     }
 
@@ -66,16 +66,16 @@
     }
 
     /// Takes news in; a faulty one changes nothing. Returns the shards whose open parts are to be looked at.
-    pub fn take(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, Faulty> {
-        let ShardMapConfig { grace, lag } = self.following;
+    pub fn apply(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, Faulty> {
+        let ShardMapConfig { retired_shard_grace_s: grace, lagging_node_grace_s: lag } = self.config;
         match &mut self.history {
             Some(history) => {
                 let followed = history.take(news, now)?;
-                Ok(self.followed(followed))
+                Ok(self.note_changes(followed))
             }
             None => {
                 self.history = Some(History::begin(news, grace, lag)?);
-                self.tell_all();
+                self.mark_all_changed();
                 Ok(vec![])
             }
         }
@@ -83,39 +83,39 @@
 
     /// Takes over a layout that another core has checked.
     pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, Faulty> {
-        let ShardMapConfig { grace, lag } = self.following;
+        let ShardMapConfig { retired_shard_grace_s: grace, lagging_node_grace_s: lag } = self.config;
         match &mut self.history {
             Some(history) if history.newest().version() == layout.version() => Ok(vec![]),
             Some(history) => {
                 let followed = history.replace(layout.clone(), now)?;
-                Ok(self.followed(followed))
+                Ok(self.note_changes(followed))
             }
             None => {
                 self.history = Some(History::new(layout.clone(), grace, lag));
-                self.tell_all();
+                self.mark_all_changed();
                 Ok(vec![])
             }
         }
     }
 
-    fn followed(&mut self, followed: Followed) -> Vec<ShardId> {
-        self.follows.extend(followed.new);
-        self.held.extend(followed.held.iter().copied());
+    fn note_changes(&mut self, followed: Followed) -> Vec<ShardId> {
+        self.inherited.extend(followed.new);
+        self.changed_shards.extend(followed.held.iter().copied());
         followed.held
     }
 
     /// Everything is to be told, as to a module that starts anew.
-    pub fn tell_all(&mut self) {
-        self.follows.clear();
-        self.divided.clear();
+    pub fn mark_all_changed(&mut self) {
+        self.inherited.clear();
+        self.splits.clear();
         if let Some(history) = &self.history {
-            self.held.extend(history.newest().shards().map(|(id, _)| id));
-            self.held.extend(history.open());
+            self.changed_shards.extend(history.newest().shards().map(|(id, _)| id));
+            self.changed_shards.extend(history.open());
         }
     }
 
     /// The parts of a query that asks for these targets, by the newest layout.
-    pub fn map(
+    pub fn requests_for(
         &self,
         id: &str,
         targets: &[QueryTarget],
@@ -150,31 +150,32 @@
     }
 
     /// What a part becomes by the newest layout.
-    pub fn heirs(&self, id: &str, part: &ShardRequest) -> Vec<ShardRequest> {
+    pub fn split_requests(&self, id: &str, part: &ShardRequest) -> Vec<ShardRequest> {
         let (Some(history), Some(keys)) = (&self.history, part.keys) else { return vec![] };
         let mut heirs = pieces(history, id, keys.range, part.weight);
-        heirs.iter_mut().for_each(|heir| heir.calls = part.calls);
+        heirs.iter_mut().for_each(|heir| heir.attempts = part.attempts);
         heirs
     }
 
     /// Whether an open part is to be divided: its shard is gone, and its keys lie with other cells here and there, or
     /// nothing was sent for it yet, so that it may as well go by the newest layout. Guards against a part whose one
     /// common holder hangs or dies while each piece of it has another.
-    pub fn is_to_divide(&self, part: &ShardRequest) -> bool {
+    pub fn must_split(&self, part: &ShardRequest) -> bool {
         let (Some(history), Some(keys)) = (&self.history, part.keys) else { return false };
-        let over = keys.single || keys.divided || keys.merged || !history.is_gone(part.shard);
-        !over && (part.calls == 0 || history.is_scattered(part.shard))
+        let over = keys.is_whole_shard || keys.is_split || keys.is_answered || !history.is_gone(part.shard);
+        !over && (part.attempts == 0 || history.is_scattered(part.shard))
     }
 
-    pub fn opened(&mut self, part: &ShardRequest) {
+    pub fn request_opened(&mut self, part: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| part.keys.is_some()) {
             history.opened(part.shard);
         }
     }
 
     /// One that was divided has been closed by that.
-    pub fn closed(&mut self, part: &ShardRequest) {
-        if let Some(history) = self.history.as_mut().filter(|_| part.keys.is_some_and(|keys| !keys.divided)) {
+    pub fn request_closed(&mut self, part: &ShardRequest) {
+        if let Some(history) = self.history.as_mut().filter(|_| part.keys.is_some_and(|keys| !keys.is_split))
+        {
             history.closed(part.shard);
         }
     }
@@ -184,18 +185,18 @@
     }
 
     /// A part has become several. A query that the module has not heard of yet is told as it is then.
-    pub fn divided(&mut self, division: SplitShardRequest, new: bool) {
+    pub fn request_split(&mut self, division: SplitShardRequest, new: bool) {
         let into: Vec<Rc<str>> = division.2.iter().map(|heir| heir.0.clone()).collect();
         self.families.divide(&division.1, &into);
         if !new {
-            self.divided.push(division);
+            self.splits.push(division);
         }
     }
 
     /// How a call ended, from what the data node says about the layout. An answer counts for just the keys that were
     /// asked for: guards against a node that answers by another layout, and against one that knows of none and is
     /// asked for a part of what it calls a shard.
-    pub fn judge(
+    pub fn classify_outcome(
         &mut self,
         node: &str,
         part: &ShardRequest,
@@ -208,7 +209,7 @@
         match (ending, moved, keys) {
             (AttemptOutcome::Rejected, Some(version), _) => {
                 if history.disown(part.shard, node, version, now) {
-                    self.held.insert(part.shard);
+                    self.changed_shards.insert(part.shard);
                 }
                 AttemptOutcome::ShardMoved
             }
@@ -223,13 +224,13 @@
     }
 
     /// What changed, before the queries of the round.
-    pub fn tell_shards(&mut self, now: f64, module: &mut dyn PolicyInput) {
+    pub fn notify_shards(&mut self, now: f64, module: &mut dyn PolicyInput) {
         let Some(history) = &mut self.history else { return };
-        self.held.extend(history.lapse(now));
-        for (shard, parents) in std::mem::take(&mut self.follows) {
+        self.changed_shards.extend(history.lapse(now));
+        for (shard, parents) in std::mem::take(&mut self.inherited) {
             module.inherit_shard(shard, &parents);
         }
-        for shard in std::mem::take(&mut self.held) {
+        for shard in std::mem::take(&mut self.changed_shards) {
             let without = history.disowned(shard).map(str::to_string).collect();
             module.set_shard_holders(
                 shard,
@@ -239,22 +240,22 @@
     }
 
     /// Parts that have become several, after the queries of the round.
-    pub fn tell_divided(&mut self, module: &mut dyn PolicyInput) {
-        for (number, part, into) in std::mem::take(&mut self.divided) {
+    pub fn notify_splits(&mut self, module: &mut dyn PolicyInput) {
+        for (number, part, into) in std::mem::take(&mut self.splits) {
             let into: Vec<(&str, u32, f64)> = into.iter().map(|(id, shard, w)| (&**id, *shard, *w)).collect();
             module.shard_request_split(number, &part, &into);
         }
     }
 
     /// For one that tells no module: what no longer matters is given back.
-    pub fn rest(&mut self, now: f64) {
-        self.follows.clear();
-        self.held.clear();
+    pub fn discard_notifications(&mut self, now: f64) {
+        self.inherited.clear();
+        self.changed_shards.clear();
         self.history.iter_mut().for_each(|history| drop(history.retire(now)));
     }
 
     /// What no longer matters, at the end of the round.
-    pub fn tell_over(&mut self, now: f64, module: &mut dyn PolicyInput) {
+    pub fn notify_retired(&mut self, now: f64, module: &mut dyn PolicyInput) {
         if let Some(history) = &mut self.history {
             history.retire(now).into_iter().for_each(|shard| module.shard_retired(shard));
         }
@@ -262,7 +263,11 @@
 
     /// Those to whom the end of a call is told in its part's place: heirs that still wait for it, or all of them
     /// where it brought an answer; none where the part is what it was.
-    pub fn told_of(&self, call: &super::AttemptId, ending: AttemptOutcome) -> Option<Vec<Rc<str>>> {
+    pub fn outcome_recipients(
+        &self,
+        call: &super::AttemptId,
+        ending: AttemptOutcome,
+    ) -> Option<Vec<Rc<str>>> {
         if self.families.is_empty() {
             return None;
         }
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -20,9 +20,9 @@
 /// A connection of a client on its way to a core. Nothing of it is read that is not answered.
 pub struct TransferredConnection {
     pub stream: std::net::TcpStream,
-    pub held: DescriptorPermit,
+    pub permit: DescriptorPermit,
     /// Has sent a request before, on another core.
-    pub used: bool,
+    pub has_sent_request: bool,
 }
 
 /// What a core is told to do.
@@ -34,7 +34,7 @@
         connections: usize,
     },
     /// To close the connection of a client that is idle longest.
-    MakeRoom,
+    CloseLongestIdle,
 }
 
 /// What one core tells the others of a data node.
@@ -42,31 +42,31 @@
 pub struct ObservationMessage {
     pub core: usize,
     pub node: String,
-    pub seen: NodeObservation,
+    pub observation: NodeObservation,
 }
 
 /// What a core counts, and what is open on it.
 #[derive(Clone, Default)]
 pub struct MetricsSnapshot {
     pub counters: Counters,
-    pub open: Vec<(&'static str, u64)>,
+    pub gauges: Vec<(&'static str, u64)>,
 }
 
 impl MetricsSnapshot {
     /// Adds those of another core. All know the same data nodes.
-    pub fn join(&mut self, other: &MetricsSnapshot) {
-        self.counters.join(&other.counters);
-        for &(name, figure) in &other.open {
-            match self.open.iter_mut().find(|(known, _)| *known == name) {
+    pub fn merge(&mut self, other: &MetricsSnapshot) {
+        self.counters.merge(&other.counters);
+        for &(name, figure) in &other.gauges {
+            match self.gauges.iter_mut().find(|(known, _)| *known == name) {
                 Some((_, sum)) if name == "nodes_known" => *sum = figure.max(*sum),
                 Some((_, sum)) => *sum += figure,
-                None => self.open.push((name, figure)),
+                None => self.gauges.push((name, figure)),
             }
         }
     }
 
     pub fn text(&self) -> String {
-        self.open.iter().fold(self.counters.text(), |mut text, (name, figure)| {
+        self.gauges.iter().fold(self.counters.text(), |mut text, (name, figure)| {
             let _ = writeln!(text, "{name} {figure}");
             text
         })
@@ -76,40 +76,40 @@
 /// What a core last said of itself.
 pub struct CoreState {
     /// When, in milliseconds of the common clock.
-    pub beat: AtomicU64,
-    pub clients: AtomicUsize,
+    pub heartbeat_ms: AtomicU64,
+    pub client_count: AtomicUsize,
     /// Clients that had an answer since the beat before the last.
-    pub active: AtomicUsize,
+    pub active_clients: AtomicUsize,
     /// Of a thousand parts of its time lately, how many it worked.
-    pub busy: AtomicU64,
-    pub figures: watch::Sender<Arc<MetricsSnapshot>>,
+    pub busy_permille: AtomicU64,
+    pub metrics: watch::Sender<Arc<MetricsSnapshot>>,
     /// The serial of the settings that its module goes by.
-    pub settings: watch::Sender<u64>,
+    pub config_serial: watch::Sender<u64>,
     inbox: Option<mpsc::Sender<CoreCommand>>,
 }
 
 pub struct SharedState {
     pub ids: Arc<Ids>,
     /// Queries and parts held.
-    pub room: Arc<Pool>,
+    pub capacity: Arc<Pool>,
     pub fence: Arc<Fence>,
-    pub common: SharedLimits,
+    pub limits: SharedLimits,
     pub cores: Vec<CoreState>,
     /// The module of some core asks to follow the endpoint list.
-    pub follow: Arc<Notify>,
+    pub poll_requested: Arc<Notify>,
     /// Most connections of one core to one data node.
-    pub node_connections: usize,
-    gossip: Option<broadcast::Sender<ObservationMessage>>,
+    pub max_connections_per_node: usize,
+    observations: Option<broadcast::Sender<ObservationMessage>>,
     /// Cores that serve, hang and are lost, as the lead sees them.
-    pub serving: AtomicUsize,
-    pub hung: AtomicUsize,
-    pub lost: AtomicUsize,
+    pub cores_serving: AtomicUsize,
+    pub cores_hung: AtomicUsize,
+    pub cores_lost: AtomicUsize,
     /// What the lead itself counts.
-    pub lead: watch::Sender<Arc<MetricsSnapshot>>,
+    pub acceptor_metrics: watch::Sender<Arc<MetricsSnapshot>>,
     /// The number of the settings in force, if they came with one.
-    pub version: AtomicU64,
+    pub config_version: AtomicU64,
     /// What the subscription to control machines counts, where there is one.
-    pub control: watch::Sender<Arc<MetricsSnapshot>>,
+    pub control_metrics: watch::Sender<Arc<MetricsSnapshot>>,
 }
 
 /// How several cores share.
@@ -117,14 +117,14 @@
 pub struct MulticoreConfig {
     pub cores: usize,
     /// Most connections to one data node, of all cores together; one for each core at least.
-    pub node_connections: Option<usize>,
+    pub max_connections_per_node: Option<usize>,
     /// Whether cores tell each other what they saw of data nodes.
-    pub evidence: bool,
+    pub shares_observations: bool,
 }
 
 impl Default for MulticoreConfig {
     fn default() -> Self {
-        MulticoreConfig { cores: 1, node_connections: None, evidence: true }
+        MulticoreConfig { cores: 1, max_connections_per_node: None, shares_observations: true }
     }
 }
 
@@ -137,12 +137,12 @@
     ) -> (Arc<Self>, Vec<mpsc::Receiver<CoreCommand>>) {
         let many = sharing.cores > 1;
         let core_state = |inbox| CoreState {
-            beat: AtomicU64::new(0),
-            clients: AtomicUsize::new(0),
-            active: AtomicUsize::new(0),
-            busy: AtomicU64::new(0),
-            figures: watch::channel(Arc::default()).0,
-            settings: watch::channel(0).0,
+            heartbeat_ms: AtomicU64::new(0),
+            client_count: AtomicUsize::new(0),
+            active_clients: AtomicUsize::new(0),
+            busy_permille: AtomicU64::new(0),
+            metrics: watch::channel(Arc::default()).0,
+            config_serial: watch::channel(0).0,
             inbox,
         };
         let (senders, inboxes): (Vec<_>, Vec<_>) =
@@ -152,37 +152,37 @@
         } else {
             vec![core_state(None)]
         };
-        let each = sharing.node_connections.map_or(usize::MAX, |all| (all / sharing.cores).max(1));
+        let each = sharing.max_connections_per_node.map_or(usize::MAX, |all| (all / sharing.cores).max(1));
         let shared = SharedState {
             ids: Ids::new(room),
-            room: Pool::new(room),
+            capacity: Pool::new(room),
             fence: Fence::new(if many { patience } else { f64::INFINITY }),
-            common: SharedLimits::new(sharing.cores),
+            limits: SharedLimits::new(sharing.cores),
             cores,
-            follow: Arc::default(),
-            node_connections: each,
-            gossip: (many && sharing.evidence).then(|| broadcast::channel(GOSSIP).0),
-            serving: AtomicUsize::new(0),
-            hung: AtomicUsize::new(0),
-            lost: AtomicUsize::new(0),
-            lead: watch::channel(Arc::default()).0,
-            version: AtomicU64::new(0),
-            control: watch::channel(Arc::default()).0,
+            poll_requested: Arc::default(),
+            max_connections_per_node: each,
+            observations: (many && sharing.shares_observations).then(|| broadcast::channel(GOSSIP).0),
+            cores_serving: AtomicUsize::new(0),
+            cores_hung: AtomicUsize::new(0),
+            cores_lost: AtomicUsize::new(0),
+            acceptor_metrics: watch::channel(Arc::default()).0,
+            config_version: AtomicU64::new(0),
+            control_metrics: watch::channel(Arc::default()).0,
         };
         (Arc::new(shared), inboxes)
     }
 
     /// For a program on one core.
-    pub fn alone(room: usize) -> Arc<Self> {
+    pub fn single_core(room: usize) -> Arc<Self> {
         SharedState::new(room, MulticoreConfig::default(), f64::INFINITY).0
     }
 
-    pub fn is_shared(&self) -> bool {
+    pub fn has_several_cores(&self) -> bool {
         self.cores.len() > 1
     }
 
     /// Gives a core something to do; what it has no room for comes back.
-    pub fn send(&self, core: usize, order: CoreCommand) -> Result<(), CoreCommand> {
+    pub fn send_command(&self, core: usize, order: CoreCommand) -> Result<(), CoreCommand> {
         let Some(inbox) = self.cores.get(core).and_then(|s| s.inbox.as_ref()) else { return Err(order) };
         inbox.try_send(order).map_err(|why| match why {
             mpsc::error::TrySendError::Full(order) | mpsc::error::TrySendError::Closed(order) => order,
@@ -190,31 +190,34 @@
     }
 
     /// Tells the other cores; false where each keeps to itself what it sees.
-    pub fn tell(&self, word: ObservationMessage) -> bool {
+    pub fn broadcast_observation(&self, word: ObservationMessage) -> bool {
         // An error says that nobody listens.
-        self.gossip.as_ref().map(|gossip| gossip.send(word)).is_some()
+        self.observations.as_ref().map(|gossip| gossip.send(word)).is_some()
     }
 
-    pub fn listen(&self) -> Option<broadcast::Receiver<ObservationMessage>> {
-        self.gossip.as_ref().map(broadcast::Sender::subscribe)
+    pub fn subscribe_observations(&self) -> Option<broadcast::Receiver<ObservationMessage>> {
+        self.observations.as_ref().map(broadcast::Sender::subscribe)
     }
 
     /// Adds what the other cores last said to one's own figures, and how the cores are.
-    pub fn add_others(&self, core: Option<usize>, figures: &mut MetricsSnapshot) {
-        let version = self.version.load(Relaxed);
+    pub fn add_other_cores(&self, core: Option<usize>, figures: &mut MetricsSnapshot) {
+        let version = self.config_version.load(Relaxed);
         if version > 0 {
-            figures.open.push(("settings_version", version));
+            figures.gauges.push(("settings_version", version));
         }
-        figures.join(&self.control.borrow());
-        if !self.is_shared() {
+        figures.merge(&self.control_metrics.borrow());
+        if !self.has_several_cores() {
             return;
         }
         let others = self.cores.iter().enumerate().filter(|(at, _)| Some(*at) != core);
-        others.for_each(|(_, core_state)| figures.join(&core_state.figures.borrow()));
-        figures.join(&self.lead.borrow());
-        let cores =
-            [("cores_serving", &self.serving), ("cores_hung", &self.hung), ("cores_lost", &self.lost)];
-        figures.open.extend(cores.map(|(name, count)| (name, count.load(Relaxed) as u64)));
-        figures.open.push(("ids_open", self.ids.count() as u64));
+        others.for_each(|(_, core_state)| figures.merge(&core_state.metrics.borrow()));
+        figures.merge(&self.acceptor_metrics.borrow());
+        let cores = [
+            ("cores_serving", &self.cores_serving),
+            ("cores_hung", &self.cores_hung),
+            ("cores_lost", &self.cores_lost),
+        ];
+        figures.gauges.extend(cores.map(|(name, count)| (name, count.load(Relaxed) as u64)));
+        figures.gauges.push(("ids_open", self.ids.count() as u64));
     }
 }
--- a/crates/router/src/state/stall_detector.rs
+++ b/crates/router/src/state/stall_detector.rs
@@ -7,15 +7,15 @@
 /// Counts stalls of one thread. A thread that had nothing to do looks like one that stood still.
 #[derive(Debug, Default)]
 pub struct StallDetector {
-    looked: f64,
+    last_check_s: f64,
     count: u64,
 }
 
 impl StallDetector {
     /// To be called by all that runs on the thread; returns the number of the latest stall.
-    pub fn look(&mut self, now: f64) -> u64 {
-        self.count += u64::from(now - self.looked > STALL);
-        self.looked = now;
+    pub fn check(&mut self, now: f64) -> u64 {
+        self.count += u64::from(now - self.last_check_s > STALL);
+        self.last_check_s = now;
         self.count
     }
 }
--- a/crates/router/src/state/timer_queue.rs
+++ b/crates/router/src/state/timer_queue.rs
@@ -28,7 +28,7 @@
 }
 
 impl<K: Ord + Clone> TimerQueue<K> {
-    pub fn add(&mut self, at: f64, what: K) {
+    pub fn insert(&mut self, at: f64, what: K) {
         self.0.insert((At(at), what));
     }
 
@@ -37,11 +37,11 @@
     }
 
     /// What is due by now, the earliest first.
-    pub fn by(&self, now: f64) -> impl Iterator<Item = &K> {
+    pub fn due(&self, now: f64) -> impl Iterator<Item = &K> {
         self.0.iter().take_while(move |(at, _)| at.0 <= now).map(|(_, what)| what)
     }
 
-    pub fn next(&self) -> f64 {
+    pub fn next_due(&self) -> f64 {
         self.0.first().map_or(f64::INFINITY, |(at, _)| at.0)
     }
 }
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -168,7 +168,7 @@
         let left = able.len();
         let held = askings.len();
         tracing::warn!(target: "tier", "planner {name} is lost: {held} queries asked anew, {left} planners able");
-        self.counters.one("planners_lost");
+        self.counters.increment("planners_lost");
         self.counters.add("queries_asked_anew", held);
         self.calls.retain(|_, planner| planner != name);
         for asking in askings {
@@ -180,7 +180,7 @@
     fn ask(&mut self, asking: Asking) {
         let Asking { query, decider, term } = asking;
         let Decider::Planner(planner) = decider else {
-            self.counters.one("queries_decided{own}");
+            self.counters.increment("queries_decided{own}");
             self.own_due.push(query);
             return self.came.notify_one();
         };
@@ -208,7 +208,7 @@
             query,
         };
         out.into_iter().for_each(|call| drop(self.calls.insert(call, planner.clone())));
-        self.counters.one("queries_decided{planner}");
+        self.counters.increment("queries_decided{planner}");
         self.send(&planner, &take);
     }
 
@@ -236,7 +236,7 @@
                             &other,
                             &Message::Evidence { node, started, late, far, sick, relay: false },
                         );
-                        self.counters.one("evidence_relayed");
+                        self.counters.increment("evidence_relayed");
                     }
                 }
                 let seen = self.clock.now();
@@ -252,13 +252,13 @@
                             unresponsive_for_s: sick,
                         },
                     ));
-                    self.counters.one("evidence_heard{planner}");
+                    self.counters.increment("evidence_heard{planner}");
                 }
             }
             Message::Call { term, part, node, limit } => {
                 let query = self.custody.accepts(&from, term);
                 let known = self.parts.get(&part).filter(|(of, _)| Some(of.as_str()) == query).cloned();
-                let Some((query, at)) = known else { return self.counters.one("decisions_refused") };
+                let Some((query, at)) = known else { return self.counters.increment("decisions_refused") };
                 let now = self.clock.now();
                 if let Some(record) = self.queries.get_mut(&query).map(|query| &mut query.parts[at]) {
                     self.calls.insert((part.clone(), record.calls.len()), hello.name.clone());
@@ -270,9 +270,9 @@
                 // After the final answer as well: the losers of its race.
                 match self.calls.get(&(part.clone(), hop as usize)) {
                     Some(planner) if *planner == hello.name => dispatcher.cancel_attempt(&part, hop as usize),
-                    Some(_) => self.counters.one("decisions_refused"),
+                    Some(_) => self.counters.increment("decisions_refused"),
                     // The call ended here while the word to cancel it was on its way.
-                    None => self.counters.one("cancels_crossed"),
+                    None => self.counters.increment("cancels_crossed"),
                 }
             }
             Message::Answer { term, query, whole } => {
@@ -291,7 +291,7 @@
                 }
             }
             Message::Take { .. } | Message::Ended { .. } | Message::Left { .. } => {
-                self.counters.one("decisions_refused");
+                self.counters.increment("decisions_refused");
             }
         }
     }
@@ -301,7 +301,7 @@
         if decides {
             self.forget(query);
         } else {
-            self.counters.one("decisions_refused");
+            self.counters.increment("decisions_refused");
         }
         decides
     }
@@ -418,7 +418,7 @@
         self.forwarder.queries.insert(id.into(), query);
         self.told = (id.into(), asking.decider == Decider::Own);
         if asking.decider == Decider::Own {
-            self.forwarder.counters.one("queries_decided{own}");
+            self.forwarder.counters.increment("queries_decided{own}");
             self.own.query_arrived(number, id, vertical, customer, not_after);
         } else {
             self.forwarder.fresh.push(asking);
--- a/crates/router/src/tier/links.rs
+++ b/crates/router/src/tier/links.rs
@@ -42,7 +42,7 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            let index = dispatcher.borrow().endpoints.index.unwrap_or(0);
+            let index = dispatcher.borrow().endpoints.version.unwrap_or(0);
             let mut tier = tier.borrow_mut();
             tier.knows(index);
             tier.tick();
@@ -92,7 +92,7 @@
     }
     let ended = talk(dispatcher, tier, stream, share, &hello, &wake, reader, space).await;
     tier.borrow_mut().ended(&hello);
-    dispatcher.borrow().came.notify_one();
+    dispatcher.borrow().work_ready.notify_one();
     match ended {
         Some(why) => Err(why),
         None => Ok(()),
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -141,7 +141,7 @@
 
     /// Whether new queries are taken: data nodes are known, there is room, and no stop has begun.
     fn able(&self) -> bool {
-        self.endpoints.names_any() && !self.stopping && self.held < self.room
+        self.endpoints.has_nodes() && !self.stopping && self.held < self.room
     }
 
     // Forwarders.
@@ -153,7 +153,7 @@
         let (queries, calls) = Default::default();
         self.sessions
             .insert(self.last, Session { outbox, name: None, queries, calls, unanswered: None, next: 0 });
-        self.counters.one("forwarders{met}");
+        self.counters.increment("forwarders{met}");
         (self.last, wake)
     }
 
@@ -187,7 +187,7 @@
                 latency: now - at,
             });
         }
-        self.counters.one("forwarders{gone}");
+        self.counters.increment("forwarders{gone}");
         self.wake.notify_one();
     }
 
@@ -240,11 +240,11 @@
             }
             Message::Evidence { node, started, late, far, sick, .. } => {
                 let seen = self.clock.now();
-                let Some(here) = self.endpoints.nodes.get(&node).map(|node| node.started) else {
+                let Some(here) = self.endpoints.nodes.get(&node).map(|node| node.started_at_s) else {
                     return true;
                 };
                 if let Some(started) = same_start(here, started, seen) {
-                    self.counters.one("evidence_heard");
+                    self.counters.increment("evidence_heard");
                     self.came.push(Came::NodeObservation(
                         node,
                         NodeObservation {
@@ -280,7 +280,7 @@
         // Guards against a queue that nobody reads in time: past its room a planner turns away at once. What was
         // tried may have run; it is taken beyond the room, so that the module judges it.
         if vertical >= self.verticals || left.is_nan() || !(fits || tried) {
-            self.counters.one("queries_turned_away");
+            self.counters.increment("queries_turned_away");
             return self.send(session, &Message::Reject { term, query: id, come_back: None });
         }
         let (now, number) = (self.clock.now(), self.last + 1);
@@ -299,7 +299,7 @@
                 }
             }
         }
-        self.counters.one(if tried { "queries_taken{over}" } else { "queries_taken{new}" });
+        self.counters.increment(if tried { "queries_taken{over}" } else { "queries_taken{new}" });
         self.queries.insert(number, Query { session, id, term, parts: names });
         let not_after = now + left.min(self.deadline);
         self.came.push(Came::Query { number, vertical, customer, not_after, parts });
@@ -307,8 +307,8 @@
 
     /// Says how this planner is to every forwarder; those that answered nothing for so long are over.
     pub fn beat(&mut self, patience: f64) {
-        let (able, endpoints, now) = (self.able(), self.endpoints.index.unwrap_or(0), self.clock.now());
-        if self.since.is_none() && self.endpoints.names_any() {
+        let (able, endpoints, now) = (self.able(), self.endpoints.version.unwrap_or(0), self.clock.now());
+        if self.since.is_none() && self.endpoints.has_nodes() {
             self.since = Some(now);
         }
         for session in self.sessions.values_mut() {
@@ -335,8 +335,8 @@
     }
 
     fn tell(&mut self, now: f64, module: &mut dyn PolicyInput) {
-        self.endpoints.tell(module);
-        self.endpoints.forget_gone();
+        self.endpoints.notify_policy(module);
+        self.endpoints.drop_removed();
         let due: Vec<u64> = self.alarms.extract_if(.., |alarm| alarm.0 <= now).map(|alarm| alarm.1).collect();
         self.came.extend(due.into_iter().map(Came::Alarm));
         for came in std::mem::take(&mut self.came) {
@@ -394,7 +394,7 @@
         Ok::<(), Infallible>(())
     };
     let Ok(()) = module.round(now, tell, &mut Pen(planner));
-    planner.borrow_mut().counters.one("rounds");
+    planner.borrow_mut().counters.increment("rounds");
 }
 
 struct Pen<'a>(&'a std::cell::RefCell<Planner>);
@@ -411,7 +411,7 @@
         if let Some(session) = planner.sessions.get_mut(&session) {
             session.calls.insert((name.clone(), hop), (node.clone(), now));
         }
-        planner.counters.one("leaf_calls_decided");
+        planner.counters.increment("leaf_calls_decided");
         planner.send(session, &Message::Call { term, part: name, node, limit });
     }
 
@@ -452,7 +452,7 @@
     fn share_observation(&mut self, node: &str, seen: NodeObservation) {
         let mut planner = self.0.borrow_mut();
         let now = planner.clock.now();
-        let started = planner.endpoints.nodes.get(node).and_then(|node| node.started).map(|at| now - at);
+        let started = planner.endpoints.nodes.get(node).and_then(|node| node.started_at_s).map(|at| now - at);
         let NodeObservation { slow_for_s: late, very_slow_for_s: far, unresponsive_for_s: sick, .. } = seen;
         for (n, session) in planner.sessions.values_mut().enumerate() {
             let (node, relay) = (node.into(), n == 0);
@@ -475,16 +475,16 @@
         &mut self.endpoints
     }
     fn changed(&mut self) {
-        self.counters.one("roster_changes");
+        self.counters.increment("roster_changes");
         self.wake.notify_one();
     }
     fn watch_lost(&mut self, _answered: bool) {
-        self.counters.one("discovery_watches_lost");
+        self.counters.increment("discovery_watches_lost");
     }
     fn quiet(&mut self, span: f64) {
-        self.counters.most("discovery_quiet_ms_most", (span * 1e3) as u64);
+        self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
     }
     fn moved(&mut self) {
-        self.counters.one("discovery_moves");
+        self.counters.increment("discovery_moves");
     }
 }
--- a/crates/router/tests/dispatcher.rs
+++ b/crates/router/tests/dispatcher.rs
@@ -67,7 +67,7 @@
         polls_endpoints: false,
     };
     let mut dispatcher = Dispatcher::new(Clock::default(), trunk, room, vec!["v".into()]);
-    dispatcher.endpoints.begin(1, true);
+    dispatcher.endpoints.begin_update(1, true);
     for (name, port) in [("s", 1), ("t", 2)] {
         endpoints(&mut dispatcher, name, port, NodeState::Serving, None);
     }
@@ -76,14 +76,14 @@
 }
 
 fn endpoints(dispatcher: &mut Dispatcher, name: &str, port: u16, state: NodeState, started: Option<f64>) {
-    dispatcher.endpoints.entry(name, ([127, 0, 0, 1], port).into(), 0, state, started);
-    dispatcher.roster_changed();
+    dispatcher.endpoints.update(name, ([127, 0, 0, 1], port).into(), 0, state, started);
+    dispatcher.endpoints_changed();
 }
 
 fn told(dispatcher: &mut Dispatcher) -> Vec<String> {
     let (mut told, now) = (Told::default(), dispatcher.clock.now());
-    dispatcher.expire(now);
-    dispatcher.tell(now, &mut told);
+    dispatcher.expire_due(now);
+    dispatcher.notify_policy(now, &mut told);
     told.0
 }
 
@@ -94,8 +94,16 @@
     let parts = shards.iter().map(part).collect();
     let (not_after, text) = (dispatcher.clock.now() + 5.0, "text".to_string());
     let (query, client_of, coverage) = (id.into(), client.clone(), None);
-    let query = Query { id: query, vertical: 0, not_after, text, parts, client: client_of, coverage };
-    dispatcher.take(&client, query).expect("taken");
+    let query = Query {
+        id: query,
+        class: 0,
+        not_after_s: not_after,
+        text,
+        requests: parts,
+        client: client_of,
+        coverage,
+    };
+    dispatcher.open_query(&client, query).expect("taken");
     told(dispatcher);
     client
 }
@@ -104,20 +112,20 @@
 fn send(dispatcher: &mut Dispatcher, node: &str, parts: &[&str]) -> Vec<Dial> {
     parts.iter().for_each(|part| dispatcher.start_attempt(part, node, 5.0));
     let now = dispatcher.clock.now();
-    dispatcher.post(now)
+    dispatcher.flush_attempts(now)
 }
 
 /// Writes the next frame of a connection to its last byte; its text, if one waits.
 fn write(dispatcher: &mut Dispatcher, dial: &Dial) -> Option<String> {
     let mut out = vec![];
-    let begun = dispatcher.next_frame(&dial.node, dial.line, &mut out);
+    let begun = dispatcher.next_frame(&dial.node, dial.connection, &mut out);
     let now = dispatcher.clock.now();
-    dispatcher.endpoints.line(&dial.node, dial.line)?.written(now);
+    dispatcher.endpoints.connection(&dial.node, dial.connection)?.frame_written(now);
     begun.then(|| String::from_utf8_lossy(&out[4..]).to_string())
 }
 
 fn up(dispatcher: &mut Dispatcher, dial: &Dial) {
-    dispatcher.endpoints.line(&dial.node, dial.line).expect("a connection").up = true;
+    dispatcher.endpoints.connection(&dial.node, dial.connection).expect("a connection").is_up = true;
 }
 
 #[rstest]
@@ -144,7 +152,7 @@
     assert_eq!((first.len(), second.len()), (1, 1));
     take(&mut dispatcher, "r", &[1]);
     while write(&mut dispatcher, &first[0]).is_some() {}
-    dispatcher.replied("s", first[0].line, "q.1", AttemptOutcome::Success, "v");
+    dispatcher.record_reply("s", first[0].connection, "q.1", AttemptOutcome::Success, "v");
     up(&mut dispatcher, &first[0]);
     assert!(send(&mut dispatcher, "s", &["r.1"]).is_empty());
     assert!(write(&mut dispatcher, &first[0]).is_some_and(|text| text.contains("r.1 ")));
@@ -155,10 +163,10 @@
 #[case::answered_elsewhere(|dispatcher: &mut Dispatcher, _| {
     let dial = send(dispatcher, "t", &["q.1"]).remove(0);
     write(dispatcher, &dial);
-    dispatcher.replied("t", dial.line, "q.1", AttemptOutcome::Success, "v");
+    dispatcher.record_reply("t", dial.connection, "q.1", AttemptOutcome::Success, "v");
 }, "q.1 0 s Cancelled")]
 #[case::query_over(|dispatcher: &mut Dispatcher, _| dispatcher.reject("q", None), "q.1 0 s NeverSent")]
-#[case::client_gone(|dispatcher: &mut Dispatcher, number| dispatcher.client_left(number), "q.1 0 s Cancelled")]
+#[case::client_gone(|dispatcher: &mut Dispatcher, number| dispatcher.client_disconnected(number), "q.1 0 s Cancelled")]
 #[case::node_drains(|dispatcher: &mut Dispatcher, _| endpoints(dispatcher, "s", 1, NodeState::Draining, None), "q.1 0 s NeverSent")]
 #[case::node_gone(|dispatcher: &mut Dispatcher, _| endpoints(dispatcher, "s", 1, NodeState::Removed, None), "q.1 0 s NeverSent")]
 fn a_frame_not_begun_is_taken_back(#[case] happens: impl FnOnce(&mut Dispatcher, u64), #[case] ending: &str) {
@@ -190,15 +198,15 @@
     let dial = send(&mut dispatcher, "s", &["q.1", "q.2", "q.3", "q.4"]).remove(0);
     write(&mut dispatcher, &dial);
     // The second call has begun, its last byte is not written.
-    assert!(dispatcher.next_frame("s", dial.line, &mut vec![]));
-    dispatcher.line_lost("s", dial.line);
+    assert!(dispatcher.next_frame("s", dial.connection, &mut vec![]));
+    dispatcher.connection_lost("s", dial.connection);
     let told = told(&mut dispatcher);
     for ending in
         ["q.1 0 s ConnectionReset", "q.2 0 s ConnectionReset", "q.3 0 s Unreachable", "q.4 0 s Unreachable"]
     {
         assert!(told.iter().any(|t| t == ending), "{ending}: {told:?}");
     }
-    assert_eq!(dispatcher.calls.count_out(), 0);
+    assert_eq!(dispatcher.attempts.len(), 0);
 }
 
 #[rstest]
@@ -213,8 +221,8 @@
     take(&mut dispatcher, "q", &[1, 2, 3]);
     let dial = send(&mut dispatcher, "s", &["q.1", "q.2", "q.3"]).remove(0);
     write(&mut dispatcher, &dial);
-    dispatcher.spoilt("s", dial.line, part);
-    dispatcher.line_lost("s", dial.line);
+    dispatcher.connection_corrupted("s", dial.connection, part);
+    dispatcher.connection_lost("s", dial.connection);
     let mut told = told(&mut dispatcher);
     told.sort();
     let mut all = [out[0], out[1], "q.3 0 s NeverSent"];
@@ -227,21 +235,21 @@
     let mut dispatcher = dispatcher();
     take(&mut dispatcher, "q", &[1]);
     let dial = send(&mut dispatcher, "s", &["q.1"]).remove(0);
-    assert!(dispatcher.next_frame("s", dial.line, &mut vec![]));
+    assert!(dispatcher.next_frame("s", dial.connection, &mut vec![]));
     dispatcher.reject("q", None);
-    assert!(dispatcher.endpoints.line("s", dial.line).expect("a connection").cut);
+    assert!(dispatcher.endpoints.connection("s", dial.connection).expect("a connection").is_aborted);
 }
 
 #[rstest]
-#[case::broken(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.line_lost("s", dial.line))]
-#[case::spoilt(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.spoilt("s", dial.line, None))]
+#[case::broken(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.connection_lost("s", dial.connection))]
+#[case::spoilt(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.connection_corrupted("s", dial.connection, None))]
 fn a_connection_cut_over_a_part_says_nothing_of_a_later_call_by_the_same_id(
     #[case] ends: impl FnOnce(&mut Dispatcher, &Dial),
 ) {
     let mut dispatcher = dispatcher();
     take(&mut dispatcher, "q", &[1]);
     let cut = send(&mut dispatcher, "s", &["q.1"]).remove(0);
-    assert!(dispatcher.next_frame("s", cut.line, &mut vec![]));
+    assert!(dispatcher.next_frame("s", cut.connection, &mut vec![]));
     dispatcher.reject("q", None);
     // The client asks again by the same id before the driver has left the connection.
     take(&mut dispatcher, "q", &[1]);
@@ -250,7 +258,7 @@
     told(&mut dispatcher);
     ends(&mut dispatcher, &cut);
     assert!(told(&mut dispatcher).is_empty(), "the later call is out, and may have run");
-    assert_eq!(dispatcher.calls.count_out(), 1);
+    assert_eq!(dispatcher.attempts.len(), 1);
 }
 
 #[rstest]
@@ -264,7 +272,7 @@
     take(&mut dispatcher, "q", &[1]);
     let dial = send(&mut dispatcher, "t", &["q.1"]).remove(0);
     told(&mut dispatcher);
-    dispatcher.replied("s", old.line, "q.1", AttemptOutcome::Rejected, "");
+    dispatcher.record_reply("s", old.connection, "q.1", AttemptOutcome::Rejected, "");
     assert!(told(&mut dispatcher).is_empty(), "the later call waits to go out");
     assert!(write(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.1 ")));
     assert!(told(&mut dispatcher).is_empty());
@@ -276,7 +284,7 @@
     take(&mut dispatcher, "q", &[1, 2]);
     let dial = send(&mut dispatcher, "s", &["q.1", "q.2"]).remove(0);
     let now = dispatcher.clock.now();
-    dispatcher.calls.end(&("q.1".into(), 0), AttemptOutcome::Cancelled, now);
+    dispatcher.attempts.end(&("q.1".into(), 0), AttemptOutcome::Cancelled, now);
     assert!(write(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.2 ")));
     assert_eq!(write(&mut dispatcher, &dial), None);
 }
@@ -293,21 +301,21 @@
     assert_eq!(second.len(), 1, "another connection");
     assert_eq!(write(&mut dispatcher, &first).as_deref(), Some("Cq.1"));
     write(&mut dispatcher, &second[0]);
-    dispatcher.replied("s", first.line, "q.1", AttemptOutcome::Rejected, "");
+    dispatcher.record_reply("s", first.connection, "q.1", AttemptOutcome::Rejected, "");
     assert_eq!(told(&mut dispatcher), ["q.1 0 s Cancelled"], "the second call is still out");
 }
 
 #[rstest]
 fn a_connection_that_fell_silent_gets_no_further_call() {
     let mut dispatcher = dispatcher();
-    dispatcher.trunk.dial_timeout_s = 0.05;
+    dispatcher.connection_config.dial_timeout_s = 0.05;
     take(&mut dispatcher, "q", &[1, 2, 3, 4]);
     let silent = send(&mut dispatcher, "s", &["q.1", "q.2"]).remove(0);
     up(&mut dispatcher, &silent);
     write(&mut dispatcher, &silent);
     let pause = || std::thread::sleep(std::time::Duration::from_millis(60));
     pause();
-    dispatcher.replied("s", silent.line, "q.1", AttemptOutcome::Success, "v");
+    dispatcher.record_reply("s", silent.connection, "q.1", AttemptOutcome::Success, "v");
     dispatcher.cancel_attempt("q.2", 0);
     assert!(
         send(&mut dispatcher, "s", &["q.3"]).is_empty(),
@@ -325,7 +333,7 @@
     take(&mut dispatcher, "q", &[1]);
     dispatcher.start_attempt("q.1", "s", 0.05);
     let now = dispatcher.clock.now();
-    let dial = dispatcher.post(now).remove(0);
+    let dial = dispatcher.flush_attempts(now).remove(0);
     assert!(write(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.1 ")));
     std::thread::sleep(std::time::Duration::from_millis(60));
     assert_eq!(told(&mut dispatcher), ["q.1 0 s TimedOut"]);
@@ -341,11 +349,11 @@
     #[case] second: Option<&str>,
 ) {
     let mut dispatcher = dispatcher();
-    dispatcher.verticals[0].effect = Idempotency::IdempotentWithKey { window_s: 0.05 };
+    dispatcher.query_classes[0].idempotency = Idempotency::IdempotentWithKey { window_s: 0.05 };
     take(&mut dispatcher, "q", &[1]);
     let dial = send(&mut dispatcher, "s", &["q.1"]).remove(0);
     write(&mut dispatcher, &dial);
-    dispatcher.replied("s", dial.line, "q.1", first, "");
+    dispatcher.record_reply("s", dial.connection, "q.1", first, "");
     // Decided in time; the connection comes up when the node drops no repeat any more.
     let dial = send(&mut dispatcher, "t", &["q.1"]).remove(0);
     told(&mut dispatcher);
@@ -363,7 +371,7 @@
     dispatcher.start_attempt("q.1", "s", 0.0);
     dispatcher.start_attempt("q.2", "s", 5.0);
     let now = dispatcher.clock.now();
-    let dial = dispatcher.post(now).remove(0);
+    let dial = dispatcher.flush_attempts(now).remove(0);
     let text = write(&mut dispatcher, &dial).expect("a call");
     assert!(text.starts_with("Sq.2 "), "{text}");
     assert_eq!(told(&mut dispatcher), ["q.1 0 s NeverSent"]);
@@ -372,14 +380,14 @@
 #[rstest]
 fn a_query_that_comes_as_the_program_ends_is_turned_away_at_once() {
     let mut dispatcher = dispatcher();
-    dispatcher.stage = ShutdownPhase::Ended;
+    dispatcher.shutdown_phase = ShutdownPhase::Rejecting;
     let client = Rc::new(ClientConnection::default());
     let (id, part) = ("q".into(), ShardRequest::new("q.1".into(), 1, 1.0));
     let (not_after, text, parts) = (dispatcher.clock.now() + 5.0, String::new(), vec![part]);
     let (of, coverage) = (client.clone(), None);
-    let query = Query { id, vertical: 0, not_after, text, parts, client: of, coverage };
-    dispatcher.take(&client, query).expect("answered");
-    assert!(client.out.borrow().starts_with(b"HTTP/1.1 503 "));
+    let query = Query { id, class: 0, not_after_s: not_after, text, requests: parts, client: of, coverage };
+    dispatcher.open_query(&client, query).expect("answered");
+    assert!(client.output.borrow().starts_with(b"HTTP/1.1 503 "));
     assert!(told(&mut dispatcher).is_empty() && dispatcher.queries.is_empty());
 }
 
@@ -387,7 +395,7 @@
 fn an_older_list_brings_no_node_back_that_was_told_to_drain() {
     let mut dispatcher = dispatcher();
     let list = |dispatcher: &mut Dispatcher, index, state| {
-        dispatcher.endpoints.begin(index, true);
+        dispatcher.endpoints.begin_update(index, true);
         endpoints(dispatcher, "s", 1, state, None);
         dispatcher.endpoints.nodes["s"].state
     };
@@ -403,12 +411,12 @@
     let (old, again) =
         (send(&mut dispatcher, "s", &["q.1"]).remove(0), send(&mut dispatcher, "t", &["q.2"]).remove(0));
     endpoints(&mut dispatcher, "s", 9, NodeState::Serving, None);
-    let line = dispatcher.endpoints.line("s", old.line).expect("a connection");
-    assert!(line.retired && !line.cut, "what is out there may still come");
+    let line = dispatcher.endpoints.connection("s", old.connection).expect("a connection");
+    assert!(line.is_retired && !line.is_aborted, "what is out there may still come");
     let later = dispatcher.clock.now() + 1.0;
     endpoints(&mut dispatcher, "t", 2, NodeState::Serving, Some(later));
     assert!(
-        dispatcher.endpoints.line("t", again.line).expect("a connection").cut,
+        dispatcher.endpoints.connection("t", again.connection).expect("a connection").is_aborted,
         "nobody there will answer"
     );
 }
@@ -419,11 +427,11 @@
     take(&mut dispatcher, "q", &[1]);
     let dial = send(&mut dispatcher, "s", &["q.1"]).remove(0);
     write(&mut dispatcher, &dial);
-    dispatcher.endpoints.begin(2, true);
-    dispatcher.roster_changed();
+    dispatcher.endpoints.begin_update(2, true);
+    dispatcher.endpoints_changed();
     assert_eq!(told(&mut dispatcher), ["whole", "s 0 Removed", "t 0 Removed"]);
     assert_eq!(dispatcher.endpoints.nodes.len(), 1, "`s` has a call out");
-    dispatcher.line_lost("s", dial.line);
+    dispatcher.connection_lost("s", dial.connection);
     told(&mut dispatcher);
     assert!(dispatcher.endpoints.nodes.is_empty());
 }
@@ -437,28 +445,36 @@
     let settings = deployment::parse(settings).expect("readable");
     let module = move || deployment::router(7, &settings).map(|made| made.0);
     let dispatcher = Rc::new(std::cell::RefCell::new(dispatcher()));
-    dispatcher.borrow_mut().verticals.push("w".into());
+    dispatcher.borrow_mut().query_classes.push("w".into());
     let taken = |id: &str, vertical| {
         let client = Rc::new(ClientConnection::default());
         let part = ShardRequest::new(format!("{id}.1").into(), 1, 1.0);
         let (not_after, text, parts) = (dispatcher.borrow().clock.now() + 5.0, String::new(), vec![part]);
         let (of, coverage) = (client.clone(), None);
-        let query = Query { id: id.into(), vertical, not_after, text, parts, client: of, coverage };
-        dispatcher.borrow_mut().take(&client, query).expect("taken");
+        let query = Query {
+            id: id.into(),
+            class: vertical,
+            not_after_s: not_after,
+            text,
+            requests: parts,
+            client: of,
+            coverage,
+        };
+        dispatcher.borrow_mut().open_query(&client, query).expect("taken");
         client
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let share = descriptors::shares(64, usize::MAX, 1).1;
+        let share = descriptors::split(64, usize::MAX, 1).1;
         tokio::task::spawn_local(rounds::run(dispatcher.clone(), module, share));
         let bad = taken("bad", 1);
         bad.wake.notified().await;
-        assert!(bad.out.borrow().starts_with(b"HTTP/1.1 504 "));
+        assert!(bad.output.borrow().starts_with(b"HTTP/1.1 504 "));
         // Both nodes refuse connections here: a decision all the same, and by the endpoint list told again.
         let good = taken("good", 0);
         good.wake.notified().await;
-        assert!(good.out.borrow().starts_with(b"HTTP/1.1 503 "));
-        assert!(dispatcher.borrow().figures().contains("leaf_calls_sent{first} 1"));
+        assert!(good.output.borrow().starts_with(b"HTTP/1.1 503 "));
+        assert!(dispatcher.borrow().metrics_text().contains("leaf_calls_sent{first} 1"));
     });
 }
 
@@ -466,7 +482,7 @@
 async fn listened_to(dispatcher: &Rc<std::cell::RefCell<Dispatcher>>) -> tokio::net::TcpStream {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let share = descriptors::shares(64, usize::MAX, 1).0;
+    let share = descriptors::split(64, usize::MAX, 1).0;
     tokio::task::spawn_local(clients::listen(dispatcher.clone(), listener, share, Rc::default()));
     tokio::net::TcpStream::connect(address).await.expect("connected")
 }
@@ -483,7 +499,7 @@
             stream.try_write(b"GET /up HTTP/1.1\r\n\r\n").expect("written");
             // Nothing has run since: the runtime does not know yet that bytes wait there.
             if dismissed {
-                dispatcher.borrow().clients.dismiss_idle();
+                dispatcher.borrow().clients.close_idle();
             }
             let count = stream.read(&mut answer).await.expect("an answer");
             assert!(answer[..count].starts_with(b"HTTP/1.1 200 "), "dismissed: {dismissed}");
@@ -511,7 +527,7 @@
         std::io::Write::write_all(&mut client, b"GET /up HTTP/1.1\r\n\r\n").expect("written");
         client.set_nonblocking(true).expect("set");
         // The runtime has not looked at the listener since.
-        let (share, close) = (descriptors::shares(64, usize::MAX, 1).0, Rc::new(tokio::sync::Notify::new()));
+        let (share, close) = (descriptors::split(64, usize::MAX, 1).0, Rc::new(tokio::sync::Notify::new()));
         close.notify_one();
         clients::listen(dispatcher, listener, share, close).await;
         let mut answer = [0; 200];
@@ -531,8 +547,8 @@
         assert!(stream.read(&mut answer).await.expect("an answer") > 0);
         // Both in one instant; the rest comes once the first half is read.
         stream.try_write(b"GET /up HTTP/1.1\r\n").expect("written");
-        dispatcher.borrow().clients.dismiss_idle();
-        while dispatcher.borrow().figures().contains("bytes_from_clients 20\n") {
+        dispatcher.borrow().clients.close_idle();
+        while dispatcher.borrow().metrics_text().contains("bytes_from_clients 20\n") {
             tokio::task::yield_now().await;
         }
         stream.write_all(b"\r\n").await.expect("written");
@@ -550,7 +566,7 @@
         let mut answer = [0; 200];
         stream.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
         assert!(stream.read(&mut answer).await.expect("an answer") > 0);
-        dispatcher.borrow().clients.dismiss_idle();
+        dispatcher.borrow().clients.close_idle();
         assert_eq!(stream.read(&mut answer).await.expect("an end"), 0);
         // What crosses the close: the client has not looked at its connection yet.
         stream.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
@@ -562,7 +578,7 @@
             "no reset, which would take an answer with it"
         );
         assert!(
-            dispatcher.borrow().figures().contains("bytes_from_clients 20\n"),
+            dispatcher.borrow().metrics_text().contains("bytes_from_clients 20\n"),
             "nor is it read as a request"
         );
     });
@@ -575,7 +591,7 @@
         let node = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let port = node.local_addr().expect("an address").port();
         endpoints(&mut dispatcher.borrow_mut(), "u", port, NodeState::Serving, None);
-        let share = descriptors::shares(64, usize::MAX, 1).1;
+        let share = descriptors::split(64, usize::MAX, 1).1;
         let _client = take(&mut dispatcher.borrow_mut(), "q", &[1, 2]);
         let dial = send(&mut dispatcher.borrow_mut(), "u", &["q.1"]).remove(0);
         tokio::task::spawn_local(nodes::run(dispatcher.clone(), dial, share.clone()));
@@ -583,7 +599,7 @@
         let mut frame = [0; 100];
         assert!(first.read(&mut frame).await.expect("a call") > 0);
         first.write_all(b"\0\0\0\x0fRq.1 done 1 -\nv").await.expect("written");
-        while dispatcher.borrow().calls.count_out() > 0 {
+        while dispatcher.borrow().attempts.len() > 0 {
             tokio::task::yield_now().await;
         }
         // Nothing of the router runs in between: it does not know of the end as it decides.
@@ -603,7 +619,7 @@
 #[rstest]
 fn a_frame_that_gets_no_further_ends_its_connection() {
     let dispatcher = Rc::new(std::cell::RefCell::new(dispatcher()));
-    dispatcher.borrow_mut().trunk.idle_timeout_s = 0.5;
+    dispatcher.borrow_mut().connection_config.idle_timeout_s = 0.5;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -615,10 +631,18 @@
         let (not_after, text, parts) =
             (dispatcher.borrow().clock.now() + 60.0, "x".repeat(1 << 25), vec![part]);
         let (of, coverage) = (client.clone(), None);
-        let query = Query { id: "r".into(), vertical: 0, not_after, text, parts, client: of, coverage };
-        dispatcher.borrow_mut().take(&client, query).expect("taken");
+        let query = Query {
+            id: "r".into(),
+            class: 0,
+            not_after_s: not_after,
+            text,
+            requests: parts,
+            client: of,
+            coverage,
+        };
+        dispatcher.borrow_mut().open_query(&client, query).expect("taken");
         let dial = send(&mut dispatcher.borrow_mut(), "u", &["r.1"]).remove(0);
-        let share = descriptors::shares(64, usize::MAX, 1).1;
+        let share = descriptors::split(64, usize::MAX, 1).1;
         let driver = tokio::task::spawn_local(nodes::run(dispatcher.clone(), dial, share));
         let _open = silent.accept().await.expect("a connection");
         let ended = tokio::time::timeout(std::time::Duration::from_secs(4), driver).await;
@@ -630,32 +654,32 @@
 #[rstest]
 fn who_never_sent_a_request_makes_room_before_who_did() {
     let mut all = ClientTable::default();
-    let [kept, silent, half, busy] = [0.0, 1.0, 0.5, 0.0].map(|at| all.arrive(at).1);
-    kept.used.set(true);
-    busy.idle.set(None);
-    half.half_sent.set(true);
+    let [kept, silent, half, busy] = [0.0, 1.0, 0.5, 0.0].map(|at| all.add(at).1);
+    kept.has_sent_request.set(true);
+    busy.idle_since.set(None);
+    half.is_half_sent.set(true);
     for goes in [&silent, &half, &kept] {
-        assert!(!goes.is_dismissed());
-        all.dismiss_oldest(2.0, 0.25);
-        assert!(goes.is_dismissed());
+        assert!(!goes.should_close());
+        all.close_longest_idle(2.0, 0.25);
+        assert!(goes.should_close());
     }
-    all.dismiss_oldest(2.0, 0.25);
-    assert!(!busy.is_dismissed());
+    all.close_longest_idle(2.0, 0.25);
+    assert!(!busy.should_close());
 }
 
 #[rstest]
 fn descriptors_come_back_when_their_holder_is_dropped() {
-    let (clients, nodes) = descriptors::shares(32, usize::MAX, 1);
-    let held: Vec<_> = std::iter::from_fn(|| clients.take()).collect();
+    let (clients, nodes) = descriptors::split(32, usize::MAX, 1);
+    let held: Vec<_> = std::iter::from_fn(|| clients.acquire()).collect();
     assert_eq!(held.len(), 8);
-    assert!(nodes.take().is_some(), "clients cannot take the data nodes' share");
+    assert!(nodes.acquire().is_some(), "clients cannot take the data nodes' share");
     drop(held);
-    assert!(clients.take().is_some());
-    let (few, _) = descriptors::shares(1024, 4 * 1024 * 1024, 1);
-    let held: Vec<_> = std::iter::from_fn(|| few.take()).collect();
+    assert!(clients.acquire().is_some());
+    let (few, _) = descriptors::split(1024, 4 * 1024 * 1024, 1);
+    let held: Vec<_> = std::iter::from_fn(|| few.acquire()).collect();
     assert!(held.len() < 20, "memory bounds half-sent requests too");
-    let most = descriptors::shares(384, usize::MAX, 1).0;
-    assert_eq!(std::iter::from_fn(|| most.take()).collect::<Vec<_>>().len(), 128, "a third");
+    let most = descriptors::split(384, usize::MAX, 1).0;
+    assert_eq!(std::iter::from_fn(|| most.acquire()).collect::<Vec<_>>().len(), 128, "a third");
 }
 
 #[rstest]
@@ -669,16 +693,22 @@
     told(&mut dispatcher);
     dispatcher.start_attempt("q.0", "s", 1.0);
     let now = dispatcher.clock.now();
-    let line = dispatcher.post(now).remove(0).line;
+    let line = dispatcher.flush_attempts(now).remove(0).connection;
     // The lead has a list that says that `s` drains; this core has not taken it in yet.
     let number = shared.fence.publish();
     let mut out = vec![];
     assert!(!dispatcher.next_frame("s", line, &mut out) && out.is_empty());
     let address = "127.0.0.1:1".parse().expect("an address");
     let (name, cell, started) = ("s".to_string(), 0, None);
-    dispatcher.endpoints.adopt(&[Endpoint { name, address, cell, state: NodeState::Draining, started }]);
-    dispatcher.known = number;
-    dispatcher.roster_changed();
+    dispatcher.endpoints.adopt(&[Endpoint {
+        name,
+        address,
+        replica_group: cell,
+        state: NodeState::Draining,
+        started_at_s: started,
+    }]);
+    dispatcher.endpoints_generation = number;
+    dispatcher.endpoints_changed();
     assert!(!dispatcher.next_frame("s", line, &mut out), "it was taken back");
     assert!(told(&mut dispatcher).contains(&"q.0 0 s NeverSent".to_string()));
 }
@@ -686,7 +716,7 @@
 #[rstest]
 fn a_list_taken_over_tells_what_changed_and_nothing_else() {
     let mut dispatcher = dispatcher();
-    let same = dispatcher.endpoints.entries();
+    let same = dispatcher.endpoints.endpoints();
     dispatcher.endpoints.adopt(&same);
     assert!(told(&mut dispatcher).is_empty());
     dispatcher.endpoints.adopt(&same[1..]);
@@ -754,8 +784,8 @@
     fn new() -> Self {
         let mut dispatcher = dispatcher();
         // Nothing is dropped a second time: one call that may have run is the last that may begin.
-        dispatcher.verticals.push(ClassRules {
-            effect: Idempotency::IdempotentWithKey { window_s: 0.0 },
+        dispatcher.query_classes.push(ClassRules {
+            idempotency: Idempotency::IdempotentWithKey { window_s: 0.0 },
             ..ClassRules::from("once")
         });
         Model {
@@ -798,13 +828,21 @@
                 }
                 let (not_after, text) = (self.dispatcher.clock.now() + 60.0, "text".to_string());
                 let (id, vertical, of, coverage) = (id.into(), usize::from(once), client.clone(), None);
-                let query = Query { id, vertical, not_after, text, parts, client: of, coverage };
-                self.dispatcher.take(&client, query).expect("taken");
+                let query = Query {
+                    id,
+                    class: vertical,
+                    not_after_s: not_after,
+                    text,
+                    requests: parts,
+                    client: of,
+                    coverage,
+                };
+                self.dispatcher.open_query(&client, query).expect("taken");
                 self.clients.push(client);
             }
             Event::Call(part, s) => {
                 let Some(part) = self.part(part) else { return };
-                if !self.dispatcher.queries.knows(&part) {
+                if !self.dispatcher.queries.has_request(&part) {
                     return;
                 }
                 let hop = self.calls.get_mut(&part).expect("a part");
@@ -814,20 +852,26 @@
             }
             Event::Post => {
                 let now = self.dispatcher.clock.now();
-                let dials = self.dispatcher.post(now);
-                self.lines.extend(dials.into_iter().map(|dial| (dial.node, dial.line)));
+                let dials = self.dispatcher.flush_attempts(now);
+                self.lines.extend(dials.into_iter().map(|dial| (dial.node, dial.connection)));
             }
             Event::Up(line) => {
                 let Some((node, line)) = self.line(line) else { return };
-                self.dispatcher.endpoints.line(&node, line).into_iter().for_each(|line| line.up = true);
+                self.dispatcher
+                    .endpoints
+                    .connection(&node, line)
+                    .into_iter()
+                    .for_each(|line| line.is_up = true);
             }
             Event::Begin(line) => self.begin(line),
             Event::Written(line) => {
                 let Some((node, line)) = self.line(line) else { return };
                 let now = self.dispatcher.clock.now();
                 // A driver that finds its connection cut writes nothing more.
-                if let Some(there) = self.dispatcher.endpoints.line(&node, line).filter(|there| !there.cut) {
-                    there.written(now);
+                if let Some(there) =
+                    self.dispatcher.endpoints.connection(&node, line).filter(|there| !there.is_aborted)
+                {
+                    there.frame_written(now);
                     self.written.extend(self.begun.remove(&line).unwrap_or_default());
                 }
             }
@@ -835,23 +879,28 @@
                 let (Some((node, line)), Some(part)) = (self.line(line), self.part(part)) else { return };
                 let ending =
                     [AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected][ending];
-                self.dispatcher.replied(&node, line, &part, ending, "value");
+                self.dispatcher.record_reply(&node, line, &part, ending, "value");
             }
             Event::Spoilt(line) => {
                 let Some((node, line)) = self.line(line) else { return };
-                self.dispatcher.spoilt(&node, line, None);
+                self.dispatcher.connection_corrupted(&node, line, None);
                 self.begun.remove(&line);
             }
             Event::Lost(line) => {
                 let Some((node, line)) = self.line(line) else { return };
-                self.dispatcher.line_lost(&node, line);
+                self.dispatcher.connection_lost(&node, line);
                 self.begun.remove(&line);
             }
             Event::PutBack(line) => {
                 let Some((node, line)) = self.line(line) else { return };
                 // As its driver does: with a call next, nothing out, and something heard before.
-                if self.dispatcher.endpoints.line(&node, line).is_some_and(|line| line.is_unasked()) {
-                    self.dispatcher.put_back(&node, line);
+                if self
+                    .dispatcher
+                    .endpoints
+                    .connection(&node, line)
+                    .is_some_and(|line| line.is_reuse_after_idle())
+                {
+                    self.dispatcher.requeue_unsent(&node, line);
                 }
             }
             Event::Cancel(part, hop) => {
@@ -861,7 +910,7 @@
             Event::Left(query) => {
                 let number =
                     self.dispatcher.queries.number(&format!("q{}", query % self.clients.len().max(1)));
-                number.into_iter().for_each(|number| self.dispatcher.client_left(number));
+                number.into_iter().for_each(|number| self.dispatcher.client_disconnected(number));
             }
             Event::Reject(query) => {
                 self.dispatcher.reject(&format!("q{}", query % self.clients.len().max(1)), None)
@@ -881,11 +930,14 @@
         // What is known of calls that have ended counts.
         self.tell();
         let mut out = vec![];
-        if self.dispatcher.endpoints.line(&node, line).is_none_or(|line| line.cut) {
+        if self.dispatcher.endpoints.connection(&node, line).is_none_or(|line| line.is_aborted) {
             return;
         }
-        let fresh =
-            self.dispatcher.endpoints.line(&node, line).is_some_and(|line| !line.next_call().is_empty());
+        let fresh = self
+            .dispatcher
+            .endpoints
+            .connection(&node, line)
+            .is_some_and(|line| !line.next_attempts().is_empty());
         if !self.dispatcher.next_frame(&node, line, &mut out) || !fresh || out[4] != b'S' {
             return;
         }
@@ -896,7 +948,7 @@
         );
         let frame = String::from_utf8(out[5..].to_vec()).expect("text");
         for id in frame.split("text").filter_map(|part| Some(part.split_once(' ')?.0.to_string())) {
-            assert!(self.dispatcher.queries.knows(&id), "{id}: nothing of a query that is over");
+            assert!(self.dispatcher.queries.has_request(&id), "{id}: nothing of a query that is over");
             let ran = self.ran.entry(id.clone()).or_default();
             assert!(
                 !self.deduplicated.contains(&id) || ran.is_empty(),
@@ -905,9 +957,9 @@
             let hops: Vec<usize> = (0..self.calls[&id])
                 .filter(|hop| {
                     self.dispatcher
-                        .calls
+                        .attempts
                         .get(&(id.as_str().into(), *hop))
-                        .is_some_and(|c| c.line == Some(line))
+                        .is_some_and(|c| c.connection == Some(line))
                 })
                 .collect();
             assert_eq!(hops.len(), 1, "{id}: one call of a part on a connection at a time");
@@ -949,11 +1001,11 @@
     events.into_iter().for_each(|event| model.play(event));
     model.play(Event::Post);
     for (node, line) in model.lines.clone() {
-        model.dispatcher.line_lost(&node, line);
+        model.dispatcher.connection_lost(&node, line);
     }
     model.tell();
     assert_eq!(model.open.len(), 0, "calls without an end: {:?}", model.open);
-    assert_eq!(model.dispatcher.calls.count_out(), 0);
+    assert_eq!(model.dispatcher.attempts.len(), 0);
 }
 
 /// Found by the property below: what was said of a call as it ended stands, whatever its connection comes to.
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -110,11 +110,11 @@
     let (trunk, room) = (began.settings.trunk, began.settings.intake);
     let mut dispatcher = Dispatcher::new(Clock::default(), trunk, room, vec![]);
     let (news, told) = watch::channel(began);
-    dispatcher.follow_settings(told);
-    dispatcher.endpoints.begin(1, true);
+    dispatcher.subscribe_config(told);
+    dispatcher.endpoints.begin_update(1, true);
     let address = ([127, 0, 0, 1], 1).into();
-    dispatcher.endpoints.entry("s", address, 0, alderway::interface::NodeState::Serving, None);
-    let module = Policy::new(7, dispatcher.terms.newest().expect("terms").clone());
+    dispatcher.endpoints.update("s", address, 0, alderway::interface::NodeState::Serving, None);
+    let module = Policy::new(7, dispatcher.class_table.policy_config().expect("terms").clone());
     let mut started = Started { dispatcher, module, news };
     started.round();
     started
@@ -151,7 +151,7 @@
         let (now, dispatcher) = (self.dispatcher.clock.now(), &mut self.dispatcher);
         let mut said = Said::default();
         let told = |intake: &mut dyn alderway::interface::PolicyInput| {
-            dispatcher.tell(now, intake);
+            dispatcher.notify_policy(now, intake);
             Ok::<(), ()>(())
         };
         self.module.round(now, told, &mut said).expect("no fault");
@@ -173,28 +173,36 @@
 
     /// As a request is taken in; the vertical's place, or none.
     fn take(&mut self, id: &str, name: &str) -> Option<(usize, Rc<ClientConnection>)> {
-        self.dispatcher.renew();
-        let vertical = self.dispatcher.vertical(name)?;
+        self.dispatcher.refresh_config();
+        let vertical = self.dispatcher.class_slot(name)?;
         let client = Rc::new(ClientConnection::default());
         let parts = vec![ShardRequest::new(format!("{id}.1").into(), 1, 1.0)];
         let (not_after, text) =
-            (self.dispatcher.clock.now() + self.dispatcher.room.max_deadline_s, String::new());
+            (self.dispatcher.clock.now() + self.dispatcher.admission.max_deadline_s, String::new());
         let (of, coverage) = (client.clone(), None);
-        let query = Query { id: id.into(), vertical, not_after, text, parts, client: of, coverage };
-        self.dispatcher.take(&client, query).expect("taken");
+        let query = Query {
+            id: id.into(),
+            class: vertical,
+            not_after_s: not_after,
+            text,
+            requests: parts,
+            client: of,
+            coverage,
+        };
+        self.dispatcher.open_query(&client, query).expect("taken");
         Some((vertical, client))
     }
 
     fn ends(&mut self, part: &str, ending: AttemptOutcome) -> Vec<String> {
         let id = (part.into(), 0);
-        let node = self.dispatcher.calls.get(&id).expect("it is out").node.clone();
-        self.dispatcher.calls.end(&id, ending, self.dispatcher.clock.now()).expect("it is out");
+        let node = self.dispatcher.attempts.get(&id).expect("it is out").node.clone();
+        self.dispatcher.attempts.end(&id, ending, self.dispatcher.clock.now()).expect("it is out");
         assert_eq!(node, "s");
         self.round()
     }
 
     fn serial(&self) -> u64 {
-        *self.dispatcher.shared.cores[0].settings.borrow()
+        *self.dispatcher.shared.cores[0].config_serial.borrow()
     }
 }
 
@@ -223,10 +231,10 @@
     all.offer(1, &new);
     assert_eq!(all.round(), ["call a.1"]);
     assert!(all.take("b", "region-report").is_none(), "unknown from here on");
-    assert_eq!(all.dispatcher.queries.open_in(old), 1);
+    assert_eq!(all.dispatcher.queries.open_in_class(old), 1);
     assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
-    assert!(client.out.borrow().starts_with(b"HTTP/1.1 200 "));
-    let counted = all.dispatcher.figures();
+    assert!(client.output.borrow().starts_with(b"HTTP/1.1 200 "));
+    let counted = all.dispatcher.metrics_text();
     assert!(counted.contains("queries_merged{region-report} 1"), "{counted}");
 }
 
@@ -241,14 +249,14 @@
         if n % 3 > 0 {
             all.round();
         } else {
-            all.dispatcher.renew();
+            all.dispatcher.refresh_config();
         }
     }
     all.round();
     assert!(
-        all.dispatcher.places() <= 5,
+        all.dispatcher.class_slot_count() <= 5,
         "{} places for two verticals and one open query",
-        all.dispatcher.places()
+        all.dispatcher.class_slot_count()
     );
     assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
 }
@@ -257,20 +265,20 @@
 fn a_shorter_deadline_is_for_new_queries_and_replies_to_old_ones_are_still_waited_for() {
     let mut all = dispatcher();
     let (_, client) = all.take("a", "site-search").expect("known");
-    let until = all.dispatcher.queries.get(client.query.get().expect("open")).expect("open").not_after;
+    let until = all.dispatcher.queries.get(client.open_query.get().expect("open")).expect("open").not_after_s;
     let mut new = with("/Services/0/DeadlineUs", json!(1_000_000));
     new["Services"][1]["DeadlineUs"] = json!(1_000_000);
     all.offer(1, &new);
     all.round();
     let (_, other) = all.take("b", "site-search").expect("known");
     let of = |client: &Rc<ClientConnection>| {
-        all.dispatcher.queries.get(client.query.get().expect("open")).expect("open")
+        all.dispatcher.queries.get(client.open_query.get().expect("open")).expect("open")
     };
     let now = all.dispatcher.clock.now();
-    assert_eq!(of(&client).not_after, until);
-    assert!(of(&other).not_after <= now + 1.0);
-    assert_eq!(all.dispatcher.longest_deadline(now), 5.0);
-    assert_eq!(all.dispatcher.longest_deadline(now + 5.1), 1.0);
+    assert_eq!(of(&client).not_after_s, until);
+    assert!(of(&other).not_after_s <= now + 1.0);
+    assert_eq!(all.dispatcher.longest_deadline_s(now), 5.0);
+    assert_eq!(all.dispatcher.longest_deadline_s(now + 5.1), 1.0);
 }
 
 #[rstest]
@@ -280,11 +288,11 @@
     all.round();
     all.offer(1, &with("/Services/0/Effect", json!("at_most_once")));
     all.round();
-    all.dispatcher.start_over();
-    all.module = Policy::new(7, all.dispatcher.terms.newest().expect("terms").clone());
+    all.dispatcher.restart_policy();
+    all.module = Policy::new(7, all.dispatcher.class_table.policy_config().expect("terms").clone());
     all.round();
     let (place, _client) = all.take("b", "site-search").expect("known");
-    assert_eq!((place, all.dispatcher.places()), (0, 2), "as after a start");
+    assert_eq!((place, all.dispatcher.class_slot_count()), (0, 2), "as after a start");
     assert_eq!(all.round(), ["call b.1"]);
     assert_eq!(all.ends("b.1", AttemptOutcome::Error), ["abort b"]);
 }
@@ -321,7 +329,7 @@
                 }
             } => {}
         }
-        shared.cores[0].settings.send_replace(1);
+        shared.cores[0].config_serial.send_replace(1);
         tokio::select! {
             biased;
             outcome = &mut offer => panic!("{outcome:?} though core 1 has not"),
--- a/crates/router/tests/shard_map.rs
+++ b/crates/router/tests/shard_map.rs
@@ -93,22 +93,23 @@
         polls_endpoints: false,
     };
     let mut dispatcher = Dispatcher::new(Clock::default(), trunk, room, vec!["v".into()]);
-    dispatcher.shard_map = Some(ShardMapView::new(ShardMapConfig { grace: 2.0, lag: 0.25 }));
-    dispatcher.endpoints.begin(1, true);
+    dispatcher.shard_map =
+        Some(ShardMapView::new(ShardMapConfig { retired_shard_grace_s: 2.0, lagging_node_grace_s: 0.25 }));
+    dispatcher.endpoints.begin_update(1, true);
     for cell in 0..6u32 {
         let at = ([127, 0, 0, 1], 1 + cell as u16).into();
-        dispatcher.endpoints.entry(&format!("n{cell}"), at, cell, NodeState::Serving, None);
+        dispatcher.endpoints.update(&format!("n{cell}"), at, cell, NodeState::Serving, None);
     }
-    assert!(!dispatcher.able(), "no layout is known yet");
+    assert!(!dispatcher.is_ready(), "no layout is known yet");
     dispatcher.layout(whole(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])])).expect("sound");
-    assert!(dispatcher.able());
+    assert!(dispatcher.is_ready());
     told(&mut dispatcher);
     dispatcher
 }
 
 fn told(dispatcher: &mut Dispatcher) -> Vec<String> {
     let (mut told, now) = (Told::default(), dispatcher.clock.now());
-    dispatcher.tell(now, &mut told);
+    dispatcher.notify_policy(now, &mut told);
     told.0
 }
 
@@ -118,12 +119,27 @@
     targets: &[QueryTarget],
 ) -> Result<Rc<ClientConnection>, &'static str> {
     let client = Rc::new(ClientConnection::default());
-    let (parts, coverage) =
-        dispatcher.shard_map.as_ref().expect("layouts").map(id, targets).map_err(|refusal| refusal.1)?;
+    let (parts, coverage) = dispatcher
+        .shard_map
+        .as_ref()
+        .expect("layouts")
+        .requests_for(id, targets)
+        .map_err(|refusal| refusal.1)?;
     let (not_after, text, of) = (dispatcher.clock.now() + 5.0, "text".to_string(), client.clone());
     let coverage = Some(coverage);
     dispatcher
-        .take(&client, Query { id: id.into(), vertical: 0, not_after, text, parts, client: of, coverage })
+        .open_query(
+            &client,
+            Query {
+                id: id.into(),
+                class: 0,
+                not_after_s: not_after,
+                text,
+                requests: parts,
+                client: of,
+                coverage,
+            },
+        )
         .map_err(|refusal| refusal.1)?;
     Ok(client)
 }
@@ -135,19 +151,19 @@
 fn send(dispatcher: &mut Dispatcher, node: &str, parts: &[&str]) -> Dial {
     parts.iter().for_each(|part| dispatcher.start_attempt(part, node, 5.0));
     let now = dispatcher.clock.now();
-    dispatcher.post(now).remove(0)
+    dispatcher.flush_attempts(now).remove(0)
 }
 
 fn write(dispatcher: &mut Dispatcher, dial: &Dial) -> String {
     let mut out = vec![];
-    assert!(dispatcher.next_frame(&dial.node, dial.line, &mut out));
+    assert!(dispatcher.next_frame(&dial.node, dial.connection, &mut out));
     let now = dispatcher.clock.now();
-    dispatcher.endpoints.line(&dial.node, dial.line).expect("a connection").written(now);
+    dispatcher.endpoints.connection(&dial.node, dial.connection).expect("a connection").frame_written(now);
     String::from_utf8_lossy(&out[4..]).to_string()
 }
 
 fn body(client: &ClientConnection) -> String {
-    let text = String::from_utf8_lossy(&client.out.borrow()).to_string();
+    let text = String::from_utf8_lossy(&client.output.borrow()).to_string();
     text.split("\r\n\r\n").nth(1).unwrap_or_default().to_string()
 }
 
@@ -160,7 +176,7 @@
     let text = write(&mut dispatcher, &dial);
     assert!(text.starts_with("Sq.1.40-50 1 d=") && text.contains(",v=1,k=40-50 4\ntext"), "{text}");
     for (part, keys) in [("q.1.40-50", "keys=40-50"), ("q.2.50-60", "load=3,keys=50-60")] {
-        assert!(dispatcher.answered("n0", dial.line, part, AttemptOutcome::Success, keys, "v"));
+        assert!(dispatcher.reply_received("n0", dial.connection, part, AttemptOutcome::Success, keys, "v"));
     }
     dispatcher.answer("q", true);
     assert_eq!(
@@ -200,9 +216,23 @@
     // A copy for one heir: its number follows on the parent's call.
     let new = send(&mut dispatcher, "n2", &["q.3.0-20"]);
     write(&mut dispatcher, &new);
-    assert!(dispatcher.answered("n2", new.line, "q.3.0-20", AttemptOutcome::Success, "keys=0-20", "new"));
+    assert!(dispatcher.reply_received(
+        "n2",
+        new.connection,
+        "q.3.0-20",
+        AttemptOutcome::Success,
+        "keys=0-20",
+        "new"
+    ));
     assert_eq!(told(&mut dispatcher), ["q.3.0-20 1 n2 Success"]);
-    assert!(dispatcher.answered("n0", old.line, "q.1.0-50", AttemptOutcome::Success, "keys=0-50", "old"));
+    assert!(dispatcher.reply_received(
+        "n0",
+        old.connection,
+        "q.1.0-50",
+        AttemptOutcome::Success,
+        "keys=0-50",
+        "old"
+    ));
     assert_eq!(told(&mut dispatcher), ["q.3.0-20 0 n0 Success", "q.4.20-50 0 n0 Success"]);
     dispatcher.answer("q", true);
     assert_eq!(body(&client), r#"{"whole":true,"results":[{"partition":1,"keys":[0,50],"value":"old"}]}"#);
@@ -240,10 +270,10 @@
     told(&mut dispatcher);
     dispatcher.cancel_attempt("q.3.0-20", 0);
     assert_eq!(told(&mut dispatcher), ["q.3.0-20 0 n0 Cancelled"]);
-    assert_eq!(dispatcher.calls.count_out(), 1, "the other heir waits for it");
+    assert_eq!(dispatcher.attempts.len(), 1, "the other heir waits for it");
     dispatcher.cancel_attempt("q.4.20-50", 0);
     assert_eq!(told(&mut dispatcher), ["q.4.20-50 0 n0 Cancelled"]);
-    assert_eq!((dispatcher.calls.count_out(), write(&mut dispatcher, &old).as_str()), (0, "Cq.1.0-50"));
+    assert_eq!((dispatcher.attempts.len(), write(&mut dispatcher, &old).as_str()), (0, "Cq.1.0-50"));
 }
 
 #[rstest]
@@ -253,7 +283,7 @@
     let old = send(&mut dispatcher, "n0", &["q.1.0-50"]);
     write(&mut dispatcher, &old);
     // It ends, untold yet, before the change comes.
-    dispatcher.line_lost("n0", old.line);
+    dispatcher.connection_lost("n0", old.connection);
     change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
     let told = told(&mut dispatcher);
     assert!(
@@ -280,7 +310,7 @@
     told(&mut dispatcher);
     change(&mut dispatcher, 2, vec![moved(1, &[1, 2])]);
     assert_eq!(told(&mut dispatcher), ["shard 1 [1, 2] without {}", "q.1.0-50 0 n0 NeverSent"]);
-    assert!(!dispatcher.next_frame("n0", dial.line, &mut vec![]));
+    assert!(!dispatcher.next_frame("n0", dial.connection, &mut vec![]));
 }
 
 #[rstest]
@@ -299,7 +329,7 @@
     let dial = send(&mut dispatcher, "n0", &["q.1.0-50"]);
     write(&mut dispatcher, &dial);
     told(&mut dispatcher);
-    assert!(dispatcher.answered("n0", dial.line, "q.1.0-50", ending, report, "v"));
+    assert!(dispatcher.reply_received("n0", dial.connection, "q.1.0-50", ending, report, "v"));
     let told = told(&mut dispatcher);
     assert!(told.contains(&format!("q.1.0-50 0 n0 {told_as:?}")), "{told:?}");
     let left_out = told.contains(&r#"shard 1 [0, 1] without {"n0"}"#.to_string());
@@ -312,7 +342,14 @@
     take(&mut dispatcher, 0, 20);
     let dial = send(&mut dispatcher, "n0", &["q.1.0-20"]);
     write(&mut dispatcher, &dial);
-    dispatcher.answered("n0", dial.line, "q.1.0-20", AttemptOutcome::Success, "-", "of all its keys");
+    dispatcher.reply_received(
+        "n0",
+        dial.connection,
+        "q.1.0-20",
+        AttemptOutcome::Success,
+        "-",
+        "of all its keys",
+    );
     assert!(told(&mut dispatcher).contains(&"q.1.0-20 0 n0 Error".into()));
 }
 
@@ -325,7 +362,7 @@
     told(&mut dispatcher);
     change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
     assert!(!told(&mut dispatcher).iter().any(|t| t.contains("into")), "pieces would be of no use to it");
-    dispatcher.answered("n0", dial.line, "q.1", AttemptOutcome::Success, "keys=0-50", "v");
+    dispatcher.reply_received("n0", dial.connection, "q.1", AttemptOutcome::Success, "keys=0-50", "v");
     dispatcher.answer("q", true);
     assert_eq!(body(&client), r#"{"whole":true,"results":[{"partition":1,"keys":[0,50],"value":"v"}]}"#);
     assert_eq!(
@@ -342,9 +379,9 @@
     told(&mut dispatcher);
     change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20), (5, 30)])]);
     assert!(!told(&mut dispatcher).iter().any(|t| t.contains("into")));
-    assert!(dispatcher.figures().contains("divisions_without_room 1"));
+    assert!(dispatcher.metrics_text().contains("divisions_without_room 1"));
     dispatcher.reject("q", None);
-    assert_eq!((dispatcher.queries.held(), dispatcher.shared.room.free()), (0, 2));
+    assert_eq!((dispatcher.queries.reserved_count(), dispatcher.shared.capacity.free()), (0, 2));
 }
 
 #[rstest]
@@ -356,19 +393,19 @@
     change(&mut dispatcher, 2, vec![split(1, &[(3, 0), (4, 20)]), moved(3, &[2]), moved(4, &[3])]);
     change(&mut dispatcher, 3, vec![split(4, &[(5, 20), (6, 30)]), moved(5, &[2]), moved(6, &[0, 1])]);
     let number = dispatcher.queries.number("q").expect("open");
-    dispatcher.client_left(number);
+    dispatcher.client_disconnected(number);
     told(&mut dispatcher);
     let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
     assert!(shard_map.families.is_empty());
     assert_eq!(shard_map.history().expect("known").kept().1, 0);
-    assert_eq!((dispatcher.calls.count_out(), dispatcher.shared.room.free()), (0, 100));
+    assert_eq!((dispatcher.attempts.len(), dispatcher.shared.capacity.free()), (0, 100));
 }
 
 #[rstest]
 fn a_module_that_starts_anew_is_told_every_shard() {
     let mut dispatcher = dispatcher(100);
     take(&mut dispatcher, 0, 50);
-    dispatcher.start_over();
+    dispatcher.restart_policy();
     let told = told(&mut dispatcher);
     assert!(
         told.contains(&"shard 1 [0, 1] without {}".into())
@@ -538,7 +575,7 @@
     fn new(effect: Idempotency) -> World {
         let mut dispatcher = dispatcher(10_000);
         // Nothing is told yet.
-        dispatcher.start_over();
+        dispatcher.restart_policy();
         World {
             dispatcher: RefCell::new(dispatcher),
             router: module(effect),
@@ -555,18 +592,23 @@
         let now = self.dispatcher.borrow().clock.now() + self.ahead;
         let dispatcher = &self.dispatcher;
         let tell = |intake: &mut dyn PolicyInput| {
-            dispatcher.borrow_mut().tell(now, intake);
+            dispatcher.borrow_mut().notify_policy(now, intake);
             Ok::<(), ()>(())
         };
         self.router.round(now, tell, &mut Pen(dispatcher)).expect("a round");
-        self.lines
-            .extend(self.dispatcher.borrow_mut().post(now).into_iter().map(|dial| (dial.node, dial.line)));
+        self.lines.extend(
+            self.dispatcher
+                .borrow_mut()
+                .flush_attempts(now)
+                .into_iter()
+                .map(|dial| (dial.node, dial.connection)),
+        );
         for (node, line) in &self.lines {
             let mut frame = vec![];
             while self.dispatcher.borrow_mut().next_frame(node, *line, &mut frame) {
                 let now = self.dispatcher.borrow().clock.now();
-                if let Some(line) = self.dispatcher.borrow_mut().endpoints.line(node, *line) {
-                    (line.up, _) = (true, line.written(now));
+                if let Some(line) = self.dispatcher.borrow_mut().endpoints.connection(node, *line) {
+                    (line.is_up, _) = (true, line.frame_written(now));
                 }
                 let text = String::from_utf8(frame.split_off(4)).expect("text");
                 frame.clear();
@@ -600,7 +642,7 @@
             3 => {
                 drop(dispatcher);
                 self.out.retain(|out| out.1 != line);
-                return self.dispatcher.borrow_mut().line_lost(&node, line);
+                return self.dispatcher.borrow_mut().connection_lost(&node, line);
             }
             _ => {
                 let value = format!("{}-{}", keys.from, keys.to);
@@ -614,7 +656,7 @@
             }
         }
         assert!(
-            dispatcher.answered(&node, line, &part, ending, &report, &value),
+            dispatcher.reply_received(&node, line, &part, ending, &report, &value),
             "an answer that was not asked for"
         );
     }
@@ -666,7 +708,7 @@
 ];
 
 fn program_figures(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
-    let text = dispatcher.figures();
+    let text = dispatcher.metrics_text();
     let lines = text.lines().filter_map(|line| line.split_once(' '));
     lines.filter_map(|(name, figure)| Some((name.to_string(), figure.parse().ok()?))).collect()
 }
@@ -693,12 +735,15 @@
                 4..7 => world.reply(at as usize, kind),
                 7..9 => world.ahead += f64::from(kind) / 350.0,
                 _ => {
-                    let open =
-                        world.clients.iter_mut().filter(|c| c.0.query.get().is_some()).nth(at as usize % 8);
+                    let open = world
+                        .clients
+                        .iter_mut()
+                        .filter(|c| c.0.open_query.get().is_some())
+                        .nth(at as usize % 8);
                     if let Some(client) = open.filter(|_| kind % 4 == 0) {
                         client.2 = true;
-                        let number = client.0.query.get().expect("open");
-                        world.dispatcher.borrow_mut().client_left(number);
+                        let number = client.0.open_query.get().expect("open");
+                        world.dispatcher.borrow_mut().client_disconnected(number);
                     }
                 }
             }
@@ -710,7 +755,7 @@
             world.round();
         }
         for (client, asked, left) in &world.clients {
-            let text = String::from_utf8_lossy(&client.out.borrow()).to_string();
+            let text = String::from_utf8_lossy(&client.output.borrow()).to_string();
             prop_assert_eq!(text.matches("HTTP/1.1 ").count(), usize::from(!left), "{}", text);
             if !text.starts_with("HTTP/1.1 200") {
                 continue;
@@ -744,7 +789,11 @@
             total.set(total.get() + counted.get(name).copied().unwrap_or(0));
         }
         prop_assert_eq!(
-            (dispatcher.queries.held(), dispatcher.calls.count_out(), dispatcher.shared.room.free()),
+            (
+                dispatcher.queries.reserved_count(),
+                dispatcher.attempts.len(),
+                dispatcher.shared.capacity.free()
+            ),
             (0, 0, 10_000)
         );
         let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -142,16 +142,17 @@
     }
 
     fn started(subscription: Subscription, offer: Offer) -> Arc<SharedState> {
-        let sharing = MulticoreConfig { cores: 1, node_connections: None, evidence: false };
+        let sharing =
+            MulticoreConfig { cores: 1, max_connections_per_node: None, shares_observations: false };
         let shared = SharedState::new(100, sharing, f64::INFINITY).0;
         start(subscription, "r", 5, offer, shared.clone(), Clock::default());
         shared
     }
 
     async fn until(&self, what: impl Fn(&MetricsSnapshot) -> bool) {
-        let mut figures = self.shared.control.subscribe();
+        let mut figures = self.shared.control_metrics.subscribe();
         let came = timeout(PATIENCE, figures.wait_for(|figures| what(figures))).await;
-        let now = self.shared.control.borrow().text();
+        let now = self.shared.control_metrics.borrow().text();
         assert!(matches!(came, Ok(Ok(_))), "not in time:\n{now}");
     }
 }
@@ -243,7 +244,7 @@
         assert_eq!(offered, expected);
         router.until(|f| is("control_wholes", 1)(f) && is("control_deltas", 3)(f)).await;
         router.until(some("control_version_age_ms")).await;
-        assert!(figure(&router.shared.control.borrow(), "control_version_age_ms") < Some(1500));
+        assert!(figure(&router.shared.control_metrics.borrow(), "control_version_age_ms") < Some(1500));
     });
 }
 
@@ -326,7 +327,7 @@
         let at = current.subscriptions.address();
         drop(current);
         router.until(some("control_machines_behind")).await;
-        assert_eq!(figure(&router.shared.control.borrow(), "control_version"), Some(3));
+        assert_eq!(figure(&router.shared.control_metrics.borrow(), "control_version"), Some(3));
         let mut back = Dispatcher::at("c2", at, 3).await;
         back.commit(4);
         router.until(is("control_version", 4)).await;
@@ -369,7 +370,7 @@
         let router =
             Router { shared: Router::started(control, with_a_start(settings(2))), offered: Rc::default() };
         router.until(some("control_dials")).await;
-        assert_eq!(figure(&router.shared.control.borrow(), "control_version"), Some(2));
+        assert_eq!(figure(&router.shared.control_metrics.borrow(), "control_version"), Some(2));
         // What changes waits for a start here, and is kept for it.
         let dispatcher = Dispatcher::at("c1", at, 3).await;
         router.until(is("control_versions_waiting", 1)).await;
--- a/crates/router/tests/watch_state.rs
+++ b/crates/router/tests/watch_state.rs
@@ -1,6 +1,8 @@
 //! The longest time to be told of a change: every order of what can go wrong with watches, played without a socket
 //! or a clock against the spans by which the router follows discovery.
-use alderway_router::state::watch_state::{ANSWER, PAUSE, SILENCE, WatchPhase, WatchState};
+use alderway_router::state::watch_state::{
+    RECONNECT_PAUSE_S, RESPONSE_TIMEOUT_S, SILENCE_TIMEOUT_S, WatchPhase, WatchState,
+};
 use rstest::rstest;
 
 /// What becomes of a watch that opens before discovery can be reached again, and of those right after.
@@ -27,13 +29,13 @@
     let mut following = WatchState::new(asks);
     let (mut now, mut opened, mut after) = (0.0, 0, 0);
     following.open(now);
-    following.heard(now);
+    following.update_received(now);
     loop {
-        now = match following.state {
-            WatchPhase::Unasked => now + ASKS,
-            _ => following.due().max(now),
+        now = match following.phase {
+            WatchPhase::NotRequested => now + ASKS,
+            _ => following.deadline().max(now),
         };
-        if matches!(following.state, WatchPhase::Open { .. } | WatchPhase::Opening { .. }) {
+        if matches!(following.phase, WatchPhase::Open { .. } | WatchPhase::Opening { .. }) {
             following.lost(now);
             continue;
         }
@@ -55,7 +57,7 @@
             Fate::Mute => {}
             Fate::Head(span) => {
                 now += span;
-                following.answered();
+                following.response_started();
             }
         }
     }
@@ -82,21 +84,24 @@
     }
     assert!(longest.0 < 6.0, "{longest:?}");
     // The sum that docs/configuration.md states.
-    let asked = if asks { ASKS } else { PAUSE };
-    let ends = failures as f64 * (0.9 + PAUSE);
-    assert!(longest.0 <= SILENCE + asked + ends.max(ANSWER + PAUSE) + 0.01, "{longest:?}");
+    let asked = if asks { ASKS } else { RECONNECT_PAUSE_S };
+    let ends = failures as f64 * (0.9 + RECONNECT_PAUSE_S);
+    assert!(
+        longest.0 <= SILENCE_TIMEOUT_S + asked + ends.max(RESPONSE_TIMEOUT_S + RECONNECT_PAUSE_S) + 0.01,
+        "{longest:?}"
+    );
 }
 
 #[rstest]
 fn what_the_module_asked_for_is_still_asked_for_until_a_watch_has_answered() {
     let mut following = WatchState::new(true);
-    assert_eq!(following.state, WatchPhase::Unasked);
+    assert_eq!(following.phase, WatchPhase::NotRequested);
     following.open(1.0);
     assert!(!following.lost(2.0), "nothing had answered, so the module hears of no failure");
-    assert_eq!(following.state, WatchPhase::Pausing { until: 2.0 + PAUSE });
-    following.open(2.0 + PAUSE);
-    following.answered();
-    following.heard(3.0);
+    assert_eq!(following.phase, WatchPhase::Waiting { until: 2.0 + RECONNECT_PAUSE_S });
+    following.open(2.0 + RECONNECT_PAUSE_S);
+    following.response_started();
+    following.update_received(3.0);
     assert!(following.lost(6.0));
-    assert_eq!(following.state, WatchPhase::Unasked);
+    assert_eq!(following.phase, WatchPhase::NotRequested);
 }
