--- a/crates/router/src/state/attempts.rs
+++ b/crates/router/src/state/attempts.rs
@@ -55,15 +55,10 @@
         std::mem::take(&mut self.ended)
     }
 
-    pub fn len(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Whether no attempt is in flight.
-    pub fn is_empty(&self) -> bool {
-        self.in_flight.is_empty()
-    }
-
     pub fn ids(&self) -> Vec<AttemptId> {
         self.in_flight.keys().cloned().collect()
     }
--- a/crates/router/src/state/dispatcher.rs
+++ b/crates/router/src/state/dispatcher.rs
@@ -215,7 +215,7 @@
         let mut open = vec![
             ("queries_open", self.queries.len() as u64),
             ("queries_and_parts_held", self.queries.reserved_count() as u64),
-            ("leaf_calls_open", self.attempts.len() as u64),
+            ("leaf_calls_open", self.attempts.in_flight_count() as u64),
             ("connections_open", lines as u64),
             ("clients_open", self.clients.len() as u64),
             ("nodes_known", self.endpoints.nodes.len() as u64),
--- a/crates/router/tests/dispatcher.rs
+++ b/crates/router/tests/dispatcher.rs
@@ -206,7 +206,7 @@
     {
         assert!(told.iter().any(|t| t == ending), "{ending}: {told:?}");
     }
-    assert_eq!(dispatcher.attempts.len(), 0);
+    assert_eq!(dispatcher.attempts.in_flight_count(), 0);
 }
 
 #[rstest]
@@ -258,7 +258,7 @@
     told(&mut dispatcher);
     ends(&mut dispatcher, &cut);
     assert!(told(&mut dispatcher).is_empty(), "the later call is out, and may have run");
-    assert_eq!(dispatcher.attempts.len(), 1);
+    assert_eq!(dispatcher.attempts.in_flight_count(), 1);
 }
 
 #[rstest]
@@ -599,7 +599,7 @@
         let mut frame = [0; 100];
         assert!(first.read(&mut frame).await.expect("a call") > 0);
         first.write_all(b"\0\0\0\x0fRq.1 done 1 -\nv").await.expect("written");
-        while dispatcher.borrow().attempts.len() > 0 {
+        while dispatcher.borrow().attempts.in_flight_count() > 0 {
             tokio::task::yield_now().await;
         }
         // Nothing of the router runs in between: it does not know of the end as it decides.
@@ -1005,7 +1005,7 @@
     }
     model.tell();
     assert_eq!(model.open.len(), 0, "calls without an end: {:?}", model.open);
-    assert_eq!(model.dispatcher.attempts.len(), 0);
+    assert_eq!(model.dispatcher.attempts.in_flight_count(), 0);
 }
 
 /// Found by the property below: what was said of a call as it ended stands, whatever its connection comes to.
--- a/crates/router/tests/shard_map.rs
+++ b/crates/router/tests/shard_map.rs
@@ -270,10 +270,10 @@
     told(&mut dispatcher);
     dispatcher.cancel_attempt("q.3.0-20", 0);
     assert_eq!(told(&mut dispatcher), ["q.3.0-20 0 n0 Cancelled"]);
-    assert_eq!(dispatcher.attempts.len(), 1, "the other heir waits for it");
+    assert_eq!(dispatcher.attempts.in_flight_count(), 1, "the other heir waits for it");
     dispatcher.cancel_attempt("q.4.20-50", 0);
     assert_eq!(told(&mut dispatcher), ["q.4.20-50 0 n0 Cancelled"]);
-    assert_eq!((dispatcher.attempts.len(), write(&mut dispatcher, &old).as_str()), (0, "Cq.1.0-50"));
+    assert_eq!((dispatcher.attempts.in_flight_count(), write(&mut dispatcher, &old).as_str()), (0, "Cq.1.0-50"));
 }
 
 #[rstest]
@@ -398,7 +398,7 @@
     let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
     assert!(shard_map.families.is_empty());
     assert_eq!(shard_map.history().expect("known").kept().1, 0);
-    assert_eq!((dispatcher.attempts.len(), dispatcher.shared.capacity.free()), (0, 100));
+    assert_eq!((dispatcher.attempts.in_flight_count(), dispatcher.shared.capacity.free()), (0, 100));
 }
 
 #[rstest]
@@ -791,7 +791,7 @@
         prop_assert_eq!(
             (
                 dispatcher.queries.reserved_count(),
-                dispatcher.attempts.len(),
+                dispatcher.attempts.in_flight_count(),
                 dispatcher.shared.capacity.free()
             ),
             (0, 0, 10_000)
