--- a/crates/control-plane/tests/subscription.rs
+++ b/crates/control-plane/tests/subscription.rs
@@ -10,7 +10,7 @@
     Command, ConfigVersion, ControlEndpoint, Event, Subscriber, SubscriptionConfig,
 };
 use alderway_control_plane::version::{Version, VersionNumber};
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_pcg::Pcg32;
@@ -79,8 +79,8 @@
     greeted: bool,
     to_router: VecDeque<(f64, Vec<u8>)>,
     to_machine: VecDeque<(f64, Vec<u8>)>,
-    by_router: Reader<ControlMessage>,
-    by_machine: Reader<RouterMessage>,
+    by_router: FrameReader<ControlMessage>,
+    by_machine: FrameReader<RouterMessage>,
 }
 
 struct Desk {
@@ -286,8 +286,8 @@
                         greeted: false,
                         to_router: VecDeque::new(),
                         to_machine: VecDeque::new(),
-                        by_router: Reader::default(),
-                        by_machine: Reader::default(),
+                        by_router: FrameReader::default(),
+                        by_machine: FrameReader::default(),
                     };
                     self.conns.insert(self.last, conn);
                     self.routers[n].conn = Some(self.last);
@@ -408,15 +408,15 @@
             let mut hello = vec![];
             let said = Hello {
                 version: ControlMessage::VERSION,
-                planner: false,
+                is_planner: false,
                 incarnation: 1,
                 name: desk.name.clone(),
             };
-            frames::hello_of::<ControlMessage>(&mut hello, &said);
+            encode_hello::<ControlMessage>(&mut hello, &said);
             conn.by_router.feed(&hello);
-            let said = Hello { version: RouterMessage::VERSION, planner: false, incarnation, name };
+            let said = Hello { version: RouterMessage::VERSION, is_planner: false, incarnation, name };
             hello.clear();
-            frames::hello_of::<RouterMessage>(&mut hello, &said);
+            encode_hello::<RouterMessage>(&mut hello, &said);
             conn.by_machine.feed(&hello);
             let clock = self.local(router);
             self.routers[router].subscriber.connection_opened(clock);
@@ -436,8 +436,8 @@
             while conn.to_router.front().is_some_and(|(at, _)| *at <= self.now) {
                 let (_, bytes) = conn.to_router.pop_front().expect("looked at");
                 conn.by_router.feed(&bytes);
-                while let Some(read) = conn.by_router.read().expect("sound frames") {
-                    if let Read::Message(tell) = read {
+                while let Some(read) = conn.by_router.next_frame().expect("sound frames") {
+                    if let Received::Message(tell) = read {
                         tells.push(tell);
                     }
                 }
@@ -445,8 +445,8 @@
             while conn.to_machine.front().is_some_and(|(at, _)| *at <= self.now) {
                 let (_, bytes) = conn.to_machine.pop_front().expect("looked at");
                 conn.by_machine.feed(&bytes);
-                while let Some(read) = conn.by_machine.read().expect("sound frames") {
-                    if let Read::Message(say) = read {
+                while let Some(read) = conn.by_machine.next_frame().expect("sound frames") {
+                    if let Received::Message(say) = read {
                         says.push(say);
                     }
                 }
@@ -774,15 +774,15 @@
 }
 
 fn asked(bytes: &[u8]) -> RouterMessage {
-    let mut reader = Reader::<RouterMessage>::default();
+    let mut reader = FrameReader::<RouterMessage>::default();
     let mut hello = vec![];
-    let said = Hello { version: RouterMessage::VERSION, planner: false, incarnation: 1, name: "r".into() };
-    frames::hello_of::<RouterMessage>(&mut hello, &said);
+    let said = Hello { version: RouterMessage::VERSION, is_planner: false, incarnation: 1, name: "r".into() };
+    encode_hello::<RouterMessage>(&mut hello, &said);
     reader.feed(&hello);
     reader.feed(bytes);
-    assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))));
-    match reader.read() {
-        Ok(Some(Read::Message(say))) => say,
+    assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(_)))));
+    match reader.next_frame() {
+        Ok(Some(Received::Message(say))) => say,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/control-plane/tests/wire_format.rs
+++ b/crates/control-plane/tests/wire_format.rs
@@ -10,7 +10,7 @@
 use alderway_control_plane::version::{Proposal, Version};
 use alderway_control_plane::version_log::{ProposalError, UndoneVersion, VersionLog};
 use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeType, ConfChangeV2, Entry, EntryType, HardState, Message, MessageType, Snapshot,
@@ -45,21 +45,21 @@
 }
 
 /// Reads a frame that follows a hello.
-fn read_frame<M: Speech + Debug>(frame: &[u8]) -> M {
-    let mut reader = Reader::<M>::default();
+fn read_frame<M: WireMessage + Debug>(frame: &[u8]) -> M {
+    let mut reader = FrameReader::<M>::default();
     let mut hello = vec![];
-    let said = Hello { version: M::VERSION, planner: false, incarnation: 3, name: "c1".into() };
-    frames::hello_of::<M>(&mut hello, &said);
+    let said = Hello { version: M::VERSION, is_planner: false, incarnation: 3, name: "c1".into() };
+    encode_hello::<M>(&mut hello, &said);
     reader.feed(&hello);
     reader.feed(frame);
-    assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))));
-    match reader.read() {
-        Ok(Some(Read::Message(message))) => message,
+    assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(_)))));
+    match reader.next_frame() {
+        Ok(Some(Received::Message(message))) => message,
         other => panic!("no message: {:?}", other.is_ok()),
     }
 }
 
-fn assert_frame<M: Speech + Debug + PartialEq>(file: &str, name: &str, expected: &M) {
+fn assert_frame<M: WireMessage + Debug + PartialEq>(file: &str, name: &str, expected: &M) {
     assert_eq!(reference(file, name).unwrap_or("none"), hex(&encode_frame(expected)), "{name}");
     assert_eq!(read_frame::<M>(&bytes_of(file, name)), *expected, "{name}");
 }
@@ -86,12 +86,13 @@
 
 #[test]
 fn the_greeting_of_each_side_has_its_protocol_and_version() {
-    assert_eq!((ControlMessage::WORD, ControlMessage::VERSION), (*b"ALDC", 1));
-    assert_eq!((RouterMessage::WORD, RouterMessage::VERSION), (*b"ALDS", 1));
-    let said = |name: &str| Hello { version: 1, planner: false, incarnation: 0x0102_0304, name: name.into() };
+    assert_eq!((ControlMessage::PROTOCOL_ID, ControlMessage::VERSION), (*b"ALDC", 1));
+    assert_eq!((RouterMessage::PROTOCOL_ID, RouterMessage::VERSION), (*b"ALDS", 1));
+    let said =
+        |name: &str| Hello { version: 1, is_planner: false, incarnation: 0x0102_0304, name: name.into() };
     let (mut control, mut router) = (vec![], vec![]);
-    frames::hello_of::<ControlMessage>(&mut control, &said("c1"));
-    frames::hello_of::<RouterMessage>(&mut router, &said("r001"));
+    encode_hello::<ControlMessage>(&mut control, &said("c1"));
+    encode_hello::<RouterMessage>(&mut router, &said("r001"));
     assert_eq!(reference(CONTROL_MESSAGES, "hello"), Some(hex(&control).as_str()));
     assert_eq!(reference(ROUTER_MESSAGES, "hello"), Some(hex(&router).as_str()));
 }
@@ -125,8 +126,8 @@
 #[serde(transparent)]
 struct Framed(ReplicaMessage);
 
-impl Speech for Framed {
-    const WORD: [u8; 4] = *b"ALDC";
+impl WireMessage for Framed {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -247,7 +247,7 @@
     discovery::entries(line, |name, told| match told {
         Ok(node) => {
             entries += 1;
-            let started = clock.from_unix(node.since);
+            let started = clock.from_unix_ms(node.since);
             endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
         }
         Err((state, why)) => {
--- a/crates/router/src/io/lead.rs
+++ b/crates/router/src/io/lead.rs
@@ -261,7 +261,7 @@
     }
     let mut figures = MetricsSnapshot::default();
     shared.add_other_cores(None, &mut figures);
-    log::last_words(&figures.text());
+    log::write_unlimited(&figures.text());
     watched
 }
 
--- a/crates/router/src/lifecycle/serve.rs
+++ b/crates/router/src/lifecycle/serve.rs
@@ -94,7 +94,7 @@
         () = stop::at_sigterm(terms, dispatcher.clone(), close, listening) => {}
         failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
     }
-    log::last_words(&dispatcher.borrow().metrics_text());
+    log::write_unlimited(&dispatcher.borrow().metrics_text());
     Ok(())
 }
 
--- a/crates/router/src/lifecycle/start.rs
+++ b/crates/router/src/lifecycle/start.rs
@@ -179,7 +179,7 @@
     let mut wrong = None;
     discovery::entries(text.as_bytes(), |name, told| match told {
         Ok(node) => {
-            let (started, now) = (clock.from_unix(node.since), clock.now());
+            let (started, now) = (clock.from_unix_ms(node.since), clock.now());
             endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
         }
         Err((_, why)) => wrong = wrong.or(Some(why)),
--- a/crates/router/tests/shard_map.rs
+++ b/crates/router/tests/shard_map.rs
@@ -273,7 +273,10 @@
     assert_eq!(dispatcher.attempts.in_flight_count(), 1, "the other heir waits for it");
     dispatcher.cancel_attempt("q.4.20-50", 0);
     assert_eq!(told(&mut dispatcher), ["q.4.20-50 0 n0 Cancelled"]);
-    assert_eq!((dispatcher.attempts.in_flight_count(), write(&mut dispatcher, &old).as_str()), (0, "Cq.1.0-50"));
+    assert_eq!(
+        (dispatcher.attempts.in_flight_count(), write(&mut dispatcher, &old).as_str()),
+        (0, "Cq.1.0-50")
+    );
 }
 
 #[rstest]
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -12,7 +12,7 @@
 use alderway_router::lifecycle::start::Station;
 use alderway_router::state::shared::{MetricsSnapshot, MulticoreConfig, SharedState};
 use alderway_telemetry::clock::Clock;
-use alderway_transport::frames::{self, Hello, Speech};
+use alderway_transport::{Hello, WireMessage, encode_hello};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -297,8 +297,8 @@
             let mut stream = TcpStream::connect(at).await.expect("a connection");
             let mut hello = vec![];
             let said =
-                Hello { version: RouterMessage::VERSION, planner: false, incarnation, name: "r".into() };
-            frames::hello_of::<RouterMessage>(&mut hello, &said);
+                Hello { version: RouterMessage::VERSION, is_planner: false, incarnation, name: "r".into() };
+            encode_hello::<RouterMessage>(&mut hello, &said);
             stream.write_all(&hello).await.expect("written");
             stream
         };
