--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -12,8 +12,8 @@
 use alderway_router::lifecycle::start::Role;
 use alderway_router::lifecycle::{serve, start};
 use alderway_router::state::descriptors;
-use alderway_router::state::ground::Following;
-use alderway_router::state::house::Sharing;
+use alderway_router::state::shard_map::ShardMapConfig;
+use alderway_router::state::shared::MulticoreConfig;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log::{self, LogFormat};
 use clap::{Args, Parser, Subcommand};
@@ -55,7 +55,7 @@
 /// What a router runs by.
 struct Plan {
     station: start::Station,
-    sharing: Sharing,
+    sharing: MulticoreConfig,
     form: LogFormat,
     operator: Operator,
 }
@@ -147,7 +147,10 @@
         station.beside = Some(Arc::new(move || says_else(&path, &held, &text)));
     }
     station.peers = circle(&operator, files, &station.name)?;
-    station.layouts = operator.layouts.map(|l| Following { grace: l.late_clients, lag: l.lagging_nodes });
+    station.layouts = operator.layouts.map(|l| ShardMapConfig {
+        retired_shard_grace_s: l.late_clients,
+        lagging_node_grace_s: l.lagging_nodes,
+    });
     station.role = match operator.tier.clone() {
         Tier::Alone => Role::Router,
         Tier::Forwarder { planners, beat, patience, .. } => Role::Forwarder { planners, beat, patience },
@@ -159,7 +162,7 @@
     };
     let for_peers = station.peers.as_ref().map_or(0, Circle::descriptors);
     let for_control = station.control.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
-    let least = descriptors::least(cores) + for_peers + for_control;
+    let least = descriptors::minimum(cores) + for_peers + for_control;
     if station.sockets < least {
         let what = if for_peers > 0 { " and its peers" } else { "" };
         return Err(format!("key `limits.sockets`: {cores} cores{what} need {least} at least"));
@@ -172,13 +175,26 @@
         LogForm::Text => LogFormat::Text,
         LogForm::Json => LogFormat::Json,
     };
-    Ok(Plan { station, sharing: Sharing { cores, node_connections, evidence }, form, operator })
+    Ok(Plan {
+        station,
+        sharing: MulticoreConfig {
+            cores,
+            max_connections_per_node: node_connections,
+            shares_observations: evidence,
+        },
+        form,
+        operator,
+    })
 }
 
 fn show(plan: &Plan) -> String {
     let Plan { station, sharing, operator, .. } = plan;
-    let most = sharing.node_connections.map_or("as calls need".to_string(), |most| most.to_string());
-    let told = if sharing.cores > 1 && sharing.evidence { "told between cores" } else { "each core's own" };
+    let most = sharing.max_connections_per_node.map_or("as calls need".to_string(), |most| most.to_string());
+    let told = if sharing.cores > 1 && sharing.shares_observations {
+        "told between cores"
+    } else {
+        "each core's own"
+    };
     let role = match &operator.tier {
         Tier::Alone => "a router that decides by itself".to_string(),
         Tier::Forwarder { planners, count, .. } => {
@@ -219,7 +235,7 @@
         ("name", station.name.clone()),
         ("listens at", station.listen.to_string()),
         ("discovery", station.discovery.to_string()),
-        ("data nodes known", station.roster.nodes.len().to_string()),
+        ("data nodes known", station.endpoints.nodes.len().to_string()),
         ("verticals", station.verticals.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
         ("queries and parts held", station.room.max_open.to_string()),
         ("descriptors", station.sockets.to_string()),
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -63,7 +63,7 @@
         ("127.0.0.1:7001".into(), "127.0.0.1:7002".into())
     );
     assert_eq!((config.sockets, config.memory, config.seed), (256, 64 * 1024 * 1024, 0x1f));
-    assert_eq!(config.roster.nodes.keys().cloned().collect::<Vec<_>>(), ["s-1"]);
+    assert_eq!(config.endpoints.nodes.keys().cloned().collect::<Vec<_>>(), ["s-1"]);
     assert_eq!(config.settings, document()["settings"]);
     assert_eq!(config.began.terms.router_count, 2);
     let classes: Vec<&str> = config.verticals.iter().map(|class| class.name.as_str()).collect();
@@ -83,7 +83,7 @@
     let file = ConfigFile::new(&document.to_string());
     let config = read(&file.0).expect("a good file");
     assert_eq!((config.sockets, config.memory, config.seed), (1024, 192 * 1024 * 1024, 0));
-    assert!(config.roster.nodes.is_empty());
+    assert!(config.endpoints.nodes.is_empty());
 }
 
 #[rstest]
