--- a/crates/control-server/src/admin/handlers.rs
+++ b/crates/control-server/src/admin/handlers.rs
@@ -110,8 +110,8 @@
     let previous = version.number.checked_sub(1).and_then(|number| log.get(number));
     let changed_keys =
         previous.map_or(vec![], |previous| changed_keys(&previous.settings, &version.settings));
-    let Version { number, proposal_id: proposal, author, reason, at_unix_ms, .. } = version.clone();
-    VersionSummary { number, proposal, author, reason, at_unix_ms, changed_keys }
+    let Version { number, proposal_id, author, reason, at_unix_ms, .. } = version.clone();
+    VersionSummary { number, proposal_id, author, reason, at_unix_ms, changed_keys }
 }
 
 fn show(state: &ServerState, number: Option<VersionNumber>) -> AdminResponse {
--- a/crates/control-server/src/admin/messages.rs
+++ b/crates/control-server/src/admin/messages.rs
@@ -115,7 +115,8 @@
     /// Its place in the order of versions.
     pub number: VersionNumber,
     /// The id of the proposal that made it.
-    pub proposal: String,
+    #[serde(rename = "proposal")]
+    pub proposal_id: String,
     /// Who proposed it.
     pub author: String,
     /// Why, in the author's words.
--- a/crates/control-server/src/lib.rs
+++ b/crates/control-server/src/lib.rs
@@ -11,7 +11,6 @@
 //! | [`replica_links`] | connections among control machines |
 //! | [`admin`] | requests of operators, server and client |
 //! | [`subscriptions`] | subscriptions of routers |
-//! | [`simulated_router`] | routers that only subscribe, for trials of scale |
 #![warn(missing_docs, clippy::missing_errors_doc)]
 pub mod admin;
 mod listener;
@@ -19,7 +18,6 @@
 mod outbox;
 pub mod replica_links;
 pub mod server;
-pub mod simulated_router;
 mod state;
 pub mod subscriptions;
 
--- a/crates/control-server/tests/admin_json.rs
+++ b/crates/control-server/tests/admin_json.rs
@@ -146,7 +146,7 @@
     };
     let expected = VersionSummary {
         number: 9,
-        proposal: "p9".into(),
+        proposal_id: "p9".into(),
         author: "ada".into(),
         reason: "more".into(),
         at_unix_ms: 1_700_000_000_009,
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -1,8 +1,9 @@
-//! Control at the users' size: `alderway control` processes, one a zone, and hollow routers in this process
+//! Control at the users' size: `alderway control` processes, one a zone, and simulated routers in this process
 //! that subscribe to them. What a subscription costs at rest, when a change is in force everywhere, and what
 //! killed machines cost.
 use super::Common;
 use super::report::{At, Figure, Report};
+use super::simulated_routers::SimulatedRouters;
 use crate::draw;
 use crate::program::{Setting, beside};
 use alderway_control_plane::replica::ProposalOutcome;
@@ -10,7 +11,6 @@
 use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_control_server::admin::client;
 use alderway_control_server::admin::{AdminRequest, AdminResponse};
-use alderway_control_server::simulated_router::SimulatedRouters;
 use clap::Args;
 use nix::time::{ClockId, clock_gettime};
 use rand_pcg::Pcg32;
@@ -33,7 +33,7 @@
 
 #[derive(Args, Clone)]
 pub struct Control {
-    /// Hollow routers, rising; those of one count stay for the next
+    /// Simulated routers, rising; those of one count stay for the next
     #[arg(long, value_delimiter = '/', default_values_t = [50, 150, 300, 550])]
     routers: Vec<usize>,
     /// Control machines, one a zone
@@ -222,7 +222,7 @@
 struct Stand<'a> {
     plan: &'a Control,
     group: Group,
-    hollow: SimulatedRouters,
+    routers: SimulatedRouters,
     newest: VersionNumber,
     chance: Pcg32,
 }
@@ -248,7 +248,7 @@
 
     async fn until(&self, what: &str, holds: impl Fn(&SimulatedRouters) -> bool) -> Result<(), String> {
         let end = Instant::now() + PATIENCE;
-        while !holds(&self.hollow) {
+        while !holds(&self.routers) {
             if Instant::now() > end {
                 return Err(format!("{what}: not in time; last said: {}", self.group.told()));
             }
@@ -263,7 +263,7 @@
     }
 
     fn send(&mut self) -> Sent {
-        let (doors, base, clock) = (self.doors(), self.newest, self.hollow.clock);
+        let (doors, base, clock) = (self.doors(), self.newest, self.routers.clock);
         let from = clock.now();
         (from, spawn_blocking(move || (propose(&doors, base), clock.now())))
     }
@@ -274,19 +274,19 @@
         self.newest += 1;
         let newest = self.newest;
         self.until("all have a version", |all| all.all_applied_at(newest).is_some()).await?;
-        let had = self.hollow.all_applied_at(newest).unwrap_or(f64::NAN);
+        let had = self.routers.all_applied_at(newest).unwrap_or(f64::NAN);
         Ok(Change { decided: answered - from, in_force: had - from, bytes })
     }
 
     async fn at_rest(&mut self) -> (Vec<Figure>, Vec<Figure>) {
         sleep(Duration::from_secs_f64(self.plan.rest)).await;
-        let (from, bytes, used, spent) = (Instant::now(), self.hollow.bytes(), own_cpu(), self.group.used());
+        let (from, bytes, used, spent) = (Instant::now(), self.routers.bytes(), own_cpu(), self.group.used());
         sleep(Duration::from_secs_f64(self.plan.rest)).await;
         let seconds = from.elapsed().as_secs_f64();
         let (used, after) = (own_cpu() - used, self.group.used());
         let spent = spent.iter().zip(&after).map(|(from, to)| to - from).fold(0.0, f64::max) / seconds;
-        let seen = self.hollow.states();
-        let (count, now) = (seen.len() as f64, self.hollow.bytes());
+        let seen = self.routers.states();
+        let (count, now) = (seen.len() as f64, self.routers.bytes());
         let (came, went) = ((now.0 - bytes.0) as f64 / seconds, (now.1 - bytes.1) as f64 / seconds);
         let mut linked: BTreeMap<Option<&str>, f64> = BTreeMap::new();
         seen.iter().for_each(|seen| *linked.entry(seen.control_machine.as_deref()).or_default() += 1.0);
@@ -319,7 +319,7 @@
             other => return Err(format!("no status: {other:?}")),
         };
         let n = (1..=self.group.count).find(|n| name(*n) == leader).ok_or("no such leader")?;
-        let (clock, from) = (self.hollow.clock, Instant::now());
+        let (clock, from) = (self.routers.clock, Instant::now());
         self.group.kill(n);
         let sent = self.send();
         self.until("its routers are elsewhere", |all| {
@@ -333,7 +333,7 @@
         (1..=self.group.count).for_each(|n| self.group.kill(n));
         (1..=self.group.count).try_for_each(|n| self.group.begin(n))?;
         self.change().await?;
-        let all = self.hollow.all_applied_at(self.newest).unwrap_or(f64::NAN) - from;
+        let all = self.routers.all_applied_at(self.newest).unwrap_or(f64::NAN) - from;
         Ok(vec![
             ("next change in force everywhere, leader killed", "s", one),
             ("routers of a killed machine back", "s", moved),
@@ -379,14 +379,15 @@
         let machine = |n| (ControlEndpoint { name: name(n), zone: format!("z{n}") }, at(7300, n));
         let machines: Vec<(ControlEndpoint, SocketAddr)> = (1..=self.machines).map(machine).collect();
         let zones: Vec<String> = (1..=self.machines).map(|n| format!("z{n}")).collect();
-        let hollow = SimulatedRouters::start(0, &machines, &zones, seed);
-        let mut stand = Stand { plan: self, group, hollow, newest: 0, chance: Pcg32::new(seed, 11) };
+        let simulated = SimulatedRouters::start(0, &machines, &zones, seed);
+        let mut stand =
+            Stand { plan: self, group, routers: simulated, newest: 0, chance: Pcg32::new(seed, 11) };
         // The first version, once they are founded.
         stand.change().await?;
         let before = memory(std::process::id());
         let (how, mut count) = (self.notes(), 0);
         for &routers in &self.routers {
-            stand.hollow.grow(routers - count, &machines, &zones, seed, SubscriptionConfig::default());
+            stand.routers.grow(routers - count, &machines, &zones, seed, SubscriptionConfig::default());
             count = routers;
             let newest = stand.newest;
             stand.until("all have what stands", |all| all.all_applied_at(newest).is_some()).await?;
@@ -432,7 +433,7 @@
         let Control { rest, changes, every_ms, .. } = self;
         (
             format!(
-                "hollow routers in one process, its processor and growth a router; {rest} s at rest after as \
+                "simulated routers in one process, its processor and growth a router; {rest} s at rest after as \
                  many; bytes of frames, seen each 0.5 s"
             ),
             format!(
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,5 +1,6 @@
 //! What one query router spends by the size of its site: `real` on sockets, `rounds` in the module alone, `discovery` for
-//! the list, `control` for subscriptions at control machines. `hollow` is many data nodes in a few processes, `report` what a run leaves.
+//! the list, `control` for subscriptions at control machines. `hollow` is many data nodes in a few processes,
+//! `simulated_routers` many subscriptions on one thread, `report` what a run leaves.
 pub mod control;
 pub mod discovery;
 pub mod hollow;
@@ -7,6 +8,7 @@
 pub mod real;
 pub mod report;
 pub mod rounds;
+pub mod simulated_routers;
 mod sweep;
 
 use clap::{Args, Subcommand};
@@ -22,7 +24,7 @@
     Rounds(sweep::Rounds),
     /// What the list costs a router, pushed and asked for, and which forms of it are refused
     Discovery(discovery::Discovery),
-    /// Control machines and hollow routers: what a subscription costs, and when a change is in force everywhere
+    /// Control machines and simulated routers: what a subscription costs, and when a change is in force everywhere
     Control(control::Control),
     /// Data nodes of another run: serves until its standard input ends
     #[command(hide = true)]
--- a/crates/control-server/src/simulated_router.rs
+++ b/crates/lab/src/scale/simulated_routers.rs
@@ -74,7 +74,7 @@
         seed: u64,
         config: SubscriptionConfig,
     ) {
-        let name = format!("hollow-{n:04}");
+        let name = format!("router-{n:04}");
         let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
         let own_seed = seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let subscriber = Subscriber::new(config, list, zone, None, own_seed, self.clock.now());
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -5,7 +5,6 @@
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, SubscriptionConfig};
 use alderway_control_plane::version::{Version, VersionNumber};
 use alderway_control_plane::version_sink::VersionSink;
-use alderway_control_server::simulated_router::SimulatedRouters;
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_router::control::persisted_version::{self, PersistedVersion};
 use alderway_router::control::{ApplySettings, Subscription, start};
@@ -447,28 +446,6 @@
     assert!(said.starts_with("version 7 of the kept file: key `settings`: expected "), "{said}");
 }
 
-#[rstest]
-fn hollow_routers_share_a_thread_and_have_each_version() {
-    story(async {
-        let (mut first, mut second) = (Desk::new("c1", 1).await, Desk::new("c2", 1).await);
-        let list = [
-            (machine("c1", "z1"), first.subscriptions.address()),
-            (machine("c2", "z2"), second.subscriptions.address()),
-        ];
-        let routers = SimulatedRouters::start(60, &list, &["z1".into(), "z2".into()], 3);
-        until(|| routers.count_with(1) == 60).await;
-        assert_eq!((first.subscriptions.link_count(), second.subscriptions.link_count()), (30, 30));
-        first.commit(2);
-        second.commit(2);
-        until(|| routers.count_with(2) == 60).await;
-        let mut summary = first.subscriptions.summary();
-        summary.merge(&second.subscriptions.summary());
-        assert_eq!(summary.by_version.values().sum::<u64>(), 60);
-        let states = routers.states();
-        assert!(states.iter().all(|state| state.applied.iter().map(|f| f.1).eq([1, 2])));
-    });
-}
-
 #[rstest]
 fn a_version_that_the_disk_refuses_is_kept_as_soon_as_it_takes_it() {
     story(async {
