--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -2,7 +2,7 @@
 //! bounded link can take between other words: whole, or as a JSON Patch (RFC 6902) upon a version that the router has,
 //! with a digest of what must come out.
 use crate::version::VersionNumber;
-use alderway_transport::frames::{self, Speech};
+use alderway_transport::{WireMessage, encode_message};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -44,8 +44,8 @@
     Heartbeat { sequence: u64, latest: VersionNumber, digest: Digest, staleness_s: f64, has_quorum: bool },
 }
 
-impl Speech for ControlMessage {
-    const WORD: [u8; 4] = *b"ALDC";
+impl WireMessage for ControlMessage {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
@@ -60,8 +60,8 @@
     ApplyReport { number: VersionNumber, outcome: ApplyOutcome },
 }
 
-impl Speech for RouterMessage {
-    const WORD: [u8; 4] = *b"ALDS";
+impl WireMessage for RouterMessage {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDS";
     const VERSION: u16 = 1;
 }
 
@@ -107,9 +107,10 @@
 }
 
 /// A word as it goes out.
-pub fn encode_frame<M: Speech>(word: &M) -> Vec<u8> {
+pub fn encode_frame<M: WireMessage>(word: &M) -> Vec<u8> {
     let mut out = vec![];
-    frames::message(&mut out, word);
+    // A message over the limit is not sent; parts are far shorter.
+    let _ = encode_message(&mut out, word);
     out
 }
 
--- a/crates/control-server/src/admin/client.rs
+++ b/crates/control-server/src/admin/client.rs
@@ -1,6 +1,8 @@
 //! The operator's side of the admin endpoint: one request over one connection, blocking.
 use super::messages::{AdminRequest, AdminResponse, JsonFrame};
-use alderway_transport::frames::{self, Fault, Hello, Read, Reader, Speech};
+use alderway_transport::{
+    FrameError, FrameReader, Hello, MAX_MESSAGE_BYTES, Received, encode_hello, encode_message,
+};
 use std::io::{self, Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -34,7 +36,7 @@
     #[error("no hello: {0}")]
     NoHello(Box<RequestFailure>),
     /// The request doesn't fit into a frame.
-    #[error("longer than {} bytes", frames::LONGEST)]
+    #[error("longer than {} bytes", MAX_MESSAGE_BYTES)]
     RequestTooLong,
     /// A second hello came in place of a response.
     #[error("it says hello twice")]
@@ -47,7 +49,7 @@
     ConnectionClosed,
     /// What came is no frame of this protocol.
     #[error(transparent)]
-    Frame(#[from] Fault),
+    Frame(#[from] FrameError),
     /// What came is no response that this version knows.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -76,23 +78,22 @@
     let mut connection = Connection::open(address)?;
     connection.greet()?;
     let mut frame = vec![];
-    if !frames::message(&mut frame, &JsonFrame(serde_json::to_string(request)?)) {
-        return Err(RequestFailure::RequestTooLong);
-    }
+    let request = JsonFrame(serde_json::to_string(request)?);
+    encode_message(&mut frame, &request).map_err(|_| RequestFailure::RequestTooLong)?;
     // Set before the write: part of a request that fails to be written may still arrive whole.
     *request_sent = true;
     let deadline = Instant::now() + timeout;
     connection.stream.set_write_timeout(Some(timeout.max(CONNECT_TIMEOUT)))?;
     connection.stream.write_all(&frame)?;
     match connection.next_frame(deadline)? {
-        Read::Message(JsonFrame(text)) => Ok(serde_json::from_str(&text)?),
-        Read::Hello(_) => Err(RequestFailure::RepeatedHello),
+        Received::Message(JsonFrame(text)) => Ok(serde_json::from_str(&text)?),
+        Received::Hello(_) => Err(RequestFailure::RepeatedHello),
     }
 }
 
 struct Connection {
     stream: TcpStream,
-    reader: Reader<JsonFrame>,
+    reader: FrameReader<JsonFrame>,
     buffer: Vec<u8>,
 }
 
@@ -101,16 +102,15 @@
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         // Only a matter of latency: the exchange works without it.
         let _ = stream.set_nodelay(true);
-        Ok(Connection { stream, reader: Reader::default(), buffer: vec![0; READ_BUFFER_BYTES] })
+        Ok(Connection { stream, reader: FrameReader::default(), buffer: vec![0; READ_BUFFER_BYTES] })
     }
 
     /// Sends the own hello and reads the server's.
     fn greet(&mut self) -> Result<(), RequestFailure> {
         let incarnation = u64::from(std::process::id());
-        let hello =
-            Hello { version: JsonFrame::VERSION, planner: false, incarnation, name: CLIENT_NAME.into() };
+        let hello = Hello::new::<JsonFrame>(CLIENT_NAME, incarnation);
         let mut frame = vec![];
-        frames::hello_of::<JsonFrame>(&mut frame, &hello);
+        encode_hello::<JsonFrame>(&mut frame, &hello);
         self.stream.set_write_timeout(Some(CONNECT_TIMEOUT))?;
         self.stream.write_all(&frame)?;
         let deadline = Instant::now() + CONNECT_TIMEOUT;
@@ -120,9 +120,9 @@
         }
     }
 
-    fn next_frame(&mut self, deadline: Instant) -> Result<Read<JsonFrame>, RequestFailure> {
+    fn next_frame(&mut self, deadline: Instant) -> Result<Received<JsonFrame>, RequestFailure> {
         loop {
-            if let Some(frame) = self.reader.read()? {
+            if let Some(frame) = self.reader.next_frame()? {
                 return Ok(frame);
             }
             let remaining = deadline.saturating_duration_since(Instant::now());
--- a/crates/control-server/src/admin/messages.rs
+++ b/crates/control-server/src/admin/messages.rs
@@ -3,7 +3,7 @@
 use alderway_control_plane::replica::{ProposalOutcome, ReplicaName, ReplicaStatus};
 use alderway_control_plane::version::{Proposal, Version, VersionNumber};
 use alderway_control_plane::version_sink::RouterSummary;
-use alderway_transport::frames::Speech;
+use alderway_transport::WireMessage;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,8 +17,8 @@
 #[serde(transparent)]
 pub struct JsonFrame(pub String);
 
-impl Speech for JsonFrame {
-    const WORD: [u8; 4] = *b"ALDO";
+impl WireMessage for JsonFrame {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDO";
     const VERSION: u16 = 1;
 }
 
--- a/crates/control-server/src/outbox.rs
+++ b/crates/control-server/src/outbox.rs
@@ -1,6 +1,6 @@
 //! Frames to other control machines, and where they wait to be written.
 use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
-use alderway_transport::frames::{self, Speech};
+use alderway_transport::{WireMessage, encode_message};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 #[serde(transparent)]
 pub struct PeerFrame(pub ReplicaMessage);
 
-impl Speech for PeerFrame {
-    const WORD: [u8; 4] = *b"ALDC";
+impl WireMessage for PeerFrame {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
@@ -41,7 +41,7 @@
         if !outbox.is_connected || outbox.bytes.len() >= MAX_OUTBOX_BYTES {
             return false;
         }
-        let is_encoded = frames::message(&mut outbox.bytes, &PeerFrame(message.clone()));
+        let is_encoded = encode_message(&mut outbox.bytes, &PeerFrame(message.clone())).is_ok();
         outbox.filled.notify_one();
         is_encoded
     }
--- a/crates/control-server/src/replica_links/incoming.rs
+++ b/crates/control-server/src/replica_links/incoming.rs
@@ -4,8 +4,7 @@
 use crate::outbox::PeerFrame;
 use crate::state::{RouterSummaryReply, SharedState};
 use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
-use alderway_transport::frames::{self, Read, Reader};
-use alderway_transport::links::greet;
+use alderway_transport::{FrameReader, Received, encode_hello, exchange_hellos};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -38,10 +37,10 @@
 /// Feeds the replica what a peer sends until the connection ends or a later one of the same peer replaces it.
 async fn serve(state: &SharedState, stream: &TcpStream, latest: &LatestConnections) -> Result<(), LinkError> {
     let _ = stream.set_nodelay(true);
-    let (mut output, mut reader) = (vec![], Reader::<PeerFrame>::default());
+    let (mut output, mut reader) = (vec![], FrameReader::<PeerFrame>::default());
     let mut buffer = vec![0; READ_BUFFER_BYTES];
-    frames::hello_of::<PeerFrame>(&mut output, &own_hello(state));
-    let hello = greet(stream, &mut output, &mut reader, &mut buffer).await.map_err(LinkError::Handshake)?;
+    encode_hello::<PeerFrame>(&mut output, &own_hello(state));
+    let hello = exchange_hellos(stream, &mut output, &mut reader, &mut buffer).await?;
     let peer = hello.name;
     let connection = register(state, &peer, latest)?;
     let is_latest = || latest.borrow().get(&peer) == Some(&connection);
@@ -78,20 +77,20 @@
 fn receive_all(
     state: &SharedState,
     peer: &str,
-    reader: &mut Reader<PeerFrame>,
+    reader: &mut FrameReader<PeerFrame>,
     is_latest: &impl Fn() -> bool,
 ) -> Result<bool, LinkError> {
     let mut received_any = false;
     loop {
-        match reader.read()? {
-            Some(Read::Message(PeerFrame(message))) => {
+        match reader.next_frame()? {
+            Some(Received::Message(PeerFrame(message))) => {
                 if !is_latest() {
                     return Ok(false);
                 }
                 receive(state, peer, message);
                 received_any = true;
             }
-            Some(Read::Hello(_)) => return Err(LinkError::RepeatedHello),
+            Some(Received::Hello(_)) => return Err(LinkError::RepeatedHello),
             None => break,
         }
     }
--- a/crates/control-server/src/replica_links/outgoing.rs
+++ b/crates/control-server/src/replica_links/outgoing.rs
@@ -4,14 +4,13 @@
 use crate::state::SharedState;
 use alderway_control_plane::replica::ReplicaName;
 use alderway_sockets::Sender;
-use alderway_transport::frames::{self, Reader};
-use alderway_transport::links::{PATIENCE, Waits, greet};
+use alderway_transport::{FrameReader, SessionEnd, encode_hello, exchange_hellos};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
 /// A peer that takes nothing of what waits for it for so long is connected to anew.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -27,25 +26,20 @@
     address: SocketAddr,
     backoff_seed: u64,
 ) {
-    let mut backoff = Waits::new(backoff_seed);
-    loop {
-        if let Ok(Ok(stream)) = timeout(PATIENCE, alderway_sockets::dial(address)).await {
-            let opened_at = Instant::now();
-            if let Err(error) = serve(&state, &peer, &stream).await {
-                tracing::warn!(target: "replica_links", "{peer} at {address}: {error}");
-            }
-            state.borrow_mut().outboxes.disconnect(&peer);
-            if opened_at.elapsed() > STABLE_CONNECTION_AGE {
-                backoff.met();
-            }
+    let session = async |stream: TcpStream| {
+        let opened_at = Instant::now();
+        if let Err(error) = serve(&state, &peer, &stream).await {
+            tracing::warn!(target: "replica_links", "{peer} at {address}: {error}");
         }
-        backoff.wait().await;
-    }
+        state.borrow_mut().outboxes.disconnect(&peer);
+        let is_stable = opened_at.elapsed() > STABLE_CONNECTION_AGE;
+        if is_stable { SessionEnd::Established } else { SessionEnd::Unusable }
+    };
+    alderway_transport::keep_connected(address, backoff_seed, session).await;
 }
 
 /// Sends what is put into the peer's outbox until the connection ends.
 async fn serve(state: &SharedState, peer: &str, stream: &TcpStream) -> Result<(), LinkError> {
-    let _ = stream.set_nodelay(true);
     greet_peer(state, peer, stream).await?;
     let filled = open_outbox(state, peer)?;
     let mut link = OutgoingLink::new(stream);
@@ -71,10 +65,9 @@
 /// Exchanges hellos, and makes sure that it is this peer that answers.
 async fn greet_peer(state: &SharedState, peer: &str, stream: &TcpStream) -> Result<(), LinkError> {
     let mut output = vec![];
-    frames::hello_of::<PeerFrame>(&mut output, &own_hello(state));
-    let (mut reader, mut buffer) = (Reader::<PeerFrame>::default(), vec![0; READ_BUFFER_BYTES]);
-    let hello = greet(stream, &mut output, &mut reader, &mut buffer).await;
-    let hello = hello.map_err(LinkError::Handshake)?;
+    encode_hello::<PeerFrame>(&mut output, &own_hello(state));
+    let (mut reader, mut buffer) = (FrameReader::<PeerFrame>::default(), vec![0; READ_BUFFER_BYTES]);
+    let hello = exchange_hellos(stream, &mut output, &mut reader, &mut buffer).await?;
     if hello.name == peer { Ok(()) } else { Err(LinkError::UnexpectedPeer(hello.name)) }
 }
 
--- a/crates/control-server/src/subscriptions/connection.rs
+++ b/crates/control-server/src/subscriptions/connection.rs
@@ -4,8 +4,9 @@
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_control_plane::publisher::LinkError;
 use alderway_sockets::Sender;
-use alderway_transport::frames::{self, Fault, Hello, Read, Reader, Speech};
-use alderway_transport::links::greet;
+use alderway_transport::{
+    FrameError, FrameReader, HandshakeError, Hello, Received, encode_hello, exchange_hellos,
+};
 use std::rc::Rc;
 use std::time::Duration;
 use thiserror::Error;
@@ -21,12 +22,12 @@
 /// Why a connection was ended by this side.
 #[derive(Debug, Error)]
 enum ConnectionError {
-    #[error("{0}")]
-    Handshake(String),
+    #[error(transparent)]
+    Handshake(#[from] HandshakeError),
     #[error("{0}")]
     Refused(LinkError),
     #[error("{router}: {source}")]
-    Frame { router: String, source: Fault },
+    Frame { router: String, source: FrameError },
     #[error("{0} says hello twice")]
     RepeatedHello(String),
     #[error("{0}: a word too long")]
@@ -79,7 +80,7 @@
     router: String,
     number: LinkNumber,
     link: Rc<Link>,
-    reader: Reader<RouterMessage>,
+    reader: FrameReader<RouterMessage>,
     sender: Sender,
     buffer: Vec<u8>,
     /// Bytes received since the last whole message.
@@ -95,13 +96,12 @@
 impl<'a> Connection<'a> {
     /// Exchanges hellos and opens a link with the publisher.
     async fn open(hub: &'a Hub, stream: &'a TcpStream) -> Result<Self, ConnectionError> {
-        let (mut output, mut reader) = (vec![], Reader::<RouterMessage>::default());
+        let (mut output, mut reader) = (vec![], FrameReader::<RouterMessage>::default());
         let mut buffer = vec![0; MAX_MESSAGE_BYTES];
-        let (name, incarnation) = (hub.name.clone(), hub.incarnation);
-        let own_hello = Hello { version: ControlMessage::VERSION, planner: false, incarnation, name };
-        frames::hello_of::<ControlMessage>(&mut output, &own_hello);
-        let hello = greet(stream, &mut output, &mut reader, &mut buffer).await;
-        let Hello { name: router, incarnation, .. } = hello.map_err(ConnectionError::Handshake)?;
+        let own_hello = Hello::new::<ControlMessage>(hub.name.clone(), hub.incarnation);
+        encode_hello::<ControlMessage>(&mut output, &own_hello);
+        let hello = exchange_hellos(stream, &mut output, &mut reader, &mut buffer).await?;
+        let Hello { name: router, incarnation, .. } = hello;
         let number = hub.publisher.borrow_mut().open_link(&router, incarnation, hub.clock.now());
         let number = number.map_err(ConnectionError::Refused)?;
         let link = hub.add(number);
@@ -118,14 +118,14 @@
     fn receive_all(&mut self) -> Result<(), ConnectionError> {
         let router = || self.router.clone();
         loop {
-            let frame = self.reader.read();
+            let frame = self.reader.next_frame();
             match frame.map_err(|source| ConnectionError::Frame { router: router(), source })? {
-                Some(Read::Message(message)) => {
+                Some(Received::Message(message)) => {
                     self.partial_bytes = 0;
                     self.hub.publisher.borrow_mut().receive(self.number, message, self.hub.clock.now());
                     self.hub.changed.notify_one();
                 }
-                Some(Read::Hello(_)) => return Err(ConnectionError::RepeatedHello(router())),
+                Some(Received::Hello(_)) => return Err(ConnectionError::RepeatedHello(router())),
                 None if self.partial_bytes > MAX_MESSAGE_BYTES => {
                     return Err(ConnectionError::MessageTooLong(router()));
                 }
--- a/crates/control-server/tests/admin_json.rs
+++ b/crates/control-server/tests/admin_json.rs
@@ -5,7 +5,7 @@
 use alderway_control_plane::version_log::{ProposalError, UndoneVersion};
 use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
 use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, JsonFrame, VersionSummary};
-use alderway_transport::frames::{self, Hello, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -259,20 +259,20 @@
 fn frames_of_the_admin_endpoint() {
     let mut bytes = vec![];
     let hello =
-        Hello { version: JsonFrame::VERSION, planner: false, incarnation: 5, name: "operator".into() };
-    frames::hello_of::<JsonFrame>(&mut bytes, &hello);
+        Hello { version: JsonFrame::VERSION, is_planner: false, incarnation: 5, name: "operator".into() };
+    encode_hello::<JsonFrame>(&mut bytes, &hello);
     assert_eq!(bytes.escape_ascii().to_string(), HELLO_FRAME);
     bytes.clear();
-    assert!(frames::message(&mut bytes, &JsonFrame(r#""status""#.into())));
+    encode_message(&mut bytes, &JsonFrame(r#""status""#.into())).expect("it fits a frame");
     assert_eq!(bytes.escape_ascii().to_string(), TEXT_FRAME);
-    let mut reader = frames::Reader::<JsonFrame>::default();
+    let mut reader = FrameReader::<JsonFrame>::default();
     let mut hello_bytes = vec![];
-    frames::hello_of::<JsonFrame>(&mut hello_bytes, &hello);
+    encode_hello::<JsonFrame>(&mut hello_bytes, &hello);
     reader.feed(&hello_bytes);
     reader.feed(&bytes);
-    assert!(matches!(reader.read(), Ok(Some(frames::Read::Hello(read))) if read == hello));
+    assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(read))) if read == hello));
     assert!(
-        matches!(reader.read(), Ok(Some(frames::Read::Message(JsonFrame(text)))) if text == r#""status""#)
+        matches!(reader.next_frame(), Ok(Some(Received::Message(JsonFrame(text)))) if text == r#""status""#)
     );
 }
 
--- a/crates/control-server/tests/replica_frames.rs
+++ b/crates/control-server/tests/replica_frames.rs
@@ -3,20 +3,20 @@
 use alderway_control_plane::replica::ReplicaMessage;
 use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
 use alderway_control_server::replica_links::PeerFrame;
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
 
 const HELLO: &str = r"\x00\x00\x00\x10\xa3>,\xedALDC\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x0ba";
 
 fn hello() -> Hello {
-    Hello { version: 1, planner: false, incarnation: 11, name: "a".into() }
+    Hello { version: 1, is_planner: false, incarnation: 11, name: "a".into() }
 }
 
 #[rstest]
 fn the_hello_frame_keeps_its_bytes() {
-    assert_eq!((PeerFrame::WORD, PeerFrame::VERSION), (*b"ALDC", 1));
+    assert_eq!((PeerFrame::PROTOCOL_ID, PeerFrame::VERSION), (*b"ALDC", 1));
     let mut bytes = vec![];
-    frames::hello_of::<PeerFrame>(&mut bytes, &hello());
+    encode_hello::<PeerFrame>(&mut bytes, &hello());
     assert_eq!(bytes.escape_ascii().to_string(), HELLO);
 }
 
@@ -36,16 +36,16 @@
 )]
 fn each_message_frame_keeps_its_bytes(#[case] word: ReplicaMessage, #[case] expected: &str) {
     let mut bytes = vec![];
-    assert!(frames::message(&mut bytes, &PeerFrame(word.clone())));
+    encode_message(&mut bytes, &PeerFrame(word.clone())).expect("it fits a frame");
     assert_eq!(bytes.escape_ascii().to_string(), expected);
-    let mut reader = Reader::<PeerFrame>::default();
+    let mut reader = FrameReader::<PeerFrame>::default();
     let mut hello_bytes = vec![];
-    frames::hello_of::<PeerFrame>(&mut hello_bytes, &hello());
+    encode_hello::<PeerFrame>(&mut hello_bytes, &hello());
     reader.feed(&hello_bytes);
     reader.feed(&bytes);
-    assert!(matches!(reader.read(), Ok(Some(Read::Hello(read))) if read == hello()));
-    match reader.read() {
-        Ok(Some(Read::Message(PeerFrame(read)))) => assert_eq!(read, word),
+    assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(read))) if read == hello()));
+    match reader.next_frame() {
+        Ok(Some(Received::Message(PeerFrame(read)))) => assert_eq!(read, word),
         _ => panic!("no message"),
     }
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -13,8 +13,7 @@
 use alderway_control_plane::version::VersionNumber;
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
-use alderway_transport::{Incarnation, Name};
+use alderway_transport::{FrameReader, Hello, Incarnation, Name, Received, WireMessage, encode_hello};
 use persisted_version::PersistedVersion;
 use serde_json::Value;
 use std::future::pending;
@@ -103,7 +102,7 @@
         let number = persisted.version.number;
         tracing::info!(target: "control", "version {number} in force, from the kept file");
         house.version.store(number, Relaxed);
-        let as_of = persisted.as_of_unix_ms.and_then(|ms| clock.from_unix(ms));
+        let as_of = persisted.as_of_unix_ms.and_then(|ms| clock.from_unix_ms(ms));
         (persisted.version, as_of.map(|as_of| as_of.min(now)))
     });
     let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
@@ -166,7 +165,7 @@
     sender: Sender,
     machine: usize,
     greeted: bool,
-    reader: Reader<ControlMessage>,
+    reader: FrameReader<ControlMessage>,
     out: Vec<u8>,
 }
 
@@ -225,10 +224,10 @@
                     Ok(stream) => {
                         let _ = stream.set_nodelay(true);
                         let (name, incarnation) = (host.name.clone(), host.incarnation);
-                        let hello = Hello { version: RouterMessage::VERSION, planner: false, incarnation, name };
+                        let hello = Hello { version: RouterMessage::VERSION, is_planner: false, incarnation, name };
                         let mut out = vec![];
-                        frames::hello_of::<RouterMessage>(&mut out, &hello);
-                        let (sender, reader) = (Sender::default(), Reader::default());
+                        encode_hello::<RouterMessage>(&mut out, &hello);
+                        let (sender, reader) = (Sender::default(), FrameReader::default());
                         wire = Some(Wire { stream, sender, machine, greeted: false, reader, out });
                     }
                     Err(_) => subscriber.connection_closed(clock.now()),
@@ -274,16 +273,16 @@
     loop {
         let now = host.clock.now();
         let expected = host.machines.get(wire.machine).map(|machine| &machine.0);
-        match wire.reader.read() {
-            Ok(Some(Read::Hello(hello))) if !wire.greeted && Some(&hello.name) == expected => {
+        match wire.reader.next_frame() {
+            Ok(Some(Received::Hello(hello))) if !wire.greeted && Some(&hello.name) == expected => {
                 wire.greeted = true;
                 subscriber.connection_opened(now);
             }
-            Ok(Some(Read::Hello(hello))) => {
+            Ok(Some(Received::Hello(hello))) => {
                 tracing::warn!(target: "control", "`{}` answers where another control machine is", hello.name);
                 return false;
             }
-            Ok(Some(Read::Message(tell))) => subscriber.receive(tell, now),
+            Ok(Some(Received::Message(tell))) => subscriber.receive(tell, now),
             Ok(None) => return true,
             Err(why) => {
                 tracing::warn!(target: "control", "{why}");
