--- a/crates/control-server/src/admin/endpoint.rs
+++ b/crates/control-server/src/admin/endpoint.rs
@@ -3,8 +3,11 @@
 use super::messages::{AdminResponse, JsonFrame};
 use crate::listener::serve_each;
 use crate::state::SharedState;
-use alderway_transport::{FrameError, FrameReader, Hello, Received, WireMessage};
-use alderway_transport::{exchange_hellos, write_all};
+use alderway_transport::{
+    EncodeError, FrameError, FrameReader, HandshakeError, Hello, Received, encode_hello, encode_message,
+    exchange_hellos, write_all,
+};
+use std::io;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
@@ -21,20 +24,22 @@
 /// Why a connection was ended by this side.
 #[derive(Debug, Error)]
 enum ConnectionError {
-    #[error("{0}")]
-    Handshake(alderway_transport::HandshakeError),
+    #[error(transparent)]
+    Handshake(#[from] HandshakeError),
     #[error("it says hello twice")]
     RepeatedHello,
     #[error("it says nothing")]
     IdleTooLong,
     #[error("it does not read")]
     WriteTimedOut,
-    #[error("{0}")]
-    Write(std::io::Error),
+    #[error(transparent)]
+    Write(#[from] io::Error),
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error(transparent)]
     Json(#[from] serde_json::Error),
+    #[error(transparent)]
+    Encode(#[from] EncodeError),
 }
 
 /// Serves operators for as long as the program runs.
@@ -55,10 +60,8 @@
     let _ = stream.set_nodelay(true);
     let mut output = vec![];
     let mut requests = RequestReader::new(stream);
-    alderway_transport::encode_hello::<JsonFrame>(&mut output, &own_hello(state));
-    exchange_hellos(stream, &mut output, &mut requests.reader, &mut requests.buffer)
-        .await
-        .map_err(ConnectionError::Handshake)?;
+    encode_hello::<JsonFrame>(&mut output, &own_hello(state));
+    exchange_hellos(stream, &mut output, &mut requests.reader, &mut requests.buffer).await?;
     while let Some(JsonFrame(text)) = requests.next().await? {
         let response = match serde_json::from_str(&text) {
             Ok(request) => respond(state, stream, request).await,
@@ -69,23 +72,23 @@
         let Some(response) = response else { return Ok(()) };
         encode(&mut output, &response)?;
         let written = timeout(IDLE_TIMEOUT, write_all(stream, &mut output)).await;
-        written.map_err(|_| ConnectionError::WriteTimedOut)?.map_err(ConnectionError::Write)?;
+        written.map_err(|_| ConnectionError::WriteTimedOut)??;
     }
     Ok(())
 }
 
 fn own_hello(state: &SharedState) -> Hello {
     let replica = &state.borrow().replica;
-    let (incarnation, name) = (replica.id(), replica.name().to_string());
-    Hello { version: JsonFrame::VERSION, is_planner: false, incarnation, name }
+    Hello::new::<JsonFrame>(replica.name(), replica.id())
 }
 
 /// Appends the frame of a response, or of an error where the response doesn't fit into one.
-fn encode(output: &mut Vec<u8>, response: &AdminResponse) -> Result<(), serde_json::Error> {
-    if alderway_transport::encode_message(output, &JsonFrame(serde_json::to_string(response)?)).is_err() {
+fn encode(output: &mut Vec<u8>, response: &AdminResponse) -> Result<(), ConnectionError> {
+    let response = JsonFrame(serde_json::to_string(response)?);
+    if encode_message(output, &response).is_err() {
         let reason = "the answer is longer than a frame".into();
         let too_long = serde_json::to_string(&AdminResponse::BadRequest { reason })?;
-        let _ = alderway_transport::encode_message(output, &JsonFrame(too_long));
+        encode_message(output, &JsonFrame(too_long))?;
     }
     Ok(())
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -13,8 +13,7 @@
 use alderway_control_plane::version::VersionNumber;
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
-use alderway_transport::{FrameReader, Hello, Received, WireMessage};
-use alderway_transport::{Incarnation, Name};
+use alderway_transport::{FrameReader, Hello, Incarnation, Name, Received, WireMessage, encode_hello};
 use persisted_version::PersistedVersion;
 use serde_json::Value;
 use std::future::pending;
@@ -227,7 +226,7 @@
                         let (name, incarnation) = (host.name.clone(), host.incarnation);
                         let hello = Hello { version: RouterMessage::VERSION, is_planner: false, incarnation, name };
                         let mut out = vec![];
-                        alderway_transport::encode_hello::<RouterMessage>(&mut out, &hello);
+                        encode_hello::<RouterMessage>(&mut out, &hello);
                         let (sender, reader) = (Sender::default(), FrameReader::default());
                         wire = Some(Wire { stream, sender, machine, greeted: false, reader, out });
                     }
