--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -2,3 +2,5 @@
 #![allow(dead_code)]
 pub mod fault_schedule;
 pub mod replica_group;
+pub mod subscription_network;
+pub mod traffic;
