--- a/crates/control-plane/tests/subscription_model.rs
+++ b/crates/control-plane/tests/subscription_model.rs
@@ -1,7 +1,7 @@
-//! An exhaustive walk over a small system: three versions, a control machine that commits, one that follows it and may be
-//! stale for as long as it likes, and a router that subscribes at either, takes over, refuses, keeps what it has and
-//! crashes. Words are under way for as long as they like, in any order, also past the end of their connection, and may be
-//! lost; whoever does nothing stands still. What is put on a shelf, told and taken are the program's own.
+//! An exhaustive search of a small system: three versions, a control server that commits, one that follows it and may be
+//! stale for any time, and a router that subscribes at either, applies, rejects, persists and crashes. Messages are in
+//! flight for any time, in any order, also beyond the end of their connection, and may be lost. Versions are cached, sent
+//! and accepted by the program's own code.
 use alderway_control_plane::content::{self, Digest, VersionContent};
 use alderway_control_plane::messages::ApplyOutcome;
 use alderway_control_plane::publisher::{SubscriberPosition, VersionCache};
@@ -12,10 +12,10 @@
 use std::sync::LazyLock;
 
 const LAST: VersionNumber = 3;
-const UNDER_WAY: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 
 /// What is committed under a number: the second version changes two keys, the third one of them.
-fn text(number: VersionNumber) -> &'static str {
+fn committed_text(number: VersionNumber) -> &'static str {
     static TEXTS: LazyLock<Vec<String>> = LazyLock::new(|| {
         let long = "0123456789".repeat(9);
         (0..=LAST).map(|n| format!(r#"{{"a":{n},"b":{},"c":"{long}"}}"#, n.min(2))).collect()
@@ -24,94 +24,96 @@
 }
 
 /// What was proposed in its place and never committed.
-fn proposed(number: VersionNumber) -> String {
-    text(number).replace(r#""a""#, r#""d""#)
+fn uncommitted_text(number: VersionNumber) -> String {
+    committed_text(number).replace(r#""a""#, r#""d""#)
 }
 
-/// What a machine knows of the router: what that has, and whether a patch was of no use to it.
+/// What a control server knows of the router: the version that it received, and whether it needs complete settings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Link {
-    got: VersionNumber,
+    received: VersionNumber,
     digest: Digest,
-    whole: bool,
+    needs_snapshot: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     committed: VersionNumber,
-    shelves: [VersionCache; 2],
+    caches: [VersionCache; 2],
     links: [Option<Link>; 2],
-    under_way: Vec<VersionContent>,
-    holding: VersionState,
+    in_flight: Vec<VersionContent>,
+    versions: VersionState,
     offered: bool,
     disk: ConfigVersion,
-    /// The newest that has been in force since the start.
-    most: VersionNumber,
-    /// How many more times something may fail.
-    failures: u8,
+    /// The newest version that has been active since the start.
+    newest_active: VersionNumber,
+    /// Faults that may still happen.
+    faults_left: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Commit,
     Follow,
-    /// The first machine tells what it has not committed yet.
+    /// The first control server distributes a version that is not committed.
     Propose,
-    Ask(usize),
-    ControlMessage(usize),
-    Hear(usize),
+    Subscribe(usize),
+    Send(usize),
+    Deliver(usize),
     Lose(usize),
     Offer,
-    TakeOver,
-    Refuse,
-    /// For a start.
-    Wait,
-    Keep,
+    Apply,
+    Reject,
+    /// The version needs a restart.
+    RequireRestart,
+    Persist,
     CrashRouter,
-    /// The one that commits: of what it had only the newest is on its shelf afterwards.
-    CrashMachine,
+    /// The one that commits. It caches only the newest version afterwards.
+    CrashServer,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    Nothing,
-    /// The router takes whatever whole comes.
-    Backward,
-    /// A patch is taken upon whatever is there, and what comes out is not compared.
-    Unchecked,
-    /// A machine puts on its shelf what has yet to be committed.
-    Eager,
+enum BrokenRule {
+    None,
+    /// The router accepts any complete settings.
+    AcceptsOlderVersions,
+    /// A patch is applied to any version, and its result is not compared with the digest.
+    SkipsDigest,
+    /// A control server caches a version that is not committed.
+    DistributesUncommitted,
 }
 
-struct System(Broken);
+struct System(BrokenRule);
 
 impl System {
-    fn hear(&self, state: &mut State, content: &VersionContent) {
-        let taken = match self.0 {
-            Broken::Backward if content.base == 0 => {
-                state.holding = VersionState::resume(ConfigVersion::new(content.number, &content.text));
+    fn deliver(&self, state: &mut State, content: &VersionContent) {
+        let result = match self.0 {
+            BrokenRule::AcceptsOlderVersions if content.base == 0 => {
+                state.versions = VersionState::resume(ConfigVersion::new(content.number, &content.text));
                 state.offered = false;
                 ReceiveResult::New
             }
-            Broken::Unchecked if content.base > 0 && content.number > state.holding.received().number => {
-                match content::apply_patch(&state.holding.received().text, &content.text) {
+            BrokenRule::SkipsDigest
+                if content.base > 0 && content.number > state.versions.received().number =>
+            {
+                match content::apply_patch(&state.versions.received().text, &content.text) {
                     Some(text) => {
-                        state.holding = VersionState::resume(ConfigVersion::new(content.number, &text));
+                        state.versions = VersionState::resume(ConfigVersion::new(content.number, &text));
                         state.offered = false;
                         ReceiveResult::New
                     }
                     None => ReceiveResult::DigestMismatch,
                 }
             }
-            _ => state.holding.receive(content),
+            _ => state.versions.receive(content),
         };
-        if taken == ReceiveResult::DigestMismatch {
+        if result == ReceiveResult::DigestMismatch {
             for link in state.links.iter_mut().flatten() {
-                let got = state.holding.received();
-                *link = Link { got: got.number, digest: got.digest, whole: true };
+                let received = state.versions.received();
+                *link = Link { received: received.number, digest: received.digest, needs_snapshot: true };
             }
         }
-        state.most = state.most.max(state.holding.active().number);
+        state.newest_active = state.newest_active.max(state.versions.active().number);
     }
 }
 
@@ -120,20 +122,20 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let mut shelves = [VersionCache::new(2), VersionCache::new(2)];
-        for shelf in &mut shelves {
-            assert_eq!(shelf.insert(1, text(1)), Ok(true));
+        let mut caches = [VersionCache::new(2), VersionCache::new(2)];
+        for cache in &mut caches {
+            assert_eq!(cache.insert(1, committed_text(1)), Ok(true));
         }
         vec![State {
             committed: 1,
-            shelves,
+            caches,
             links: [None, None],
-            under_way: vec![],
-            holding: VersionState::default(),
+            in_flight: vec![],
+            versions: VersionState::default(),
             offered: false,
             disk: ConfigVersion::default(),
-            most: 0,
-            failures: 1,
+            newest_active: 0,
+            faults_left: 1,
         }]
     }
 
@@ -141,38 +143,41 @@
         if state.committed < LAST {
             steps.push(Step::Commit);
         }
-        if state.shelves[1].latest() < state.committed {
+        if state.caches[1].latest() < state.committed {
             steps.push(Step::Follow);
         }
-        if self.0 == Broken::Eager && state.committed < LAST && state.shelves[0].latest() == state.committed {
+        if self.0 == BrokenRule::DistributesUncommitted
+            && state.committed < LAST
+            && state.caches[0].latest() == state.committed
+        {
             steps.push(Step::Propose);
         }
         for n in 0..2 {
-            // One connection: to ask at one machine ends the other's.
+            // The router has one connection: to subscribe at one control server ends the other.
             if state.links[n].is_none() {
-                steps.push(Step::Ask(n));
-            } else if state.under_way.len() < UNDER_WAY {
-                steps.push(Step::ControlMessage(n));
+                steps.push(Step::Subscribe(n));
+            } else if state.in_flight.len() < MAX_IN_FLIGHT {
+                steps.push(Step::Send(n));
             }
         }
-        if state.failures > 0 && state.links[0].is_some() {
-            steps.push(Step::CrashMachine);
+        if state.faults_left > 0 && state.links[0].is_some() {
+            steps.push(Step::CrashServer);
         }
-        for n in 0..state.under_way.len() {
-            steps.push(Step::Hear(n));
-            if state.failures > 0 {
+        for n in 0..state.in_flight.len() {
+            steps.push(Step::Deliver(n));
+            if state.faults_left > 0 {
                 steps.push(Step::Lose(n));
             }
         }
-        steps.push(if state.offered { Step::TakeOver } else { Step::Offer });
-        // The first and the last version are such that the router can take them over.
-        if state.offered && state.holding.received().number == 2 {
-            steps.extend([Step::Refuse, Step::Wait]);
+        steps.push(if state.offered { Step::Apply } else { Step::Offer });
+        // The router can apply the first and the last version.
+        if state.offered && state.versions.received().number == 2 {
+            steps.extend([Step::Reject, Step::RequireRestart]);
         }
-        if state.disk.number != state.holding.persisted().number {
-            steps.push(Step::Keep);
+        if state.disk.number != state.versions.persisted().number {
+            steps.push(Step::Persist);
         }
-        if state.failures > 0 {
+        if state.faults_left > 0 {
             steps.push(Step::CrashRouter);
         }
     }
@@ -182,72 +187,73 @@
         match step {
             Step::Commit => {
                 next.committed += 1;
-                // Guards against two contents under one number: what came first is what is told on.
-                let _ = next.shelves[0].insert(next.committed, text(next.committed));
+                // A number keeps the content that came first.
+                let _ = next.caches[0].insert(next.committed, committed_text(next.committed));
             }
             Step::Follow => {
-                let number = next.shelves[1].latest() + 1;
-                let _ = next.shelves[1].insert(number, text(number));
+                let number = next.caches[1].latest() + 1;
+                let _ = next.caches[1].insert(number, committed_text(number));
             }
             Step::Propose => {
                 let number = next.committed + 1;
-                let _ = next.shelves[0].insert(number, &proposed(number));
+                let _ = next.caches[0].insert(number, &uncommitted_text(number));
             }
-            Step::Ask(machine) => {
-                let got = next.holding.received();
-                next.links[1 - machine] = None;
-                next.links[machine] = Some(Link { got: got.number, digest: got.digest, whole: false });
+            Step::Subscribe(server) => {
+                let received = next.versions.received();
+                next.links[1 - server] = None;
+                next.links[server] =
+                    Some(Link { received: received.number, digest: received.digest, needs_snapshot: false });
             }
-            Step::ControlMessage(machine) => {
-                let link = next.links[machine].clone()?;
-                let base = match next.shelves[machine].position(link.got, link.digest) {
+            Step::Send(server) => {
+                let link = next.links[server].clone()?;
+                let base = match next.caches[server].position(link.received, link.digest) {
                     SubscriberPosition::UpToDate
                     | SubscriberPosition::Ahead
                     | SubscriberPosition::Conflict => return None,
-                    SubscriberPosition::PatchAvailable if !link.whole => Some(link.got),
+                    SubscriberPosition::PatchAvailable if !link.needs_snapshot => Some(link.received),
                     SubscriberPosition::PatchAvailable | SubscriberPosition::SnapshotNeeded => None,
                 };
-                let content = next.shelves[machine].content(base)?;
-                let (got, digest) = (content.number, content.digest);
-                next.links[machine] = Some(Link { got, digest, whole: false });
-                next.under_way.push(content);
-                next.under_way.sort_by_key(|content| (content.number, content.base));
+                let content = next.caches[server].content(base)?;
+                let (received, digest) = (content.number, content.digest);
+                next.links[server] = Some(Link { received, digest, needs_snapshot: false });
+                next.in_flight.push(content);
+                next.in_flight.sort_by_key(|content| (content.number, content.base));
             }
-            Step::Hear(n) => {
-                let content = next.under_way.remove(n);
-                self.hear(&mut next, &content);
+            Step::Deliver(n) => {
+                let content = next.in_flight.remove(n);
+                self.deliver(&mut next, &content);
             }
-            // Its connection is lost with it.
+            // The connection is lost with the message.
             Step::Lose(n) => {
-                next.failures -= 1;
-                next.under_way.remove(n);
+                next.faults_left -= 1;
+                next.in_flight.remove(n);
                 next.links = [None, None];
             }
             Step::Offer => {
-                next.holding.next_offer()?;
+                next.versions.next_offer()?;
                 next.offered = true;
             }
-            Step::TakeOver | Step::Refuse | Step::Wait => {
+            Step::Apply | Step::Reject | Step::RequireRestart => {
                 let outcome = match step {
-                    Step::Refuse => ApplyOutcome::Rejected("no".into()),
-                    Step::Wait => ApplyOutcome::PendingRestart(vec!["key".into()]),
+                    Step::Reject => ApplyOutcome::Rejected("no".into()),
+                    Step::RequireRestart => ApplyOutcome::PendingRestart(vec!["key".into()]),
                     _ => ApplyOutcome::Applied,
                 };
-                (1..=LAST).find(|number| next.holding.complete_offer(*number, &outcome))?;
+                (1..=LAST).find(|number| next.versions.complete_offer(*number, &outcome))?;
                 next.offered = false;
-                next.most = next.most.max(next.holding.active().number);
+                next.newest_active = next.newest_active.max(next.versions.active().number);
             }
-            Step::Keep => next.disk = next.holding.persisted().clone(),
+            Step::Persist => next.disk = next.versions.persisted().clone(),
             Step::CrashRouter => {
-                next.failures -= 1;
-                next.holding = VersionState::resume(next.disk.clone());
-                (next.offered, next.most, next.links) = (false, next.disk.number, [None, None]);
+                next.faults_left -= 1;
+                next.versions = VersionState::resume(next.disk.clone());
+                (next.offered, next.newest_active, next.links) = (false, next.disk.number, [None, None]);
             }
-            Step::CrashMachine => {
-                next.failures -= 1;
+            Step::CrashServer => {
+                next.faults_left -= 1;
                 next.links[0] = None;
-                next.shelves[0] = VersionCache::new(2);
-                let _ = next.shelves[0].insert(next.committed, text(next.committed));
+                next.caches[0] = VersionCache::new(2);
+                let _ = next.caches[0].insert(next.committed, committed_text(next.committed));
             }
         }
         Some(next)
@@ -256,42 +262,43 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("a router never goes back", |_, state: &State| {
-                state.holding.active().number >= state.most
-                    && state.holding.persisted().number >= state.disk.number
+                state.versions.active().number >= state.newest_active
+                    && state.versions.persisted().number >= state.disk.number
             }),
-            Property::always("what a number holds is what was committed", |_, state: &State| {
-                let sound =
-                    |settled: &ConfigVersion| settled.number == 0 || *settled.text == *text(settled.number);
-                sound(state.holding.received()) && sound(state.holding.active()) && sound(&state.disk)
+            Property::always("a number has the settings that were committed", |_, state: &State| {
+                let sound = |version: &ConfigVersion| {
+                    version.number == 0 || *version.text == *committed_text(version.number)
+                };
+                sound(state.versions.received()) && sound(state.versions.active()) && sound(&state.disk)
             }),
-            Property::always("only what is committed is told", |_, state: &State| {
-                let newest = state.under_way.iter().map(|content| content.number).max();
-                newest.unwrap_or(0).max(state.holding.received().number) <= state.committed
+            Property::always("only committed versions are sent", |_, state: &State| {
+                let newest = state.in_flight.iter().map(|content| content.number).max();
+                newest.unwrap_or(0).max(state.versions.received().number) <= state.committed
             }),
-            Property::sometimes("the newest is in force", |_, state: &State| {
-                state.holding.active().number == LAST
+            Property::sometimes("the newest version is active", |_, state: &State| {
+                state.versions.active().number == LAST
             }),
-            Property::sometimes("a patch that no longer fits is under way", |_, state: &State| {
-                let got = state.holding.received().number;
-                state.under_way.iter().any(|c| c.base > 0 && c.base != got && c.number > got)
+            Property::sometimes("a patch that no longer fits is in flight", |_, state: &State| {
+                let received = state.versions.received().number;
+                state.in_flight.iter().any(|c| c.base > 0 && c.base != received && c.number > received)
             }),
         ]
     }
 }
 
 #[rstest]
-fn through_loss_delay_pauses_and_crashes_a_router_has_what_was_committed_and_never_goes_back() {
-    let checker = System(Broken::Nothing).checker().threads(2).spawn_bfs().join();
+fn a_router_has_only_committed_versions_and_never_goes_back_in_any_interleaving() {
+    let checker = System(BrokenRule::None).checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     println!("{} states", checker.unique_state_count());
     assert!(checker.unique_state_count() > 10_000, "{} states show little", checker.unique_state_count());
 }
 
 #[rstest]
-#[case::whatever_comes_is_taken(Broken::Backward)]
-#[case::a_patch_is_not_checked(Broken::Unchecked)]
-#[case::what_is_not_committed_is_told(Broken::Eager)]
-fn a_broken_rule_is_found(#[case] broken: Broken) {
+#[case::older_versions_are_accepted(BrokenRule::AcceptsOlderVersions)]
+#[case::a_patch_is_not_checked(BrokenRule::SkipsDigest)]
+#[case::uncommitted_versions_are_distributed(BrokenRule::DistributesUncommitted)]
+fn a_rule_broken_on_purpose_is_found(#[case] broken: BrokenRule) {
     let checker =
         System(broken).checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let found = checker.discoveries();
--- a/crates/control-plane/tests/wire_format.rs
+++ b/crates/control-plane/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes that leave a control machine or outlive it, against reference files: frames between control machines and
-//! routers, frames among control machines, the log on disk, and JSON by name. Each reference is decoded, every field is
+//! The bytes that leave a control server or outlive it, against reference files: frames between control servers and
+//! routers, frames between replicas, the log on disk, and JSON by name. Each reference is decoded, every field is
 //! compared with a literal value, and the value encodes to the same bytes again.
 //!
 //! A reference file has one item a line: its name, a space, then hexadecimal bytes (`.hex`) or JSON (`.json.txt`). They
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_greeting_of_each_side_has_its_protocol_and_version() {
+fn the_hello_of_each_side_has_its_protocol_and_version() {
     assert_eq!((ControlMessage::WORD, ControlMessage::VERSION), (*b"ALDC", 1));
     assert_eq!((RouterMessage::WORD, RouterMessage::VERSION), (*b"ALDS", 1));
     let said = |name: &str| Hello { version: 1, planner: false, incarnation: 0x0102_0304, name: name.into() };
@@ -105,24 +105,24 @@
 #[case("part_of_the_whole", ControlMessage::ContentPart {
     number: 1, base: 0, digest: digest("{}"), total_bytes: 2, offset: 0, bytes: b"{}".to_vec(),
 })]
-#[case("beat", ControlMessage::Heartbeat { sequence: 129, latest: 300, digest: 7, staleness_s: 1.25, has_quorum: true })]
-fn frames_from_a_control_machine_to_a_router(#[case] name: &str, #[case] expected: ControlMessage) {
+#[case("heartbeat", ControlMessage::Heartbeat { sequence: 129, latest: 300, digest: 7, staleness_s: 1.25, has_quorum: true })]
+fn frames_from_a_control_server_to_a_router(#[case] name: &str, #[case] expected: ControlMessage) {
     assert_frame(CONTROL_MESSAGES, name, &expected);
 }
 
 #[rstest]
-#[case("ask", RouterMessage::Subscribe { received: 300, digest: 0x0007_0000_dead_beef, active: 299, needs_snapshot: true })]
-#[case("pulse", RouterMessage::HeartbeatRequest { sequence: 129 })]
-#[case("outcome_in_force", RouterMessage::ApplyReport { number: 300, outcome: ApplyOutcome::Applied })]
-#[case("outcome_waits", RouterMessage::ApplyReport {
+#[case("subscribe", RouterMessage::Subscribe { received: 300, digest: 0x0007_0000_dead_beef, active: 299, needs_snapshot: true })]
+#[case("heartbeat_request", RouterMessage::HeartbeatRequest { sequence: 129 })]
+#[case("report_applied", RouterMessage::ApplyReport { number: 300, outcome: ApplyOutcome::Applied })]
+#[case("report_pending_restart", RouterMessage::ApplyReport {
     number: 301, outcome: ApplyOutcome::PendingRestart(vec!["Extra.Cells".into(), "TickUs".into()]),
 })]
-#[case("outcome_refused", RouterMessage::ApplyReport { number: 302, outcome: ApplyOutcome::Rejected("key `Limits`".into()) })]
-fn frames_from_a_router_to_a_control_machine(#[case] name: &str, #[case] expected: RouterMessage) {
+#[case("report_rejected", RouterMessage::ApplyReport { number: 302, outcome: ApplyOutcome::Rejected("key `Limits`".into()) })]
+fn frames_from_a_router_to_a_control_server(#[case] name: &str, #[case] expected: RouterMessage) {
     assert_frame(ROUTER_MESSAGES, name, &expected);
 }
 
-/// As the program frames what control machines say to each other.
+/// Messages between replicas as the control server frames them.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 struct Framed(ReplicaMessage);
@@ -143,17 +143,17 @@
 }
 
 #[rstest]
-#[case("stands_before_a_group", ReplicaMessage::Announce { replica_id: 11, group_id: 0, founders: vec![] })]
-#[case("stands_in_a_group", ReplicaMessage::Announce {
+#[case("announce_before_a_group", ReplicaMessage::Announce { replica_id: 11, group_id: 0, founders: vec![] })]
+#[case("announce_in_a_group", ReplicaMessage::Announce {
     replica_id: 11, group_id: 11, founders: vec![("c1".into(), 11), ("c2".into(), 12)],
 })]
-#[case("order_piece", ReplicaMessage::ConsensusFragment { group_id: 11, to: 12, index: 2, is_last: true, bytes: vec![1, 2, 255] })]
-#[case("summarise", ReplicaMessage::SummaryRequest { request_id: 400 })]
-#[case("summary", ReplicaMessage::SummaryResponse { request_id: 400, version: 7, unavailable_reason: None, summary: summary() })]
-#[case("summary_of_one_that_takes_no_part", ReplicaMessage::SummaryResponse {
+#[case("consensus_fragment", ReplicaMessage::ConsensusFragment { group_id: 11, to: 12, index: 2, is_last: true, bytes: vec![1, 2, 255] })]
+#[case("summary_request", ReplicaMessage::SummaryRequest { request_id: 400 })]
+#[case("summary_response", ReplicaMessage::SummaryResponse { request_id: 400, version: 7, unavailable_reason: None, summary: summary() })]
+#[case("summary_response_unavailable", ReplicaMessage::SummaryResponse {
     request_id: 401, version: 0, unavailable_reason: Some("no space left".into()), summary: RouterSummary::default(),
 })]
-fn frames_among_control_machines(#[case] name: &str, #[case] expected: ReplicaMessage) {
+fn frames_between_replicas(#[case] name: &str, #[case] expected: ReplicaMessage) {
     assert_frame(REPLICA_MESSAGES, name, &Framed(expected));
 }
 
@@ -219,7 +219,7 @@
 #[case("base_unknown", ProposalError::BaseUnknown { base: 9, newest: 2 })]
 #[case("id_taken", ProposalError::IdTaken { number: 1 })]
 #[case("unreadable", ProposalError::Unreadable)]
-fn refusals_as_json(#[case] name: &str, #[case] expected: ProposalError) {
+fn proposal_errors_as_json(#[case] name: &str, #[case] expected: ProposalError) {
     assert_json(name, &expected);
 }
 
@@ -231,12 +231,12 @@
 #[case("no_majority", ProposalOutcome::NoQuorum { leader: None, for_s: Some(4.5) })]
 #[case("unsettled", ProposalOutcome::Undecided { leader: Some("c2".into()) })]
 #[case("out", ProposalOutcome::Unavailable { reason: "no space left".into() })]
-fn answers_to_a_proposer_as_json(#[case] name: &str, #[case] expected: ProposalOutcome) {
+fn proposal_outcomes_as_json(#[case] name: &str, #[case] expected: ProposalOutcome) {
     assert_json(name, &expected);
 }
 
 #[test]
-fn the_status_of_a_control_machine_as_json() {
+fn the_status_of_a_replica_as_json() {
     let status = ReplicaStatus {
         name: "c1".into(),
         version: 7,
@@ -257,48 +257,48 @@
 
 impl StableStorage for Disk {
     fn write(&mut self, what: &WriteBatch) -> io::Result<()> {
-        let held = &mut self.0;
-        held.identity = what.identity.clone().or(held.identity.take());
-        held.snapshot = what.snapshot.clone().or(held.snapshot.take());
+        let recovered = &mut self.0;
+        recovered.identity = what.identity.clone().or(recovered.identity.take());
+        recovered.snapshot = what.snapshot.clone().or(recovered.snapshot.take());
         if let Some(floor) = what.compacted_to {
             let gone = if what.clear_entries {
-                held.entries.len()
+                recovered.entries.len()
             } else {
-                (floor.0 - held.compacted_to.0) as usize
+                (floor.0 - recovered.compacted_to.0) as usize
             };
-            held.entries.drain(..gone);
-            held.compacted_to = floor;
+            recovered.entries.drain(..gone);
+            recovered.compacted_to = floor;
         }
         if let Some((first, _)) = what.entries.first() {
-            held.entries.truncate((first - held.compacted_to.0 - 1) as usize);
-            held.entries.extend(what.entries.iter().map(|(_, bytes)| bytes.clone()));
+            recovered.entries.truncate((first - recovered.compacted_to.0 - 1) as usize);
+            recovered.entries.extend(what.entries.iter().map(|(_, bytes)| bytes.clone()));
         }
-        held.hard_state = what.hard_state.clone().or(held.hard_state.take());
+        recovered.hard_state = what.hard_state.clone().or(recovered.hard_state.take());
         Ok(())
     }
 }
 
-/// Three machines without loss or delay; every random choice is seeded, so what they write and send is always the same.
+/// Three replicas without loss or delay. Every random choice is seeded, so what they write and send is always the same.
 struct Group {
-    machines: Vec<Replica>,
+    replicas: Vec<Replica>,
     disks: Vec<Disk>,
     now: f64,
     sent: Vec<Vec<u8>>,
 }
 
-fn machine(n: usize, disk: &RecoveredState, id: u64) -> Replica {
+fn replica(n: usize, disk: &RecoveredState, id: u64) -> Replica {
     let members = ["c1", "c2", "c3"].map(String::from).into();
-    let mut machine =
+    let mut replica =
         Replica::new(&format!("c{}", n + 1), &members, disk, id, 40 + id).expect("a sound disk");
-    machine.snapshot_after_entries = 6;
-    machine
+    replica.snapshot_after_entries = 6;
+    replica
 }
 
 impl Group {
     fn founded() -> Group {
-        let machines = (0..3).map(|n| machine(n, &RecoveredState::default(), 11 + n as u64)).collect();
+        let replicas = (0..3).map(|n| replica(n, &RecoveredState::default(), 11 + n as u64)).collect();
         let mut group = Group {
-            machines,
+            replicas,
             disks: vec![Disk::default(), Disk::default(), Disk::default()],
             now: 0.0,
             sent: vec![],
@@ -311,44 +311,44 @@
         for _ in 0..count {
             self.now += 0.1;
             for n in 0..3 {
-                self.machines[n].tick(self.now);
+                self.replicas[n].tick(self.now);
                 self.carry(n);
             }
         }
     }
 
     fn carry(&mut self, n: usize) {
-        let output = self.machines[n].advance(&mut self.disks[n], self.now);
-        for (to, word) in output.messages {
-            if let ReplicaMessage::ConsensusFragment { bytes, .. } = &word {
+        let output = self.replicas[n].advance(&mut self.disks[n], self.now);
+        for (to, message) in output.messages {
+            if let ReplicaMessage::ConsensusFragment { bytes, .. } = &message {
                 self.sent.push(bytes.clone());
             }
             let at = to[1..].parse::<usize>().expect("c1 to c3") - 1;
-            self.machines[at].receive(&format!("c{}", n + 1), word, self.now);
+            self.replicas[at].receive(&format!("c{}", n + 1), message, self.now);
             self.carry(at);
         }
     }
 
     fn leader(&self) -> usize {
-        self.machines.iter().position(Replica::is_leader).expect("a leader")
+        self.replicas.iter().position(Replica::is_leader).expect("a leader")
     }
 
-    fn order(&mut self, base: u64) {
+    fn commit(&mut self, base: u64) {
         let leader = self.leader();
-        self.machines[leader].propose(base, &proposal(&format!("p{}", base + 1), base), 5.0, self.now);
+        self.replicas[leader].propose(base, &proposal(&format!("p{}", base + 1), base), 5.0, self.now);
         self.ticks(3);
     }
 }
 
-/// A group with a snapshot, ordered versions, and a machine whose disk was replaced.
-fn played() -> Group {
+/// A group with a snapshot, committed versions, and a replica whose disk was replaced.
+fn group_with_history() -> Group {
     let mut group = Group::founded();
-    (0..7).for_each(|base| group.order(base));
+    (0..7).for_each(|base| group.commit(base));
     let replaced = (group.leader() + 1) % 3;
     group.disks[replaced] = Disk::default();
-    group.machines[replaced] = machine(replaced, &RecoveredState::default(), 21);
+    group.replicas[replaced] = replica(replaced, &RecoveredState::default(), 21);
     group.ticks(40);
-    (7..9).for_each(|base| group.order(base));
+    (7..9).for_each(|base| group.commit(base));
     group
 }
 
@@ -370,15 +370,17 @@
 }
 
 /// A disk as its reference file has it.
-fn lines_of(held: &RecoveredState) -> String {
+fn lines_of(recovered: &RecoveredState) -> String {
     let mut lines = vec![
-        format!("identity {}", hex(held.identity.as_deref().unwrap_or_default())),
-        format!("snapshot {}", hex(held.snapshot.as_deref().unwrap_or_default())),
-        format!("floor {}", hex(&[held.compacted_to.0 as u8, held.compacted_to.1 as u8])),
-        format!("hard_state {}", hex(held.hard_state.as_deref().unwrap_or_default())),
+        format!("identity {}", hex(recovered.identity.as_deref().unwrap_or_default())),
+        format!("snapshot {}", hex(recovered.snapshot.as_deref().unwrap_or_default())),
+        format!("floor {}", hex(&[recovered.compacted_to.0 as u8, recovered.compacted_to.1 as u8])),
+        format!("hard_state {}", hex(recovered.hard_state.as_deref().unwrap_or_default())),
     ];
-    let first = held.compacted_to.0 + 1;
-    lines.extend(held.entries.iter().zip(first..).map(|(bytes, at)| format!("entry_{at} {}", hex(bytes))));
+    let first = recovered.compacted_to.0 + 1;
+    lines.extend(
+        recovered.entries.iter().zip(first..).map(|(bytes, at)| format!("entry_{at} {}", hex(bytes))),
+    );
     lines.join("\n") + "\n"
 }
 
@@ -389,22 +391,21 @@
         (write.identity.as_ref(), write.compacted_to, write.clear_entries, write.entries.len()),
         (None, Some((1, 1)), true, 0)
     );
-    let held = RecoveredState::founded(&write);
+    let recovered = RecoveredState::founded(&write);
     let text = |bytes: &Option<Vec<u8>>| hex(bytes.as_deref().unwrap_or_default());
-    assert_eq!(reference(FOUNDING, "snapshot"), Some(text(&held.snapshot).as_str()));
-    assert_eq!(reference(FOUNDING, "hard_state"), Some(text(&held.hard_state).as_str()));
-    assert_eq!((held.compacted_to, held.entries.len()), ((1, 1), 0));
+    assert_eq!(reference(FOUNDING, "snapshot"), Some(text(&recovered.snapshot).as_str()));
+    assert_eq!(reference(FOUNDING, "hard_state"), Some(text(&recovered.hard_state).as_str()));
+    assert_eq!((recovered.compacted_to, recovered.entries.len()), ((1, 1), 0));
 }
 
 const VERSIONS: u64 = 9;
 
 #[test]
 fn a_leaders_disk_after_a_snapshot_a_replaced_member_and_compaction() {
-    let group = played();
+    let group = group_with_history();
     assert_eq!(lines_of(&group.disks[group.leader()].0), LEADER_DISK);
-    // The names are the ones of the file on disk; the numbers are ids of disks.
-    let held = disk_of(LEADER_DISK);
-    let identity = String::from_utf8(held.identity.clone().unwrap_or_default()).expect("text");
+    let recovered = disk_of(LEADER_DISK);
+    let identity = String::from_utf8(recovered.identity.clone().unwrap_or_default()).expect("text");
     assert_eq!(identity, r#"{"name":"c1","id":11,"group":11,"roster":[["c1",11],["c2",12],["c3",13]]}"#);
     let mut hard = HardState::default();
     (hard.term, hard.vote, hard.commit) = (2, 11, 14);
@@ -463,20 +464,20 @@
 }
 
 #[test]
-fn a_machine_starts_from_a_reference_disk() {
-    let machine = machine(0, &disk_of(LEADER_DISK), 99);
-    assert_eq!((machine.name(), machine.id()), ("c1", 11));
+fn a_replica_starts_from_a_reference_disk() {
+    let replica = replica(0, &disk_of(LEADER_DISK), 99);
+    assert_eq!((replica.name(), replica.id()), ("c1", 11));
     // Of its snapshot; the entries behind it are applied once a leader says that they are committed.
-    let status = machine.status(0.0);
+    let status = replica.status(0.0);
     assert_eq!((status.version, status.term, status.leader, status.unavailable_reason), (7, 2, None, None));
     assert_eq!(
         (status.voters, status.membership_changing),
         (["c1", "c2", "c3"].map(String::from).into(), false)
     );
     let versions: Vec<Version> = (1..=7).map(ordered).collect();
-    assert_eq!(*machine.version_log().versions(), versions);
-    let group = played();
-    assert!(group.machines.iter().all(|machine| machine.version_log().latest_number() == VERSIONS));
+    assert_eq!(*replica.version_log().versions(), versions);
+    let group = group_with_history();
+    assert!(group.replicas.iter().all(|replica| replica.version_log().latest_number() == VERSIONS));
 }
 
 /// The fields of a message that its kind sets.
@@ -508,7 +509,7 @@
     let message = Message::parse_from_bytes(&bytes).expect("a message");
     assert_eq!(fields(&message), (kind, numbers, entries, name == "snapshot"));
     assert_eq!(message.write_to_bytes().ok(), Some(bytes.clone()));
-    assert!(played().sent.contains(&bytes), "no machine sends it any more");
+    assert!(group_with_history().sent.contains(&bytes), "no replica sends it any more");
 }
 
 #[test]
