--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -3,7 +3,7 @@
 //! the clocks of the two ends are not comparable.
 use crate::content::Digest;
 use crate::version::VersionNumber;
-use alderway_transport::frames::{self, Speech};
+use alderway_transport::{WireMessage, encode_message};
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a reason, or of a list of keys, in an [`ApplyOutcome`].
@@ -42,8 +42,8 @@
     },
 }
 
-impl Speech for ControlMessage {
-    const WORD: [u8; 4] = *b"ALDC";
+impl WireMessage for ControlMessage {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
@@ -75,8 +75,8 @@
     },
 }
 
-impl Speech for RouterMessage {
-    const WORD: [u8; 4] = *b"ALDS";
+impl WireMessage for RouterMessage {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDS";
     const VERSION: u16 = 1;
 }
 
@@ -126,8 +126,9 @@
 }
 
 /// A message as it is written to the connection.
-pub fn encode_frame<M: Speech>(message: &M) -> Vec<u8> {
+pub fn encode_frame<M: WireMessage>(message: &M) -> Vec<u8> {
     let mut frame = vec![];
-    frames::message(&mut frame, message);
+    // Fails only for a message that is longer than a frame; those of a subscription are far shorter.
+    let _ = encode_message(&mut frame, message);
     frame
 }
--- a/crates/control-plane/tests/common/traffic.rs
+++ b/crates/control-plane/tests/common/traffic.rs
@@ -3,7 +3,7 @@
 use alderway_control_plane::content;
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_control_plane::publisher::LinkId;
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Debug;
 
@@ -35,8 +35,8 @@
     /// Frames by the time at which they arrive.
     to_router: VecDeque<(f64, Vec<u8>)>,
     to_server: VecDeque<(f64, Vec<u8>)>,
-    router_reader: Reader<ControlMessage>,
-    server_reader: Reader<RouterMessage>,
+    router_reader: FrameReader<ControlMessage>,
+    server_reader: FrameReader<RouterMessage>,
 }
 
 impl Connection {
@@ -48,8 +48,8 @@
             open_at,
             to_router: VecDeque::new(),
             to_server: VecDeque::new(),
-            router_reader: Reader::default(),
-            server_reader: Reader::default(),
+            router_reader: FrameReader::default(),
+            server_reader: FrameReader::default(),
         }
     }
 
@@ -59,24 +59,24 @@
 }
 
 /// A hello as the first frame of a connection.
-pub fn hello_frame<M: Speech>(name: &str, incarnation: u64) -> Vec<u8> {
+pub fn hello_frame<M: WireMessage>(name: &str, incarnation: u64) -> Vec<u8> {
     let mut frame = vec![];
-    let hello = Hello { version: M::VERSION, planner: false, incarnation, name: name.into() };
-    frames::hello_of::<M>(&mut frame, &hello);
+    let hello = Hello { version: M::VERSION, is_planner: false, incarnation, name: name.into() };
+    encode_hello::<M>(&mut frame, &hello);
     frame
 }
 
 /// The messages in the frames that have arrived.
-fn arrived<M: Speech + Debug>(
+fn arrived<M: WireMessage + Debug>(
     queue: &mut VecDeque<(f64, Vec<u8>)>,
-    reader: &mut Reader<M>,
+    reader: &mut FrameReader<M>,
     now: f64,
 ) -> Vec<M> {
     let mut messages = vec![];
     while let Some((_, bytes)) = queue.pop_front_if(|(at, _)| *at <= now) {
         reader.feed(&bytes);
-        while let Some(read) = reader.read().expect("sound frames") {
-            if let Read::Message(message) = read {
+        while let Some(read) = reader.next_frame().expect("sound frames") {
+            if let Received::Message(message) = read {
                 messages.push(message);
             }
         }
--- a/crates/control-plane/tests/version_acceptance.rs
+++ b/crates/control-plane/tests/version_acceptance.rs
@@ -8,7 +8,7 @@
     Command, ConfigVersion, ControlEndpoint, Event, Subscriber, SubscriptionConfig,
 };
 use alderway_control_plane::version::VersionNumber;
-use alderway_transport::frames::{Read, Reader};
+use alderway_transport::{FrameReader, Received};
 use common::subscription_network::{SubscriptionNetwork, settings, version};
 use common::traffic::hello_frame;
 use rstest::rstest;
@@ -30,12 +30,12 @@
 
 /// The message in a frame.
 fn decode(bytes: &[u8]) -> RouterMessage {
-    let mut reader = Reader::<RouterMessage>::default();
+    let mut reader = FrameReader::<RouterMessage>::default();
     reader.feed(&hello_frame::<RouterMessage>("r", 1));
     reader.feed(bytes);
-    assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))));
-    match reader.read() {
-        Ok(Some(Read::Message(message))) => message,
+    assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(_)))));
+    match reader.next_frame() {
+        Ok(Some(Received::Message(message))) => message,
         other => panic!("{other:?}"),
     }
 }
