--- a/crates/router/src/state/audit.rs
+++ b/crates/router/src/state/audit.rs
@@ -35,8 +35,14 @@
         let effect = self.verticals[vertical].effect;
         let not_after = self.queries.asked(&id.0).map_or(now, |(_, _, not_after, _)| not_after);
         // The frame was allowed to begin a moment ago: time that passed since is the system's.
-        let call = permits::Call { now, until: not_after + LATE, effect, begun, node: state };
-        if let Err(denial) = permits::call(&call) {
+        let call = permits::AttemptStart {
+            now_s: now,
+            deadline_s: not_after + LATE,
+            idempotency: effect,
+            first_effect_at_s: begun,
+            node_state: state,
+        };
+        if let Err(denial) = permits::may_start_attempt(&call) {
             self.violation("call", &id.0, &format!("{} at {node}", denial.label()));
         }
     }
@@ -68,7 +74,7 @@
     pub(super) fn audit_reject(&mut self, query: &Query) {
         let effect = self.verticals[query.vertical].effect;
         let begun = query.parts.iter().any(|part| !part.begun.is_empty());
-        if permits::reject(effect, begun).is_err() {
+        if permits::may_reject(effect, begun).is_err() {
             self.violation("reject", &query.id, "a call of it may have run");
         }
     }
--- a/crates/router/src/state/desk.rs
+++ b/crates/router/src/state/desk.rs
@@ -243,7 +243,7 @@
             return Err((400, "a query with this X-Correlation-Id is open"));
         }
         self.count("taken", vertical);
-        let permit = permits::take(self.stage == Stage::Ended, room.is_some() && id.is_ok());
+        let permit = permits::may_admit(self.stage == Stage::Ended, room.is_some() && id.is_ok());
         let (Some(room), Ok(id), Ok(())) = (room, id, permit) else {
             self.count("turned_away", vertical);
             self.counters.one(&format!("queries_denied{{{}}}", permit.err().map_or("", Denial::label)));
@@ -554,7 +554,7 @@
                     let (shard, text, not_after, keys) = self.queries.asked(&id.0)?;
                     let until = self.calls.get(id).map_or(not_after, |c| c.until);
                     let keys = keys.map(|keys| (version, keys.from, keys.to));
-                    Some((&*id.0, shard, permits::told_ms(now, until, not_after), text, keys))
+                    Some((&*id.0, shard, permits::advertised_timeout_ms(now, until, not_after), text, keys))
                 });
                 frames::call(out, asked);
                 self.counters.one("frames_sent{call}");
@@ -587,12 +587,19 @@
     /// a place since, past a part's time, or past the window in which its node drops what it has run before.
     fn denied(&self, id: &CallId, node: NodeState, now: f64) -> Option<Denial> {
         let Some((vertical, part)) = self.queries.vertical_and_part(&id.0) else {
-            return Some(Denial::QueryOver);
+            return Some(Denial::QueryEnded);
         };
         let until = self.calls.get(id).map_or(now, |call| call.until);
         let begun = part.first_begun(None);
         let effect = self.verticals[vertical].effect;
-        permits::call(&permits::Call { now, until, effect, begun, node }).err()
+        permits::may_start_attempt(&permits::AttemptStart {
+            now_s: now,
+            deadline_s: until,
+            idempotency: effect,
+            first_effect_at_s: begun,
+            node_state: node,
+        })
+        .err()
     }
 
     /// Ends the calls of the next frame that come too late to begin, as ones that were never sent.
@@ -838,8 +845,9 @@
     /// Whether this side ends a connection with its present answer. Guards against dropping what has been read behind
     /// the request: it is owed an answer as well.
     pub fn closes_connection(&self, client: &Client) -> bool {
-        let closing = permits::Closing { query_open: false, unwritten: false, unread: client.behind.get() };
-        self.stage >= Stage::Closing && permits::close(&closing).is_ok()
+        let closing =
+            permits::ConnectionClose { query_open: false, unwritten: false, unread: client.behind.get() };
+        self.stage >= Stage::Closing && permits::may_close_connection(&closing).is_ok()
     }
 
     fn close(&mut self, query: &str, what: &str) -> Option<(Query, bool)> {
--- a/crates/router/src/state/roster.rs
+++ b/crates/router/src/state/roster.rs
@@ -2,7 +2,7 @@
 use super::CallId;
 use super::lines::Line;
 use alderway::interface::{NodeState, PolicyInput};
-use alderway::slow_start;
+use alderway::start_time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -89,7 +89,7 @@
         let held = self.nodes.get(name).filter(|node| node.told_start == told_start);
         let started = match (held, told_start) {
             (Some(node), _) => node.started,
-            (None, told) => told.map(|told| slow_start::believed_start(told, now, self.heard)),
+            (None, told) => told.map(|told| start_time::bounded_start_time(told, now, self.heard)),
         };
         self.entry(name, address, cell, state, started);
         if let Some(node) = self.nodes.get_mut(name).filter(|_| state != NodeState::Removed) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod policy;
 mod shard_placement;
 mod shared_limits;
-pub mod slow_start;
+pub mod start_time;
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -1,128 +1,148 @@
-//! Decides whether an act that the rules bound may happen at this moment: a leaf call may begin, a connection may be
-//! closed, a query may be taken. What the decision module wanted may be some time ago, as for a call that waited for a
-//! connection, so whoever carries a decision out asks here in the moment of the act. Free of I/O: facts come with the
-//! question.
+//! Decides whether an action may happen at this very moment: an attempt may start, a connection may be closed, a query
+//! may be admitted or rejected.
+//!
+//! The policy's decisions can be some time old when they are carried out, for example when an attempt has waited for a
+//! connection. Whoever carries one out therefore asks here at the moment of the action, with the facts of that moment.
+//! This guards against effects that happen twice and attempts that nobody waits for. Times are seconds on the
+//! monotonic clock.
 
 use crate::interface::{Idempotency, NodeState};
 
-/// Why an act may not happen now.
+/// Why an action may not happen now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The part's query has had its final answer, or its client has left.
-    QueryOver,
-    /// The call's time-out or its client's time has passed.
-    TimeOver,
-    /// The window in which repeats are dropped has passed since the part's first call that may have run.
-    WindowOver,
-    /// An earlier call of a part that must not run twice may have run.
-    MayHaveRun,
-    /// The data node drains or is gone.
-    NodeLeaving,
-    /// Something that is not read yet waits on the connection.
-    Unread,
+    /// The shard request's query has had its final answer, or its client has disconnected.
+    QueryEnded,
+    /// The attempt's time-out or its client's deadline has passed.
+    DeadlinePassed,
+    /// The window in which repeats are dropped has passed since the first attempt that may have had an effect.
+    IdempotencyWindowPassed,
+    /// An earlier attempt of a non-idempotent shard request may have had an effect.
+    PossibleEffect,
+    /// The data node is draining or removed.
+    NodeNotServing,
+    /// Bytes that have not been read yet are waiting on the connection.
+    UnreadBytes,
     /// A query is open on the connection.
     QueryOpen,
-    /// An answer has not gone out whole.
-    Unwritten,
-    /// The router has ended.
-    Ended,
-    /// No room is left for the query and its parts.
-    NoRoom,
+    /// An answer has not been written completely.
+    UnwrittenBytes,
+    /// The router has shut down.
+    ShutDown,
+    /// There is no capacity for the query and its shard requests.
+    NoCapacity,
 }
 
 impl Denial {
-    /// How counters name it.
+    /// Its label in counters.
     pub fn label(self) -> &'static str {
         match self {
-            Denial::QueryOver => "query_over",
-            Denial::TimeOver => "time_over",
-            Denial::WindowOver => "window_over",
-            Denial::MayHaveRun => "may_have_run",
-            Denial::NodeLeaving => "node_leaving",
-            Denial::Unread => "unread",
+            Denial::QueryEnded => "query_over",
+            Denial::DeadlinePassed => "time_over",
+            Denial::IdempotencyWindowPassed => "window_over",
+            Denial::PossibleEffect => "may_have_run",
+            Denial::NodeNotServing => "node_leaving",
+            Denial::UnreadBytes => "unread",
             Denial::QueryOpen => "query_open",
-            Denial::Unwritten => "unwritten",
-            Denial::Ended => "ended",
-            Denial::NoRoom => "no_room",
+            Denial::UnwrittenBytes => "unwritten",
+            Denial::ShutDown => "ended",
+            Denial::NoCapacity => "no_room",
         }
     }
 }
 
-/// A leaf call whose frame is about to begin. Times are seconds of the steady clock.
+/// An attempt whose frame is about to be written.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
-    pub now: f64,
-    /// When its time-out or its client's time has passed, whichever is first.
-    pub until: f64,
-    pub effect: Idempotency,
-    /// When the first of the part's earlier calls that may have run began.
-    pub begun: Option<f64>,
-    pub node: NodeState,
+pub struct AttemptStart {
+    /// The time now.
+    pub now_s: f64,
+    /// When its time-out or its client's deadline passes, whichever is first.
+    pub deadline_s: f64,
+    /// Whether the shard request may be repeated.
+    pub idempotency: Idempotency,
+    /// Start of the shard request's first earlier attempt that may have had an effect.
+    pub first_effect_at_s: Option<f64>,
+    /// The data node's state.
+    pub node_state: NodeState,
 }
 
-/// Whether a leaf call may begin.
-pub fn call(call: &Call) -> Result<(), Denial> {
-    if call.node != NodeState::Serving {
-        return Err(Denial::NodeLeaving);
+/// Whether an attempt may start.
+///
+/// # Errors
+/// `NodeNotServing`, `DeadlinePassed`, `IdempotencyWindowPassed` or `PossibleEffect`.
+pub fn may_start_attempt(attempt: &AttemptStart) -> Result<(), Denial> {
+    if attempt.node_state != NodeState::Serving {
+        return Err(Denial::NodeNotServing);
     }
-    if call.until <= call.now {
-        return Err(Denial::TimeOver);
+    if attempt.deadline_s <= attempt.now_s {
+        return Err(Denial::DeadlinePassed);
     }
-    match call.effect {
-        Idempotency::Idempotent => Ok(()),
-        Idempotency::IdempotentWithKey { window_s: window }
-            if call.begun.is_some_and(|at| at + window <= call.now) =>
-        {
-            Err(Denial::WindowOver)
+    match (attempt.idempotency, attempt.first_effect_at_s) {
+        (Idempotency::Idempotent, _) | (_, None) => Ok(()),
+        (Idempotency::IdempotentWithKey { window_s }, Some(at_s)) if at_s + window_s <= attempt.now_s => {
+            Err(Denial::IdempotencyWindowPassed)
         }
-        Idempotency::IdempotentWithKey { .. } => Ok(()),
-        Idempotency::NonIdempotent if call.begun.is_none() => Ok(()),
-        Idempotency::NonIdempotent => Err(Denial::MayHaveRun),
+        (Idempotency::IdempotentWithKey { .. }, Some(_)) => Ok(()),
+        (Idempotency::NonIdempotent, Some(_)) => Err(Denial::PossibleEffect),
     }
 }
 
-/// What a call tells its data node is shorter than what its client has left by so much, in seconds: the frame is some
-/// time on its way, and a final answer goes out ahead of its limit in any case.
-const ON_THE_WAY: f64 = 0.01;
+/// The time-out told to a data node ends this long before the client's deadline: the frame takes time to arrive, and a
+/// final answer is sent ahead of its limit.
+const TRANSIT_MARGIN_S: f64 = 0.01;
 
-/// How many milliseconds a call that begins now tells its data node that its answer is waited for; 1 at least. `until` is
-/// the end of the call's own time-out, `not_after` of its client's time.
-pub fn told_ms(now: f64, until: f64, not_after: f64) -> u64 {
-    let left = until.min(not_after - ON_THE_WAY) - now;
-    (left * 1e3).max(1.0) as u64
+/// Milliseconds, 1 at least, that an attempt which starts now tells its data node as its time-out. `timeout_at_s` is
+/// the end of the attempt's own time-out, `not_after_s` the client's deadline.
+pub fn advertised_timeout_ms(now_s: f64, timeout_at_s: f64, not_after_s: f64) -> u64 {
+    let left_s = timeout_at_s.min(not_after_s - TRANSIT_MARGIN_S) - now_s;
+    (left_s * 1e3).max(1.0) as u64
 }
 
-/// A client's connection that this side wants to end in order.
+/// A client's connection that the router wants to close.
 #[derive(Clone, Copy, Debug)]
-pub struct Closing {
+pub struct ConnectionClose {
+    /// Whether a query is open on it.
     pub query_open: bool,
-    /// Bytes of an answer that are not out.
+    /// Whether bytes of an answer have not been written yet.
     pub unwritten: bool,
-    /// Bytes that have come and that could still be read.
+    /// Whether bytes have arrived that could still be read.
     pub unread: bool,
 }
 
-/// Whether a connection may be closed without losing what was asked on it.
-pub fn close(closing: &Closing) -> Result<(), Denial> {
-    match closing {
-        Closing { query_open: true, .. } => Err(Denial::QueryOpen),
-        Closing { unwritten: true, .. } => Err(Denial::Unwritten),
-        Closing { unread: true, .. } => Err(Denial::Unread),
+/// Whether a connection may be closed without losing a query or an answer.
+///
+/// # Errors
+/// `QueryOpen`, `UnwrittenBytes` or `UnreadBytes`.
+pub fn may_close_connection(connection: &ConnectionClose) -> Result<(), Denial> {
+    match connection {
+        ConnectionClose { query_open: true, .. } => Err(Denial::QueryOpen),
+        ConnectionClose { unwritten: true, .. } => Err(Denial::UnwrittenBytes),
+        ConnectionClose { unread: true, .. } => Err(Denial::UnreadBytes),
         _ => Ok(()),
     }
 }
 
-/// Whether a query may be taken; where not, it is refused at once.
-pub fn take(ended: bool, has_room: bool) -> Result<(), Denial> {
-    match (ended, has_room) {
-        (true, _) => Err(Denial::Ended),
-        (false, false) => Err(Denial::NoRoom),
+/// Whether a query may be admitted; otherwise it is rejected at once.
+///
+/// # Errors
+/// `ShutDown` or `NoCapacity`.
+pub fn may_admit(shut_down: bool, has_capacity: bool) -> Result<(), Denial> {
+    match (shut_down, has_capacity) {
+        (true, _) => Err(Denial::ShutDown),
+        (false, false) => Err(Denial::NoCapacity),
         (false, true) => Ok(()),
     }
 }
 
-/// Whether a rejection, which promises that trying again is harmless, may be given: `begun` is whether any call of the
-/// query may have run.
-pub fn reject(effect: Idempotency, begun: bool) -> Result<(), Denial> {
-    if effect == Idempotency::NonIdempotent && begun { Err(Denial::MayHaveRun) } else { Ok(()) }
+/// Whether a query may be rejected, which promises its client that a retry is harmless. `possible_effect` is whether any
+/// attempt of it may have had an effect.
+///
+/// # Errors
+/// `PossibleEffect`.
+pub fn may_reject(idempotency: Idempotency, possible_effect: bool) -> Result<(), Denial> {
+    if idempotency == Idempotency::NonIdempotent && possible_effect {
+        Err(Denial::PossibleEffect)
+    } else {
+        Ok(())
+    }
 }
