--- /dev/null
+++ b/src/policy/admission.rs
@@ -0,0 +1,229 @@
+//! Decides which queries are admitted, and which are rejected to shed load.
+//!
+//! Inputs are the expected latency of a query against the time left to it in seconds, how long its shard requests may
+//! wait for their holders, the fraction of the whole fleet's queries that end late, and the priority weight for the
+//! work that a query costs. Above a load pressure queries are rejected at random, those of less value more often. This
+//! guards against an overload in which everybody waits and nobody is answered in time. It costs queries that would have
+//! been answered where latencies are high for another reason than load. Some queries are always admitted, as without
+//! answers the end of an overload could not be observed.
+
+use super::latency::{CLASS_SAMPLES_MIN, UNKNOWN_LATENCY_FRACTION};
+use super::query::{Query, ShardRequest};
+use super::{Policy, WEIGHT_TOLERANCE_FRACTION};
+use crate::interface::DecisionSink;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Load pressure from which queries are rejected, and the range above it in which the probability rises to 1.
+const PRESSURE_MIN: f64 = 0.3;
+const PRESSURE_RANGE: f64 = 0.4;
+/// Load pressure of a query whose holders are not expected to serve the least fraction in time.
+const PRESSURE_UNSERVABLE: f64 = 1.0;
+/// Fraction of the time left that a wait for a holder may take without counting as pressure.
+const WAIT_TOLERANCE_FRACTION: f64 = 0.2;
+/// Highest rejection probability while the usual latency still fits into the time left, and otherwise.
+const REJECTION_PROBABILITY_MAX: f64 = 0.85;
+const REJECTION_PROBABILITY_MAX_LATE: f64 = 1.0;
+/// A query of no value is rejected this many times as often as the most valuable one.
+const CHEAPEST_REJECTION_FACTOR: f64 = 2.0;
+/// The highest value seen decays by this factor with each query.
+const HIGHEST_VALUE_DECAY: f64 = 0.99;
+/// Weight of a new rejection probability in the smoothed one.
+const SMOOTHING_FRACTION: f64 = 0.1;
+/// Smoothed rejection probability at which load shedding is on, and at which it is off again. The gap keeps it from
+/// switching with every query.
+const SHEDDING_ON_PROBABILITY: f64 = 0.15;
+const SHEDDING_OFF_PROBABILITY: f64 = 0.03;
+/// Time over which the fleet's queries are counted, and how many are needed to tell a fraction.
+const FLEET_WINDOW_S: f64 = 2.0;
+const FLEET_QUERIES_MIN: u32 = 8;
+/// Retry-After of a query rejected on arrival, as a fraction of the time left to it.
+const RETRY_AFTER_FRACTION: f64 = 0.2;
+/// Shortest time left that a pressure is worked out with.
+const TIME_LEFT_MIN_S: f64 = 0.001;
+/// Expected wait of a shard request without a serving holder.
+const NO_HOLDER_WAIT_S: f64 = 9e9;
+
+/// State of load shedding.
+#[derive(Default)]
+pub(super) struct LoadShedding {
+    /// Whether queries are rejected often enough to say so, and to give up late answers of little value.
+    pub active: bool,
+    smoothed_rejection_probability: f64,
+    /// The highest value of a query for its work, slowly decaying.
+    highest_value: f64,
+    fleet_counts: VecDeque<FleetLatencyCounts>,
+}
+
+/// Queries of the whole fleet that ended late and in time.
+struct FleetLatencyCounts {
+    at_s: f64,
+    late: u32,
+    in_time: u32,
+}
+
+impl LoadShedding {
+    pub fn record_fleet_counts(&mut self, at_s: f64, late: u32, in_time: u32) {
+        self.fleet_counts.push_back(FleetLatencyCounts { at_s, late, in_time });
+    }
+
+    /// Forgets the highest value, as after a start: with other priority weights it says nothing.
+    pub fn reset_highest_value(&mut self) {
+        self.highest_value = 0.0;
+    }
+
+    /// Fraction of the fleet's queries that ended late, 0 while there are too few to tell. A single router of many
+    /// observes too little of an overload. It costs queries where nodes fail without an overload.
+    fn fleet_late_fraction(&mut self, now_s: f64) -> f64 {
+        self.fleet_counts.retain(|counts| counts.at_s > now_s - FLEET_WINDOW_S);
+        let late: u32 = self.fleet_counts.iter().map(|counts| counts.late).sum();
+        let in_time: u32 = self.fleet_counts.iter().map(|counts| counts.in_time).sum();
+        let all = late + in_time;
+        if all < FLEET_QUERIES_MIN { 0.0 } else { f64::from(late) / f64::from(all) }
+    }
+
+    /// Takes a query's value for its work in seconds into account; returns how much more often than the most valuable
+    /// one it is rejected.
+    fn rejection_factor(&mut self, value: f64) -> f64 {
+        self.highest_value = (self.highest_value * HIGHEST_VALUE_DECAY).max(value);
+        CHEAPEST_REJECTION_FACTOR - value / self.highest_value
+    }
+
+    /// Takes a query's rejection probability into account; returns whether load shedding has gone on or off.
+    fn update(&mut self, rejection_probability: f64) -> bool {
+        let change = rejection_probability.min(1.0) - self.smoothed_rejection_probability;
+        self.smoothed_rejection_probability += SMOOTHING_FRACTION * change;
+        let threshold = if self.active { SHEDDING_OFF_PROBABILITY } else { SHEDDING_ON_PROBABILITY };
+        let active = self.smoothed_rejection_probability > threshold;
+        let changed = active != self.active;
+        self.active = active;
+        changed
+    }
+}
+
+impl Policy {
+    /// Admits or rejects the queries that have arrived since the last round.
+    pub(super) fn admit_new_queries(&mut self, sink: &mut dyn DecisionSink) {
+        let new: Vec<u64> =
+            self.queries.iter().filter(|(_, query)| !query.admitted).map(|(&number, _)| number).collect();
+        self.raise_expected_waits();
+        let fleet_late_fraction = self.load_shedding.fleet_late_fraction(self.now_s);
+        for number in new {
+            let query = &self.queries[&number];
+            let time_left_s = (query.in_time_until_s() - self.now_s).max(TIME_LEFT_MIN_S);
+            let load_pressure = self.load_pressure(query, time_left_s, fleet_late_fraction);
+            let (class, value) = (query.class, self.value_for_work(query));
+            let probability = self.rejection_probability(class, load_pressure, value, time_left_s);
+            if self.load_shedding.update(probability) {
+                sink.log(&self.load_shedding_log_line(load_pressure));
+            }
+            if self.random.next_fraction() < probability {
+                let advice_s = RETRY_AFTER_FRACTION * time_left_s;
+                let retry_after_s = self.capabilities.max_retry_after_s.map(|most_s| most_s.min(advice_s));
+                self.abandon(number, retry_after_s, sink);
+            } else if let Some(query) = self.queries.get_mut(&number) {
+                query.admitted = true;
+            }
+        }
+    }
+
+    /// Raises the expected wait of nodes to that of the oldest shard request that waits for them. Guards against new
+    /// queries that take capacity for nothing while one of their shard requests waits in vain.
+    fn raise_expected_waits(&mut self) {
+        let mut oldest_at_s = BTreeMap::new();
+        let checked = |query: &&Query| query.admitted && query.next_check_at_s <= self.now_s;
+        for query in self.queries.values().filter(checked) {
+            for request in query.requests.iter().filter(|request| request.attempts.is_empty()) {
+                let at_s = oldest_at_s.entry(request.shard).or_insert(query.arrived_at_s);
+                *at_s = query.arrived_at_s.min(*at_s);
+            }
+        }
+        for (shard, at_s) in oldest_at_s {
+            let groups = self.placement.holding_groups(shard);
+            for id in groups.filter_map(|group| self.serving_nodes.get(&group)).flatten() {
+                if let Some(node) = self.nodes.get_mut(id) {
+                    node.expected_wait_s = node.expected_wait_s.max(self.now_s - at_s);
+                }
+            }
+        }
+    }
+
+    /// The shortest expected wait for a holder of a shard request, in seconds.
+    fn expected_wait_s(&self, request: &ShardRequest) -> f64 {
+        let holders = self.serving_holders(request.shard);
+        holders.iter().map(|id| self.nodes[*id].expected_wait_s).fold(NO_HOLDER_WAIT_S, f64::min)
+    }
+
+    /// How much of the time left a query is expected to take, as a fraction: 1 and more is too late.
+    fn load_pressure(&self, query: &Query, time_left_s: f64, fleet_late_fraction: f64) -> f64 {
+        let class = &self.classes[query.class].config;
+        let (mut servable, mut servable_weight, mut longest_wait_s) = (0, 0.0, 0.0f64);
+        for request in &query.requests {
+            let wait_s = self.expected_wait_s(request);
+            if wait_s < time_left_s {
+                servable += 1;
+                servable_weight += request.weight;
+                longest_wait_s = longest_wait_s.max(wait_s);
+            }
+        }
+        let least = class.minimum_fraction - WEIGHT_TOLERANCE_FRACTION;
+        if servable < query.requests.len() && servable_weight < least {
+            return PRESSURE_UNSERVABLE;
+        }
+        let expected_s = self.expected_latency_s(query);
+        let with_wait = (expected_s + longest_wait_s) / time_left_s - WAIT_TOLERANCE_FRACTION;
+        (expected_s / time_left_s).max(with_wait).max(fleet_late_fraction)
+    }
+
+    /// The expected latency of a query in seconds: that of the slowest shard request it needs, which of n is the one
+    /// that a fraction of 1 / (n + 1) exceeds. Where all are needed it is the geometric mean with the usual latency:
+    /// an overload raises both, a few slow nodes only the first.
+    fn expected_latency_s(&self, query: &Query) -> f64 {
+        let class = &self.classes[query.class];
+        let minimum_fraction = class.config.minimum_fraction;
+        let slowest_fraction = 1.0 - 1.0 / (1.0 + query.requests.len() as f64);
+        let unknown_s = UNKNOWN_LATENCY_FRACTION * class.config.latency_objective_s;
+        let slowest_s = class
+            .latencies
+            .quantile(slowest_fraction.min(minimum_fraction), CLASS_SAMPLES_MIN)
+            .unwrap_or(unknown_s);
+        if minimum_fraction < class.config.complete_fraction {
+            slowest_s
+        } else {
+            (slowest_s * class.typical_latency_s()).sqrt()
+        }
+    }
+
+    /// The priority weight of a query for each second of its work.
+    fn value_for_work(&self, query: &Query) -> f64 {
+        let quota_fraction =
+            if query.over_quota { self.capabilities.over_quota_weight_fraction } else { 1.0 };
+        let weight = self.classes[query.class].config.priority_weight * quota_fraction;
+        weight / (query.requests.len().max(1) as f64 * self.request_work_s(query.class))
+    }
+
+    fn rejection_probability(
+        &mut self,
+        class: usize,
+        load_pressure: f64,
+        value: f64,
+        time_left_s: f64,
+    ) -> f64 {
+        let factor = self.load_shedding.rejection_factor(value);
+        let most = if time_left_s < self.typical_latency_s(class) {
+            REJECTION_PROBABILITY_MAX_LATE
+        } else {
+            REJECTION_PROBABILITY_MAX
+        };
+        (((load_pressure - PRESSURE_MIN) / PRESSURE_RANGE).clamp(0.0, 1.0) * factor).min(most)
+    }
+
+    fn load_shedding_log_line(&self, load_pressure: f64) -> String {
+        let change = if self.load_shedding.active { "on" } else { "off" };
+        let probability = self.load_shedding.smoothed_rejection_probability;
+        let open = self.queries.len();
+        format!(
+            "load shedding {change}: rejection probability {probability:.2}, \
+             load pressure {load_pressure:.2}, {open} queries open"
+        )
+    }
+}
--- /dev/null
+++ b/src/policy/attempts_by_age.rs
@@ -0,0 +1,71 @@
+//! An index of attempts in flight by age, so that finding the late ones costs a look at those and not at all that are
+//! in flight. Kept apart by shard and query class, as attempts of one such pair are late after the same delay.
+
+use super::query::ShardClass;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Where an attempt is found.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct AttemptPosition {
+    pub query: u64,
+    /// Index of the shard request in the query.
+    pub request: usize,
+    /// Its number among the shard request's attempts.
+    pub attempt: usize,
+}
+
+#[derive(Clone, Copy)]
+struct StartedAttempt {
+    started_at_s: f64,
+    position: AttemptPosition,
+}
+
+/// Attempts in the order in which they started. Those that have ended but were not removed are dropped when they are
+/// found late.
+#[derive(Default)]
+pub(super) struct AttemptsByAge {
+    by_key: BTreeMap<ShardClass, VecDeque<StartedAttempt>>,
+}
+
+impl AttemptsByAge {
+    /// Adds an attempt that started no earlier than any other of its key.
+    pub fn push(&mut self, key: ShardClass, started_at_s: f64, position: AttemptPosition) {
+        self.by_key.entry(key).or_default().push_back(StartedAttempt { started_at_s, position });
+    }
+
+    /// Adds an attempt that may have started before others of its key.
+    pub fn insert(&mut self, key: ShardClass, started_at_s: f64, position: AttemptPosition) {
+        let attempts = self.by_key.entry(key).or_default();
+        let at = attempts.partition_point(|other| other.started_at_s <= started_at_s);
+        attempts.insert(at, StartedAttempt { started_at_s, position });
+    }
+
+    pub fn remove(&mut self, key: ShardClass, position: AttemptPosition) {
+        let Some(attempts) = self.by_key.get_mut(&key) else { return };
+        if let Some(at) = attempts.iter().position(|attempt| attempt.position == position) {
+            attempts.remove(at);
+        }
+        if attempts.is_empty() {
+            self.by_key.remove(&key);
+        }
+    }
+
+    /// Attempts that have been in flight for longer than their key's delay and are still live.
+    pub fn late(
+        &mut self,
+        now_s: f64,
+        delay_s: impl Fn(ShardClass) -> f64,
+        is_live: impl Fn(AttemptPosition) -> bool,
+    ) -> Vec<AttemptPosition> {
+        let mut late = Vec::new();
+        for (&key, attempts) in &mut self.by_key {
+            let delay_s = delay_s(key);
+            let count = attempts.partition_point(|attempt| now_s - attempt.started_at_s > delay_s);
+            let live: Vec<_> = attempts.drain(..count).filter(|attempt| is_live(attempt.position)).collect();
+            late.extend(live.iter().map(|attempt| attempt.position));
+            live.into_iter().rev().for_each(|attempt| attempts.push_front(attempt));
+        }
+        self.by_key.retain(|_, attempts| !attempts.is_empty());
+        late
+    }
+}
--- /dev/null
+++ b/src/policy/completion.rs
@@ -0,0 +1,205 @@
+//! Decides when a query is answered, completely or partially, and when it is abandoned.
+//!
+//! Inputs are the fractions of the query's weight that have succeeded and that could still succeed, the class's
+//! fractions for a complete and for the least answer, the latency objective and the client's deadline in seconds. A
+//! query that cannot be answered in time is abandoned at once, which guards against work that nobody waits for. It
+//! costs an answer where a holder was about to recover. A query has one final answer and is closed in the same step.
+
+use super::latency::CLASS_SAMPLES_MAX;
+use super::query::{Query, ShardRequest, weight_fraction};
+use super::{ANSWER_MARGIN_S, Policy, WEIGHT_TOLERANCE_FRACTION};
+use crate::interface::{DecisionSink, Idempotency, QueryClass};
+
+/// While load is shed, a late answer worth less than this fraction of the priority weight is not waited for.
+const LATE_VALUE_MIN_FRACTION: f64 = 0.27;
+/// An abandoned query counts as overload in the fleet's figures if more than one in this many of its shard requests did
+/// not succeed; fewer tell of one bad node.
+const OVERLOAD_UNANSWERED_DIVISOR: usize = 10;
+/// How many queries an abandoned one may bring back: a client's retry is less often retried again.
+const UNSERVED_QUERY: f64 = 1.0;
+const UNSERVED_CLIENT_RETRY: f64 = 0.5;
+
+/// What is done about an open query.
+enum Completion {
+    Answer { complete: bool },
+    Abandon,
+    Wait { next_check_at_s: f64 },
+}
+
+impl Policy {
+    /// Answers a query if that is due, abandons it if it cannot be answered any more, or lets it wait.
+    pub(super) fn complete_or_abandon(&mut self, number: u64, sink: &mut dyn DecisionSink) {
+        let Some(query) = self.queries.get(&number) else { return };
+        match self.completion(query) {
+            Completion::Answer { complete } => self.answer(number, complete, sink),
+            Completion::Abandon => self.abandon(number, self.capabilities.max_retry_after_s, sink),
+            Completion::Wait { next_check_at_s } => {
+                if let Some(query) = self.queries.get_mut(&number) {
+                    query.next_check_at_s = next_check_at_s;
+                }
+            }
+        }
+    }
+
+    fn completion(&self, query: &Query) -> Completion {
+        let class = &self.classes[query.class].config;
+        let succeeded = weight_fraction(&query.requests, &|request| request.succeeded);
+        let least = least_fraction(query, class) - WEIGHT_TOLERANCE_FRACTION;
+        let answers_now_at_s = query.in_time_until_s() - ANSWER_MARGIN_S;
+        let is_late = self.now_s >= answers_now_at_s;
+        let is_complete = is_complete(query, class, succeeded);
+        if succeeded >= least && query.has_success() && (is_complete || is_late) {
+            let complete = is_complete && (!query.in_second_phase || query.first_phase_complete);
+            return Completion::Answer { complete };
+        }
+        let all_arrived = query.requests.len() >= query.expected_requests;
+        if self.has_no_value_left(query, succeeded, is_late)
+            || all_arrived && self.is_out_of_reach(query, least)
+            || all_arrived && self.is_out_of_time(query, least)
+        {
+            return Completion::Abandon;
+        }
+        // Without an event nothing changes before the latency objective.
+        let settled = |request: &ShardRequest| request.succeeded || request.is_in_flight();
+        let is_idle = all_arrived && query.admitted && !is_late && query.requests.iter().all(settled);
+        Completion::Wait { next_check_at_s: if is_idle { answers_now_at_s } else { 0.0 } }
+    }
+
+    /// Whether an answer has no value any more: the client's deadline is close, or the answer is late and late answers
+    /// are worth nothing, or too little while load is shed.
+    fn has_no_value_left(&self, query: &Query, succeeded: f64, is_late: bool) -> bool {
+        let late_fraction = self.classes[query.class].config.late_weight_fraction;
+        let is_worthless = late_fraction <= 0.0
+            || self.load_shedding.active && late_fraction * succeeded < LATE_VALUE_MIN_FRACTION;
+        self.now_s >= query.not_after_s - ANSWER_MARGIN_S || is_late && is_worthless
+    }
+
+    /// Whether the least fraction cannot be reached with the attempts that are still allowed.
+    fn is_out_of_reach(&self, query: &Query, least: f64) -> bool {
+        let may_have_crashed_nodes = query.may_have_crashed_nodes();
+        if may_have_crashed_nodes && query.requests.iter().any(ShardRequest::is_in_flight) {
+            return false;
+        }
+        let reachable = |request: &ShardRequest| {
+            request.succeeded
+                || request.is_in_flight()
+                || !may_have_crashed_nodes
+                    && self.may_attempt(query, request)
+                    && self.has_holder_in_time(query, request)
+        };
+        weight_fraction(&query.requests, &reachable) < least
+    }
+
+    /// Whether the least fraction needs attempts that have not started, and they would end after the latency objective.
+    fn is_out_of_time(&self, query: &Query, least: f64) -> bool {
+        let started = |request: &ShardRequest| request.succeeded || request.is_in_flight();
+        query.admitted
+            && self.now_s + self.typical_latency_s(query.class) > query.in_time_until_s()
+            && weight_fraction(&query.requests, &started) < least
+    }
+
+    /// Until when an answer to a shard request still has a value: the latency objective where late answers are worth
+    /// nothing, or too little while load is shed, or where the query is answered by then with what has succeeded.
+    /// Guards against nodes at work for nobody.
+    pub(super) fn useful_until_s(&self, query: &Query) -> f64 {
+        let class = &self.classes[query.class].config;
+        let ends_at_objective = class.late_weight_fraction <= 0.0
+            || class.minimum_fraction < class.complete_fraction
+            || self.load_shedding.active && class.late_weight_fraction < LATE_VALUE_MIN_FRACTION;
+        if ends_at_objective { query.in_time_until_s() } else { query.not_after_s }
+    }
+
+    /// Answers a query, and closes it unless a second phase follows.
+    fn answer(&mut self, number: u64, complete: bool, sink: &mut dyn DecisionSink) {
+        let Some(query) = self.queries.get_mut(&number) else { return };
+        sink.answer(&query.id, complete);
+        sink.query_ended(self.now_s > query.objective_at_s);
+        let second_phase_requests = self.classes[query.class].config.second_phase_requests;
+        if second_phase_requests == 0 || query.in_second_phase {
+            self.close(number, sink);
+            return;
+        }
+        query.in_second_phase = true;
+        query.first_phase_complete = complete;
+        let succeeded = query.requests.iter().filter(|request| request.succeeded).count();
+        query.expected_requests = succeeded.min(second_phase_requests);
+        let first_phase = std::mem::take(&mut query.requests);
+        self.cancel_requests(&first_phase, sink);
+    }
+
+    /// Ends a query without an answer: rejects it if a retry is harmless, fails it if it may have had an effect.
+    pub(super) fn abandon(&mut self, number: u64, retry_after_s: Option<f64>, sink: &mut dyn DecisionSink) {
+        self.record_unanswered_requests(number);
+        let query = &self.queries[&number];
+        self.unserved_queries += if query.is_client_retry { UNSERVED_CLIENT_RETRY } else { UNSERVED_QUERY };
+        if query.attempts().next().is_some() {
+            let unanswered = query.requests.iter().filter(|request| !request.succeeded).count();
+            sink.query_ended(unanswered * OVERLOAD_UNANSWERED_DIVISOR > query.requests.len());
+        }
+        let possible_effect =
+            query.in_second_phase || query.attempts().any(|attempt| attempt.possible_effect);
+        if self.classes[query.class].config.idempotency == Idempotency::NonIdempotent && possible_effect {
+            sink.fail(&query.id);
+        } else {
+            sink.reject(&query.id, retry_after_s);
+        }
+        self.close(number, sink);
+    }
+
+    /// Records shard requests that were never answered as latencies of their class, as an overload would otherwise look
+    /// like a quiet time. Ages below the usual latency tell nothing: queries abandoned within milliseconds would make
+    /// all look fast.
+    fn record_unanswered_requests(&mut self, number: u64) {
+        let query = &self.queries[&number];
+        let class = &mut self.classes[query.class];
+        let (typical_s, objective_s) = (class.typical_latency_s(), class.config.latency_objective_s);
+        for request in query.requests.iter().filter(|request| !request.succeeded) {
+            let Some(first) = request.attempts.first() else { continue };
+            // Nodes at capacity tell of queues that the shard request would not have left in time.
+            let all_rejected = request.attempts.iter().all(|attempt| attempt.rejected);
+            let age_s = self.now_stall_free_s - first.started_at_stall_free_s;
+            let latency_s = if all_rejected { objective_s } else { age_s };
+            if latency_s > typical_s {
+                class.latencies.record(latency_s, CLASS_SAMPLES_MAX);
+            }
+        }
+    }
+
+    fn close(&mut self, number: u64, sink: &mut dyn DecisionSink) {
+        if let Some(query) = self.queries.remove(&number) {
+            self.cancel_requests(&query.requests, sink);
+        }
+    }
+
+    /// Forgets shard requests and cancels their attempts in flight.
+    fn cancel_requests(&mut self, requests: &[ShardRequest], sink: &mut dyn DecisionSink) {
+        for request in requests {
+            self.shard_requests.remove(&request.id);
+            if !self.capabilities.can_cancel {
+                continue;
+            }
+            for (number, attempt) in request.attempts.iter().enumerate() {
+                if attempt.is_live() {
+                    sink.cancel_attempt(&request.id, number);
+                }
+            }
+        }
+    }
+}
+
+/// The least fraction of the weight that a query may be answered with. A second phase without partial answers needs all.
+fn least_fraction(query: &Query, class: &QueryClass) -> f64 {
+    if query.in_second_phase && class.minimum_fraction >= class.complete_fraction {
+        1.0
+    } else {
+        class.minimum_fraction
+    }
+}
+
+/// Whether what has succeeded makes a complete answer; in a second phase that is everything.
+fn is_complete(query: &Query, class: &QueryClass, succeeded: f64) -> bool {
+    let all_succeeded = query.requests.iter().all(|request| request.succeeded)
+        && query.requests.len() >= query.expected_requests;
+    let enough = succeeded >= class.complete_fraction - WEIGHT_TOLERANCE_FRACTION;
+    all_succeeded || !query.in_second_phase && enough
+}
--- /dev/null
+++ b/src/policy/concurrency_limit.rs
@@ -0,0 +1,77 @@
+//! Decides how many shard requests one data node may have in flight from this router.
+//!
+//! Inputs are the outcomes and latencies of its attempts. Additive increase and multiplicative decrease keep requests
+//! queueing at the router, where they can still go to another node, and not at the node. It costs throughput where
+//! requests take long by nature.
+
+use crate::interface::AttemptOutcome;
+
+/// Limit of a node when it appears in the endpoint list, and of one that has just started.
+const INITIAL_LIMIT: f64 = 4.0;
+const INITIAL_LIMIT_WARMING_UP: f64 = 1.0;
+const LIMIT_MIN: f64 = 1.0;
+const LIMIT_MAX: f64 = 24.0;
+/// Below this fraction of the shortest latency objective an answer raises the limit; above the other it lowers it.
+const FAST_ANSWER_FRACTION: f64 = 0.15;
+const SLOW_ANSWER_FRACTION: f64 = 0.25;
+/// The limit is multiplied by these.
+const DECREASE_WHEN_SLOW: f64 = 0.85;
+const DECREASE_WHEN_REJECTED: f64 = 0.6;
+
+/// The limit of one data node.
+pub(super) struct ConcurrencyLimit {
+    limit: f64,
+}
+
+/// What an ended attempt tells of its node's load.
+pub(super) struct LoadSample {
+    pub outcome: AttemptOutcome,
+    pub latency_s: f64,
+    /// The shortest latency objective of all query classes.
+    pub shortest_objective_s: f64,
+    /// Whether the attempt was late.
+    pub late: bool,
+    /// Whether the node has answered anything since the attempt started.
+    pub answered_since: bool,
+}
+
+impl ConcurrencyLimit {
+    pub fn new(warming_up: bool) -> Self {
+        ConcurrencyLimit { limit: if warming_up { INITIAL_LIMIT_WARMING_UP } else { INITIAL_LIMIT } }
+    }
+
+    pub fn limit(&self) -> f64 {
+        self.limit
+    }
+
+    /// Shard requests that may start beside those in flight.
+    pub fn free_slots(&self, in_flight: usize) -> usize {
+        (self.limit - in_flight as f64).max(0.0).floor() as usize
+    }
+
+    pub fn record(&mut self, sample: &LoadSample) {
+        match sample.outcome {
+            AttemptOutcome::Success => {
+                if sample.latency_s < FAST_ANSWER_FRACTION * sample.shortest_objective_s {
+                    self.limit = (self.limit + 1.0 / self.limit).min(LIMIT_MAX);
+                } else if sample.latency_s > SLOW_ANSWER_FRACTION * sample.shortest_objective_s {
+                    self.decrease(DECREASE_WHEN_SLOW);
+                }
+            }
+            AttemptOutcome::Rejected => self.decrease(DECREASE_WHEN_REJECTED),
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if sample.late => {
+                if sample.answered_since {
+                    self.decrease(DECREASE_WHEN_SLOW);
+                } else {
+                    // A node that may be down is tried with a single request next.
+                    self.limit = LIMIT_MIN;
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn decrease(&mut self, factor: f64) {
+        self.limit = (self.limit * factor).max(LIMIT_MIN);
+    }
+}
--- /dev/null
+++ b/src/policy/latency.rs
@@ -0,0 +1,149 @@
+//! Estimates latencies: how long a shard request usually takes, and after which delay an attempt is late.
+//!
+//! Inputs are the latencies of ended attempts in seconds, by shard and by query class. At full size a router rarely
+//! observes a given shard, so each estimate falls back from the shard to the class and from the class to a fraction of
+//! the latency objective.
+
+use super::Policy;
+use super::query::ShardClass;
+use crate::interface::QueryClass;
+use std::collections::VecDeque;
+
+/// Latencies kept of each query class and of each shard.
+pub(super) const CLASS_SAMPLES_MAX: usize = 256;
+pub(super) const SHARD_SAMPLES_MAX: usize = 40;
+/// Latencies of a shard from which its own quantile is used; no more are inherited by a successor shard.
+pub(super) const SHARD_SAMPLES_MIN: usize = 12;
+/// Latencies of a class from which its quantiles are used.
+pub(super) const CLASS_SAMPLES_MIN: usize = 16;
+/// Latencies of a class from which its median stands for the usual latency.
+const TYPICAL_SAMPLES_MIN: usize = 5;
+
+const MEDIAN: f64 = 0.5;
+/// Quantile of a shard's latencies after which an attempt is late.
+const LATE_QUANTILE: f64 = 0.95;
+/// Multiple of the class's median after which an attempt to an unknown shard is late. A higher quantile over all shards
+/// would be raised by the very nodes that hedges are for.
+const LATE_MEDIAN_MULTIPLE: f64 = 2.0;
+/// Latency of a class without samples, as a fraction of its latency objective.
+pub(super) const UNKNOWN_LATENCY_FRACTION: f64 = 0.25;
+/// Longest delay, as a fraction of the latency objective: a later hedge could not succeed in time.
+const LATE_MAX_FRACTION: f64 = 0.5;
+/// Most work of a shard request, as a fraction of the latency objective.
+const WORK_MAX_FRACTION: f64 = 0.15;
+/// Shortest latency that estimates return, as they are divided by.
+const LATENCY_MIN_S: f64 = 0.001;
+
+/// The latest latencies, in order of arrival and sorted.
+#[derive(Default)]
+pub(super) struct LatencyWindow {
+    by_arrival: VecDeque<f64>,
+    sorted: Vec<f64>,
+    /// How many of them are inherited and give way to the first own ones.
+    inherited: usize,
+}
+
+impl LatencyWindow {
+    /// Adds a latency; the oldest beyond `max_samples` are dropped.
+    pub fn record(&mut self, latency_s: f64, max_samples: usize) {
+        self.by_arrival.push_back(latency_s);
+        self.sorted.insert(self.sorted.partition_point(|&other_s| other_s < latency_s), latency_s);
+        let max_samples =
+            if self.inherited > 0 { max_samples.min(self.by_arrival.len() - 1) } else { max_samples };
+        self.inherited = self.inherited.saturating_sub(1);
+        while self.by_arrival.len() > max_samples {
+            let oldest_s = self.by_arrival.pop_front().unwrap_or_default();
+            self.sorted.remove(self.sorted.partition_point(|&other_s| other_s < oldest_s));
+        }
+    }
+
+    /// The window that a successor starts with: the latest latencies of its parents, taken from each in turn.
+    pub fn inherit(parents: &[&LatencyWindow], max_samples: usize) -> LatencyWindow {
+        let mut latest = Vec::new();
+        let longest = parents.iter().map(|parent| parent.by_arrival.len()).max().unwrap_or(0);
+        for age in 0..longest {
+            latest.extend(parents.iter().filter_map(|parent| parent.by_arrival.iter().rev().nth(age)));
+        }
+        latest.truncate(max_samples);
+        let mut window = LatencyWindow::default();
+        latest.into_iter().rev().for_each(|latency_s| window.record(latency_s, max_samples));
+        window.inherited = window.by_arrival.len();
+        window
+    }
+
+    /// The latency that a fraction of the samples does not exceed; none below `min_samples`.
+    pub fn quantile(&self, fraction: f64, min_samples: usize) -> Option<f64> {
+        let index = (self.sorted.len().saturating_sub(1) as f64 * fraction).round() as usize;
+        self.sorted.get(index).copied().filter(|_| self.sorted.len() >= min_samples)
+    }
+}
+
+/// A query class and what has been observed of it.
+pub(super) struct ClassState {
+    pub config: QueryClass,
+    pub latencies: LatencyWindow,
+    /// The lowest median so far, infinite while there is none: latency under overload is mostly queueing.
+    pub lowest_median_s: f64,
+    /// The longest time to the deadline with which a query of this class arrived.
+    pub longest_patience_s: f64,
+}
+
+impl ClassState {
+    pub fn new(config: QueryClass) -> Self {
+        ClassState {
+            config,
+            latencies: LatencyWindow::default(),
+            lowest_median_s: f64::INFINITY,
+            longest_patience_s: 0.0,
+        }
+    }
+
+    /// Records the latency of a successful attempt.
+    pub fn record_success(&mut self, latency_s: f64) {
+        self.latencies.record(latency_s, CLASS_SAMPLES_MAX);
+        if let Some(median_s) = self.latencies.quantile(MEDIAN, CLASS_SAMPLES_MIN) {
+            self.lowest_median_s = median_s.min(self.lowest_median_s);
+        }
+    }
+
+    /// The usual latency of a shard request, queueing included.
+    pub fn typical_latency_s(&self) -> f64 {
+        let unknown_s = UNKNOWN_LATENCY_FRACTION * self.config.latency_objective_s;
+        self.latencies.quantile(MEDIAN, TYPICAL_SAMPLES_MIN).unwrap_or(unknown_s).max(LATENCY_MIN_S)
+    }
+
+    /// The lowest median as a fraction of the latency objective.
+    fn work_fraction(&self) -> Option<f64> {
+        Some(self.lowest_median_s / self.config.latency_objective_s).filter(|fraction| fraction.is_finite())
+    }
+}
+
+impl Policy {
+    /// The delay in seconds after which an attempt is late.
+    pub(super) fn late_after_s(&self, key: ShardClass) -> f64 {
+        let class = &self.classes[key.class];
+        let objective_s = class.config.latency_objective_s;
+        let of_shard =
+            self.shards.get(&key.shard).and_then(|s| s.latencies.quantile(LATE_QUANTILE, SHARD_SAMPLES_MIN));
+        let of_class = || {
+            let median_s = class.latencies.quantile(MEDIAN, CLASS_SAMPLES_MIN);
+            let multiple_s = median_s.map_or(0.0, |median_s| LATE_MEDIAN_MULTIPLE * median_s);
+            multiple_s.max(UNKNOWN_LATENCY_FRACTION * objective_s)
+        };
+        of_shard.unwrap_or_else(of_class).min(LATE_MAX_FRACTION * objective_s)
+    }
+
+    /// The usual latency of a shard request in seconds, queueing included.
+    pub(super) fn typical_latency_s(&self, class: usize) -> f64 {
+        self.classes[class].typical_latency_s()
+    }
+
+    /// The work of one shard request in seconds, without queueing. A class without samples is taken to need the same
+    /// fraction of its latency objective as the heaviest known one.
+    pub(super) fn request_work_s(&self, class: usize) -> f64 {
+        let heaviest = || self.classes.iter().filter_map(ClassState::work_fraction).reduce(f64::max);
+        let class = &self.classes[class];
+        let fraction = class.work_fraction().or_else(heaviest).unwrap_or(WORK_MAX_FRACTION);
+        fraction.min(WORK_MAX_FRACTION) * class.config.latency_objective_s
+    }
+}
--- /dev/null
+++ b/src/policy/node.rs
@@ -0,0 +1,75 @@
+//! The record of one data node: what is in flight at it, and the state that the decisions about it keep.
+
+use super::concurrency_limit::ConcurrencyLimit;
+use super::outlier_detection::{Health, OwnObservations, RemoteObservation};
+use super::slow_start::WarmUpLoad;
+use crate::interface::NodeState;
+use std::collections::BTreeMap;
+
+/// A data node of the endpoint list, or a removed one with attempts in flight.
+pub(super) struct Node {
+    pub replica_group: u32,
+    pub state: NodeState,
+    /// When its process started, if that is known.
+    pub started_at_s: Option<f64>,
+    pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
+    pub concurrency: ConcurrencyLimit,
+    /// What this core's own attempts showed.
+    pub own: OwnObservations,
+    /// What other cores or routers observed.
+    pub remote: RemoteObservation,
+    pub warm_up_load: WarmUpLoad,
+    /// Number of this router's latest attempt at it; the lowest is next in round robin.
+    pub last_attempt: u64,
+    /// Its health as of the start of this round.
+    pub health: Health,
+    /// How long a shard request may have to wait for it: as the oldest one does, or until it is no longer ejected.
+    pub expected_wait_s: f64,
+}
+
+/// A shard request's id and the number of its attempt.
+pub(super) type AttemptKey = (String, usize);
+
+/// An attempt in flight at a node.
+#[derive(Clone, Copy)]
+pub(super) struct InFlightAttempt {
+    pub started_at_stall_free_s: f64,
+    /// The delay after which it is late, as of its start.
+    pub late_after_s: f64,
+}
+
+impl Node {
+    /// A node that has just appeared. `warm_up_phase` is set for one that is warming up: its place, from 0 to 1, among
+    /// the routers that send to it in turn.
+    pub fn new(
+        replica_group: u32,
+        state: NodeState,
+        started_at_s: Option<f64>,
+        warm_up_phase: Option<f64>,
+    ) -> Self {
+        Node {
+            replica_group,
+            state,
+            started_at_s,
+            in_flight: BTreeMap::new(),
+            concurrency: ConcurrencyLimit::new(warm_up_phase.is_some()),
+            own: OwnObservations::default(),
+            remote: RemoteObservation::default(),
+            warm_up_load: WarmUpLoad::new(warm_up_phase.unwrap_or(0.0)),
+            last_attempt: 0,
+            health: Health::Healthy,
+            expected_wait_s: 0.0,
+        }
+    }
+
+    /// Age in seconds of its oldest attempt in flight, 0 if there is none.
+    pub fn oldest_attempt_age_s(&self, now_stall_free_s: f64) -> f64 {
+        let ages = self.in_flight.values().map(|attempt| now_stall_free_s - attempt.started_at_stall_free_s);
+        ages.fold(0.0, f64::max)
+    }
+
+    /// Whether it is removed and nothing is in flight at it.
+    pub fn is_gone(&self) -> bool {
+        self.state == NodeState::Removed && self.in_flight.is_empty()
+    }
+}
--- /dev/null
+++ b/src/policy/replica_selection.rs
@@ -0,0 +1,291 @@
+//! Decides which data node of a shard's replica groups an attempt goes to, and which shard requests of a query travel
+//! together in one batch.
+//!
+//! Inputs are the health of the shard's holders, their capacity in shard requests, which of them were tried before, and
+//! when this router last sent to each. Among equals the node that was sent to longest ago goes first, whatever the
+//! shard: turns by shard would let neighbouring shards of a query meet at one node. Times are in seconds.
+
+use super::Policy;
+use super::attempts_by_age::AttemptPosition;
+use super::node::InFlightAttempt;
+use super::outlier_detection::Health;
+use super::query::{Attempt, Query, RequestPosition, ShardClass, ShardRequest};
+use super::slow_start::{CapacityInputs, NodeCapacity, warm_up_memory_s};
+use crate::interface::{DecisionSink, Idempotency, NodeState};
+use std::collections::{BTreeSet, VecDeque};
+
+/// Time-out of an attempt that can be retried but not cancelled, as a fraction of the latency objective.
+const UNCANCELLABLE_TIMEOUT_FRACTION: f64 = 0.5;
+
+/// A holder that could take an attempt.
+struct Candidate {
+    /// The lowest goes first.
+    rank: CandidateRank,
+    /// Its index among the shard's holders.
+    holder: usize,
+    capacity: NodeCapacity,
+}
+
+/// The order in which holders are tried: by health, one that was tried before a step behind; then the one that can take
+/// more of the query's waiting shard requests; then round robin.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct CandidateRank {
+    health: u8,
+    /// The most possible less the shard requests that it can take.
+    not_batched: usize,
+    last_attempt: u64,
+    /// Steps from the shard's round robin offset, for nodes that were never sent to.
+    step: usize,
+}
+
+/// The node chosen for an attempt.
+pub(super) struct SelectedNode {
+    pub id: String,
+    /// Shard requests that it may be sent now.
+    pub capacity_requests: usize,
+}
+
+impl Policy {
+    /// Makes the index of serving nodes anew after a change of the endpoint list or of the shards.
+    pub(super) fn refresh_serving_nodes(&mut self) {
+        if !self.serving_nodes.is_empty() {
+            return;
+        }
+        for (id, node) in &self.nodes {
+            if node.state == NodeState::Serving {
+                let group = self.placement.group_of(node.replica_group);
+                self.serving_nodes.entry(group).or_default().push(id.clone());
+            }
+        }
+    }
+
+    /// Serving nodes that hold a shard, in their order of round robin.
+    pub(super) fn serving_holders(&self, shard: u32) -> Vec<&str> {
+        let excluded = self.placement.excluded_nodes(shard);
+        let groups = self.placement.holding_groups(shard);
+        let members = groups.filter_map(|group| self.serving_nodes.get(&group)).flatten().map(String::as_str);
+        members.filter(|id| excluded.is_none_or(|excluded| !excluded.contains(*id))).collect()
+    }
+
+    /// Most shard requests in one attempt. Batching pays only where an attempt costs work of its own.
+    fn max_batch(&self) -> usize {
+        if self.placement.attempt_overhead_s > 0.0 { self.placement.max_batch } else { 1 }
+    }
+
+    fn capacity_inputs(&self, class: usize, max_batch: usize) -> CapacityInputs {
+        CapacityInputs {
+            now_s: self.now_s,
+            request_work_s: self.request_work_s(class),
+            router_count: self.router_count,
+            slow_start: self.slow_start,
+            max_batch,
+        }
+    }
+
+    /// Which holders may be tried for a shard request: none with an attempt of it in flight; none that rejected it less
+    /// than its work ago, which guards against attempts all spent on one full node; unresponsive ones only for a first
+    /// attempt where all holders are.
+    fn is_eligible(&self, request: &ShardRequest, holders: &[&str], work_s: f64) -> impl Fn(&str) -> bool {
+        let unresponsive = move |id: &str| self.nodes[id].health == Health::Unresponsive;
+        let last_resort = request.attempts.is_empty() && holders.iter().all(|id| unresponsive(id));
+        move |id| {
+            let recent = |attempt: &Attempt| self.now_stall_free_s - attempt.started_at_stall_free_s < work_s;
+            let blocks = |attempt: &Attempt| {
+                attempt.node == id && (attempt.in_flight || attempt.rejected && recent(attempt))
+            };
+            (last_resort || !unresponsive(id)) && !request.attempts.iter().any(blocks)
+        }
+    }
+
+    /// Whether any holder could still take a shard request before the deadline. Guards against queries that keep nodes
+    /// at work where a shard's last holder is full.
+    pub(super) fn has_holder_in_time(&self, query: &Query, request: &ShardRequest) -> bool {
+        let inputs = self.capacity_inputs(query.class, 1);
+        let holders = self.serving_holders(request.shard);
+        let is_eligible = self.is_eligible(request, &holders, inputs.request_work_s);
+        let in_time = |id: &str| {
+            let capacity = self.nodes[id].capacity(&inputs);
+            capacity.requests > 0 || capacity.exclusive_for_s < query.not_after_s - self.now_s
+        };
+        holders.is_empty() || holders.iter().any(|id| is_eligible(id) && in_time(id))
+    }
+
+    /// The node for a shard request's next attempt, if any holder can take it now. `waiting_shards` are the shards of
+    /// the query's waiting requests, this one's included.
+    pub(super) fn select_node(
+        &self,
+        position: RequestPosition,
+        waiting_shards: &[u32],
+        max_batch: usize,
+    ) -> Option<SelectedNode> {
+        let query = &self.queries[&position.query];
+        let request = &query.requests[position.index];
+        let holders = self.serving_holders(request.shard);
+        let mut candidates = self.candidates(query.class, request, &holders, waiting_shards, max_batch);
+        candidates.sort_unstable_by(|one, other| one.rank.cmp(&other.rank));
+        let may_send = |candidate: &Candidate| {
+            let exclusive_for_s = candidate.capacity.exclusive_for_s;
+            let node = holders[candidate.holder];
+            exclusive_for_s <= 0.0
+                || self.shared_limits.try_slow_start_turn(node, self.now_s, exclusive_for_s)
+        };
+        let selected = candidates.into_iter().find(may_send)?;
+        Some(SelectedNode {
+            id: holders[selected.holder].to_string(),
+            capacity_requests: selected.capacity.requests,
+        })
+    }
+
+    /// The eligible holders with capacity, with their ranks.
+    fn candidates(
+        &self,
+        class: usize,
+        request: &ShardRequest,
+        holders: &[&str],
+        waiting_shards: &[u32],
+        max_batch: usize,
+    ) -> Vec<Candidate> {
+        let inputs = self.capacity_inputs(class, max_batch);
+        let is_eligible = self.is_eligible(request, holders, inputs.request_work_s);
+        let offset = self.shards.get(&request.shard).map_or(0, |shard| shard.round_robin_offset);
+        let mut candidates = Vec::new();
+        for step in 0..holders.len() {
+            let holder = (offset + step) % holders.len();
+            let (id, node) = (holders[holder], &self.nodes[holders[holder]]);
+            let capacity = node.capacity(&inputs);
+            if capacity.requests == 0 || !is_eligible(id) {
+                continue;
+            }
+            let tried = request.attempts.iter().any(|attempt| attempt.node == id);
+            let held = |shard: &&u32| self.placement.holds(id, node.replica_group, **shard);
+            let batched = waiting_shards.iter().filter(held).count().min(capacity.requests);
+            let rank = CandidateRank {
+                health: node.health.rank() + u8::from(tried),
+                not_batched: usize::MAX - batched,
+                last_attempt: node.last_attempt,
+                step,
+            };
+            candidates.push(Candidate { rank, holder, capacity });
+        }
+        candidates
+    }
+
+    /// Starts attempts for a query's shard requests that have none in flight: the first one, or the next after a failed
+    /// one.
+    pub(super) fn start_waiting_requests(&mut self, number: u64, sink: &mut dyn DecisionSink) {
+        let Some(query) = self.queries.get(&number).filter(|query| !query.may_have_crashed_nodes()) else {
+            return;
+        };
+        let waits = |request: &ShardRequest| {
+            !request.succeeded && !request.is_in_flight() && self.may_attempt(query, request)
+        };
+        let mut waiting: VecDeque<usize> =
+            (0..query.requests.len()).filter(|&index| waits(&query.requests[index])).collect();
+        let single_attempt = self.sends_single_attempt(query);
+        if single_attempt && query.requests.iter().any(ShardRequest::is_in_flight) {
+            return;
+        }
+        let max_batch = self.max_batch();
+        while let Some(&first) = waiting.front() {
+            let batched = if max_batch > 1 { waiting.len() } else { 1 };
+            let group: Vec<usize> = waiting.iter().take(batched).copied().collect();
+            let started = self.start_batch(number, first, &group, max_batch, sink);
+            if started.is_empty() {
+                waiting.pop_front();
+            } else if single_attempt {
+                break;
+            }
+            waiting.retain(|index| !started.contains(index));
+        }
+    }
+
+    /// Sends a waiting shard request to a node, and with it those of its group that the node holds too. Returns those
+    /// that need not be tried again in this round; none if no node can take the first one.
+    fn start_batch(
+        &mut self,
+        number: u64,
+        first: usize,
+        group: &[usize],
+        max_batch: usize,
+        sink: &mut dyn DecisionSink,
+    ) -> BTreeSet<usize> {
+        let mut started = BTreeSet::new();
+        let query = &self.queries[&number];
+        let key = ShardClass { shard: query.requests[first].shard, class: query.class };
+        let is_first_attempt = query.requests[first].attempts.is_empty();
+        // Checked first, as the search for a node costs more.
+        let unpaid = !is_first_attempt && !self.can_pay_for_retry();
+        if unpaid || self.exhausted_shards.contains(&key) {
+            return started;
+        }
+        let shards: Vec<u32> = group.iter().map(|&index| query.requests[index].shard).collect();
+        let position = RequestPosition { query: number, index: first };
+        let Some(selected) = self.select_node(position, &shards, max_batch) else {
+            if is_first_attempt {
+                self.exhausted_shards.insert(key);
+            }
+            return started;
+        };
+        let replica_group = self.nodes[&selected.id].replica_group;
+        for (&index, &shard) in group.iter().zip(&shards) {
+            let fits = started.len() < selected.capacity_requests;
+            if fits && self.placement.holds(&selected.id, replica_group, shard) {
+                started.insert(index);
+                let is_retry = !self.queries[&number].requests[index].attempts.is_empty();
+                if !is_retry || self.try_pay_for_retry() {
+                    self.start_attempt(RequestPosition { query: number, index }, &selected.id, sink);
+                }
+            }
+        }
+        started
+    }
+
+    /// The time-out of a query's next attempt: until its answer has no value any more.
+    fn attempt_timeout_s(&self, query: &Query, request: &ShardRequest) -> f64 {
+        let class = &self.classes[query.class].config;
+        let retryable = class.idempotency == Idempotency::Idempotent
+            && request.attempts.len() + 1 < self.capabilities.max_attempts;
+        let limit_s = if retryable && !self.capabilities.can_cancel {
+            UNCANCELLABLE_TIMEOUT_FRACTION * class.latency_objective_s
+        } else {
+            f64::INFINITY
+        };
+        limit_s.min(self.useful_until_s(query) - self.now_s)
+    }
+
+    /// Starts an attempt of a shard request at a node.
+    pub(super) fn start_attempt(
+        &mut self,
+        position: RequestPosition,
+        node_id: &str,
+        sink: &mut dyn DecisionSink,
+    ) {
+        let query = &self.queries[&position.query];
+        let timeout_s = self.attempt_timeout_s(query, &query.requests[position.index]);
+        let key = ShardClass { shard: query.requests[position.index].shard, class: query.class };
+        let (late_after_s, work_s) = (self.late_after_s(key), self.request_work_s(key.class));
+        let (now_s, now_stall_free_s) = (self.now_s, self.now_stall_free_s);
+        let Some(query) = self.queries.get_mut(&position.query) else { return };
+        let request = &mut query.requests[position.index];
+        let Some(node) = self.nodes.get_mut(node_id) else { return };
+
+        let attempt = request.attempts.len();
+        let age_position = AttemptPosition { query: position.query, request: position.index, attempt };
+        self.attempts_in_flight.push(key, now_stall_free_s, age_position);
+        let in_flight = InFlightAttempt { started_at_stall_free_s: now_stall_free_s, late_after_s };
+        node.in_flight.insert((request.id.clone(), attempt), in_flight);
+        self.attempts_started += 1;
+        node.last_attempt = self.attempts_started;
+        node.warm_up_load.record(now_s, work_s, warm_up_memory_s(self.slow_start));
+        sink.start_attempt(&request.id, node_id, timeout_s);
+        request.hedges += usize::from(request.is_in_flight());
+        request.attempts.push(Attempt {
+            node: node_id.into(),
+            started_at_s: now_s,
+            started_at_stall_free_s: now_stall_free_s,
+            in_flight: true,
+            possible_effect: true,
+            ..Attempt::default()
+        });
+    }
+}
--- /dev/null
+++ b/src/policy/shard_changes.rs
@@ -0,0 +1,152 @@
+//! Carries state across changes of the shards: a successor starts with what its parents showed, a split shard request
+//! leaves its attempts to its successors, and a query that another host decided for brings its attempts along. It
+//! carries state only and decides nothing.
+
+use super::attempts_by_age::AttemptPosition;
+use super::latency::{LatencyWindow, SHARD_SAMPLES_MIN};
+use super::node::InFlightAttempt;
+use super::query::{Attempt, RequestPosition, ShardClass, ShardRequest};
+use super::{Policy, ShardState};
+use crate::interface::{AttemptOutcome, ClassSlot, PolicyConfig, ShardHolders, StateTransfer};
+
+impl StateTransfer for Policy {
+    fn set_shard_holders(&mut self, shard: u32, holders: ShardHolders) {
+        let explicit = self.placement.explicit_holders.get_or_insert_default();
+        if explicit.insert(shard, holders).is_none() {
+            self.serving_nodes.clear();
+        }
+    }
+
+    /// The successor starts with its parents' latest latencies and round robin offset. A shard that was seen already
+    /// keeps its own.
+    fn inherit_shard(&mut self, shard: u32, parents: &[u32]) {
+        let known: Vec<&ShardState> = parents.iter().filter_map(|parent| self.shards.get(parent)).collect();
+        let Some(first) = known.first() else { return };
+        let windows: Vec<&LatencyWindow> = known.iter().map(|parent| &parent.latencies).collect();
+        let state = ShardState {
+            round_robin_offset: first.round_robin_offset,
+            latencies: LatencyWindow::inherit(&windows, SHARD_SAMPLES_MIN),
+        };
+        self.shards.entry(shard).or_insert(state);
+    }
+
+    fn shard_retired(&mut self, shard: u32) {
+        self.shards.remove(&shard);
+        if let Some(explicit) = &mut self.placement.explicit_holders {
+            explicit.remove(&shard);
+        }
+    }
+
+    /// Each successor has the old shard request's attempts as its own, so that possible effects, hedges and the number
+    /// of attempts count for it. Guards against a second effect or a fresh retry budget by way of a split. An attempt in
+    /// flight takes its node's capacity once, whatever waits for it.
+    fn shard_request_split(&mut self, number: u64, request: &str, into: &[(&str, u32, f64)]) {
+        let Some(position) = self.shard_requests.remove(request) else { return };
+        let Some(query) = self.queries.get_mut(&number) else { return };
+        query.next_check_at_s = 0.0;
+        let old = &query.requests[position.index];
+        let key = ShardClass { shard: old.shard, class: query.class };
+        let (succeeded, hedges, attempts) = (old.succeeded, old.hedges, old.attempts.clone());
+        self.remove_from_index(key, position, &attempts);
+        if let Some(&(first, ..)) = into.first() {
+            self.rename_in_flight(request, first, &attempts);
+        }
+        for (nth, &(id, shard, weight)) in into.iter().enumerate() {
+            let attempts = attempts.clone();
+            let successor = ShardRequest { id: id.into(), shard, weight, succeeded, hedges, attempts };
+            // The first successor takes the old one's place.
+            self.place_successor(number, successor, (nth == 0).then_some(position.index));
+        }
+    }
+
+    fn adopt_attempt(&mut self, request: &str, node: &str, age_s: f64, outcome: Option<AttemptOutcome>) {
+        self.adopt(request, node, age_s, outcome);
+    }
+
+    fn change_config(&mut self, config: &PolicyConfig, slots: &[ClassSlot]) {
+        self.apply_config(config, slots);
+    }
+
+    fn class_retired(&mut self, slot: usize) {
+        self.retire_class(slot);
+    }
+}
+
+fn in_flight(attempts: &[Attempt]) -> impl Iterator<Item = (usize, &Attempt)> {
+    attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight)
+}
+
+impl Policy {
+    /// Takes a shard request's attempts in flight out of the index by age.
+    fn remove_from_index(&mut self, key: ShardClass, position: RequestPosition, attempts: &[Attempt]) {
+        for (attempt, _) in in_flight(attempts) {
+            let position = AttemptPosition { query: position.query, request: position.index, attempt };
+            self.attempts_in_flight.remove(key, position);
+        }
+    }
+
+    /// Moves attempts in flight at their nodes from one shard request to another.
+    fn rename_in_flight(&mut self, from: &str, to: &str, attempts: &[Attempt]) {
+        for (number, attempt) in in_flight(attempts) {
+            if let Some(node) = self.nodes.get_mut(&attempt.node)
+                && let Some(record) = node.in_flight.remove(&(from.to_string(), number))
+            {
+                node.in_flight.insert((to.to_string(), number), record);
+            }
+        }
+    }
+
+    /// Puts a successor at an index of its query's shard requests, or after them, and its attempts into the index by age.
+    fn place_successor(&mut self, number: u64, successor: ShardRequest, index: Option<usize>) {
+        let Some(query) = self.queries.get_mut(&number) else { return };
+        let index = index.unwrap_or(query.requests.len());
+        let key = ShardClass { shard: successor.shard, class: query.class };
+        for (attempt, started) in in_flight(&successor.attempts) {
+            let position = AttemptPosition { query: number, request: index, attempt };
+            self.attempts_in_flight.insert(key, started.started_at_stall_free_s, position);
+        }
+        self.shard_requests.insert(successor.id.clone(), RequestPosition { query: number, index });
+        match query.requests.get_mut(index) {
+            Some(request) => *request = successor,
+            None => query.requests.push(successor),
+        }
+    }
+
+    /// An attempt made by another host counts against the most attempts and for its possible effect; one in flight also
+    /// for its lateness and its node's capacity.
+    fn adopt(&mut self, request_id: &str, node_id: &str, age_s: f64, outcome: Option<AttemptOutcome>) {
+        let Some(&position) = self.shard_requests.get(request_id) else { return };
+        let Some(query) = self.queries.get(&position.query) else { return };
+        let key = ShardClass { shard: query.requests[position.index].shard, class: query.class };
+        let late_after_s = self.late_after_s(key);
+        let started_at_stall_free_s = self.now_stall_free_s - age_s;
+        let attempt = Attempt {
+            node: node_id.into(),
+            started_at_s: self.now_s - age_s,
+            started_at_stall_free_s,
+            in_flight: outcome.is_none(),
+            cancelled: false,
+            possible_effect: outcome.is_none_or(|outcome| !outcome.had_no_effect()),
+            rejected: outcome.is_some_and(AttemptOutcome::was_rejected),
+            connection_lost: outcome == Some(AttemptOutcome::ConnectionReset),
+        };
+        let Some(query) = self.queries.get_mut(&position.query) else { return };
+        let request = &mut query.requests[position.index];
+        let number = request.attempts.len();
+        request.hedges += usize::from(attempt.in_flight && request.is_in_flight());
+        request.succeeded |= outcome == Some(AttemptOutcome::Success);
+        request.attempts.push(attempt);
+        if number == 0 {
+            self.return_retry_tokens();
+        }
+        if outcome.is_none() {
+            let age_position =
+                AttemptPosition { query: position.query, request: position.index, attempt: number };
+            self.attempts_in_flight.insert(key, started_at_stall_free_s, age_position);
+            if let Some(node) = self.nodes.get_mut(node_id) {
+                let in_flight = InFlightAttempt { started_at_stall_free_s, late_after_s };
+                node.in_flight.insert((request_id.into(), number), in_flight);
+            }
+        }
+    }
+}
--- a/tests/cores.rs
+++ b/tests/cores.rs
@@ -65,9 +65,9 @@
     assert!(silent.count() >= 2, "{told:?}");
     all[1].now = all[0].now;
     let said = all[1].hears(&told);
-    assert!(said.iter().any(|n| n.starts_with("remark node n0 sick")), "{said:?}");
+    assert!(said.iter().any(|n| n.starts_with("remark node n0 ejected")), "{said:?}");
     let back = all[1].wait(0.6);
-    assert!(back.iter().any(|n| n.starts_with("remark node n0 back")), "{back:?}");
+    assert!(back.iter().any(|n| n.starts_with("remark node n0 readmitted")), "{back:?}");
 }
 
 #[rstest]
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -358,7 +358,7 @@
         host.ends(&format!("p{n}.0"), 0, &asked, AttemptOutcome::Success, 0.01);
     }
     host.wait(0.4);
-    assert_eq!(host.count(&format!("remark node {silent} sick")), 1);
+    assert_eq!(host.count(&format!("remark node {silent} ejected")), 1);
     let from = host.notes.len();
     host.warm(60, 6, 0.05);
     assert!(!host.notes[from..].iter().any(|n| n.starts_with("call p6") && n.ends_with(&silent)));
@@ -404,7 +404,7 @@
     let asked = node_of(&host.notes, "p50.0");
     host.now += 3.0;
     let after = host.round(|r| r.timer_fired(1));
-    assert!(!after.iter().any(|n| n.contains("sick") || n.starts_with("cancel")), "{after:?}");
+    assert!(!after.iter().any(|n| n.contains("ejected") || n.starts_with("cancel")), "{after:?}");
     host.ends("p50.0", 0, &asked, AttemptOutcome::Success, 3.0);
     host.wait(0.01);
     let from = host.notes.len();
@@ -418,9 +418,9 @@
     host.query(0, &[0]);
     host.ends("p0.0", 0, "n0", AttemptOutcome::Unreachable, 0.001);
     assert_eq!(node_of(&host.notes, "p0.0"), "n1", "its part moves on at once");
-    assert_eq!(host.count("remark node n0 sick"), 1);
+    assert_eq!(host.count("remark node n0 ejected"), 1);
     host.wait(1.5);
-    assert_eq!(host.count("remark node n0 back"), 1);
+    assert_eq!(host.count("remark node n0 readmitted"), 1);
 }
 
 #[rstest]
@@ -431,9 +431,9 @@
         host.ends("p0.0", hop, "n0", AttemptOutcome::Unreachable, 0.0);
         host.wait(0.7);
     }
-    assert_eq!((host.count("remark node n0 sick"), host.count("remark node n0 back")), (1, 0));
+    assert_eq!((host.count("remark node n0 ejected"), host.count("remark node n0 readmitted")), (1, 0));
     host.wait(6.0);
-    assert_eq!(host.count("remark node n0 back"), 1, "hundreds of routers make no outage longer");
+    assert_eq!(host.count("remark node n0 readmitted"), 1, "hundreds of routers make no outage longer");
 }
 
 #[rstest]
@@ -469,10 +469,10 @@
     host.wait(0.1);
     host.round(|r| ["p0.0", "p0.1", "p0.2"].iter().for_each(|p| r.attempt_ended(p, 0, "n0", ending, 0.1)));
     host.wait(0.05);
-    assert_eq!(host.count("remark node n0 sick"), sick);
+    assert_eq!(host.count("remark node n0 ejected"), sick);
     host.round(|r| r.attempt_ended("p0.0", 1, "n0", ending, 0.1));
     host.wait(0.05);
-    assert_eq!(host.count("remark node n0 sick"), 1, "with two in a row it is left out");
+    assert_eq!(host.count("remark node n0 ejected"), 1, "with two in a row it is left out");
 }
 
 #[rstest]
@@ -508,7 +508,7 @@
             host.round(|r| r.client_disconnected(&format!("q{}", n - 12)));
         }
     }
-    assert!(host.count("remark rejecting by chance") > 0);
+    assert!(host.count("remark load shedding on") > 0);
     assert!(0 < rejected[0] && rejected[0] < rejected[1], "{rejected:?}");
 }
 
