--- a/crates/router/src/state/dispatcher.rs
+++ b/crates/router/src/state/dispatcher.rs
@@ -259,7 +259,7 @@
         }
         self.count_query("taken", vertical);
         let permit =
-            permits::take(self.shutdown_phase == ShutdownPhase::Rejecting, room.is_some() && id.is_ok());
+            permits::may_admit(self.shutdown_phase == ShutdownPhase::Rejecting, room.is_some() && id.is_ok());
         let (Some(room), Ok(id), Ok(())) = (room, id, permit) else {
             self.count_query("turned_away", vertical);
             self.counters.increment(&format!("queries_denied{{{}}}", permit.err().map_or("", Denial::label)));
@@ -579,7 +579,7 @@
                     let (shard, text, not_after, keys) = self.queries.asked(&id.0)?;
                     let until = self.attempts.get(id).map_or(not_after, |c| c.timeout_at_s);
                     let keys = keys.map(|keys| (version, keys.from, keys.to));
-                    Some((&*id.0, shard, permits::told_ms(now, until, not_after), text, keys))
+                    Some((&*id.0, shard, permits::advertised_timeout_ms(now, until, not_after), text, keys))
                 });
                 frames::call(out, asked);
                 self.counters.increment("frames_sent{call}");
@@ -612,12 +612,19 @@
     /// a place since, past a part's time, or past the window in which its node drops what it has run before.
     fn denial(&self, id: &AttemptId, node: NodeState, now: f64) -> Option<Denial> {
         let Some((vertical, part)) = self.queries.class_and_request(&id.0) else {
-            return Some(Denial::QueryOver);
+            return Some(Denial::QueryEnded);
         };
         let until = self.attempts.get(id).map_or(now, |call| call.timeout_at_s);
         let begun = part.first_possible_execution(None);
         let effect = self.query_classes[vertical].idempotency;
-        permits::call(&permits::Call { now, until, effect, begun, node }).err()
+        permits::may_start_attempt(&permits::AttemptStart {
+            now_s: now,
+            deadline_s: until,
+            idempotency: effect,
+            first_effect_at_s: begun,
+            node_state: node,
+        })
+        .err()
     }
 
     /// Ends the calls of the next frame that come too late to begin, as ones that were never sent.
@@ -869,9 +876,12 @@
     /// Whether this side ends a connection with its present answer. Guards against dropping what has been read behind
     /// the request: it is owed an answer as well.
     pub fn closes_connection(&self, client: &ClientConnection) -> bool {
-        let closing =
-            permits::Closing { query_open: false, unwritten: false, unread: client.has_bytes_behind.get() };
-        self.shutdown_phase >= ShutdownPhase::Closing && permits::close(&closing).is_ok()
+        let closing = permits::ConnectionClose {
+            query_open: false,
+            unwritten: false,
+            unread: client.has_bytes_behind.get(),
+        };
+        self.shutdown_phase >= ShutdownPhase::Closing && permits::may_close_connection(&closing).is_ok()
     }
 
     fn close_query(&mut self, query: &str, what: &str) -> Option<(Query, bool)> {
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -2,7 +2,7 @@
 use super::AttemptId;
 use super::node_connection::NodeConnection;
 use alderway::interface::{NodeState, PolicyInput};
-use alderway::slow_start;
+use alderway::start_time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -89,7 +89,7 @@
         let held = self.nodes.get(name).filter(|node| node.reported_start_s == told_start);
         let started = match (held, told_start) {
             (Some(node), _) => node.started_at_s,
-            (None, told) => told.map(|told| slow_start::believed_start(told, now, self.last_contact_s)),
+            (None, told) => told.map(|told| start_time::bounded_start_time(told, now, self.last_contact_s)),
         };
         self.update(name, address, cell, state, started);
         if let Some(node) = self.nodes.get_mut(name).filter(|_| state != NodeState::Removed) {
