--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -449,14 +449,14 @@
     limit(&house.programs[&leader], "4096");
     let base = house.has(&other);
     ends(&house.propose(&[&other], 200, &["--id", "full", "--base", &base.to_string()]), 0, &["version 2"]);
-    let line = house.programs[&leader].says("takes no part");
+    let line = house.programs[&leader].says("unavailable: ");
     assert!(line.contains("cannot be written"), "{line}");
     // Its reads go on, it says why, and takes no changes.
     ends(&house.config(&[&leader], &["show", "1"]), 0, &["version 1"]);
-    ends(&house.config(&[&leader], &["status"]), 3, &["takes no part: what it keeps cannot be written"]);
+    ends(&house.config(&[&leader], &["status"]), 3, &["takes no part: its log cannot be written"]);
     ends(&house.propose(&[&leader], 300, &["--base", "2", "--wait", "1"]), 3, &["it takes no part"]);
     limit(&house.programs[&leader], "unlimited");
-    house.programs[&leader].says("takes part again");
+    house.programs[&leader].says("available again");
     house.all_have(2);
 }
 
@@ -494,7 +494,7 @@
     }
     house.kill("c5");
     fs::copy(house.data("c5").join("log.redb"), &log).expect("copied");
-    refused(&house, "it belongs to control machine `c5`, this one is `c3`");
+    refused(&house, "it belongs to replica `c5`, this one is `c3`");
     house.start("c5");
     fs::remove_dir_all(house.data("c3")).expect("moved away");
     house.start("c3");
--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -71,7 +71,7 @@
     );
     let build = Build { path: env!("CARGO_BIN_EXE_alderway").into(), operator: Some(operator) };
     let first = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
-    logged(&first, "version 41 in force");
+    logged(&first, "version 41 applied");
     until(&first, "its counters", |counters| counters.get("control_version") == Some(&41));
     until(&first, "its age", |counters| counters.contains_key("control_version_age_ms"));
     let kept = || std::fs::read_to_string(&keep).unwrap_or_default();
--- a/crates/control-plane/src/consensus/error.rs
+++ b/crates/control-plane/src/consensus/error.rs
@@ -34,13 +34,13 @@
     #[error("{0}")]
     Consensus(#[from] raft::Error),
     /// The disk does not tell which replica it belongs to, but is not empty.
-    #[error("it does not say whose it is")]
+    #[error("it does not tell which replica it belongs to")]
     IdentityMissing,
     /// The identity cannot be decoded.
-    #[error("whose disk this is cannot be read")]
+    #[error("its identity cannot be read")]
     IdentityUnreadable,
     /// The disk belongs to another replica.
-    #[error("it belongs to control machine `{owner}`, this one is `{expected}`")]
+    #[error("it belongs to replica `{owner}`, this one is `{expected}`")]
     ForeignDisk {
         /// Name of the replica that it belongs to.
         owner: String,
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -125,10 +125,10 @@
     listed
 }
 
-/// A message as it is written to the connection.
+/// A message as it is written to the connection. Empty for one that is longer than a frame; those of a subscription are far
+/// shorter.
 pub fn encode_frame<M: WireMessage>(message: &M) -> Vec<u8> {
     let mut frame = vec![];
-    // Fails only for a message that is longer than a frame; those of a subscription are far shorter.
     let _ = encode_message(&mut frame, message);
     frame
 }
--- a/crates/control-plane/src/publisher/link.rs
+++ b/crates/control-plane/src/publisher/link.rs
@@ -113,9 +113,9 @@
                 None
             }
             ApplyOutcome::PendingRestart(keys) => {
-                Some((number, format!("{number} waits for a start: {}", keys.join(", "))))
+                Some((number, format!("{number} needs a restart: {}", keys.join(", "))))
             }
-            ApplyOutcome::Rejected(reason) => Some((number, format!("refused {number}: {reason}"))),
+            ApplyOutcome::Rejected(reason) => Some((number, format!("rejected {number}: {reason}"))),
         };
     }
 }
--- a/crates/control-plane/src/publisher/mod.rs
+++ b/crates/control-plane/src/publisher/mod.rs
@@ -381,13 +381,13 @@
             Some((number, reason)) if *number == self.cache.latest() => return reason.clone(),
             _ => {}
         }
-        let Some((number, digest)) = link.sent else { return "has not asked yet".into() };
+        let Some((number, digest)) = link.sent else { return "has not subscribed yet".into() };
         if link.transfer.is_some() {
-            return "is being told".into();
+            return "transfer in progress".into();
         }
         match self.cache.position(number, digest) {
-            SubscriberPosition::Conflict => "has other content under the newest number".into(),
-            _ => "has not answered yet".into(),
+            SubscriberPosition::Conflict => "has other settings under the newest number".into(),
+            _ => "has not reported yet".into(),
         }
     }
 }
--- a/crates/control-plane/src/publisher/version_cache.rs
+++ b/crates/control-plane/src/publisher/version_cache.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CacheError {
     /// Another content has this number already. The first one stays.
-    #[error("version {number} came with two contents; the first holds")]
+    #[error("version {number} has two contents; the first is kept")]
     Conflict {
         /// The version.
         number: VersionNumber,
     },
     /// Settings of more than [`MAX_SETTINGS_BYTES`] are never distributed.
-    #[error("version {number} takes {bytes} bytes; {MAX_SETTINGS_BYTES} at most are told")]
+    #[error("version {number} has {bytes} bytes of settings; at most {MAX_SETTINGS_BYTES} are distributed")]
     TooLarge {
         /// The version.
         number: VersionNumber,
--- a/crates/control-plane/src/replica/status.rs
+++ b/crates/control-plane/src/replica/status.rs
@@ -47,18 +47,17 @@
     WaitingToJoin,
 }
 
-/// What the log says of a disk that contradicts the group.
-const CONTRADICTS_PEERS: &str = "its disk is not what it was: the log contradicts its peers";
+const CONTRADICTS_PEERS: &str = "its log contradicts the other replicas: the disk was set back";
 
 impl fmt::Display for Unavailable {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Unavailable::ContradictsPeers => write!(out, "{CONTRADICTS_PEERS}; {REPLACE_DISK_ADVICE}"),
-            Unavailable::WriteFailed(reason) => write!(out, "what it keeps cannot be written: {reason}"),
+            Unavailable::WriteFailed(reason) => write!(out, "its log cannot be written: {reason}"),
             Unavailable::NotHeardOf(names) => {
-                write!(out, "its disk is empty; not heard yet: {}", names.join(", "))
+                write!(out, "its disk is empty; waiting to hear from {}", names.join(", "))
             }
-            Unavailable::WaitingToJoin => write!(out, "its disk is empty; it waits to be taken in"),
+            Unavailable::WaitingToJoin => write!(out, "its disk is empty; waiting to join the group"),
         }
     }
 }
@@ -93,16 +92,20 @@
 impl fmt::Display for ReplicaEvent {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ReplicaEvent::Stalled(reason) => write!(out, "takes no part: {reason}"),
-            ReplicaEvent::Resumed => write!(out, "takes part again: what it keeps was written"),
+            ReplicaEvent::Stalled(reason) => write!(out, "unavailable: {reason}"),
+            ReplicaEvent::Resumed => write!(out, "available again: its log was written"),
             ReplicaEvent::LeaderChanged { term, leader } => {
-                write!(out, "term {term}: {} leads", leader.as_deref().unwrap_or("nobody"))
+                write!(out, "term {term}: ")?;
+                match leader {
+                    Some(leader) => write!(out, "leader {leader}"),
+                    None => write!(out, "no leader"),
+                }
             }
             ReplicaEvent::Joined { group_id, is_founder } => {
-                let how = if *is_founder { "founded with all members" } else { "taken in by the others" };
+                let how = if *is_founder { "founded with all members" } else { "joined" };
                 write!(out, "group {group_id:016x}: {how}")
             }
-            ReplicaEvent::JoinFailed(reason) => write!(out, "not a member: {reason}"),
+            ReplicaEvent::JoinFailed(reason) => write!(out, "cannot join the group: {reason}"),
             ReplicaEvent::SnapshotFailed(reason) => write!(out, "{reason}"),
         }
     }
--- a/crates/control-plane/src/subscriber/events.rs
+++ b/crates/control-plane/src/subscriber/events.rs
@@ -125,38 +125,38 @@
 impl fmt::Display for Event {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Event::Applied { number } => write!(out, "version {number} in force"),
+            Event::Applied { number } => write!(out, "version {number} applied"),
             Event::PendingRestart { number, active, keys } => {
-                write!(out, "version {number} waits for a start ({}); {}", keys.join(", "), Active(*active))
+                write!(out, "version {number} needs a restart ({}); {}", keys.join(", "), Active(*active))
             }
             Event::Rejected { number, active, reason } => {
-                write!(out, "version {number} refused: {reason}; {}", Active(*active))
+                write!(out, "version {number} rejected: {reason}; {}", Active(*active))
             }
-            Event::Connected { endpoint } => write!(out, "subscribed at control machine {endpoint}"),
+            Event::Connected { endpoint } => write!(out, "subscribed at control server {endpoint}"),
             Event::ConnectionLost { endpoint } => {
-                write!(out, "control machine {endpoint}: the connection ended")
+                write!(out, "control server {endpoint}: connection lost")
             }
             Event::ConnectionTimedOut { endpoint, silent_s } => {
-                write!(out, "control machine {endpoint}: silent for {silent_s:.1} s, left")
+                write!(out, "control server {endpoint}: no message for {silent_s:.1} s, disconnected")
             }
             Event::ReplicaBehind { endpoint } => {
-                write!(out, "control machine {endpoint}: behind, or without a majority; another is tried")
+                write!(out, "control server {endpoint}: behind or without a quorum; trying another")
             }
             Event::ReturningToOwnZone { endpoint } => {
-                write!(out, "control machine {endpoint}: left for the own zone's")
+                write!(out, "control server {endpoint}: disconnected to return to the own zone")
             }
             Event::DigestMismatch { endpoint, number } => write!(
                 out,
-                "control machine {endpoint}: version {number} did not come out as told; asked for the whole"
+                "control server {endpoint}: version {number} does not match its digest; complete settings requested"
             ),
             Event::Conflict { endpoint, number } => {
-                write!(out, "control machine {endpoint}: another content under number {number}; not taken")
+                write!(out, "control server {endpoint}: other settings under version {number}; not accepted")
             }
             Event::Stale { number, unconfirmed_s, staleness_s, is_connected } => {
                 let what = if *is_connected {
-                    "no control machine with a majority and this version"
+                    "no control server with a quorum and this version"
                 } else {
-                    "heard nothing of control machines"
+                    "no message from a control server"
                 };
                 write!(out, "{what} for {unconfirmed_s:.0} s: ")?;
                 match (number, staleness_s) {
@@ -165,7 +165,9 @@
                     (_, None) => write!(out, "version {number} may be of any age"),
                 }
             }
-            Event::FreshAgain { number } => write!(out, "version {number} is known to be the newest again"),
+            Event::FreshAgain { number } => {
+                write!(out, "version {number} is confirmed to be the newest again")
+            }
         }
     }
 }
@@ -176,8 +178,8 @@
 impl fmt::Display for Active {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self.0 {
-            0 => write!(out, "the configuration's own settings hold"),
-            number => write!(out, "version {number} holds"),
+            0 => write!(out, "the configuration's own settings stay active"),
+            number => write!(out, "version {number} stays active"),
         }
     }
 }
--- a/crates/control-plane/tests/replication.rs
+++ b/crates/control-plane/tests/replication.rs
@@ -218,8 +218,9 @@
     group.start(follower);
     assert!(group.run_until(10.0, |group| {
         let out = group.nodes[follower].replica.as_ref().and_then(Replica::unavailable_reason);
-        out.map(|why| why.to_string())
-            .is_some_and(|why| why.contains("its disk is not what it was") && why.contains("by an empty one"))
+        out.map(|why| why.to_string()).is_some_and(|why| {
+            why.contains("its log contradicts the other replicas") && why.contains("by an empty one")
+        })
     }));
     group.wipe(follower);
     group.start(follower);
@@ -227,8 +228,8 @@
 }
 
 #[rstest]
-#[case::of_another_replica("c2", |_: &mut RecoveredState| {}, "it belongs to control machine `c1`, this one is `c2`")]
-#[case::without_identity("c1", |recovered: &mut RecoveredState| recovered.identity = None, "it does not say whose it is")]
+#[case::of_another_replica("c2", |_: &mut RecoveredState| {}, "it belongs to replica `c1`, this one is `c2`")]
+#[case::without_identity("c1", |recovered: &mut RecoveredState| recovered.identity = None, "it does not tell which replica it belongs to")]
 #[case::with_a_gap("c1", |recovered: &mut RecoveredState| drop(recovered.entries.remove(0)), "entry")]
 #[case::without_its_tail("c1", |recovered: &mut RecoveredState| recovered.entries.clear(), "its log ends at")]
 #[case::with_noise("c1", |recovered: &mut RecoveredState| recovered.hard_state = Some(vec![0xff; 9]), "the hard state is not what was written")]
--- a/crates/control-plane/tests/version_acceptance.rs
+++ b/crates/control-plane/tests/version_acceptance.rs
@@ -60,8 +60,8 @@
         .iter()
         .map(|lagging| (lagging.router.as_str(), lagging.version, lagging.reason.as_str()))
         .collect();
-    let rejected = ("r000", 1, "refused 2: key `Limits` of 2");
-    assert_eq!(lagging, [rejected, ("r001", 1, "2 waits for a start: Extra.Cells")]);
+    let rejected = ("r000", 1, "rejected 2: key `Limits` of 2");
+    assert_eq!(lagging, [rejected, ("r001", 1, "2 needs a restart: Extra.Cells")]);
     assert!(
         summary.lagging.iter().all(|lagging| (2.5..3.1).contains(&lagging.since_s)),
         "{:?}",
@@ -74,7 +74,7 @@
     let reasons: Vec<&str> = after_restart.lagging.iter().map(|lagging| lagging.reason.as_str()).collect();
     assert_eq!(reasons.len(), 2, "{after_restart:?}");
     assert!(
-        reasons.contains(&rejected.2) && reasons.contains(&"2 waits for a start: Extra.Cells"),
+        reasons.contains(&rejected.2) && reasons.contains(&"2 needs a restart: Extra.Cells"),
         "{reasons:?}"
     );
     // The next one is a patch on the received version, not on the active one.
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -234,7 +234,7 @@
         until(|| desk.subscriptions.summary().lagging.iter().any(|l| l.reason.contains("key `x`"))).await;
         let summary = desk.subscriptions.summary();
         assert_eq!((summary.by_version.get(&2), summary.lagging.len()), (Some(&1), 1));
-        assert_eq!(summary.lagging[0].reason, "refused 3: key `x`: expected y");
+        assert_eq!(summary.lagging[0].reason, "rejected 3: key `x`: expected y");
         desk.commit(4);
         router.until(is("control_version", 4)).await;
         let offered = router.offered.borrow().clone();
@@ -371,7 +371,7 @@
         router.until(is("control_versions_waiting", 1)).await;
         until(|| kept::read(&keep).ok().flatten().is_some_and(|kept| kept.settled.number == 3)).await;
         until(|| {
-            desk.subscriptions.summary().lagging.iter().any(|l| l.reason == "3 waits for a start: settings")
+            desk.subscriptions.summary().lagging.iter().any(|l| l.reason == "3 needs a restart: settings")
         })
         .await;
     });
