--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -2,8 +2,9 @@
 use crate::settings;
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
-use alderway_controller::driver::{self, Plan};
-use alderway_controller::subscriptions::Subscriptions;
+use alderway_control_server::InvalidSettings;
+use alderway_control_server::server::{self, ServerConfig};
+use alderway_control_server::subscriptions::Subscriptions;
 use alderway_operator::{LogForm, Operator};
 use alderway_router::tier::post;
 use alderway_telemetry::log::{self, LogFormat};
@@ -20,18 +21,20 @@
     operator: PathBuf,
 }
 
-fn plan(operator: &Operator, path: &std::path::Path) -> Result<Plan, String> {
+fn plan(operator: &Operator, path: &std::path::Path) -> Result<ServerConfig, String> {
     let Some(control) = operator.control.clone() else {
         return Err(format!("{}: it says nothing of `control`", path.display()));
     };
     let name = control.name.clone();
-    Ok(Plan {
+    Ok(ServerConfig {
         name: control.name,
-        members: control.members,
-        doors: control.doors,
-        data: control.data.into(),
-        check: Box::new(settings::check),
-        outlet: Box::new(move || Box::pin(outlet(name, control.routers))),
+        replica_addresses: control.members,
+        admin_addresses: control.doors,
+        data_path: control.data.into(),
+        settings_check: Box::new(|settings, earlier| {
+            settings::check(settings, earlier).map_err(InvalidSettings)
+        }),
+        version_sink: Box::new(move || Box::pin(outlet(name, control.routers))),
     })
 }
 
@@ -57,7 +60,7 @@
         LogForm::Text => LogFormat::Text,
         LogForm::Json => LogFormat::Json,
     });
-    match driver::run(plan) {
+    match server::run(plan) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("alderway: {why}");
--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -4,7 +4,7 @@
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version::Version;
 use alderway_control_plane::version_sink::VersionSink;
-use alderway_controller::subscriptions::Subscriptions;
+use alderway_control_server::subscriptions::Subscriptions;
 use alderway_lab::agent::Agent;
 use alderway_lab::program::{Build, Program, Setting};
 use common::{logged, until};
--- a/crates/lab/src/scale/control.rs
+++ b/crates/lab/src/scale/control.rs
@@ -8,9 +8,9 @@
 use alderway_control_plane::replica::ProposalOutcome;
 use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
 use alderway_control_plane::version::{Proposal, VersionNumber};
-use alderway_controller::client;
-use alderway_controller::door::{Ask, Reply};
-use alderway_controller::hollow::{Hollow, hollow};
+use alderway_control_server::admin::client;
+use alderway_control_server::admin::{AdminRequest, AdminResponse};
+use alderway_control_server::simulated_router::SimulatedRouters;
 use clap::Args;
 use nix::time::{ClockId, clock_gettime};
 use rand_pcg::Pcg32;
@@ -197,12 +197,14 @@
         at_unix_ms: 0,
         settings: settings(base + 1),
     };
-    let ask = Ask::Propose { proposal, wait_s: 8.0 };
+    let ask = AdminRequest::Propose { proposal, wait_s: 8.0 };
     let bytes = serde_json::to_string(&ask).map_err(|why| why.to_string())?.len();
     let (until, mut said) = (Instant::now() + PATIENCE, String::new());
     for door in doors.iter().cycle() {
-        match client::ask(*door, &ask, Duration::from_secs(10)) {
-            Ok(Reply::Answer { answer: ProposalOutcome::Committed(number), .. }) if number == base + 1 => {
+        match client::send(*door, &ask, Duration::from_secs(10)) {
+            Ok(AdminResponse::Proposed { outcome: ProposalOutcome::Committed(number), .. })
+                if number == base + 1 =>
+            {
                 return Ok(bytes);
             }
             Ok(other) => said = format!("{other:?}"),
@@ -220,7 +222,7 @@
 struct Stand<'a> {
     plan: &'a Control,
     group: Group,
-    hollow: Hollow,
+    hollow: SimulatedRouters,
     newest: VersionNumber,
     chance: Pcg32,
 }
@@ -244,7 +246,7 @@
         doors
     }
 
-    async fn until(&self, what: &str, holds: impl Fn(&Hollow) -> bool) -> Result<(), String> {
+    async fn until(&self, what: &str, holds: impl Fn(&SimulatedRouters) -> bool) -> Result<(), String> {
         let end = Instant::now() + PATIENCE;
         while !holds(&self.hollow) {
             if Instant::now() > end {
@@ -271,8 +273,8 @@
         let bytes = asked.map_err(|why| format!("{why}; last said: {}", self.group.told()))?;
         self.newest += 1;
         let newest = self.newest;
-        self.until("all have a version", |all| all.all_had(newest).is_some()).await?;
-        let had = self.hollow.all_had(newest).unwrap_or(f64::NAN);
+        self.until("all have a version", |all| all.all_applied_at(newest).is_some()).await?;
+        let had = self.hollow.all_applied_at(newest).unwrap_or(f64::NAN);
         Ok(Change { decided: answered - from, in_force: had - from, bytes })
     }
 
@@ -283,11 +285,11 @@
         let seconds = from.elapsed().as_secs_f64();
         let (used, after) = (own_cpu() - used, self.group.used());
         let spent = spent.iter().zip(&after).map(|(from, to)| to - from).fold(0.0, f64::max) / seconds;
-        let seen = self.hollow.seen();
+        let seen = self.hollow.states();
         let (count, now) = (seen.len() as f64, self.hollow.bytes());
         let (came, went) = ((now.0 - bytes.0) as f64 / seconds, (now.1 - bytes.1) as f64 / seconds);
         let mut linked: BTreeMap<Option<&str>, f64> = BTreeMap::new();
-        seen.iter().for_each(|seen| *linked.entry(seen.machine.as_deref()).or_default() += 1.0);
+        seen.iter().for_each(|seen| *linked.entry(seen.control_machine.as_deref()).or_default() += 1.0);
         linked.remove(&None);
         let machines = self.group.running.len() as f64;
         let router = vec![
@@ -310,9 +312,10 @@
     /// The leader killed while a change is asked for, then all.
     async fn faults(&mut self) -> Result<Vec<Figure>, String> {
         let door = self.doors()[0];
-        let status = spawn_blocking(move || client::ask(door, &Ask::Status, Duration::from_secs(5)));
+        let status =
+            spawn_blocking(move || client::send(door, &AdminRequest::Status, Duration::from_secs(5)));
         let leader = match status.await.map_err(|why| why.to_string())? {
-            Ok(Reply::Status(all)) => all.machine.leader.ok_or("nobody leads")?,
+            Ok(AdminResponse::Status(all)) => all.replica.leader.ok_or("nobody leads")?,
             other => return Err(format!("no status: {other:?}")),
         };
         let n = (1..=self.group.count).find(|n| name(*n) == leader).ok_or("no such leader")?;
@@ -320,7 +323,7 @@
         self.group.kill(n);
         let sent = self.send();
         self.until("its routers are elsewhere", |all| {
-            all.seen().iter().all(|seen| seen.machine.as_ref().is_some_and(|at| *at != leader))
+            all.states().iter().all(|seen| seen.control_machine.as_ref().is_some_and(|at| *at != leader))
         })
         .await?;
         let moved = from.elapsed().as_secs_f64();
@@ -330,7 +333,7 @@
         (1..=self.group.count).for_each(|n| self.group.kill(n));
         (1..=self.group.count).try_for_each(|n| self.group.begin(n))?;
         self.change().await?;
-        let all = self.hollow.all_had(self.newest).unwrap_or(f64::NAN) - from;
+        let all = self.hollow.all_applied_at(self.newest).unwrap_or(f64::NAN) - from;
         Ok(vec![
             ("next change in force everywhere, leader killed", "s", one),
             ("routers of a killed machine back", "s", moved),
@@ -376,7 +379,7 @@
         let machine = |n| (ControlEndpoint { name: name(n), zone: format!("z{n}") }, at(7300, n));
         let machines: Vec<(ControlEndpoint, SocketAddr)> = (1..=self.machines).map(machine).collect();
         let zones: Vec<String> = (1..=self.machines).map(|n| format!("z{n}")).collect();
-        let hollow = hollow(0, &machines, &zones, seed);
+        let hollow = SimulatedRouters::start(0, &machines, &zones, seed);
         let mut stand = Stand { plan: self, group, hollow, newest: 0, chance: Pcg32::new(seed, 11) };
         // The first version, once they are founded.
         stand.change().await?;
@@ -386,7 +389,7 @@
             stand.hollow.grow(routers - count, &machines, &zones, seed, SubscriptionConfig::default());
             count = routers;
             let newest = stand.newest;
-            stand.until("all have what stands", |all| all.all_had(newest).is_some()).await?;
+            stand.until("all have what stands", |all| all.all_applied_at(newest).is_some()).await?;
             let place = At::from([("routers", json!(routers)), ("machines", json!(self.machines))]);
             let (mut router, machine) = stand.at_rest().await;
             // A later repeat is given room that the one before left.
