--- a/crates/control-plane/src/consensus/error.rs
+++ b/crates/control-plane/src/consensus/error.rs
@@ -31,7 +31,7 @@
     #[error("its log contradicts itself")]
     ContradictoryLog,
     /// The consensus library refused the log.
-    #[error("{0}")]
+    #[error(transparent)]
     Consensus(#[from] raft::Error),
     /// The disk does not tell which replica it belongs to, but is not empty.
     #[error("it does not tell which replica it belongs to")]
--- a/crates/control-plane/src/consensus/log.rs
+++ b/crates/control-plane/src/consensus/log.rs
@@ -1,6 +1,6 @@
 //! The log as it is in stable storage, in memory: what raft reads.
-use super::RecoveryError;
 use super::durable::{LogPosition, RecoveredState};
+use super::error::RecoveryError;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
--- a/crates/control-plane/src/content.rs
+++ b/crates/control-plane/src/content.rs
@@ -1,6 +1,5 @@
 //! The content of a version as it is transferred: the complete settings, or a JSON Patch (RFC 6902) on a version that the
 //! receiver has. A digest of the resulting settings detects a patch that produced something else.
-use crate::messages::ControlMessage;
 use crate::version::VersionNumber;
 use serde_json::Value;
 
@@ -38,22 +37,6 @@
     pub text: String,
 }
 
-impl VersionContent {
-    /// The message with the part from byte `offset` on.
-    pub fn part(&self, offset: usize) -> ControlMessage {
-        let bytes = self.text.as_bytes();
-        let end = (offset + MAX_PART_BYTES).min(bytes.len());
-        ControlMessage::ContentPart {
-            number: self.number,
-            base: self.base,
-            digest: self.digest,
-            total_bytes: bytes.len() as u32,
-            offset: offset as u32,
-            bytes: bytes.get(offset..end).unwrap_or_default().to_vec(),
-        }
-    }
-}
-
 /// The JSON Patch that turns `from` into `to`, both canonical. None if it would not reproduce `to` byte by byte, or is no
 /// shorter than `to`.
 pub fn make_patch(from: &str, to: &str) -> Option<String> {
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between a control server and a router. They travel in the frames of `alderway_transport`, encoded by `postcard`: the
 //! order of variants and fields is the wire format. Durations are seconds; no message carries a point in time, because
 //! the clocks of the two ends are not comparable.
-use crate::content::Digest;
+use crate::content::{Digest, MAX_PART_BYTES, VersionContent};
 use crate::version::VersionNumber;
 use alderway_transport::{WireMessage, encode_message};
 use serde::{Deserialize, Serialize};
@@ -42,6 +42,22 @@
     },
 }
 
+impl ControlMessage {
+    /// The message with the part of a content from byte `offset` on.
+    pub fn content_part(content: &VersionContent, offset: usize) -> Self {
+        let bytes = content.text.as_bytes();
+        let end = (offset + MAX_PART_BYTES).min(bytes.len());
+        ControlMessage::ContentPart {
+            number: content.number,
+            base: content.base,
+            digest: content.digest,
+            total_bytes: bytes.len() as u32,
+            offset: offset as u32,
+            bytes: bytes.get(offset..end).unwrap_or_default().to_vec(),
+        }
+    }
+}
+
 impl WireMessage for ControlMessage {
     const PROTOCOL_ID: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
--- a/crates/control-plane/src/publisher/link.rs
+++ b/crates/control-plane/src/publisher/link.rs
@@ -97,7 +97,7 @@
     /// The next part of the transfer; the last one ends it.
     pub(super) fn take_part(&mut self) -> Option<ControlMessage> {
         let Transfer { content, offset } = self.transfer.as_mut()?;
-        let part = content.part(*offset);
+        let part = ControlMessage::content_part(content, *offset);
         *offset += MAX_PART_BYTES;
         if *offset >= content.text.len() {
             self.sent = Some((content.number, content.digest));
--- a/crates/control-plane/src/replica/apply.rs
+++ b/crates/control-plane/src/replica/apply.rs
@@ -1,7 +1,8 @@
 //! What a durable write allows: messages are sent, committed entries are applied to the version log, clients are told.
 use super::state::{AppliedState, encode};
 use super::status::ReplicaEvent;
-use super::{ProposalOutcome, Replica, messages};
+use super::waiting_clients::ProposalOutcome;
+use super::{Replica, messages};
 use crate::consensus::{Effects, EntryKind, RecoveryError};
 use crate::version::Proposal;
 use crate::version_log::VersionLog;
--- a/crates/control-plane/src/replica/membership.rs
+++ b/crates/control-plane/src/replica/membership.rs
@@ -3,9 +3,9 @@
 //! Each disk has an id of its own, which is the member's in quorums. A replica with an empty disk is another member, which
 //! takes the place of its predecessor by a change that a quorum commits. So nobody votes or acknowledges under an id whose
 //! promises were lost with a disk.
-use super::state::{AppliedState, encode};
+use super::Replica;
+use super::state::{AppliedState, ReplicaName, encode};
 use super::status::ReplicaEvent;
-use super::{Replica, ReplicaName};
 use crate::consensus::{Consensus, RecoveredState, ReplicaId, WriteBatch, founding_batch};
 use raft::eraftpb::{ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2, ConfState};
 use std::collections::VecDeque;
@@ -15,13 +15,6 @@
 /// A learner may become a voter when it lacks no more entries than these.
 const MAX_LAG_ENTRIES: u64 = 100;
 
-/// What a replica announced last.
-pub(super) struct Announcement {
-    pub(super) replica_id: ReplicaId,
-    pub(super) group_id: u64,
-    pub(super) received_at: f64,
-}
-
 impl Replica {
     /// Founds the group if this is the member with the least name and all others announced empty disks. Only that member
     /// founds, so there are never two groups; the others join with the first announcement that names them.
--- a/crates/control-plane/src/replica/messages.rs
+++ b/crates/control-plane/src/replica/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between replicas, encoded by `postcard`: the order of variants and fields is the wire format. Messages of
 //! consensus are sent in fragments, because they may be longer than a frame.
-use super::ReplicaName;
+use super::state::ReplicaName;
 use crate::consensus::ReplicaId;
 use crate::version::VersionNumber;
 use crate::version_sink::RouterSummary;
--- a/crates/control-plane/src/replica/mod.rs
+++ b/crates/control-plane/src/replica/mod.rs
@@ -13,25 +13,20 @@
 mod read_index;
 mod state;
 mod status;
+mod waiting_clients;
 
 use crate::consensus::{Consensus, RecoveredState, RecoveryError, ReplicaId, StableStorage, WriteBatch};
 use crate::version::{Version, VersionNumber};
 use crate::version_log::VersionLog;
-use membership::Announcement;
 use messages::Reassembly;
 pub use messages::ReplicaMessage;
-use proposals::WaitingClients;
-pub use proposals::{ClientId, MAX_PROPOSAL_BYTES, MAX_WAITING_CLIENTS, ProposalOutcome};
 use read_index::ReadIndex;
-use state::{Identity, encode};
-pub use status::{ReplicaEvent, ReplicaStatus, Unavailable};
+pub use state::ReplicaName;
+use state::{Announcement, Identity, encode};
+pub use status::{REPLACE_DISK_ADVICE, ReplicaEvent, ReplicaStatus, Unavailable};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-
-/// Name of a replica, as the operator's file has it.
-pub type ReplicaName = String;
-
-/// What an operator does with a replica whose disk is of no more use.
-pub const REPLACE_DISK_ADVICE: &str = "replace it by an empty one: stop it, move its data away, start it";
+use waiting_clients::WaitingClients;
+pub use waiting_clients::{ClientId, MAX_PROPOSAL_BYTES, MAX_WAITING_CLIENTS, ProposalOutcome};
 
 /// Seconds between two calls of [`Replica::tick`].
 pub const TICK_S: f64 = 0.1;
--- a/crates/control-plane/src/replica/state.rs
+++ b/crates/control-plane/src/replica/state.rs
@@ -1,10 +1,19 @@
-//! What a replica writes to its disk besides the log, as JSON.
-use super::ReplicaName;
+//! Who a replica is and who its peers are; what it writes to its disk besides the log, as JSON.
 use crate::consensus::ReplicaId;
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
+/// Name of a replica, as the operator's file has it.
+pub type ReplicaName = String;
+
+/// What a replica announced last.
+pub(super) struct Announcement {
+    pub(super) replica_id: ReplicaId,
+    pub(super) group_id: u64,
+    pub(super) received_at: f64,
+}
+
 /// Which replica a disk belongs to. The id never changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct Identity {
--- a/crates/control-plane/src/replica/status.rs
+++ b/crates/control-plane/src/replica/status.rs
@@ -1,10 +1,13 @@
 //! How a replica stands, for operators and the log.
-use super::{REPLACE_DISK_ADVICE, ReplicaName};
+use super::state::ReplicaName;
 use crate::version::VersionNumber;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 
+/// What an operator does with a replica whose disk is of no more use.
+pub const REPLACE_DISK_ADVICE: &str = "replace it by an empty one: stop it, move its data away, start it";
+
 /// How a replica stands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
--- a/crates/control-plane/tests/version_acceptance.rs
+++ b/crates/control-plane/tests/version_acceptance.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use alderway_control_plane::content::{self, VersionContent};
-use alderway_control_plane::messages::RouterMessage;
+use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_control_plane::publisher::{CacheError, Publisher, PublisherConfig};
 use alderway_control_plane::subscriber::{
     Command, ConfigVersion, ControlEndpoint, Event, Subscriber, SubscriptionConfig,
@@ -97,7 +97,7 @@
     let patch = r#"[{"op":"replace","path":"/a","value":2}]"#.to_string();
     let content =
         VersionContent { number: 5, base: 4, digest: content::digest(r#"{"a":3}"#), text: patch.clone() };
-    router.receive(content.part(0), 1.1);
+    router.receive(ControlMessage::content_part(&content, 0), 1.1);
     assert_eq!(router.versions().received().number, 4);
     assert!(matches!(router.next_command(), Some(Command::Log(Event::DigestMismatch { number: 5, .. }))));
     let frame = router.next_message(2.2).expect("subscribes again");
@@ -107,15 +107,15 @@
     ));
     // A patch on a version that the router does not have.
     let content = VersionContent { number: 6, base: 5, digest: content::digest(r#"{"a":2}"#), text: patch };
-    router.receive(content.part(0), 2.3);
+    router.receive(ControlMessage::content_part(&content, 0), 2.3);
     assert_eq!(router.versions().received().number, 4);
     // Complete settings are accepted. After unusable ones the control server is left.
     let complete = r#"{"a":3}"#.to_string();
     let content = VersionContent { number: 5, base: 0, digest: content::digest(&complete), text: complete };
-    router.receive(content.part(0), 2.4);
+    router.receive(ControlMessage::content_part(&content, 0), 2.4);
     assert_eq!(router.versions().received().number, 5);
     let content = VersionContent { number: 6, base: 0, digest: 7, text: "{}".into() };
-    router.receive(content.part(0), 2.5);
+    router.receive(ControlMessage::content_part(&content, 0), 2.5);
     assert_eq!((router.versions().received().number, router.connected_to()), (5, None));
 }
 
@@ -141,7 +141,7 @@
         digest: content::digest(r#"{"a":1}"#),
         text: r#"{"a":1}"#.into(),
     };
-    router.receive(content.part(0), 1.1);
+    router.receive(ControlMessage::content_part(&content, 0), 1.1);
     assert_eq!(&*router.versions().received().text, r#"{"a":2}"#);
     assert!(matches!(router.next_command(), Some(Command::Log(Event::Conflict { number: 1, .. }))));
     // The next version is sent to it complete.
