--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -2,8 +2,8 @@
 //! clocks and threads. Pre-vote and check-quorum are on: a replica that comes back from a partition does not depose a
 //! leader, and a leader that hears no quorum for an election timeout steps down.
 //!
-//! What must be durable before what is said: [`Consensus::pending_write`] hands out a write, and nothing is sent or
-//! applied that follows from it before [`Consensus::write_completed`] is told that it is on disk. That covers the three
+//! What must be durable before what is said: `Consensus::pending_write` hands out a write, and nothing is sent or
+//! applied that follows from it before `Consensus::write_completed` is told that it is on disk. That covers the three
 //! promises of raft: a vote is sent only when term and vote are durable, entries are acknowledged only when they are, and a
 //! leader counts itself only for what its own disk has. Nothing is fed in between.
 //!
@@ -233,7 +233,7 @@
         Some((progress.recent_active, lacking))
     }
 
-    /// The next write that has to be durable; the same one until [`Consensus::write_completed`].
+    /// The next write that has to be durable; the same one until `Consensus::write_completed`.
     pub(crate) fn pending_write(&mut self) -> Option<WriteBatch> {
         if self.pending_write.is_none() {
             self.pending_write = self.next_write();
--- a/crates/control-plane/src/replica/mod.rs
+++ b/crates/control-plane/src/replica/mod.rs
@@ -5,7 +5,12 @@
 //! nothing is sent, applied or answered before its write has succeeded. After a failed write the replica takes no part until
 //! the same write succeeds, and serves the versions that it has.
 //!
-//! Only the leader appends to the log and changes members; any replica takes proposals and forwards them.
+//! What a leader may do: append proposals to the log, change members, and confirm to others how new their versions are. It
+//! is elected by a quorum for a term, and loses the office when it hears of a later term or, for an election timeout, of no
+//! quorum. Every replica takes proposals, and forwards them if it is not the leader.
+//!
+//! Who fences whom: replicas refuse messages of an earlier term; a quorum counts ids of disks, so that a replica which lost
+//! its disk cannot act under its former promises (`membership`); a publisher refuses an earlier incarnation of a router.
 mod apply;
 mod membership;
 mod messages;
