--- a/crates/control-server/src/replica_links/incoming.rs
+++ b/crates/control-server/src/replica_links/incoming.rs
@@ -4,8 +4,7 @@
 use crate::outbox::PeerFrame;
 use crate::state::{RouterSummaryReply, SharedState};
 use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
-use alderway_transport::exchange_hellos;
-use alderway_transport::{FrameReader, Received};
+use alderway_transport::{FrameReader, Received, encode_hello, exchange_hellos};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -40,9 +39,8 @@
     let _ = stream.set_nodelay(true);
     let (mut output, mut reader) = (vec![], FrameReader::<PeerFrame>::default());
     let mut buffer = vec![0; READ_BUFFER_BYTES];
-    alderway_transport::encode_hello::<PeerFrame>(&mut output, &own_hello(state));
-    let hello =
-        exchange_hellos(stream, &mut output, &mut reader, &mut buffer).await.map_err(LinkError::Handshake)?;
+    encode_hello::<PeerFrame>(&mut output, &own_hello(state));
+    let hello = exchange_hellos(stream, &mut output, &mut reader, &mut buffer).await?;
     let peer = hello.name;
     let connection = register(state, &peer, latest)?;
     let is_latest = || latest.borrow().get(&peer) == Some(&connection);
--- a/crates/control-server/src/subscriptions/connection.rs
+++ b/crates/control-server/src/subscriptions/connection.rs
@@ -4,8 +4,9 @@
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_control_plane::publisher::LinkError;
 use alderway_sockets::Sender;
-use alderway_transport::exchange_hellos;
-use alderway_transport::{FrameError, FrameReader, Hello, Received, WireMessage};
+use alderway_transport::{
+    FrameError, FrameReader, HandshakeError, Hello, Received, encode_hello, exchange_hellos,
+};
 use std::rc::Rc;
 use std::time::Duration;
 use thiserror::Error;
@@ -21,8 +22,8 @@
 /// Why a connection was ended by this side.
 #[derive(Debug, Error)]
 enum ConnectionError {
-    #[error("{0}")]
-    Handshake(alderway_transport::HandshakeError),
+    #[error(transparent)]
+    Handshake(#[from] HandshakeError),
     #[error("{0}")]
     Refused(LinkError),
     #[error("{router}: {source}")]
@@ -97,11 +98,10 @@
     async fn open(hub: &'a Hub, stream: &'a TcpStream) -> Result<Self, ConnectionError> {
         let (mut output, mut reader) = (vec![], FrameReader::<RouterMessage>::default());
         let mut buffer = vec![0; MAX_MESSAGE_BYTES];
-        let (name, incarnation) = (hub.name.clone(), hub.incarnation);
-        let own_hello = Hello { version: ControlMessage::VERSION, is_planner: false, incarnation, name };
-        alderway_transport::encode_hello::<ControlMessage>(&mut output, &own_hello);
-        let hello = exchange_hellos(stream, &mut output, &mut reader, &mut buffer).await;
-        let Hello { name: router, incarnation, .. } = hello.map_err(ConnectionError::Handshake)?;
+        let own_hello = Hello::new::<ControlMessage>(hub.name.clone(), hub.incarnation);
+        encode_hello::<ControlMessage>(&mut output, &own_hello);
+        let hello = exchange_hellos(stream, &mut output, &mut reader, &mut buffer).await?;
+        let Hello { name: router, incarnation, .. } = hello;
         let number = hub.publisher.borrow_mut().open_link(&router, incarnation, hub.clock.now());
         let number = number.map_err(ConnectionError::Refused)?;
         let link = hub.add(number);
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,9 +1,9 @@
 //! The driver of discovery's watch: through losses and silences to a new watch, while the old list holds.
 use super::arrival;
 use super::until;
-use crate::state::desk::Desk;
-use crate::state::following::{Following as Follows, Watching};
-use crate::state::roster::Roster;
+use crate::state::dispatcher::Dispatcher;
+use crate::state::endpoints::EndpointTable;
+use crate::state::watch_state::{WatchPhase, WatchState};
 use crate::wire::buffer::Buffer;
 use crate::wire::discovery::{self, Watch, Word};
 use crate::wire::layout;
@@ -21,13 +21,13 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-/// Whoever keeps the list: a core's desk, or the lead of several.
+/// Whoever keeps the list: a core's dispatcher, or the lead of several.
 pub trait Follower {
     fn clock(&self) -> Clock;
     /// Whether changes come only when the module asks to follow the list.
     fn follows(&self) -> bool;
     fn asked(&self) -> Arc<Notify>;
-    fn roster(&mut self) -> &mut Roster;
+    fn endpoints(&mut self) -> &mut EndpointTable;
     fn changed(&mut self);
     /// A watch is lost, whether or not it had answered.
     fn watch_lost(&mut self, answered: bool);
@@ -50,55 +50,56 @@
     }
 }
 
-impl Follower for Desk {
+impl Follower for Dispatcher {
     fn clock(&self) -> Clock {
         self.clock
     }
     fn follows(&self) -> bool {
-        self.room.polls_endpoints
+        self.admission.polls_endpoints
     }
     fn asked(&self) -> Arc<Notify> {
-        self.follow.clone()
+        self.poll_requested.clone()
     }
-    fn roster(&mut self) -> &mut Roster {
-        &mut self.roster
+    fn endpoints(&mut self) -> &mut EndpointTable {
+        &mut self.endpoints
     }
     fn changed(&mut self) {
-        self.roster_changed();
+        self.endpoints_changed();
     }
     fn watch_lost(&mut self, answered: bool) {
-        self.counters.one("discovery_watches_lost");
-        if self.room.polls_endpoints && answered {
-            self.roster_failed();
+        self.counters.increment("discovery_watches_lost");
+        if self.admission.polls_endpoints && answered {
+            self.endpoint_poll_failed();
         }
     }
     fn quiet(&mut self, span: f64) {
-        self.counters.most("discovery_quiet_ms_most", (span * 1e3) as u64);
+        self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
     }
     fn moved(&mut self) {
-        self.counters.one("discovery_moves");
+        self.counters.increment("discovery_moves");
     }
     fn layout_since(&self) -> Option<u64> {
-        self.ground.as_ref().map(|ground| ground.version().unwrap_or(0))
+        self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
     fn layout(&mut self, news: News) -> Result<(), Faulty> {
         let now = self.clock.now();
-        let Some(ground) = &mut self.ground else { return Ok(()) };
-        let shards = ground.take(news, now).inspect_err(|_| self.counters.one("layouts_refused"))?;
+        let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
+        let shards =
+            shard_map.apply(news, now).inspect_err(|_| self.counters.increment("layouts_refused"))?;
         if !shards.is_empty() {
-            self.layout_changed(&shards);
+            self.shard_map_changed(&shards);
         }
         Ok(())
     }
 }
 
-pub type Following = Rc<RefCell<dyn Follower>>;
+pub type SharedFollower = Rc<RefCell<dyn Follower>>;
 
 /// How often a follower hears that nothing is unread.
 const LOOKS: Duration = Duration::from_millis(100);
 
 /// Waits for something while there is no watch that could tell anything: the old list holds.
-async fn unwatched<T>(list: &Following, what: impl Future<Output = T>) -> T {
+async fn unwatched<T>(list: &SharedFollower, what: impl Future<Output = T>) -> T {
     if !list.borrow().leads() {
         return what.await;
     }
@@ -114,17 +115,17 @@
 
 /// Watches for as long as the program runs, at the address that `agent` holds. Where that changes the old watch
 /// ends at once and the new one begins; until it tells something, the old list holds.
-pub async fn run(list: Following, mut agent: Receiver<SocketAddr>) {
+pub async fn run(list: SharedFollower, mut agent: Receiver<SocketAddr>) {
     let (clock, follows, asked) = {
         let list = list.borrow();
         (list.clock(), list.follows(), list.asked())
     };
-    let (mut state, mut whole, mut heard) = (Follows::new(follows), false, clock.now());
+    let (mut state, mut whole, mut heard) = (WatchState::new(follows), false, clock.now());
     loop {
-        let due = state.due();
+        let due = state.deadline();
         let rest = async {
             tokio::select! {
-                () = asked.notified(), if state.state == Watching::Unasked => {}
+                () = asked.notified(), if state.phase == WatchPhase::NotRequested => {}
                 () = until(clock, due), if due.is_finite() => {}
                 Ok(()) = agent.changed() => {}
             }
@@ -136,7 +137,7 @@
             why = watch(&list, address, &mut state, &mut whole, &mut heard) => why,
             Ok(()) = agent.changed() => {
                 list.borrow_mut().moved();
-                state.state = Watching::Pausing { until: clock.now() };
+                state.phase = WatchPhase::Waiting { until: clock.now() };
                 continue;
             }
         };
@@ -148,22 +149,22 @@
 
 /// One watch; returns why it ended.
 async fn watch(
-    list: &Following,
+    list: &SharedFollower,
     address: SocketAddr,
-    state: &mut Follows,
+    state: &mut WatchState,
     whole: &mut bool,
     heard: &mut f64,
 ) -> String {
     let (clock, since, mut layout) = {
         let mut list = list.borrow_mut();
         let layout = list.layout_since();
-        (list.clock(), list.roster().index, layout)
+        (list.clock(), list.endpoints().version, layout)
     };
     // Changes could not be followed from the version held: guards against asking for them for ever.
     if std::mem::take(whole) {
         layout = layout.map(|_| 0);
     }
-    let limit = Duration::from_secs_f64((state.due() - clock.now()).max(0.0));
+    let limit = Duration::from_secs_f64((state.deadline() - clock.now()).max(0.0));
     let stream = match unwatched(list, timeout(limit, alderway_sockets::dial(address))).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(why)) => return format!("no connection ({why})"),
@@ -186,7 +187,7 @@
             biased;
             _ = stream.readable() => {}
             () = sender.ready(&stream), if written < out.len() => {}
-            () = until(clock, state.due()) => return "silence".into(),
+            () = until(clock, state.deadline()) => return "silence".into(),
             () = sleep(LOOKS), if leads => {
                 // The time is read first: what comes after it may be missed by this look.
                 let now = clock.now();
@@ -209,50 +210,50 @@
                 Ok(Some(word)) => {
                     let now = clock.now();
                     if word == Word::Head {
-                        state.answered();
+                        state.response_started();
                         continue;
                     }
-                    state.heard(now);
+                    state.update_received(now);
                     list.borrow_mut().quiet(now - std::mem::replace(heard, now));
                     if let Word::Object(end) = word
                         && let Err(why) = take(list, &buffer.data()[..end], whole)
                     {
                         return why.into();
                     }
-                    list.borrow_mut().roster().heard = Some(now);
+                    list.borrow_mut().endpoints().last_contact_s = Some(now);
                 }
             }
         }
         // Guards against bytes that keep coming and make nothing whole.
-        if clock.now() >= state.due() {
+        if clock.now() >= state.deadline() {
             return "silence".into();
         }
     }
 }
 
 /// One object of the watch: a list or a change.
-fn take(list: &Following, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
+fn take(list: &SharedFollower, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
     let (index, whole) = discovery::version(line)?;
     let mut list = list.borrow_mut();
-    let (clock, roster) = (list.clock(), list.roster());
+    let (clock, endpoints) = (list.clock(), list.endpoints());
     let now = clock.now();
-    if !whole && roster.index.is_none_or(|held| index < held) {
+    if !whole && endpoints.version.is_none_or(|held| index < held) {
         // Not a change to the list held: the next watch asks for the whole one.
-        roster.index = None;
+        endpoints.version = None;
         return Err("a change to an older list");
     }
-    roster.begin(index, whole);
+    endpoints.begin_update(index, whole);
     let (mut entries, mut unusable, mut wrong) = (0, 0, None);
     discovery::entries(line, |name, told| match told {
         Ok(node) => {
             entries += 1;
             let started = clock.from_unix_ms(node.since);
-            roster.told(name, node.address, node.cell, node.state, started, now);
+            endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
         }
         Err((state, why)) => {
             unusable += 1;
             wrong.get_or_insert_with(|| format!("that of node `{name}`: {why}"));
-            roster.unreadable(name, state);
+            endpoints.mark_unreadable(name, state);
         }
     })?;
     if let Some(first) = wrong {
