--- a/crates/control-plane/src/replica/mod.rs
+++ b/crates/control-plane/src/replica/mod.rs
@@ -5,7 +5,12 @@
 //! nothing is sent, applied or answered before its write has succeeded. After a failed write the replica takes no part until
 //! the same write succeeds, and serves the versions that it has.
 //!
-//! Only the leader appends to the log and changes members; any replica takes proposals and forwards them.
+//! What a leader may do: append proposals to the log, change members, and confirm to others how new their versions are. It
+//! is elected by a quorum for a term, and loses the office when it hears of a later term or, for an election timeout, of no
+//! quorum. Every replica takes proposals, and forwards them if it is not the leader.
+//!
+//! Who fences whom: replicas refuse messages of an earlier term; a quorum counts ids of disks, so that a replica which lost
+//! its disk cannot act under its former promises (`membership`); a publisher refuses an earlier incarnation of a router.
 mod apply;
 mod membership;
 mod messages;
@@ -13,25 +18,20 @@
 mod read_index;
 mod state;
 mod status;
+mod waiting_clients;
 
 use crate::consensus::{Consensus, RecoveredState, RecoveryError, ReplicaId, StableStorage, WriteBatch};
 use crate::version::{Version, VersionNumber};
 use crate::version_log::VersionLog;
-use membership::Announcement;
 use messages::Reassembly;
 pub use messages::ReplicaMessage;
-use proposals::WaitingClients;
-pub use proposals::{ClientId, MAX_PROPOSAL_BYTES, MAX_WAITING_CLIENTS, ProposalOutcome};
 use read_index::ReadIndex;
-use state::{Identity, encode};
-pub use status::{ReplicaEvent, ReplicaStatus, Unavailable};
+pub use state::ReplicaName;
+use state::{Announcement, Identity, encode};
+pub use status::{REPLACE_DISK_ADVICE, ReplicaEvent, ReplicaStatus, Unavailable};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-
-/// Name of a replica, as the operator's file has it.
-pub type ReplicaName = String;
-
-/// What an operator does with a replica whose disk is of no more use.
-pub const REPLACE_DISK_ADVICE: &str = "replace it by an empty one: stop it, move its data away, start it";
+use waiting_clients::WaitingClients;
+pub use waiting_clients::{ClientId, MAX_PROPOSAL_BYTES, MAX_WAITING_CLIENTS, ProposalOutcome};
 
 /// Seconds between two calls of [`Replica::tick`].
 pub const TICK_S: f64 = 0.1;
