--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -7,10 +7,10 @@
 use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::Terms;
-use alderway_router::control::{Subscription, persisted_version};
+use alderway_router::control::Subscription;
 use alderway_router::gossip::{Circle, Members};
 use alderway_router::lifecycle::start::Role;
-use alderway_router::lifecycle::{serve, start};
+use alderway_router::lifecycle::{control_settings, serve, start};
 use alderway_router::state::descriptors;
 use alderway_router::state::ground::Following;
 use alderway_router::state::house::Sharing;
@@ -107,7 +107,7 @@
 fn subscription(operator: &Operator) -> Option<Subscription> {
     let said = operator.subscription.as_ref()?;
     let (zone, keep) = (said.zone.clone(), said.keep.clone().map(PathBuf::from));
-    let terms = SubscriptionConfig {
+    let config = SubscriptionConfig {
         heartbeat_timeout_s: said.silent,
         stale_after_s: said.old,
         ..SubscriptionConfig::default()
@@ -119,10 +119,10 @@
     Some(Subscription {
         machines: machines.collect(),
         zone,
-        terms,
+        config,
         persist_path: keep,
         persisted: None,
-        load_error: None,
+        startup_error: None,
     })
 }
 
@@ -140,7 +140,7 @@
     let peers = peers.map(|peers| peers.ceil() as u64);
     let mut station = match subscription(&operator) {
         None => start::read_among(&files.config, clock, peers)?,
-        Some(subscription) => persisted_version::station(subscription, &files.config, clock, peers)?,
+        Some(subscription) => control_settings::read_station(subscription, &files.config, clock, peers)?,
     };
     if let Some(path) = files.operator.clone() {
         let held = operator.clone();
--- a/crates/lab/src/scale/simulated_routers.rs
+++ b/crates/lab/src/scale/simulated_routers.rs
@@ -132,9 +132,9 @@
             Box::pin(async { ApplyOutcome::Applied })
         }),
         persist: Box::new(|_, _| {}),
-        observe: Box::new(move |subscriber, bytes, now| {
+        observe: Box::new(move |subscriber, traffic, now| {
             let mut state = observed.borrow_mut();
-            state.bytes = bytes;
+            state.bytes = (traffic.received_bytes, traffic.sent_bytes);
             state.control_machine = subscriber.connected_to().map(|machine| machine.name.clone());
             state.staleness_s = subscriber.staleness_s(now);
         }),
--- /dev/null
+++ b/crates/router/src/control/driver.rs
@@ -0,0 +1,294 @@
+//! The driver of a subscription: carries out the subscriber's commands and tells it what came of them.
+use super::connection::{Connection, ConnectionError, Incoming};
+use alderway_control_plane::messages::ApplyOutcome;
+use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
+use alderway_control_plane::subscriber::{Command, ConfigVersion, Event as LogEvent, Subscriber};
+use alderway_control_plane::version::VersionNumber;
+use alderway_telemetry::clock::Clock;
+use alderway_transport::{Incarnation, Name};
+use serde_json::Value;
+use std::future::pending;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::sleep;
+
+/// While the rate limit allows fewer bytes than this, nothing is read.
+const MIN_READ_BYTES: usize = 200;
+/// Between two calls of [`SubscriptionHost::observe`].
+const OBSERVE_INTERVAL_S: f64 = 0.5;
+/// The driver wakes at least so often, and at most so often without an event.
+const MAX_WAIT_S: f64 = 1.0;
+const MIN_WAIT_S: f64 = 0.0005;
+
+type BoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
+
+/// Applies settings under their version number, and says what came of it.
+pub type ApplySettings = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
+/// Is shown the subscription twice a second, with the traffic so far and the time in seconds of the host's clock.
+pub type ObserveSubscriber = Box<dyn FnMut(&Subscriber, Traffic, f64)>;
+/// Persists the version that the next start is to begin with, and when it was last known to be the latest, in seconds of the
+/// host's clock, if that is known.
+pub type PersistVersion = Box<dyn Fn(ConfigVersion, Option<f64>)>;
+
+/// Bytes of all connections so far.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Traffic {
+    /// From control machines.
+    pub received_bytes: u64,
+    /// To control machines.
+    pub sent_bytes: u64,
+}
+
+/// The router that a subscription belongs to.
+pub struct SubscriptionHost {
+    /// Its name in the hello.
+    pub name: Name,
+    /// Which of its starts this is.
+    pub incarnation: Incarnation,
+    /// Name and address of each control machine, in the order of the subscriber's list.
+    pub machines: Vec<(Name, SocketAddr)>,
+    /// The clock of all times that the subscriber is given.
+    pub clock: Clock,
+    /// Brings a version into force.
+    pub apply: ApplySettings,
+    /// Persists a version.
+    pub persist: PersistVersion,
+    /// Watches the subscription.
+    pub observe: ObserveSubscriber,
+    /// Whether the subscriber's events are written to the log.
+    pub log_events: bool,
+}
+
+/// Runs a subscription. Never returns; the task is aborted where the subscription has to end.
+pub async fn run(subscriber: Subscriber, host: SubscriptionHost) {
+    let read_limit = TokenBucket::empty(ROUTER_READ, host.clock.now());
+    let driver = Driver {
+        subscriber,
+        host,
+        connecting: None,
+        connection: None,
+        applying: None,
+        read_limit,
+        buffer: vec![0; ROUTER_READ.burst_bytes as usize],
+        traffic: Traffic::default(),
+        next_observation: 0.0,
+    };
+    driver.run().await;
+}
+
+struct Connecting {
+    machine_name: Name,
+    stream: BoxFuture<io::Result<TcpStream>>,
+}
+
+struct Applying {
+    number: VersionNumber,
+    outcome: BoxFuture<ApplyOutcome>,
+}
+
+/// What the driver waits for.
+enum Event {
+    Connected(io::Result<TcpStream>),
+    Applied(ApplyOutcome),
+    /// False where the connection is known to have failed.
+    Readable(bool),
+    Writable,
+    DeadlineReached,
+}
+
+struct Driver {
+    subscriber: Subscriber,
+    host: SubscriptionHost,
+    connecting: Option<Connecting>,
+    connection: Option<Connection>,
+    applying: Option<Applying>,
+    read_limit: TokenBucket,
+    buffer: Vec<u8>,
+    traffic: Traffic,
+    next_observation: f64,
+}
+
+impl Driver {
+    async fn run(mut self) {
+        loop {
+            let now = self.host.clock.now();
+            self.subscriber.tick(now);
+            self.execute_commands();
+            self.observe(now);
+            self.send_messages(now);
+            let max_read_bytes = self.read_limit.available_bytes(now).min(self.buffer.len());
+            let event = self.next_event(now, max_read_bytes).await;
+            self.handle(event, max_read_bytes);
+        }
+    }
+
+    fn execute_commands(&mut self) {
+        while let Some(command) = self.subscriber.next_command() {
+            match command {
+                Command::Connect(index) => self.connect(index),
+                Command::Disconnect => (self.connection, self.connecting) = (None, None),
+                Command::Apply { number, settings } => {
+                    let outcome = (self.host.apply)(settings, number);
+                    self.applying = Some(Applying { number, outcome });
+                }
+                Command::Persist(version) => (self.host.persist)(version, self.subscriber.confirmed_at()),
+                Command::Log(event) if self.host.log_events => log(&event),
+                Command::Log(_) => {}
+            }
+        }
+    }
+
+    fn connect(&mut self, index: usize) {
+        self.connection = None;
+        let Some((machine_name, address)) = self.host.machines.get(index).cloned() else { return };
+        let stream = Box::pin(alderway_sockets::dial(address));
+        self.connecting = Some(Connecting { machine_name, stream });
+    }
+
+    fn observe(&mut self, now: f64) {
+        if now >= self.next_observation {
+            (self.host.observe)(&self.subscriber, self.traffic, now);
+            self.next_observation = now + OBSERVE_INTERVAL_S;
+        }
+    }
+
+    /// Sends what the subscriber has to say, as far as the socket takes it.
+    fn send_messages(&mut self, now: f64) {
+        let Some(connection) = &mut self.connection else { return };
+        while connection.is_ready_to_send()
+            && let Some(message) = self.subscriber.next_message(now)
+        {
+            connection.send(message);
+            match connection.write() {
+                Ok(count) => self.traffic.sent_bytes += count as u64,
+                // The output is left: the next write ends the connection.
+                Err(_) => return,
+            }
+        }
+    }
+
+    async fn next_event(&mut self, now: f64, max_read_bytes: usize) -> Event {
+        let may_read = max_read_bytes >= MIN_READ_BYTES;
+        let has_output = self.connection.as_ref().is_some_and(Connection::has_output);
+        let wait = Duration::from_secs_f64(self.wait_s(now, may_read));
+        tokio::select! {
+            biased;
+            stream = connected(&mut self.connecting) => Event::Connected(stream),
+            outcome = applied(&mut self.applying) => Event::Applied(outcome),
+            is_open = readable(&self.connection), if may_read => Event::Readable(is_open),
+            () = writable(&self.connection), if has_output => Event::Writable,
+            () = sleep(wait) => Event::DeadlineReached,
+        }
+    }
+
+    /// Until the subscriber has to be ticked, or bytes may be read again.
+    fn wait_s(&self, now: f64, may_read: bool) -> f64 {
+        let waits_for_limit = !may_read && self.connection.is_some();
+        let read_at = if waits_for_limit { self.read_limit.ready_at(MIN_READ_BYTES) } else { f64::INFINITY };
+        let deadline = self.subscriber.next_deadline().min(read_at).min(now + MAX_WAIT_S);
+        (deadline - now).max(MIN_WAIT_S)
+    }
+
+    fn handle(&mut self, event: Event, max_read_bytes: usize) {
+        match event {
+            Event::Connected(Ok(stream)) => self.open(stream),
+            Event::Connected(Err(_)) => {
+                self.connecting = None;
+                self.subscriber.connection_closed(self.host.clock.now());
+            }
+            Event::Applied(outcome) => {
+                if let Some(Applying { number, .. }) = self.applying.take() {
+                    self.subscriber.offer_completed(number, outcome);
+                }
+            }
+            Event::Readable(true) => {
+                let received = self.receive(max_read_bytes);
+                self.close_on_error(received);
+            }
+            Event::Readable(false) => self.close_on_error(Err(ConnectionError::Closed)),
+            Event::Writable => {
+                let written = self.write();
+                self.close_on_error(written);
+            }
+            Event::DeadlineReached => {}
+        }
+    }
+
+    fn open(&mut self, stream: TcpStream) {
+        let Some(Connecting { machine_name, .. }) = self.connecting.take() else { return };
+        let (own_name, incarnation) = (self.host.name.clone(), self.host.incarnation);
+        self.connection = Some(Connection::new(stream, machine_name, own_name, incarnation));
+    }
+
+    /// Reads up to `max_bytes`, and hands the subscriber all whole messages.
+    fn receive(&mut self, max_bytes: usize) -> Result<(), ConnectionError> {
+        let Some(connection) = &mut self.connection else { return Ok(()) };
+        let count = connection.read(&mut self.buffer[..max_bytes])?;
+        self.read_limit.try_take(count, self.host.clock.now());
+        self.traffic.received_bytes += count as u64;
+        while let Some(incoming) = connection.next_incoming()? {
+            let now = self.host.clock.now();
+            match incoming {
+                Incoming::Greeted => self.subscriber.connection_opened(now),
+                Incoming::Message(message) => self.subscriber.receive(message, now),
+            }
+        }
+        Ok(())
+    }
+
+    fn write(&mut self) -> Result<(), ConnectionError> {
+        let Some(connection) = &mut self.connection else { return Ok(()) };
+        self.traffic.sent_bytes += connection.write()? as u64;
+        Ok(())
+    }
+
+    fn close_on_error(&mut self, result: Result<(), ConnectionError>) {
+        let Err(error) = result else { return };
+        // The subscriber's own event tells of a connection that ended.
+        if !matches!(error, ConnectionError::Closed) {
+            tracing::warn!(target: "control", "{error}");
+        }
+        if self.connection.take().is_some() {
+            self.subscriber.connection_closed(self.host.clock.now());
+        }
+    }
+}
+
+fn log(event: &LogEvent) {
+    if event.is_warning() {
+        tracing::warn!(target: "control", "{event}");
+    } else {
+        tracing::info!(target: "control", "{event}");
+    }
+}
+
+async fn connected(connecting: &mut Option<Connecting>) -> io::Result<TcpStream> {
+    match connecting {
+        Some(connecting) => connecting.stream.as_mut().await,
+        None => pending().await,
+    }
+}
+
+async fn applied(applying: &mut Option<Applying>) -> ApplyOutcome {
+    match applying {
+        Some(applying) => applying.outcome.as_mut().await,
+        None => pending().await,
+    }
+}
+
+async fn readable(connection: &Option<Connection>) -> bool {
+    match connection {
+        Some(connection) => connection.readable().await,
+        None => pending().await,
+    }
+}
+
+async fn writable(connection: &Option<Connection>) {
+    match connection {
+        Some(connection) => connection.writable().await,
+        None => pending().await,
+    }
+}
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,146 +1,201 @@
-//! The version that a router starts with when no control machine can be asked: one file, written whole beside itself,
-//! synced and renamed, with a head that tells a torn one.
-use super::{Subscription, spawn_blocking, spawn_local, watch};
-use crate::lifecycle::start::{self, Read, Station};
-use alderway_control_plane::messages;
+//! The file that holds the version which a router starts with while no control machine can be reached.
+//!
+//! One line `alderway-version 1 NUMBER DIGEST CONFIRMED`, then the settings as text: the version's number, the digest of the
+//! text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The digest tells
+//! a damaged file. A version is in force before it is on disk: what a crash can lose is only that the next start knows it.
+use alderway_control_plane::messages::MAX_SETTINGS_BYTES;
 use alderway_control_plane::subscriber::ConfigVersion;
+use alderway_control_plane::version::VersionNumber;
 use alderway_telemetry::clock::Clock;
-use serde_json::Value;
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use thiserror::Error;
+use tokio::sync::watch;
+use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::timeout;
 
-const WORD: &str = "alderway-version 1";
-/// A head and the longest settings.
-const LONGEST: u64 = messages::MAX_SETTINGS_BYTES as u64 + 200;
+/// Opens the file and tells its format.
+const FORMAT: &str = "alderway-version 1";
+/// The longest first line, with room to spare.
+const MAX_HEADER_BYTES: u64 = 200;
+const MAX_FILE_BYTES: u64 = MAX_SETTINGS_BYTES as u64 + MAX_HEADER_BYTES;
+/// Stands for an unknown time in the first line.
+const UNKNOWN_TIME: &str = "-";
+/// Before a version that the disk refused is written again.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A version as it was kept.
+/// A version as the file holds it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistedVersion {
+    /// The version with its settings.
     pub version: ConfigVersion,
-    /// When it was last known to be the newest, by the wall clock of that time.
-    pub as_of_unix_ms: Option<u64>,
+    /// When it was last known to be the latest, in milliseconds of Unix time by the wall clock of then.
+    pub confirmed_at_unix_ms: Option<u64>,
+}
+
+/// Why the file can't be read or written.
+#[derive(Debug, Error)]
+pub enum PersistedVersionError {
+    /// The system reported an error.
+    #[error("{path}: {source}", path = path.display())]
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// As reported.
+        source: io::Error,
+    },
+    /// Longer than the longest version could make it.
+    #[error("{path}: longer than any version", path = path.display())]
+    TooLong {
+        /// The file.
+        path: PathBuf,
+    },
+    /// Damaged, or written by something else.
+    #[error("{path}: torn or not of this program", path = path.display())]
+    Corrupt {
+        /// The file.
+        path: PathBuf,
+    },
+}
+
+/// Why a router doesn't start with its persisted version: a line for the log.
+#[derive(Debug, Error)]
+pub enum StartupError {
+    /// There is none that can be read.
+    #[error("persisted version {0}; ignored")]
+    File(#[from] PersistedVersionError),
+    /// Its settings are refused by this program.
+    #[error("persisted version {number}: {reason}; ignored")]
+    InvalidSettings {
+        /// The version.
+        number: VersionNumber,
+        /// One line that names the key.
+        reason: String,
+    },
 }
 
 impl PersistedVersion {
-    fn text(&self) -> String {
+    /// Reads the file; none where there is no such file.
+    ///
+    /// # Errors
+    /// The file can't be read, or holds something else than a version.
+    pub fn load(path: &Path) -> Result<Option<PersistedVersion>, PersistedVersionError> {
+        let io_error = |source| PersistedVersionError::Io { path: path.into(), source };
+        match fs::metadata(path) {
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+            Err(error) => return Err(io_error(error)),
+            Ok(metadata) if metadata.len() > MAX_FILE_BYTES => {
+                return Err(PersistedVersionError::TooLong { path: path.into() });
+            }
+            Ok(_) => {}
+        }
+        let text = String::from_utf8(fs::read(path).map_err(io_error)?).ok();
+        match text.as_deref().and_then(PersistedVersion::decode) {
+            Some(persisted) => Ok(Some(persisted)),
+            None => Err(PersistedVersionError::Corrupt { path: path.into() }),
+        }
+    }
+
+    /// Replaces the file. After a crash at any moment either the former file is there whole or this one: it is written
+    /// beside the former, synced, renamed over it, and the directory is synced.
+    ///
+    /// # Errors
+    /// The system reported an error; the former file is still there, or this one.
+    pub fn store(&self, path: &Path) -> Result<(), PersistedVersionError> {
+        let stored = self.replace(path);
+        stored.map_err(|source| PersistedVersionError::Io { path: path.into(), source })
+    }
+
+    fn replace(&self, path: &Path) -> io::Result<()> {
+        let beside = path.with_extension("new");
+        let mut file = File::create(&beside)?;
+        file.write_all(self.encode().as_bytes())?;
+        file.sync_all()?;
+        drop(file);
+        fs::rename(&beside, path)?;
+        let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
+        File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
+    }
+
+    fn encode(&self) -> String {
         let ConfigVersion { number, digest, text } = &self.version;
-        let as_of = self.as_of_unix_ms.map_or("-".to_string(), |ms| ms.to_string());
-        format!("{WORD} {number} {digest:016x} {as_of}\n{text}")
+        let confirmed_at = self.confirmed_at_unix_ms.map_or(UNKNOWN_TIME.into(), |ms| ms.to_string());
+        format!("{FORMAT} {number} {digest:016x} {confirmed_at}\n{text}")
     }
 
-    fn read(text: &str) -> Option<PersistedVersion> {
-        let (head, text) = text.split_once('\n')?;
-        let mut head = head.strip_prefix(WORD)?.split_whitespace();
-        let number = head.next()?.parse().ok().filter(|number| *number > 0)?;
-        let digest = u64::from_str_radix(head.next()?, 16).ok()?;
-        let as_of_unix_ms = match head.next()? {
-            "-" => None,
+    fn decode(file: &str) -> Option<PersistedVersion> {
+        let (header, text) = file.split_once('\n')?;
+        let mut fields = header.strip_prefix(FORMAT)?.split_whitespace();
+        let number = fields.next()?.parse().ok().filter(|number| *number > 0)?;
+        let digest = u64::from_str_radix(fields.next()?, 16).ok()?;
+        let confirmed_at_unix_ms = match fields.next()? {
+            UNKNOWN_TIME => None,
             ms => Some(ms.parse().ok()?),
         };
         let version = ConfigVersion::new(number, text);
-        (version.digest == digest && head.next().is_none())
-            .then_some(PersistedVersion { version, as_of_unix_ms })
+        let is_sound = version.digest == digest && fields.next().is_none();
+        is_sound.then_some(PersistedVersion { version, confirmed_at_unix_ms })
     }
 }
 
-/// What is kept there; none where nothing is. Guards against a file that is torn, too long or another's.
-pub fn read(path: &Path) -> Result<Option<PersistedVersion>, String> {
-    let torn = |why: &str| Err(format!("kept file {}: {why}; ignored", path.display()));
-    match fs::metadata(path) {
-        Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(why) => return torn(&why.to_string()),
-        Ok(about) if about.len() > LONGEST => return torn("longer than any version"),
-        Ok(_) => {}
-    }
-    match fs::read(path).map(String::from_utf8) {
-        Err(why) => torn(&why.to_string()),
-        Ok(Err(_)) => torn("torn or not of this program"),
-        Ok(Ok(text)) => {
-            PersistedVersion::read(&text).map_or_else(|| torn("torn or not of this program"), |k| Ok(Some(k)))
-        }
-    }
+/// What the file is to hold next.
+#[derive(Clone)]
+struct Pending {
+    version: ConfigVersion,
+    /// In seconds of the clock.
+    confirmed_at: Option<f64>,
 }
 
-/// Writes beside, syncs, renames, and syncs the directory: at any moment the old one is there whole, or the new one.
-pub fn write(path: &Path, kept: &PersistedVersion) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    let mut file = File::create(&beside)?;
-    file.write_all(kept.text().as_bytes())?;
-    file.sync_all()?;
-    drop(file);
-    fs::rename(&beside, path)?;
-    let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
-    File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
-}
+/// Writes versions to the file, off the thread that serves.
+pub struct VersionWriter(watch::Sender<Option<Pending>>);
 
-/// A version, and when it was last known to be the newest.
-type Newest = Option<(ConfigVersion, Option<f64>)>;
-
-/// Between two tries to write a version that the disk refuses.
-const RETRY: Duration = Duration::from_secs(1);
+impl VersionWriter {
+    /// Starts the task that writes; it ends when the writer is dropped.
+    pub fn spawn(path: PathBuf, clock: Clock) -> VersionWriter {
+        let (sender, pending) = watch::channel(None);
+        spawn_local(write_all(pending, path, clock));
+        VersionWriter(sender)
+    }
 
-/// Keeps the newest of what it is sent, off the thread that serves.
-pub fn spawn_writer(path: PathBuf, clock: Clock) -> watch::Sender<Newest> {
-    let (sender, mut news) = watch::channel::<Newest>(None);
-    spawn_local(async move {
-        while news.changed().await.is_ok() {
-            // Guards against a disk that fails for a while: what is newest stays owed until it is kept.
-            while let Some(why) = keep_newest(&mut news, &path, clock).await {
-                tracing::error!(target: "control", "{why}; tried again in {} s", RETRY.as_secs());
-                // Whoever tells of versions is gone only as the program ends.
-                if let Ok(Err(_)) = timeout(RETRY, news.changed()).await {
-                    return;
-                }
-            }
-        }
-    });
-    sender
+    /// Has a version written, in place of an earlier one that has not been yet. `confirmed_at` is when it was last known to
+    /// be the latest, in seconds of the clock.
+    pub fn persist(&self, version: ConfigVersion, confirmed_at: Option<f64>) {
+        self.0.send_replace(Some(Pending { version, confirmed_at }));
+    }
 }
 
-/// A router's station with the settings that were kept, if there are sound ones; with the configuration's own where not.
-pub fn station(
-    mut subscription: Subscription,
-    config: &Path,
-    clock: Clock,
-    peers: Option<u64>,
-) -> Read<Station> {
-    let kept = subscription.persist_path.as_deref().map_or(Ok(None), read);
-    let (kept, mut said) = match kept {
-        Ok(kept) => (kept, None),
-        Err(why) => (None, Some(why)),
-    };
-    if let Some(kept) = kept {
-        let number = kept.version.number;
-        let settings = serde_json::from_str::<Value>(&kept.version.text).map_err(|why| why.to_string());
-        match settings.and_then(|settings| start::read_with(config, clock, peers, Some(settings))) {
-            Ok(mut station) => {
-                subscription.persisted = Some(kept);
-                station.control = Some(subscription);
-                return Ok(station);
+async fn write_all(mut pending: watch::Receiver<Option<Pending>>, path: PathBuf, clock: Clock) {
+    while pending.changed().await.is_ok() {
+        // A disk may fail for a while: the latest version is tried again until it is written.
+        while let Err((number, error)) = write_latest(&mut pending, &path, clock).await {
+            let delay_s = RETRY_DELAY.as_secs();
+            tracing::error!(target: "control", "version {number} is not persisted: {error}; tried again in {delay_s} s");
+            let is_writer_gone = matches!(timeout(RETRY_DELAY, pending.changed()).await, Ok(Err(_)));
+            if is_writer_gone {
+                return;
             }
-            Err(why) => said = Some(format!("version {number} of the kept file: {why}; ignored")),
         }
     }
-    subscription.load_error = said;
-    let mut station = start::read_among(config, clock, peers)?;
-    station.control = Some(subscription);
-    Ok(station)
 }
 
-/// Writes the newest version; why it is not kept, if it is not.
-async fn keep_newest(news: &mut watch::Receiver<Newest>, path: &Path, clock: Clock) -> Option<String> {
-    let (version, as_of) = news.borrow_and_update().clone()?;
-    let (number, path) = (version.number, path.to_path_buf());
-    let age = as_of.map(|as_of| clock.now() - as_of);
-    let as_of_unix_ms = age.map(|age| ((clock.unix_now() - age).max(0.0) * 1e3) as u64);
-    let kept = PersistedVersion { version, as_of_unix_ms };
-    let why = match spawn_blocking(move || write(&path, &kept)).await {
-        Ok(Ok(())) => return None,
-        Ok(Err(why)) => why.to_string(),
-        Err(why) => why.to_string(),
-    };
-    Some(format!("version {number} is not kept on disk: {why}"))
+/// Writes the latest version, or says of which version that failed and why.
+async fn write_latest(
+    pending: &mut watch::Receiver<Option<Pending>>,
+    path: &Path,
+    clock: Clock,
+) -> Result<(), (VersionNumber, PersistedVersionError)> {
+    let latest = pending.borrow_and_update().clone();
+    let Some(Pending { version, confirmed_at }) = latest else { return Ok(()) };
+    let number = version.number;
+    let age_s = confirmed_at.map(|confirmed_at| clock.now() - confirmed_at);
+    let confirmed_at_unix_ms = age_s.map(|age_s| ((clock.unix_now() - age_s).max(0.0) * 1e3) as u64);
+    let persisted = PersistedVersion { version, confirmed_at_unix_ms };
+    let target = path.to_path_buf();
+    let stored = spawn_blocking(move || persisted.store(&target)).await;
+    let stored = stored.unwrap_or_else(|error| {
+        Err(PersistedVersionError::Io { path: path.into(), source: io::Error::other(error) })
+    });
+    stored.map_err(|error| (number, error))
 }
--- a/crates/router/src/io/lead.rs
+++ b/crates/router/src/io/lead.rs
@@ -7,7 +7,7 @@
 use crate::lifecycle::reload::Was;
 use crate::lifecycle::settings::Live;
 use crate::lifecycle::start::Station;
-use crate::lifecycle::{reload, stop};
+use crate::lifecycle::{control_settings, reload, stop};
 use crate::state::counters::Counters;
 use crate::state::descriptors::{self, Held};
 use crate::state::ground::{Following, Ground};
@@ -220,7 +220,7 @@
     // Where control machines tell the settings, a file at SIGHUP would undo a version unseen.
     let by_file = control.is_none().then(|| live.clone());
     if let Some(subscription) = control {
-        let offer = control::to_running(live.clone());
+        let offer = control_settings::apply_to_running(live.clone());
         control::start(subscription, &name, post::incarnation(), offer, house.clone(), clock);
     }
     spawn_local(discovery::run(list.clone(), agent_of(discovery, hangups, was, clock, by_file)));
--- a/crates/router/src/lifecycle/serve.rs
+++ b/crates/router/src/lifecycle/serve.rs
@@ -1,4 +1,5 @@
 //! Runs a query router as it was started: on one core in this thread, or on several with this thread as their lead.
+use super::control_settings;
 use super::reload::Was;
 use super::settings::Live;
 use super::start::{Role, Station};
@@ -80,7 +81,7 @@
     // Where control machines tell the settings, a file at SIGHUP would undo a version unseen.
     let by_file = control.is_none().then(|| live.clone());
     if let Some(subscription) = control {
-        let offer = control::to_running(live.clone());
+        let offer = control_settings::apply_to_running(live.clone());
         control::start(subscription, &name, post::incarnation(), offer, house, clock);
     }
     spawn_local(reload::at_sighup(hangups, Was { path, beside, fixed }, agent, clock, by_file));
--- a/crates/router/tests/persisted_version.rs
+++ b/crates/router/tests/persisted_version.rs
@@ -1,7 +1,7 @@
 //! The file of a persisted configuration version stays readable: reference files are read, compared field by field, and
 //! written again to the same bytes.
 use alderway_control_plane::subscriber::ConfigVersion;
-use alderway_router::control::persisted_version::{self, PersistedVersion};
+use alderway_router::control::persisted_version::PersistedVersion;
 use rstest::rstest;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -30,17 +30,19 @@
 #[case("persisted-version-of-unknown-age", None)]
 fn a_reference_file_is_read_and_written_again_to_the_same_bytes(
     #[case] file: &str,
-    #[case] as_of_unix_ms: Option<u64>,
+    #[case] confirmed_at_unix_ms: Option<u64>,
 ) {
     let reference = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(file);
-    let persisted = persisted_version::read(&reference).expect("sound").expect("there");
-    let PersistedVersion { version: ConfigVersion { number, digest, text }, as_of_unix_ms: read_as_of } =
-        persisted.clone();
+    let persisted = PersistedVersion::load(&reference).expect("sound").expect("there");
+    let PersistedVersion {
+        version: ConfigVersion { number, digest, text },
+        confirmed_at_unix_ms: read_confirmed_at,
+    } = persisted.clone();
     assert_eq!((number, digest, &*text), (7, 0x0000_0042_5779_502b, SETTINGS));
-    assert_eq!(read_as_of, as_of_unix_ms);
+    assert_eq!(read_confirmed_at, confirmed_at_unix_ms);
     let folder = Folder::new(file);
     let copy = folder.0.join("version");
-    persisted_version::write(&copy, &persisted).expect("written");
+    persisted.store(&copy).expect("written");
     assert_eq!(fs::read(&copy).expect("read"), fs::read(&reference).expect("read"));
     assert_eq!(fs::read_dir(&folder.0).expect("a folder").count(), 1);
 }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -1,13 +1,14 @@
-//! Stories of a router's subscription over sockets, to control machines that are fed versions by hand. Each waits on what
-//! the router counts.
+//! A router's subscription over sockets, to control machines that are given versions by hand. Each test waits on the
+//! router's counters.
 use alderway_control_plane::messages::{ApplyOutcome, RouterMessage};
 use alderway_control_plane::publisher;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, SubscriptionConfig};
 use alderway_control_plane::version::{Version, VersionNumber};
 use alderway_control_plane::version_sink::VersionSink;
 use alderway_control_server::subscriptions::Subscriptions;
-use alderway_router::control::persisted_version::{self, PersistedVersion};
+use alderway_router::control::persisted_version::{PersistedVersion, VersionWriter};
 use alderway_router::control::{ApplySettings, Subscription, start};
+use alderway_router::lifecycle::control_settings;
 use alderway_router::lifecycle::start::Station;
 use alderway_router::state::house::{Figures, House, Sharing};
 use alderway_telemetry::clock::Clock;
@@ -29,12 +30,12 @@
 
 mod common;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn story(story: impl Future<Output = ()>) {
+fn run_local(run_local: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        timeout(3 * PATIENCE, story).await.expect("in time");
+        timeout(3 * TIMEOUT, run_local).await.expect("in time");
     });
 }
 
@@ -56,20 +57,20 @@
 }
 
 /// A control machine that says that its majority stands, until it is stopped.
-struct Desk {
+struct ControlMachine {
     subscriptions: Subscriptions,
     ticks: JoinHandle<()>,
 }
 
-impl Drop for Desk {
+impl Drop for ControlMachine {
     fn drop(&mut self) {
         self.ticks.abort();
         self.subscriptions.stop();
     }
 }
 
-impl Desk {
-    async fn at(name: &str, at: SocketAddr, upto: VersionNumber) -> Desk {
+impl ControlMachine {
+    async fn at(name: &str, at: SocketAddr, upto: VersionNumber) -> ControlMachine {
         let listening = Subscriptions::listen(name, 1, at, publisher::PublisherConfig::default());
         let mut subscriptions = listening.await.expect("a listener");
         subscriptions.freshness(0.0, true);
@@ -82,11 +83,11 @@
                 told.freshness(0.0, true);
             }
         });
-        Desk { subscriptions, ticks }
+        ControlMachine { subscriptions, ticks }
     }
 
-    async fn new(name: &str, upto: VersionNumber) -> Desk {
-        Desk::at(name, ([127, 0, 0, 1], 0).into(), upto).await
+    async fn new(name: &str, upto: VersionNumber) -> ControlMachine {
+        ControlMachine::at(name, ([127, 0, 0, 1], 0).into(), upto).await
     }
 
     fn commit(&mut self, number: VersionNumber) {
@@ -103,7 +104,7 @@
     ControlEndpoint { name: name.into(), zone: zone.into() }
 }
 
-fn quick() -> SubscriptionConfig {
+fn fast_config() -> SubscriptionConfig {
     SubscriptionConfig {
         behind_timeout_s: 0.3,
         min_backoff_s: 0.05,
@@ -134,14 +135,14 @@
                 }
             })
         });
-        let kept = keep.as_deref().and_then(|path| persisted_version::read(path).ok().flatten());
+        let persisted = keep.as_deref().and_then(|path| PersistedVersion::load(path).ok().flatten());
         let subscription = Subscription {
             machines,
             zone: "z1".into(),
-            terms: quick(),
+            config: fast_config(),
             persist_path: keep,
-            persisted: kept,
-            load_error: None,
+            persisted,
+            startup_error: None,
         };
         Router { house: Router::started(subscription, offer), offered }
     }
@@ -155,7 +156,7 @@
 
     async fn until(&self, what: impl Fn(&Figures) -> bool) {
         let mut figures = self.house.control.subscribe();
-        let came = timeout(PATIENCE, figures.wait_for(|figures| what(figures))).await;
+        let came = timeout(TIMEOUT, figures.wait_for(|figures| what(figures))).await;
         let now = self.house.control.borrow().text();
         assert!(matches!(came, Ok(Ok(_))), "not in time:\n{now}");
     }
@@ -175,18 +176,18 @@
     move |figures| figure(figures, name).is_some_and(|figure| figure > 0)
 }
 
-/// A file of a story, gone with it.
-struct Place(PathBuf);
+/// A file of a run_local, gone with it.
+struct TempFolder(PathBuf);
 
-impl Place {
-    fn new(name: &str) -> Place {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         // Stories of one process run side by side.
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let own = format!("alderway-{}-{number}-{name}", std::process::id());
         let directory = std::env::temp_dir().join(own);
         std::fs::create_dir_all(&directory).expect("a directory");
-        Place(directory)
+        TempFolder(directory)
     }
 
     fn file(&self, name: &str) -> PathBuf {
@@ -194,13 +195,13 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Until the other side of a socket, or of a disk, has done what it was told to; the story's end bounds it.
+/// Until the other side of a socket, or of a disk, has done what it was told to; the run_local's end bounds it.
 async fn until(what: impl Fn() -> bool) {
     while !what() {
         sleep(Duration::from_millis(2)).await;
@@ -225,22 +226,25 @@
 }
 
 #[rstest]
-fn versions_come_in_force_one_whole_then_patches_and_the_machine_hears_of_it() {
-    story(async {
-        let mut desk = Desk::new("c1", 1).await;
-        let at = desk.subscriptions.address();
+fn versions_are_applied_from_a_snapshot_then_patches_and_reported_back() {
+    run_local(async {
+        let mut control_machine = ControlMachine::new("c1", 1).await;
+        let at = control_machine.subscriptions.address();
         let router = Router::new(vec![(machine("c1", "z1"), at)], None, &[3]);
         router.until(is("control_version", 1)).await;
-        desk.commit(2);
+        control_machine.commit(2);
         router.until(is("control_version", 2)).await;
-        desk.commit(3);
+        control_machine.commit(3);
         router.until(is("control_versions_refused", 1)).await;
-        // What it said back is on its way: the machine's word for it.
-        until(|| desk.subscriptions.summary().lagging.iter().any(|l| l.reason.contains("key `x`"))).await;
-        let summary = desk.subscriptions.summary();
+        // What it line back is on its way: the machine's word for it.
+        until(|| {
+            control_machine.subscriptions.summary().lagging.iter().any(|l| l.reason.contains("key `x`"))
+        })
+        .await;
+        let summary = control_machine.subscriptions.summary();
         assert_eq!((summary.by_version.get(&2), summary.lagging.len()), (Some(&1), 1));
         assert_eq!(summary.lagging[0].reason, "refused 3: key `x`: expected y");
-        desk.commit(4);
+        control_machine.commit(4);
         router.until(is("control_version", 4)).await;
         let offered = router.offered.borrow().clone();
         let expected: Vec<(VersionNumber, Value)> = (1..5).map(|n| (n, settings(n))).collect();
@@ -252,9 +256,9 @@
 }
 
 #[rstest]
-fn a_machine_that_is_lost_is_left_for_another() {
-    story(async {
-        let (first, mut second) = (Desk::new("c1", 1).await, Desk::new("c2", 1).await);
+fn a_router_fails_over_when_its_control_machine_is_lost() {
+    run_local(async {
+        let (first, mut second) = (ControlMachine::new("c1", 1).await, ControlMachine::new("c2", 1).await);
         let at = (first.subscriptions.address(), second.subscriptions.address());
         let router = Router::new(vec![(machine("c1", "z1"), at.0), (machine("c2", "z2"), at.1)], None, &[]);
         router.until(is("control_version", 1)).await;
@@ -270,8 +274,8 @@
 #[rstest]
 #[case::says_nothing(false)]
 #[case::speaks_nonsense(true)]
-fn one_that_is_no_machine_is_left_for_another(#[case] speaks: bool) {
-    story(async move {
+fn a_peer_that_is_no_control_machine_is_left_for_another(#[case] speaks: bool) {
+    run_local(async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let at = listener.local_addr().expect("its address");
         let strange = spawn_local(async move {
@@ -283,7 +287,7 @@
                 all.push(stream);
             }
         });
-        let second = Desk::new("c2", 1).await;
+        let second = ControlMachine::new("c2", 1).await;
         let list = vec![(machine("c1", "z1"), at), (machine("c2", "z2"), second.subscriptions.address())];
         let router = Router::new(list, None, &[]);
         router.until(is("control_version", 1)).await;
@@ -292,35 +296,35 @@
 }
 
 #[rstest]
-fn a_connection_that_its_router_has_left_without_a_word_ends_when_it_comes_again() {
-    story(async {
-        let desk = Desk::new("c1", 1).await;
+fn a_half_open_connection_is_closed_when_its_router_connects_again() {
+    run_local(async {
+        let control_machine = ControlMachine::new("c1", 1).await;
         let dial = async |incarnation| {
-            let at = desk.subscriptions.address();
+            let at = control_machine.subscriptions.address();
             let mut stream = TcpStream::connect(at).await.expect("a connection");
             let mut hello = vec![];
-            let said =
+            let line =
                 Hello { version: RouterMessage::VERSION, is_planner: false, incarnation, name: "r".into() };
-            encode_hello::<RouterMessage>(&mut hello, &said);
+            encode_hello::<RouterMessage>(&mut hello, &line);
             stream.write_all(&hello).await.expect("written");
             stream
         };
         let mut former = dial(1).await;
-        until(|| desk.subscriptions.link_count() == 1).await;
+        until(|| control_machine.subscriptions.link_count() == 1).await;
         let later = dial(2).await;
         // The machine's hello, and then its end.
         let mut read = vec![];
         former.read_to_end(&mut read).await.expect("its end");
-        assert_eq!(desk.subscriptions.link_count(), 1);
+        assert_eq!(control_machine.subscriptions.link_count(), 1);
         drop(later);
-        until(|| desk.subscriptions.link_count() == 0).await;
+        until(|| control_machine.subscriptions.link_count() == 0).await;
     });
 }
 
 #[rstest]
-fn a_stale_machine_takes_nobody_back_and_is_left() {
-    story(async {
-        let (stale, current) = (Desk::new("c1", 1).await, Desk::new("c2", 3).await);
+fn a_stale_control_machine_is_left_and_no_router_goes_back_to_its_version() {
+    run_local(async {
+        let (stale, current) = (ControlMachine::new("c1", 1).await, ControlMachine::new("c2", 3).await);
         let list = vec![
             (machine("c1", "z2"), stale.subscriptions.address()),
             (machine("c2", "z1"), current.subscriptions.address()),
@@ -331,7 +335,7 @@
         drop(current);
         router.until(some("control_machines_behind")).await;
         assert_eq!(figure(&router.house.control.borrow(), "control_version"), Some(3));
-        let mut back = Desk::at("c2", at, 3).await;
+        let mut back = ControlMachine::at("c2", at, 3).await;
         back.commit(4);
         router.until(is("control_version", 4)).await;
         assert_eq!(router.offered.borrow().iter().map(|o| o.0).collect::<Vec<_>>(), [3, 4]);
@@ -340,74 +344,93 @@
 }
 
 #[rstest]
-fn with_all_gone_a_router_starts_with_what_it_kept_and_is_current_once_one_is_back() {
-    let place = Place::new("gone");
-    let keep = place.file("version");
-    let config = configured(&place);
-    story(async {
-        let mut desk = Desk::new("c1", 1).await;
-        let router =
-            Router::new(vec![(machine("c1", "z1"), desk.subscriptions.address())], Some(keep.clone()), &[]);
+fn without_control_machines_a_router_starts_with_its_persisted_version_and_catches_up_later() {
+    let folder = TempFolder::new("gone");
+    let keep = folder.file("version");
+    let config = configured(&folder);
+    run_local(async {
+        let mut control_machine = ControlMachine::new("c1", 1).await;
+        let router = Router::new(
+            vec![(machine("c1", "z1"), control_machine.subscriptions.address())],
+            Some(keep.clone()),
+            &[],
+        );
         router.until(is("control_version", 1)).await;
-        desk.commit(2);
+        control_machine.commit(2);
         router.until(is("control_version", 2)).await;
-        until(|| persisted_version::read(&keep).ok().flatten().is_some_and(|kept| kept.version.number == 2))
-            .await;
+        until(|| {
+            PersistedVersion::load(&keep)
+                .ok()
+                .flatten()
+                .is_some_and(|persisted| persisted.version.number == 2)
+        })
+        .await;
     });
     let at = closed();
     let subscription = || Subscription {
         machines: vec![(machine("c1", "z1"), at)],
         zone: "z1".into(),
-        terms: quick(),
+        config: fast_config(),
         persist_path: Some(keep.clone()),
         persisted: None,
-        load_error: None,
+        startup_error: None,
     };
     let station =
-        persisted_version::station(subscription(), &config, Clock::default(), None).expect("a station");
+        control_settings::read_station(subscription(), &config, Clock::default(), None).expect("a station");
     assert_eq!(station.settings, settings(2));
     let control = station.control.expect("a subscription");
-    assert_eq!(control.persisted.as_ref().map(|kept| kept.version.number), Some(2));
-    story(async {
+    assert_eq!(control.persisted.as_ref().map(|persisted| persisted.version.number), Some(2));
+    run_local(async {
         let router =
             Router { house: Router::started(control, with_a_start(settings(2))), offered: Rc::default() };
         router.until(some("control_dials")).await;
         assert_eq!(figure(&router.house.control.borrow(), "control_version"), Some(2));
         // What changes waits for a start here, and is kept for it.
-        let desk = Desk::at("c1", at, 3).await;
+        let control_machine = ControlMachine::at("c1", at, 3).await;
         router.until(is("control_versions_waiting", 1)).await;
-        until(|| persisted_version::read(&keep).ok().flatten().is_some_and(|kept| kept.version.number == 3))
-            .await;
         until(|| {
-            desk.subscriptions.summary().lagging.iter().any(|l| l.reason == "3 waits for a start: settings")
+            PersistedVersion::load(&keep)
+                .ok()
+                .flatten()
+                .is_some_and(|persisted| persisted.version.number == 3)
+        })
+        .await;
+        until(|| {
+            control_machine
+                .subscriptions
+                .summary()
+                .lagging
+                .iter()
+                .any(|l| l.reason == "3 waits for a start: settings")
         })
         .await;
     });
     let station =
-        persisted_version::station(subscription(), &config, Clock::default(), None).expect("a station");
+        control_settings::read_station(subscription(), &config, Clock::default(), None).expect("a station");
     assert_eq!(station.settings, settings(3));
 }
 
 /// A configuration with settings 0.
-fn configured(place: &Place) -> PathBuf {
-    let config = place.file("config");
+fn configured(folder: &TempFolder) -> PathBuf {
+    let config = folder.file("config");
     let own = r#"{"name": "r", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": "#;
     std::fs::write(&config, format!("{own}{}}}", settings(0))).expect("written");
     config
 }
 
-/// What a router with that configuration starts with, given a kept file.
-fn started_from(place: &Place, keep: PathBuf, machines: Vec<(ControlEndpoint, SocketAddr)>) -> Station {
+/// What a router with that configuration starts with, given a file with a persisted version.
+fn started_from(folder: &TempFolder, keep: PathBuf, machines: Vec<(ControlEndpoint, SocketAddr)>) -> Station {
     let (zone, keep) = (String::new(), Some(keep));
     let subscription = Subscription {
         machines,
         zone,
-        terms: quick(),
+        config: fast_config(),
         persist_path: keep,
         persisted: None,
-        load_error: None,
+        startup_error: None,
     };
-    persisted_version::station(subscription, &configured(place), Clock::default(), None).expect("a station")
+    control_settings::read_station(subscription, &configured(folder), Clock::default(), None)
+        .expect("a station")
 }
 
 #[rstest]
@@ -415,55 +438,57 @@
 #[case::a_byte_changed(|text: &str| text.replace("site-search", "site-saerch"), "torn or not of this program")]
 #[case::empty(|_: &str| String::new(), "torn or not of this program")]
 #[case::anothers(|_: &str| "x".repeat(100_000), "longer than any version")]
-fn a_torn_kept_file_is_said_and_ignored(#[case] tear: fn(&str) -> String, #[case] why: &str) {
-    let place = Place::new("torn");
-    let keep = place.file("version");
+fn a_damaged_persisted_version_is_logged_and_ignored(#[case] tear: fn(&str) -> String, #[case] why: &str) {
+    let folder = TempFolder::new("torn");
+    let keep = folder.file("version");
     let sound = PersistedVersion {
         version: ConfigVersion::new(7, &settings(7).to_string()),
-        as_of_unix_ms: Some(1_700_000_000_000),
+        confirmed_at_unix_ms: Some(1_700_000_000_000),
     };
-    persisted_version::write(&keep, &sound).expect("written");
-    assert_eq!(persisted_version::read(&keep), Ok(Some(sound)));
+    sound.store(&keep).expect("written");
+    assert_eq!(PersistedVersion::load(&keep).expect("sound"), Some(sound));
     let text = std::fs::read_to_string(&keep).expect("there");
     std::fs::write(&keep, tear(&text)).expect("written");
-    let station = started_from(&place, keep, vec![(machine("c1", "z1"), closed())]);
+    let station = started_from(&folder, keep, vec![(machine("c1", "z1"), closed())]);
     assert_eq!(station.settings, settings(0));
     let control = station.control.expect("a subscription");
     assert!(control.persisted.is_none());
-    let said = control.load_error.expect("a line of the log");
-    assert!(said.ends_with(&format!("{why}; ignored")), "{said}");
+    let line = control.startup_error.expect("a line of the log").to_string();
+    assert!(line.ends_with(&format!("{why}; ignored")), "{line}");
 }
 
 #[rstest]
-fn a_kept_version_that_is_faulty_here_is_said_and_ignored() {
-    let place = Place::new("faulty");
-    let keep = place.file("version");
-    let faulty = PersistedVersion { version: ConfigVersion::new(7, r#"{"Limits":{}}"#), as_of_unix_ms: None };
-    persisted_version::write(&keep, &faulty).expect("written");
-    let station = started_from(&place, keep, vec![]);
+fn a_persisted_version_with_invalid_settings_is_logged_and_ignored() {
+    let folder = TempFolder::new("faulty");
+    let keep = folder.file("version");
+    let faulty =
+        PersistedVersion { version: ConfigVersion::new(7, r#"{"Limits":{}}"#), confirmed_at_unix_ms: None };
+    faulty.store(&keep).expect("written");
+    let station = started_from(&folder, keep, vec![]);
     assert_eq!(station.settings, settings(0));
-    let said = station.control.and_then(|control| control.load_error).expect("a line of the log");
-    assert!(said.starts_with("version 7 of the kept file: key `settings`: expected "), "{said}");
+    let line =
+        station.control.and_then(|control| control.startup_error).expect("a line of the log").to_string();
+    assert!(line.starts_with("persisted version 7: key `settings`: expected "), "{line}");
 }
 
 #[rstest]
-fn a_version_that_the_disk_refuses_is_kept_as_soon_as_it_takes_it() {
-    story(async {
+fn a_version_that_the_disk_refuses_is_persisted_as_soon_as_the_disk_takes_it() {
+    run_local(async {
         let folder = std::env::temp_dir().join(format!("alderway-kept-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         let path = folder.join("version");
-        let keep = persisted_version::spawn_writer(path.clone(), Clock::default());
+        let writer = VersionWriter::spawn(path.clone(), Clock::default());
         // There is no such folder yet, so nothing can be written.
-        let settled = ConfigVersion::new(7, "{}");
-        keep.send_replace(Some((settled.clone(), None)));
+        let version = ConfigVersion::new(7, "{}");
+        writer.persist(version.clone(), None);
         sleep(Duration::from_millis(200)).await;
-        assert_eq!(persisted_version::read(&path), Ok(None));
+        assert_eq!(PersistedVersion::load(&path).expect("readable"), None);
         std::fs::create_dir_all(&folder).expect("a folder");
-        while persisted_version::read(&path).ok().flatten().is_none() {
+        while PersistedVersion::load(&path).ok().flatten().is_none() {
             sleep(Duration::from_millis(20)).await;
         }
-        let kept = persisted_version::read(&path).expect("sound").expect("kept");
-        assert_eq!(kept.version, settled);
+        let persisted = PersistedVersion::load(&path).expect("sound").expect("persisted");
+        assert_eq!(persisted.version, version);
         let _ = std::fs::remove_dir_all(&folder);
     });
 }
