--- a/crates/control-server/src/log_store.rs
+++ b/crates/control-server/src/log_store.rs
@@ -156,9 +156,9 @@
 }
 
 impl StableStorage for LogStore {
-    fn write(&mut self, batch: &WriteBatch) -> Result<(), String> {
+    fn write(&mut self, batch: &WriteBatch) -> io::Result<()> {
         let written = self.write_batch(batch);
-        written.map_err(|source| LogStoreError::Write { path: self.path.clone(), source }.to_string())
+        written.map_err(|source| io::Error::other(LogStoreError::Write { path: self.path.clone(), source }))
     }
 }
 
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -4,6 +4,7 @@
 use crate::outbox::Outboxes;
 use crate::replica_links;
 use crate::state::{ServerState, SettingsCheck, SharedState};
+use alderway_control_plane::consensus::RecoveryError;
 use alderway_control_plane::replica::{REPLACE_DISK_ADVICE, Replica, ReplicaName, TICK_S};
 use alderway_control_plane::version_sink::VersionSink;
 use alderway_sockets::signals::Signals;
@@ -53,12 +54,12 @@
     #[error(transparent)]
     LogStore(#[from] LogStoreError),
     /// The log could be read, but not as that of this replica.
-    #[error("{path}: {reason}; {REPLACE_DISK_ADVICE}", path = data_path.display())]
+    #[error("{path}: {source}; {REPLACE_DISK_ADVICE}", path = data_path.display())]
     Recovery {
         /// The folder of the log.
         data_path: PathBuf,
         /// What contradicts what.
-        reason: String,
+        source: RecoveryError,
     },
     /// The addresses of the control machines don't name this one.
     #[error("not of the members")]
@@ -121,7 +122,7 @@
     let names = config.replica_addresses.keys().cloned().collect();
     let replica = Replica::new(&config.name, &names, &recovered, random_number(), random_number());
     let data_path = config.data_path.clone();
-    let replica = replica.map_err(|reason| ServerError::Recovery { data_path, reason })?;
+    let replica = replica.map_err(|source| ServerError::Recovery { data_path, source })?;
     Ok((replica, log_store))
 }
 
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -3,7 +3,7 @@
 //! One line `alderway-version 1 NUMBER DIGEST CONFIRMED`, then the settings as text: the version's number, the digest of the
 //! text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The digest tells
 //! a damaged file. A version is in force before it is on disk: what a crash can lose is only that the next start knows it.
-use alderway_control_plane::messages::MAX_SETTINGS_BYTES;
+use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_control_plane::version::VersionNumber;
 use alderway_telemetry::clock::Clock;
