--- a/crates/router/src/control/metrics.rs
+++ b/crates/router/src/control/metrics.rs
@@ -1,11 +1,11 @@
 //! The counters of a subscription, as `/counters` lists them.
 use super::driver::Traffic;
 use crate::state::counters::Counters;
-use crate::state::house::Figures;
+use crate::state::shared::MetricsSnapshot;
 use alderway_control_plane::subscriber::Subscriber;
 
 /// All counters and gauges at a time in seconds of the subscriber's clock.
-pub(super) fn snapshot(subscriber: &Subscriber, traffic: Traffic, now: f64) -> Figures {
+pub(super) fn snapshot(subscriber: &Subscriber, traffic: Traffic, now: f64) -> MetricsSnapshot {
     let (metrics, mut counters) = (subscriber.metrics, Counters::default());
     for (name, count) in [
         ("control_dials", metrics.connect_attempts),
@@ -26,7 +26,7 @@
         counters.add(name, count as usize);
     }
     let milliseconds = |seconds: f64| (seconds * 1e3) as u64;
-    let mut open = vec![
+    let mut gauges = vec![
         ("control_version", subscriber.versions().active().number),
         ("control_version_got", subscriber.versions().received().number),
         ("control_connected", u64::from(subscriber.connected_to().is_some())),
@@ -34,6 +34,6 @@
     ];
     // Left out where the version may be of any age.
     let age = subscriber.staleness_s(now).map(milliseconds);
-    open.extend(age.map(|age_ms| ("control_version_age_ms", age_ms)));
-    Figures { counters, open }
+    gauges.extend(age.map(|age_ms| ("control_version_age_ms", age_ms)));
+    MetricsSnapshot { counters, gauges }
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -16,7 +16,7 @@
 
 pub use driver::{ApplySettings, ObserveSubscriber, PersistVersion, SubscriptionHost, Traffic, run};
 
-use crate::state::house::House;
+use crate::state::shared::SharedState;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, Subscriber, SubscriptionConfig};
 use alderway_telemetry::clock::Clock;
 use persisted_version::{PersistedVersion, StartupError, VersionWriter};
@@ -51,14 +51,14 @@
     name: &str,
     incarnation: u64,
     apply: ApplySettings,
-    house: Arc<House>,
+    shared: Arc<SharedState>,
     clock: Clock,
 ) {
     let Subscription { machines, zone, config, persist_path, persisted, startup_error } = subscription;
     if let Some(error) = startup_error {
         tracing::warn!(target: "control", "{error}");
     }
-    let active = persisted.map(|persisted| resume(persisted, &house, clock));
+    let active = persisted.map(|persisted| resume(persisted, &shared, clock));
     let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
     let subscriber = Subscriber::new(config, list, &zone, active, incarnation, clock.now());
     let writer = persist_path.map(|path| VersionWriter::spawn(path, clock));
@@ -74,7 +74,7 @@
             }
         }),
         observe: Box::new(move |subscriber, traffic, now| {
-            house.control.send_replace(Arc::new(metrics::snapshot(subscriber, traffic, now)));
+            shared.control_metrics.send_replace(Arc::new(metrics::snapshot(subscriber, traffic, now)));
         }),
         log_events: true,
     };
@@ -82,10 +82,10 @@
 }
 
 /// Makes the persisted version, with which the router has started, the one in force.
-fn resume(persisted: PersistedVersion, house: &House, clock: Clock) -> (ConfigVersion, Option<f64>) {
+fn resume(persisted: PersistedVersion, shared: &SharedState, clock: Clock) -> (ConfigVersion, Option<f64>) {
     let PersistedVersion { version, confirmed_at_unix_ms } = persisted;
     tracing::info!(target: "control", "version {} in force, as persisted", version.number);
-    house.version.store(version.number, Relaxed);
+    shared.config_version.store(version.number, Relaxed);
     let confirmed_at = confirmed_at_unix_ms.and_then(|unix_ms| clock.from_unix_ms(unix_ms));
     // A wall clock that was ahead when the version was persisted must not make it newer than now.
     (version, confirmed_at.map(|confirmed_at| confirmed_at.min(clock.now())))
--- a/crates/router/src/io/clients.rs
+++ b/crates/router/src/io/clients.rs
@@ -1,11 +1,11 @@
 //! The drivers of the listener and of clients' connections.
 use super::{arrival, until};
 use crate::requests;
-use crate::state::Shared;
-use crate::state::clients::Client;
-use crate::state::descriptors::{Held, Share};
-use crate::state::desk::Stage;
-use crate::state::house::{Order, Passenger};
+use crate::state::DispatcherHandle;
+use crate::state::clients::ClientConnection;
+use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
+use crate::state::dispatcher::ShutdownPhase;
+use crate::state::shared::{CoreCommand, TransferredConnection};
 use crate::wire::answer;
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{MESSAGE, Messages, Refusal};
@@ -35,25 +35,25 @@
 pub trait Door {
     /// Closes an idle connection, so that a descriptor comes free.
     fn make_room(&self);
-    fn take(&self, stream: TcpStream, held: Held) -> impl Future<Output = ()>;
+    fn take(&self, stream: TcpStream, held: DescriptorPermit) -> impl Future<Output = ()>;
 }
 
 /// The door of a program on one core.
-impl Door for Shared {
+impl Door for DispatcherHandle {
     fn make_room(&self) {
-        let (now, patience) = (self.borrow().clock.now(), self.borrow().trunk.dial_timeout_s);
-        self.borrow().clients.dismiss_oldest(now, patience);
+        let (now, patience) = (self.borrow().clock.now(), self.borrow().connection_config.dial_timeout_s);
+        self.borrow().clients.close_longest_idle(now, patience);
     }
 
-    async fn take(&self, stream: TcpStream, held: Held) {
+    async fn take(&self, stream: TcpStream, held: DescriptorPermit) {
         drop(spawn_local(serve(self.clone(), stream, held, false)));
     }
 }
 
 /// Waits for a descriptor, for which idle connections make room.
-async fn descriptor(door: &impl Door, share: &Arc<Share>) -> Held {
+async fn descriptor(door: &impl Door, share: &Arc<DescriptorPool>) -> DescriptorPermit {
     loop {
-        if let Some(held) = share.take() {
+        if let Some(held) = share.acquire() {
             return held;
         }
         door.make_room();
@@ -63,7 +63,7 @@
 
 /// Accepts for as long as descriptors are left; idle connections make room. Ends with `close`, after taking
 /// in all that the system had accepted by then, whether or not the runtime had been told of it.
-pub async fn listen(door: impl Door, listener: TcpListener, share: Arc<Share>, close: Rc<Notify>) {
+pub async fn listen(door: impl Door, listener: TcpListener, share: Arc<DescriptorPool>, close: Rc<Notify>) {
     loop {
         let held = descriptor(&door, &share).await;
         let came = tokio::select! {
@@ -91,10 +91,10 @@
 }
 
 /// A connection that comes from the lead, or from another core between two of its requests.
-pub fn board(desk: &Shared, passenger: Passenger) {
-    let Passenger { stream, held, used } = passenger;
+pub fn board(dispatcher: &DispatcherHandle, transferred: TransferredConnection) {
+    let TransferredConnection { stream, permit: held, has_sent_request: used } = transferred;
     match TcpStream::from_std(stream) {
-        Ok(stream) => drop(spawn_local(serve(desk.clone(), stream, held, used))),
+        Ok(stream) => drop(spawn_local(serve(dispatcher.clone(), stream, held, used))),
         Err(why) => tracing::warn!(target: "accept", "a connection could not be taken over: {why}"),
     }
 }
@@ -125,44 +125,51 @@
 }
 
 /// One connection from its first byte to its last.
-async fn serve(desk: Shared, mut stream: TcpStream, mut held: Held, used: bool) {
+async fn serve(dispatcher: DispatcherHandle, mut stream: TcpStream, mut held: DescriptorPermit, used: bool) {
     let _ = stream.set_nodelay(true);
     let arrive = || {
-        let mut desk = desk.borrow_mut();
-        let now = desk.clock.now();
-        desk.clients.arrive(now)
+        let mut dispatcher = dispatcher.borrow_mut();
+        let now = dispatcher.clock.now();
+        dispatcher.clients.add(now)
     };
     if !used {
-        desk.borrow_mut().counters.one("clients{accepted}");
+        dispatcher.borrow_mut().counters.increment("clients{accepted}");
     }
     let (mut id, mut client) = arrive();
-    client.used.set(used);
+    client.has_sent_request.set(used);
     let end = loop {
-        let to = match converse(&desk, &client, &stream).await {
+        let to = match converse(&dispatcher, &client, &stream).await {
             End::Moves(to) => to,
             end => break end,
         };
         // Nothing of it is open or read here: what the client sends next waits in the system for the new core.
-        desk.borrow_mut().clients.depart(id);
+        dispatcher.borrow_mut().clients.remove(id);
         let Ok(socket) = stream.into_std() else { return };
-        let back = desk.borrow().house.send(to, Order::Serve(Passenger { stream: socket, held, used: true }));
-        let Err(Order::Serve(passenger)) = back else {
-            return desk.borrow_mut().counters.one("clients{moved}");
+        let back = dispatcher.borrow().shared.send_command(
+            to,
+            CoreCommand::Serve(TransferredConnection {
+                stream: socket,
+                permit: held,
+                has_sent_request: true,
+            }),
+        );
+        let Err(CoreCommand::Serve(transferred)) = back else {
+            return dispatcher.borrow_mut().counters.increment("clients{moved}");
         };
-        let Ok(again) = TcpStream::from_std(passenger.stream) else { return };
-        (stream, held) = (again, passenger.held);
+        let Ok(again) = TcpStream::from_std(transferred.stream) else { return };
+        (stream, held) = (again, transferred.permit);
         (id, client) = arrive();
-        client.used.set(true);
-        desk.borrow_mut().giving = None;
+        client.has_sent_request.set(true);
+        dispatcher.borrow_mut().handover = None;
     };
-    if let Some(number) = client.query.get() {
-        let mut desk = desk.borrow_mut();
+    if let Some(number) = client.open_query.get() {
+        let mut dispatcher = dispatcher.borrow_mut();
         if !matches!(end, End::Left) {
-            desk.audit_closed_open(number);
+            dispatcher.check_closed_connection(number);
         }
-        desk.client_left(number);
+        dispatcher.client_disconnected(number);
     }
-    client.idle.set(None);
+    client.idle_since.set(None);
     if matches!(end, End::Closed) && stream.shutdown().await.is_ok() {
         // As much as the longest request, so that nobody's endless body takes the core.
         let (mut rest, mut left) = ([0; 4096], MESSAGE);
@@ -179,16 +186,16 @@
     }
     drop(stream);
     drop(held);
-    let mut desk = desk.borrow_mut();
-    desk.clients.depart(id);
-    desk.counters.one("clients{closed}");
-    desk.counters.one(&format!("client_closes{{{}}}", end.reason()));
+    let mut dispatcher = dispatcher.borrow_mut();
+    dispatcher.clients.remove(id);
+    dispatcher.counters.increment("clients{closed}");
+    dispatcher.counters.increment(&format!("client_closes{{{}}}", end.reason()));
 }
 
 /// What a connection is in the midst of.
 struct Talk<'a> {
-    desk: &'a Shared,
-    client: &'a Rc<Client>,
+    dispatcher: &'a DispatcherHandle,
+    client: &'a Rc<ClientConnection>,
     stream: &'a TcpStream,
     buffer: Buffer,
     messages: Messages,
@@ -210,20 +217,20 @@
 impl Talk<'_> {
     /// Takes the requests that have come, one at a time: the next waits unread until the answer is out.
     fn take_requests(&mut self) {
-        while !self.lost && self.client.query.get().is_none() && self.client.out.borrow().is_empty() {
+        while !self.lost && self.client.open_query.get().is_none() && self.client.output.borrow().is_empty() {
             match self.messages.find(&mut self.buffer) {
                 Ok(true) => {
                     let (head, body) = self.messages.message(&self.buffer);
-                    self.client.behind.set(self.buffer.data().len() > self.messages.end());
-                    requests::take(self.desk, self.client, head, body, self.read_at);
+                    self.client.has_bytes_behind.set(self.buffer.data().len() > self.messages.end());
+                    requests::take(self.dispatcher, self.client, head, body, self.read_at);
                     self.messages.done(&mut self.buffer);
-                    self.client.used.set(true);
+                    self.client.has_sent_request.set(true);
                     self.went_ahead = false;
                 }
                 Ok(false) => {
                     if !self.went_ahead && self.messages.awaits_go_ahead(&self.buffer) {
                         self.went_ahead = true;
-                        self.client.out.borrow_mut().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+                        self.client.output.borrow_mut().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                     if !self.overrun {
                         return;
@@ -237,20 +244,20 @@
 
     /// The last answer on this connection, as nothing more can be made out on it.
     fn lose(&mut self, counter: &str, refusal: Refusal) {
-        self.desk.borrow_mut().counters.one(counter);
-        answer::unreadable(&mut self.client.out.borrow_mut(), refusal);
+        self.dispatcher.borrow_mut().counters.increment(counter);
+        answer::unreadable(&mut self.client.output.borrow_mut(), refusal);
         self.lost = true;
-        self.client.closes.set(true);
+        self.client.close_after_answer.set(true);
     }
 
     /// Writes what the socket takes of an answer: goes on with whether all of it is out, or ends the
     /// connection.
     fn write(&mut self) -> ControlFlow<End, bool> {
-        let mut out = self.client.out.borrow_mut();
+        let mut out = self.client.output.borrow_mut();
         match self.sender.write(self.stream, &out[self.written..]) {
             Ok(count) => {
                 self.written += count;
-                self.desk.borrow_mut().counters.add("bytes_to_clients", count);
+                self.dispatcher.borrow_mut().counters.add("bytes_to_clients", count);
             }
             Err(_) => return ControlFlow::Break(End::Left),
         }
@@ -259,7 +266,7 @@
         }
         out.clear();
         self.written = 0;
-        if self.client.closes.get() && self.client.query.get().is_none() {
+        if self.client.close_after_answer.get() && self.client.open_query.get().is_none() {
             return ControlFlow::Break(End::Closed);
         }
         ControlFlow::Continue(true)
@@ -271,17 +278,17 @@
         let mut dropped = [0; 4096];
         self.overrun |= self.buffer.space().is_empty();
         let space = if self.overrun { &mut dropped[..] } else { self.buffer.space() };
-        let mut desk = self.desk.borrow_mut();
-        desk.stalls.look(clock.now());
-        match arrival::read(self.stream, space, clock, &mut desk.stamps, &mut self.quiet_at) {
+        let mut dispatcher = self.dispatcher.borrow_mut();
+        dispatcher.stall_detector.check(clock.now());
+        match arrival::read(self.stream, space, clock, &mut dispatcher.arrival_times, &mut self.quiet_at) {
             Ok(Some((0, _))) | Err(_) => return false,
             Ok(Some((count, at))) => {
                 if !self.overrun {
-                    self.client.behind.set(self.client.query.get().is_some());
+                    self.client.has_bytes_behind.set(self.client.open_query.get().is_some());
                     self.buffer.filled(count);
                     self.read_at = at;
                 }
-                desk.counters.add("bytes_from_clients", count);
+                dispatcher.counters.add("bytes_from_clients", count);
             }
             Ok(None) => {}
         }
@@ -290,12 +297,12 @@
 }
 
 /// Reads requests and writes answers.
-async fn converse(desk: &Shared, client: &Rc<Client>, stream: &TcpStream) -> End {
-    let (clock, dial) = (desk.borrow().clock, desk.borrow().trunk.dial_timeout_s);
+async fn converse(dispatcher: &DispatcherHandle, client: &Rc<ClientConnection>, stream: &TcpStream) -> End {
+    let (clock, dial) = (dispatcher.borrow().clock, dispatcher.borrow().connection_config.dial_timeout_s);
     let (buffer, messages, accepted) = (Buffer::new(MESSAGE), Messages::default(), clock.now());
     let (written, lost, overrun, went_ahead) = (0, false, false, false);
     let mut talk = Talk {
-        desk,
+        dispatcher,
         client,
         stream,
         buffer,
@@ -313,9 +320,9 @@
     let (mut quiet, mut begun, mut stuck) = (None, None, None);
     loop {
         talk.take_requests();
-        if !client.out.borrow().is_empty() {
+        if !client.output.borrow().is_empty() {
             let before = talk.written;
-            client.served.set(true);
+            client.was_served.set(true);
             match talk.write() {
                 ControlFlow::Break(end) => return end,
                 ControlFlow::Continue(true) => continue,
@@ -323,15 +330,15 @@
                 ControlFlow::Continue(false) => {}
             }
         }
-        let (open, writing) = (client.query.get().is_some(), !client.out.borrow().is_empty());
+        let (open, writing) = (client.open_query.get().is_some(), !client.output.borrow().is_empty());
         let waiting = !open && !writing;
         let half_sent = waiting && !talk.buffer.is_empty();
-        if waiting && !talk.lost && talk.buffer.is_empty() && client.used.get() {
-            let mut desk = desk.borrow_mut();
+        if waiting && !talk.lost && talk.buffer.is_empty() && client.has_sent_request.get() {
+            let mut dispatcher = dispatcher.borrow_mut();
             // Guards against a connection that would reach a core as its stop ends.
-            let stays = desk.stage > Stage::Serving;
-            if let Some((to, left)) = desk.giving.filter(|(_, left)| *left > 0 && !stays) {
-                desk.giving = Some((to, left - 1));
+            let stays = dispatcher.shutdown_phase > ShutdownPhase::Serving;
+            if let Some((to, left)) = dispatcher.handover.filter(|(_, left)| *left > 0 && !stays) {
+                dispatcher.handover = Some((to, left - 1));
                 return End::Moves(to);
             }
         }
@@ -342,17 +349,17 @@
         };
         let (quiet, begun, stuck) =
             (since(&mut quiet, waiting), since(&mut begun, half_sent), since(&mut stuck, writing));
-        client.idle.set(quiet);
-        client.half_sent.set(half_sent);
+        client.idle_since.set(quiet);
+        client.is_half_sent.set(half_sent);
         // Guards against connections that say nothing, send half a request, or read half an answer.
         let first = (accepted + OWED - dial).max(accepted + IDLE);
         let by = match begun {
-            Some(_) if !client.used.get() => first,
+            Some(_) if !client.has_sent_request.get() => first,
             Some(_) => begun.map_or(f64::INFINITY, |at| at + IDLE),
             None => quiet.or(stuck).map_or(f64::INFINITY, |at| at + IDLE),
         };
         let room = !talk.buffer.space().is_empty();
-        let dismissed = client.is_dismissed() || (by <= now && begun.is_none());
+        let dismissed = client.should_close() || (by <= now && begun.is_none());
         tokio::select! {
             biased;
             _ = stream.readable(), if room || open => {
@@ -365,7 +372,7 @@
             () = std::future::ready(()), if waiting && dismissed => {
                 // Guards against closing on a request that has come and is not read yet: it counts as taken.
                 if !room || !arrival::waits(stream) {
-                    return if client.used.get() { End::Closed } else { End::Gone("never_asked") };
+                    return if client.has_sent_request.get() { End::Closed } else { End::Gone("never_asked") };
                 }
                 yield_now().await;
             }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -10,7 +10,7 @@
 use alderway_router::control::{ApplySettings, Subscription, start};
 use alderway_router::lifecycle::control_settings;
 use alderway_router::lifecycle::start::Station;
-use alderway_router::state::house::{Figures, House, Sharing};
+use alderway_router::state::shared::{MetricsSnapshot, MulticoreConfig, SharedState};
 use alderway_telemetry::clock::Clock;
 use alderway_transport::{Hello, WireMessage, encode_hello};
 use rstest::rstest;
@@ -96,7 +96,7 @@
 }
 
 struct Router {
-    house: Arc<House>,
+    shared: Arc<SharedState>,
     offered: Rc<RefCell<Vec<(VersionNumber, Value)>>>,
 }
 
@@ -144,35 +144,36 @@
             persisted,
             startup_error: None,
         };
-        Router { house: Router::started(subscription, offer), offered }
+        Router { shared: Router::started(subscription, offer), offered }
     }
 
-    fn started(subscription: Subscription, offer: ApplySettings) -> Arc<House> {
-        let sharing = Sharing { cores: 1, node_connections: None, evidence: false };
-        let house = House::new(100, sharing, f64::INFINITY).0;
-        start(subscription, "r", 5, offer, house.clone(), Clock::default());
-        house
+    fn started(subscription: Subscription, offer: ApplySettings) -> Arc<SharedState> {
+        let sharing =
+            MulticoreConfig { cores: 1, max_connections_per_node: None, shares_observations: false };
+        let shared = SharedState::new(100, sharing, f64::INFINITY).0;
+        start(subscription, "r", 5, offer, shared.clone(), Clock::default());
+        shared
     }
 
-    async fn until(&self, what: impl Fn(&Figures) -> bool) {
-        let mut figures = self.house.control.subscribe();
+    async fn until(&self, what: impl Fn(&MetricsSnapshot) -> bool) {
+        let mut figures = self.shared.control_metrics.subscribe();
         let came = timeout(TIMEOUT, figures.wait_for(|figures| what(figures))).await;
-        let now = self.house.control.borrow().text();
+        let now = self.shared.control_metrics.borrow().text();
         assert!(matches!(came, Ok(Ok(_))), "not in time:\n{now}");
     }
 }
 
-fn figure(figures: &Figures, name: &str) -> Option<u64> {
+fn figure(figures: &MetricsSnapshot, name: &str) -> Option<u64> {
     let text = figures.text();
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     line.and_then(|figure| figure.parse().ok())
 }
 
-fn is(name: &'static str, expected: u64) -> impl Fn(&Figures) -> bool {
+fn is(name: &'static str, expected: u64) -> impl Fn(&MetricsSnapshot) -> bool {
     move |figures| figure(figures, name) == Some(expected)
 }
 
-fn some(name: &'static str) -> impl Fn(&Figures) -> bool {
+fn some(name: &'static str) -> impl Fn(&MetricsSnapshot) -> bool {
     move |figures| figure(figures, name).is_some_and(|figure| figure > 0)
 }
 
@@ -251,7 +252,7 @@
         assert_eq!(offered, expected);
         router.until(|f| is("control_wholes", 1)(f) && is("control_deltas", 3)(f)).await;
         router.until(some("control_version_age_ms")).await;
-        assert!(figure(&router.house.control.borrow(), "control_version_age_ms") < Some(1500));
+        assert!(figure(&router.shared.control_metrics.borrow(), "control_version_age_ms") < Some(1500));
     });
 }
 
@@ -334,7 +335,7 @@
         let at = current.subscriptions.address();
         drop(current);
         router.until(some("control_machines_behind")).await;
-        assert_eq!(figure(&router.house.control.borrow(), "control_version"), Some(3));
+        assert_eq!(figure(&router.shared.control_metrics.borrow(), "control_version"), Some(3));
         let mut back = ControlMachine::at("c2", at, 3).await;
         back.commit(4);
         router.until(is("control_version", 4)).await;
@@ -382,9 +383,9 @@
     assert_eq!(control.persisted.as_ref().map(|persisted| persisted.version.number), Some(2));
     run_local(async {
         let router =
-            Router { house: Router::started(control, with_a_start(settings(2))), offered: Rc::default() };
+            Router { shared: Router::started(control, with_a_start(settings(2))), offered: Rc::default() };
         router.until(some("control_dials")).await;
-        assert_eq!(figure(&router.house.control.borrow(), "control_version"), Some(2));
+        assert_eq!(figure(&router.shared.control_metrics.borrow(), "control_version"), Some(2));
         // What changes waits for a start here, and is kept for it.
         let control_machine = ControlMachine::at("c1", at, 3).await;
         router.until(is("control_versions_waiting", 1)).await;
