--- /dev/null
+++ b/crates/alderway/src/config/mod.rs
@@ -0,0 +1,171 @@
+//! `alderway config`: operators' requests to the control machines. Exit codes: 0 done, 1 refused or failed, 2 input that
+//! can't be used, 3 no quorum, timed out, or not applied everywhere.
+mod error;
+mod proposal;
+mod report;
+mod request;
+
+use alderway_control_plane::version::VersionNumber;
+use alderway_control_server::admin::AdminRequest;
+use clap::{Args, Subcommand};
+use error::CommandError;
+use proposal::SettingsFile;
+use report::print;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+#[derive(Subcommand)]
+pub enum Config {
+    /// Checks settings as a router does at its start, and at the control machines if any are named
+    Check {
+        #[arg(value_name = "FILE")]
+        file: PathBuf,
+        #[command(flatten)]
+        addresses: OptionalAdminAddresses,
+    },
+    /// Has settings ordered as the next version, and waits until it is in force everywhere
+    Propose {
+        #[arg(value_name = "FILE")]
+        file: PathBuf,
+        #[command(flatten)]
+        proposal: ProposalArgs,
+    },
+    /// The newest versions: numbers, authors, reasons and what they changed
+    History {
+        /// Versions before this one
+        #[arg(long, value_name = "N")]
+        before: Option<VersionNumber>,
+        #[arg(long, value_name = "COUNT", default_value_t = 20)]
+        count: usize,
+        #[arg(long)]
+        json: bool,
+        #[command(flatten)]
+        addresses: AdminAddresses,
+    },
+    /// The settings of a version, as `propose` takes them; the newest without a number
+    Show {
+        #[arg(value_name = "N")]
+        number: Option<VersionNumber>,
+        #[command(flatten)]
+        addresses: AdminAddresses,
+    },
+    /// The version in force, routers by version, who lags, and whether a majority stands
+    Status {
+        #[arg(long)]
+        json: bool,
+        #[command(flatten)]
+        addresses: AdminAddresses,
+    },
+    /// Proposes the settings of an earlier version
+    Revert {
+        #[arg(value_name = "N")]
+        number: VersionNumber,
+        #[command(flatten)]
+        proposal: ProposalArgs,
+    },
+}
+
+#[derive(Args)]
+pub struct AdminAddresses {
+    /// Control machines' addresses for operators; the first that answers is asked
+    #[arg(long = "at", value_name = "ADDRESS", required = true, value_delimiter = ',')]
+    at: Vec<SocketAddr>,
+}
+
+#[derive(Args)]
+pub struct OptionalAdminAddresses {
+    /// Control machines' addresses for operators
+    #[arg(long = "at", value_name = "ADDRESS", value_delimiter = ',')]
+    at: Vec<SocketAddr>,
+}
+
+#[derive(Args)]
+pub struct ProposalArgs {
+    /// Why, for whoever reads the history
+    #[arg(long, value_name = "TEXT")]
+    why: String,
+    /// Who; the user of this shell if it is left out
+    #[arg(long, value_name = "NAME", env = "USER", default_value = "unknown")]
+    author: String,
+    /// The version that this was made from; the newest if it is left out
+    #[arg(long, value_name = "N")]
+    base: Option<VersionNumber>,
+    /// The same id counts once: to ask again what came of it
+    #[arg(long, value_name = "ID")]
+    id: Option<String>,
+    /// How long to wait until it is in force everywhere
+    #[arg(long, value_name = "SECONDS", default_value_t = 16.0)]
+    wait: f64,
+    #[command(flatten)]
+    addresses: AdminAddresses,
+}
+
+/// Runs the command; what it has to say goes to standard output, an error to standard error.
+pub fn run(config: &Config) -> ExitCode {
+    match execute(config) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("alderway: {error}");
+            error.exit_code()
+        }
+    }
+}
+
+fn execute(config: &Config) -> Result<(), CommandError> {
+    match config {
+        Config::Check { file, addresses } => check(file, &addresses.at),
+        Config::Propose { file, proposal } => {
+            let file = SettingsFile::read(file)?;
+            proposal::propose(file.settings.clone(), proposal, Some(&file))
+        }
+        Config::History { before, count, json, addresses } => history(&addresses.at, *before, *count, *json),
+        Config::Show { number, addresses } => show(&addresses.at, *number),
+        Config::Status { json, addresses } => status(&addresses.at, *json),
+        Config::Revert { number, proposal } => {
+            let version = request::version(&proposal.addresses.at, Some(*number))?;
+            proposal::propose(version.settings, proposal, None)
+        }
+    }
+}
+
+fn check(path: &Path, addresses: &[SocketAddr]) -> Result<(), CommandError> {
+    let file = SettingsFile::read(path)?;
+    if !addresses.is_empty() {
+        request::check(addresses, &file)?;
+    }
+    print(&format!("{}: sound", file.name));
+    Ok(())
+}
+
+fn show(addresses: &[SocketAddr], number: Option<VersionNumber>) -> Result<(), CommandError> {
+    let version = request::version(addresses, number)?;
+    eprintln!("version {} by {}: {}", version.number, version.author, version.reason);
+    print(&serde_json::to_string_pretty(&version.settings).unwrap_or_default());
+    Ok(())
+}
+
+fn history(
+    addresses: &[SocketAddr],
+    before: Option<VersionNumber>,
+    count: usize,
+    json: bool,
+) -> Result<(), CommandError> {
+    let (newest, versions) = request::history(addresses, AdminRequest::History { before, count })?;
+    if json {
+        print(&serde_json::json!({"newest": newest, "versions": versions}).to_string());
+    } else {
+        versions.iter().rev().for_each(|version| print(&report::history_line(version)));
+    }
+    Ok(())
+}
+
+fn status(addresses: &[SocketAddr], json: bool) -> Result<(), CommandError> {
+    let status = request::status(addresses)?;
+    if json {
+        print(&serde_json::to_string(&status).unwrap_or_default());
+    } else {
+        report::status_lines(&status).iter().for_each(|line| print(line));
+    }
+    if status.replica.has_quorum { Ok(()) } else { Err(CommandError::NoQuorum { name: status.replica.name }) }
+}
--- /dev/null
+++ b/crates/alderway/src/config/proposal.rs
@@ -0,0 +1,243 @@
+//! Proposing a version, and waiting until every router has applied it.
+use super::error::CommandError;
+use super::report::{print, unix_ms, unresponsive_names};
+use super::{ProposalArgs, request};
+use crate::settings;
+use alderway_control_plane::replica::{ProposalOutcome, ReplicaName};
+use alderway_control_plane::version::{Proposal, VersionNumber};
+use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, MAX_WAIT_S, client};
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::fs::File;
+use std::io::Read;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+/// Between two looks at which routers have applied a version.
+const STATUS_INTERVAL: Duration = Duration::from_millis(300);
+/// A control machine tells the outcome within the wait it was given and this.
+const RESPONSE_MARGIN_S: f64 = 2.0;
+
+/// Settings and the file that they come from.
+pub(super) struct SettingsFile {
+    /// The path as it was given.
+    pub(super) name: String,
+    text: String,
+    pub(super) settings: Value,
+}
+
+impl SettingsFile {
+    /// Reads a file and checks its settings as a router does at its start.
+    pub(super) fn read(path: &Path) -> Result<SettingsFile, CommandError> {
+        let name = path.display().to_string();
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| CommandError::UnreadableFile { file: name.clone(), source })?;
+        let settings = settings::read(&name, &text)?;
+        let file = SettingsFile { name, text, settings };
+        settings::check(&file.settings, None).map_err(|invalid| file.invalid(&invalid.0))?;
+        Ok(file)
+    }
+
+    /// The error of checks that refuse the settings, with the line that they name.
+    pub(super) fn invalid(&self, reason: &str) -> CommandError {
+        CommandError::InvalidSettings(settings::located(&self.name, &self.text, reason))
+    }
+}
+
+/// Proposes settings as the next version, waits for the outcome, then until it is applied everywhere. `file` is where they
+/// come from, if they come from a file.
+pub(super) fn propose(
+    settings: Value,
+    args: &ProposalArgs,
+    file: Option<&SettingsFile>,
+) -> Result<(), CommandError> {
+    let addresses = &args.addresses.at;
+    if !(0.0..=MAX_WAIT_S).contains(&args.wait) {
+        return Err(CommandError::WaitOutOfRange);
+    }
+    let deadline = Instant::now() + Duration::from_secs_f64(args.wait);
+    let base = match args.base {
+        Some(base) => base,
+        None => request::status(addresses)?.replica.version,
+    };
+    let id = args.id.clone().unwrap_or_else(unused_id);
+    let (author, reason) = (args.author.clone(), args.why.clone());
+    let proposal = Proposal { id, base, author, reason, at_unix_ms: unix_ms(), settings };
+    print(&format!("proposed as {} on version {base}", proposal.id));
+    let number = commit(addresses, &proposal, args.wait, file)?;
+    print(&format!("in order: version {number}"));
+    wait_until_applied(addresses, number, deadline)
+}
+
+/// An id that no other proposal has: from the system's source of randomness, where that can be read.
+fn unused_id() -> String {
+    let mut bytes = [0; 8];
+    // Time and process id alone do as well for proposals of one operator.
+    let _ = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
+    format!("{:x}-{:x}-{:016x}", unix_ms(), std::process::id(), u64::from_be_bytes(bytes))
+}
+
+/// What one control machine did with a proposal.
+enum Attempt {
+    Committed(VersionNumber),
+    /// The next machine is asked; `may_be_proposed` says whether this one may have proposed it.
+    Failed {
+        reason: String,
+        may_be_proposed: bool,
+    },
+}
+
+/// Sends the proposal to one control machine after the other until one tells that it was committed or refused. That is safe,
+/// as the same id counts once.
+fn commit(
+    addresses: &[SocketAddr],
+    proposal: &Proposal,
+    wait_s: f64,
+    file: Option<&SettingsFile>,
+) -> Result<VersionNumber, CommandError> {
+    let deadline = Instant::now() + Duration::from_secs_f64(wait_s);
+    let mut may_be_proposed = false;
+    let mut last = String::new();
+    for &address in addresses {
+        let remaining_s = deadline.saturating_duration_since(Instant::now()).as_secs_f64().min(wait_s);
+        if remaining_s <= 0.0 && may_be_proposed {
+            break;
+        }
+        match attempt(address, proposal, remaining_s, file)? {
+            Attempt::Committed(number) => return Ok(number),
+            Attempt::Failed { reason, may_be_proposed: by_this } => {
+                may_be_proposed |= by_this;
+                eprintln!("{reason}");
+                last = reason;
+            }
+        }
+    }
+    Err(if may_be_proposed {
+        CommandError::OutcomeUnknown { id: proposal.id.clone() }
+    } else {
+        CommandError::NothingProposed { last }
+    })
+}
+
+fn attempt(
+    address: SocketAddr,
+    proposal: &Proposal,
+    wait_s: f64,
+    file: Option<&SettingsFile>,
+) -> Result<Attempt, CommandError> {
+    let request = AdminRequest::Propose { proposal: proposal.clone(), wait_s };
+    let timeout = Duration::from_secs_f64(wait_s + RESPONSE_MARGIN_S);
+    match client::send(address, &request, timeout) {
+        Ok(AdminResponse::Proposed { outcome, admin_addresses }) => {
+            evaluate(address, outcome, &admin_addresses)
+        }
+        Ok(AdminResponse::Invalid { reason }) => Err(match file {
+            Some(file) => file.invalid(&reason),
+            None => CommandError::InvalidSettings(reason),
+        }),
+        Ok(AdminResponse::BadRequest { reason }) => Err(CommandError::BadProposal(reason)),
+        Ok(_) => Err(CommandError::UnexpectedResponse),
+        Err(error) => Ok(Attempt::Failed { reason: error.to_string(), may_be_proposed: error.request_sent }),
+    }
+}
+
+fn evaluate(
+    address: SocketAddr,
+    outcome: ProposalOutcome,
+    admin_addresses: &BTreeMap<ReplicaName, SocketAddr>,
+) -> Result<Attempt, CommandError> {
+    let not_proposed =
+        |reason: String| Attempt::Failed { reason: format!("{address}: {reason}"), may_be_proposed: false };
+    Ok(match outcome {
+        ProposalOutcome::Committed(number) => Attempt::Committed(number),
+        ProposalOutcome::Rejected(error) => return Err(CommandError::Rejected(error)),
+        ProposalOutcome::TooLong { bytes, limit } => return Err(CommandError::TooLong { bytes, limit }),
+        ProposalOutcome::TooMany { limit } => not_proposed(format!("{limit} proposals wait there already")),
+        ProposalOutcome::Unavailable { reason } => not_proposed(format!("it takes no part: {reason}")),
+        ProposalOutcome::NoQuorum { leader, for_s } => {
+            let since = for_s.map_or("since its start".into(), |s| format!("for {s:.1} s"));
+            let leader = known_leader(leader, admin_addresses);
+            let leader = leader.map(|(name, at)| format!("; its leader was {name} at {at}"));
+            not_proposed(format!("no majority is known {since}{}", leader.unwrap_or_default()))
+        }
+        ProposalOutcome::Undecided { leader } => {
+            let leader = known_leader(leader, admin_addresses);
+            let leader = leader.map(|(name, at)| format!("; {name} at {at} leads")).unwrap_or_default();
+            let reason = format!("{address}: no answer of a majority in time{leader}");
+            Attempt::Failed { reason, may_be_proposed: true }
+        }
+    })
+}
+
+/// The leader and its admin endpoint, for the operator's next attempt.
+fn known_leader(
+    leader: Option<ReplicaName>,
+    admin_addresses: &BTreeMap<ReplicaName, SocketAddr>,
+) -> Option<(ReplicaName, SocketAddr)> {
+    let name = leader?;
+    let address = *admin_addresses.get(&name)?;
+    Some((name, address))
+}
+
+/// Routers that have a version, and those that don't yet.
+struct Progress {
+    applied: u64,
+    missing: u64,
+}
+
+impl Progress {
+    fn of(status: &ClusterStatus, number: VersionNumber) -> Progress {
+        let mut progress = Progress { applied: 0, missing: 0 };
+        for (version, count) in &status.routers.by_version {
+            let side = if *version >= number { &mut progress.applied } else { &mut progress.missing };
+            *side += count;
+        }
+        progress
+    }
+
+    fn line(&self, number: VersionNumber) -> String {
+        match self.applied + self.missing {
+            0 => format!("version {number}: no routers are known"),
+            all => format!("in force: {} of {all} routers have {number}", self.applied),
+        }
+    }
+}
+
+/// Waits until every known router has applied the version, with a line whenever that changes.
+fn wait_until_applied(
+    addresses: &[SocketAddr],
+    number: VersionNumber,
+    deadline: Instant,
+) -> Result<(), CommandError> {
+    let mut last_line = String::new();
+    loop {
+        let status = request::status(addresses)?;
+        let progress = Progress::of(&status, number);
+        let line = progress.line(number);
+        if line != last_line {
+            print(&line);
+            last_line = line;
+        }
+        if progress.missing == 0 && status.replica.version >= number {
+            if !status.unresponsive.is_empty() {
+                print(&format!("routers of {} are not counted: no answer", unresponsive_names(&status)));
+            }
+            return Ok(());
+        }
+        if Instant::now() >= deadline {
+            return Err(not_applied_everywhere(&status, number, progress.missing));
+        }
+        sleep(STATUS_INTERVAL);
+    }
+}
+
+fn not_applied_everywhere(status: &ClusterStatus, number: VersionNumber, missing: u64) -> CommandError {
+    let lagging = status.routers.lagging.iter();
+    let lagging = lagging.map(|l| format!("{} has {}: {}", l.router, l.version, l.reason));
+    let lagging = lagging.collect::<Vec<_>>().join("; ");
+    let omitted = status.routers.omitted;
+    let more = if omitted > 0 { format!("; {omitted} more") } else { String::new() };
+    CommandError::NotAppliedEverywhere { number, missing, lagging, more }
+}
--- /dev/null
+++ b/crates/alderway/src/config/request.rs
@@ -0,0 +1,68 @@
+//! Requests that change nothing: any control machine may answer them.
+use super::error::CommandError;
+use super::proposal::SettingsFile;
+use alderway_control_plane::version::{Version, VersionNumber};
+use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, VersionSummary, client};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Asks the control machines in turn; the first response counts.
+fn send(addresses: &[SocketAddr], request: &AdminRequest) -> Result<AdminResponse, CommandError> {
+    let mut errors = vec![];
+    for &address in addresses {
+        match client::send(address, request, RESPONSE_TIMEOUT) {
+            Ok(AdminResponse::BadRequest { reason }) => {
+                return Err(CommandError::BadRequest { address, reason });
+            }
+            Ok(response) => return Ok(response),
+            Err(error) => errors.push(error),
+        }
+    }
+    Err(CommandError::NoResponse(errors))
+}
+
+/// Has a control machine check the settings of a file.
+pub(super) fn check(addresses: &[SocketAddr], file: &SettingsFile) -> Result<(), CommandError> {
+    match send(addresses, &AdminRequest::Check { settings: file.settings.clone() })? {
+        AdminResponse::Valid => Ok(()),
+        AdminResponse::Invalid { reason } => Err(file.invalid(&reason)),
+        _ => Err(CommandError::UnexpectedResponse),
+    }
+}
+
+/// A version with its settings; the latest where no number is given.
+pub(super) fn version(
+    addresses: &[SocketAddr],
+    number: Option<VersionNumber>,
+) -> Result<Version, CommandError> {
+    match send(addresses, &AdminRequest::Show { number })? {
+        AdminResponse::Version { version } => Ok(version),
+        AdminResponse::VersionNotFound { newest: 0, .. } => Err(CommandError::NoVersions),
+        AdminResponse::VersionNotFound { oldest, newest } => {
+            let number = number.unwrap_or(newest);
+            Err(CommandError::VersionNotFound { number, oldest, newest })
+        }
+        _ => Err(CommandError::UnexpectedResponse),
+    }
+}
+
+/// The number of the latest version, and the versions that a history request asks for.
+pub(super) fn history(
+    addresses: &[SocketAddr],
+    request: AdminRequest,
+) -> Result<(VersionNumber, Vec<VersionSummary>), CommandError> {
+    match send(addresses, &request)? {
+        AdminResponse::History { newest, versions } => Ok((newest, versions)),
+        _ => Err(CommandError::UnexpectedResponse),
+    }
+}
+
+/// The state of all control machines and routers.
+pub(super) fn status(addresses: &[SocketAddr]) -> Result<ClusterStatus, CommandError> {
+    match send(addresses, &AdminRequest::Status)? {
+        AdminResponse::Status(status) => Ok(*status),
+        _ => Err(CommandError::UnexpectedResponse),
+    }
+}
--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -1,11 +1,10 @@
-//! `alderway control`: a control machine by the operator's file.
+//! `alderway control`: a control machine as the operator's file describes it.
 use crate::settings;
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
-use alderway_control_server::InvalidSettings;
 use alderway_control_server::server::{self, ServerConfig};
 use alderway_control_server::subscriptions::Subscriptions;
-use alderway_operator::{LogForm, Operator};
+use alderway_operator::{Control as ControlConfig, LogForm};
 use alderway_router::tier::post;
 use alderway_telemetry::log::{self, LogFormat};
 use clap::Args;
@@ -14,6 +13,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// The operator's file can't be used.
+const EXIT_INVALID_INPUT: u8 = 2;
+
 #[derive(Args)]
 pub struct Control {
     /// The operator's file; it says `control(...)`
@@ -21,50 +23,51 @@
     operator: PathBuf,
 }
 
-fn plan(operator: &Operator, path: &std::path::Path) -> Result<ServerConfig, String> {
-    let Some(control) = operator.control.clone() else {
-        return Err(format!("{}: it says nothing of `control`", path.display()));
-    };
-    let name = control.name.clone();
-    Ok(ServerConfig {
-        name: control.name,
-        replica_addresses: control.members,
-        admin_addresses: control.doors,
-        data_path: control.data.into(),
-        settings_check: Box::new(|settings, earlier| {
-            settings::check(settings, earlier).map_err(InvalidSettings)
-        }),
-        version_sink: Box::new(move || Box::pin(outlet(name, control.routers))),
-    })
-}
-
-/// Where routers subscribe, if the file says where they are heard.
-async fn outlet(name: String, routers: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
-    let Some(at) = routers else { return Ok(Box::new(DiscardVersions)) };
-    let subscriptions =
-        Subscriptions::listen(&name, post::incarnation(), at, PublisherConfig::default()).await?;
-    Ok(Box::new(subscriptions))
-}
-
-pub fn run(control: &Control) -> ExitCode {
-    let read = crate::operator_at(Some(&control.operator));
-    let planned = read.and_then(|(operator, _)| Ok((plan(&operator, &control.operator)?, operator.log)));
-    let (plan, log) = match planned {
-        Ok(planned) => planned,
-        Err(why) => {
-            eprintln!("alderway: {why}");
-            return ExitCode::from(2);
+/// Runs a control machine until SIGTERM or SIGINT.
+pub fn run(args: &Control) -> ExitCode {
+    let (control, log_form) = match read(args) {
+        Ok(read) => read,
+        Err(message) => {
+            eprintln!("alderway: {message}");
+            return ExitCode::from(EXIT_INVALID_INPUT);
         }
     };
-    log::init(match log {
+    log::init(match log_form {
         LogForm::Text => LogFormat::Text,
         LogForm::Json => LogFormat::Json,
     });
-    match server::run(plan) {
+    match server::run(server_config(control)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("alderway: {why}");
+        Err(error) => {
+            eprintln!("alderway: {error}");
             ExitCode::FAILURE
         }
     }
 }
+
+fn read(args: &Control) -> Result<(ControlConfig, LogForm), String> {
+    let (operator, _) = crate::operator_at(Some(&args.operator))?;
+    let missing = || format!("{}: it says nothing of `control`", args.operator.display());
+    Ok((operator.control.ok_or_else(missing)?, operator.log))
+}
+
+fn server_config(control: ControlConfig) -> ServerConfig {
+    let (name, router_address) = (control.name.clone(), control.routers);
+    ServerConfig {
+        name: control.name,
+        replica_addresses: control.members,
+        admin_addresses: control.doors,
+        data_path: control.data.into(),
+        settings_check: Box::new(settings::check),
+        version_sink: Box::new(move || Box::pin(version_sink(name, router_address))),
+    }
+}
+
+/// Subscriptions of routers, if the file says where routers connect.
+async fn version_sink(name: String, address: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
+    let Some(address) = address else { return Ok(Box::new(DiscardVersions)) };
+    let config = PublisherConfig::default();
+    let subscriptions = Subscriptions::listen(&name, post::incarnation(), address, config).await;
+    let named = |error: io::Error| io::Error::new(error.kind(), format!("routers at {address}: {error}"));
+    Ok(Box::new(subscriptions.map_err(named)?))
+}
