--- a/crates/alderway/src/config/error.rs
+++ b/crates/alderway/src/config/error.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The control machines or the checks refused, or the command failed.
+/// The control servers or the checks refused, or the command failed.
 const EXIT_FAILED: u8 = 1;
 /// The command line or a file can't be used.
 const EXIT_INVALID_INPUT: u8 = 2;
@@ -45,10 +45,10 @@
     NoResponse(Vec<RequestError>),
     #[error("{name} knows of no majority")]
     NoQuorum { name: String },
-    /// The proposal reached a control machine that did not tell its outcome.
+    /// The proposal reached a control server that did not tell its outcome.
     #[error("not known to be in order: it may be yet; ask again with `--id {id}`")]
     OutcomeUnknown { id: String },
-    /// No control machine proposed anything.
+    /// No control server proposed anything.
     #[error("nothing was changed: {last}")]
     NothingProposed { last: String },
     #[error(
--- a/crates/alderway/src/config/proposal.rs
+++ b/crates/alderway/src/config/proposal.rs
@@ -17,7 +17,7 @@
 
 /// Between two looks at which routers have applied a version.
 const STATUS_INTERVAL: Duration = Duration::from_millis(300);
-/// A control machine tells the outcome within the wait it was given and this.
+/// A control server tells the outcome within the wait it was given and this.
 const RESPONSE_MARGIN_S: f64 = 2.0;
 
 /// Settings and the file that they come from.
@@ -79,7 +79,7 @@
     format!("{:x}-{:x}-{:016x}", unix_ms(), std::process::id(), u64::from_be_bytes(bytes))
 }
 
-/// What one control machine did with a proposal.
+/// What one control server did with a proposal.
 enum Attempt {
     Committed(VersionNumber),
     /// The next machine is asked; `may_be_proposed` says whether this one may have proposed it.
@@ -89,7 +89,7 @@
     },
 }
 
-/// Sends the proposal to one control machine after the other until one tells that it was committed or refused. That is safe,
+/// Sends the proposal to one control server after the other until one tells that it was committed or refused. That is safe,
 /// as the same id counts once.
 fn commit(
     addresses: &[SocketAddr],
--- a/crates/alderway/src/config/request.rs
+++ b/crates/alderway/src/config/request.rs
@@ -1,4 +1,4 @@
-//! Requests that change nothing: any control machine may answer them.
+//! Requests that change nothing: any control server may answer them.
 use super::error::CommandError;
 use super::proposal::SettingsFile;
 use alderway_control_plane::version::{Version, VersionNumber};
@@ -8,7 +8,7 @@
 
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks the control machines in turn; the first response counts.
+/// Asks the control servers in turn; the first response counts.
 fn send(addresses: &[SocketAddr], request: &AdminRequest) -> Result<AdminResponse, CommandError> {
     let mut errors = vec![];
     for &address in addresses {
@@ -23,7 +23,7 @@
     Err(CommandError::NoResponse(errors))
 }
 
-/// Has a control machine check the settings of a file.
+/// Has a control server check the settings of a file.
 pub(super) fn check(addresses: &[SocketAddr], file: &SettingsFile) -> Result<(), CommandError> {
     match send(addresses, &AdminRequest::Check { settings: file.settings.clone() })? {
         AdminResponse::Valid => Ok(()),
@@ -59,7 +59,7 @@
     }
 }
 
-/// The state of all control machines and routers.
+/// The state of all control servers and routers.
 pub(super) fn status(addresses: &[SocketAddr]) -> Result<ClusterStatus, CommandError> {
     match send(addresses, &AdminRequest::Status)? {
         AdminResponse::Status(status) => Ok(*status),
--- a/crates/alderway/tests/common/mod.rs
+++ b/crates/alderway/tests/common/mod.rs
@@ -1,5 +1,7 @@
 //! What stories over sockets share: a client of a router, and waiting for what its counters say.
 #![allow(dead_code)]
+pub mod control_cluster;
+
 use alderway_lab::load::{Load, Pace};
 use alderway_lab::program::Program;
 use std::collections::BTreeMap;
--- a/crates/control-server/src/admin/client.rs
+++ b/crates/control-server/src/admin/client.rs
@@ -18,9 +18,9 @@
 #[derive(Debug, Error)]
 #[error("{address}: {cause}")]
 pub struct RequestError {
-    /// The control machine that was asked.
+    /// The control server that was asked.
     pub address: SocketAddr,
-    /// Whether the request was written: the control machine may have acted on it.
+    /// Whether the request was written: the control server may have acted on it.
     pub request_sent: bool,
     /// What went wrong.
     pub cause: RequestFailure,
@@ -44,7 +44,7 @@
     /// No response came within the time that the caller allows.
     #[error("no answer in time")]
     TimedOut,
-    /// The control machine closed the connection.
+    /// The control server closed the connection.
     #[error("it ended the connection")]
     ConnectionClosed,
     /// What came is no frame of this protocol.
@@ -55,10 +55,10 @@
     Json(#[from] serde_json::Error),
 }
 
-/// Sends `request` to the control machine at `address`, and waits up to `timeout` for the response.
+/// Sends `request` to the control server at `address`, and waits up to `timeout` for the response.
 ///
 /// # Errors
-/// No response came; [`RequestError::request_sent`] says whether the control machine may have acted on the request.
+/// No response came; [`RequestError::request_sent`] says whether the control server may have acted on the request.
 pub fn send(
     address: SocketAddr,
     request: &AdminRequest,
--- a/crates/control-server/src/admin/handlers.rs
+++ b/crates/control-server/src/admin/handlers.rs
@@ -15,7 +15,7 @@
 const MAX_LISTED_VERSIONS: usize = 200;
 /// The longest author, reason and id of a proposal.
 const MAX_TEXT_BYTES: usize = 500;
-/// How long the other control machines have to send the summaries of their routers.
+/// How long the other control servers have to send the summaries of their routers.
 const SUMMARY_TIMEOUT: Duration = Duration::from_millis(700);
 /// Between two looks whether a client that has sent further requests is still connected.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -125,7 +125,7 @@
     }
 }
 
-/// Asks the other control machines for their routers, and adds up what arrives in time.
+/// Asks the other control servers for their routers, and adds up what arrives in time.
 async fn collect_status(state: &SharedState) -> ClusterStatus {
     let (sender, mut replies) = mpsc::unbounded_channel();
     let (request, mut status) = {
@@ -150,7 +150,7 @@
     status
 }
 
-/// What this control machine knows by itself; all others count as unresponsive until they reply.
+/// What this control server knows by itself; all others count as unresponsive until they reply.
 fn own_status(state: &mut ServerState) -> ClusterStatus {
     let replica = state.replica.status(state.now());
     let peers = state.admin_addresses.keys().filter(|name| **name != replica.name);
--- a/crates/control-server/src/admin/messages.rs
+++ b/crates/control-server/src/admin/messages.rs
@@ -22,7 +22,7 @@
     const VERSION: u16 = 1;
 }
 
-/// What an operator asks of a control machine.
+/// What an operator asks of a control server.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminRequest {
@@ -50,11 +50,11 @@
         /// The latest where there is none.
         number: Option<VersionNumber>,
     },
-    /// The state of all control machines and routers.
+    /// The state of all control servers and routers.
     Status,
 }
 
-/// What a control machine answers.
+/// What a control server answers.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminResponse {
@@ -74,7 +74,7 @@
         /// The replica's outcome.
         #[serde(rename = "answer")]
         outcome: ProposalOutcome,
-        /// The admin endpoints of all control machines, for a client that tries another one.
+        /// The admin endpoints of all control servers, for a client that tries another one.
         #[serde(rename = "doors")]
         admin_addresses: BTreeMap<ReplicaName, SocketAddr>,
     },
@@ -98,7 +98,7 @@
         /// The latest version; 0: there is none.
         newest: VersionNumber,
     },
-    /// The state of all control machines and routers.
+    /// The state of all control servers and routers.
     Status(Box<ClusterStatus>),
     /// The request can't be used.
     #[serde(rename = "wrong")]
@@ -129,20 +129,20 @@
     pub changed_keys: Vec<String>,
 }
 
-/// The state of all control machines and routers, as one control machine collected it.
+/// The state of all control servers and routers, as one control server collected it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClusterStatus {
-    /// The control machine that answers.
+    /// The control server that answers.
     #[serde(rename = "machine")]
     pub replica: ReplicaStatus,
-    /// The latest version of each control machine that answered in time.
+    /// The latest version of each control server that answered in time.
     pub versions: BTreeMap<ReplicaName, VersionNumber>,
-    /// Why a control machine takes no part, for each that said so.
+    /// Why a control server takes no part, for each that said so.
     #[serde(rename = "out")]
     pub unavailable: BTreeMap<ReplicaName, String>,
-    /// Control machines that did not answer in time; their routers are not counted.
+    /// Control servers that did not answer in time; their routers are not counted.
     #[serde(rename = "silent")]
     pub unresponsive: BTreeSet<ReplicaName>,
-    /// The routers subscribed at the control machines that answered.
+    /// The routers subscribed at the control servers that answered.
     pub routers: RouterSummary,
 }
--- a/crates/control-server/src/listener.rs
+++ b/crates/control-server/src/listener.rs
@@ -1,4 +1,4 @@
-//! The accept loop that all listeners of a control machine share: a task for each connection, a limited number at once.
+//! The accept loop that all listeners of a control server share: a task for each connection, a limited number at once.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/control-server/src/outbox.rs
+++ b/crates/control-server/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Frames to other control machines, and where they wait to be written.
+//! Frames to other control servers, and where they wait to be written.
 use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
 use alderway_transport::{WireMessage, encode_message};
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The message of a frame between control machines.
+/// The message of a frame between control servers.
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PeerFrame(pub ReplicaMessage);
@@ -19,7 +19,7 @@
 /// Past so many bytes further messages to that machine are dropped: consensus tolerates lost messages.
 const MAX_OUTBOX_BYTES: usize = 48 * 1024 * 1024;
 
-/// An outbox for each other control machine; nothing is put into that of a machine without a connection.
+/// An outbox for each other control server; nothing is put into that of a machine without a connection.
 pub(crate) struct Outboxes(BTreeMap<ReplicaName, Outbox>);
 
 struct Outbox {
--- a/crates/control-server/src/replica_links/incoming.rs
+++ b/crates/control-server/src/replica_links/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that other control machines opened, and the messages that come on them.
+//! Connections that other control servers opened, and the messages that come on them.
 use super::link::{LinkError, own_hello};
 use crate::listener::serve_each;
 use crate::outbox::PeerFrame;
@@ -20,7 +20,7 @@
 /// The latest connection of each peer. An earlier one is read no further: its messages are older than those on the latest.
 type LatestConnections = RefCell<BTreeMap<ReplicaName, u64>>;
 
-/// Serves other control machines for as long as the program runs.
+/// Serves other control servers for as long as the program runs.
 pub(crate) async fn accept(state: SharedState, listener: TcpListener) {
     let latest = Rc::<LatestConnections>::default();
     let serve = |stream| {
--- a/crates/control-server/src/replica_links/link.rs
+++ b/crates/control-server/src/replica_links/link.rs
@@ -4,7 +4,7 @@
 use alderway_transport::{FrameError, HandshakeError, Hello};
 use thiserror::Error;
 
-/// Why a connection between control machines was ended by this side.
+/// Why a connection between control servers was ended by this side.
 #[derive(Debug, Error)]
 pub(super) enum LinkError {
     #[error(transparent)]
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -1,4 +1,4 @@
-//! The program of a control machine: opens its log and its listeners, then runs its tasks on one thread until a signal.
+//! The program of a control server: opens its log and its listeners, then runs its tasks on one thread until a signal.
 use crate::admin;
 use crate::log_store::{LogStore, LogStoreError};
 use crate::outbox::Outboxes;
@@ -24,17 +24,17 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Makes the sink for committed versions, on the control machine's own thread.
+/// Makes the sink for committed versions, on the control server's own thread.
 pub type VersionSinkFactory =
     Box<dyn FnOnce() -> Pin<Box<dyn Future<Output = io::Result<Box<dyn VersionSink>>>>>>;
 
-/// What a control machine is started with.
+/// What a control server is started with.
 pub struct ServerConfig {
-    /// Its name among the control machines.
+    /// Its name among the control servers.
     pub name: ReplicaName,
-    /// Where each control machine, this one among them, listens for the others.
+    /// Where each control server, this one among them, listens for the others.
     pub replica_addresses: BTreeMap<ReplicaName, SocketAddr>,
-    /// Where each control machine, this one among them, listens for operators.
+    /// Where each control server, this one among them, listens for operators.
     pub admin_addresses: BTreeMap<ReplicaName, SocketAddr>,
     /// The folder of its log.
     pub data_path: PathBuf,
@@ -44,7 +44,7 @@
     pub version_sink: VersionSinkFactory,
 }
 
-/// Why a control machine could not start or go on.
+/// Why a control server could not start or go on.
 #[derive(Debug, Error)]
 pub enum ServerError {
     /// The runtime or a signal handler could not be set up.
@@ -61,7 +61,7 @@
         /// What contradicts what.
         source: RecoveryError,
     },
-    /// The addresses of the control machines don't name this one.
+    /// The addresses of the control servers don't name this one.
     #[error("not of the members")]
     NotAMember,
     /// A listener could not be opened.
@@ -79,7 +79,7 @@
     VersionSink(io::Error),
 }
 
-/// Runs a control machine until SIGTERM or SIGINT.
+/// Runs a control server until SIGTERM or SIGINT.
 ///
 /// # Errors
 /// Its log can't be used, or it can't listen.
--- a/crates/control-server/src/state.rs
+++ b/crates/control-server/src/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a control machine share, on one thread: the replica, its log on disk, the outboxes to its peers and
+//! What all tasks of a control server share, on one thread: the replica, its log on disk, the outboxes to its peers and
 //! the clients that wait for an outcome.
 //!
 //! # What is durable before what is said
@@ -29,7 +29,7 @@
 /// Checks settings as a router does at its start, and that they can follow the given earlier ones.
 pub type SettingsCheck = Box<dyn Fn(&Value, Option<&Value>) -> Result<(), InvalidSettings>>;
 
-/// What another control machine says of its routers.
+/// What another control server says of its routers.
 pub(crate) struct RouterSummaryReply {
     /// The number of the request.
     pub(crate) request: u64,
@@ -45,7 +45,7 @@
     pub(crate) outboxes: Outboxes,
     /// Where committed versions go.
     pub(crate) version_sink: Box<dyn VersionSink>,
-    /// Admin endpoints of all control machines.
+    /// Admin endpoints of all control servers.
     pub(crate) admin_addresses: BTreeMap<ReplicaName, SocketAddr>,
     settings_check: SettingsCheck,
     log_store: LogStore,
--- a/crates/control-server/src/subscriptions/hub.rs
+++ b/crates/control-server/src/subscriptions/hub.rs
@@ -19,7 +19,7 @@
 }
 
 pub(super) struct Hub {
-    /// What routers' lists call this control machine.
+    /// What routers' lists call this control server.
     pub(super) name: String,
     pub(super) incarnation: u64,
     pub(super) clock: Clock,
--- a/crates/control-server/src/subscriptions/mod.rs
+++ b/crates/control-server/src/subscriptions/mod.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// The subscriptions at one control machine. A clone is another handle on the same ones; the tasks run on the thread that
+/// The subscriptions at one control server. A clone is another handle on the same ones; the tasks run on the thread that
 /// called [`Subscriptions::listen`] until the last handle is dropped.
 #[derive(Clone)]
 pub struct Subscriptions {
@@ -38,7 +38,7 @@
 }
 
 impl Subscriptions {
-    /// Listens for routers. `name` is what routers' lists call this control machine, `incarnation` a number that each of its
+    /// Listens for routers. `name` is what routers' lists call this control server, `incarnation` a number that each of its
     /// starts has for itself.
     ///
     /// # Errors
--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a control machine: frames in, frames out, nothing decided.
+//! A connection to a control server: frames in, frames out, nothing decided.
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_sockets::Sender;
 use alderway_transport::{FrameError, FrameReader, Hello, Incarnation, Name, Received, encode_hello};
@@ -10,14 +10,14 @@
 pub(super) enum ConnectionError {
     #[error("the connection was closed")]
     Closed,
-    /// The list of control machines names this address otherwise than the machine there calls itself.
+    /// The list of control servers names this address otherwise than the machine there calls itself.
     #[error("`{0}` answers where another control machine is")]
     UnexpectedMachine(Name),
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// What a control machine sent.
+/// What a control server sent.
 pub(super) enum Incoming {
     /// Its hello: messages may be sent from now on.
     Greeted,
@@ -28,7 +28,7 @@
     stream: TcpStream,
     sender: Sender,
     reader: FrameReader<ControlMessage>,
-    /// What the list of control machines calls the one at this address.
+    /// What the list of control servers calls the one at this address.
     expected_name: Name,
     is_greeted: bool,
     /// Encoded and not written yet.
@@ -51,7 +51,7 @@
         Connection { stream, sender, reader, expected_name, is_greeted: false, output }
     }
 
-    /// Whether the next message may be given to [`Self::send`]: one at a time, and none before the control machine's hello.
+    /// Whether the next message may be given to [`Self::send`]: one at a time, and none before the control server's hello.
     pub(super) fn is_ready_to_send(&self) -> bool {
         self.is_greeted && self.output.is_empty()
     }
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -36,9 +36,9 @@
 /// Bytes of all connections so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// From control machines.
+    /// From control servers.
     pub received_bytes: u64,
-    /// To control machines.
+    /// To control servers.
     pub sent_bytes: u64,
 }
 
@@ -48,7 +48,7 @@
     pub name: Name,
     /// Which of its starts this is.
     pub incarnation: Incarnation,
-    /// Name and address of each control machine, in the order of the subscriber's list.
+    /// Name and address of each control server, in the order of the subscriber's list.
     pub machines: Vec<(Name, SocketAddr)>,
     /// The clock of all times that the subscriber is given.
     pub clock: Clock,
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,6 +1,6 @@
-//! The router's subscription to control machines, on sockets and disk.
+//! The router's subscription to control servers, on sockets and disk.
 //!
-//! [`alderway_control_plane::subscriber`] decides which control machine the router is connected to, what it takes of the
+//! [`alderway_control_plane::subscriber`] decides which control server the router is connected to, what it takes of the
 //! messages that come and when it sends what. Here are:
 //!
 //! - `driver`: carries out the subscriber's commands and tells it what came of them;
@@ -31,7 +31,7 @@
 
 /// A router's subscription: what the operator's file says of it, and what was persisted.
 pub struct Subscription {
-    /// The control machines, and where each listens for routers.
+    /// The control servers, and where each listens for routers.
     pub machines: Vec<(ControlEndpoint, SocketAddr)>,
     /// The router's own zone.
     pub zone: String,
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,4 +1,4 @@
-//! The file that holds the version which a router starts with while no control machine can be reached.
+//! The file that holds the version which a router starts with while no control server can be reached.
 //!
 //! One line `alderway-version 1 NUMBER DIGEST CONFIRMED`, then the settings as text: the version's number, the digest of the
 //! text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The digest tells
--- a/crates/router/src/lifecycle/control_settings.rs
+++ b/crates/router/src/lifecycle/control_settings.rs
@@ -1,4 +1,4 @@
-//! Settings from control machines, at the start and while the router serves.
+//! Settings from control servers, at the start and while the router serves.
 use super::settings::{Live, Outcome};
 use super::start::{self, Read, Station};
 use crate::control::persisted_version::{PersistedVersion, StartupError};
