--- a/crates/alderway/src/config.rs
+++ b/crates/alderway/src/config.rs
@@ -4,8 +4,10 @@
 use alderway_control_plane::replica::ProposalOutcome;
 use alderway_control_plane::version::{Proposal, Version, VersionNumber};
 use alderway_control_plane::version_log::ProposalError;
-use alderway_controller::client;
-use alderway_controller::door::{Ask, Line, Overall, Reply, WAIT_MOST};
+use alderway_control_server::admin::client;
+use alderway_control_server::admin::{
+    AdminRequest, AdminResponse, ClusterStatus, MAX_WAIT_S, VersionSummary,
+};
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use std::io::Write;
@@ -149,13 +151,13 @@
 }
 
 /// Asks the machines in turn; none that answers is a failure that names each.
-fn asked(all: &[SocketAddr], ask: &Ask, wait: Duration) -> Result<Reply, Failure> {
+fn asked(all: &[SocketAddr], ask: &AdminRequest, wait: Duration) -> Result<AdminResponse, Failure> {
     let mut faults = vec![];
     for at in all {
-        match client::ask(*at, ask, wait) {
-            Ok(Reply::Wrong { why }) => return Err(failed(format!("{at}: {why}"))),
+        match client::send(*at, ask, wait) {
+            Ok(AdminResponse::BadRequest { reason }) => return Err(failed(format!("{at}: {reason}"))),
             Ok(reply) => return Ok(reply),
-            Err(fault) => faults.push(fault.why),
+            Err(fault) => faults.push(fault.to_string()),
         }
     }
     Err(unsettled(format!("no control machine answers: {}", faults.join("; "))))
@@ -169,7 +171,7 @@
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|why| faulty(format!("{name}: {why}")))?;
     let read = settings::read(&name, &text).map_err(faulty)?;
-    settings::check(&read, None).map_err(|why| Failure(1, settings::located(&name, &text, &why)))?;
+    settings::check(&read, None).map_err(|reason| Failure(1, settings::located(&name, &text, &reason)))?;
     Ok((read, text))
 }
 
@@ -177,9 +179,11 @@
     let (settings, text) = settings_of(file)?;
     let name = file.display().to_string();
     if !at.is_empty() {
-        match asked(at, &Ask::Check { settings }, ANSWER)? {
-            Reply::Sound => {}
-            Reply::Faulty { why } => return Err(failed(settings::located(&name, &text, &why))),
+        match asked(at, &AdminRequest::Check { settings }, ANSWER)? {
+            AdminResponse::Valid => {}
+            AdminResponse::Invalid { reason } => {
+                return Err(failed(settings::located(&name, &text, &reason)));
+            }
             _ => return Err(odd()),
         }
     }
@@ -188,10 +192,10 @@
 }
 
 fn version(at: &[SocketAddr], number: Option<VersionNumber>) -> Result<Version, Failure> {
-    match asked(at, &Ask::Show { number }, ANSWER)? {
-        Reply::Version { version } => Ok(version),
-        Reply::NoSuch { newest: 0, .. } => Err(failed("there is no version yet")),
-        Reply::NoSuch { oldest, newest } => {
+    match asked(at, &AdminRequest::Show { number }, ANSWER)? {
+        AdminResponse::Version { version } => Ok(version),
+        AdminResponse::VersionNotFound { newest: 0, .. } => Err(failed("there is no version yet")),
+        AdminResponse::VersionNotFound { oldest, newest } => {
             let asked = number.unwrap_or(newest);
             Err(failed(format!("version {asked} is not kept: there are {oldest} to {newest}")))
         }
@@ -206,15 +210,18 @@
     Ok(())
 }
 
-fn told(line: &Line) -> String {
-    let Line { number, author, why, keys, at_unix_ms, .. } = line;
+fn told(line: &VersionSummary) -> String {
+    let VersionSummary { number, author, reason, changed_keys, at_unix_ms, .. } = line;
     let age = unix_ms().saturating_sub(*at_unix_ms) / 1000;
-    let keys = if keys.is_empty() { String::new() } else { format!("  [{}]", keys.join(", ")) };
-    format!("{number}  {age} s ago  {author}: {why}{keys}")
+    let keys =
+        if changed_keys.is_empty() { String::new() } else { format!("  [{}]", changed_keys.join(", ")) };
+    format!("{number}  {age} s ago  {author}: {reason}{keys}")
 }
 
 fn history(at: &[SocketAddr], before: Option<VersionNumber>, count: usize, json: bool) -> Done {
-    let Reply::History { newest, versions } = asked(at, &Ask::History { before, count }, ANSWER)? else {
+    let AdminResponse::History { newest, versions } =
+        asked(at, &AdminRequest::History { before, count }, ANSWER)?
+    else {
         return Err(odd());
     };
     if json {
@@ -225,9 +232,9 @@
     Ok(())
 }
 
-fn overall(at: &[SocketAddr]) -> Result<Overall, Failure> {
-    match asked(at, &Ask::Status, ANSWER)? {
-        Reply::Status(overall) => Ok(*overall),
+fn overall(at: &[SocketAddr]) -> Result<ClusterStatus, Failure> {
+    match asked(at, &AdminRequest::Status, ANSWER)? {
+        AdminResponse::Status(overall) => Ok(*overall),
         _ => Err(odd()),
     }
 }
@@ -239,12 +246,12 @@
     } else {
         shown(&all);
     }
-    let majority = all.machine.has_quorum;
-    if majority { Ok(()) } else { Err(unsettled(format!("{} knows of no majority", all.machine.name))) }
+    let majority = all.replica.has_quorum;
+    if majority { Ok(()) } else { Err(unsettled(format!("{} knows of no majority", all.replica.name))) }
 }
 
-fn shown(all: &Overall) {
-    let machine = &all.machine;
+fn shown(all: &ClusterStatus) {
+    let machine = &all.replica;
     let age = machine.staleness_s.map_or("never since its start".into(), |age| format!("{age:.1} s ago"));
     say(&format!("version: {}, as {} knew it to be the newest {age}", machine.version, machine.name));
     let leader = machine.leader.as_deref().unwrap_or("none is known");
@@ -253,14 +260,14 @@
     let versions: Vec<String> =
         all.versions.iter().map(|(name, number)| format!("{name} has {number}")).collect();
     say(&format!("control machines: {}", versions.join(", ")));
-    for (name, why) in &all.out {
+    for (name, why) in &all.unavailable {
         say(&format!("control machine {name} takes no part: {why}"));
     }
     if machine.membership_changing {
         say("a replaced control machine is being taken in");
     }
-    if !all.silent.is_empty() {
-        let silent: Vec<&str> = all.silent.iter().map(String::as_str).collect();
+    if !all.unresponsive.is_empty() {
+        let silent: Vec<&str> = all.unresponsive.iter().map(String::as_str).collect();
         say(&format!("not answering, and their routers not counted: {}", silent.join(", ")));
     }
     if all.routers.by_version.is_empty() {
@@ -294,13 +301,13 @@
 
 fn propose(settings: Value, how: &How, file: Option<(&Path, &str)>) -> Done {
     let at = &how.at.at;
-    if !(0.0..=WAIT_MOST).contains(&how.wait) {
-        return Err(faulty(format!("`--wait` is 0 to {WAIT_MOST} seconds")));
+    if !(0.0..=MAX_WAIT_S).contains(&how.wait) {
+        return Err(faulty(format!("`--wait` is 0 to {MAX_WAIT_S} seconds")));
     }
     let end = Instant::now() + Duration::from_secs_f64(how.wait);
     let base = match how.base {
         Some(base) => base,
-        None => overall(at)?.machine.version,
+        None => overall(at)?.replica.version,
     };
     let id = how.id.clone().unwrap_or_else(fresh_id);
     let (author, why) = (how.author.clone(), how.why.clone());
@@ -326,24 +333,24 @@
         if left <= 0.0 && sent {
             break;
         }
-        let ask = Ask::Propose { proposal: proposal.clone(), wait_s: left };
-        let (answer, doors) = match client::ask(*at, &ask, Duration::from_secs_f64(left + 2.0)) {
-            Ok(Reply::Answer { answer, doors }) => (answer, doors),
-            Ok(Reply::Faulty { why }) => {
+        let ask = AdminRequest::Propose { proposal: proposal.clone(), wait_s: left };
+        let (outcome, admin_addresses) = match client::send(*at, &ask, Duration::from_secs_f64(left + 2.0)) {
+            Ok(AdminResponse::Proposed { outcome, admin_addresses }) => (outcome, admin_addresses),
+            Ok(AdminResponse::Invalid { reason }) => {
                 let located =
-                    file.map(|(path, text)| settings::located(&path.display().to_string(), text, &why));
-                return Err(failed(located.unwrap_or(why)));
+                    file.map(|(path, text)| settings::located(&path.display().to_string(), text, &reason));
+                return Err(failed(located.unwrap_or(reason)));
             }
-            Ok(Reply::Wrong { why }) => return Err(failed(why)),
+            Ok(AdminResponse::BadRequest { reason }) => return Err(failed(reason)),
             Ok(_) => return Err(odd()),
             Err(fault) => {
-                sent = sent || fault.sent;
+                sent = sent || fault.request_sent;
                 eprintln!("{fault}");
-                last = fault.why;
+                last = fault.to_string();
                 continue;
             }
         };
-        match answer {
+        match outcome {
             ProposalOutcome::Committed(number) => return Ok(number),
             ProposalOutcome::Rejected(refusal) => return Err(failed(refused(&refusal))),
             ProposalOutcome::TooLong { bytes, limit } => {
@@ -355,13 +362,15 @@
             ProposalOutcome::Unavailable { reason } => last = format!("{at}: it takes no part: {reason}"),
             ProposalOutcome::NoQuorum { leader, for_s } => {
                 let since = for_s.map_or("since its start".into(), |s| format!("for {s:.1} s"));
-                let known =
-                    leader.and_then(|name| Some(format!("; its leader was {name} at {}", doors.get(&name)?)));
+                let known = leader.and_then(|name| {
+                    Some(format!("; its leader was {name} at {}", admin_addresses.get(&name)?))
+                });
                 last = format!("{at}: no majority is known {since}{}", known.unwrap_or_default());
             }
             ProposalOutcome::Undecided { leader } => {
                 sent = true;
-                let known = leader.and_then(|name| Some(format!("; {name} at {} leads", doors.get(&name)?)));
+                let known = leader
+                    .and_then(|name| Some(format!("; {name} at {} leads", admin_addresses.get(&name)?)));
                 last = format!("{at}: no answer of a majority in time{}", known.unwrap_or_default());
             }
         }
@@ -413,9 +422,9 @@
             say(&line);
             former = line;
         }
-        if without == 0 && all.machine.version >= number {
-            if !all.silent.is_empty() {
-                let silent: Vec<&str> = all.silent.iter().map(String::as_str).collect();
+        if without == 0 && all.replica.version >= number {
+            if !all.unresponsive.is_empty() {
+                let silent: Vec<&str> = all.unresponsive.iter().map(String::as_str).collect();
                 say(&format!("routers of {} are not counted: no answer", silent.join(", ")));
             }
             return Ok(());
--- a/crates/control-plane/tests/wire_format.rs
+++ b/crates/control-plane/tests/wire_format.rs
@@ -4,13 +4,14 @@
 //!
 //! A reference file has one item a line: its name, a space, then hexadecimal bytes (`.hex`) or JSON (`.json.txt`). They
 //! were written once and nothing regenerates them: a difference is a change of the format.
-use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch, founding, held};
-use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage, digest, encode_frame};
+use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch, founding_batch};
+use alderway_control_plane::content::digest;
+use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage, encode_frame};
 use alderway_control_plane::replica::{ProposalOutcome, Replica, ReplicaMessage, ReplicaStatus};
 use alderway_control_plane::version::{Proposal, Version};
 use alderway_control_plane::version_log::{ProposalError, UndoneVersion, VersionLog};
 use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
-use alderway_transport::frames::{self, Hello, Read, Reader, Speech};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeType, ConfChangeV2, Entry, EntryType, HardState, Message, MessageType, Snapshot,
@@ -21,6 +22,7 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
+use std::io;
 
 const CONTROL_MESSAGES: &str = include_str!("data/control_message.hex");
 const ROUTER_MESSAGES: &str = include_str!("data/router_message.hex");
@@ -45,21 +47,21 @@
 }
 
 /// Reads a frame that follows a hello.
-fn read_frame<M: Speech + Debug>(frame: &[u8]) -> M {
-    let mut reader = Reader::<M>::default();
+fn read_frame<M: WireMessage + Debug>(frame: &[u8]) -> M {
+    let mut reader = FrameReader::<M>::default();
     let mut hello = vec![];
-    let said = Hello { version: M::VERSION, planner: false, incarnation: 3, name: "c1".into() };
-    frames::hello_of::<M>(&mut hello, &said);
+    let said = Hello { version: M::VERSION, is_planner: false, incarnation: 3, name: "c1".into() };
+    encode_hello::<M>(&mut hello, &said);
     reader.feed(&hello);
     reader.feed(frame);
-    assert!(matches!(reader.read(), Ok(Some(Read::Hello(_)))));
-    match reader.read() {
-        Ok(Some(Read::Message(message))) => message,
+    assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(_)))));
+    match reader.next_frame() {
+        Ok(Some(Received::Message(message))) => message,
         other => panic!("no message: {:?}", other.is_ok()),
     }
 }
 
-fn assert_frame<M: Speech + Debug + PartialEq>(file: &str, name: &str, expected: &M) {
+fn assert_frame<M: WireMessage + Debug + PartialEq>(file: &str, name: &str, expected: &M) {
     assert_eq!(reference(file, name).unwrap_or("none"), hex(&encode_frame(expected)), "{name}");
     assert_eq!(read_frame::<M>(&bytes_of(file, name)), *expected, "{name}");
 }
@@ -86,12 +88,13 @@
 
 #[test]
 fn the_greeting_of_each_side_has_its_protocol_and_version() {
-    assert_eq!((ControlMessage::WORD, ControlMessage::VERSION), (*b"ALDC", 1));
-    assert_eq!((RouterMessage::WORD, RouterMessage::VERSION), (*b"ALDS", 1));
-    let said = |name: &str| Hello { version: 1, planner: false, incarnation: 0x0102_0304, name: name.into() };
+    assert_eq!((ControlMessage::PROTOCOL_ID, ControlMessage::VERSION), (*b"ALDC", 1));
+    assert_eq!((RouterMessage::PROTOCOL_ID, RouterMessage::VERSION), (*b"ALDS", 1));
+    let said =
+        |name: &str| Hello { version: 1, is_planner: false, incarnation: 0x0102_0304, name: name.into() };
     let (mut control, mut router) = (vec![], vec![]);
-    frames::hello_of::<ControlMessage>(&mut control, &said("c1"));
-    frames::hello_of::<RouterMessage>(&mut router, &said("r001"));
+    encode_hello::<ControlMessage>(&mut control, &said("c1"));
+    encode_hello::<RouterMessage>(&mut router, &said("r001"));
     assert_eq!(reference(CONTROL_MESSAGES, "hello"), Some(hex(&control).as_str()));
     assert_eq!(reference(ROUTER_MESSAGES, "hello"), Some(hex(&router).as_str()));
 }
@@ -125,8 +128,8 @@
 #[serde(transparent)]
 struct Framed(ReplicaMessage);
 
-impl Speech for Framed {
-    const WORD: [u8; 4] = *b"ALDC";
+impl WireMessage for Framed {
+    const PROTOCOL_ID: [u8; 4] = *b"ALDC";
     const VERSION: u16 = 1;
 }
 
@@ -254,7 +257,7 @@
 struct Disk(RecoveredState);
 
 impl StableStorage for Disk {
-    fn write(&mut self, what: &WriteBatch) -> Result<(), String> {
+    fn write(&mut self, what: &WriteBatch) -> io::Result<()> {
         let held = &mut self.0;
         held.identity = what.identity.clone().or(held.identity.take());
         held.snapshot = what.snapshot.clone().or(held.snapshot.take());
@@ -382,12 +385,12 @@
 
 #[test]
 fn a_founding_write() {
-    let write = founding(&[11, 12, 13], b"{\"names\":{},\"versions\":[]}".to_vec());
+    let write = founding_batch(&[11, 12, 13], b"{\"names\":{},\"versions\":[]}".to_vec());
     assert_eq!(
         (write.identity.as_ref(), write.compacted_to, write.clear_entries, write.entries.len()),
         (None, Some((1, 1)), true, 0)
     );
-    let held = held(&write);
+    let held = RecoveredState::founded(&write);
     let text = |bytes: &Option<Vec<u8>>| hex(bytes.as_deref().unwrap_or_default());
     assert_eq!(reference(FOUNDING, "snapshot"), Some(text(&held.snapshot).as_str()));
     assert_eq!(reference(FOUNDING, "hard_state"), Some(text(&held.hard_state).as_str()));
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -5,14 +5,14 @@
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, SubscriptionConfig};
 use alderway_control_plane::version::{Version, VersionNumber};
 use alderway_control_plane::version_sink::VersionSink;
-use alderway_controller::hollow::hollow;
-use alderway_controller::subscriptions::Subscriptions;
-use alderway_router::control::kept::{self, Kept};
-use alderway_router::control::{Offer, Subscription, start};
+use alderway_control_server::simulated_router::SimulatedRouters;
+use alderway_control_server::subscriptions::Subscriptions;
+use alderway_router::control::persisted_version::{self, PersistedVersion};
+use alderway_router::control::{ApplySettings, Subscription, start};
 use alderway_router::lifecycle::start::Station;
 use alderway_router::state::house::{Figures, House, Sharing};
 use alderway_telemetry::clock::Clock;
-use alderway_transport::frames::{self, Hello, Speech};
+use alderway_transport::{Hello, WireMessage, encode_hello};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -124,7 +124,7 @@
     ) -> Router {
         let (offered, refuses) = (Rc::new(RefCell::new(vec![])), refuses.to_vec());
         let taken = offered.clone();
-        let offer: Offer = Box::new(move |settings, number| {
+        let offer: ApplySettings = Box::new(move |settings, number| {
             taken.borrow_mut().push((number, settings));
             let refused = refuses.contains(&number);
             Box::pin(async move {
@@ -135,13 +135,19 @@
                 }
             })
         });
-        let kept = keep.as_deref().and_then(|path| kept::read(path).ok().flatten());
-        let subscription =
-            Subscription { machines, zone: "z1".into(), terms: quick(), keep, kept, said: None };
+        let kept = keep.as_deref().and_then(|path| persisted_version::read(path).ok().flatten());
+        let subscription = Subscription {
+            machines,
+            zone: "z1".into(),
+            terms: quick(),
+            persist_path: keep,
+            persisted: kept,
+            load_error: None,
+        };
         Router { house: Router::started(subscription, offer), offered }
     }
 
-    fn started(subscription: Subscription, offer: Offer) -> Arc<House> {
+    fn started(subscription: Subscription, offer: ApplySettings) -> Arc<House> {
         let sharing = Sharing { cores: 1, node_connections: None, evidence: false };
         let house = House::new(100, sharing, f64::INFINITY).0;
         start(subscription, "r", 5, offer, house.clone(), Clock::default());
@@ -208,7 +214,7 @@
 }
 
 /// For a router whose settings only change with a start: what is sound and differs from the held waits for one.
-fn with_a_start(held: Value) -> Offer {
+fn with_a_start(held: Value) -> ApplySettings {
     Box::new(move |settings, _| {
         let outcome = match alderway_deployment::router(0, &settings) {
             Err(why) => ApplyOutcome::Rejected(format!("key `settings`: expected {why}")),
@@ -253,10 +259,10 @@
         let at = (first.subscriptions.address(), second.subscriptions.address());
         let router = Router::new(vec![(machine("c1", "z1"), at.0), (machine("c2", "z2"), at.1)], None, &[]);
         router.until(is("control_version", 1)).await;
-        assert_eq!((first.subscriptions.links(), second.subscriptions.links()), (1, 0));
+        assert_eq!((first.subscriptions.link_count(), second.subscriptions.link_count()), (1, 0));
         drop(first);
         router.until(|f| is("control_connections_lost", 1)(f) && is("control_connected", 1)(f)).await;
-        assert_eq!(second.subscriptions.links(), 1);
+        assert_eq!(second.subscriptions.link_count(), 1);
         second.commit(2);
         router.until(is("control_version", 2)).await;
     });
@@ -295,20 +301,20 @@
             let mut stream = TcpStream::connect(at).await.expect("a connection");
             let mut hello = vec![];
             let said =
-                Hello { version: RouterMessage::VERSION, planner: false, incarnation, name: "r".into() };
-            frames::hello_of::<RouterMessage>(&mut hello, &said);
+                Hello { version: RouterMessage::VERSION, is_planner: false, incarnation, name: "r".into() };
+            encode_hello::<RouterMessage>(&mut hello, &said);
             stream.write_all(&hello).await.expect("written");
             stream
         };
         let mut former = dial(1).await;
-        until(|| desk.subscriptions.links() == 1).await;
+        until(|| desk.subscriptions.link_count() == 1).await;
         let later = dial(2).await;
         // The machine's hello, and then its end.
         let mut read = vec![];
         former.read_to_end(&mut read).await.expect("its end");
-        assert_eq!(desk.subscriptions.links(), 1);
+        assert_eq!(desk.subscriptions.link_count(), 1);
         drop(later);
-        until(|| desk.subscriptions.links() == 0).await;
+        until(|| desk.subscriptions.link_count() == 0).await;
     });
 }
 
@@ -346,21 +352,23 @@
         router.until(is("control_version", 1)).await;
         desk.commit(2);
         router.until(is("control_version", 2)).await;
-        until(|| kept::read(&keep).ok().flatten().is_some_and(|kept| kept.settled.number == 2)).await;
+        until(|| persisted_version::read(&keep).ok().flatten().is_some_and(|kept| kept.version.number == 2))
+            .await;
     });
     let at = closed();
     let subscription = || Subscription {
         machines: vec![(machine("c1", "z1"), at)],
         zone: "z1".into(),
         terms: quick(),
-        keep: Some(keep.clone()),
-        kept: None,
-        said: None,
+        persist_path: Some(keep.clone()),
+        persisted: None,
+        load_error: None,
     };
-    let station = kept::station(subscription(), &config, Clock::default(), None).expect("a station");
+    let station =
+        persisted_version::station(subscription(), &config, Clock::default(), None).expect("a station");
     assert_eq!(station.settings, settings(2));
     let control = station.control.expect("a subscription");
-    assert_eq!(control.kept.as_ref().map(|kept| kept.settled.number), Some(2));
+    assert_eq!(control.persisted.as_ref().map(|kept| kept.version.number), Some(2));
     story(async {
         let router =
             Router { house: Router::started(control, with_a_start(settings(2))), offered: Rc::default() };
@@ -369,13 +377,15 @@
         // What changes waits for a start here, and is kept for it.
         let desk = Desk::at("c1", at, 3).await;
         router.until(is("control_versions_waiting", 1)).await;
-        until(|| kept::read(&keep).ok().flatten().is_some_and(|kept| kept.settled.number == 3)).await;
+        until(|| persisted_version::read(&keep).ok().flatten().is_some_and(|kept| kept.version.number == 3))
+            .await;
         until(|| {
             desk.subscriptions.summary().lagging.iter().any(|l| l.reason == "3 waits for a start: settings")
         })
         .await;
     });
-    let station = kept::station(subscription(), &config, Clock::default(), None).expect("a station");
+    let station =
+        persisted_version::station(subscription(), &config, Clock::default(), None).expect("a station");
     assert_eq!(station.settings, settings(3));
 }
 
@@ -390,8 +400,15 @@
 /// What a router with that configuration starts with, given a kept file.
 fn started_from(place: &Place, keep: PathBuf, machines: Vec<(ControlEndpoint, SocketAddr)>) -> Station {
     let (zone, keep) = (String::new(), Some(keep));
-    let subscription = Subscription { machines, zone, terms: quick(), keep, kept: None, said: None };
-    kept::station(subscription, &configured(place), Clock::default(), None).expect("a station")
+    let subscription = Subscription {
+        machines,
+        zone,
+        terms: quick(),
+        persist_path: keep,
+        persisted: None,
+        load_error: None,
+    };
+    persisted_version::station(subscription, &configured(place), Clock::default(), None).expect("a station")
 }
 
 #[rstest]
@@ -402,19 +419,19 @@
 fn a_torn_kept_file_is_said_and_ignored(#[case] tear: fn(&str) -> String, #[case] why: &str) {
     let place = Place::new("torn");
     let keep = place.file("version");
-    let sound = Kept {
-        settled: ConfigVersion::new(7, &settings(7).to_string()),
+    let sound = PersistedVersion {
+        version: ConfigVersion::new(7, &settings(7).to_string()),
         as_of_unix_ms: Some(1_700_000_000_000),
     };
-    kept::write(&keep, &sound).expect("written");
-    assert_eq!(kept::read(&keep), Ok(Some(sound)));
+    persisted_version::write(&keep, &sound).expect("written");
+    assert_eq!(persisted_version::read(&keep), Ok(Some(sound)));
     let text = std::fs::read_to_string(&keep).expect("there");
     std::fs::write(&keep, tear(&text)).expect("written");
     let station = started_from(&place, keep, vec![(machine("c1", "z1"), closed())]);
     assert_eq!(station.settings, settings(0));
     let control = station.control.expect("a subscription");
-    assert!(control.kept.is_none());
-    let said = control.said.expect("a line of the log");
+    assert!(control.persisted.is_none());
+    let said = control.load_error.expect("a line of the log");
     assert!(said.ends_with(&format!("{why}; ignored")), "{said}");
 }
 
@@ -422,11 +439,11 @@
 fn a_kept_version_that_is_faulty_here_is_said_and_ignored() {
     let place = Place::new("faulty");
     let keep = place.file("version");
-    let faulty = Kept { settled: ConfigVersion::new(7, r#"{"Limits":{}}"#), as_of_unix_ms: None };
-    kept::write(&keep, &faulty).expect("written");
+    let faulty = PersistedVersion { version: ConfigVersion::new(7, r#"{"Limits":{}}"#), as_of_unix_ms: None };
+    persisted_version::write(&keep, &faulty).expect("written");
     let station = started_from(&place, keep, vec![]);
     assert_eq!(station.settings, settings(0));
-    let said = station.control.and_then(|control| control.said).expect("a line of the log");
+    let said = station.control.and_then(|control| control.load_error).expect("a line of the log");
     assert!(said.starts_with("version 7 of the kept file: key `settings`: expected "), "{said}");
 }
 
@@ -438,17 +455,17 @@
             (machine("c1", "z1"), first.subscriptions.address()),
             (machine("c2", "z2"), second.subscriptions.address()),
         ];
-        let hollow = hollow(60, &list, &["z1".into(), "z2".into()], 3);
-        until(|| hollow.have(1) == 60).await;
-        assert_eq!((first.subscriptions.links(), second.subscriptions.links()), (30, 30));
+        let routers = SimulatedRouters::start(60, &list, &["z1".into(), "z2".into()], 3);
+        until(|| routers.count_with(1) == 60).await;
+        assert_eq!((first.subscriptions.link_count(), second.subscriptions.link_count()), (30, 30));
         first.commit(2);
         second.commit(2);
-        until(|| hollow.have(2) == 60).await;
+        until(|| routers.count_with(2) == 60).await;
         let mut summary = first.subscriptions.summary();
         summary.merge(&second.subscriptions.summary());
         assert_eq!(summary.by_version.values().sum::<u64>(), 60);
-        let seen = hollow.seen();
-        assert!(seen.iter().all(|seen| seen.in_force.iter().map(|f| f.1).eq([1, 2])));
+        let states = routers.states();
+        assert!(states.iter().all(|state| state.applied.iter().map(|f| f.1).eq([1, 2])));
     });
 }
 
@@ -458,18 +475,18 @@
         let folder = std::env::temp_dir().join(format!("alderway-kept-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         let path = folder.join("version");
-        let keep = kept::keeper(path.clone(), Clock::default());
+        let keep = persisted_version::spawn_writer(path.clone(), Clock::default());
         // There is no such folder yet, so nothing can be written.
         let settled = ConfigVersion::new(7, "{}");
         keep.send_replace(Some((settled.clone(), None)));
         sleep(Duration::from_millis(200)).await;
-        assert_eq!(kept::read(&path), Ok(None));
+        assert_eq!(persisted_version::read(&path), Ok(None));
         std::fs::create_dir_all(&folder).expect("a folder");
-        while kept::read(&path).ok().flatten().is_none() {
+        while persisted_version::read(&path).ok().flatten().is_none() {
             sleep(Duration::from_millis(20)).await;
         }
-        let kept = kept::read(&path).expect("sound").expect("kept");
-        assert_eq!(kept.settled, settled);
+        let kept = persisted_version::read(&path).expect("sound").expect("kept");
+        assert_eq!(kept.version, settled);
         let _ = std::fs::remove_dir_all(&folder);
     });
 }
