--- /dev/null
+++ b/crates/deployment/src/router_config.rs
@@ -0,0 +1,76 @@
+//! The part of the settings that a router on sockets needs beside the policy's: its connections to data nodes and its
+//! capacity.
+
+use crate::SettingsError;
+use crate::values::{item, list, number_of_class, or_default, positive_seconds, positive_whole, text};
+use serde_json::Value;
+
+/// Limits of the connections to data nodes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ConnectionConfig {
+    /// Shard requests in flight on one connection at once.
+    pub streams_per_connection: usize,
+    /// Most shard requests in one attempt.
+    pub max_batch: usize,
+    /// Seconds after which opening a connection has failed.
+    pub dial_timeout_s: f64,
+    /// Seconds after which a data node closes an idle connection.
+    pub idle_timeout_s: f64,
+}
+
+/// What a router on sockets admits and how it paces its rounds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AdmissionConfig {
+    /// Most queries and shard requests open at once.
+    pub max_open: usize,
+    /// Shards are numbered from 0 to below this.
+    pub shard_count: u32,
+    /// Least seconds between two rounds.
+    pub min_round_interval_s: f64,
+    /// The longest latency objective of any query class, in seconds.
+    pub max_latency_objective_s: f64,
+    /// The longest deadline of any query class, in seconds.
+    pub max_deadline_s: f64,
+    /// Whether changes of the endpoint list arrive only when the policy polls for them.
+    pub polls_endpoints: bool,
+}
+
+/// Reads the limits of connections and of admission.
+///
+/// # Errors
+/// The first setting that is absent or unusable, a query class with a second phase, or no query class at all.
+pub fn router_config(settings: &Value) -> Result<(ConnectionConfig, AdmissionConfig), SettingsError> {
+    let (extra, limits) = (item(settings, "Extra")?, item(settings, "Limits")?);
+    let connections = ConnectionConfig {
+        streams_per_connection: positive_whole(limits, "StreamsPerConn")?,
+        max_batch: or_default(1, extra, "BundleMax", positive_whole)?,
+        dial_timeout_s: positive_seconds(limits, "DialTimeoutUs")?,
+        idle_timeout_s: positive_seconds(limits, "KeepaliveUs")?,
+    };
+    let (max_latency_objective_s, max_deadline_s) = longest_times(settings, extra)?;
+    let admission = AdmissionConfig {
+        max_open: positive_whole(limits, "MaxOpen")?,
+        shard_count: positive_whole(extra, "Slices")? as u32,
+        min_round_interval_s: positive_seconds(settings, "TickUs")?,
+        max_latency_objective_s,
+        max_deadline_s,
+        polls_endpoints: text(settings, "Discovery")? == "subscribe",
+    };
+    Ok((connections, admission))
+}
+
+/// The longest latency objective and the longest deadline of any query class, in seconds.
+fn longest_times(settings: &Value, extra: &Value) -> Result<(f64, f64), SettingsError> {
+    let (mut objective_s, mut deadline_s) = (0.0f64, 0.0f64);
+    for (class, service) in list(settings, "Services")?.iter().enumerate() {
+        objective_s = objective_s.max(positive_seconds(service, "PromiseUs")?);
+        deadline_s = deadline_s.max(positive_seconds(service, "DeadlineUs")?);
+        if number_of_class(extra, "ClassFetch", class, 0.0)? > 0.0 {
+            return Err(SettingsError::SecondPhaseUnsupported);
+        }
+    }
+    if deadline_s == 0.0 {
+        return Err(SettingsError::NoQueryClass);
+    }
+    Ok((objective_s, deadline_s))
+}
--- a/crates/router/src/lifecycle/settings.rs
+++ b/crates/router/src/lifecycle/settings.rs
@@ -5,7 +5,7 @@
 use crate::io::core::BEAT;
 use crate::state::house::House;
 use crate::state::terms::Issue;
-use alderway_deployment::live::{self, Changes, Settings};
+use alderway_deployment::{Changes, Settings, changes};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -53,11 +53,11 @@
 }
 
 fn examine(settings: &Value, held: Option<&Value>) -> Result<Checked, Fault> {
-    let read = live::settings(settings);
+    let read = Settings::read(settings);
     let read = read.map_err(|why| Fault::Faulty(format!("key `settings`: expected {why}")))?;
-    let Changes { live, fixed } = held.map_or(Changes::default(), |held| live::changes(held, settings));
-    if !fixed.is_empty() {
-        return Err(Fault::Waits(fixed.into_iter().map(str::to_string).collect()));
+    let Changes { live, restart } = held.map_or(Changes::default(), |held| changes(held, settings));
+    if !restart.is_empty() {
+        return Err(Fault::Waits(restart.into_iter().map(str::to_string).collect()));
     }
     Ok(Checked { settings: read, changed: live })
 }
@@ -102,7 +102,7 @@
 impl Live {
     /// For a router that starts with these settings, `began` read from them. `longest`: of any deadline, ever.
     pub fn new(house: Arc<House>, role: Role, held: Value, began: Settings, longest: Option<f64>) -> Self {
-        let deadline = Cell::new(began.intake.max_deadline_s);
+        let deadline = Cell::new(began.admission.max_deadline_s);
         let news = watch::channel(Arc::new(Issue { serial: 0, settings: began })).0;
         let (held, serial, count, serves) = (RefCell::new(Arc::new(held)), Cell::new(0), None, None);
         let (count, serves) = (RefCell::new(count), RefCell::new(serves));
@@ -155,7 +155,7 @@
             return Err(Fault::Waits(vec!["settings".into()]));
         }
         let checked = examine(settings, Some(&self.held()))?;
-        if self.0.longest.is_some_and(|longest| checked.settings.intake.max_deadline_s > longest) {
+        if self.0.longest.is_some_and(|longest| checked.settings.admission.max_deadline_s > longest) {
             return Err(Fault::Waits(vec!["Services[].DeadlineUs".into()]));
         }
         Ok(checked)
@@ -184,7 +184,7 @@
         }
         let serial = self.0.serial.get() + 1;
         self.0.serial.set(serial);
-        self.0.deadline.set(self.0.deadline.get().max(checked.settings.intake.max_deadline_s));
+        self.0.deadline.set(self.0.deadline.get().max(checked.settings.admission.max_deadline_s));
         self.0.news.send_replace(Arc::new(Issue { serial, settings: checked.settings }));
         let late = self.taken_over(serial).await;
         self.counts("settings_taken");
--- a/crates/router/src/lifecycle/start.rs
+++ b/crates/router/src/lifecycle/start.rs
@@ -33,7 +33,7 @@
     /// Of the decision module: the start of its chance, and the settings, as the file has them and as read.
     pub seed: u64,
     pub settings: Value,
-    pub began: deployment::live::Settings,
+    pub began: deployment::Settings,
     pub verticals: Vec<Class>,
     pub trunk: deployment::ConnectionConfig,
     pub room: deployment::AdmissionConfig,
@@ -139,13 +139,13 @@
             .ok_or("key `seed`: expected up to 16 hex digits")?,
     };
     let settings = all.get("settings").ok_or("key `settings`: missing")?;
-    let wrong = |why: String| format!("key `settings`: expected {why}");
-    let mut began = deployment::live::settings(settings).map_err(wrong)?;
+    let wrong = |why: deployment::SettingsError| format!("key `settings`: expected {why}");
+    let mut began = deployment::Settings::read(settings).map_err(wrong)?;
     if let Some(peers) = peers {
-        began.terms.router_count = peers as usize;
+        began.policy.router_count = peers as usize;
     }
     let verticals = Class::all(&began);
-    let (trunk, room) = (began.trunk, began.intake);
+    let (trunk, room) = (began.connections, began.admission);
     Ok(Station {
         path: PathBuf::new(),
         beside: None,
--- a/crates/router/src/state/desk.rs
+++ b/crates/router/src/state/desk.rs
@@ -21,7 +21,7 @@
 use alderway_cores::board::Board;
 use alderway_cores::fence;
 use alderway_cores::ids::Refused;
-use alderway_deployment::live::Settings;
+use alderway_deployment::Settings;
 use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_layouts::ShardId;
 use alderway_layouts::coverage::Count;
@@ -65,7 +65,7 @@
 impl Class {
     /// All verticals of some settings, in their order.
     pub fn all(settings: &Settings) -> Vec<Class> {
-        let both = settings.names.iter().zip(&settings.terms.query_classes);
+        let both = settings.class_names.iter().zip(&settings.policy.query_classes);
         let class = |(name, vertical): (&String, &QueryClass)| {
             let QueryClass { idempotency: effect, complete_fraction: need, minimum_fraction: floor, .. } =
                 *vertical;
--- a/crates/router/src/state/terms.rs
+++ b/crates/router/src/state/terms.rs
@@ -3,7 +3,7 @@
 use super::desk::{Class, Desk};
 use alderway::interface::{ClassSlot, PolicyConfig, PolicyInput, QueryClass};
 use alderway_deployment::AdmissionConfig;
-use alderway_deployment::live::Settings;
+use alderway_deployment::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -36,7 +36,7 @@
 impl Places {
     /// What a module that starts now is started with.
     pub fn newest(&self) -> Option<&PolicyConfig> {
-        Some(&self.held.as_ref()?.settings.terms)
+        Some(&self.held.as_ref()?.settings.policy)
     }
 
     /// The place of a vertical for queries that come now.
@@ -49,7 +49,7 @@
 
     /// Each vertical in its order, as at a start.
     fn begin(&mut self, issue: Arc<Issue>) {
-        self.known = issue.settings.terms.query_classes.iter().cloned().enumerate().collect();
+        self.known = issue.settings.policy.query_classes.iter().cloned().enumerate().collect();
         (self.newest, self.left, self.free) = (None, BTreeSet::new(), BTreeSet::new());
         self.untold.clear();
         self.held = Some(issue);
@@ -60,7 +60,7 @@
         let mut before = self.newest.take().unwrap_or_else(|| (0..verticals.len()).collect());
         let (mut placed, mut moved) = (vec![], vec![]);
         for (class, vertical) in
-            Class::all(&issue.settings).into_iter().zip(&issue.settings.terms.query_classes)
+            Class::all(&issue.settings).into_iter().zip(&issue.settings.policy.query_classes)
         {
             let follows = before.iter().position(|&at| verticals[at].name == class.name);
             let follows = follows.map(|i| before.remove(i));
@@ -84,7 +84,7 @@
     /// Follows settings from the newest on.
     pub fn follow_settings(&mut self, mut news: watch::Receiver<Arc<Issue>>) {
         let issue = news.borrow_and_update().clone();
-        (self.trunk, self.room) = (issue.settings.trunk, self.room_by(&issue));
+        (self.trunk, self.room) = (issue.settings.connections, self.room_by(&issue));
         self.verticals = Class::all(&issue.settings);
         self.terms.news = Some(news);
         self.terms.begin(issue);
@@ -97,7 +97,7 @@
             max_open: room,
             shard_count: shards,
             polls_endpoints: follow,
-            ..issue.settings.intake
+            ..issue.settings.admission
         }
     }
 
@@ -115,7 +115,7 @@
         let now = self.clock.now();
         let longest = self.longest_deadline(now);
         self.terms.before = (longest, now + longest);
-        (self.trunk, self.room) = (issue.settings.trunk, self.room_by(&issue));
+        (self.trunk, self.room) = (issue.settings.connections, self.room_by(&issue));
         let placed = self.terms.place(&issue, &mut self.verticals);
         self.terms.untold.push((issue.clone(), placed));
         self.terms.held = Some(issue);
@@ -137,7 +137,7 @@
     pub(super) fn tell_terms(&mut self, module: &mut dyn PolicyInput) {
         self.renew();
         for (issue, placed) in std::mem::take(&mut self.terms.untold) {
-            module.change_config(&issue.settings.terms, &placed);
+            module.change_config(&issue.settings.policy, &placed);
         }
         self.say_taken();
     }
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -38,7 +38,7 @@
 pub async fn run(station: Station, clock: Clock) -> io::Result<()> {
     let Station { path, beside, name, listen, discovery, roster, seed, fixed, .. } = station;
     let (mut terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
-    let mut router = Policy::new(seed, station.began.terms);
+    let mut router = Policy::new(seed, station.began.policy);
     // It tells forwarders what it sees of data nodes, as one core tells others.
     router.join(SharedLimits::new(2).for_core(0));
     let verticals = station.verticals.len();
--- a/crates/router/tests/desk.rs
+++ b/crates/router/tests/desk.rs
@@ -424,7 +424,7 @@
         "Limits":{"MayCancel":true,"ParallelTries":true,"MaxAttempts":3},"Services":[{"Name":"v","Worth":1,
         "PromiseUs":1000000,"DeadlineUs":5000000,"Effect":"idempotent","LateShare":0.3}]}"#;
     let settings = deployment::parse(settings).expect("readable");
-    let module = move || deployment::router(7, &settings).map(|made| made.0);
+    let module = move || deployment::policy(7, &settings).map(|made| made.0);
     let desk = Rc::new(std::cell::RefCell::new(desk()));
     desk.borrow_mut().verticals.push("w".into());
     let taken = |id: &str, vertical| {
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -3,7 +3,7 @@
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
-use alderway_deployment::live::{self, Changes};
+use alderway_deployment::{Changes, Settings, changes};
 use alderway_router::lifecycle::settings::{Live, Outcome, check};
 use alderway_router::lifecycle::start::Role;
 use alderway_router::state::clients::Client;
@@ -89,7 +89,7 @@
 fn how_a_number_is_written_and_what_nobody_reads_is_no_change() {
     let mut new = with("/Services/0/Worth", json!(1.0));
     new["Comment"] = json!("as before");
-    assert_eq!(live::changes(&held(), &new), Changes::default());
+    assert_eq!(changes(&held(), &new), Changes::default());
 }
 
 // The desk.
@@ -101,13 +101,13 @@
 }
 
 fn issue(serial: u64, all: &Value) -> Arc<Issue> {
-    Arc::new(Issue { serial, settings: live::settings(all).expect("sound") })
+    Arc::new(Issue { serial, settings: Settings::read(all).expect("sound") })
 }
 
 /// A desk and its module, with one data node.
 fn desk() -> Started {
     let began = issue(0, &held());
-    let (trunk, room) = (began.settings.trunk, began.settings.intake);
+    let (trunk, room) = (began.settings.connections, began.settings.admission);
     let mut desk = Desk::new(Clock::default(), trunk, room, vec![]);
     let (news, told) = watch::channel(began);
     desk.follow_settings(told);
@@ -286,7 +286,7 @@
 
 fn live(role: Role) -> (Live, Arc<House>) {
     let house = House::new(180, Sharing { cores: 2, ..Sharing::default() }, 1.0).0;
-    let began = live::settings(&held()).expect("sound");
+    let began = Settings::read(&held()).expect("sound");
     (Live::new(house.clone(), role, held(), began, None), house)
 }
 
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -216,7 +216,7 @@
 /// For a router whose settings only change with a start: what is sound and differs from the held waits for one.
 fn with_a_start(held: Value) -> ApplySettings {
     Box::new(move |settings, _| {
-        let outcome = match alderway_deployment::router(0, &settings) {
+        let outcome = match alderway_deployment::policy(0, &settings) {
             Err(why) => ApplyOutcome::Rejected(format!("key `settings`: expected {why}")),
             Ok(_) if settings == held => ApplyOutcome::Applied,
             Ok(_) => ApplyOutcome::PendingRestart(vec!["settings".into()]),
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -377,10 +377,10 @@
                     let seed = line.whole("RngSeed")?;
                     let text = line.text("Params")?;
                     let made = deployment::parse(text).and_then(|all| {
-                        let (router, names) = deployment::router(seed, &all)?;
-                        Ok((router, names, deployment::peers(&all)?.then(Over::default)))
+                        let (router, names) = deployment::policy(seed, &all)?;
+                        Ok((router, names, deployment::allows_gossip(&all)?.then(Over::default)))
                     });
-                    let made = made.or_else(|e| line.malformed("Params", e))?;
+                    let made = made.or_else(|e| line.malformed("Params", e.to_string()))?;
                     self.routers.insert(name.to_string(), made);
                 }
                 _ if !self.routers.contains_key(name) => {
