--- /dev/null
+++ b/tests/replica_selection.rs
@@ -0,0 +1,76 @@
+//! Which node an attempt goes to.
+
+mod common;
+use alderway::interface::*;
+use common::*;
+use rstest::rstest;
+
+#[rstest]
+fn first_attempts_go_round_robin() {
+    let mut host = Host::with(|_| ());
+    for n in 0..6 {
+        let asked = last_node(&host.query(n, &[0]), &format!("p{n}.0"));
+        assert_eq!(asked, format!("n{}", n % 3));
+        host.attempt_ended(&format!("p{n}.0"), 0, &asked, AttemptOutcome::Success, 0.1);
+    }
+}
+
+#[rstest]
+fn the_next_in_round_robin_goes_when_all_are_slow() {
+    let mut host = Host::with(|d| d.capabilities.can_hedge = false);
+    for n in 0..3 {
+        host.query(n, &[0]);
+    }
+    host.wait(0.6);
+    assert_eq!(attempts(&host.query(3, &[0])), ["attempt p3.0 n0"]);
+}
+
+#[rstest]
+#[case(NodeState::Draining)]
+#[case(NodeState::Removed)]
+fn no_attempt_goes_to_a_draining_or_removed_node(#[case] state: NodeState) {
+    let mut host = Host::with(|_| ());
+    host.update_endpoint("n1", 1, state, None);
+    host.answer_queries(0, 9, 0.05);
+    assert!(!host.decisions.iter().any(|n| n.starts_with("attempt") && n.ends_with("n1")));
+}
+
+#[rstest]
+fn requests_with_a_common_holder_are_batched_where_attempts_cost_work() {
+    let ring = ShardPlacement {
+        replica_groups: 6,
+        groups_per_shard: 3,
+        max_batch: 8,
+        attempt_overhead_s: 0.05,
+        explicit_holders: None,
+    };
+    let mut host = Host::with(|d| (d.placement, d.node_count) = (ring, 6));
+    assert_eq!(host.query(0, &[0, 1, 2]), ["attempt p0.0 n2", "attempt p0.1 n2", "attempt p0.2 n2"]);
+}
+
+#[rstest]
+fn a_warm_node_with_any_capacity_takes_a_whole_batch() {
+    let one = ShardPlacement {
+        replica_groups: 1,
+        groups_per_shard: 1,
+        max_batch: 8,
+        attempt_overhead_s: 0.05,
+        explicit_holders: None,
+    };
+    let mut host = Host::with(|d| (d.placement, d.node_count) = (one, 1));
+    assert_eq!(attempts(&host.query(0, &[0, 1, 2])).len(), 3);
+    assert_eq!(attempts(&host.query(1, &[0, 1, 2])).len(), 3, "three of four places taken, three more sent");
+    assert_eq!(attempts(&host.query(2, &[0])).len(), 0);
+}
+
+/// Guards against turns kept by shard: neighbouring shards of a query met on one of their holders by chance.
+#[rstest]
+fn shards_with_the_same_holders_share_round_robin() {
+    let mut host = Host::with(|_| ());
+    let mut asked: Vec<String> = attempts(&host.query(0, &[0, 3, 6]))
+        .iter()
+        .map(|c| c.rsplit_once(' ').expect("a call").1.into())
+        .collect();
+    asked.sort();
+    assert_eq!(asked, ["n0", "n1", "n2"]);
+}
--- /dev/null
+++ b/tests/retry_budget.rs
@@ -0,0 +1,39 @@
+//! What the token bucket pays for.
+
+mod common;
+use alderway::interface::*;
+use common::*;
+use rstest::rstest;
+
+#[rstest]
+fn hedges_stop_when_the_bucket_has_no_whole_token() {
+    let mut host = Host::with(|d| d.node_count = 3);
+    for n in 0..24 {
+        host.query(n, &[0, 1, 2]);
+        host.wait(0.52);
+        for i in 0..3 {
+            for attempt in 0..3 {
+                let decisions = host.decisions.clone();
+                let asked: Vec<_> =
+                    decisions.iter().filter_map(|c| c.strip_prefix(&format!("attempt p{n}.{i} "))).collect();
+                if let Some(node) = asked.get(attempt) {
+                    host.attempt_ended(&format!("p{n}.{i}"), attempt, node, AttemptOutcome::Success, 0.05);
+                }
+            }
+        }
+    }
+    let hedges = host.count("attempt") - 72;
+    assert!((40..=47).contains(&hedges), "40 tokens and a tenth for each of 72 parts, not {hedges}");
+}
+
+#[rstest]
+fn a_stated_budget_pays_for_every_further_attempt() {
+    let mut host = Host::with(|d| d.retry_budget = Some(RetryBudget { burst: 2.0, ratio: 0.0 }));
+    host.query(0, &[0, 1, 2, 0]);
+    for part in ["p0.0", "p0.1", "p0.2", "p0.3"] {
+        let asked = last_node(&host.decisions, part);
+        host.attempt_ended(part, 0, &asked, AttemptOutcome::Error, 0.01);
+    }
+    host.wait(0.3);
+    assert_eq!(host.count("attempt"), 4 + 2);
+}
