--- a/crates/control-server/src/outbox.rs
+++ b/crates/control-server/src/outbox.rs
@@ -1,6 +1,6 @@
 //! Frames to other control machines, and where they wait to be written.
 use alderway_control_plane::replica::{ReplicaMessage, ReplicaName};
-use alderway_transport::WireMessage;
+use alderway_transport::{WireMessage, encode_message};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -41,8 +41,7 @@
         if !outbox.is_connected || outbox.bytes.len() >= MAX_OUTBOX_BYTES {
             return false;
         }
-        let is_encoded =
-            alderway_transport::encode_message(&mut outbox.bytes, &PeerFrame(message.clone())).is_ok();
+        let is_encoded = encode_message(&mut outbox.bytes, &PeerFrame(message.clone())).is_ok();
         outbox.filled.notify_one();
         is_encoded
     }
--- a/crates/control-server/src/replica_links/link.rs
+++ b/crates/control-server/src/replica_links/link.rs
@@ -1,14 +1,14 @@
 //! What incoming and outgoing connections share.
 use crate::outbox::PeerFrame;
 use crate::state::SharedState;
-use alderway_transport::{FrameError, Hello, WireMessage};
+use alderway_transport::{FrameError, HandshakeError, Hello};
 use thiserror::Error;
 
 /// Why a connection between control machines was ended by this side.
 #[derive(Debug, Error)]
 pub(super) enum LinkError {
-    #[error("{0}")]
-    Handshake(alderway_transport::HandshakeError),
+    #[error(transparent)]
+    Handshake(#[from] HandshakeError),
     /// Another machine answers at the peer's address.
     #[error("it is {0}")]
     UnexpectedPeer(String),
@@ -28,10 +28,5 @@
 
 pub(super) fn own_hello(state: &SharedState) -> Hello {
     let replica = &state.borrow().replica;
-    Hello {
-        version: PeerFrame::VERSION,
-        is_planner: false,
-        incarnation: replica.id(),
-        name: replica.name().into(),
-    }
+    Hello::new::<PeerFrame>(replica.name(), replica.id())
 }
--- a/crates/control-server/tests/admin_json.rs
+++ b/crates/control-server/tests/admin_json.rs
@@ -5,7 +5,7 @@
 use alderway_control_plane::version_log::{ProposalError, UndoneVersion};
 use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
 use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, JsonFrame, VersionSummary};
-use alderway_transport::{Hello, WireMessage};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -146,7 +146,7 @@
     };
     let expected = VersionSummary {
         number: 9,
-        proposal: "p9".into(),
+        proposal_id: "p9".into(),
         author: "ada".into(),
         reason: "more".into(),
         at_unix_ms: 1_700_000_000_009,
@@ -260,22 +260,19 @@
     let mut bytes = vec![];
     let hello =
         Hello { version: JsonFrame::VERSION, is_planner: false, incarnation: 5, name: "operator".into() };
-    alderway_transport::encode_hello::<JsonFrame>(&mut bytes, &hello);
+    encode_hello::<JsonFrame>(&mut bytes, &hello);
     assert_eq!(bytes.escape_ascii().to_string(), HELLO_FRAME);
     bytes.clear();
-    alderway_transport::encode_message(&mut bytes, &JsonFrame(r#""status""#.into()))
-        .expect("it fits a frame");
+    encode_message(&mut bytes, &JsonFrame(r#""status""#.into())).expect("it fits a frame");
     assert_eq!(bytes.escape_ascii().to_string(), TEXT_FRAME);
-    let mut reader = alderway_transport::FrameReader::<JsonFrame>::default();
+    let mut reader = FrameReader::<JsonFrame>::default();
     let mut hello_bytes = vec![];
-    alderway_transport::encode_hello::<JsonFrame>(&mut hello_bytes, &hello);
+    encode_hello::<JsonFrame>(&mut hello_bytes, &hello);
     reader.feed(&hello_bytes);
     reader.feed(&bytes);
+    assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(read))) if read == hello));
     assert!(
-        matches!(reader.next_frame(), Ok(Some(alderway_transport::Received::Hello(read))) if read == hello)
-    );
-    assert!(
-        matches!(reader.next_frame(), Ok(Some(alderway_transport::Received::Message(JsonFrame(text)))) if text == r#""status""#)
+        matches!(reader.next_frame(), Ok(Some(Received::Message(JsonFrame(text)))) if text == r#""status""#)
     );
 }
 
--- a/crates/router/src/state/due.rs
+++ b/crates/router/src/state/timer_queue.rs
@@ -19,16 +19,16 @@
     }
 }
 
-pub struct Due<K>(BTreeSet<(At, K)>);
+pub struct TimerQueue<K>(BTreeSet<(At, K)>);
 
-impl<K> Default for Due<K> {
+impl<K> Default for TimerQueue<K> {
     fn default() -> Self {
-        Due(BTreeSet::new())
+        TimerQueue(BTreeSet::new())
     }
 }
 
-impl<K: Ord + Clone> Due<K> {
-    pub fn add(&mut self, at: f64, what: K) {
+impl<K: Ord + Clone> TimerQueue<K> {
+    pub fn insert(&mut self, at: f64, what: K) {
         self.0.insert((At(at), what));
     }
 
@@ -37,11 +37,11 @@
     }
 
     /// What is due by now, the earliest first.
-    pub fn by(&self, now: f64) -> impl Iterator<Item = &K> {
+    pub fn due(&self, now: f64) -> impl Iterator<Item = &K> {
         self.0.iter().take_while(move |(at, _)| at.0 <= now).map(|(_, what)| what)
     }
 
-    pub fn next(&self) -> f64 {
+    pub fn next_due(&self) -> f64 {
         self.0.first().map_or(f64::INFINITY, |(at, _)| at.0)
     }
 }
