--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -186,40 +186,42 @@
             return;
         }
         let max_batch = self.max_batch();
-        while let Some(&first) = waiting.front() {
+        while !waiting.is_empty() {
             let batched = if max_batch > 1 { waiting.len() } else { 1 };
-            let group: Vec<usize> = waiting.iter().take(batched).copied().collect();
-            let started = self.start_batch(number, first, &group, max_batch, sink);
+            let group = &waiting.make_contiguous()[..batched];
+            let started = self.start_batch(number, group, max_batch, sink);
             if started.is_empty() {
                 waiting.pop_front();
-            } else if single_attempt {
+                continue;
+            }
+            if single_attempt {
                 break;
             }
             waiting.retain(|index| !started.contains(index));
         }
     }
 
-    /// Sends a waiting shard request to a node, and with it those of its group that the node holds too. Returns those
-    /// that need not be tried again in this round; none if no node can take the first one.
+    /// Sends the first shard request of a group to a node, and with it those that the node holds too. Returns those that
+    /// need not be tried again in this round; none if no node can take the first one.
     fn start_batch(
         &mut self,
         number: u64,
-        first: usize,
         group: &[usize],
         max_batch: usize,
         sink: &mut dyn DecisionSink,
     ) -> BTreeSet<usize> {
         let mut started = BTreeSet::new();
         let query = &self.queries[&number];
-        let key = ShardClass { shard: query.requests[first].shard, class: query.class };
-        let is_first_attempt = query.requests[first].attempts.is_empty();
+        let first = &query.requests[group[0]];
+        let key = ShardClass { shard: first.shard, class: query.class };
+        let is_first_attempt = first.attempts.is_empty();
         // Checked first, as the search for a node costs more.
         let unpaid = !is_first_attempt && !self.can_pay_for_retry();
         if unpaid || self.exhausted_shards.contains(&key) {
             return started;
         }
         let shards: Vec<u32> = group.iter().map(|&index| query.requests[index].shard).collect();
-        let position = RequestPosition { query: number, index: first };
+        let position = RequestPosition { query: number, index: group[0] };
         let Some(selected) = self.select_node(position, &shards, max_batch) else {
             if is_first_attempt {
                 self.exhausted_shards.insert(key);
