--- a/src/policy.rs
+++ b/src/policy.rs
@@ -7,6 +7,7 @@
 
 mod admission;
 mod attempts_by_age;
+mod client_retry;
 mod completion;
 mod concurrency_limit;
 mod config_changes;
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -15,9 +15,6 @@
 /// An abandoned query counts as overload in the fleet's figures if more than one in this many of its shard requests did
 /// not succeed; fewer tell of one bad node.
 const OVERLOAD_UNANSWERED_DIVISOR: usize = 10;
-/// How many queries an abandoned one may bring back: a client's retry is less often retried again.
-const UNSERVED_QUERY: f64 = 1.0;
-const UNSERVED_CLIENT_RETRY: f64 = 0.5;
 
 /// What is done about an open query.
 enum Completion {
@@ -130,8 +127,8 @@
     /// Ends a query without an answer: rejects it if a retry is harmless, fails it if it may have had an effect.
     pub(super) fn abandon(&mut self, number: u64, retry_after_s: Option<f64>, sink: &mut dyn DecisionSink) {
         self.record_unanswered_requests(number);
+        self.record_unserved(self.queries[&number].is_client_retry);
         let query = &self.queries[&number];
-        self.unserved_queries += if query.is_client_retry { UNSERVED_CLIENT_RETRY } else { UNSERVED_QUERY };
         if query.attempts().next().is_some() {
             let unanswered = query.requests.iter().filter(|request| !request.succeeded).count();
             sink.query_ended(unanswered * OVERLOAD_UNANSWERED_DIVISOR > query.requests.len());
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -1,5 +1,5 @@
 //! Takes in what the host tells of one moment, before the round decides: changes of the endpoint list, new queries and
-//! their shard requests, ended attempts. Decides only how a new query is counted; see the modules for the rest.
+//! their shard requests, ended attempts. It updates records and decides nothing.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::SHARD_SAMPLES_MAX;
@@ -10,10 +10,6 @@
 
 /// Time until the endpoint list is polled again after a failure.
 const POLL_RETRY_S: f64 = 1.0;
-/// A query whose deadline is this much closer than its class's longest may be a client's retry.
-const PATIENCE_TOLERANCE_S: f64 = 0.05;
-/// Most unserved queries that are remembered for their clients' retries.
-const UNSERVED_QUERIES_MAX: f64 = 100.0;
 /// Turns drawn for a shard's round robin offset, for each of its replica groups.
 const OFFSET_DRAWS_PER_GROUP: f64 = 64.0;
 
@@ -124,7 +120,7 @@
     fn client_disconnected(&mut self, query: &str) {
         let number = self.queries.iter().find(|(_, open)| open.id == query).map(|(&number, _)| number);
         let Some(query) = number.and_then(|number| self.queries.remove(&number)) else { return };
-        self.unserved_queries += 1.0;
+        self.record_disconnected();
         for request in &query.requests {
             self.shard_requests.remove(&request.id);
         }
@@ -148,20 +144,6 @@
 }
 
 impl Policy {
-    /// Whether a new query may be a client's retry: it has less time left than others of its class, and queries were
-    /// left unserved whose clients may come again.
-    fn is_client_retry(&mut self, class: usize, not_after_s: f64) -> bool {
-        let time_left_s = not_after_s - self.now_s;
-        let longest_s = &mut self.classes[class].longest_patience_s;
-        *longest_s = longest_s.max(time_left_s);
-        let is_retry = time_left_s < *longest_s - PATIENCE_TOLERANCE_S && self.unserved_queries >= 1.0;
-        self.unserved_queries = self.unserved_queries.min(UNSERVED_QUERIES_MAX);
-        if is_retry {
-            self.unserved_queries -= 1.0;
-        }
-        is_retry
-    }
-
     /// Records at its shard request how an attempt ended, and what it tells of latencies.
     fn record_request_outcome(
         &mut self,
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -24,7 +24,8 @@
 /// A late node is passed over for this long for each router, as more routers try it more often in sum.
 const AVOIDANCE_PER_ROUTER_S: f64 = 0.25;
 const AVOIDANCE_PER_ROUTER_MAX_S: f64 = 15.0;
-/// How far the avoidance may grow past its shortest time.
+/// It grows by this factor while the node stays late, up to this far past its shortest time.
+const AVOIDANCE_GROWTH: f64 = 2.0;
 const AVOIDANCE_GROWTH_MAX_S: f64 = 10.0;
 /// How long an unanswered attempt makes a node unresponsive for other cores; it is shared again while it lasts.
 const UNANSWERED_SHARED_FOR_S: f64 = 0.5;
@@ -167,7 +168,7 @@
         if attempt.is_late() || attempt.outcome == AttemptOutcome::Rejected {
             let shortest_s = attempt.avoidance_min_s();
             self.avoidance_s =
-                (self.avoidance_s * 2.0).clamp(shortest_s, shortest_s + AVOIDANCE_GROWTH_MAX_S);
+                (self.avoidance_s * AVOIDANCE_GROWTH).clamp(shortest_s, shortest_s + AVOIDANCE_GROWTH_MAX_S);
             self.slow_until_s = now_s + self.avoidance_s;
             // Where all holders are late at times, only being far too late tells a slow node from a sound one.
             if attempt.latency_s > VERY_LATE_MULTIPLE * attempt.late_after_s {
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -3,6 +3,9 @@
 const MULTIPLIER: u64 = 6364136223846793005;
 const INCREMENT: u64 = 1442695040888963407;
 
+/// Values of 32 bits.
+const OUTPUT_VALUES: f64 = 4294967296.0;
+
 /// PCG-XSH-RR with 64 bits of state and 32 bits of output.
 #[derive(Default)]
 pub(super) struct Pcg {
@@ -19,6 +22,6 @@
         let old = self.state;
         self.state = old.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT);
         let bits = ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32);
-        f64::from(bits) / 4294967296.0
+        f64::from(bits) / OUTPUT_VALUES
     }
 }
