--- a/tests/completion.rs
+++ b/tests/completion.rs
@@ -22,9 +22,9 @@
     );
 
     host.query(1, &[0, 1, 2]);
-    for part in ["p1.0", "p1.1"] {
-        let asked = last_node(&host.decisions, part);
-        host.attempt_ended(part, 0, &asked, AttemptOutcome::Success, 0.1);
+    for request in ["p1.0", "p1.1"] {
+        let asked = last_node(&host.decisions, request);
+        host.attempt_ended(request, 0, &asked, AttemptOutcome::Success, 0.1);
     }
     assert_eq!(host.count("answer q1"), 0);
     host.wait(2.0);
@@ -66,15 +66,15 @@
 fn a_second_phase_needs_all_its_requests() {
     let mut host = Host::with(|d| d.class.second_phase_requests = 2);
     host.query(0, &[0, 1]);
-    for part in ["p0.0", "p0.1"] {
-        let asked = last_node(&host.decisions, part);
-        host.attempt_ended(part, 0, &asked, AttemptOutcome::Success, 0.1);
+    for request in ["p0.0", "p0.1"] {
+        let asked = last_node(&host.decisions, request);
+        host.attempt_ended(request, 0, &asked, AttemptOutcome::Success, 0.1);
     }
     assert_eq!(host.count("answer q0 complete"), 1);
     host.round(|r| (0..2).for_each(|i| r.shard_request_added(0, &format!("s{i}"), i, 0.5)));
-    for (part, answers) in [("s0", 1), ("s1", 2)] {
-        let asked = last_node(&host.decisions, part);
-        host.attempt_ended(part, 0, &asked, AttemptOutcome::Success, 0.1);
+    for (request, answers) in [("s0", 1), ("s1", 2)] {
+        let asked = last_node(&host.decisions, request);
+        host.attempt_ended(request, 0, &asked, AttemptOutcome::Success, 0.1);
         assert_eq!(host.count("answer q0 complete"), answers);
     }
 }
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -95,7 +95,7 @@
     let mut host = Host::with(|_| ());
     host.query(0, &[0]);
     host.attempt_ended("p0.0", 0, "n0", AttemptOutcome::Unreachable, 0.001);
-    assert_eq!(last_node(&host.decisions, "p0.0"), "n1", "its part moves on at once");
+    assert_eq!(last_node(&host.decisions, "p0.0"), "n1", "its request moves on at once");
     assert_eq!(host.count("log node n0 ejected"), 1);
     host.wait(1.5);
     assert_eq!(host.count("log node n0 readmitted"), 1);
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -18,7 +18,7 @@
     let mut host = Host::with(|d| d.class.idempotency = Idempotency::NonIdempotent);
     host.query(0, &[0]);
     host.wait(1.0);
-    assert_eq!(host.count("attempt"), 1, "never copied");
+    assert_eq!(host.count("attempt"), 1, "never hedged");
     host.attempt_ended("p0.0", 0, "n0", outcome, 1.0);
     host.wait(0.1);
     assert_eq!(host.count("attempt"), calls);
@@ -58,7 +58,7 @@
     let mut decisions = host.attempt_ended("p0.0", 0, &asked[0], AttemptOutcome::ConnectionReset, 0.05);
     decisions.extend(host.attempt_ended("p0.1", 0, &asked[1], AttemptOutcome::ConnectionReset, 0.05));
     assert_eq!(attempts(&decisions).len(), repeats, "{decisions:?}");
-    assert_eq!(host.count("reject q0"), 0, "its third part is still out");
+    assert_eq!(host.count("reject q0"), 0, "its third request is still in flight");
 }
 
 /// Guards against the next such query, or its client's next try, bringing down as many nodes as it has requests.
@@ -70,10 +70,10 @@
     assert_eq!(attempts(&host.query(1, &[0, 1, 2])).len(), 1);
     let asked = last_node(&host.decisions, "p1.0");
     assert_eq!(attempts(&host.attempt_ended("p1.0", 0, &asked, AttemptOutcome::Success, 0.05)).len(), 2);
-    for part in ["p0.0", "p1.1", "p1.2"] {
+    for request in ["p0.0", "p1.1", "p1.2"] {
         let (asked, attempt) =
-            (last_node(&host.decisions, part), host.count(&format!("attempt {part} ")) - 1);
-        host.attempt_ended(part, attempt, &asked, AttemptOutcome::Success, 0.05);
+            (last_node(&host.decisions, request), host.count(&format!("attempt {request} ")) - 1);
+        host.attempt_ended(request, attempt, &asked, AttemptOutcome::Success, 0.05);
     }
     host.wait(16.1);
     assert_eq!(attempts(&host.query(2, &[0, 1, 2])).len(), 3);
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -23,16 +23,16 @@
         }
     }
     let hedges = host.count("attempt") - 72;
-    assert!((40..=47).contains(&hedges), "40 tokens and a tenth for each of 72 parts, not {hedges}");
+    assert!((40..=47).contains(&hedges), "40 tokens and a tenth for each of 72 requests, not {hedges}");
 }
 
 #[rstest]
 fn a_stated_budget_pays_for_every_further_attempt() {
     let mut host = Host::with(|d| d.retry_budget = Some(RetryBudget { burst: 2.0, ratio: 0.0 }));
     host.query(0, &[0, 1, 2, 0]);
-    for part in ["p0.0", "p0.1", "p0.2", "p0.3"] {
-        let asked = last_node(&host.decisions, part);
-        host.attempt_ended(part, 0, &asked, AttemptOutcome::Error, 0.01);
+    for request in ["p0.0", "p0.1", "p0.2", "p0.3"] {
+        let asked = last_node(&host.decisions, request);
+        host.attempt_ended(request, 0, &asked, AttemptOutcome::Error, 0.01);
     }
     host.wait(0.3);
     assert_eq!(host.count("attempt"), 4 + 2);
--- a/tests/several_cores.rs
+++ b/tests/several_cores.rs
@@ -1,5 +1,5 @@
-//! Stories of one query router on several cores, each with a policy of its own: what they tell each other of data
-//! nodes, and what they may spend together. Each fails when the code behind it breaks.
+//! One router on several cores, each with a policy of its own: what they share of data nodes, and their common limits.
+
 mod common;
 use alderway::interface::*;
 use common::*;
@@ -141,7 +141,7 @@
         for host in &mut all {
             host.answer_queries(1000, 20, 0.02);
             host.now = started + 1.0;
-            host.update_endpoint("cold", 2, NodeState::Serving, Some(started));
+            host.update_endpoint("new", 2, NodeState::Serving, Some(started));
         }
         let (mut sends, mut n) = (vec![], 0u64);
         for step in 0..600 {
@@ -151,7 +151,7 @@
                 for _ in 0..3 {
                     n += 1;
                     let node = asked(host, n);
-                    sends.extend((node == "cold").then_some(host.now));
+                    sends.extend((node == "new").then_some(host.now));
                     host.now += 0.002;
                     host.attempt_ended(&format!("p{n}.0"), 0, &node, AttemptOutcome::Success, 0.002);
                 }
--- a/tests/shard_changes.rs
+++ b/tests/shard_changes.rs
@@ -1,4 +1,5 @@
-//! Stories of shards that are listed, move and split while queries run, as the decision policy sees them.
+//! State across shards that are listed, move and split while queries are open.
+
 mod common;
 use alderway::interface::*;
 use common::*;
@@ -243,8 +244,8 @@
             .collect();
         for call in &sent[work.len()..] {
             work.push(host.now);
-            let part = call.split(' ').nth(1).expect("a part").to_string();
-            host.attempt_ended(&part, 0, "new", AttemptOutcome::Success, 0.005);
+            let request = call.split(' ').nth(1).expect("a request").to_string();
+            host.attempt_ended(&request, 0, "new", AttemptOutcome::Success, 0.005);
         }
         // Work of a request as the policy takes it: 0.15 of the latency objective until answers show less.
         let within = work.iter().filter(|at| host.now - **at < cold.window_s).count() as f64;
@@ -252,7 +253,7 @@
             + (1.0 - cold.initial_fraction) * ((host.now - started) / cold.warm_up_s).min(1.0);
         assert!(
             within * 0.005 <= cold.capacity_multiple * warmth * cold.window_s,
-            "{within} parts at {step}"
+            "{within} requests at {step}"
         );
     }
     assert!(!work.is_empty(), "it does get some");
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -22,7 +22,7 @@
     let bound = 2.5 * 0.2 * (host.now - start);
     assert!(sent >= 1.0, "a warming node is not left idle");
     // Of the 0.2 s that an answer takes on a quiet day, 0.15 s is work.
-    assert!(sent * 0.15 * 2.0 <= bound, "{sent} parts of 0.15 s by each of two routers, over {bound}");
+    assert!(sent * 0.15 * 2.0 <= bound, "{sent} requests of 0.15 s by each of two routers, over {bound}");
 }
 
 #[rstest]
@@ -41,7 +41,7 @@
     let sent = attempts(&host.decisions[from..]).len();
     assert!(
         (1..=4).contains(&sent),
-        "{sent} parts of 0.2 s in 15 s, where a hundredth of 0.5 to 2.5 a second may"
+        "{sent} requests of 0.2 s in 15 s, where a hundredth of 0.5 to 2.5 a second may"
     );
 }
 
@@ -84,7 +84,7 @@
         host.round(|r| r.client_disconnected(&format!("q{n}")));
     }
     let sent = attempts(&host.decisions[from..]).len();
-    assert!((4..=12).contains(&sent), "{sent} parts, where at most 0.5 to 2.5 s of work in 100 s may go");
+    assert!((4..=12).contains(&sent), "{sent} requests, where at most 0.5 to 2.5 s of work in 100 s may go");
 }
 
 /// Guards against ends within milliseconds that count as quick requests: a warming node was then sent one every
@@ -122,5 +122,5 @@
     }
     let sent = host.decisions[from..].iter().filter(|note| note.starts_with("attempt")).count();
     // A request of 0.2 s; one router's share of 2.5 times a fifth of a core, twenty sharing, is a request in 8 s.
-    assert!(sent <= 1, "{sent} parts in five seconds");
+    assert!(sent <= 1, "{sent} requests in five seconds");
 }
