--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -3,7 +3,7 @@
 use super::dispatcher::{ClassRules, Dispatcher};
 use alderway::interface::{ClassSlot, PolicyConfig, PolicyInput, QueryClass};
 use alderway_deployment::AdmissionConfig;
-use alderway_deployment::live::Settings;
+use alderway_deployment::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -36,7 +36,7 @@
 impl ClassTable {
     /// What a module that starts now is started with.
     pub fn policy_config(&self) -> Option<&PolicyConfig> {
-        Some(&self.current.as_ref()?.settings.terms)
+        Some(&self.current.as_ref()?.settings.policy)
     }
 
     /// The place of a vertical for queries that come now.
@@ -49,7 +49,7 @@
 
     /// Each vertical in its order, as at a start.
     fn reset(&mut self, issue: Arc<ConfigGeneration>) {
-        self.rules_by_slot = issue.settings.terms.query_classes.iter().cloned().enumerate().collect();
+        self.rules_by_slot = issue.settings.policy.query_classes.iter().cloned().enumerate().collect();
         (self.newest_slots, self.retiring_slots, self.free_slots) = (None, BTreeSet::new(), BTreeSet::new());
         self.pending_changes.clear();
         self.current = Some(issue);
@@ -60,7 +60,7 @@
         let mut before = self.newest_slots.take().unwrap_or_else(|| (0..verticals.len()).collect());
         let (mut placed, mut moved) = (vec![], vec![]);
         for (class, vertical) in
-            ClassRules::all(&issue.settings).into_iter().zip(&issue.settings.terms.query_classes)
+            ClassRules::all(&issue.settings).into_iter().zip(&issue.settings.policy.query_classes)
         {
             let follows = before.iter().position(|&at| verticals[at].name == class.name);
             let follows = follows.map(|i| before.remove(i));
@@ -84,7 +84,7 @@
     /// Follows settings from the newest on.
     pub fn subscribe_config(&mut self, mut news: watch::Receiver<Arc<ConfigGeneration>>) {
         let issue = news.borrow_and_update().clone();
-        (self.connection_config, self.admission) = (issue.settings.trunk, self.admission_for(&issue));
+        (self.connection_config, self.admission) = (issue.settings.connections, self.admission_for(&issue));
         self.query_classes = ClassRules::all(&issue.settings);
         self.class_table.updates = Some(news);
         self.class_table.reset(issue);
@@ -98,7 +98,7 @@
             max_open: room,
             shard_count: shards,
             polls_endpoints: follow,
-            ..issue.settings.intake
+            ..issue.settings.admission
         }
     }
 
@@ -117,7 +117,7 @@
         let now = self.clock.now();
         let longest = self.longest_deadline_s(now);
         self.class_table.previous_deadline = (longest, now + longest);
-        (self.connection_config, self.admission) = (issue.settings.trunk, self.admission_for(&issue));
+        (self.connection_config, self.admission) = (issue.settings.connections, self.admission_for(&issue));
         let placed = self.class_table.assign_slots(&issue, &mut self.query_classes);
         self.class_table.pending_changes.push((issue.clone(), placed));
         self.class_table.current = Some(issue);
@@ -139,7 +139,7 @@
     pub(super) fn notify_config(&mut self, module: &mut dyn PolicyInput) {
         self.refresh_config();
         for (issue, placed) in std::mem::take(&mut self.class_table.pending_changes) {
-            module.change_config(&issue.settings.terms, &placed);
+            module.change_config(&issue.settings.policy, &placed);
         }
         self.publish_config_serial();
     }
