--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -1,11 +1,11 @@
 //! Control machines as processes on loopback, with the lab's relay between any two: stopped, killed, cut off, replaced by
 //! empty ones, on full disks and torn logs; and the operators' commands with what they say and how they end.
-use alderway_control_plane::messages::MAX_SETTINGS_BYTES;
+use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::replica::ProposalOutcome;
 use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_control_plane::version_log::ProposalError;
-use alderway_controller::client;
-use alderway_controller::door::{Ask, Overall, Reply, Text};
+use alderway_control_server::admin::client;
+use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, JsonFrame};
 use alderway_lab::program::Setting;
 use alderway_lab::wires::Wires;
 use alderway_transport::{Hello, encode_hello, encode_message};
@@ -147,20 +147,20 @@
         self.programs.remove(name);
     }
 
-    fn ask(&self, name: &str, ask: &Ask) -> Result<Reply, client::Fault> {
-        client::ask(self.doors[name], ask, Duration::from_secs(10))
+    fn ask(&self, name: &str, ask: &AdminRequest) -> Result<AdminResponse, client::RequestError> {
+        client::send(self.doors[name], ask, Duration::from_secs(10))
     }
 
-    fn status(&self, name: &str) -> Option<Overall> {
-        match self.ask(name, &Ask::Status) {
-            Ok(Reply::Status(all)) => Some(*all),
+    fn status(&self, name: &str) -> Option<ClusterStatus> {
+        match self.ask(name, &AdminRequest::Status) {
+            Ok(AdminResponse::Status(all)) => Some(*all),
             _ => None,
         }
     }
 
     fn has(&self, name: &str) -> VersionNumber {
-        match self.ask(name, &Ask::Show { number: None }) {
-            Ok(Reply::Version { version }) => version.number,
+        match self.ask(name, &AdminRequest::Show { number: None }) {
+            Ok(AdminResponse::Version { version }) => version.number,
             _ => 0,
         }
     }
@@ -169,8 +169,8 @@
     fn leader(&self) -> Option<String> {
         let mut leaders = self.programs.keys().map(|name| {
             self.status(name)
-                .filter(|all| all.machine.has_quorum && all.machine.unavailable_reason.is_none())?
-                .machine
+                .filter(|all| all.replica.has_quorum && all.replica.unavailable_reason.is_none())?
+                .replica
                 .leader
         });
         let first = leaders.next()??;
@@ -274,8 +274,8 @@
     assert_eq!((told["newest"].as_u64(), told["versions"][0]["number"].as_u64()), (Some(3), Some(2)));
     ends(&house.config(&any, &["status"]), 0, &["version: 3", "majority: stands", "routers: none"]);
     let status = house.config(&any, &["status", "--json"]);
-    let status: Overall = serde_json::from_slice(&status.stdout).expect("JSON");
-    assert!(status.silent.is_empty() && status.versions.len() == 5, "{status:?}");
+    let status: ClusterStatus = serde_json::from_slice(&status.stdout).expect("JSON");
+    assert!(status.unresponsive.is_empty() && status.versions.len() == 5, "{status:?}");
     // Faulty at the door, by key and line; bad input; nobody there.
     let faulty = house.folder.join("faulty.json");
     let text = settings(100).to_string().replace("\"MaxOpen\":100", "\n\"MaxOpen\":\"x\"");
@@ -296,10 +296,12 @@
     long["Note"] = "x".repeat(MAX_SETTINGS_BYTES).into();
     fs::write(&faulty, long.to_string()).expect("written");
     ends(&house.config(&any, &["propose", path, "--why", "w"]), 1, &["settings are larger than"]);
-    let Ok(Reply::Faulty { why }) = house.ask("c3", &Ask::Check { settings: serde_json::json!({}) }) else {
+    let Ok(AdminResponse::Invalid { reason }) =
+        house.ask("c3", &AdminRequest::Check { settings: serde_json::json!({}) })
+    else {
         panic!("not refused at the door")
     };
-    assert!(why.contains("key `settings`"), "{why}");
+    assert!(reason.contains("key `settings`"), "{reason}");
     ends(&house.config(&any, &["check", house.file(100).to_str().expect("a path")]), 0, &["sound"]);
     fs::write(&faulty, "{").expect("written");
     ends(&house.config(&any, &["propose", path, "--why", "w"]), 2, &["faulty.json:1: not JSON"]);
@@ -315,13 +317,14 @@
     ends(&house.propose(&["c1"], 100, &[]), 0, &[]);
     house.all_have(1);
     let (leader, follower) = (house.leader().expect("led"), house.follower());
-    let (door, ask) = (house.doors[&leader], Ask::Propose { proposal: proposal("p", 1, 200), wait_s: 25.0 });
+    let (door, ask) =
+        (house.doors[&leader], AdminRequest::Propose { proposal: proposal("p", 1, 200), wait_s: 25.0 });
     std::thread::scope(|scope| {
         // Cut from its followers it can't have the change ordered; then it is stopped with it.
         let others: Vec<&str> =
             house.names.iter().map(String::as_str).filter(|name| *name != leader).collect();
         house.wires.part(&others);
-        let asked = scope.spawn(|| client::ask(door, &ask, PATIENCE));
+        let asked = scope.spawn(|| client::send(door, &ask, PATIENCE));
         house.programs[&leader].says("p by ada on version 1");
         house.programs[&leader].signal(Signal::SIGSTOP);
         house.wires.heal();
@@ -329,7 +332,7 @@
         until("another leads", || {
             let status = house.status(&follower);
             status
-                .is_some_and(|all| all.machine.has_quorum && all.machine.leader.is_some_and(|l| l != leader))
+                .is_some_and(|all| all.replica.has_quorum && all.replica.leader.is_some_and(|l| l != leader))
         });
         // A stopped machine is passed over: it says no hello.
         ends(
@@ -339,10 +342,10 @@
         );
         until("5 s are over", || stopped.elapsed() > Duration::from_secs(5));
         house.programs[&leader].signal(Signal::SIGCONT);
-        let Ok(Ok(Reply::Answer { answer, .. })) = asked.join() else { panic!("no answer") };
+        let Ok(Ok(AdminResponse::Proposed { outcome, .. })) = asked.join() else { panic!("no answer") };
         assert!(
-            matches!(answer, ProposalOutcome::Rejected(ProposalError::WouldUndo { newest: 2, .. })),
-            "{answer:?}"
+            matches!(outcome, ProposalOutcome::Rejected(ProposalError::WouldUndo { newest: 2, .. })),
+            "{outcome:?}"
         );
     });
     house.all_have(2);
@@ -359,7 +362,7 @@
     house.all_have(2);
     house.kill("c3");
     until("it is known that no majority stands", || {
-        ["c4", "c5"].iter().all(|name| house.status(name).is_some_and(|all| !all.machine.has_quorum))
+        ["c4", "c5"].iter().all(|name| house.status(name).is_some_and(|all| !all.replica.has_quorum))
     });
     let refused = house.propose(&["c4", "c5"], 300, &["--base", "2", "--wait", "2"]);
     ends(&refused, 3, &["no majority is known for", "nothing was changed"]);
@@ -384,9 +387,9 @@
     house.all_have(1);
     house.wires.part(&["c1", "c2"]);
     until("the small side knows it", || {
-        ["c1", "c2"].iter().all(|name| house.status(name).is_some_and(|all| !all.machine.has_quorum))
+        ["c1", "c2"].iter().all(|name| house.status(name).is_some_and(|all| !all.replica.has_quorum))
     });
-    until("the large side is led", || house.status("c4").is_some_and(|all| all.machine.has_quorum));
+    until("the large side is led", || house.status("c4").is_some_and(|all| all.replica.has_quorum));
     ends(&house.propose(&["c1", "c2"], 200, &["--base", "1", "--wait", "2"]), 3, &["nothing was changed"]);
     ends(&house.propose(&["c4"], 300, &["--base", "1"]), 0, &["in order: version 2"]);
     assert_eq!((house.has("c1"), house.has("c2")), (1, 1));
@@ -411,9 +414,9 @@
     let whole = |house: &House| {
         house.programs.keys().all(|name| {
             house.status(name).is_some_and(|all| {
-                !all.machine.membership_changing
-                    && all.machine.unavailable_reason.is_none()
-                    && all.machine.voters.len() == 5
+                !all.replica.membership_changing
+                    && all.replica.unavailable_reason.is_none()
+                    && all.replica.voters.len() == 5
             })
         })
     };
@@ -509,12 +512,13 @@
     for n in 0..650 {
         settings["Limits"]["StreamsPerConn"] = (100 + n).into();
         let proposal = Proposal { settings: settings.clone(), ..proposal(&format!("p{n}"), n, 100) };
-        let ask = Ask::Propose { proposal, wait_s: 10.0 };
+        let ask = AdminRequest::Propose { proposal, wait_s: 10.0 };
         // Whoever answers: each door takes changes.
-        let Ok(Reply::Answer { answer, .. }) = house.ask(&house.names[n as usize % 5], &ask) else {
+        let Ok(AdminResponse::Proposed { outcome, .. }) = house.ask(&house.names[n as usize % 5], &ask)
+        else {
             panic!("no answer")
         };
-        assert_eq!(answer, ProposalOutcome::Committed(n + 1));
+        assert_eq!(outcome, ProposalOutcome::Committed(n + 1));
     }
     println!("650 changes in {:.1} s", from.elapsed().as_secs_f64());
     assert!(from.elapsed() < Duration::from_secs(180));
@@ -529,11 +533,11 @@
     let member = house.wires.address("c2", "c1");
     let mut hello = vec![];
     let word = Hello { version: 1, is_planner: false, incarnation: 1, name: "c9".into() };
-    encode_hello::<Text>(&mut hello, &word);
+    encode_hello::<JsonFrame>(&mut hello, &word);
     let mut long = hello.clone();
     long.extend([0xff; 64]);
     let mut unread = hello.clone();
-    encode_message(&mut unread, &Text("{}".repeat(9))).expect("it fits a frame");
+    encode_message(&mut unread, &JsonFrame("{}".repeat(9))).expect("it fits a frame");
     let spoken: [(&[u8], &str); 4] =
         [(b"GET / HTTP/1.1\r\n\r\n", ""), (&long, ""), (&[0xff; 4096], ""), (&unread, "not a question")];
     for (bytes, says) in spoken {
@@ -550,8 +554,8 @@
     }
     let wrong = Proposal { reason: " ".into(), ..proposal("p", 1, 200) };
     for (proposal, wait_s) in [(wrong, 1.0), (proposal("p", 1, 200), 1e9)] {
-        let reply = house.ask("c1", &Ask::Propose { proposal, wait_s });
-        assert!(matches!(reply, Ok(Reply::Wrong { .. })), "{reply:?}");
+        let reply = house.ask("c1", &AdminRequest::Propose { proposal, wait_s });
+        assert!(matches!(reply, Ok(AdminResponse::BadRequest { .. })), "{reply:?}");
     }
     ends(&house.propose(&["c1"], 200, &["--base", "1"]), 0, &["in order: version 2"]);
     house.all_have(2);
--- a/crates/controller/tests/store.rs
+++ b/crates/control-server/tests/log_store.rs
@@ -1,6 +1,6 @@
 //! Stories of a control machine's disk: what was written is there after a start, and what was not is refused in one line.
 use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch};
-use alderway_controller::store::Disk;
+use alderway_control_server::log_store::LogStore;
 use rstest::rstest;
 use std::fs;
 use std::path::PathBuf;
@@ -28,18 +28,18 @@
 #[rstest]
 fn what_was_written_is_there_after_a_start() {
     let folder = Folder::new("kept");
-    let (mut disk, held) = Disk::open(&folder.0).expect("an empty one");
+    let (mut disk, held) = LogStore::open(&folder.0).expect("an empty one");
     assert_eq!(held, RecoveredState::default());
     let writes = [
         WriteBatch { identity: Some(b"who".into()), hard_state: Some(b"h1".into()), ..WriteBatch::default() },
         WriteBatch { entries: entries(1, 9, "a"), ..WriteBatch::default() },
-        // EntryKind a new leader has in place of it, and more.
+        // What a new leader has in place of it, and more.
         WriteBatch { entries: entries(6, 12, "b"), hard_state: Some(b"h2".into()), ..WriteBatch::default() },
         WriteBatch { snapshot: Some(b"s".into()), compacted_to: Some((4, 2)), ..WriteBatch::default() },
     ];
     writes.iter().for_each(|write| disk.write(write).expect("written"));
     drop(disk);
-    let (mut disk, held) = Disk::open(&folder.0).expect("as it was left");
+    let (mut disk, held) = LogStore::open(&folder.0).expect("as it was left");
     let texts: Vec<String> = held.entries.iter().map(|e| String::from_utf8_lossy(e).into_owned()).collect();
     assert_eq!(texts, ["a5", "b6", "b7", "b8", "b9", "b10", "b11", "b12"]);
     assert_eq!(
@@ -55,22 +55,22 @@
     };
     disk.write(&snapshot).expect("written");
     drop(disk);
-    let (_, held) = Disk::open(&folder.0).expect("as it was left");
+    let (_, held) = LogStore::open(&folder.0).expect("as it was left");
     assert_eq!((held.entries.len(), held.compacted_to, held.identity), (0, (40, 3), Some(b"who".to_vec())));
 }
 
 #[rstest]
 fn two_programs_do_not_use_one_folder() {
     let folder = Folder::new("twice");
-    let _first = Disk::open(&folder.0).expect("opened");
-    let why = Disk::open(&folder.0).err().expect("refused");
+    let _first = LogStore::open(&folder.0).expect("opened");
+    let why = LogStore::open(&folder.0).err().expect("refused").to_string();
     assert!(why.ends_with("another program uses it"), "{why}");
 }
 
 #[rstest]
 fn a_row_that_is_not_what_was_written_is_named() {
     let folder = Folder::new("row");
-    let (mut disk, _) = Disk::open(&folder.0).expect("an empty one");
+    let (mut disk, _) = LogStore::open(&folder.0).expect("an empty one");
     let word = b"a word that is found again in the file".to_vec();
     disk.write(&WriteBatch { entries: vec![(1, word.clone())], ..WriteBatch::default() }).expect("written");
     drop(disk);
@@ -81,6 +81,6 @@
     assert!(!found.is_empty());
     found.iter().for_each(|at| bytes[*at] ^= 1);
     fs::write(&path, bytes).expect("written");
-    let why = Disk::open(&folder.0).err().expect("refused");
+    let why = LogStore::open(&folder.0).err().expect("refused").to_string();
     assert!(why.contains("log.redb: ") && why.contains("by an empty one") && !why.contains('\n'), "{why}");
 }
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -130,7 +130,7 @@
                     Some(AttemptRequest {
                         request_id: &id.0,
                         shard: asked.shard,
-                        timeout_ms: permits::told_ms(now, timeout_at_s, asked.not_after_s),
+                        timeout_ms: permits::advertised_timeout_ms(now, timeout_at_s, asked.not_after_s),
                         text: asked.text,
                         keys: asked.keys.map(|keys| KeysAtVersion { version, keys }),
                     })
@@ -165,12 +165,16 @@
     /// time, or past the window in which its data node drops repeats.
     fn denial(&self, id: &AttemptId, node: NodeState, now: f64) -> Option<Denial> {
         let Some((class, request)) = self.queries.class_and_request(&id.0) else {
-            return Some(Denial::QueryOver);
+            return Some(Denial::QueryEnded);
         };
-        let until = self.attempts.get(id).map_or(now, |attempt| attempt.timeout_at_s);
-        let begun = request.first_possible_execution(None);
-        let effect = self.query_classes[class].idempotency;
-        permits::call(&permits::Call { now, until, effect, begun, node }).err()
+        let start = permits::AttemptStart {
+            now_s: now,
+            deadline_s: self.attempts.get(id).map_or(now, |attempt| attempt.timeout_at_s),
+            idempotency: self.query_classes[class].idempotency,
+            first_effect_at_s: request.first_possible_execution(None),
+            node_state: node,
+        };
+        permits::may_start_attempt(&start).err()
     }
 
     /// Ends the attempts of the next frame that may not begin any more, as ones that were never sent.
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -32,13 +32,18 @@
         let Some((class, request)) = self.queries.class_and_request(&id.0) else {
             return self.report_violation("call_after_answer", &id.0, "its query is over");
         };
-        let begun = request.first_possible_execution(Some(id.1));
-        let effect = self.query_classes[class].idempotency;
+        let first_effect_at_s = request.first_possible_execution(Some(id.1));
+        let idempotency = self.query_classes[class].idempotency;
         let not_after_s = self.queries.requested(&id.0).map_or(now, |requested| requested.not_after_s);
         // The frame was allowed to begin a moment ago: time that passed since is the system's.
-        let until = not_after_s + LATE_RESPONSE_S;
-        let call = permits::Call { now, until, effect, begun, node: state };
-        if let Err(denial) = permits::call(&call) {
+        let start = permits::AttemptStart {
+            now_s: now,
+            deadline_s: not_after_s + LATE_RESPONSE_S,
+            idempotency,
+            first_effect_at_s,
+            node_state: state,
+        };
+        if let Err(denial) = permits::may_start_attempt(&start) {
             self.report_violation("call", &id.0, &format!("{} at {node}", denial.label()));
         }
     }
@@ -67,7 +72,7 @@
     pub(super) fn check_rejection(&mut self, query: &Query) {
         let effect = self.query_classes[query.class].idempotency;
         let may_have_executed = query.requests.iter().any(|request| request.may_have_executed());
-        if permits::reject(effect, may_have_executed).is_err() {
+        if permits::may_reject(effect, may_have_executed).is_err() {
             self.report_violation("reject", &query.id, "a call of it may have run");
         }
     }
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -23,7 +23,7 @@
         }
         self.count_query("taken", class);
         let is_rejecting = self.shutdown_phase == ShutdownPhase::Rejecting;
-        let permit = permits::take(is_rejecting, capacity.is_some() && id_claim.is_ok());
+        let permit = permits::may_admit(is_rejecting, capacity.is_some() && id_claim.is_ok());
         let (Some(capacity), Ok(id_claim), Ok(())) = (capacity, id_claim, permit) else {
             self.count_query("turned_away", class);
             let reason = permit.err().map_or("", Denial::label);
@@ -146,9 +146,12 @@
     /// Whether this side ends a connection with its present response. Guards against dropping what has been read behind
     /// the request: it is owed a response as well.
     pub fn closes_connection(&self, client: &ClientConnection) -> bool {
-        let closing =
-            permits::Closing { query_open: false, unwritten: false, unread: client.has_bytes_behind.get() };
-        self.shutdown_phase >= ShutdownPhase::Closing && permits::close(&closing).is_ok()
+        let closing = permits::ConnectionClose {
+            query_open: false,
+            unwritten: false,
+            unread: client.has_bytes_behind.get(),
+        };
+        self.shutdown_phase >= ShutdownPhase::Closing && permits::may_close_connection(&closing).is_ok()
     }
 
     fn close_shard_requests(&mut self, query: &Query) {
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -2,7 +2,7 @@
 use super::attempts::AttemptId;
 use super::node_connection::NodeConnection;
 use alderway::interface::{NodeState, PolicyInput};
-use alderway::slow_start;
+use alderway::start_time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -113,7 +113,7 @@
         let started_at_s = match (known, reported_start_s) {
             (Some(record), _) => record.started_at_s,
             (None, reported) => {
-                reported.map(|start| slow_start::believed_start(start, now, self.last_contact_s))
+                reported.map(|start| start_time::bounded_start_time(start, now, self.last_contact_s))
             }
         };
         self.update(name, address, replica_group, state, started_at_s);
