--- a/crates/router/src/state/clients.rs
+++ b/crates/router/src/state/clients.rs
@@ -20,8 +20,9 @@
 /// One connection of a client.
 #[derive(Default)]
 pub struct ClientConnection {
-    /// The final response of the last query, until the edge encodes it.
-    pub response: RefCell<Option<PendingResponse>>,
+    /// Final responses that the edge has not encoded yet: one at most, as one query is open at a time. A second would
+    /// go out as well, where tests and clients see it.
+    pub pending_responses: RefCell<Vec<PendingResponse>>,
     /// Encoded bytes that wait to be written.
     pub output: RefCell<Vec<u8>>,
     /// Wakes the task of the connection.
@@ -48,7 +49,7 @@
 impl ClientConnection {
     /// Leaves the final response of its query for the edge.
     pub fn respond(&self, response: QueryResponse, closes_connection: bool) {
-        self.response.replace(Some(PendingResponse { response, closes_connection }));
+        self.pending_responses.borrow_mut().push(PendingResponse { response, closes_connection });
     }
 
     fn request_close(&self) {
--- a/crates/router/src/wire/answer.rs
+++ b/crates/router/src/wire/answer.rs
@@ -90,7 +90,7 @@
 
 /// Encodes the final response of a query, if one waits, behind what is to be written on its client's connection.
 pub fn encode_pending(client: &ClientConnection) {
-    if let Some(pending) = client.response.take() {
+    for pending in client.pending_responses.take() {
         encode(&mut client.output.borrow_mut(), &pending);
     }
 }
