--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -8,11 +8,10 @@
 use alderway_router::lifecycle::start::Role;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
-use alderway_router::state::queries::{Query, ShardRequest};
 use alderway_router::state::query_classes::ConfigGeneration;
 use alderway_router::state::shared::{MulticoreConfig, SharedState};
-use alderway_router::wire::answer;
 use alderway_telemetry::clock::Clock;
+use common::dispatcher::{open_query, response_text, shard_requests};
 use common::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -175,23 +174,11 @@
     /// As a request is taken in; the vertical's place, or none.
     fn take(&mut self, id: &str, name: &str) -> Option<(usize, Rc<ClientConnection>)> {
         self.dispatcher.refresh_config();
-        let vertical = self.dispatcher.class_slot(name)?;
-        let client = Rc::new(ClientConnection::default());
-        let parts = vec![ShardRequest::new(format!("{id}.1").into(), 1, 1.0)];
-        let (not_after, text) =
-            (self.dispatcher.clock.now() + self.dispatcher.admission.max_deadline_s, String::new());
-        let (of, coverage) = (client.clone(), None);
-        let query = Query {
-            id: id.into(),
-            class: vertical,
-            not_after_s: not_after,
-            text,
-            requests: parts,
-            client: of,
-            coverage,
-        };
-        self.dispatcher.open_query(&client, query).expect("taken");
-        Some((vertical, client))
+        let class = self.dispatcher.class_slot(name)?;
+        let (time_left_s, requests) =
+            (self.dispatcher.admission.max_deadline_s, shard_requests(id, &[1], 1.0));
+        let client = open_query(&mut self.dispatcher, id, class, time_left_s, requests, None).expect("taken");
+        Some((class, client))
     }
 
     fn ends(&mut self, part: &str, ending: AttemptOutcome) -> Vec<String> {
@@ -234,8 +221,7 @@
     assert!(all.take("b", "region-report").is_none(), "unknown from here on");
     assert_eq!(all.dispatcher.queries.open_in_class(old), 1);
     assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
-    answer::encode_pending(&client);
-    assert!(client.output.borrow().starts_with(b"HTTP/1.1 200 "));
+    assert!(response_text(&client).starts_with("HTTP/1.1 200 "));
     let counted = all.dispatcher.metrics_text();
     assert!(counted.contains("queries_merged{region-report} 1"), "{counted}");
 }
--- /dev/null
+++ b/crates/router/tests/shard_map/news.rs
@@ -0,0 +1,73 @@
+//! News of the shard map as discovery writes them.
+use crate::{moved, split};
+use alderway_layouts::Range;
+use alderway_layouts::history::News;
+use alderway_layouts::layout::Change;
+use alderway_router::wire::layout;
+use alderway_router::wire::query;
+use rstest::rstest;
+
+const CHANGES: &str = r#"{"index":4,"snapshot":false,"endpoints":[],"layout":{"version":9,"after":8,"changes":[
+    {"into":[{"shard":7,"from":0},{"from":32,"shard":8}],"split":1,"new":[1]},{"merge":[7,8],"as":9},
+    {"move":9,"holders":[1,2]}]}}"#;
+
+#[rstest]
+fn news_of_the_layout_are_read_in_any_order() {
+    let news = layout::news(CHANGES.as_bytes()).expect("readable").expect("there");
+    let merge = Change::Merge { parents: vec![7, 8], child: 9 };
+    let changes = vec![split(1, &[(7, 0), (8, 32)]), merge, moved(9, &[1, 2])];
+    assert_eq!(news, News::Changes { version: 9, after: 8, changes });
+    let text = r#"{"layout":{"keys":10,"shards":[{"shard":1,"from":0,"to":10,"holders":[3]}],"version":2}}"#;
+    let Some(News::Whole { version: 2, keys: 10, shards }) = layout::news(text.as_bytes()).expect("readable")
+    else {
+        panic!("not whole")
+    };
+    assert_eq!(shards[0].1.keys, Range::new(0, 10));
+    assert_eq!(layout::news(br#"{"index":4,"snapshot":false,"endpoints":[]}"#), Ok(None));
+}
+
+#[rstest]
+#[case::no_version(r#"{"layout":{"after":1,"changes":[]}}"#, "a layout without `version`")]
+#[case::neither(r#"{"layout":{"version":1}}"#, "a layout has either `shards` or `changes`")]
+#[case::no_keys(r#"{"layout":{"version":1,"shards":[]}}"#, "a layout without `keys`")]
+#[case::no_end(
+    r#"{"layout":{"version":1,"keys":9,"shards":[{"shard":1,"from":0,"holders":[1]}]}}"#,
+    "a layout's entry without `to`"
+)]
+#[case::two_in_one(
+    r#"{"layout":{"version":2,"after":1,"changes":[{"split":1,"move":2}]}}"#,
+    "a change is one of `split`, `merge` and `move`"
+)]
+#[case::too_large(
+    r#"{"layout":{"version":2,"after":1,"changes":[{"move":4294967296,"holders":[1]}]}}"#,
+    "a number in a layout is too large"
+)]
+#[case::twice(
+    r#"{"layout":{"version":1,"keys":1,"shards":[]},"layout":{"version":1,"keys":1,"shards":[]}}"#,
+    "`layout` stands twice"
+)]
+fn news_that_are_not_in_form_are_refused(#[case] text: &str, #[case] why: &str) {
+    assert_eq!(layout::news(text.as_bytes()), Err(why));
+}
+
+/// Half a file, and any other piece of one, is an error and never a panic or half of the news.
+#[rstest]
+fn news_cut_anywhere_are_refused() {
+    for cut in 0..CHANGES.len() {
+        assert!(layout::news(&CHANGES.as_bytes()[..cut]).is_err(), "cut at {cut}");
+    }
+}
+
+#[rstest]
+#[case::three_ends("[1,2,3]")]
+#[case::one_end("[1]")]
+#[case::too_large("[0,4294967296]")]
+#[case::negative("[-1,4]")]
+#[case::words(r#"["a","b"]"#)]
+fn keys_that_are_no_range_are_refused(#[case] keys: &str) {
+    let body = format!(r#"{{"targets":[{{"keys":{keys},"share":1}}],"query":"x"}}"#);
+    assert!(query::targets(body.as_bytes(), true, |_, _, _| Ok(())).is_err());
+    // Where the ring is in force the word means nothing, as any that is not known.
+    let body = body.replace("\"share\"", "\"partition\":1,\"share\"");
+    assert!(query::targets(body.as_bytes(), false, |_, _, _| Ok(())).is_ok());
+}
