--- a/crates/router/src/control/metrics.rs
+++ b/crates/router/src/control/metrics.rs
@@ -1,7 +1,7 @@
 //! The counters of a subscription, as `/counters` lists them.
 use super::driver::Traffic;
 use crate::state::counters::Counters;
-use crate::state::shared::MetricsSnapshot;
+use crate::state::metrics::MetricsSnapshot;
 use alderway_control_plane::subscriber::Subscriber;
 
 /// All counters and gauges at a time in seconds of the subscriber's clock.
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -10,7 +10,8 @@
 use alderway_router::control::{ApplySettings, Subscription, start};
 use alderway_router::lifecycle::control_settings;
 use alderway_router::lifecycle::start::Station;
-use alderway_router::state::shared::{MetricsSnapshot, MulticoreConfig, SharedState};
+use alderway_router::state::metrics::MetricsSnapshot;
+use alderway_router::state::shared::{MulticoreConfig, SharedState};
 use alderway_telemetry::clock::Clock;
 use alderway_transport::{Hello, WireMessage, encode_hello};
 use rstest::rstest;
