--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! Stories of `alderway serve` with a control machine in the operator's file: a version in force, kept, and started with
-//! when that machine is gone.
+//! `alderway serve` with a control server in the operator's file: a version is applied, persisted, and started with when
+//! that control server is gone.
 mod common;
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version::Version;
@@ -15,15 +15,15 @@
 use std::thread::{JoinHandle, spawn};
 use tokio::sync::oneshot;
 
-/// A control machine that is fed one version by hand.
-struct Control {
+/// A control server that is given one version by hand.
+struct ControlServer {
     address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Control {
-    fn with(settings: Value) -> Control {
+impl ControlServer {
+    fn with(settings: Value) -> ControlServer {
         let (stop, stopped) = oneshot::channel();
         let (tell, told) = channel();
         let thread = spawn(move || {
@@ -43,11 +43,11 @@
             });
         });
         let address = told.recv().expect("it listens");
-        Control { address, stop: Some(stop), thread: Some(thread) }
+        ControlServer { address, stop: Some(stop), thread: Some(thread) }
     }
 }
 
-impl Drop for Control {
+impl Drop for ControlServer {
     fn drop(&mut self) {
         self.stop.take();
         drop(self.thread.take().map(JoinHandle::join));
@@ -57,37 +57,37 @@
 #[rstest]
 #[case::on_one_core("")]
 #[case::on_two_cores("cores(count = 2)\n")]
-fn a_version_comes_in_force_and_is_started_with_when_all_control_machines_are_gone(#[case] cores: &str) {
+fn a_version_is_applied_and_started_with_when_no_control_server_can_be_reached(#[case] cores: &str) {
     let agent = Agent::start(vec![]).expect("discovery");
     let text = Setting::default().configuration(agent.address, &[]);
     let own: Value = serde_json::from_str(&text).expect("a configuration");
-    let control = Control::with(own["settings"].clone());
-    let name = format!("alderway-kept-{}-{}", std::process::id(), cores.len());
-    let keep = std::env::temp_dir().join(name);
+    let control = ControlServer::with(own["settings"].clone());
+    let name = format!("alderway-persisted-{}-{}", std::process::id(), cores.len());
+    let persist_path = std::env::temp_dir().join(name);
     let operator = format!(
         "{cores}subscription(control = {{\"c1\": (\"{}\", \"z1\")}}, zone = \"z1\", keep = \"{}\")\n",
         control.address,
-        keep.display()
+        persist_path.display()
     );
     let build = Build { path: env!("CARGO_BIN_EXE_alderway").into(), operator: Some(operator) };
     let first = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
     logged(&first, "version 41 in force");
     until(&first, "its counters", |counters| counters.get("control_version") == Some(&41));
     until(&first, "its age", |counters| counters.contains_key("control_version_age_ms"));
-    let kept = || std::fs::read_to_string(&keep).unwrap_or_default();
-    until(&first, "the kept file", |_| kept().starts_with("alderway-version 1 41 "));
+    let persisted = || std::fs::read_to_string(&persist_path).unwrap_or_default();
+    until(&first, "the persisted version", |_| persisted().starts_with("alderway-version 1 41 "));
     drop(first);
     drop(control);
     let second = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
-    until(&second, "the kept version", |counters| counters.get("control_version") == Some(&41));
+    until(&second, "the persisted version", |counters| counters.get("control_version") == Some(&41));
     until(&second, "dials in vain", |counters| counters.get("control_dials").is_some_and(|n| *n > 1));
     drop(second);
     // A torn one is said, and the configuration's own settings hold.
-    let torn = kept().replace("site-search", "site-saerch");
-    std::fs::write(&keep, torn).expect("written");
+    let torn = persisted().replace("site-search", "site-saerch");
+    std::fs::write(&persist_path, torn).expect("written");
     let third = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
     logged(&third, "torn or not of this program; ignored");
     until(&third, "no version", |counters| counters.get("control_version") == Some(&0));
     drop(third);
-    let _ = std::fs::remove_file(&keep);
+    let _ = std::fs::remove_file(&persist_path);
 }
--- a/crates/control-server/tests/log_store.rs
+++ b/crates/control-server/tests/log_store.rs
@@ -1,33 +1,19 @@
-//! Stories of a control machine's disk: what was written is there after a start, and what was not is refused in one line.
+//! The log store: what was written is recovered after a restart, and what can't be used is refused in one line.
+mod common;
+
 use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch};
 use alderway_control_server::log_store::LogStore;
+use common::TempFolder;
 use rstest::rstest;
 use std::fs;
-use std::path::PathBuf;
-
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("alderway-store-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        Folder(path)
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
 
 fn entries(from: u64, to: u64, text: &str) -> Vec<(u64, Vec<u8>)> {
     (from..=to).map(|index| (index, format!("{text}{index}").into_bytes())).collect()
 }
 
 #[rstest]
-fn what_was_written_is_there_after_a_start() {
-    let folder = Folder::new("kept");
+fn what_was_written_is_recovered_after_a_restart() {
+    let folder = TempFolder::new("kept");
     let (mut disk, held) = LogStore::open(&folder.0).expect("an empty one");
     assert_eq!(held, RecoveredState::default());
     let writes = [
@@ -61,7 +47,7 @@
 
 #[rstest]
 fn two_programs_do_not_use_one_folder() {
-    let folder = Folder::new("twice");
+    let folder = TempFolder::new("twice");
     let _first = LogStore::open(&folder.0).expect("opened");
     let why = LogStore::open(&folder.0).err().expect("refused").to_string();
     assert!(why.ends_with("another program uses it"), "{why}");
@@ -69,7 +55,7 @@
 
 #[rstest]
 fn a_row_that_is_not_what_was_written_is_named() {
-    let folder = Folder::new("row");
+    let folder = TempFolder::new("row");
     let (mut disk, _) = LogStore::open(&folder.0).expect("an empty one");
     let word = b"a word that is found again in the file".to_vec();
     disk.write(&WriteBatch { entries: vec![(1, word.clone())], ..WriteBatch::default() }).expect("written");
--- a/crates/control-server/tests/stored_data.rs
+++ b/crates/control-server/tests/stored_data.rs
@@ -1,16 +1,18 @@
 //! The control log on disk stays readable: `data/control-log.redb` was written by build 088605e, for three
 //! machines that ordered two versions, replaced the third machine's disk, compacted their logs and ordered three more.
 //! Every record is compared with literal bytes, and written again to the same bytes.
+mod common;
+
 use alderway_control_plane::consensus::{RecoveredState, StableStorage, WriteBatch};
 use alderway_control_plane::replica::{ProposalOutcome, Replica, ReplicaMessage};
 use alderway_control_plane::version::{Proposal, Version};
 use alderway_control_server::log_store::LogStore;
+use common::TempFolder;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use rstest::rstest;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
-use std::fs;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 const IDENTITY: &str = r#"{"name":"a","id":11,"group":11,"roster":[["a",11],["b",12],["c",13]]}"#;
 /// The snapshot's data; its metadata follow in `SNAPSHOT_META`.
@@ -72,30 +74,6 @@
     }
 }
 
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("alderway-stored-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-
-    fn with_reference(name: &str) -> Folder {
-        let folder = Folder::new(name);
-        let reference = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/control-log.redb");
-        fs::copy(reference, folder.0.join("log.redb")).expect("copied");
-        folder
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
-
 /// Keys and values of both tables, as the database has them.
 type Rows = (BTreeMap<String, Vec<u8>>, BTreeMap<u64, Vec<u8>>);
 
@@ -136,13 +114,13 @@
 
 #[rstest]
 fn the_reference_log_has_the_expected_rows() {
-    let folder = Folder::with_reference("rows");
+    let folder = TempFolder::with_reference_log("rows");
     assert_eq!(rows(&folder.0), expected_rows());
 }
 
 #[rstest]
 fn the_reference_log_is_read_field_by_field() {
-    let folder = Folder::with_reference("read");
+    let folder = TempFolder::with_reference_log("read");
     let (_disk, held) = LogStore::open(&folder.0).expect("readable");
     let RecoveredState {
         identity,
@@ -160,10 +138,10 @@
 
 #[rstest]
 fn the_reference_records_are_written_again_to_the_same_bytes() {
-    let folder = Folder::with_reference("source");
+    let folder = TempFolder::with_reference_log("source");
     let (disk, held) = LogStore::open(&folder.0).expect("readable");
     drop(disk);
-    let copy = Folder::new("copy");
+    let copy = TempFolder::new("copy");
     let (mut disk, _) = LogStore::open(&copy.0).expect("an empty one");
     let entries = (held.compacted_to.0 + 1..).zip(held.entries).collect();
     let batch = WriteBatch {
@@ -180,8 +158,8 @@
 }
 
 #[rstest]
-fn a_machine_resumes_from_the_reference_log() {
-    let folder = Folder::with_reference("resume");
+fn a_replica_resumes_from_the_reference_log() {
+    let folder = TempFolder::with_reference_log("resume");
     let (mut disk, held) = LogStore::open(&folder.0).expect("readable");
     let names: BTreeSet<String> = ["a", "b", "c"].map(String::from).into();
     let mut machine = Replica::new("a", &names, &held, 99, 1).expect("a machine");
@@ -205,7 +183,7 @@
     now: f64,
     machines: BTreeMap<String, (Replica, LogStore)>,
     answers: Vec<(u64, ProposalOutcome)>,
-    folder: Folder,
+    folder: TempFolder,
 }
 
 impl Cluster {
@@ -252,7 +230,7 @@
 
 #[rstest]
 fn the_same_events_write_the_reference_records() {
-    let folder = Folder::new("cluster");
+    let folder = TempFolder::new("cluster");
     let mut cluster = Cluster { now: 0.0, machines: BTreeMap::new(), answers: vec![], folder };
     [("a", 11), ("b", 12), ("c", 13)].into_iter().for_each(|(name, id)| cluster.start(name, name, id));
     (0..50).for_each(|_| cluster.tick());
