--- a/crates/alderway/src/config/mod.rs
+++ b/crates/alderway/src/config/mod.rs
@@ -1,16 +1,19 @@
 //! `alderway config`: operators' requests to the control machines. Exit codes: 0 done, 1 refused or failed, 2 input that
 //! can't be used, 3 no quorum, timed out, or not applied everywhere.
+mod args;
 mod error;
 mod proposal;
 mod report;
 mod request;
+mod settings_file;
 
 use alderway_control_plane::version::VersionNumber;
 use alderway_control_server::admin::AdminRequest;
-use clap::{Args, Subcommand};
+use args::{AdminAddresses, OptionalAdminAddresses, ProposalArgs};
+use clap::Subcommand;
 use error::CommandError;
-use proposal::SettingsFile;
 use report::print;
+use settings_file::SettingsFile;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -66,41 +69,6 @@
     },
 }
 
-#[derive(Args)]
-pub struct AdminAddresses {
-    /// Control machines' addresses for operators; the first that answers is asked
-    #[arg(long = "at", value_name = "ADDRESS", required = true, value_delimiter = ',')]
-    at: Vec<SocketAddr>,
-}
-
-#[derive(Args)]
-pub struct OptionalAdminAddresses {
-    /// Control machines' addresses for operators
-    #[arg(long = "at", value_name = "ADDRESS", value_delimiter = ',')]
-    at: Vec<SocketAddr>,
-}
-
-#[derive(Args)]
-pub struct ProposalArgs {
-    /// Why, for whoever reads the history
-    #[arg(long, value_name = "TEXT")]
-    why: String,
-    /// Who; the user of this shell if it is left out
-    #[arg(long, value_name = "NAME", env = "USER", default_value = "unknown")]
-    author: String,
-    /// The version that this was made from; the newest if it is left out
-    #[arg(long, value_name = "N")]
-    base: Option<VersionNumber>,
-    /// The same id counts once: to ask again what came of it
-    #[arg(long, value_name = "ID")]
-    id: Option<String>,
-    /// How long to wait until it is in force everywhere
-    #[arg(long, value_name = "SECONDS", default_value_t = 16.0)]
-    wait: f64,
-    #[command(flatten)]
-    addresses: AdminAddresses,
-}
-
 /// Runs the command; what it has to say goes to standard output, an error to standard error.
 pub fn run(config: &Config) -> ExitCode {
     match execute(config) {
--- a/crates/alderway/src/config/proposal.rs
+++ b/crates/alderway/src/config/proposal.rs
@@ -1,8 +1,9 @@
 //! Proposing a version, and waiting until every router has applied it.
+use super::args::ProposalArgs;
 use super::error::CommandError;
 use super::report::{print, unix_ms, unresponsive_names};
-use super::{ProposalArgs, request};
-use crate::settings;
+use super::request;
+use super::settings_file::SettingsFile;
 use alderway_control_plane::replica::{ProposalOutcome, ReplicaName};
 use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, MAX_WAIT_S, client};
@@ -11,7 +12,6 @@
 use std::fs::File;
 use std::io::Read;
 use std::net::SocketAddr;
-use std::path::Path;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
@@ -20,32 +20,6 @@
 /// A control server tells the outcome within the wait it was given and this.
 const RESPONSE_MARGIN_S: f64 = 2.0;
 
-/// Settings and the file that they come from.
-pub(super) struct SettingsFile {
-    /// The path as it was given.
-    pub(super) name: String,
-    text: String,
-    pub(super) settings: Value,
-}
-
-impl SettingsFile {
-    /// Reads a file and checks its settings as a router does at its start.
-    pub(super) fn read(path: &Path) -> Result<SettingsFile, CommandError> {
-        let name = path.display().to_string();
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| CommandError::UnreadableFile { file: name.clone(), source })?;
-        let settings = settings::read(&name, &text)?;
-        let file = SettingsFile { name, text, settings };
-        settings::check(&file.settings, None).map_err(|invalid| file.invalid(&invalid.0))?;
-        Ok(file)
-    }
-
-    /// The error of checks that refuse the settings, with the line that they name.
-    pub(super) fn invalid(&self, reason: &str) -> CommandError {
-        CommandError::InvalidSettings(settings::located(&self.name, &self.text, reason))
-    }
-}
-
 /// Proposes settings as the next version, waits for the outcome, then until it is applied everywhere. `file` is where they
 /// come from, if they come from a file.
 pub(super) fn propose(
--- a/crates/alderway/src/config/request.rs
+++ b/crates/alderway/src/config/request.rs
@@ -1,6 +1,6 @@
 //! Requests that change nothing: any control server may answer them.
 use super::error::CommandError;
-use super::proposal::SettingsFile;
+use super::settings_file::SettingsFile;
 use alderway_control_plane::version::{Version, VersionNumber};
 use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus, VersionSummary, client};
 use std::net::SocketAddr;
