--- /dev/null
+++ b/crates/control-server/src/lib.rs
@@ -0,0 +1,26 @@
+//! A control machine as a program: the replica of `alderway-control-plane` on sockets and on disk, the admin endpoint through
+//! which operators change the configuration, and the subscriptions of routers. Run by `alderway control`; it serves no
+//! query and knows no data node.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | [`server`] | starts the tasks below and ticks the replica |
+//! | `state` | what the tasks share; the order of durable writes and what is sent |
+//! | [`log_store`] | the replica's log on disk |
+//! | `outbox` | frames that wait for other control machines |
+//! | [`replica_links`] | connections among control machines |
+//! | [`admin`] | requests of operators, server and client |
+//! | [`subscriptions`] | subscriptions of routers |
+//! | [`simulated_router`] | routers that only subscribe, for trials of scale |
+#![warn(missing_docs, clippy::missing_errors_doc)]
+pub mod admin;
+mod listener;
+pub mod log_store;
+mod outbox;
+pub mod replica_links;
+pub mod server;
+pub mod simulated_router;
+mod state;
+pub mod subscriptions;
+
+pub use state::{InvalidSettings, SettingsCheck};
