--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -9,8 +9,8 @@
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, persisted_version};
 use alderway_router::gossip::{Circle, Members};
-use alderway_router::lifecycle::start::Role;
-use alderway_router::lifecycle::{serve, start};
+use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
+use alderway_router::server::serve;
 use alderway_router::state::descriptors;
 use alderway_router::state::ground::Following;
 use alderway_router::state::house::Sharing;
@@ -54,7 +54,8 @@
 
 /// What a router runs by.
 struct Plan {
-    station: start::Station,
+    config: StartupConfig,
+    subscription: Option<Subscription>,
     sharing: Sharing,
     form: LogFormat,
     operator: Operator,
@@ -126,41 +127,57 @@
     })
 }
 
+/// The configuration to start with: settings as the control plane last gave them, if they were kept, or the file's own.
+fn startup_config(
+    files: &Files,
+    subscription: Option<Subscription>,
+    router_count: Option<u64>,
+    clock: Clock,
+) -> Result<(StartupConfig, Option<Subscription>), StartupError> {
+    let Some(subscription) = subscription else {
+        let overrides = Overrides { router_count, settings: None };
+        return Ok((StartupConfig::read(&files.config, overrides, clock)?, None));
+    };
+    let (config, subscription) =
+        persisted_version::startup_config(subscription, &files.config, clock, router_count)?;
+    Ok((config, Some(subscription)))
+}
+
 fn plan(files: &Files, clock: Clock) -> Result<Plan, String> {
     let (operator, text) = operator_at(files.operator.as_deref())?;
     if operator.control.is_some() {
         return Err("the operator's file says `control`: it is for `alderway control`".into());
     }
     // Shares that all routers hold together: planners have most, forwarders keep some back.
-    let peers = match &operator.tier {
+    let router_count = match &operator.tier {
         Tier::Alone => None,
         Tier::Forwarder { count, .. } => Some(*count as f64 / KEPT_BACK),
         Tier::Planner { count } => Some(*count as f64 / (1.0 - KEPT_BACK)),
     };
-    let peers = peers.map(|peers| peers.ceil() as u64);
-    let mut station = match subscription(&operator) {
-        None => start::read_among(&files.config, clock, peers)?,
-        Some(subscription) => persisted_version::station(subscription, &files.config, clock, peers)?,
-    };
+    let router_count = router_count.map(|count| count.ceil() as u64);
+    let (mut config, subscription) = startup_config(files, subscription(&operator), router_count, clock)
+        .map_err(|error| error.to_string())?;
     if let Some(path) = files.operator.clone() {
         let held = operator.clone();
-        station.beside = Some(Arc::new(move || says_else(&path, &held, &text)));
+        config.operator_file_check = Some(Arc::new(move || says_else(&path, &held, &text)));
     }
-    station.peers = circle(&operator, files, &station.name)?;
-    station.layouts = operator.layouts.map(|l| Following { grace: l.late_clients, lag: l.lagging_nodes });
-    station.role = match operator.tier.clone() {
+    config.gossip = circle(&operator, files, &config.name)?;
+    config.shard_map = operator.layouts.map(|l| Following { grace: l.late_clients, lag: l.lagging_nodes });
+    config.role = match operator.tier.clone() {
         Tier::Alone => Role::Router,
-        Tier::Forwarder { planners, beat, patience, .. } => Role::Forwarder { planners, beat, patience },
+        Tier::Forwarder { planners, beat, patience, .. } => {
+            Role::Forwarder { planners, heartbeat_interval_s: beat, heartbeat_timeout_s: patience }
+        }
         Tier::Planner { .. } => Role::Planner,
     };
     let cores = match operator.cores.count {
         Count::Cores(cores) => cores,
         Count::All => std::thread::available_parallelism().map_or(1, usize::from).min(operator::MOST_CORES),
     };
-    let for_peers = station.peers.as_ref().map_or(0, Circle::descriptors);
-    let for_control = station.control.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
+    let for_peers = config.gossip.as_ref().map_or(0, Circle::descriptors);
+    let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
     let least = descriptors::least(cores) + for_peers + for_control;
-    if station.sockets < least {
+    if config.max_descriptors < least {
         let what = if for_peers > 0 { " and its peers" } else { "" };
         return Err(format!("key `limits.sockets`: {cores} cores{what} need {least} at least"));
     }
@@ -172,11 +189,11 @@
         LogForm::Text => LogFormat::Text,
         LogForm::Json => LogFormat::Json,
     };
-    Ok(Plan { station, sharing: Sharing { cores, node_connections, evidence }, form, operator })
+    Ok(Plan { config, subscription, sharing: Sharing { cores, node_connections, evidence }, form, operator })
 }
 
 fn show(plan: &Plan) -> String {
-    let Plan { station, sharing, operator, .. } = plan;
+    let Plan { config, subscription, sharing, operator, .. } = plan;
     let most = sharing.node_connections.map_or("as calls need".to_string(), |most| most.to_string());
     let told = if sharing.cores > 1 && sharing.evidence { "told between cores" } else { "each core's own" };
     let role = match &operator.tier {
@@ -197,7 +214,7 @@
             if peers.verdicts { "sick or late" } else { "nothing" }
         ),
     };
-    let settings = match (&operator.subscription, &station.control) {
+    let settings = match (&operator.subscription, subscription) {
         (Some(said), Some(Subscription { persisted: Some(persisted), .. })) => {
             format!(
                 "version {} as kept, then by {} control machines",
@@ -216,14 +233,14 @@
         ),
     };
     [
-        ("name", station.name.clone()),
-        ("listens at", station.listen.to_string()),
-        ("discovery", station.discovery.to_string()),
-        ("data nodes known", station.roster.nodes.len().to_string()),
-        ("verticals", station.verticals.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
-        ("queries and parts held", station.room.max_open.to_string()),
-        ("descriptors", station.sockets.to_string()),
-        ("memory", format!("{} MiB", station.memory / 1024 / 1024)),
+        ("name", config.name.clone()),
+        ("listens at", config.listen.to_string()),
+        ("discovery", config.discovery.to_string()),
+        ("data nodes known", config.endpoints.nodes.len().to_string()),
+        ("verticals", config.query_classes.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
+        ("queries and parts held", config.settings.intake.max_open.to_string()),
+        ("descriptors", config.max_descriptors.to_string()),
+        ("memory", format!("{} MiB", config.max_memory_bytes / 1024 / 1024)),
         ("cores", sharing.cores.to_string()),
         ("connections to a data node", most),
         ("evidence of data nodes", told.to_string()),
@@ -257,7 +274,7 @@
         return ExitCode::SUCCESS;
     }
     log::init(plan.form);
-    match serve::serve(plan.station, plan.sharing, clock) {
+    match serve(plan.config, plan.subscription, plan.sharing, clock) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("alderway: {why}");
--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -1,5 +1,6 @@
 //! The checks of settings that a control machine makes at its door, and `alderway config check` here: a router's own.
 use alderway_control_plane::messages::{MAX_SETTINGS_BYTES, canonical_json};
+use alderway_router::lifecycle::live_config::check as check_settings;
 use serde_json::Value;
 
 /// Whether a router would start by these settings, and could take them over while it serves by those in force before.
@@ -10,7 +11,7 @@
             "settings are larger than routers are told: {length} bytes of {MAX_SETTINGS_BYTES} at most"
         ));
     }
-    alderway_router::lifecycle::settings::check(settings, before).map(drop)
+    check_settings(settings, before).map(drop).map_err(|error| error.to_string())
 }
 
 /// Settings as a file gives them: by themselves, or as the key `settings` of a router's configuration.
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -2,7 +2,7 @@
 //! counters. Which machine, what of its words is taken and when what is said stands in `alderway_control_plane::subscriber`.
 pub mod persisted_version;
 
-use crate::lifecycle::settings::{Live, Outcome as Offered};
+use crate::lifecycle::live_config::{ConfigError, LiveConfig};
 use crate::state::counters::Counters;
 use crate::state::house::{Figures, House};
 use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage};
@@ -72,14 +72,14 @@
 }
 
 /// For a running router: what can change while it serves is in force once all its cores have taken it over.
-pub fn to_running(live: Live) -> ApplySettings {
+pub fn to_running(live_config: LiveConfig) -> ApplySettings {
     Box::new(move |settings, number| {
-        let live = live.clone();
+        let live_config = live_config.clone();
         Box::pin(async move {
-            match live.offer(settings, Some(number)).await {
-                Offered::InForce | Offered::Unchanged => ApplyOutcome::Applied,
-                Offered::Refused(why) => ApplyOutcome::Rejected(why),
-                Offered::Waits(keys) => ApplyOutcome::PendingRestart(keys),
+            match live_config.apply(settings, Some(number)).await {
+                Ok(_) => ApplyOutcome::Applied,
+                Err(ConfigError::RestartRequired(keys)) => ApplyOutcome::PendingRestart(keys),
+                Err(error @ ConfigError::Invalid(_)) => ApplyOutcome::Rejected(error.to_string()),
             }
         })
     })
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,7 +1,7 @@
 //! The version that a router starts with when no control machine can be asked: one file, written whole beside itself,
 //! synced and renamed, with a head that tells a torn one.
 use super::{Subscription, spawn_blocking, spawn_local, watch};
-use crate::lifecycle::start::{self, Read, Station};
+use crate::lifecycle::startup::{Overrides, StartupConfig, StartupError};
 use alderway_control_plane::messages;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_telemetry::clock::Clock;
@@ -100,13 +100,16 @@
     sender
 }
 
-/// A router's station with the settings that were kept, if there are sound ones; with the configuration's own where not.
-pub fn station(
+/// What a router starts with: the settings that were kept, if there are sound ones; the configuration's own where not.
+///
+/// # Errors
+/// The configuration file cannot be used.
+pub fn startup_config(
     mut subscription: Subscription,
     config: &Path,
     clock: Clock,
-    peers: Option<u64>,
-) -> Read<Station> {
+    router_count: Option<u64>,
+) -> Result<(StartupConfig, Subscription), StartupError> {
     let kept = subscription.persist_path.as_deref().map_or(Ok(None), read);
     let (kept, mut said) = match kept {
         Ok(kept) => (kept, None),
@@ -115,19 +118,21 @@
     if let Some(kept) = kept {
         let number = kept.version.number;
         let settings = serde_json::from_str::<Value>(&kept.version.text).map_err(|why| why.to_string());
-        match settings.and_then(|settings| start::read_with(config, clock, peers, Some(settings))) {
-            Ok(mut station) => {
+        let config = settings.and_then(|settings| {
+            let overrides = Overrides { router_count, settings: Some(settings) };
+            StartupConfig::read(config, overrides, clock).map_err(|why| why.to_string())
+        });
+        match config {
+            Ok(config) => {
                 subscription.persisted = Some(kept);
-                station.control = Some(subscription);
-                return Ok(station);
+                return Ok((config, subscription));
             }
             Err(why) => said = Some(format!("version {number} of the kept file: {why}; ignored")),
         }
     }
     subscription.load_error = said;
-    let mut station = start::read_among(config, clock, peers)?;
-    station.control = Some(subscription);
-    Ok(station)
+    let config = StartupConfig::read(config, Overrides { router_count, settings: None }, clock)?;
+    Ok((config, subscription))
 }
 
 /// Writes the newest version; why it is not kept, if it is not.
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -2,7 +2,7 @@
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
 use super::{clients, rounds};
-use crate::lifecycle::stop;
+use crate::lifecycle::graceful_shutdown;
 use crate::state::Shared;
 use crate::state::descriptors::Share;
 use crate::state::desk::{Class, Desk, Stage};
@@ -219,7 +219,7 @@
             changed = berth.phase.changed(), if stopping.is_none() => {
                 if changed.is_ok() && *berth.phase.borrow_and_update() != Phase::Serving {
                     let closed = closed(berth.phase.clone());
-                    stopping = Some(spawn_local(stop::see_through(desk.clone(), closed)));
+                    stopping = Some(spawn_local(graceful_shutdown::shut_down(desk.clone(), closed)));
                 }
             }
             seen = ended_of(&mut stopping) => {
@@ -231,7 +231,7 @@
                     carry_out(desk, order);
                 }
                 if late {
-                    stopping = Some(spawn_local(stop::end(desk.clone())));
+                    stopping = Some(spawn_local(graceful_shutdown::end_late_connections(desk.clone())));
                     continue;
                 }
                 say(desk, berth, None);
--- a/crates/router/src/io/lead.rs
+++ b/crates/router/src/io/lead.rs
@@ -3,11 +3,11 @@
 use super::clients::{self, Door};
 use super::core::{self, BEAT, Berth, Phase, Report, Told};
 use super::{arrival, discovery};
-use crate::control;
-use crate::lifecycle::reload::Was;
-use crate::lifecycle::settings::Live;
-use crate::lifecycle::start::Station;
-use crate::lifecycle::{reload, stop};
+use crate::control::{self, Subscription};
+use crate::lifecycle::graceful_shutdown;
+use crate::lifecycle::live_config::LiveConfig;
+use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
+use crate::lifecycle::startup::StartupConfig;
 use crate::state::counters::Counters;
 use crate::state::descriptors::{self, Held};
 use crate::state::ground::{Following, Ground};
@@ -159,21 +159,27 @@
 }
 
 /// Runs a router on several cores until SIGTERM has been seen through.
-pub async fn run(station: Station, sharing: Sharing, clock: Clock) -> io::Result<()> {
-    let Station { path, beside, name, listen, discovery, roster, seed, fixed, role, control, .. } = station;
-    let (trunk, room, verticals) = (station.trunk, station.room, station.verticals);
-    let was = Was { path, beside, fixed };
+pub async fn run(
+    config: StartupConfig,
+    control: Option<Subscription>,
+    sharing: Sharing,
+    clock: Clock,
+) -> io::Result<()> {
+    let previous = PreviousConfig::of(&config);
+    let StartupConfig { name, listen, discovery, endpoints: roster, seed, role, shard_map, .. } = config;
+    let (trunk, room, verticals) = (config.settings.trunk, config.settings.intake, config.query_classes);
     let (terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let kept = control.as_ref().map_or(0, |_| control::DESCRIPTORS);
-    let (for_clients, for_nodes) = descriptors::shares(station.sockets - kept, station.memory, sharing.cores);
+    let (for_clients, for_nodes) =
+        descriptors::shares(config.max_descriptors - kept, config.max_memory_bytes, sharing.cores);
     let (house, inboxes) = House::new(room.max_open, sharing, PATIENCE);
-    let longest = station.layouts.map(|_| room.max_deadline_s);
-    let live = Live::new(house.clone(), role, station.settings, station.began, longest);
+    let longest = shard_map.map(|_| room.max_deadline_s);
+    let live = LiveConfig::new(house.clone(), role, config.settings_json, config.settings, longest);
     let (told, roster_told) = watch::channel(Told::default());
     let (phase, phase_told) = watch::channel(Phase::Serving);
     let (reports, mut came) = mpsc::unbounded_channel();
     let follows = room.polls_endpoints;
-    let (layouts, counters) = (station.layouts, Counters::default());
+    let (layouts, counters) = (shard_map, Counters::default());
     // Guards against a shard's number that the lead has forgotten and a core has not: it takes over what the lead has
     // checked, so the lead remembers for longer than a part can be open.
     let longer = |l: Following| Following { grace: l.grace + room.max_deadline_s + 1.0, ..l };
@@ -195,7 +201,7 @@
             verticals: verticals.clone(),
             layouts,
             seed,
-            settings: live.news(),
+            settings: live.subscribe(),
             for_nodes: for_nodes.clone(),
             orders,
             roster: roster_told.clone(),
@@ -223,7 +229,7 @@
         let offer = control::to_running(live.clone());
         control::start(subscription, &name, post::incarnation(), offer, house.clone(), clock);
     }
-    spawn_local(discovery::run(list.clone(), agent_of(discovery, hangups, was, clock, by_file)));
+    spawn_local(discovery::run(list.clone(), agent_of(discovery, hangups, previous, clock, by_file)));
     let dealer = Rc::new(Dealer { house: house.clone(), crew: crew.clone(), next: RefCell::new(0) });
     let close = Rc::new(Notify::new());
     let listening = spawn_local(clients::listen(dealer, listener, for_clients, close.clone()));
@@ -234,9 +240,9 @@
     // Whether a core is still there or not, the stop takes no longer than on one core.
     if watched.is_ok() {
         let _ = phase.send(Phase::Stopping);
-        let over = clock.now() + stop::limit(live.longest_deadline()) + 0.3;
+        let over = clock.now() + graceful_shutdown::time_limit_s(live.max_deadline_s()) + 0.3;
         tokio::select! {
-            () = stop::listener_closed(close, listening) => {}
+            () = graceful_shutdown::listener_closed(close, listening) => {}
             () = guard.look_on() => {}
         }
         let _ = phase.send(Phase::Closed);
@@ -261,12 +267,12 @@
 fn agent_of(
     at: SocketAddr,
     hangups: Signals,
-    was: Was,
+    previous: PreviousConfig,
     clock: Clock,
-    live: Option<Live>,
+    live: Option<LiveConfig>,
 ) -> watch::Receiver<SocketAddr> {
     let (agent, moves) = watch::channel(at);
-    spawn_local(async move { reload::at_sighup(hangups, was, agent, clock, live).await });
+    spawn_local(async move { reload_at_sighup(hangups, previous, agent, clock, live).await });
     moves
 }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -5,6 +5,7 @@
 pub mod io;
 pub mod lifecycle;
 pub mod requests;
+pub mod server;
 pub mod state;
 pub mod tier;
 pub mod wire;
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -1,66 +1,107 @@
-//! A new configuration while the program runs, told by SIGHUP: what can move moves, what is faulty changes nothing.
-use super::settings::{Live, Outcome};
-use super::start::{self, Station};
+//! The configuration file read again at SIGHUP. What may change while the program serves is applied; a file that is missing,
+//! half written or faulty changes nothing.
+use super::live_config::LiveConfig;
+use super::startup::{FixedKeys, OperatorFileCheck, Overrides, StartupConfig, StartupError};
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
+use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use tokio::sync::watch::Sender;
+use thiserror::Error;
+use tokio::sync::watch;
 
-/// Reads the configuration anew with every SIGHUP, by the code that read it at the start; discovery's address
-/// goes to `agent`. Guards against a file that is missing, half written or faulty: the old one holds. To a router that
-/// can take over its settings the file's are offered when they are others than it had when they were last taken from it:
-/// a reload for another reason does not undo what was brought another way since.
-pub async fn at_sighup(
+/// What the program was last configured by, to tell what a file says anew.
+pub struct PreviousConfig {
+    /// The configuration file.
+    pub path: PathBuf,
+    /// Compares the operator's file with the start; none where there is no such file.
+    pub operator_file_check: Option<OperatorFileCheck>,
+    /// Keys that only change with a start, with their values; settings as they were last applied from the file.
+    pub fixed_keys: FixedKeys,
+}
+
+/// Why a reload changed nothing.
+#[derive(Debug, Error)]
+enum ReloadError {
+    #[error(transparent)]
+    Config(#[from] StartupError),
+    /// The operator's file cannot be used; the text names the file and the line.
+    #[error("{0}")]
+    OperatorFile(String),
+}
+
+/// Reads the configuration anew with every SIGHUP, for as long as the program runs. Discovery's address goes to
+/// `discovery`. Settings are applied to `live_config`, if the router can change them, when they differ from those last
+/// applied from the file: a reload for another reason does not undo what came another way since.
+pub async fn reload_at_sighup(
     mut hangups: Signals,
-    mut was: Was,
-    agent: Sender<SocketAddr>,
+    mut previous: PreviousConfig,
+    discovery: watch::Sender<SocketAddr>,
     clock: Clock,
-    live: Option<Live>,
+    live_config: Option<LiveConfig>,
 ) {
     loop {
         hangups.recv().await;
-        let beside = was.beside.as_ref().map_or(Ok(false), |read| read());
-        let read = start::read_at(&was.path, clock).and_then(|station| Ok((station, beside?)));
-        match read {
-            Ok((station, changed)) => {
-                if changed {
-                    tracing::warn!(target: "reload", "operator's file: its change waits for a start");
-                }
-                take(&station, &was.fixed, &agent, live.is_some());
-                let held = was.fixed.iter_mut().find(|(key, _)| *key == "settings");
-                if let (Some(live), Some((_, held))) = (&live, held)
-                    && *held != station.settings
-                    && let Outcome::InForce | Outcome::Unchanged =
-                        live.offer(station.settings.clone(), None).await
-                {
-                    *held = station.settings;
+        match previous.read_again(clock) {
+            Ok(config) => {
+                previous.log_fixed_keys_changed(&config, live_config.is_some());
+                move_discovery(&discovery, config.discovery);
+                if let Some(live_config) = &live_config {
+                    previous.apply_settings(config.settings_json, live_config).await;
                 }
             }
-            Err(why) => {
-                tracing::warn!(target: "reload", "{why}; the old configuration holds");
-                if let (true, Some(live)) = (why.starts_with("key `settings`"), &live) {
-                    live.count_refused();
+            Err(error) => {
+                tracing::warn!(target: "reload", "{error}; the old configuration holds");
+                if let (ReloadError::Config(error), Some(live_config)) = (&error, &live_config)
+                    && error.is_of_settings()
+                {
+                    live_config.count_rejected();
                 }
             }
         }
     }
 }
 
-/// What the program was started by.
-pub struct Was {
-    pub path: PathBuf,
-    pub beside: Option<start::Beside>,
-    pub fixed: start::Fixed,
-}
+impl PreviousConfig {
+    /// What a program that starts with `config` is configured by.
+    pub fn of(config: &StartupConfig) -> Self {
+        PreviousConfig {
+            path: config.path.clone(),
+            operator_file_check: config.operator_file_check.clone(),
+            fixed_keys: config.fixed_keys.clone(),
+        }
+    }
+
+    fn read_again(&self, clock: Clock) -> Result<StartupConfig, ReloadError> {
+        let operator_file = self.operator_file_check.as_ref().map_or(Ok(false), |check| check());
+        let config = StartupConfig::read(&self.path, Overrides::default(), clock)?;
+        if operator_file.map_err(ReloadError::OperatorFile)? {
+            tracing::warn!(target: "reload", "operator's file: its change waits for a start");
+        }
+        Ok(config)
+    }
+
+    fn log_fixed_keys_changed(&self, config: &StartupConfig, can_apply_settings: bool) {
+        for ((key, new), (_, previous)) in config.fixed_keys.iter().zip(&self.fixed_keys) {
+            let is_applied = can_apply_settings && *key == "settings";
+            if new != previous && !is_applied {
+                tracing::warn!(target: "reload", "key `{key}`: its change waits for a start");
+            }
+        }
+    }
 
-fn take(station: &Station, fixed: &start::Fixed, agent: &Sender<SocketAddr>, live: bool) {
-    for ((key, new), (_, held)) in station.fixed.iter().zip(fixed) {
-        if new != held && !(live && *key == "settings") {
-            tracing::warn!(target: "reload", "key `{key}`: its change waits for a start");
+    async fn apply_settings(&mut self, settings: Value, live_config: &LiveConfig) {
+        let Some((_, previous)) = self.fixed_keys.iter_mut().find(|(key, _)| *key == "settings") else {
+            return;
+        };
+        if *previous != settings && live_config.apply(settings.clone(), None).await.is_ok() {
+            *previous = settings;
         }
     }
-    let moved = agent.send_if_modified(|at| std::mem::replace(at, station.discovery) != station.discovery);
-    let what = if moved { "moves to" } else { "stays at" };
-    tracing::info!(target: "reload", "configuration read: discovery {what} {}", station.discovery);
+}
+
+fn move_discovery(discovery: &watch::Sender<SocketAddr>, address: SocketAddr) {
+    let moved = discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
+    let verb = if moved { "moves to" } else { "stays at" };
+    tracing::info!(target: "reload", "configuration read: discovery {verb} {address}");
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,5 +1,6 @@
 //! Starts one query router as the platform runs it: by its configuration alone, on one core.
-use alderway_router::lifecycle::{serve, start};
+use alderway_router::lifecycle::startup::StartupConfig;
+use alderway_router::server::serve;
 use alderway_router::state::house::Sharing;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log::{self, LogFormat};
@@ -8,14 +9,14 @@
 fn main() -> ExitCode {
     log::init(LogFormat::Text);
     let clock = Clock::default();
-    let station = match start::read(clock) {
-        Ok(station) => station,
+    let config = match StartupConfig::from_env(clock) {
+        Ok(config) => config,
         Err(why) => {
             eprintln!("alderway-router: {why}");
             return ExitCode::from(2);
         }
     };
-    match serve::serve(station, Sharing::default(), clock) {
+    match serve(config, None, Sharing::default(), clock) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("alderway-router: {why}");
--- /dev/null
+++ b/crates/router/src/server.rs
@@ -0,0 +1,146 @@
+//! Runs a program as it was started: a router on one core in this thread, a router on several cores, or a planner.
+use crate::control::{self, Subscription};
+use crate::gossip::{self, Circle};
+use crate::io::{arrival, clients, discovery, lead, rounds};
+use crate::lifecycle::graceful_shutdown;
+use crate::lifecycle::live_config::LiveConfig;
+use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
+use crate::lifecycle::startup::{Role, StartupConfig};
+use crate::state::Shared;
+use crate::state::descriptors::{self, Share};
+use crate::state::desk::Desk;
+use crate::state::ground::Ground;
+use crate::state::house::{House, Sharing};
+use crate::state::terms::Issue;
+use crate::tier::forwarder::Forwarder;
+use crate::tier::{links, post};
+use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
+use alderway_tier::members::Watch;
+use nix::sys::signal::Signal;
+use std::cell::RefCell;
+use std::io;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::runtime::Builder;
+use tokio::sync::watch;
+use tokio::task::{LocalSet, spawn_local};
+
+/// Serves until SIGTERM has been seen through. With a `subscription`, the control plane governs the settings and a reload
+/// leaves them alone.
+///
+/// # Errors
+/// No socket, signal handler or thread could be had, or the decision module failed for good.
+pub fn serve(
+    config: StartupConfig,
+    subscription: Option<Subscription>,
+    multicore: Sharing,
+    clock: Clock,
+) -> io::Result<()> {
+    let runtime = Builder::new_current_thread().enable_all().build()?;
+    let local = LocalSet::new();
+    if config.role == Role::Planner {
+        local.block_on(&runtime, post::run(config, clock))
+    } else if multicore.cores > 1 {
+        local.block_on(&runtime, lead::run(config, subscription, multicore, clock))
+    } else {
+        local.block_on(&runtime, run_on_one_core(config, subscription, multicore, clock))
+    }
+}
+
+async fn run_on_one_core(
+    mut config: StartupConfig,
+    subscription: Option<Subscription>,
+    multicore: Sharing,
+    clock: Clock,
+) -> io::Result<()> {
+    // Before anybody can know that this program is up: unhandled, either signal would end it.
+    let (terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
+    let (for_clients, for_nodes) = split_descriptors(&config, subscription.is_some());
+    let shared = House::new(config.settings.intake.max_open, multicore, f64::INFINITY).0;
+    let (role, settings) = (config.role.clone(), config.settings.clone());
+    let live_config = LiveConfig::new(shared.clone(), role, config.settings_json.clone(), settings, None);
+    let previous = PreviousConfig::of(&config);
+    let dispatcher = new_dispatcher(&mut config, shared.clone(), &live_config, clock);
+    let StartupConfig { name, listen, discovery, seed, role, gossip, .. } = config;
+
+    let listener = TcpListener::bind(listen).await?;
+    arrival::stamp(&listener)?;
+    let (address, known) = (listener.local_addr()?, dispatcher.roster.nodes.len());
+    tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known");
+    let dispatcher = Rc::new(RefCell::new(dispatcher));
+
+    connect_to_planners(&dispatcher, &role, &name, &for_nodes, clock);
+    if let Some(gossip) = gossip {
+        gossip::start(&dispatcher, gossip, &name, post::incarnation()).await?;
+    }
+    let policy = rounds::newest(&dispatcher, seed);
+    let rounds = spawn_local(rounds::run(dispatcher.clone(), policy, for_nodes));
+    spawn_local(wake_at_new_settings(dispatcher.clone(), live_config.subscribe()));
+    let counting = dispatcher.clone();
+    live_config.attach(Box::new(move |name| counting.borrow_mut().counters.one(name)), None);
+    let (discovery, discovery_address) = watch::channel(discovery);
+    spawn_local(discovery::run(dispatcher.clone(), discovery_address));
+    // Where the control plane governs the settings, a reload would undo a version unseen.
+    let reloadable = subscription.is_none().then(|| live_config.clone());
+    if let Some(subscription) = subscription {
+        let apply = control::to_running(live_config.clone());
+        control::start(subscription, &name, post::incarnation(), apply, shared, clock);
+    }
+    spawn_local(reload_at_sighup(hangups, previous, discovery, clock, reloadable));
+
+    let close = Rc::default();
+    let listening =
+        spawn_local(clients::listen(dispatcher.clone(), listener, for_clients, Rc::clone(&close)));
+    // A router whose decision module has failed must not go on as if it served.
+    tokio::select! {
+        () = graceful_shutdown::shut_down_at_sigterm(terminations, dispatcher.clone(), close, listening) => {}
+        failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
+    }
+    log::write_unlimited(&dispatcher.borrow().figures());
+    Ok(())
+}
+
+/// Descriptors for clients and for data nodes, after those for gossip and the control plane.
+fn split_descriptors(config: &StartupConfig, has_subscription: bool) -> (Arc<Share>, Arc<Share>) {
+    let for_gossip = config.gossip.as_ref().map_or(0, Circle::descriptors);
+    let for_control = if has_subscription { control::DESCRIPTORS } else { 0 };
+    let available = config.max_descriptors - for_gossip - for_control;
+    descriptors::shares(available, config.max_memory_bytes, 1)
+}
+
+fn new_dispatcher(
+    config: &mut StartupConfig,
+    shared: Arc<House>,
+    live_config: &LiveConfig,
+    clock: Clock,
+) -> Desk {
+    let (connections, admission) = (config.settings.trunk, config.settings.intake);
+    let classes = config.query_classes.clone();
+    let mut dispatcher = Desk::on(shared, 0, clock, connections, admission, classes);
+    dispatcher.follow_settings(live_config.subscribe());
+    dispatcher.roster = std::mem::take(&mut config.endpoints);
+    dispatcher.ground = config.shard_map.map(Ground::new);
+    dispatcher.came.notify_one();
+    dispatcher
+}
+
+/// A forwarder's links to its planners; nothing for a router that decides by itself.
+fn connect_to_planners(dispatcher: &Shared, role: &Role, name: &str, for_nodes: &Arc<Share>, clock: Clock) {
+    let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return };
+    let watch = Watch { beat: *heartbeat_interval_s, patience: *heartbeat_timeout_s };
+    let work_ready = dispatcher.borrow().came.clone();
+    let forwarder = Forwarder::new(name, post::incarnation(), watch, clock, work_ready);
+    let forwarder = Rc::new(RefCell::new(forwarder));
+    dispatcher.borrow_mut().tier = Some(forwarder.clone());
+    links::start(dispatcher, &forwarder, planners, for_nodes, post::incarnation());
+}
+
+/// Has a round played for new settings, where nothing else asks for one.
+async fn wake_at_new_settings(dispatcher: Shared, mut updates: watch::Receiver<Arc<Issue>>) {
+    while updates.changed().await.is_ok() {
+        dispatcher.borrow().came.notify_one();
+    }
+}
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -11,7 +11,7 @@
 use alderway_tier::custody::{Asking, Custody, Decider};
 use alderway_tier::members::{Change, Members, Watch};
 use alderway_tier::messages::{Message, Tried};
-use alderway_transport::{Hello, Incarnation, Name, WireMessage};
+use alderway_transport::{Hello, Incarnation, Name};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -84,12 +84,7 @@
     }
 
     pub fn hello(&self) -> Hello {
-        Hello {
-            version: Message::VERSION,
-            is_planner: false,
-            incarnation: self.incarnation,
-            name: self.name.clone(),
-        }
+        Hello::new::<Message>(self.name.clone(), self.incarnation)
     }
 
     fn able(&self) -> Vec<Name> {
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -1,9 +1,9 @@
 //! A planner's drivers: the listener for forwarders, a task a connection, discovery, and the rounds of its module.
 use super::planner::{self, Planner};
 use crate::io::{discovery, until};
-use crate::lifecycle::reload::{self, Was};
-use crate::lifecycle::start::Station;
-use crate::lifecycle::stop;
+use crate::lifecycle::graceful_shutdown;
+use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
+use crate::lifecycle::startup::StartupConfig;
 use alderway::interface::SharedLimits;
 use alderway::policy::Policy;
 use alderway_sockets::Sender;
@@ -11,7 +11,7 @@
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log;
 use alderway_tier::messages::Message;
-use alderway_transport::{FrameReader, Hello, Received, WireMessage};
+use alderway_transport::{FrameReader, Hello, Received};
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
 use std::io;
@@ -35,22 +35,23 @@
 }
 
 /// Runs a planner until SIGTERM has been seen through: it takes nothing new, and what it holds ends first.
-pub async fn run(station: Station, clock: Clock) -> io::Result<()> {
-    let Station { path, beside, name, listen, discovery, roster, seed, fixed, .. } = station;
+pub async fn run(config: StartupConfig, clock: Clock) -> io::Result<()> {
+    let previous = PreviousConfig::of(&config);
+    let StartupConfig { name, listen, discovery, endpoints: roster, seed, settings, .. } = config;
     let (mut terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
-    let mut router = Policy::new(seed, station.began.terms);
+    let mut router = Policy::new(seed, settings.terms);
     // It tells forwarders what it sees of data nodes, as one core tells others.
     router.join(SharedLimits::new(2).for_core(0));
-    let verticals = station.verticals.len();
-    let (deadline, room) = (station.room.max_deadline_s, station.room.max_open);
+    let verticals = config.query_classes.len();
+    let (deadline, room) = (settings.intake.max_deadline_s, settings.intake.max_open);
     let shared = Rc::new(RefCell::new(Planner::new(clock, verticals, deadline, room, roster)));
     let listener = TcpListener::bind(listen).await?;
     let at = listener.local_addr()?;
     tracing::info!(target: "start", "{name} listens at {at}: a planner");
     let (agent, address) = watch::channel(discovery);
     spawn_local(discovery::run(shared.clone(), address));
-    spawn_local(reload::at_sighup(hangups, Was { path, beside, fixed }, agent, clock, None));
-    let hello = Hello { version: Message::VERSION, is_planner: true, incarnation: incarnation(), name };
+    spawn_local(reload_at_sighup(hangups, previous, agent, clock, None));
+    let hello = Hello::of_planner::<Message>(name, incarnation());
     spawn_local(accept(shared.clone(), listener, hello));
     spawn_local(beats(shared.clone()));
     let mut rounds = spawn_local(rounds(shared.clone(), router));
@@ -60,7 +61,7 @@
     }
     shared.borrow_mut().stopping = true;
     shared.borrow_mut().beat(PATIENCE);
-    let over = clock.now() + stop::limit(deadline);
+    let over = clock.now() + graceful_shutdown::time_limit_s(deadline);
     while shared.borrow().open() > 0 && clock.now() < over {
         sleep(Duration::from_millis(10)).await;
     }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -4,8 +4,8 @@
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
 use alderway_deployment::live::{self, Changes};
-use alderway_router::lifecycle::settings::{Live, Outcome, check};
-use alderway_router::lifecycle::start::Role;
+use alderway_router::lifecycle::live_config::{Applied, ConfigError, LiveConfig, check};
+use alderway_router::lifecycle::startup::Role;
 use alderway_router::state::clients::Client;
 use alderway_router::state::desk::Desk;
 use alderway_router::state::house::{House, Sharing};
@@ -49,7 +49,7 @@
     #[case] value: Value,
     #[case] key: &str,
 ) {
-    let why = check(&with(path, value), Some(&held())).expect_err("refused");
+    let why = check(&with(path, value), Some(&held())).expect_err("refused").to_string();
     assert!(
         why.starts_with("key `settings`: expected ") && why.contains(key) && !why.contains('\n'),
         "{why}"
@@ -69,7 +69,7 @@
 ) {
     let new = with(path, value);
     check(&new, None).expect("sound at a start");
-    let why = check(&new, Some(&held())).expect_err("refused");
+    let why = check(&new, Some(&held())).expect_err("refused").to_string();
     assert!(why.contains(&format!("`{key}`")) && why.contains("waits for a start"), "{why}");
 }
 
@@ -82,7 +82,7 @@
 #[case("/ReplicasOfMe", json!(3), "ReplicasOfMe")]
 fn what_may_change_is_named(#[case] path: &str, #[case] value: Value, #[case] key: &str) {
     let checked = check(&with(path, value), Some(&held())).expect("taken");
-    assert_eq!(checked.changed[0], key);
+    assert_eq!(checked.changed_keys[0], key);
 }
 
 #[rstest]
@@ -284,10 +284,10 @@
 
 // The one path for all that bring settings.
 
-fn live(role: Role) -> (Live, Arc<House>) {
+fn live(role: Role) -> (LiveConfig, Arc<House>) {
     let house = House::new(180, Sharing { cores: 2, ..Sharing::default() }, 1.0).0;
     let began = live::settings(&held()).expect("sound");
-    (Live::new(house.clone(), role, held(), began, None), house)
+    (LiveConfig::new(house.clone(), role, held(), began, None), house)
 }
 
 fn block_on<T>(what: impl Future<Output = T>) -> T {
@@ -303,8 +303,8 @@
     live.attach(Box::new(|_| ()), Some(Box::new(move |core| core == 0 || !serves.get())));
     let new = with("/ReplicasOfMe", json!(5));
     block_on(async {
-        let mut offer = Box::pin(live.offer(new.clone(), Some(7)));
-        let mut news = live.news();
+        let mut offer = Box::pin(live.apply(new.clone(), Some(7)));
+        let mut news = live.subscribe();
         tokio::select! {
             biased;
             outcome = &mut offer => panic!("{outcome:?} though no core has it"),
@@ -322,36 +322,39 @@
         }
         // Nobody waits for one that hangs.
         hangs.set(true);
-        assert_eq!(offer.await, Outcome::InForce);
-        assert_eq!((live.number(), live.held()), (Some(7), Arc::new(new.clone())));
-        assert_eq!(live.offer(new, Some(8)).await, Outcome::Unchanged);
-        assert_eq!(live.number(), Some(8));
+        assert_eq!(offer.await, Ok(Applied::Changed));
+        assert_eq!((live.version(), live.in_force()), (Some(7), Arc::new(new.clone())));
+        assert_eq!(live.apply(new, Some(8)).await, Ok(Applied::Unchanged));
+        assert_eq!(live.version(), Some(8));
     });
 }
 
 #[rstest]
 fn what_is_refused_changes_nothing_and_is_told_to_nobody() {
     let (live, _house) = live(Role::Router);
-    let news = live.news();
+    let news = live.subscribe();
     block_on(async {
-        let faulty = live.offer(with("/TickUs", json!(0)), Some(3)).await;
-        assert!(matches!(faulty, Outcome::Refused(why) if why.contains("TickUs")));
+        let faulty = live.apply(with("/TickUs", json!(0)), Some(3)).await;
+        assert!(matches!(faulty, Err(ConfigError::Invalid(why)) if why.contains("TickUs")));
         // Whole or not at all: what could change does not either.
         let mut both = with("/Extra/Cells", json!(2));
         both["Services"][0]["Worth"] = json!(9);
-        assert_eq!(live.offer(both, Some(3)).await, Outcome::Waits(vec!["Extra.Cells".into()]));
+        assert_eq!(
+            live.apply(both, Some(3)).await,
+            Err(ConfigError::RestartRequired(vec!["Extra.Cells".into()]))
+        );
     });
-    assert_eq!((live.number(), live.held()), (None, Arc::new(held())));
+    assert_eq!((live.version(), live.in_force()), (None, Arc::new(held())));
     assert!(!news.has_changed().expect("open"));
 }
 
 #[rstest]
 #[case(Role::Planner)]
-#[case(Role::Forwarder { planners: vec![], beat: 0.05, patience: 0.25 })]
+#[case(Role::Forwarder { planners: vec![], heartbeat_interval_s: 0.05, heartbeat_timeout_s: 0.25 })]
 fn on_two_levels_settings_wait_for_a_start(#[case] role: Role) {
     let (live, _house) = live(role);
-    let outcome = block_on(live.offer(with("/ReplicasOfMe", json!(5)), None));
-    assert_eq!(outcome, Outcome::Waits(vec!["settings".into()]));
+    let outcome = block_on(live.apply(with("/ReplicasOfMe", json!(5)), None));
+    assert_eq!(outcome, Err(ConfigError::RestartRequired(vec!["settings".into()])));
 }
 
 // The program.
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -1,6 +1,6 @@
 //! The configuration file at a start: what is read from it, and the line that says what is at fault.
 mod common;
-use alderway_router::lifecycle::start::{self, Role, Station};
+use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
 use alderway_telemetry::clock::Clock;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -44,8 +44,8 @@
     }
 }
 
-fn read(path: &Path) -> Result<Station, String> {
-    start::read_at(path, Clock::default())
+fn read(path: &Path) -> Result<StartupConfig, StartupError> {
+    StartupConfig::read(path, Overrides::default(), Clock::default())
 }
 
 fn error_of(text: &str) -> String {
@@ -62,16 +62,19 @@
         (config.listen.to_string(), config.discovery.to_string()),
         ("127.0.0.1:7001".into(), "127.0.0.1:7002".into())
     );
-    assert_eq!((config.sockets, config.memory, config.seed), (256, 64 * 1024 * 1024, 0x1f));
-    assert_eq!(config.roster.nodes.keys().cloned().collect::<Vec<_>>(), ["s-1"]);
-    assert_eq!(config.settings, document()["settings"]);
-    assert_eq!(config.began.terms.router_count, 2);
-    let classes: Vec<&str> = config.verticals.iter().map(|class| class.name.as_str()).collect();
+    assert_eq!((config.max_descriptors, config.max_memory_bytes, config.seed), (256, 64 * 1024 * 1024, 0x1f));
+    assert_eq!(config.endpoints.nodes.keys().cloned().collect::<Vec<_>>(), ["s-1"]);
+    assert_eq!(config.settings_json, document()["settings"]);
+    assert_eq!(config.settings.terms.router_count, 2);
+    let classes: Vec<&str> = config.query_classes.iter().map(|class| class.name.as_str()).collect();
     assert_eq!(classes, ["site-search", "region-report"]);
     let fixed = document();
-    assert_eq!(config.fixed, ["name", "listen", "limits", "settings"].map(|key| (key, fixed[key].clone())));
+    assert_eq!(
+        config.fixed_keys,
+        ["name", "listen", "limits", "settings"].map(|key| (key, fixed[key].clone()))
+    );
     assert_eq!(config.role, Role::Router);
-    assert!(config.beside.is_none() && config.layouts.is_none() && config.peers.is_none());
+    assert!(config.operator_file_check.is_none() && config.shard_map.is_none() && config.gossip.is_none());
 }
 
 #[rstest]
@@ -82,8 +85,8 @@
     }
     let file = ConfigFile::new(&document.to_string());
     let config = read(&file.0).expect("a good file");
-    assert_eq!((config.sockets, config.memory, config.seed), (1024, 192 * 1024 * 1024, 0));
-    assert!(config.roster.nodes.is_empty());
+    assert_eq!((config.max_descriptors, config.max_memory_bytes, config.seed), (1024, 192 * 1024 * 1024, 0));
+    assert!(config.endpoints.nodes.is_empty());
 }
 
 #[rstest]
@@ -91,11 +94,16 @@
     let file = ConfigFile::new(&document().to_string());
     let mut settings = document()["settings"].clone();
     settings["TickUs"] = json!(7000);
-    let config = start::read_with(&file.0, Clock::default(), Some(9), Some(settings.clone())).expect("good");
-    assert_eq!((&config.settings, config.began.terms.router_count), (&settings, 9));
-    assert_eq!(config.began.intake.min_round_interval_s, 0.007);
+    let config = StartupConfig::read(
+        &file.0,
+        Overrides { router_count: Some(9), settings: Some(settings.clone()) },
+        Clock::default(),
+    )
+    .expect("good");
+    assert_eq!((&config.settings_json, config.settings.terms.router_count), (&settings, 9));
+    assert_eq!(config.settings.intake.min_round_interval_s, 0.007);
     // A reload compares the file with itself.
-    assert_eq!(config.fixed[3], ("settings", document()["settings"].clone()));
+    assert_eq!(config.fixed_keys[3], ("settings", document()["settings"].clone()));
 }
 
 #[rstest]
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -9,7 +9,7 @@
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_router::control::persisted_version::{self, PersistedVersion};
 use alderway_router::control::{ApplySettings, Subscription, start};
-use alderway_router::lifecycle::start::Station;
+use alderway_router::lifecycle::startup::StartupConfig;
 use alderway_router::state::house::{Figures, House, Sharing};
 use alderway_telemetry::clock::Clock;
 use alderway_transport::{Hello, WireMessage, encode_hello};
@@ -364,10 +364,12 @@
         persisted: None,
         load_error: None,
     };
-    let station =
-        persisted_version::station(subscription(), &config, Clock::default(), None).expect("a station");
-    assert_eq!(station.settings, settings(2));
-    let control = station.control.expect("a subscription");
+    let started = || {
+        persisted_version::startup_config(subscription(), &config, Clock::default(), None)
+            .expect("a good file")
+    };
+    let (started_with, control) = started();
+    assert_eq!(started_with.settings_json, settings(2));
     assert_eq!(control.persisted.as_ref().map(|kept| kept.version.number), Some(2));
     story(async {
         let router =
@@ -384,9 +386,7 @@
         })
         .await;
     });
-    let station =
-        persisted_version::station(subscription(), &config, Clock::default(), None).expect("a station");
-    assert_eq!(station.settings, settings(3));
+    assert_eq!(started().0.settings_json, settings(3));
 }
 
 /// A configuration with settings 0.
@@ -398,7 +398,11 @@
 }
 
 /// What a router with that configuration starts with, given a kept file.
-fn started_from(place: &Place, keep: PathBuf, machines: Vec<(ControlEndpoint, SocketAddr)>) -> Station {
+fn started_from(
+    place: &Place,
+    keep: PathBuf,
+    machines: Vec<(ControlEndpoint, SocketAddr)>,
+) -> (StartupConfig, Subscription) {
     let (zone, keep) = (String::new(), Some(keep));
     let subscription = Subscription {
         machines,
@@ -408,7 +412,8 @@
         persisted: None,
         load_error: None,
     };
-    persisted_version::station(subscription, &configured(place), Clock::default(), None).expect("a station")
+    persisted_version::startup_config(subscription, &configured(place), Clock::default(), None)
+        .expect("a good file")
 }
 
 #[rstest]
@@ -427,9 +432,8 @@
     assert_eq!(persisted_version::read(&keep), Ok(Some(sound)));
     let text = std::fs::read_to_string(&keep).expect("there");
     std::fs::write(&keep, tear(&text)).expect("written");
-    let station = started_from(&place, keep, vec![(machine("c1", "z1"), closed())]);
-    assert_eq!(station.settings, settings(0));
-    let control = station.control.expect("a subscription");
+    let (config, control) = started_from(&place, keep, vec![(machine("c1", "z1"), closed())]);
+    assert_eq!(config.settings_json, settings(0));
     assert!(control.persisted.is_none());
     let said = control.load_error.expect("a line of the log");
     assert!(said.ends_with(&format!("{why}; ignored")), "{said}");
@@ -441,9 +445,9 @@
     let keep = place.file("version");
     let faulty = PersistedVersion { version: ConfigVersion::new(7, r#"{"Limits":{}}"#), as_of_unix_ms: None };
     persisted_version::write(&keep, &faulty).expect("written");
-    let station = started_from(&place, keep, vec![]);
-    assert_eq!(station.settings, settings(0));
-    let said = station.control.and_then(|control| control.load_error).expect("a line of the log");
+    let (config, control) = started_from(&place, keep, vec![]);
+    assert_eq!(config.settings_json, settings(0));
+    let said = control.load_error.expect("a line of the log");
     assert!(said.starts_with("version 7 of the kept file: key `settings`: expected "), "{said}");
 }
 
