--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -1,5 +1,5 @@
 //! The checks of settings that a control machine makes at its door, and `alderway config check` here: a router's own.
-use alderway_control_plane::messages::{MAX_SETTINGS_BYTES, canonical_json};
+use alderway_control_plane::content::{MAX_SETTINGS_BYTES, canonical_json};
 use alderway_router::lifecycle::live_config::check as check_settings;
 use serde_json::Value;
 
--- a/crates/control-server/src/state.rs
+++ b/crates/control-server/src/state.rs
@@ -96,8 +96,8 @@
     pub(crate) fn advance(&mut self) {
         let now = self.now();
         let output = self.replica.advance(&mut self.log_store, now);
-        for line in output.log_lines {
-            tracing::info!(target: "control", "{line}");
+        for event in output.events {
+            tracing::info!(target: "control", "{event}");
         }
         for version in output.committed {
             tracing::info!(target: "control", "version {} by {}: {}", version.number, version.author, version.reason);
