--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -12,8 +12,8 @@
 use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
 use alderway_router::server::serve;
 use alderway_router::state::descriptors;
-use alderway_router::state::ground::Following;
-use alderway_router::state::house::Sharing;
+use alderway_router::state::shard_map::ShardMapConfig;
+use alderway_router::state::shared::MulticoreConfig;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log::{self, LogFormat};
 use clap::{Args, Parser, Subcommand};
@@ -56,7 +56,7 @@
 struct Plan {
     config: StartupConfig,
     subscription: Option<Subscription>,
-    sharing: Sharing,
+    sharing: MulticoreConfig,
     form: LogFormat,
     operator: Operator,
 }
@@ -162,7 +162,10 @@
         config.operator_file_check = Some(Arc::new(move || says_else(&path, &held, &text)));
     }
     config.gossip = circle(&operator, files, &config.name)?;
-    config.shard_map = operator.layouts.map(|l| Following { grace: l.late_clients, lag: l.lagging_nodes });
+    config.shard_map = operator.layouts.map(|l| ShardMapConfig {
+        retired_shard_grace_s: l.late_clients,
+        lagging_node_grace_s: l.lagging_nodes,
+    });
     config.role = match operator.tier.clone() {
         Tier::Alone => Role::Router,
         Tier::Forwarder { planners, beat, patience, .. } => {
@@ -176,7 +179,7 @@
     };
     let for_peers = config.gossip.as_ref().map_or(0, Circle::descriptors);
     let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
-    let least = descriptors::least(cores) + for_peers + for_control;
+    let least = descriptors::minimum(cores) + for_peers + for_control;
     if config.max_descriptors < least {
         let what = if for_peers > 0 { " and its peers" } else { "" };
         return Err(format!("key `limits.sockets`: {cores} cores{what} need {least} at least"));
@@ -189,13 +192,27 @@
         LogForm::Text => LogFormat::Text,
         LogForm::Json => LogFormat::Json,
     };
-    Ok(Plan { config, subscription, sharing: Sharing { cores, node_connections, evidence }, form, operator })
+    Ok(Plan {
+        config,
+        subscription,
+        sharing: MulticoreConfig {
+            cores,
+            max_connections_per_node: node_connections,
+            shares_observations: evidence,
+        },
+        form,
+        operator,
+    })
 }
 
 fn show(plan: &Plan) -> String {
     let Plan { config, subscription, sharing, operator, .. } = plan;
-    let most = sharing.node_connections.map_or("as calls need".to_string(), |most| most.to_string());
-    let told = if sharing.cores > 1 && sharing.evidence { "told between cores" } else { "each core's own" };
+    let most = sharing.max_connections_per_node.map_or("as calls need".to_string(), |most| most.to_string());
+    let told = if sharing.cores > 1 && sharing.shares_observations {
+        "told between cores"
+    } else {
+        "each core's own"
+    };
     let role = match &operator.tier {
         Tier::Alone => "a router that decides by itself".to_string(),
         Tier::Forwarder { planners, count, .. } => {
--- a/crates/control-server/src/admin/client.rs
+++ b/crates/control-server/src/admin/client.rs
@@ -1,6 +1,8 @@
 //! The operator's side of the admin endpoint: one request over one connection, blocking.
 use super::messages::{AdminRequest, AdminResponse, JsonFrame};
-use alderway_transport::{FrameError, FrameReader, Hello, Received, WireMessage};
+use alderway_transport::{
+    FrameError, FrameReader, Hello, MAX_MESSAGE_BYTES, Received, encode_hello, encode_message,
+};
 use std::io::{self, Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -34,7 +36,7 @@
     #[error("no hello: {0}")]
     NoHello(Box<RequestFailure>),
     /// The request doesn't fit into a frame.
-    #[error("longer than {} bytes", alderway_transport::MAX_MESSAGE_BYTES)]
+    #[error("longer than {} bytes", MAX_MESSAGE_BYTES)]
     RequestTooLong,
     /// A second hello came in place of a response.
     #[error("it says hello twice")]
@@ -74,11 +76,10 @@
     request_sent: &mut bool,
 ) -> Result<AdminResponse, RequestFailure> {
     let mut connection = Connection::open(address)?;
-    connection.exchange_hellos()?;
+    connection.greet()?;
     let mut frame = vec![];
-    if alderway_transport::encode_message(&mut frame, &JsonFrame(serde_json::to_string(request)?)).is_err() {
-        return Err(RequestFailure::RequestTooLong);
-    }
+    let request = JsonFrame(serde_json::to_string(request)?);
+    encode_message(&mut frame, &request).map_err(|_| RequestFailure::RequestTooLong)?;
     // Set before the write: part of a request that fails to be written may still arrive whole.
     *request_sent = true;
     let deadline = Instant::now() + timeout;
@@ -105,12 +106,11 @@
     }
 
     /// Sends the own hello and reads the server's.
-    fn exchange_hellos(&mut self) -> Result<(), RequestFailure> {
+    fn greet(&mut self) -> Result<(), RequestFailure> {
         let incarnation = u64::from(std::process::id());
-        let hello =
-            Hello { version: JsonFrame::VERSION, is_planner: false, incarnation, name: CLIENT_NAME.into() };
+        let hello = Hello::new::<JsonFrame>(CLIENT_NAME, incarnation);
         let mut frame = vec![];
-        alderway_transport::encode_hello::<JsonFrame>(&mut frame, &hello);
+        encode_hello::<JsonFrame>(&mut frame, &hello);
         self.stream.set_write_timeout(Some(CONNECT_TIMEOUT))?;
         self.stream.write_all(&frame)?;
         let deadline = Instant::now() + CONNECT_TIMEOUT;
--- a/crates/control-server/tests/replica_frames.rs
+++ b/crates/control-server/tests/replica_frames.rs
@@ -3,7 +3,7 @@
 use alderway_control_plane::replica::ReplicaMessage;
 use alderway_control_plane::version_sink::{LaggingRouter, RouterSummary};
 use alderway_control_server::replica_links::PeerFrame;
-use alderway_transport::{FrameReader, Hello, Received, WireMessage};
+use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
 
 const HELLO: &str = r"\x00\x00\x00\x10\xa3>,\xedALDC\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x0ba";
@@ -16,7 +16,7 @@
 fn the_hello_frame_keeps_its_bytes() {
     assert_eq!((PeerFrame::PROTOCOL_ID, PeerFrame::VERSION), (*b"ALDC", 1));
     let mut bytes = vec![];
-    alderway_transport::encode_hello::<PeerFrame>(&mut bytes, &hello());
+    encode_hello::<PeerFrame>(&mut bytes, &hello());
     assert_eq!(bytes.escape_ascii().to_string(), HELLO);
 }
 
@@ -36,11 +36,11 @@
 )]
 fn each_message_frame_keeps_its_bytes(#[case] word: ReplicaMessage, #[case] expected: &str) {
     let mut bytes = vec![];
-    alderway_transport::encode_message(&mut bytes, &PeerFrame(word.clone())).expect("it fits a frame");
+    encode_message(&mut bytes, &PeerFrame(word.clone())).expect("it fits a frame");
     assert_eq!(bytes.escape_ascii().to_string(), expected);
     let mut reader = FrameReader::<PeerFrame>::default();
     let mut hello_bytes = vec![];
-    alderway_transport::encode_hello::<PeerFrame>(&mut hello_bytes, &hello());
+    encode_hello::<PeerFrame>(&mut hello_bytes, &hello());
     reader.feed(&hello_bytes);
     reader.feed(&bytes);
     assert!(matches!(reader.next_frame(), Ok(Some(Received::Hello(read))) if read == hello()));
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::lifecycle::live_config::{ConfigError, LiveConfig};
 use crate::state::counters::Counters;
-use crate::state::house::{Figures, House};
+use crate::state::shared::{MetricsSnapshot, SharedState};
 use alderway_control_plane::messages::{ApplyOutcome, ControlMessage, RouterMessage};
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
 use alderway_control_plane::subscriber::{
@@ -13,8 +13,7 @@
 use alderway_control_plane::version::VersionNumber;
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
-use alderway_transport::{FrameReader, Hello, Received, WireMessage};
-use alderway_transport::{Incarnation, Name};
+use alderway_transport::{FrameReader, Hello, Incarnation, Name, Received, WireMessage, encode_hello};
 use persisted_version::PersistedVersion;
 use serde_json::Value;
 use std::future::pending;
@@ -91,7 +90,7 @@
     name: &str,
     seed: u64,
     apply: ApplySettings,
-    house: Arc<House>,
+    shared: Arc<SharedState>,
     clock: Clock,
 ) {
     let Subscription { machines, zone, terms, persist_path, persisted, load_error } = subscription;
@@ -102,7 +101,7 @@
     let persisted = persisted.map(|persisted| {
         let number = persisted.version.number;
         tracing::info!(target: "control", "version {number} in force, from the kept file");
-        house.version.store(number, Relaxed);
+        shared.config_version.store(number, Relaxed);
         let as_of = persisted.as_of_unix_ms.and_then(|ms| clock.from_unix_ms(ms));
         (persisted.version, as_of.map(|as_of| as_of.min(now)))
     });
@@ -121,14 +120,14 @@
             }
         }),
         observe: Box::new(move |subscriber, bytes, now| {
-            house.control.send_replace(Arc::new(figures(subscriber, bytes, now)));
+            shared.control_metrics.send_replace(Arc::new(figures(subscriber, bytes, now)));
         }),
         log_events: true,
     };
     spawn_local(run(subscriber, host));
 }
 
-fn figures(subscriber: &Subscriber, (bytes_in, bytes_out): (u64, u64), now: f64) -> Figures {
+fn figures(subscriber: &Subscriber, (bytes_in, bytes_out): (u64, u64), now: f64) -> MetricsSnapshot {
     let (metrics, mut counters) = (subscriber.metrics, Counters::default());
     for (name, count) in [
         ("control_dials", metrics.connect_attempts),
@@ -149,15 +148,15 @@
         counters.add(name, count as usize);
     }
     let ms = |span: f64| (span * 1e3) as u64;
-    let mut open = vec![
+    let mut gauges = vec![
         ("control_version", subscriber.versions().active().number),
         ("control_version_got", subscriber.versions().received().number),
         ("control_connected", u64::from(subscriber.connected_to().is_some())),
         ("control_quiet_ms", ms(subscriber.unconfirmed_s(now))),
     ];
     // What may be of any age has none.
-    open.extend(subscriber.staleness_s(now).map(|age| ("control_version_age_ms", ms(age))));
-    Figures { counters, open }
+    gauges.extend(subscriber.staleness_s(now).map(|age| ("control_version_age_ms", ms(age))));
+    MetricsSnapshot { counters, gauges }
 }
 
 /// A connection to a control machine.
@@ -227,7 +226,7 @@
                         let (name, incarnation) = (host.name.clone(), host.incarnation);
                         let hello = Hello { version: RouterMessage::VERSION, is_planner: false, incarnation, name };
                         let mut out = vec![];
-                        alderway_transport::encode_hello::<RouterMessage>(&mut out, &hello);
+                        encode_hello::<RouterMessage>(&mut out, &hello);
                         let (sender, reader) = (Sender::default(), FrameReader::default());
                         wire = Some(Wire { stream, sender, machine, greeted: false, reader, out });
                     }
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -7,8 +7,8 @@
 //! 2. Closing, as soon as a query that came now might find no time for its answer: idle connections are closed, busy ones
 //!    after their answer.
 //! 3. Rejecting, once all clients are gone or the time is over: open queries fail, and their answers go out.
-use crate::state::Shared;
-use crate::state::desk::Stage;
+use crate::state::DispatcherHandle;
+use crate::state::dispatcher::ShutdownPhase;
 use alderway_sockets::signals::Signals;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
 /// Waits for SIGTERM and shuts one core down, whose listener ends with `close`; returns when the program may end.
 pub async fn shut_down_at_sigterm(
     mut terminations: Signals,
-    dispatcher: Shared,
+    dispatcher: DispatcherHandle,
     close: Rc<Notify>,
     listening: JoinHandle<()>,
 ) {
@@ -52,7 +52,7 @@
 }
 
 /// Shuts one core down; returns when the program may end. `listener_closed` ends when no further connection comes.
-pub async fn shut_down(dispatcher: Shared, listener_closed: impl Future<Output = ()>) {
+pub async fn shut_down(dispatcher: DispatcherHandle, listener_closed: impl Future<Output = ()>) {
     let clock = dispatcher.borrow().clock;
     let times = begin_draining(&dispatcher);
     listener_closed.await;
@@ -60,8 +60,8 @@
     sleep(POLL_INTERVAL).await;
     while clock.now() < times.end && !dispatcher.borrow().clients.is_empty() {
         if clock.now() >= times.close_at {
-            dispatcher.borrow_mut().stage = Stage::Closing;
-            dispatcher.borrow().clients.dismiss_idle();
+            dispatcher.borrow_mut().shutdown_phase = ShutdownPhase::Closing;
+            dispatcher.borrow().clients.close_idle();
         }
         sleep(POLL_INTERVAL).await;
     }
@@ -80,27 +80,27 @@
     end: f64,
 }
 
-fn begin_draining(dispatcher: &Shared) -> PhaseTimes {
+fn begin_draining(dispatcher: &DispatcherHandle) -> PhaseTimes {
     let mut dispatcher = dispatcher.borrow_mut();
     let began = dispatcher.clock.now();
-    dispatcher.stage = Stage::Stopping;
+    dispatcher.shutdown_phase = ShutdownPhase::Draining;
     let (queries, clients) = (dispatcher.queries.len(), dispatcher.clients.len());
     tracing::info!(target: "stop", "SIGTERM: {queries} queries open, {clients} clients");
-    let end = began + time_limit_s(dispatcher.longest_deadline(began));
-    PhaseTimes { began, close_at: end - dispatcher.room.max_latency_objective_s, end }
+    let end = began + time_limit_s(dispatcher.longest_deadline_s(began));
+    PhaseTimes { began, close_at: end - dispatcher.admission.max_latency_objective_s, end }
 }
 
 /// Fails all open queries; how many there were.
-fn reject_all(dispatcher: &Shared) -> usize {
+fn reject_all(dispatcher: &DispatcherHandle) -> usize {
     let mut dispatcher = dispatcher.borrow_mut();
     let open_queries = dispatcher.queries.len();
-    dispatcher.stage = Stage::Ended;
-    dispatcher.abort_all();
+    dispatcher.shutdown_phase = ShutdownPhase::Rejecting;
+    dispatcher.fail_all_queries();
     open_queries
 }
 
 /// Waits until the last answers have gone out and all clients with them, until a time at the latest.
-async fn clients_gone(dispatcher: &Shared, until: f64) {
+async fn clients_gone(dispatcher: &DispatcherHandle, until: f64) {
     let clock = dispatcher.borrow().clock;
     while clock.now() < until && !dispatcher.borrow().clients.is_empty() {
         sleep(POLL_INTERVAL).await;
@@ -108,10 +108,10 @@
 }
 
 /// Ends connections that came to a core which had shut down already: what they ask for is rejected at once.
-pub async fn end_late_connections(dispatcher: Shared) {
+pub async fn end_late_connections(dispatcher: DispatcherHandle) {
     let began = dispatcher.borrow().clock.now();
     // Their tasks have yet to run for the first time.
     sleep(POLL_INTERVAL).await;
-    dispatcher.borrow().clients.dismiss_idle();
+    dispatcher.borrow().clients.close_idle();
     clients_gone(&dispatcher, began + LAST_ANSWERS_S).await;
 }
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -2,8 +2,8 @@
 //! [`LiveConfig::apply`]: they are checked as at a start and rejected as a whole, or applied as a whole, by every core
 //! between two of its rounds.
 use super::startup::Role;
-use crate::state::house::House;
-use crate::state::terms::Issue;
+use crate::state::query_classes::ConfigGeneration;
+use crate::state::shared::SharedState;
 use alderway_deployment::live::{self, Changes, Settings};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -69,12 +69,12 @@
 pub type IsServing = Box<dyn Fn(usize) -> bool>;
 
 struct Inner {
-    shared: Arc<House>,
+    shared: Arc<SharedState>,
     role: Role,
     /// No deadline of a query class may be longer, in seconds; none where any may be.
     max_deadline_limit_s: Option<f64>,
     in_force: RefCell<Arc<Value>>,
-    updates: watch::Sender<Arc<Issue>>,
+    updates: watch::Sender<Arc<ConfigGeneration>>,
     /// The longest deadline of all settings so far, in seconds.
     max_deadline_s: Cell<f64>,
     increment_counter: RefCell<Option<IncrementCounter>>,
@@ -89,7 +89,7 @@
     /// For a router that starts with `settings_json`, which `settings` were read from. No later settings may have a deadline
     /// beyond `max_deadline_limit_s`, in seconds, if there is such a limit.
     pub fn new(
-        shared: Arc<House>,
+        shared: Arc<SharedState>,
         role: Role,
         settings_json: Value,
         settings: Settings,
@@ -101,7 +101,7 @@
             max_deadline_limit_s,
             in_force: RefCell::new(Arc::new(settings_json)),
             max_deadline_s: Cell::new(settings.intake.max_deadline_s),
-            updates: watch::channel(Arc::new(Issue { serial: 0, settings })).0,
+            updates: watch::channel(Arc::new(ConfigGeneration { serial: 0, settings })).0,
             increment_counter: RefCell::new(None),
             is_serving: RefCell::new(None),
         }))
@@ -114,7 +114,7 @@
     }
 
     /// The newest settings, for a core's dispatcher.
-    pub fn subscribe(&self) -> watch::Receiver<Arc<Issue>> {
+    pub fn subscribe(&self) -> watch::Receiver<Arc<ConfigGeneration>> {
         self.0.updates.subscribe()
     }
 
@@ -125,7 +125,7 @@
 
     /// The version of the settings in force, if they came with one.
     pub fn version(&self) -> Option<u64> {
-        Some(self.0.shared.version.load(Relaxed)).filter(|version| *version > 0)
+        Some(self.0.shared.config_version.load(Relaxed)).filter(|version| *version > 0)
     }
 
     /// The longest deadline of any query that may be open, in seconds.
@@ -148,7 +148,7 @@
         let name = version.map_or("settings".to_string(), |version| format!("version {version}"));
         let checked =
             self.check_against_in_force(&settings).inspect_err(|error| self.log_rejected(&name, error))?;
-        self.0.shared.version.store(version.unwrap_or(0), Relaxed);
+        self.0.shared.config_version.store(version.unwrap_or(0), Relaxed);
         *self.0.in_force.borrow_mut() = Arc::new(settings);
         if checked.changed_keys.is_empty() {
             tracing::info!(target: "settings", "{name}: as those in force");
@@ -179,7 +179,7 @@
         let longest_s = self.0.max_deadline_s.get().max(settings.intake.max_deadline_s);
         self.0.max_deadline_s.set(longest_s);
         let serial = self.0.updates.borrow().serial + 1;
-        self.0.updates.send_replace(Arc::new(Issue { serial, settings }));
+        self.0.updates.send_replace(Arc::new(ConfigGeneration { serial, settings }));
         serial
     }
 
@@ -187,8 +187,8 @@
     async fn wait_until_taken_over(&self, serial: u64) -> Vec<usize> {
         let end = Instant::now() + APPLY_TIMEOUT;
         let mut late_cores = vec![];
-        for (core, state) in self.0.shared.seats.iter().enumerate() {
-            let mut taken_over = state.settings.subscribe();
+        for (core, state) in self.0.shared.cores.iter().enumerate() {
+            let mut taken_over = state.config_serial.subscribe();
             while timeout(SERVING_CHECK_INTERVAL, taken_over.wait_for(|taken| *taken >= serial))
                 .await
                 .is_err()
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,9 +1,9 @@
 //! What a program starts with: the configuration file that `PROXY_CONFIG` names, read, checked and given defaults in this one
 //! place. Each error names the key that is at fault.
 use crate::gossip::Circle;
-use crate::state::desk::Class;
-use crate::state::ground::Following;
-use crate::state::roster::Roster;
+use crate::state::dispatcher::ClassRules;
+use crate::state::endpoints::EndpointTable;
+use crate::state::shard_map::ShardMapConfig;
 use crate::wire::discovery;
 use alderway_deployment::live::{self, Settings};
 use alderway_telemetry::clock::Clock;
@@ -41,7 +41,7 @@
     /// Memory that connections may take, in bytes.
     pub max_memory_bytes: usize,
     /// The data nodes as an earlier run knew them; discovery corrects them.
-    pub endpoints: Roster,
+    pub endpoints: EndpointTable,
     /// Seed of the decision module's random choices.
     pub seed: u64,
     /// The settings as JSON, as they were given.
@@ -49,11 +49,11 @@
     /// The settings as read.
     pub settings: Settings,
     /// The query classes of the settings, in their order.
-    pub query_classes: Vec<Class>,
+    pub query_classes: Vec<ClassRules>,
     /// Keys that only change with a start, as the file has them.
     pub fixed_keys: FixedKeys,
     /// How changes of the shard map are followed; none where shards lie in the fixed ring of the settings.
-    pub shard_map: Option<Following>,
+    pub shard_map: Option<ShardMapConfig>,
     /// What the program does in its installation.
     pub role: Role,
     /// Routers that exchange observations with this one; none where it knows of no other.
@@ -174,7 +174,7 @@
             endpoints: keys.known_endpoints(clock)?,
             seed,
             settings_json: settings_json.clone(),
-            query_classes: Class::all(&settings),
+            query_classes: ClassRules::all(&settings),
             settings,
             fixed_keys,
             shard_map: None,
@@ -230,23 +230,23 @@
     }
 
     /// The endpoint list as an earlier run of this router last knew it, in discovery's form; it may be old, or empty.
-    fn known_endpoints(&self, clock: Clock) -> Result<Roster, StartupError> {
+    fn known_endpoints(&self, clock: Clock) -> Result<EndpointTable, StartupError> {
         let known = self.document.get("known").filter(|list| !list.is_null());
-        let endpoints = known.map_or(Ok(Roster::default()), |list| parse_endpoints(list, clock));
+        let endpoints = known.map_or(Ok(EndpointTable::default()), |list| parse_endpoints(list, clock));
         endpoints.map_err(|problem| StartupError::key("known", problem))
     }
 }
 
-fn parse_endpoints(list: &Value, clock: Clock) -> Result<Roster, String> {
+fn parse_endpoints(list: &Value, clock: Clock) -> Result<EndpointTable, String> {
     let text = list.to_string();
     let (index, _) = discovery::version(text.as_bytes())?;
-    let mut endpoints = Roster::default();
-    endpoints.begin(index, true);
+    let mut endpoints = EndpointTable::default();
+    endpoints.begin_update(index, true);
     let mut first_error = None;
     discovery::entries(text.as_bytes(), |name, entry| match entry {
         Ok(node) => {
             let (started, now) = (clock.from_unix_ms(node.since), clock.now());
-            endpoints.told(name, node.address, node.cell, node.state, started, now);
+            endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
         }
         Err((_, error)) => first_error = first_error.or(Some(error)),
     })?;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,7 +1,7 @@
 //! Starts one query router as the platform runs it: by its configuration alone, on one core.
 use alderway_router::lifecycle::startup::StartupConfig;
 use alderway_router::server::serve;
-use alderway_router::state::house::Sharing;
+use alderway_router::state::shared::MulticoreConfig;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log::{self, LogFormat};
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
             return ExitCode::from(2);
         }
     };
-    match serve(config, None, Sharing::default(), clock) {
+    match serve(config, None, MulticoreConfig::default(), clock) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("alderway-router: {why}");
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -6,12 +6,12 @@
 use crate::lifecycle::live_config::LiveConfig;
 use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
 use crate::lifecycle::startup::{Role, StartupConfig};
-use crate::state::Shared;
-use crate::state::descriptors::{self, Share};
-use crate::state::desk::Desk;
-use crate::state::ground::Ground;
-use crate::state::house::{House, Sharing};
-use crate::state::terms::Issue;
+use crate::state::DispatcherHandle;
+use crate::state::descriptors::{self, DescriptorPool};
+use crate::state::dispatcher::Dispatcher;
+use crate::state::query_classes::ConfigGeneration;
+use crate::state::shard_map::ShardMapView;
+use crate::state::shared::{MulticoreConfig, SharedState};
 use crate::tier::forwarder::Forwarder;
 use crate::tier::{links, post};
 use alderway_sockets::signals::Signals;
@@ -36,7 +36,7 @@
 pub fn serve(
     config: StartupConfig,
     subscription: Option<Subscription>,
-    multicore: Sharing,
+    multicore: MulticoreConfig,
     clock: Clock,
 ) -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
@@ -53,13 +53,13 @@
 async fn run_on_one_core(
     mut config: StartupConfig,
     subscription: Option<Subscription>,
-    multicore: Sharing,
+    multicore: MulticoreConfig,
     clock: Clock,
 ) -> io::Result<()> {
     // Before anybody can know that this program is up: unhandled, either signal would end it.
     let (terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let (for_clients, for_nodes) = split_descriptors(&config, subscription.is_some());
-    let shared = House::new(config.settings.intake.max_open, multicore, f64::INFINITY).0;
+    let shared = SharedState::new(config.settings.intake.max_open, multicore, f64::INFINITY).0;
     let (role, settings) = (config.role.clone(), config.settings.clone());
     let live_config = LiveConfig::new(shared.clone(), role, config.settings_json.clone(), settings, None);
     let previous = PreviousConfig::of(&config);
@@ -68,7 +68,7 @@
 
     let listener = TcpListener::bind(listen).await?;
     arrival::stamp(&listener)?;
-    let (address, known) = (listener.local_addr()?, dispatcher.roster.nodes.len());
+    let (address, known) = (listener.local_addr()?, dispatcher.endpoints.nodes.len());
     tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known");
     let dispatcher = Rc::new(RefCell::new(dispatcher));
 
@@ -80,7 +80,7 @@
     let rounds = spawn_local(rounds::run(dispatcher.clone(), policy, for_nodes));
     spawn_local(wake_at_new_settings(dispatcher.clone(), live_config.subscribe()));
     let counting = dispatcher.clone();
-    live_config.attach(Box::new(move |name| counting.borrow_mut().counters.one(name)), None);
+    live_config.attach(Box::new(move |name| counting.borrow_mut().counters.increment(name)), None);
     let (discovery, discovery_address) = watch::channel(discovery);
     spawn_local(discovery::run(dispatcher.clone(), discovery_address));
     // Where the control plane governs the settings, a reload would undo a version unseen.
@@ -99,48 +99,60 @@
         () = graceful_shutdown::shut_down_at_sigterm(terminations, dispatcher.clone(), close, listening) => {}
         failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
     }
-    log::write_unlimited(&dispatcher.borrow().figures());
+    log::write_unlimited(&dispatcher.borrow().metrics_text());
     Ok(())
 }
 
 /// Descriptors for clients and for data nodes, after those for gossip and the control plane.
-fn split_descriptors(config: &StartupConfig, has_subscription: bool) -> (Arc<Share>, Arc<Share>) {
+fn split_descriptors(
+    config: &StartupConfig,
+    has_subscription: bool,
+) -> (Arc<DescriptorPool>, Arc<DescriptorPool>) {
     let for_gossip = config.gossip.as_ref().map_or(0, Circle::descriptors);
     let for_control = if has_subscription { control::DESCRIPTORS } else { 0 };
     let available = config.max_descriptors - for_gossip - for_control;
-    descriptors::shares(available, config.max_memory_bytes, 1)
+    descriptors::split(available, config.max_memory_bytes, 1)
 }
 
 fn new_dispatcher(
     config: &mut StartupConfig,
-    shared: Arc<House>,
+    shared: Arc<SharedState>,
     live_config: &LiveConfig,
     clock: Clock,
-) -> Desk {
+) -> Dispatcher {
     let (connections, admission) = (config.settings.trunk, config.settings.intake);
     let classes = config.query_classes.clone();
-    let mut dispatcher = Desk::on(shared, 0, clock, connections, admission, classes);
-    dispatcher.follow_settings(live_config.subscribe());
-    dispatcher.roster = std::mem::take(&mut config.endpoints);
-    dispatcher.ground = config.shard_map.map(Ground::new);
-    dispatcher.came.notify_one();
+    let mut dispatcher = Dispatcher::on(shared, 0, clock, connections, admission, classes);
+    dispatcher.subscribe_config(live_config.subscribe());
+    dispatcher.endpoints = std::mem::take(&mut config.endpoints);
+    dispatcher.shard_map = config.shard_map.map(ShardMapView::new);
+    dispatcher.work_ready.notify_one();
     dispatcher
 }
 
 /// A forwarder's links to its planners; nothing for a router that decides by itself.
-fn connect_to_planners(dispatcher: &Shared, role: &Role, name: &str, for_nodes: &Arc<Share>, clock: Clock) {
+fn connect_to_planners(
+    dispatcher: &DispatcherHandle,
+    role: &Role,
+    name: &str,
+    for_nodes: &Arc<DescriptorPool>,
+    clock: Clock,
+) {
     let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return };
     let watch = Watch { beat: *heartbeat_interval_s, patience: *heartbeat_timeout_s };
-    let work_ready = dispatcher.borrow().came.clone();
+    let work_ready = dispatcher.borrow().work_ready.clone();
     let forwarder = Forwarder::new(name, post::incarnation(), watch, clock, work_ready);
     let forwarder = Rc::new(RefCell::new(forwarder));
-    dispatcher.borrow_mut().tier = Some(forwarder.clone());
+    dispatcher.borrow_mut().forwarder = Some(forwarder.clone());
     links::start(dispatcher, &forwarder, planners, for_nodes, post::incarnation());
 }
 
 /// Has a round played for new settings, where nothing else asks for one.
-async fn wake_at_new_settings(dispatcher: Shared, mut updates: watch::Receiver<Arc<Issue>>) {
+async fn wake_at_new_settings(
+    dispatcher: DispatcherHandle,
+    mut updates: watch::Receiver<Arc<ConfigGeneration>>,
+) {
     while updates.changed().await.is_ok() {
-        dispatcher.borrow().came.notify_one();
+        dispatcher.borrow().work_ready.notify_one();
     }
 }
