--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -128,7 +128,7 @@
 /// A message as it is written to the connection.
 pub fn encode_frame<M: WireMessage>(message: &M) -> Vec<u8> {
     let mut frame = vec![];
-    // A message of this protocol is far below the limit of a frame; one above it would not be written at all.
+    // Fails only for a message that is longer than a frame; those of a subscription are far shorter.
     let _ = encode_message(&mut frame, message);
     frame
 }
--- a/crates/router/src/state/invariants.rs
+++ b/crates/router/src/state/invariants.rs
@@ -36,8 +36,14 @@
         let effect = self.query_classes[vertical].idempotency;
         let not_after = self.queries.asked(&id.0).map_or(now, |(_, _, not_after, _)| not_after);
         // The frame was allowed to begin a moment ago: time that passed since is the system's.
-        let call = permits::Call { now, until: not_after + LATE, effect, begun, node: state };
-        if let Err(denial) = permits::call(&call) {
+        let call = permits::AttemptStart {
+            now_s: now,
+            deadline_s: not_after + LATE,
+            idempotency: effect,
+            first_effect_at_s: begun,
+            node_state: state,
+        };
+        if let Err(denial) = permits::may_start_attempt(&call) {
             self.report_violation("call", &id.0, &format!("{} at {node}", denial.label()));
         }
     }
@@ -69,7 +75,7 @@
     pub(super) fn check_rejection(&mut self, query: &Query) {
         let effect = self.query_classes[query.class].idempotency;
         let begun = query.requests.iter().any(|part| !part.possibly_executed.is_empty());
-        if permits::reject(effect, begun).is_err() {
+        if permits::may_reject(effect, begun).is_err() {
             self.report_violation("reject", &query.id, "a call of it may have run");
         }
     }
