--- /dev/null
+++ b/crates/router/src/io/client_session.rs
@@ -0,0 +1,446 @@
+//! The driver of a client's connection: reads requests one at a time, writes answers, and closes connections that say nothing,
+//! send half a request or do not read their answer.
+use super::{arrival, until};
+use crate::requests;
+use crate::state::DispatcherHandle;
+use crate::state::clients::ClientConnection;
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::dispatcher::ShutdownPhase;
+use crate::state::shared::{CoreCommand, TransferredConnection};
+use crate::wire::answer;
+use crate::wire::buffer::Buffer;
+use crate::wire::http::{MESSAGE, Messages, Refusal};
+use alderway_sockets::Sender;
+use alderway_telemetry::clock::Clock;
+use std::future::ready;
+use std::ops::ControlFlow;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::task::yield_now;
+use tokio::time::timeout;
+
+/// LATER: a connection with no open request on it may be closed after 2 s.
+const IDLE_TIMEOUT_S: f64 = 2.0;
+/// LATER: whoever sends no request is owed an error or a close within 3 s of connecting.
+const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
+/// How long a connection that this side ends waits for the client to end it too, so that what the client still sends does
+/// not reset the answer on its way.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// What is read at once where nothing is kept.
+const DISCARD_BYTES: usize = 4096;
+
+/// Why a session on this core ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CloseReason {
+    /// The client closed the connection, or it broke.
+    ClientLeft,
+    /// The client never sent a request.
+    NeverAsked,
+    /// The client takes no byte of its answer.
+    ReadsNothing,
+    /// This side closes after an answer; what the client still sends must not reset that on its way.
+    AfterAnswer,
+    /// Another core goes on with the connection.
+    MovesTo(usize),
+}
+
+impl CloseReason {
+    /// How counters name it.
+    fn label(self) -> &'static str {
+        match self {
+            CloseReason::ClientLeft => "left",
+            CloseReason::NeverAsked => "never_asked",
+            CloseReason::ReadsNothing => "reads_nothing",
+            CloseReason::AfterAnswer => "in_order",
+            CloseReason::MovesTo(_) => "moved",
+        }
+    }
+}
+
+/// Serves one connection from its first byte on this core to its last, or until another core takes it over.
+pub async fn serve(
+    dispatcher: DispatcherHandle,
+    mut stream: TcpStream,
+    mut permit: DescriptorPermit,
+    has_sent_request: bool,
+) {
+    // Without it answers are late, not lost.
+    let _ = stream.set_nodelay(true);
+    if !has_sent_request {
+        dispatcher.borrow_mut().counters.increment("clients{accepted}");
+    }
+    let (mut id, mut client) = register(&dispatcher, has_sent_request);
+    let reason = loop {
+        let core = match ClientSession::new(&dispatcher, &client, &stream).run().await {
+            CloseReason::MovesTo(core) => core,
+            reason => break reason,
+        };
+        // Nothing of it is open or read here: what the client sends next waits in the system for the new core.
+        dispatcher.borrow_mut().clients.remove(id);
+        let Some(returned) = transfer(&dispatcher, stream, permit, core) else { return };
+        (stream, permit) = returned;
+        (id, client) = register(&dispatcher, true);
+        dispatcher.borrow_mut().handover = None;
+    };
+    end_open_query(&dispatcher, &client, reason);
+    client.idle_since.set(None);
+    if reason == CloseReason::AfterAnswer {
+        linger(&mut stream).await;
+    }
+    // In this order: another connection must not take the descriptor's place before it is free.
+    drop(stream);
+    drop(permit);
+    let mut dispatcher = dispatcher.borrow_mut();
+    dispatcher.clients.remove(id);
+    dispatcher.counters.increment("clients{closed}");
+    dispatcher.counters.increment(&format!("client_closes{{{}}}", reason.label()));
+}
+
+fn register(dispatcher: &DispatcherHandle, has_sent_request: bool) -> (u64, Rc<ClientConnection>) {
+    let mut dispatcher = dispatcher.borrow_mut();
+    let now = dispatcher.clock.now();
+    let (id, client) = dispatcher.clients.add(now);
+    client.has_sent_request.set(has_sent_request);
+    (id, client)
+}
+
+/// Hands a connection to another core; returned where that takes no more.
+fn transfer(
+    dispatcher: &DispatcherHandle,
+    stream: TcpStream,
+    permit: DescriptorPermit,
+    core: usize,
+) -> Option<(TcpStream, DescriptorPermit)> {
+    let stream = stream.into_std().ok()?;
+    let connection = TransferredConnection { stream, permit, has_sent_request: true };
+    let sent = dispatcher.borrow().shared.send_command(core, CoreCommand::Serve(connection));
+    match sent {
+        Err(CoreCommand::Serve(returned)) => {
+            Some((TcpStream::from_std(returned.stream).ok()?, returned.permit))
+        }
+        _ => {
+            dispatcher.borrow_mut().counters.increment("clients{moved}");
+            None
+        }
+    }
+}
+
+fn end_open_query(dispatcher: &DispatcherHandle, client: &ClientConnection, reason: CloseReason) {
+    let Some(query) = client.open_query.get() else { return };
+    let mut dispatcher = dispatcher.borrow_mut();
+    if reason != CloseReason::ClientLeft {
+        dispatcher.check_closed_connection(query);
+    }
+    dispatcher.client_disconnected(query);
+}
+
+/// Ends this side and reads until the client ends its own. At most as much as the longest request, so that nobody's
+/// endless body takes the core.
+async fn linger(stream: &mut TcpStream) {
+    if stream.shutdown().await.is_err() {
+        return;
+    }
+    let (mut discarded, mut left_bytes) = ([0; DISCARD_BYTES], MESSAGE);
+    let discard = async {
+        while left_bytes > 0 && stream.readable().await.is_ok() {
+            match alderway_sockets::read(stream, &mut discarded) {
+                Ok(Some(0)) | Err(_) => break,
+                Ok(Some(count)) => left_bytes = left_bytes.saturating_sub(count),
+                Ok(None) => {}
+            }
+        }
+    };
+    let _ = timeout(LINGER_TIMEOUT, discard).await;
+}
+
+/// Since when a session has been in states that may last for a limited time only, in seconds of the clock.
+#[derive(Default)]
+struct StateTimes {
+    /// Nothing is open or to be written.
+    idle_since: Option<f64>,
+    /// Part of a request has come.
+    half_sent_since: Option<f64>,
+    /// The client has taken no byte of an answer.
+    write_stalled_since: Option<f64>,
+}
+
+/// What a session waits for.
+struct Waiting {
+    has_open_query: bool,
+    is_writing: bool,
+    is_half_sent: bool,
+    /// Nothing is open or to be written.
+    is_idle: bool,
+    /// When the client has to have got further; infinite while a query is open.
+    deadline: f64,
+}
+
+/// A connection between two closes or moves: its unread bytes, and how far the present request and answer are.
+struct ClientSession<'a> {
+    dispatcher: &'a DispatcherHandle,
+    client: &'a Rc<ClientConnection>,
+    stream: &'a TcpStream,
+    clock: Clock,
+    buffer: Buffer,
+    messages: Messages,
+    sender: Sender,
+    /// Bytes of the present answer that are out.
+    written_bytes: usize,
+    /// No further request can be made out, or is waited for.
+    is_unreadable: bool,
+    /// More came behind an open query than is kept: what followed is gone, so nothing after it can be made out.
+    has_overrun: bool,
+    /// The client has been told to send the body of the present request.
+    has_sent_continue: bool,
+    /// By when the first request has to be complete.
+    first_request_by: f64,
+    /// When the last byte came.
+    read_at: f64,
+    /// When nothing of the connection was unread.
+    drained_at: f64,
+    times: StateTimes,
+}
+
+impl<'a> ClientSession<'a> {
+    fn new(
+        dispatcher: &'a DispatcherHandle,
+        client: &'a Rc<ClientConnection>,
+        stream: &'a TcpStream,
+    ) -> Self {
+        let clock = dispatcher.borrow().clock;
+        let accepted_at = clock.now();
+        // The error for half a request has to reach the client in time, however long its network takes.
+        let network_s = dispatcher.borrow().connection_config.dial_timeout_s;
+        let error_by = accepted_at + FIRST_REQUEST_TIMEOUT_S - network_s;
+        ClientSession {
+            dispatcher,
+            client,
+            stream,
+            clock,
+            buffer: Buffer::new(MESSAGE),
+            messages: Messages::default(),
+            sender: Sender::default(),
+            written_bytes: 0,
+            is_unreadable: false,
+            has_overrun: false,
+            has_sent_continue: false,
+            first_request_by: error_by.max(accepted_at + IDLE_TIMEOUT_S),
+            read_at: accepted_at,
+            // It may have waited for this side, but not for longer than a client is owed anything.
+            drained_at: accepted_at - FIRST_REQUEST_TIMEOUT_S,
+            times: StateTimes::default(),
+        }
+    }
+
+    /// Reads requests and writes answers until the session ends.
+    async fn run(mut self) -> CloseReason {
+        let (client, stream, clock) = (self.client, self.stream, self.clock);
+        loop {
+            self.take_requests();
+            match self.write_answer() {
+                ControlFlow::Break(reason) => return reason,
+                ControlFlow::Continue(Progress::Complete) => continue,
+                ControlFlow::Continue(Progress::Blocked | Progress::NothingToWrite) => {}
+            }
+            if let Some(core) = self.core_to_move_to() {
+                return CloseReason::MovesTo(core);
+            }
+            let now = clock.now();
+            let waiting = self.waiting(now);
+            let has_room = !self.buffer.space().is_empty();
+            let is_overdue = waiting.deadline <= now && !waiting.is_half_sent;
+            let should_close = waiting.is_idle && (client.should_close() || is_overdue);
+            tokio::select! {
+                biased;
+                _ = stream.readable(), if has_room || waiting.has_open_query => {
+                    if !self.read() {
+                        return CloseReason::ClientLeft;
+                    }
+                }
+                () = self.sender.ready(stream), if waiting.is_writing => {}
+                () = client.wake.notified() => {}
+                () = ready(()), if should_close => {
+                    // Guards against closing on a request that has come and is not read yet: it counts as taken.
+                    if !has_room || !arrival::waits(stream) {
+                        return self.closed_while_idle();
+                    }
+                    yield_now().await;
+                }
+                () = until(clock, waiting.deadline), if waiting.deadline.is_finite() && !should_close => {
+                    if waiting.is_writing {
+                        return CloseReason::ReadsNothing;
+                    }
+                    if waiting.is_half_sent {
+                        let refusal = (408, "the request did not come in time");
+                        self.reject_unreadable("requests{half_sent}", refusal);
+                    }
+                }
+            }
+        }
+    }
+
+    fn closed_while_idle(&self) -> CloseReason {
+        if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NeverAsked }
+    }
+
+    /// Takes the requests that have come, one at a time: the next waits unread until the answer is out.
+    fn take_requests(&mut self) {
+        while !self.is_unreadable
+            && self.client.open_query.get().is_none()
+            && self.client.output.borrow().is_empty()
+        {
+            match self.messages.find(&mut self.buffer) {
+                Ok(true) => self.take_request(),
+                Ok(false) => {
+                    self.send_continue_if_awaited();
+                    if !self.has_overrun {
+                        return;
+                    }
+                    let refusal = (400, "more came at once than is kept");
+                    self.reject_unreadable("requests{too_many_at_once}", refusal);
+                }
+                Err(refusal) => self.reject_unreadable("requests{unreadable}", refusal),
+            }
+        }
+    }
+
+    fn take_request(&mut self) {
+        let (head, body) = self.messages.message(&self.buffer);
+        let has_bytes_behind = self.buffer.data().len() > self.messages.end();
+        self.client.has_bytes_behind.set(has_bytes_behind);
+        requests::take(self.dispatcher, self.client, head, body, self.read_at);
+        self.messages.done(&mut self.buffer);
+        self.client.has_sent_request.set(true);
+        self.has_sent_continue = false;
+    }
+
+    fn send_continue_if_awaited(&mut self) {
+        if !self.has_sent_continue && self.messages.awaits_go_ahead(&self.buffer) {
+            self.has_sent_continue = true;
+            self.client.output.borrow_mut().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+        }
+    }
+
+    /// Writes the last answer on this connection, as nothing more can be made out on it.
+    fn reject_unreadable(&mut self, counter: &str, refusal: Refusal) {
+        self.dispatcher.borrow_mut().counters.increment(counter);
+        answer::unreadable(&mut self.client.output.borrow_mut(), refusal);
+        self.is_unreadable = true;
+        self.client.close_after_answer.set(true);
+    }
+
+    /// Writes what the socket takes of the answer, if there is one.
+    fn write_answer(&mut self) -> ControlFlow<CloseReason, Progress> {
+        let mut output = self.client.output.borrow_mut();
+        if output.is_empty() {
+            return ControlFlow::Continue(Progress::NothingToWrite);
+        }
+        self.client.was_served.set(true);
+        match self.sender.write(self.stream, &output[self.written_bytes..]) {
+            Ok(count) => {
+                self.written_bytes += count;
+                self.dispatcher.borrow_mut().counters.add("bytes_to_clients", count);
+                if count > 0 && self.written_bytes < output.len() {
+                    self.times.write_stalled_since = None;
+                }
+            }
+            Err(_) => return ControlFlow::Break(CloseReason::ClientLeft),
+        }
+        if self.written_bytes < output.len() {
+            return ControlFlow::Continue(Progress::Blocked);
+        }
+        output.clear();
+        self.written_bytes = 0;
+        if self.client.close_after_answer.get() && self.client.open_query.get().is_none() {
+            return ControlFlow::Break(CloseReason::AfterAnswer);
+        }
+        ControlFlow::Continue(Progress::Complete)
+    }
+
+    /// Reads once what has come; false when the client has ended the connection. Guards against a client that sends
+    /// more than is kept and goes, whose end stands behind it: past a full buffer what comes is read and dropped.
+    fn read(&mut self) -> bool {
+        let mut discarded = [0; DISCARD_BYTES];
+        self.has_overrun |= self.buffer.space().is_empty();
+        let space = if self.has_overrun { &mut discarded[..] } else { self.buffer.space() };
+        let mut dispatcher = self.dispatcher.borrow_mut();
+        dispatcher.stall_detector.check(self.clock.now());
+        let estimator = &mut dispatcher.arrival_times;
+        match arrival::read(self.stream, space, self.clock, estimator, &mut self.drained_at) {
+            Ok(Some((0, _))) | Err(_) => return false,
+            Ok(Some((count, at))) => {
+                if !self.has_overrun {
+                    self.client.has_bytes_behind.set(self.client.open_query.get().is_some());
+                    self.buffer.filled(count);
+                    self.read_at = at;
+                }
+                dispatcher.counters.add("bytes_from_clients", count);
+            }
+            Ok(None) => {}
+        }
+        true
+    }
+
+    /// The core that this connection is to be served by from here on, if connections are being moved; only between two
+    /// requests.
+    fn core_to_move_to(&self) -> Option<usize> {
+        let is_between_requests = self.client.open_query.get().is_none()
+            && self.client.output.borrow().is_empty()
+            && !self.is_unreadable
+            && self.buffer.is_empty()
+            && self.client.has_sent_request.get();
+        if !is_between_requests {
+            return None;
+        }
+        let mut dispatcher = self.dispatcher.borrow_mut();
+        // Guards against a connection that would reach a core as its shutdown ends.
+        if dispatcher.shutdown_phase > ShutdownPhase::Serving {
+            return None;
+        }
+        let (core, left) = dispatcher.handover.filter(|(_, left)| *left > 0)?;
+        dispatcher.handover = Some((core, left - 1));
+        Some(core)
+    }
+
+    /// What the session waits for from `now` on, and until when.
+    fn waiting(&mut self, now: f64) -> Waiting {
+        let has_open_query = self.client.open_query.get().is_some();
+        let is_writing = !self.client.output.borrow().is_empty();
+        let is_idle = !has_open_query && !is_writing;
+        let is_half_sent = is_idle && !self.buffer.is_empty();
+        let times = &mut self.times;
+        times.idle_since = since(times.idle_since, is_idle, now);
+        times.half_sent_since = since(times.half_sent_since, is_half_sent, now);
+        times.write_stalled_since = since(times.write_stalled_since, is_writing, now);
+        self.client.idle_since.set(times.idle_since);
+        self.client.is_half_sent.set(is_half_sent);
+        Waiting { has_open_query, is_writing, is_half_sent, is_idle, deadline: self.deadline() }
+    }
+
+    /// Guards against connections that say nothing, send half a request, or read half an answer.
+    fn deadline(&self) -> f64 {
+        if self.times.half_sent_since.is_some() && !self.client.has_sent_request.get() {
+            return self.first_request_by;
+        }
+        let StateTimes { idle_since, half_sent_since, write_stalled_since } = self.times;
+        let since = half_sent_since.or(idle_since).or(write_stalled_since);
+        since.map_or(f64::INFINITY, |since| since + IDLE_TIMEOUT_S)
+    }
+}
+
+/// How far writing an answer has got.
+enum Progress {
+    /// No answer waits.
+    NothingToWrite,
+    /// The socket takes no more for now.
+    Blocked,
+    /// All of it is out.
+    Complete,
+}
+
+/// Since when a state holds, given since when it held before; none where it does not.
+fn since(before: Option<f64>, holds: bool, now: f64) -> Option<f64> {
+    holds.then(|| before.unwrap_or(now))
+}
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -1,7 +1,8 @@
 //! One core among several: a thread with a runtime, a dispatcher, a module and clients of its own. It tends what the
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
-use super::{clients, rounds};
+use super::acceptor::{self, ConnectionAcceptor};
+use super::rounds;
 use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
@@ -321,10 +322,10 @@
 
 fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
     match order {
-        CoreCommand::Serve(transferred) => clients::board(dispatcher, transferred),
+        CoreCommand::Serve(connection) => acceptor::take_over(dispatcher, connection),
         CoreCommand::GiveAway { to, connections } => {
             dispatcher.borrow_mut().handover = Some((to, connections))
         }
-        CoreCommand::CloseLongestIdle => clients::Door::make_room(dispatcher),
+        CoreCommand::CloseLongestIdle => dispatcher.make_room(),
     }
 }
--- a/crates/router/src/io/lead.rs
+++ b/crates/router/src/io/lead.rs
@@ -1,6 +1,6 @@
 //! The lead of several cores: follows discovery for all of them, accepts connections and deals them out, watches
 //! over the cores, and sees a reload or a stop through as a program on one core does. It serves no query itself.
-use super::clients::{self, Door};
+use super::acceptor::{self, ConnectionAcceptor};
 use super::core::{self, BEAT, Berth, Phase, Report, Told};
 use super::{arrival, discovery};
 use crate::control::{self, Subscription};
@@ -114,21 +114,21 @@
 }
 
 /// Deals connections out to the cores.
-struct Dealer {
+struct ConnectionBalancer {
     shared: Arc<SharedState>,
     crew: Rc<RefCell<Crew>>,
     /// Whom the next word to make room goes to.
     next: RefCell<usize>,
 }
 
-impl Door for Rc<Dealer> {
+impl ConnectionAcceptor for Rc<ConnectionBalancer> {
     fn make_room(&self) {
         let mut next = self.next.borrow_mut();
         *next = (*next + 1) % self.shared.cores.len();
         let _ = self.shared.send_command(*next, CoreCommand::CloseLongestIdle);
     }
 
-    async fn take(&self, stream: TcpStream, held: DescriptorPermit) {
+    async fn accept(&self, stream: TcpStream, held: DescriptorPermit) {
         let Ok(stream) = stream.into_std() else { return };
         let mut order =
             CoreCommand::Serve(TransferredConnection { stream, permit: held, has_sent_request: false });
@@ -237,9 +237,10 @@
         control::start(subscription, &name, post::incarnation(), offer, shared.clone(), clock);
     }
     spawn_local(discovery::run(list.clone(), agent_of(discovery, hangups, previous, clock, by_file)));
-    let dealer = Rc::new(Dealer { shared: shared.clone(), crew: crew.clone(), next: RefCell::new(0) });
+    let dealer =
+        Rc::new(ConnectionBalancer { shared: shared.clone(), crew: crew.clone(), next: RefCell::new(0) });
     let close = Rc::new(Notify::new());
-    let listening = spawn_local(clients::listen(dealer, listener, for_clients, close.clone()));
+    let listening = spawn_local(acceptor::listen(dealer, listener, for_clients, close.clone()));
     let balance = Balance::new(cores);
     let mut guard =
         Guard { shared: &shared, clock, list: &list, crew: &crew, balance, looked: Cell::new(clock.now()) };
--- a/crates/router/src/io/mod.rs
+++ b/crates/router/src/io/mod.rs
@@ -1,10 +1,11 @@
 //! The drivers: they read and write sockets and keep time, and leave all else to `wire` and `memory`.
+pub mod acceptor;
 pub mod arrival;
-pub mod clients;
+mod client_session;
 pub mod core;
 pub mod discovery;
 pub mod lead;
-pub mod nodes;
+pub mod node_session;
 pub mod rounds;
 
 use alderway_telemetry::clock::Clock;
--- /dev/null
+++ b/crates/router/src/io/node_session.rs
@@ -0,0 +1,434 @@
+//! The driver of a connection to a data node: dials, writes attempts and reads their answers, and closes connections that are
+//! idle, blocked or corrupted.
+use super::{arrival, rounds, until};
+use crate::state::DispatcherHandle;
+use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
+use crate::state::dispatcher::Dial;
+use crate::state::node_connection::NodeConnection;
+use crate::wire::buffer::Buffer;
+use crate::wire::{Fault, frames};
+use alderway::interface::AttemptOutcome;
+use alderway_sockets::Sender;
+use alderway_telemetry::clock::Clock;
+use std::cell::Cell;
+use std::io;
+use std::mem::replace;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::task::yield_now;
+use tokio::time::timeout;
+
+/// Bytes of a frame's length, which stand before it.
+const LENGTH_BYTES: usize = 4;
+
+/// Why a connection was closed.
+#[derive(Debug)]
+enum CloseReason {
+    /// The dispatcher knows of it no more.
+    Forgotten,
+    /// The node had closed it before an attempt was written to it.
+    EndedWhileIdle,
+    /// It broke, or was cut to keep the rest of a frame from going out.
+    CutOrBroken,
+    /// It was idle, and its descriptor was needed elsewhere.
+    Retired,
+    /// It was idle for longer than the node would keep it.
+    Idle,
+    EndedByNode,
+    /// The node's machine takes no byte of a frame.
+    TakesNothing,
+    /// The node sent what cannot be read.
+    Corrupted(CorruptedFrame),
+}
+
+impl CloseReason {
+    /// How counters name it.
+    fn label(&self) -> &'static str {
+        match self {
+            CloseReason::Forgotten => "forgotten",
+            CloseReason::EndedWhileIdle => "ended_idle",
+            CloseReason::CutOrBroken => "cut_or_broken",
+            CloseReason::Retired => "retired",
+            CloseReason::Idle => "idle",
+            CloseReason::EndedByNode => "ended_by_node",
+            CloseReason::TakesNothing => "takes_nothing",
+            CloseReason::Corrupted(_) => "spoilt",
+        }
+    }
+}
+
+/// A frame that cannot be used, and the shard request that it names, if that could be read.
+#[derive(Debug)]
+struct CorruptedFrame {
+    problem: Fault,
+    shard_request: Option<String>,
+}
+
+impl CorruptedFrame {
+    fn unnamed(problem: Fault) -> Self {
+        CorruptedFrame { problem, shard_request: None }
+    }
+}
+
+/// Dials a data node, serves the connection until it ends, and gives everything back.
+pub async fn run(dispatcher: DispatcherHandle, dial: Dial, descriptors: Arc<DescriptorPool>) {
+    let Dial { node, connection, address } = dial;
+    let dial_timeout = Duration::from_secs_f64(dispatcher.borrow().connection_config.dial_timeout_s);
+    let is_short_of_resources = Cell::new(false);
+    let dialled = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
+    match timeout(dial_timeout, dialled).await {
+        // In this order: the stream closes before its permit is given back, or another takes that in between.
+        Ok(Ok((_permit, stream))) => {
+            dispatcher.borrow_mut().counters.increment("connections{opened}");
+            let reason = match NodeSession::open(&dispatcher, &node, connection, &stream) {
+                Some(session) => session.run().await,
+                None => CloseReason::Forgotten,
+            };
+            log_close(&dispatcher, &node, connection, &reason);
+        }
+        Ok(Err(_)) => dispatcher.borrow_mut().counters.increment("connections{refused}"),
+        Err(_) if is_short_of_resources.get() => {
+            // Guards against blaming a data node for what this machine or this program lacks.
+            dispatcher.borrow_mut().counters.increment("connections{short_of_resources}");
+            dispatcher.borrow_mut().connection_not_opened(&node, connection);
+        }
+        Err(_) => dispatcher.borrow_mut().counters.increment("connections{dial_timed_out}"),
+    }
+    dispatcher.borrow_mut().connection_lost(&node, connection);
+    rounds::post(&dispatcher, &descriptors);
+}
+
+fn log_close(dispatcher: &DispatcherHandle, node: &str, connection: u64, reason: &CloseReason) {
+    let mut dispatcher = dispatcher.borrow_mut();
+    if let CloseReason::Corrupted(CorruptedFrame { problem, shard_request }) = reason {
+        tracing::warn!(target: "frame", "node {node}: {problem}; its connection is closed");
+        dispatcher.connection_corrupted(node, connection, shard_request.as_deref());
+    }
+    dispatcher.counters.increment("connections{closed}");
+    dispatcher.counters.increment(&format!("connection_closes{{{}}}", reason.label()));
+}
+
+/// Waits for a descriptor, making room where all are taken, and dials. `is_short_of_resources` tells meanwhile whether it
+/// is this machine or program that lacks something.
+async fn connect(
+    dispatcher: &DispatcherHandle,
+    address: SocketAddr,
+    descriptors: &Arc<DescriptorPool>,
+    is_short_of_resources: &Cell<bool>,
+) -> io::Result<(DescriptorPermit, TcpStream)> {
+    let mut waiting = None;
+    let permit = loop {
+        if let Some(permit) = descriptors.acquire() {
+            break permit;
+        }
+        is_short_of_resources.set(true);
+        dispatcher.borrow_mut().counters.increment("dials_short_of_descriptors");
+        dispatcher.borrow_mut().endpoints.retire_longest_idle();
+        // Guards against idle connections of other cores that hold what this one lacks: they let some go.
+        waiting.get_or_insert_with(|| descriptors.pool.waits());
+        descriptors.released.notified().await;
+    };
+    drop(waiting);
+    is_short_of_resources.set(false);
+    let stream = alderway_sockets::dial_telling(address, is_short_of_resources).await?;
+    // Without it small frames would wait for the acknowledgement of those before.
+    stream.set_nodelay(true)?;
+    Ok((permit, stream))
+}
+
+/// An open connection to a data node.
+struct NodeSession<'a> {
+    dispatcher: &'a DispatcherHandle,
+    node: &'a str,
+    connection: u64,
+    stream: &'a TcpStream,
+    clock: Clock,
+    /// The dispatcher has something for this connection.
+    wake: Rc<Notify>,
+    /// An idle connection is closed after so many seconds.
+    idle_timeout_s: f64,
+    /// An answer that has begun to come has to be complete within so many seconds.
+    answer_timeout_s: f64,
+    incoming: Buffer,
+    outgoing: Outgoing,
+    /// By when the present frame has to get further; infinite where none is blocked.
+    write_by: f64,
+    /// By when a frame that has begun to come has to be complete; infinite where none has.
+    read_by: f64,
+    /// The last stall of this thread that was waited out.
+    known_stall: u64,
+}
+
+/// The frame that is being written.
+#[derive(Default)]
+struct Outgoing {
+    sender: Sender,
+    frame: Vec<u8>,
+    /// Bytes of the frame that the socket has taken.
+    written_bytes: usize,
+    /// Bytes of all frames that the socket has taken.
+    total_bytes: u64,
+}
+
+/// How far writing has got.
+#[derive(Clone, Copy, PartialEq)]
+enum WriteProgress {
+    /// No frame waits.
+    Complete,
+    /// The socket takes no more for now.
+    Blocked,
+}
+
+impl<'a> NodeSession<'a> {
+    /// None where the dispatcher has forgotten the connection.
+    fn open(
+        dispatcher: &'a DispatcherHandle,
+        node: &'a str,
+        connection: u64,
+        stream: &'a TcpStream,
+    ) -> Option<Self> {
+        let mut state = dispatcher.borrow_mut();
+        let (clock, config) = (state.clock, state.connection_config);
+        let node_connection = state.endpoints.connection(node, connection)?;
+        node_connection.is_up = true;
+        let wake = node_connection.wake.clone();
+        // Idle connections close a dial's length before the node's machine would.
+        let idle_timeout_s = (config.idle_timeout_s - config.dial_timeout_s).max(0.5 * config.idle_timeout_s);
+        Some(NodeSession {
+            dispatcher,
+            node,
+            connection,
+            stream,
+            clock,
+            wake,
+            idle_timeout_s,
+            answer_timeout_s: config.dial_timeout_s,
+            incoming: Buffer::new(frames::LONGEST + LENGTH_BYTES),
+            outgoing: Outgoing::default(),
+            write_by: f64::INFINITY,
+            read_by: f64::INFINITY,
+            known_stall: 0,
+        })
+    }
+
+    /// Writes what waits and reads what comes until the connection is to be closed.
+    async fn run(mut self) -> CloseReason {
+        loop {
+            if let Err(reason) = self.step().await {
+                return reason;
+            }
+        }
+    }
+
+    async fn step(&mut self) -> Result<(), CloseReason> {
+        self.wait_out_stall().await;
+        self.check_still_open_before_reuse()?;
+        let progress = self.write_frames()?;
+        let idle_since = self.check_idle()?;
+        let (clock, stream, wake) = (self.clock, self.stream, self.wake.clone());
+        tokio::select! {
+            ready = stream.readable() => {
+                if ready.is_err() {
+                    return Err(CloseReason::EndedByNode);
+                }
+                let frames = self.read()?;
+                self.limit_incomplete_answer(frames);
+            }
+            () = self.outgoing.sender.ready(stream), if progress == WriteProgress::Blocked => {}
+            () = until(clock, self.write_by), if self.write_by.is_finite() => {
+                return Err(CloseReason::TakesNothing);
+            }
+            () = until(clock, self.read_by), if self.read_by.is_finite() => {
+                let problem = "an answer that does not end";
+                return Err(CloseReason::Corrupted(CorruptedFrame::unnamed(problem)));
+            }
+            () = wake.notified() => {}
+            () = until(clock, idle_since.unwrap_or_default() + self.idle_timeout_s), if idle_since.is_some() => {}
+        }
+        Ok(())
+    }
+
+    /// Calls `act` on the state of this connection; none where the dispatcher has forgotten it.
+    fn with_state<T>(&self, act: impl FnOnce(&mut NodeConnection) -> T) -> Option<T> {
+        self.dispatcher.borrow_mut().endpoints.connection(self.node, self.connection).map(act)
+    }
+
+    /// Has what came while this thread stood still read before an attempt begins. Guards against attempts for clients
+    /// that have left, or to data nodes that drain, where the word of it waits unread behind this connection.
+    async fn wait_out_stall(&mut self) {
+        loop {
+            let stall = {
+                let mut dispatcher = self.dispatcher.borrow_mut();
+                let now = dispatcher.clock.now();
+                dispatcher.stall_detector.check(now)
+            };
+            if !self.with_state(|state| state.next_starts_attempts()).unwrap_or(false) {
+                return;
+            }
+            if replace(&mut self.known_stall, stall) == stall {
+                return;
+            }
+            // The runtime asks the system what has come, and whoever that is for goes first.
+            yield_now().await;
+        }
+    }
+
+    /// Guards against an attempt written to a connection that its node has closed as idle, which would count as one that
+    /// may have run.
+    fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
+        let is_reuse = self.with_state(|state| state.is_reuse_after_idle()).unwrap_or(false);
+        if is_reuse && arrival::ended(self.stream) {
+            self.dispatcher.borrow_mut().requeue_unsent(self.node, self.connection);
+            return Err(CloseReason::EndedWhileIdle);
+        }
+        Ok(())
+    }
+
+    /// Writes frame after frame until none waits or the socket takes no more. A silent machine never closes: a frame
+    /// that gets no further for long ends the connection.
+    fn write_frames(&mut self) -> Result<WriteProgress, CloseReason> {
+        let before = self.outgoing.total_bytes;
+        let progress = self.write_until_blocked()?;
+        if progress == WriteProgress::Complete {
+            self.write_by = f64::INFINITY;
+        } else if self.write_by.is_infinite() || self.outgoing.total_bytes != before {
+            self.write_by = self.clock.now() + self.idle_timeout_s;
+        }
+        Ok(progress)
+    }
+
+    fn write_until_blocked(&mut self) -> Result<WriteProgress, CloseReason> {
+        loop {
+            // Guards against the rest of a frame going out after the final answer of a query in it.
+            if self.with_state(|state| state.is_aborted).unwrap_or(true) {
+                return Err(CloseReason::CutOrBroken);
+            }
+            if self.outgoing.written_bytes == self.outgoing.frame.len() && !self.begin_next_frame() {
+                return Ok(WriteProgress::Complete);
+            }
+            if self.write_some()? == 0 {
+                return Ok(WriteProgress::Blocked);
+            }
+        }
+    }
+
+    /// False where no frame waits.
+    fn begin_next_frame(&mut self) -> bool {
+        let Outgoing { frame, written_bytes, .. } = &mut self.outgoing;
+        let mut dispatcher = self.dispatcher.borrow_mut();
+        if !frame.is_empty() {
+            let now = dispatcher.clock.now();
+            if let Some(state) = dispatcher.endpoints.connection(self.node, self.connection) {
+                state.frame_written(now);
+            }
+            frame.clear();
+            *written_bytes = 0;
+        }
+        dispatcher.next_frame(self.node, self.connection, frame)
+    }
+
+    /// Writes what the socket takes of the present frame: how many bytes.
+    fn write_some(&mut self) -> Result<usize, CloseReason> {
+        let (node, connection) = (self.node, self.connection);
+        let Outgoing { sender, frame, written_bytes, total_bytes } = &mut self.outgoing;
+        let count =
+            sender.write(self.stream, &frame[*written_bytes..]).map_err(|_| CloseReason::CutOrBroken)?;
+        let mut dispatcher = self.dispatcher.borrow_mut();
+        let is_start = *written_bytes == 0;
+        if count == 0 {
+            if is_start {
+                dispatcher.frame_not_started(node, connection);
+                frame.clear();
+            }
+            return Ok(0);
+        }
+        if is_start {
+            dispatcher.check_frame_started(node, connection);
+        }
+        *written_bytes += count;
+        *total_bytes += count as u64;
+        dispatcher.counters.add("bytes_to_nodes", count);
+        Ok(count)
+    }
+
+    /// Since when the connection is idle; an end where it has been so for too long, or is not wanted any more.
+    fn check_idle(&self) -> Result<Option<f64>, CloseReason> {
+        let now = self.clock.now();
+        let checked = self.with_state(|state| {
+            let idle_since = state.idle_since();
+            if !idle_since.is_some_and(|since| state.is_retired || since + self.idle_timeout_s <= now) {
+                return Ok(idle_since);
+            }
+            let was_retired = replace(&mut state.is_retired, true);
+            Err(if was_retired { CloseReason::Retired } else { CloseReason::Idle })
+        });
+        checked.unwrap_or(Err(CloseReason::Forgotten))
+    }
+
+    /// Reads once what has come and says how many frames that made. Whoever has more to say waits for its next turn, so
+    /// that no data node can keep the core to itself.
+    fn read(&mut self) -> Result<usize, CloseReason> {
+        match alderway_sockets::read(self.stream, self.incoming.space()) {
+            Ok(Some(0)) | Err(_) => return Err(CloseReason::EndedByNode),
+            Ok(Some(count)) => {
+                self.incoming.filled(count);
+                self.dispatcher.borrow_mut().counters.add("bytes_from_nodes", count);
+            }
+            Ok(None) => return Ok(0),
+        }
+        let mut frames_read = 0;
+        loop {
+            let next = frames::next(self.incoming.data());
+            let next = next.map_err(|problem| CloseReason::Corrupted(CorruptedFrame::unnamed(problem)))?;
+            let Some((letter, body, used_bytes)) = next else { return Ok(frames_read) };
+            self.receive(letter, body)?;
+            self.incoming.used(used_bytes);
+            frames_read += 1;
+        }
+    }
+
+    fn receive(&self, letter: u8, body: &[u8]) -> Result<(), CloseReason> {
+        match letter {
+            b'R' => self.receive_reply(body).map_err(CloseReason::Corrupted),
+            b'F' => {
+                tracing::warn!(target: "frame", "node {}: it could not use a frame of ours", self.node);
+                Err(CloseReason::EndedByNode)
+            }
+            // Answers to health checks, which this router does not send.
+            b'H' | b'M' => Ok(()),
+            _ => Err(CloseReason::Corrupted(CorruptedFrame::unnamed("a frame with an unknown letter"))),
+        }
+    }
+
+    fn receive_reply(&self, body: &[u8]) -> Result<(), CorruptedFrame> {
+        let (shard_request, word, report, value) = frames::reply(body).map_err(CorruptedFrame::unnamed)?;
+        let outcome = match word {
+            "done" => AttemptOutcome::Success,
+            "failed" => AttemptOutcome::Error,
+            "full" => AttemptOutcome::Rejected,
+            _ => {
+                let shard_request = Some(shard_request.to_string());
+                return Err(CorruptedFrame { problem: "a reply with an unknown ending", shard_request });
+            }
+        };
+        let mut dispatcher = self.dispatcher.borrow_mut();
+        if !dispatcher.reply_received(self.node, self.connection, shard_request, outcome, report, value) {
+            return Err(CorruptedFrame::unnamed("a reply for a part not asked for"));
+        }
+        Ok(())
+    }
+
+    /// A data node writes an answer in one go. Guards against a length that says more than comes, which would hold the
+    /// attempts out here, and take the next answer for its rest.
+    fn limit_incomplete_answer(&mut self, frames_read: usize) {
+        if self.incoming.is_empty() {
+            self.read_by = f64::INFINITY;
+        } else if frames_read > 0 || self.read_by.is_infinite() {
+            self.read_by = self.clock.now() + self.answer_timeout_s;
+        }
+    }
+}
--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -1,5 +1,5 @@
 //! The driver of the module: one round for all that came in.
-use super::{nodes, until};
+use super::{node_session, until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
 use crate::tier::forwarder::Split;
@@ -67,7 +67,7 @@
     let now = dispatcher.borrow().clock.now();
     let dials = dispatcher.borrow_mut().flush_attempts(now);
     for dial in dials {
-        spawn_local(nodes::run(dispatcher.clone(), dial, share.clone()));
+        spawn_local(node_session::run(dispatcher.clone(), dial, share.clone()));
     }
 }
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,7 +1,7 @@
 //! Runs a program as it was started: a router on one core in this thread, a router on several cores, or a planner.
 use crate::control::{self, Subscription};
 use crate::gossip::{self, Circle};
-use crate::io::{arrival, clients, discovery, lead, rounds};
+use crate::io::{acceptor, arrival, discovery, lead, rounds};
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::live_config::LiveConfig;
 use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
@@ -93,7 +93,7 @@
 
     let close = Rc::default();
     let listening =
-        spawn_local(clients::listen(dispatcher.clone(), listener, for_clients, Rc::clone(&close)));
+        spawn_local(acceptor::listen(dispatcher.clone(), listener, for_clients, Rc::clone(&close)));
     // A router whose decision module has failed must not go on as if it served.
     tokio::select! {
         () = graceful_shutdown::shut_down_at_sigterm(terminations, dispatcher.clone(), close, listening) => {}
--- a/crates/router/tests/dispatcher.rs
+++ b/crates/router/tests/dispatcher.rs
@@ -2,7 +2,7 @@
 //! descriptors given back; and of drivers that run in the test's own runtime, where an order of events is sure.
 use alderway::interface::{AttemptOutcome, DecisionSink, Idempotency, NodeState, PolicyInput, StateTransfer};
 use alderway_deployment as deployment;
-use alderway_router::io::{clients, nodes, rounds};
+use alderway_router::io::{acceptor, node_session, rounds};
 use alderway_router::state::clients::{ClientConnection, ClientTable};
 use alderway_router::state::descriptors;
 use alderway_router::state::dispatcher::{ClassRules, Dial, Dispatcher, ShutdownPhase};
@@ -483,7 +483,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let share = descriptors::split(64, usize::MAX, 1).0;
-    tokio::task::spawn_local(clients::listen(dispatcher.clone(), listener, share, Rc::default()));
+    tokio::task::spawn_local(acceptor::listen(dispatcher.clone(), listener, share, Rc::default()));
     tokio::net::TcpStream::connect(address).await.expect("connected")
 }
 
@@ -529,7 +529,7 @@
         // The runtime has not looked at the listener since.
         let (share, close) = (descriptors::split(64, usize::MAX, 1).0, Rc::new(tokio::sync::Notify::new()));
         close.notify_one();
-        clients::listen(dispatcher, listener, share, close).await;
+        acceptor::listen(dispatcher, listener, share, close).await;
         let mut answer = [0; 200];
         let mut client = tokio::net::TcpStream::from_std(client).expect("a stream");
         let count = client.read(&mut answer).await.expect("an answer");
@@ -594,7 +594,7 @@
         let share = descriptors::split(64, usize::MAX, 1).1;
         let _client = take(&mut dispatcher.borrow_mut(), "q", &[1, 2]);
         let dial = send(&mut dispatcher.borrow_mut(), "u", &["q.1"]).remove(0);
-        tokio::task::spawn_local(nodes::run(dispatcher.clone(), dial, share.clone()));
+        tokio::task::spawn_local(node_session::run(dispatcher.clone(), dial, share.clone()));
         let (mut first, _) = node.accept().await.expect("a connection");
         let mut frame = [0; 100];
         assert!(first.read(&mut frame).await.expect("a call") > 0);
@@ -643,7 +643,7 @@
         dispatcher.borrow_mut().open_query(&client, query).expect("taken");
         let dial = send(&mut dispatcher.borrow_mut(), "u", &["r.1"]).remove(0);
         let share = descriptors::split(64, usize::MAX, 1).1;
-        let driver = tokio::task::spawn_local(nodes::run(dispatcher.clone(), dial, share));
+        let driver = tokio::task::spawn_local(node_session::run(dispatcher.clone(), dial, share));
         let _open = silent.accept().await.expect("a connection");
         let ended = tokio::time::timeout(std::time::Duration::from_secs(4), driver).await;
         assert!(ended.is_ok(), "the driver ends by itself, before the call's time-out");
