--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -8,18 +8,19 @@
 //! - [`persisted_version`]: the file with the version that the next start begins with;
 //! - `metrics`: the counters.
 //!
-//! How a version is applied is the host's: see `lifecycle::control_settings`.
+//! How a version is applied is the host's: see [`settings`].
 mod connection;
 mod driver;
 mod metrics;
 pub mod persisted_version;
+pub mod settings;
 
 pub use driver::{ApplySettings, ObserveSubscriber, PersistVersion, SubscriptionHost, Traffic, run};
 
 use crate::state::shared::SharedState;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, Subscriber, SubscriptionConfig};
 use alderway_telemetry::clock::Clock;
-use persisted_version::{PersistedVersion, StartupError, VersionWriter};
+use persisted_version::{PersistedVersion, UnusableVersion, VersionWriter};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -42,7 +43,7 @@
     /// The persisted version that this router starts with.
     pub persisted: Option<PersistedVersion>,
     /// Why it doesn't start with a persisted version, though there is one.
-    pub startup_error: Option<StartupError>,
+    pub startup_error: Option<UnusableVersion>,
 }
 
 /// Starts the subscription of a router on the current thread, for as long as the program runs.
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -1,8 +1,9 @@
 //! One core among several: a thread with a runtime, a dispatcher, a module and clients of its own. It tends what the
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
-use super::{clients, rounds};
-use crate::lifecycle::stop;
+use super::acceptor::{self, ConnectionAcceptor};
+use super::rounds;
+use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
 use crate::state::dispatcher::{Dispatcher, Handover};
@@ -226,7 +227,7 @@
             changed = berth.phase.changed(), if stopping.is_none() => {
                 if changed.is_ok() && *berth.phase.borrow_and_update() != Phase::Serving {
                     let closed = closed(berth.phase.clone());
-                    stopping = Some(spawn_local(stop::see_through(dispatcher.clone(), closed)));
+                    stopping = Some(spawn_local(graceful_shutdown::shut_down(dispatcher.clone(), closed)));
                 }
             }
             seen = ended_of(&mut stopping) => {
@@ -238,7 +239,7 @@
                     carry_out(dispatcher, order);
                 }
                 if late {
-                    stopping = Some(spawn_local(stop::end(dispatcher.clone())));
+                    stopping = Some(spawn_local(graceful_shutdown::end_late_connections(dispatcher.clone())));
                     continue;
                 }
                 say(dispatcher, berth, None);
@@ -322,10 +323,10 @@
 
 fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
     match order {
-        CoreCommand::Serve(transferred) => clients::board(dispatcher, transferred),
+        CoreCommand::Serve(connection) => acceptor::take_over(dispatcher, connection),
         CoreCommand::GiveAway { to, connections } => {
             dispatcher.borrow_mut().handover = Some(Handover { to, connections })
         }
-        CoreCommand::CloseLongestIdle => clients::Door::make_room(dispatcher),
+        CoreCommand::CloseLongestIdle => dispatcher.make_room(),
     }
 }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -7,9 +7,9 @@
 use alderway_control_plane::version_sink::VersionSink;
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_router::control::persisted_version::{PersistedVersion, VersionWriter};
+use alderway_router::control::settings::startup_config;
 use alderway_router::control::{ApplySettings, Subscription, start};
-use alderway_router::lifecycle::control_settings;
-use alderway_router::lifecycle::start::Station;
+use alderway_router::lifecycle::startup::StartupConfig;
 use alderway_router::state::metrics::MetricsSnapshot;
 use alderway_router::state::shared::{MulticoreConfig, SharedState};
 use alderway_telemetry::clock::Clock;
@@ -377,10 +377,9 @@
         persisted: None,
         startup_error: None,
     };
-    let station =
-        control_settings::read_station(subscription(), &config, Clock::default(), None).expect("a station");
-    assert_eq!(station.settings, settings(2));
-    let control = station.control.expect("a subscription");
+    let (startup, control) =
+        startup_config(subscription(), &config, Clock::default(), None).expect("a startup configuration");
+    assert_eq!(startup.settings_json, settings(2));
     assert_eq!(control.persisted.as_ref().map(|persisted| persisted.version.number), Some(2));
     run_local(async {
         let router =
@@ -407,9 +406,9 @@
         })
         .await;
     });
-    let station =
-        control_settings::read_station(subscription(), &config, Clock::default(), None).expect("a station");
-    assert_eq!(station.settings, settings(3));
+    let (startup, _) =
+        startup_config(subscription(), &config, Clock::default(), None).expect("a startup configuration");
+    assert_eq!(startup.settings_json, settings(3));
 }
 
 /// A configuration with settings 0.
@@ -421,7 +420,11 @@
 }
 
 /// What a router with that configuration starts with, given a file with a persisted version.
-fn started_from(folder: &TempFolder, keep: PathBuf, machines: Vec<(ControlEndpoint, SocketAddr)>) -> Station {
+fn started_from(
+    folder: &TempFolder,
+    keep: PathBuf,
+    machines: Vec<(ControlEndpoint, SocketAddr)>,
+) -> (StartupConfig, Subscription) {
     let (zone, keep) = (String::new(), Some(keep));
     let subscription = Subscription {
         machines,
@@ -431,8 +434,8 @@
         persisted: None,
         startup_error: None,
     };
-    control_settings::read_station(subscription, &configured(folder), Clock::default(), None)
-        .expect("a station")
+    startup_config(subscription, &configured(folder), Clock::default(), None)
+        .expect("a startup configuration")
 }
 
 #[rstest]
@@ -451,9 +454,8 @@
     assert_eq!(PersistedVersion::load(&keep).expect("sound"), Some(sound));
     let text = std::fs::read_to_string(&keep).expect("there");
     std::fs::write(&keep, tear(&text)).expect("written");
-    let station = started_from(&folder, keep, vec![(machine("c1", "z1"), closed())]);
-    assert_eq!(station.settings, settings(0));
-    let control = station.control.expect("a subscription");
+    let (startup, control) = started_from(&folder, keep, vec![(machine("c1", "z1"), closed())]);
+    assert_eq!(startup.settings_json, settings(0));
     assert!(control.persisted.is_none());
     let line = control.startup_error.expect("a line of the log").to_string();
     assert!(line.ends_with(&format!("{why}; ignored")), "{line}");
@@ -466,10 +468,9 @@
     let faulty =
         PersistedVersion { version: ConfigVersion::new(7, r#"{"Limits":{}}"#), confirmed_at_unix_ms: None };
     faulty.store(&keep).expect("written");
-    let station = started_from(&folder, keep, vec![]);
-    assert_eq!(station.settings, settings(0));
-    let line =
-        station.control.and_then(|control| control.startup_error).expect("a line of the log").to_string();
+    let (startup, control) = started_from(&folder, keep, vec![]);
+    assert_eq!(startup.settings_json, settings(0));
+    let line = control.startup_error.expect("a line of the log").to_string();
     assert!(line.starts_with("persisted version 7: key `settings`: expected "), "{line}");
 }
 
