--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -270,18 +270,14 @@
         0,
         &["version 2"],
     );
-    let line = cluster.programs[&leader].wait_for_log("takes no part");
+    let line = cluster.programs[&leader].wait_for_log("unavailable: ");
     assert!(line.contains("cannot be written"), "{line}");
     // Its reads go on, it says why, and takes no changes.
     assert_exit(&cluster.config(&[&leader], &["show", "1"]), 0, &["version 1"]);
-    assert_exit(
-        &cluster.config(&[&leader], &["status"]),
-        3,
-        &["takes no part: what it keeps cannot be written"],
-    );
+    assert_exit(&cluster.config(&[&leader], &["status"]), 3, &["takes no part: its log cannot be written"]);
     assert_exit(&cluster.propose(&[&leader], 300, &["--base", "2", "--wait", "1"]), 3, &["it takes no part"]);
     limit(&cluster.programs[&leader], "unlimited");
-    cluster.programs[&leader].wait_for_log("takes part again");
+    cluster.programs[&leader].wait_for_log("available again");
     cluster.wait_until_all_have(2);
 }
 
@@ -319,7 +315,7 @@
     }
     cluster.kill("c5");
     fs::copy(cluster.data("c5").join("log.redb"), &log).expect("copied");
-    refused(&cluster, "it belongs to control machine `c5`, this one is `c3`");
+    refused(&cluster, "it belongs to replica `c5`, this one is `c3`");
     cluster.start("c5");
     fs::remove_dir_all(cluster.data("c3")).expect("moved away");
     cluster.start("c3");
--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -71,7 +71,7 @@
     );
     let build = Build { path: env!("CARGO_BIN_EXE_alderway").into(), operator: Some(operator) };
     let first = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
-    logged(&first, "version 41 in force");
+    logged(&first, "version 41 applied");
     until(&first, "its counters", |counters| counters.get("control_version") == Some(&41));
     until(&first, "its age", |counters| counters.contains_key("control_version_age_ms"));
     let persisted = || std::fs::read_to_string(&persist_path).unwrap_or_default();
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -65,7 +65,7 @@
     assert_eq!((config.sockets, config.memory, config.seed), (256, 64 * 1024 * 1024, 0x1f));
     assert_eq!(config.endpoints.nodes.keys().cloned().collect::<Vec<_>>(), ["s-1"]);
     assert_eq!(config.settings, document()["settings"]);
-    assert_eq!(config.began.terms.router_count, 2);
+    assert_eq!(config.began.policy.router_count, 2);
     let classes: Vec<&str> = config.verticals.iter().map(|class| class.name.as_str()).collect();
     assert_eq!(classes, ["site-search", "region-report"]);
     let fixed = document();
@@ -92,8 +92,8 @@
     let mut settings = document()["settings"].clone();
     settings["TickUs"] = json!(7000);
     let config = start::read_with(&file.0, Clock::default(), Some(9), Some(settings.clone())).expect("good");
-    assert_eq!((&config.settings, config.began.terms.router_count), (&settings, 9));
-    assert_eq!(config.began.intake.min_round_interval_s, 0.007);
+    assert_eq!((&config.settings, config.began.policy.router_count), (&settings, 9));
+    assert_eq!(config.began.admission.min_round_interval_s, 0.007);
     // A reload compares the file with itself.
     assert_eq!(config.fixed[3], ("settings", document()["settings"].clone()));
 }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -217,7 +217,7 @@
 /// For a router whose settings only change with a start: what is sound and differs from the held waits for one.
 fn with_a_start(held: Value) -> ApplySettings {
     Box::new(move |settings, _| {
-        let outcome = match alderway_deployment::router(0, &settings) {
+        let outcome = match alderway_deployment::policy(0, &settings) {
             Err(why) => ApplyOutcome::Rejected(format!("key `settings`: expected {why}")),
             Ok(_) if settings == held => ApplyOutcome::Applied,
             Ok(_) => ApplyOutcome::PendingRestart(vec!["settings".into()]),
@@ -244,7 +244,7 @@
         .await;
         let summary = control_machine.subscriptions.summary();
         assert_eq!((summary.by_version.get(&2), summary.lagging.len()), (Some(&1), 1));
-        assert_eq!(summary.lagging[0].reason, "refused 3: key `x`: expected y");
+        assert_eq!(summary.lagging[0].reason, "rejected 3: key `x`: expected y");
         control_machine.commit(4);
         router.until(is("control_version", 4)).await;
         let offered = router.offered.borrow().clone();
@@ -402,7 +402,7 @@
                 .summary()
                 .lagging
                 .iter()
-                .any(|l| l.reason == "3 waits for a start: settings")
+                .any(|l| l.reason == "3 needs a restart: settings")
         })
         .await;
     });
