--- a/crates/alderway/tests/common/control_cluster.rs
+++ b/crates/alderway/tests/common/control_cluster.rs
@@ -131,8 +131,8 @@
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let mut program = ControlServer { child, log, admin_address: ([127, 0, 0, 1], 0).into() };
         let at = |line: String| line.rsplit(' ').next().and_then(|at| at.parse().ok()).expect("an address");
-        self.wires.lead_to(name, at(program.wait_for_log("hears members at")));
-        program.admin_address = at(program.wait_for_log("hears operators at"));
+        self.wires.lead_to(name, at(program.wait_for_log("listens for replicas at")));
+        program.admin_address = at(program.wait_for_log("listens for operators at"));
         self.admin_addresses.insert(name.into(), program.admin_address);
         self.programs.insert(name.into(), program);
     }
--- a/crates/control-server/src/admin/client.rs
+++ b/crates/control-server/src/admin/client.rs
@@ -39,13 +39,13 @@
     #[error("longer than {} bytes", MAX_MESSAGE_BYTES)]
     RequestTooLong,
     /// A second hello came in place of a response.
-    #[error("it says hello twice")]
+    #[error("a second hello in place of a response")]
     RepeatedHello,
     /// No response came within the time that the caller allows.
-    #[error("no answer in time")]
+    #[error("no response in time")]
     TimedOut,
     /// The control server closed the connection.
-    #[error("it ended the connection")]
+    #[error("the connection was closed")]
     ConnectionClosed,
     /// What came is no frame of this protocol.
     #[error(transparent)]
--- a/crates/control-server/src/admin/endpoint.rs
+++ b/crates/control-server/src/admin/endpoint.rs
@@ -26,11 +26,11 @@
 enum ConnectionError {
     #[error(transparent)]
     Handshake(#[from] HandshakeError),
-    #[error("it says hello twice")]
+    #[error("the client sent a second hello")]
     RepeatedHello,
-    #[error("it says nothing")]
+    #[error("no request in time")]
     IdleTooLong,
-    #[error("it does not read")]
+    #[error("the client stopped reading")]
     WriteTimedOut,
     #[error(transparent)]
     Write(#[from] io::Error),
@@ -48,7 +48,7 @@
         let state = state.clone();
         async move {
             if let Err(error) = serve(&state, &stream).await {
-                tracing::warn!(target: "admin", "an operator: {error}");
+                tracing::warn!(target: "admin", "operator's connection: {error}");
             }
         }
     };
--- a/crates/control-server/src/replica_links/incoming.rs
+++ b/crates/control-server/src/replica_links/incoming.rs
@@ -27,7 +27,7 @@
         let (state, latest) = (state.clone(), latest.clone());
         async move {
             if let Err(error) = serve(&state, &stream, &latest).await {
-                tracing::warn!(target: "replica_links", "one that dialled: {error}");
+                tracing::warn!(target: "replica_links", "incoming connection: {error}");
             }
         }
     };
--- a/crates/control-server/src/replica_links/link.rs
+++ b/crates/control-server/src/replica_links/link.rs
@@ -10,17 +10,17 @@
     #[error(transparent)]
     Handshake(#[from] HandshakeError),
     /// Another machine answers at the peer's address.
-    #[error("it is {0}")]
+    #[error("the peer is {0}")]
     UnexpectedPeer(String),
     /// A machine connected that isn't a member by this machine's configuration.
-    #[error("{0} is not of the members here")]
+    #[error("{0} is not a member here")]
     UnknownPeer(String),
     /// The peer sent something on a connection that this side opened.
-    #[error("it speaks on a link that it did not dial")]
+    #[error("the peer sent a message on a connection that it did not open")]
     UnexpectedMessage,
-    #[error("it takes nothing of what it is sent")]
+    #[error("the peer stopped reading")]
     WriteStalled,
-    #[error("it says hello twice")]
+    #[error("the peer sent a second hello")]
     RepeatedHello,
     #[error(transparent)]
     Frame(#[from] FrameError),
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -62,7 +62,7 @@
         source: RecoveryError,
     },
     /// The addresses of the control servers don't name this one.
-    #[error("not of the members")]
+    #[error("the addresses of the control machines do not name this one")]
     NotAMember,
     /// A listener could not be opened.
     #[error("{listener} at {address}: {source}")]
@@ -90,12 +90,12 @@
 
 async fn serve(config: ServerConfig) -> Result<(), ServerError> {
     let (replica, log_store) = recover(&config)?;
-    let peer_listener = listen("members", own_address(&config, &config.replica_addresses)?).await?;
+    let peer_listener = listen("replicas", own_address(&config, &config.replica_addresses)?).await?;
     let admin_listener = listen("operators", own_address(&config, &config.admin_addresses)?).await?;
     let name = config.name.clone();
     let address_of = |listener: &TcpListener| listener.local_addr().map_err(ServerError::Runtime);
-    tracing::info!(target: "start", "{name} hears members at {}", address_of(&peer_listener)?);
-    tracing::info!(target: "start", "{name} hears operators at {}", address_of(&admin_listener)?);
+    tracing::info!(target: "start", "{name} listens for replicas at {}", address_of(&peer_listener)?);
+    tracing::info!(target: "start", "{name} listens for operators at {}", address_of(&admin_listener)?);
     let mut peers = config.replica_addresses;
     peers.remove(&name);
     let version_sink = (config.version_sink)().await.map_err(ServerError::VersionSink)?;
@@ -112,7 +112,7 @@
     state.borrow_mut().advance();
     start_tasks(&state, peers, peer_listener, admin_listener);
     tick_until_signal(&state).await?;
-    tracing::info!(target: "stop", "{name} ends");
+    tracing::info!(target: "stop", "{name} stopped");
     Ok(())
 }
 
--- a/crates/control-server/src/subscriptions/connection.rs
+++ b/crates/control-server/src/subscriptions/connection.rs
@@ -28,9 +28,9 @@
     Refused(LinkError),
     #[error("{router}: {source}")]
     Frame { router: String, source: FrameError },
-    #[error("{0} says hello twice")]
+    #[error("{0} sent a second hello")]
     RepeatedHello(String),
-    #[error("{0}: a word too long")]
+    #[error("{0} sent a message over {MAX_MESSAGE_BYTES} bytes")]
     MessageTooLong(String),
 }
 
@@ -41,7 +41,7 @@
         let hub = hub.clone();
         async move {
             if let Err(error) = serve(&hub, &stream).await {
-                tracing::warn!(target: "subscriptions", "one that dialled: {error}");
+                tracing::warn!(target: "subscriptions", "incoming connection: {error}");
             }
         }
     };
--- a/crates/control-server/src/subscriptions/distributor.rs
+++ b/crates/control-server/src/subscriptions/distributor.rs
@@ -28,7 +28,7 @@
 fn close_timed_out(hub: &Hub, now: f64) {
     let timed_out = hub.publisher.borrow_mut().tick(now);
     for (number, router) in timed_out {
-        tracing::warn!(target: "subscriptions", "router {router} is silent: its connection ends");
+        tracing::warn!(target: "subscriptions", "router {router} timed out: its connection is closed");
         hub.close(number);
     }
 }
--- a/crates/control-server/src/subscriptions/mod.rs
+++ b/crates/control-server/src/subscriptions/mod.rs
@@ -88,7 +88,7 @@
     fn committed(&mut self, version: &Version) {
         let now = self.hub.clock.now();
         match self.hub.publisher.borrow_mut().commit(version, now) {
-            Ok(true) => tracing::info!(target: "subscriptions", "version {} goes out", version.number),
+            Ok(true) => tracing::info!(target: "subscriptions", "version {} is distributed", version.number),
             Ok(false) => {}
             Err(error) => tracing::error!(target: "subscriptions", "{error}"),
         }
