--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -21,7 +21,7 @@
             "settings are larger than routers are told: {length} bytes of {MAX_SETTINGS_BYTES} at most"
         )));
     }
-    let checked = alderway_router::lifecycle::settings::check(settings, earlier);
+    let checked = alderway_router::lifecycle::live_config::check(settings, earlier);
     checked.map(drop).map_err(|reason| InvalidSettings(reason.to_string()))
 }
 
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -1,15 +1,17 @@
 //! One core among several: a thread with a runtime, a dispatcher, a module and clients of its own. It tends what the
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
-use super::{clients, rounds};
-use crate::lifecycle::stop;
+use super::acceptor::{self, ConnectionAcceptor};
+use super::rounds;
+use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
-use crate::state::dispatcher::{ClassRules, Dispatcher, ShutdownPhase};
+use crate::state::dispatcher::{Dispatcher, Handover};
 use crate::state::endpoints::Endpoint;
-use crate::state::query_classes::ConfigGeneration;
+use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use crate::state::shard_map::{ShardMapConfig, ShardMapView};
 use crate::state::shared::{CoreCommand, ObservationMessage, SharedState};
+use crate::state::shutdown_phase::ShutdownPhase;
 use alderway_cores::board::Board;
 use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_layouts::layout::Layout;
@@ -113,7 +115,7 @@
     let local = LocalSet::new();
     let (shared, core) = (berth.shared.clone(), berth.core);
     let mut dispatcher =
-        Dispatcher::on(shared, core, berth.clock, berth.trunk, berth.room, berth.verticals.clone());
+        Dispatcher::for_core(shared, core, berth.clock, berth.trunk, berth.room, berth.verticals.clone());
     dispatcher.counters = berth.shared.cores[core].metrics.borrow().counters.clone();
     dispatcher.observations = std::mem::take(board);
     dispatcher.shard_map = berth.layouts.map(ShardMapView::new);
@@ -194,7 +196,7 @@
     dispatcher.borrow_mut().endpoints.is_replaced = true;
     dispatcher.borrow_mut().replay_observations();
     let module = rounds::newest(dispatcher, berth.seed);
-    let mut rounds = spawn_local(rounds::run(dispatcher.clone(), module, berth.for_nodes.clone()));
+    let mut rounds = spawn_local(rounds::run(dispatcher.clone(), None, module, berth.for_nodes.clone()));
     let mut failures = berth.endpoints.borrow().failures;
     let mut stopping: Option<JoinHandle<()>> = None;
     // A core that starts anew in the midst of a stop hears of it as of news.
@@ -225,7 +227,7 @@
             changed = berth.phase.changed(), if stopping.is_none() => {
                 if changed.is_ok() && *berth.phase.borrow_and_update() != Phase::Serving {
                     let closed = closed(berth.phase.clone());
-                    stopping = Some(spawn_local(stop::see_through(dispatcher.clone(), closed)));
+                    stopping = Some(spawn_local(graceful_shutdown::shut_down(dispatcher.clone(), closed)));
                 }
             }
             seen = ended_of(&mut stopping) => {
@@ -237,7 +239,7 @@
                     carry_out(dispatcher, order);
                 }
                 if late {
-                    stopping = Some(spawn_local(stop::end(dispatcher.clone())));
+                    stopping = Some(spawn_local(graceful_shutdown::end_late_connections(dispatcher.clone())));
                     continue;
                 }
                 say(dispatcher, berth, None);
@@ -321,10 +323,10 @@
 
 fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
     match order {
-        CoreCommand::Serve(transferred) => clients::board(dispatcher, transferred),
+        CoreCommand::Serve(connection) => acceptor::take_over(dispatcher, connection),
         CoreCommand::GiveAway { to, connections } => {
-            dispatcher.borrow_mut().handover = Some((to, connections))
+            dispatcher.borrow_mut().handover = Some(Handover { to, connections })
         }
-        CoreCommand::CloseLongestIdle => clients::Door::make_room(dispatcher),
+        CoreCommand::CloseLongestIdle => dispatcher.make_room(),
     }
 }
--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -1,5 +1,5 @@
 //! The driver of the module: one round for all that came in.
-use super::{nodes, until};
+use super::{node_session, until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
 use crate::tier::forwarder::Split;
@@ -67,7 +67,7 @@
     let now = dispatcher.borrow().clock.now();
     let dials = dispatcher.borrow_mut().flush_attempts(now);
     for dial in dials {
-        spawn_local(nodes::run(dispatcher.clone(), dial, share.clone()));
+        spawn_local(node_session::run(dispatcher.clone(), dial, share.clone()));
     }
 }
 
@@ -82,9 +82,11 @@
 }
 
 /// Plays rounds for as long as the program runs, the settings' tick apart at least. `module` makes the module,
-/// at the start and again if it has failed; returns only where that is impossible.
+/// at the start and again if it has failed; returns only where that is impossible. `tier` stands between dispatcher and
+/// module on a forwarder.
 pub async fn run<E>(
     dispatcher: DispatcherHandle,
+    tier: Option<Tier>,
     module: impl Fn() -> Result<Policy, E>,
     share: Arc<DescriptorPool>,
 ) -> Result<(), E> {
@@ -102,7 +104,6 @@
         Ok(router)
     };
     let mut router = module()?;
-    let tier = dispatcher.borrow().forwarder.clone();
     let mut settled = 0;
     loop {
         let due = dispatcher.borrow().next_timer_s();
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -4,6 +4,7 @@
 use super::Outbox;
 use super::planner::same_start;
 use crate::state::counters::Counters;
+use crate::state::metrics::{MetricsSnapshot, MetricsSource};
 use alderway::interface::{
     AttemptOutcome, DecisionSink, NodeObservation, NodeState, PolicyInput, StateTransfer,
 };
@@ -11,7 +12,8 @@
 use alderway_tier::custody::{Asking, Custody, Decider};
 use alderway_tier::members::{Change, Members, Watch};
 use alderway_tier::messages::{Message, Tried};
-use alderway_transport::{Hello, Incarnation, Name, WireMessage};
+use alderway_transport::{Hello, Incarnation, Name};
+use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -84,12 +86,7 @@
     }
 
     pub fn hello(&self) -> Hello {
-        Hello {
-            version: Message::VERSION,
-            is_planner: false,
-            incarnation: self.incarnation,
-            name: self.name.clone(),
-        }
+        Hello::new::<Message>(self.name.clone(), self.incarnation)
     }
 
     fn able(&self) -> Vec<Name> {
@@ -474,3 +471,10 @@
         self.own.node_observed(node, seen);
     }
 }
+
+impl MetricsSource for RefCell<Forwarder> {
+    fn metrics(&self) -> MetricsSnapshot {
+        let forwarder = self.borrow();
+        MetricsSnapshot { counters: forwarder.counters.clone(), gauges: forwarder.figures().to_vec() }
+    }
+}
