--- a/crates/router/src/state/attempts.rs
+++ b/crates/router/src/state/attempts.rs
@@ -4,8 +4,21 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// An attempt: its shard request's id and its number among that request's attempts.
-pub type AttemptId = (Rc<str>, usize);
+/// Names an attempt.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// Id of its shard request.
+    pub request_id: Rc<str>,
+    /// Its number among that request's attempts, from 0.
+    pub number: usize,
+}
+
+impl AttemptId {
+    /// Attempt number `number` of a shard request.
+    pub fn new(request_id: impl Into<Rc<str>>, number: usize) -> Self {
+        AttemptId { request_id: request_id.into(), number }
+    }
+}
 
 /// An attempt in flight.
 pub struct Attempt {
@@ -87,8 +100,8 @@
 
     /// Attempts in flight of one shard request.
     pub fn of_request(&self, request_id: &str) -> Vec<AttemptId> {
-        let first = (request_id.into(), 0);
-        let here = self.in_flight.range(first..).take_while(|(id, _)| &*id.0 == request_id);
+        let first = AttemptId::new(request_id, 0);
+        let here = self.in_flight.range(first..).take_while(|(id, _)| &*id.request_id == request_id);
         here.map(|(id, _)| id.clone()).collect()
     }
 
--- a/crates/router/src/state/dispatcher/answers.rs
+++ b/crates/router/src/state/dispatcher/answers.rs
@@ -48,10 +48,10 @@
             }
             ReplyMatch::NotAsked => return false,
         };
-        let id: AttemptId = (request_id.into(), attempt);
+        let id = AttemptId::new(request_id, attempt);
         self.end_attempt(&id, outcome);
         if outcome == AttemptOutcome::Success {
-            self.record_value(&id.0, value);
+            self.record_value(&id.request_id, value);
         }
         true
     }
--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -13,9 +13,9 @@
         let Some(request) = self.queries.request_mut(request_id) else {
             return self.counters.increment("calls_of_parts_over");
         };
-        let id = (request.id.clone(), request.attempts);
+        let id = AttemptId::new(request.id.clone(), request.attempts);
         request.attempts += 1;
-        self.counters.increment(match (id.1, is_hedge) {
+        self.counters.increment(match (id.number, is_hedge) {
             (0, _) => "leaf_calls_sent{first}",
             (_, true) => "leaf_calls_sent{copy}",
             (_, false) => "leaf_calls_sent{further}",
@@ -71,10 +71,13 @@
     /// requests that came of it waits for it.
     pub(super) fn cancel_attempt_of(&mut self, request_id: &str, attempt: usize) {
         self.counters.increment("leaf_calls_cancelled");
-        let id: AttemptId = (request_id.into(), attempt);
+        let id = AttemptId::new(request_id, attempt);
         let shared = match &self.shard_map {
             Some(shard_map) if self.attempts.get(&id).is_none() => {
-                let mut ancestry = shard_map.families.line(&id.0).map(|ancestor| (ancestor.clone(), attempt));
+                let mut ancestry = shard_map
+                    .families
+                    .line(&id.request_id)
+                    .map(|ancestor| AttemptId::new(ancestor.clone(), attempt));
                 ancestry.find(|id| self.attempts.get(id).is_some())
             }
             _ => None,
@@ -82,7 +85,7 @@
         let (Some(shared_id), Some(shard_map)) = (shared, &mut self.shard_map) else {
             return self.abort_attempt(&id, AttemptOutcome::Cancelled);
         };
-        let is_last = shard_map.families.release(&shared_id, &id.0);
+        let is_last = shard_map.release_attempt(&shared_id, &id.request_id);
         if let Some(attempt) = self.attempts.get(&shared_id) {
             let (node, latency_s) = (attempt.node.clone(), self.clock.now() - attempt.started_at_s);
             self.attempts.report_end(id, &node, AttemptOutcome::Cancelled, latency_s);
@@ -96,9 +99,9 @@
     /// Records the outcome of an attempt. One without an effect no longer stands against a repeat of its request.
     pub(super) fn end_attempt(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         if outcome.had_no_effect()
-            && let Some(request) = self.queries.request_mut(&id.0)
+            && let Some(request) = self.queries.request_mut(&id.request_id)
         {
-            request.forget_execution(id.1);
+            request.forget_execution(id.number);
         }
         if self.attempts.end(id, outcome, self.clock.now()).is_some() {
             self.counters.attempt_ended(outcome);
@@ -177,7 +180,7 @@
     /// those that came of it.
     pub(super) fn notify_ended_attempts(&mut self, policy: &mut dyn PolicyInput) {
         for ended in self.attempts.take_ended() {
-            let (request_id, number) = &ended.id;
+            let AttemptId { request_id, number } = &ended.id;
             let shard_map = self.shard_map.as_ref();
             match shard_map.and_then(|shard_map| shard_map.outcome_recipients(&ended.id, ended.outcome)) {
                 Some(recipients) => recipients.iter().for_each(|recipient| {
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -53,7 +53,7 @@
         unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::NeverSent));
         let started_at_s =
             |id: &AttemptId| self.attempts.get(id).map_or(f64::INFINITY, |attempt| attempt.started_at_s);
-        let named = in_flight.iter().position(|id| Some(&*id.0) == request_id);
+        let named = in_flight.iter().position(|id| Some(&*id.request_id) == request_id);
         let longest = (0..in_flight.len())
             .min_by(|&a, &b| started_at_s(&in_flight[a]).total_cmp(&started_at_s(&in_flight[b])));
         if let Some(failed) = named.or(longest) {
@@ -102,44 +102,23 @@
     pub fn next_frame(&mut self, node: &str, number: u64, writer: &mut impl NodeFrameWriter) -> bool {
         self.drop_denied_attempts(node, number);
         let now = self.clock.now();
-        let fence = self.shared.fence.passes(self.endpoints_generation, now);
-        let version = self.shard_map.as_ref().and_then(ShardMapView::version).unwrap_or(0);
-        let Some(connection) = self.endpoints.connection(node, number) else { return false };
-        // Guards against a core that stood still while its endpoint list changed: what it decided by the old list waits
-        // until it has caught up.
-        if let (Err(reason), true) = (fence, connection.next_starts_attempts()) {
-            if !std::mem::replace(&mut self.is_fenced, true) {
-                self.counters.increment(match reason {
-                    fence::Held::Behind => "sends_held_back{roster_behind}",
-                    fence::Held::Unled => "sends_held_back{lead_late}",
-                });
-            }
+        if self.is_held_by_fence(node, number, now) {
             return false;
         }
-        match connection.begin_frame() {
+        let frame = self.endpoints.connection(node, number).and_then(|connection| connection.begin_frame());
+        match frame {
             None => return false,
             Some(OutboundFrame::Cancel(request_id)) => {
                 writer.write_cancel(request_id);
                 self.counters.increment("frames_sent{give_up}");
             }
             Some(OutboundFrame::Attempts(attempts)) => {
-                let requests = attempts.iter().filter_map(|id| {
-                    let asked = self.queries.requested(&id.0)?;
-                    let timeout_at_s =
-                        self.attempts.get(id).map_or(asked.not_after_s, |attempt| attempt.timeout_at_s);
-                    Some(AttemptRequest {
-                        request_id: &id.0,
-                        shard: asked.shard,
-                        timeout_ms: permits::advertised_timeout_ms(now, timeout_at_s, asked.not_after_s),
-                        text: asked.text,
-                        keys: asked.keys.map(|keys| KeysAtVersion { version, keys }),
-                    })
-                });
-                writer.write_attempts(requests);
+                let attempts = attempts.clone();
+                writer.write_attempts(attempts.iter().filter_map(|id| self.attempt_request(id, now)));
                 self.counters.increment("frames_sent{call}");
-                for (request_id, attempt) in attempts.clone() {
-                    if let Some(request) = self.queries.request_mut(&request_id) {
-                        request.note_execution(attempt, now);
+                for id in attempts {
+                    if let Some(request) = self.queries.request_mut(&id.request_id) {
+                        request.note_execution(id.number, now);
                     }
                 }
             }
@@ -147,15 +126,47 @@
         true
     }
 
+    /// What a frame says of an attempt; none where its query is over.
+    fn attempt_request<'a>(&'a self, id: &'a AttemptId, now: f64) -> Option<AttemptRequest<'a>> {
+        let requested = self.queries.requested(&id.request_id)?;
+        let timeout_at_s =
+            self.attempts.get(id).map_or(requested.not_after_s, |attempt| attempt.timeout_at_s);
+        let version = self.shard_map.as_ref().and_then(ShardMapView::version).unwrap_or(0);
+        Some(AttemptRequest {
+            request_id: &id.request_id,
+            shard: requested.shard,
+            timeout_ms: permits::advertised_timeout_ms(now, timeout_at_s, requested.not_after_s),
+            text: requested.text,
+            keys: requested.keys.map(|keys| KeysAtVersion { version, keys }),
+        })
+    }
+
+    /// Whether the next frame would start attempts that the fence holds back. Guards against a core that stood still
+    /// while its endpoint list changed: what it decided by the old list waits until it has caught up.
+    fn is_held_by_fence(&mut self, node: &str, number: u64, now: f64) -> bool {
+        let Err(reason) = self.shared.fence.passes(self.endpoints_generation, now) else { return false };
+        let connection = self.endpoints.connection(node, number);
+        if !connection.is_some_and(|connection| connection.next_starts_attempts()) {
+            return false;
+        }
+        if !std::mem::replace(&mut self.is_fenced, true) {
+            self.counters.increment(match reason {
+                fence::Held::Behind => "sends_held_back{roster_behind}",
+                fence::Held::Unled => "sends_held_back{lead_late}",
+            });
+        }
+        true
+    }
+
     /// The socket took no byte of the frame that was to begin. Guards against a frame that goes out long after it was
     /// encoded: its attempts are checked, and it is encoded, anew.
     pub fn frame_not_started(&mut self, node: &str, number: u64) {
         let Some(connection) = self.endpoints.connection(node, number) else { return };
         let attempts = connection.writing_attempts().to_vec();
         connection.return_frame();
-        for (request_id, attempt) in attempts {
-            if let Some(request) = self.queries.request_mut(&request_id) {
-                request.forget_execution(attempt);
+        for id in attempts {
+            if let Some(request) = self.queries.request_mut(&id.request_id) {
+                request.forget_execution(id.number);
             }
         }
         self.counters.increment("frames_not_taken");
@@ -164,7 +175,7 @@
     /// Why an attempt of the next frame may not begin, if it may not. It may have waited for a dial or a stream past its
     /// time, or past the window in which its data node drops repeats.
     fn denial(&self, id: &AttemptId, node: NodeState, now: f64) -> Option<Denial> {
-        let Some((class, request)) = self.queries.class_and_request(&id.0) else {
+        let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
             return Some(Denial::QueryEnded);
         };
         let start = permits::AttemptStart {
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -29,12 +29,13 @@
     }
 
     fn check_attempt_started(&mut self, id: &AttemptId, node: &str, state: NodeState, now: f64) {
-        let Some((class, request)) = self.queries.class_and_request(&id.0) else {
-            return self.report_violation("call_after_answer", &id.0, "its query is over");
+        let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
+            return self.report_violation("call_after_answer", &id.request_id, "its query is over");
         };
-        let first_effect_at_s = request.first_possible_execution(Some(id.1));
+        let first_effect_at_s = request.first_possible_execution(Some(id.number));
         let idempotency = self.query_classes[class].idempotency;
-        let not_after_s = self.queries.requested(&id.0).map_or(now, |requested| requested.not_after_s);
+        let not_after_s =
+            self.queries.requested(&id.request_id).map_or(now, |requested| requested.not_after_s);
         // The frame was allowed to begin a moment ago: time that passed since is the system's.
         let start = permits::AttemptStart {
             now_s: now,
@@ -44,7 +45,7 @@
             node_state: state,
         };
         if let Err(denial) = permits::may_start_attempt(&start) {
-            self.report_violation("call", &id.0, &format!("{} at {node}", denial.label()));
+            self.report_violation("call", &id.request_id, &format!("{} at {node}", denial.label()));
         }
     }
 
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -14,6 +14,8 @@
 //! | what the policy has not been told yet | [`pending_input::PendingInput`] | the dispatcher | the next round |
 //! | file descriptors | [`descriptors::DescriptorPool`] | whoever opens a socket | drop of its permit |
 //! | capacity, id claims, fence, commands and figures of all cores | [`shared::SharedState`] | each core | each core |
+#![warn(missing_docs, clippy::missing_errors_doc)]
+
 pub mod arrival_time;
 pub mod attempts;
 pub mod clients;
--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -120,8 +120,9 @@
 
     /// Whether these attempts may go on this connection, with `streams` in use at most.
     pub fn can_take(&self, attempts: &[AttemptId], streams: usize) -> bool {
-        let is_known =
-            |id: &AttemptId| self.in_flight.contains_key(&id.0) || self.cancelled.contains_key(&id.0);
+        let is_known = |id: &AttemptId| {
+            self.in_flight.contains_key(&id.request_id) || self.cancelled.contains_key(&id.request_id)
+        };
         !self.is_retired
             && !self.is_aborted
             && self.used_streams() + attempts.len() <= streams
@@ -193,7 +194,7 @@
     /// The last byte of the frame that had begun is written.
     pub fn frame_written(&mut self, now: f64) {
         if let Some(OutboundFrame::Attempts(attempts)) = self.writing.take() {
-            self.in_flight.extend(attempts);
+            self.in_flight.extend(attempts.into_iter().map(|id| (id.request_id, id.number)));
             self.silent_since_s.get_or_insert(now);
         }
     }
@@ -201,7 +202,7 @@
     /// Where an attempt stands.
     pub fn position(&self, id: &AttemptId) -> AttemptPosition {
         let holds = |frame: &OutboundFrame| matches!(frame, OutboundFrame::Attempts(ids) if ids.contains(id));
-        if self.in_flight.get(&id.0) == Some(&id.1) {
+        if self.in_flight.get(&id.request_id) == Some(&id.number) {
             AttemptPosition::InFlight
         } else if self.writing.as_ref().is_some_and(holds) {
             AttemptPosition::Writing
@@ -217,14 +218,14 @@
     /// the most streams free, and attempts that took them would make the node look unresponsive. A node that only
     /// paused costs one more dial.
     pub fn cancel(&mut self, id: &AttemptId, now: f64, reply_until_s: f64, patience_s: f64) {
-        if self.in_flight.remove(&id.0).is_none() {
+        if self.in_flight.remove(&id.request_id).is_none() {
             return;
         }
         self.is_retired |= self.silent_since_s.is_some_and(|since| since + patience_s <= now);
         self.cancelled.retain(|_, until_s| *until_s > now);
-        self.cancelled.insert(id.0.clone(), reply_until_s);
+        self.cancelled.insert(id.request_id.clone(), reply_until_s);
         self.idle_since_s = now;
-        self.enqueue(OutboundFrame::Cancel(id.0.clone()));
+        self.enqueue(OutboundFrame::Cancel(id.request_id.clone()));
     }
 
     /// Closes the connection over an attempt that was aborted in the midst of its frame. Guards against the attempt
@@ -254,6 +255,8 @@
     /// The attempts that are left as the connection ends.
     pub fn into_unfinished(self) -> Unfinished {
         let unsent = self.unwritten_attempts().cloned().collect();
-        Unfinished { unsent, in_flight: self.in_flight.into_iter().collect() }
+        let in_flight = self.in_flight.into_iter();
+        let in_flight = in_flight.map(|(request_id, number)| AttemptId { request_id, number }).collect();
+        Unfinished { unsent, in_flight }
     }
 }
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -300,14 +300,21 @@
         }
     }
 
+    /// A shard request no longer waits for an attempt that it shares with others of its split; returns whether it was the
+    /// last.
+    pub fn release_attempt(&mut self, id: &AttemptId, request_id: &Rc<str>) -> bool {
+        self.families.release(&(id.request_id.clone(), id.number), request_id)
+    }
+
     /// The shard requests for which the end of an attempt is told in place of a request that was split: those that still
     /// wait for it, or all of them where it brought an answer. None where the request was not split.
     pub fn outcome_recipients(&self, id: &AttemptId, outcome: AttemptOutcome) -> Option<Vec<Rc<str>>> {
         if self.families.is_empty() {
             return None;
         }
-        let parts = self.families.heirs(&id.0);
-        let waits = |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.waits(id, part);
+        let parts = self.families.heirs(&id.request_id);
+        let call = (id.request_id.clone(), id.number);
+        let waits = |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.waits(&call, part);
         (!parts.is_empty()).then(|| parts.iter().filter(waits).cloned().collect())
     }
 }
--- a/crates/router/tests/dispatcher/any_order.rs
+++ b/crates/router/tests/dispatcher/any_order.rs
@@ -4,6 +4,7 @@
 use alderway::interface::DecisionSink;
 use alderway::interface::Idempotency;
 use alderway::interface::NodeState;
+use alderway_router::state::attempts::AttemptId;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
 use alderway_router::state::queries::Query;
@@ -250,7 +251,7 @@
                 .filter(|hop| {
                     self.dispatcher
                         .attempts
-                        .get(&(id.as_str().into(), *hop))
+                        .get(&AttemptId::new(id.as_str(), *hop))
                         .is_some_and(|c| c.connection == Some(line))
                 })
                 .collect();
--- a/crates/router/tests/dispatcher/replies.rs
+++ b/crates/router/tests/dispatcher/replies.rs
@@ -3,6 +3,7 @@
 use crate::{dispatcher, take, told, up};
 use alderway::interface::AttemptOutcome;
 use alderway::interface::DecisionSink;
+use alderway_router::state::attempts::AttemptId;
 use alderway_router::state::dispatcher::Dispatcher;
 use alderway_router::state::node_connection::Dial;
 use rstest::rstest;
@@ -82,7 +83,7 @@
     take(&mut dispatcher, "q", &[1, 2]);
     let dial = send(&mut dispatcher, "s", &["q.1", "q.2"]).remove(0);
     let now = dispatcher.clock.now();
-    dispatcher.attempts.end(&("q.1".into(), 0), AttemptOutcome::Cancelled, now);
+    dispatcher.attempts.end(&AttemptId::new("q.1", 0), AttemptOutcome::Cancelled, now);
     assert!(write(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.2 ")));
     assert_eq!(write(&mut dispatcher, &dial), None);
 }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -6,6 +6,7 @@
 use alderway_deployment::live::{self, Changes};
 use alderway_router::lifecycle::settings::{Live, Outcome, check};
 use alderway_router::lifecycle::start::Role;
+use alderway_router::state::attempts::AttemptId;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
 use alderway_router::state::query_classes::ConfigGeneration;
@@ -182,7 +183,7 @@
     }
 
     fn ends(&mut self, part: &str, ending: AttemptOutcome) -> Vec<String> {
-        let id = (part.into(), 0);
+        let id = AttemptId::new(part, 0);
         let node = self.dispatcher.attempts.get(&id).expect("it is out").node.clone();
         self.dispatcher.attempts.end(&id, ending, self.dispatcher.clock.now()).expect("it is out");
         assert_eq!(node, "s");
