--- a/crates/control-plane/src/publisher/link.rs
+++ b/crates/control-plane/src/publisher/link.rs
@@ -97,7 +97,7 @@
     /// The next part of the transfer; the last one ends it.
     pub(super) fn take_part(&mut self) -> Option<ControlMessage> {
         let Transfer { content, offset } = self.transfer.as_mut()?;
-        let part = content.part(*offset);
+        let part = ControlMessage::content_part(content, *offset);
         *offset += MAX_PART_BYTES;
         if *offset >= content.text.len() {
             self.sent = Some((content.number, content.digest));
@@ -113,9 +113,9 @@
                 None
             }
             ApplyOutcome::PendingRestart(keys) => {
-                Some((number, format!("{number} waits for a start: {}", keys.join(", "))))
+                Some((number, format!("{number} needs a restart: {}", keys.join(", "))))
             }
-            ApplyOutcome::Rejected(reason) => Some((number, format!("refused {number}: {reason}"))),
+            ApplyOutcome::Rejected(reason) => Some((number, format!("rejected {number}: {reason}"))),
         };
     }
 }
--- a/crates/router/src/state/dispatcher/config.rs
+++ b/crates/router/src/state/dispatcher/config.rs
@@ -10,7 +10,7 @@
     /// Follows a stream of configurations from its newest on.
     pub fn subscribe_config(&mut self, updates: watch::Receiver<Arc<ConfigGeneration>>) {
         let generation = self.class_table.subscribe(updates);
-        self.connection_config = generation.settings.trunk;
+        self.connection_config = generation.settings.connections;
         self.admission = self.admission_for(&generation);
         self.query_classes = ClassRules::all(&generation.settings);
     }
@@ -18,7 +18,7 @@
     /// Capacity, the number of shards and how discovery is followed stay as they were at the start.
     fn admission_for(&self, generation: &ConfigGeneration) -> AdmissionConfig {
         let AdmissionConfig { max_open, shard_count, polls_endpoints, .. } = self.admission;
-        AdmissionConfig { max_open, shard_count, polls_endpoints, ..generation.settings.intake }
+        AdmissionConfig { max_open, shard_count, polls_endpoints, ..generation.settings.admission }
     }
 
     /// Applies the newest configuration, if it is not applied yet. To be called before a request is read and before a
@@ -33,7 +33,7 @@
     pub fn apply_config(&mut self, generation: Arc<ConfigGeneration>) {
         let now = self.clock.now();
         let longest_deadline_s = self.longest_deadline_s(now);
-        self.connection_config = generation.settings.trunk;
+        self.connection_config = generation.settings.connections;
         self.admission = self.admission_for(&generation);
         self.class_table.apply(generation, &mut self.query_classes, now, longest_deadline_s);
         self.work_ready.notify_one();
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -1,7 +1,7 @@
 //! Query classes while the configuration changes: each has a slot, so that an open query goes on by the rules that it was
 //! opened with and a new one goes by the newest.
 use alderway::interface::{ClassSlot, Idempotency, PolicyConfig, PolicyInput, QueryClass};
-use alderway_deployment::live::Settings;
+use alderway_deployment::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -31,7 +31,7 @@
 impl ClassRules {
     /// All query classes of some settings, in their order.
     pub fn all(settings: &Settings) -> Vec<ClassRules> {
-        let classes = settings.names.iter().zip(&settings.terms.query_classes);
+        let classes = settings.class_names.iter().zip(&settings.policy.query_classes);
         let rules = |(name, class): (&String, &QueryClass)| ClassRules {
             name: name.clone(),
             idempotency: class.idempotency,
@@ -85,7 +85,7 @@
 impl ClassTable {
     /// What a policy that starts now is started with.
     pub fn policy_config(&self) -> Option<&PolicyConfig> {
-        Some(&self.current.as_ref()?.settings.terms)
+        Some(&self.current.as_ref()?.settings.policy)
     }
 
     /// The configuration in force.
@@ -120,7 +120,7 @@
 
     /// Gives each class the slot of its order, as at the start.
     pub fn reset(&mut self, generation: Arc<ConfigGeneration>) {
-        self.classes_by_slot = generation.settings.terms.query_classes.iter().cloned().enumerate().collect();
+        self.classes_by_slot = generation.settings.policy.query_classes.iter().cloned().enumerate().collect();
         self.newest_slots = None;
         self.retiring_slots.clear();
         self.free_slots.clear();
@@ -147,7 +147,7 @@
     fn assign_slots(&mut self, generation: &ConfigGeneration, rules: &mut Vec<ClassRules>) -> Vec<ClassSlot> {
         let mut former = self.newest_slots.take().unwrap_or_else(|| (0..rules.len()).collect());
         let (mut assigned, mut superseded) = (vec![], vec![]);
-        let classes = &generation.settings.terms.query_classes;
+        let classes = &generation.settings.policy.query_classes;
         for (new_rules, class) in ClassRules::all(&generation.settings).into_iter().zip(classes) {
             let previous_slot = former.iter().position(|&slot| rules[slot].name == new_rules.name);
             let previous_slot = previous_slot.map(|index| former.remove(index));
@@ -175,7 +175,7 @@
     /// Tells the policy the configurations that it goes by from this round on.
     pub fn notify_changes(&mut self, policy: &mut dyn PolicyInput) {
         for PendingChange { generation, slots } in std::mem::take(&mut self.pending_changes) {
-            policy.change_config(&generation.settings.terms, &slots);
+            policy.change_config(&generation.settings.policy, &slots);
         }
     }
 
