--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -62,7 +62,7 @@
 
 /// Why a router doesn't start with its persisted version: a line for the log.
 #[derive(Debug, Error)]
-pub enum StartupError {
+pub enum UnusableVersion {
     /// There is none that can be read.
     #[error("persisted version {0}; ignored")]
     File(#[from] PersistedVersionError),
--- a/crates/router/src/io/lead.rs
+++ b/crates/router/src/io/lead.rs
@@ -1,13 +1,13 @@
 //! The lead of several cores: follows discovery for all of them, accepts connections and deals them out, watches
 //! over the cores, and sees a reload or a stop through as a program on one core does. It serves no query itself.
-use super::clients::{self, Door};
+use super::acceptor::{self, ConnectionAcceptor};
 use super::core::{self, BEAT, Berth, Phase, Report, Told};
 use super::{arrival, discovery};
-use crate::control;
-use crate::lifecycle::reload::Was;
-use crate::lifecycle::settings::Live;
-use crate::lifecycle::start::Station;
-use crate::lifecycle::{control_settings, reload, stop};
+use crate::control::{self, Subscription};
+use crate::lifecycle::graceful_shutdown;
+use crate::lifecycle::live_config::LiveConfig;
+use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
+use crate::lifecycle::startup::StartupConfig;
 use crate::state::counters::Counters;
 use crate::state::descriptors::{self, DescriptorPermit};
 use crate::state::endpoints::EndpointTable;
@@ -113,21 +113,21 @@
 }
 
 /// Deals connections out to the cores.
-struct Dealer {
+struct ConnectionBalancer {
     shared: Arc<SharedState>,
     crew: Rc<RefCell<Crew>>,
     /// Whom the next word to make room goes to.
     next: RefCell<usize>,
 }
 
-impl Door for Rc<Dealer> {
+impl ConnectionAcceptor for Rc<ConnectionBalancer> {
     fn make_room(&self) {
         let mut next = self.next.borrow_mut();
         *next = (*next + 1) % self.shared.cores.len();
         let _ = self.shared.send_command(*next, CoreCommand::CloseLongestIdle);
     }
 
-    async fn take(&self, stream: TcpStream, held: DescriptorPermit) {
+    async fn accept(&self, stream: TcpStream, held: DescriptorPermit) {
         let Ok(stream) = stream.into_std() else { return };
         let mut order =
             CoreCommand::Serve(TransferredConnection { stream, permit: held, has_sent_request: false });
@@ -162,22 +162,28 @@
 }
 
 /// Runs a router on several cores until SIGTERM has been seen through.
-pub async fn run(station: Station, sharing: MulticoreConfig, clock: Clock) -> io::Result<()> {
-    let Station { path, beside, name, listen, discovery, endpoints, seed, fixed, role, control, .. } =
-        station;
-    let (trunk, room, verticals) = (station.trunk, station.room, station.verticals);
-    let was = Was { path, beside, fixed };
+pub async fn run(
+    config: StartupConfig,
+    control: Option<Subscription>,
+    sharing: MulticoreConfig,
+    clock: Clock,
+) -> io::Result<()> {
+    let previous = PreviousConfig::of(&config);
+    let StartupConfig { name, listen, discovery, endpoints, seed, role, shard_map, .. } = config;
+    let (trunk, room, verticals) =
+        (config.settings.connections, config.settings.admission, config.query_classes);
     let (terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let kept = control.as_ref().map_or(0, |_| control::DESCRIPTORS);
-    let (for_clients, for_nodes) = descriptors::split(station.sockets - kept, station.memory, sharing.cores);
+    let (for_clients, for_nodes) =
+        descriptors::split(config.max_descriptors - kept, config.max_memory_bytes, sharing.cores);
     let (shared, inboxes) = SharedState::new(room.max_open, sharing, PATIENCE);
-    let longest = station.layouts.map(|_| room.max_deadline_s);
-    let live = Live::new(shared.clone(), role, station.settings, station.began, longest);
+    let longest = shard_map.map(|_| room.max_deadline_s);
+    let live = LiveConfig::new(shared.clone(), role, config.settings_json, config.settings, longest);
     let (told, roster_told) = watch::channel(Told::default());
     let (phase, phase_told) = watch::channel(Phase::Serving);
     let (reports, mut came) = mpsc::unbounded_channel();
     let follows = room.polls_endpoints;
-    let (layouts, counters) = (station.layouts, Counters::default());
+    let (layouts, counters) = (shard_map, Counters::default());
     // Guards against a shard's number that the lead has forgotten and a core has not: it takes over what the lead has
     // checked, so the lead remembers for longer than a part can be open.
     let longer = |l: ShardMapConfig| ShardMapConfig {
@@ -202,7 +208,7 @@
             verticals: verticals.clone(),
             layouts,
             seed,
-            settings: live.news(),
+            settings: live.subscribe(),
             for_nodes: for_nodes.clone(),
             orders,
             endpoints: roster_told.clone(),
@@ -227,13 +233,14 @@
     // Where control machines tell the settings, a file at SIGHUP would undo a version unseen.
     let by_file = control.is_none().then(|| live.clone());
     if let Some(subscription) = control {
-        let offer = control_settings::apply_to_running(live.clone());
+        let offer = control::settings::apply_to_running(live.clone());
         control::start(subscription, &name, post::incarnation(), offer, shared.clone(), clock);
     }
-    spawn_local(discovery::run(list.clone(), agent_of(discovery, hangups, was, clock, by_file)));
-    let dealer = Rc::new(Dealer { shared: shared.clone(), crew: crew.clone(), next: RefCell::new(0) });
+    spawn_local(discovery::run(list.clone(), agent_of(discovery, hangups, previous, clock, by_file)));
+    let dealer =
+        Rc::new(ConnectionBalancer { shared: shared.clone(), crew: crew.clone(), next: RefCell::new(0) });
     let close = Rc::new(Notify::new());
-    let listening = spawn_local(clients::listen(dealer, listener, for_clients, close.clone()));
+    let listening = spawn_local(acceptor::listen(dealer, listener, for_clients, close.clone()));
     let balance = Balance::new(cores);
     let mut guard =
         Guard { shared: &shared, clock, list: &list, crew: &crew, balance, looked: Cell::new(clock.now()) };
@@ -241,9 +248,9 @@
     // Whether a core is still there or not, the stop takes no longer than on one core.
     if watched.is_ok() {
         let _ = phase.send(Phase::Stopping);
-        let over = clock.now() + stop::limit(live.longest_deadline()) + 0.3;
+        let over = clock.now() + graceful_shutdown::time_limit_s(live.max_deadline_s()) + 0.3;
         tokio::select! {
-            () = stop::listener_closed(close, listening) => {}
+            () = graceful_shutdown::listener_closed(close, listening) => {}
             () = guard.look_on() => {}
         }
         let _ = phase.send(Phase::Closed);
@@ -268,12 +275,12 @@
 fn agent_of(
     at: SocketAddr,
     hangups: Signals,
-    was: Was,
+    previous: PreviousConfig,
     clock: Clock,
-    live: Option<Live>,
+    live: Option<LiveConfig>,
 ) -> watch::Receiver<SocketAddr> {
     let (agent, moves) = watch::channel(at);
-    spawn_local(async move { reload::at_sighup(hangups, was, agent, clock, live).await });
+    spawn_local(async move { reload_at_sighup(hangups, previous, agent, clock, live).await });
     moves
 }
 
--- a/crates/router/tests/dispatcher/client_connections.rs
+++ b/crates/router/tests/dispatcher/client_connections.rs
@@ -1,7 +1,7 @@
 //! Connections of clients as they are asked to close, in the test's own runtime, where the order of events is sure.
 use crate::common::dispatcher::played;
 use crate::dispatcher;
-use alderway_router::io::clients;
+use alderway_router::io::acceptor;
 use alderway_router::state::clients::ClientTable;
 use alderway_router::state::descriptors;
 use alderway_router::state::dispatcher::Dispatcher;
@@ -15,7 +15,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let share = descriptors::split(64, usize::MAX, 1).0;
-    tokio::task::spawn_local(clients::listen(dispatcher.clone(), listener, share, Rc::default()));
+    tokio::task::spawn_local(acceptor::listen(dispatcher.clone(), listener, share, Rc::default()));
     tokio::net::TcpStream::connect(address).await.expect("connected")
 }
 
@@ -51,7 +51,7 @@
         // The runtime has not looked at the listener since.
         let (share, close) = (descriptors::split(64, usize::MAX, 1).0, Rc::new(tokio::sync::Notify::new()));
         close.notify_one();
-        clients::listen(dispatcher, listener, share, close).await;
+        acceptor::listen(dispatcher, listener, share, close).await;
         let mut answer = [0; 200];
         let mut client = tokio::net::TcpStream::from_std(client).expect("a stream");
         let count = client.read(&mut answer).await.expect("an answer");
--- a/crates/router/tests/dispatcher/node_connections.rs
+++ b/crates/router/tests/dispatcher/node_connections.rs
@@ -2,7 +2,7 @@
 use crate::common::dispatcher::{played, send};
 use crate::{dispatcher, endpoints, take, told};
 use alderway::interface::NodeState;
-use alderway_router::io::nodes;
+use alderway_router::io::node_session;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::descriptors;
 use alderway_router::state::queries::Query;
@@ -22,7 +22,7 @@
         let share = descriptors::split(64, usize::MAX, 1).1;
         let _client = take(&mut dispatcher.borrow_mut(), "q", &[1, 2]);
         let dial = send(&mut dispatcher.borrow_mut(), "u", &["q.1"]).remove(0);
-        tokio::task::spawn_local(nodes::run(dispatcher.clone(), dial, share.clone()));
+        tokio::task::spawn_local(node_session::run(dispatcher.clone(), dial, share.clone()));
         let (mut first, _) = node.accept().await.expect("a connection");
         let mut frame = [0; 100];
         assert!(first.read(&mut frame).await.expect("a call") > 0);
@@ -70,7 +70,7 @@
         dispatcher.borrow_mut().open_query(&client, query).expect("taken");
         let dial = send(&mut dispatcher.borrow_mut(), "u", &["r.1"]).remove(0);
         let share = descriptors::split(64, usize::MAX, 1).1;
-        let driver = tokio::task::spawn_local(nodes::run(dispatcher.clone(), dial, share));
+        let driver = tokio::task::spawn_local(node_session::run(dispatcher.clone(), dial, share));
         let _open = silent.accept().await.expect("a connection");
         let ended = tokio::time::timeout(std::time::Duration::from_secs(4), driver).await;
         assert!(ended.is_ok(), "the driver ends by itself, before the call's time-out");
