--- /dev/null
+++ b/crates/router/src/io/connection_balancer.rs
@@ -0,0 +1,55 @@
+//! Spreads accepted connections over the cores.
+use super::acceptor::ConnectionAcceptor;
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::shared::{CoreCommand, SharedState, TransferredConnection};
+use alderway_cores::crew::Crew;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::sleep;
+
+/// Between two attempts to hand over a connection while no core takes any.
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
+
+/// Hands each accepted connection to the core that has the fewest.
+pub struct ConnectionBalancer {
+    shared: Arc<SharedState>,
+    crew: Rc<RefCell<Crew>>,
+    /// The core that was last asked to make room.
+    last_asked: Cell<usize>,
+}
+
+impl ConnectionBalancer {
+    /// Over the cores of `crew`.
+    pub fn new(shared: Arc<SharedState>, crew: Rc<RefCell<Crew>>) -> Rc<Self> {
+        Rc::new(ConnectionBalancer { shared, crew, last_asked: Cell::new(0) })
+    }
+}
+
+impl ConnectionAcceptor for Rc<ConnectionBalancer> {
+    fn make_room(&self) {
+        let core = (self.last_asked.get() + 1) % self.shared.cores.len();
+        self.last_asked.set(core);
+        let _ = self.shared.send_command(core, CoreCommand::CloseLongestIdle);
+    }
+
+    async fn accept(&self, stream: TcpStream, permit: DescriptorPermit) {
+        let Ok(stream) = stream.into_std() else { return };
+        let mut command =
+            CoreCommand::Serve(TransferredConnection { stream, permit, has_sent_request: false });
+        loop {
+            let core = self.crew.borrow_mut().deal();
+            if let Some(core) = core {
+                match self.shared.send_command(core, command) {
+                    Ok(()) => return,
+                    Err(returned) => command = returned,
+                }
+            }
+            // Guards against clients that are turned away while every core hangs or starts anew.
+            // Nobody serves, or all are full: what comes meanwhile waits in the system's queue.
+            sleep(RETRY_PAUSE).await;
+        }
+    }
+}
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -2,18 +2,17 @@
 //! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
 //! tells the lead, which has it start anew.
 use super::acceptor::{self, ConnectionAcceptor};
+use super::endpoint_publisher::EndpointSnapshot;
 use super::rounds;
 use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
 use crate::state::dispatcher::{ClassRules, Dispatcher, ShutdownPhase};
-use crate::state::endpoints::Endpoint;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shard_map::{ShardMapConfig, ShardMapView};
 use crate::state::shared::{CoreCommand, ObservationMessage, SharedState};
 use alderway_cores::board::Board;
 use alderway_deployment::{AdmissionConfig, ConnectionConfig};
-use alderway_layouts::layout::Layout;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log;
 use nix::time::{ClockId, clock_gettime};
@@ -30,21 +29,11 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-/// How often a core says how it is.
-pub const BEAT: Duration = Duration::from_millis(50);
+/// How often a core tells how it is.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 /// How long the last answers of a core that failed may take to go out.
 const FAREWELL: Duration = Duration::from_millis(200);
 
-/// The endpoint list as the lead tells it to the cores.
-#[derive(Clone, Default)]
-pub struct Told {
-    pub number: u64,
-    pub entries: Arc<Vec<Endpoint>>,
-    pub layout: Option<Layout>,
-    /// How often following has failed.
-    pub failures: u64,
-}
-
 /// How far the program is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
@@ -55,72 +44,78 @@
 }
 
 /// What a core tells the lead.
-pub enum Report {
+pub enum CoreReport {
     Failed(usize, String),
     Ended(usize),
 }
 
 /// What a core starts with, and again after a failure.
-pub struct Berth {
+pub struct CoreSlot {
     pub core: usize,
     pub shared: Arc<SharedState>,
     pub clock: Clock,
-    pub trunk: ConnectionConfig,
-    pub room: AdmissionConfig,
-    pub verticals: Vec<ClassRules>,
-    pub layouts: Option<ShardMapConfig>,
+    pub connections: ConnectionConfig,
+    pub admission: AdmissionConfig,
+    pub query_classes: Vec<ClassRules>,
+    pub shard_map: Option<ShardMapConfig>,
     /// The start of the module's chance, and the settings, of which the newest hold.
     pub seed: u64,
-    pub settings: watch::Receiver<Arc<ConfigGeneration>>,
+    pub config_updates: watch::Receiver<Arc<ConfigGeneration>>,
     pub for_nodes: Arc<DescriptorPool>,
-    pub orders: mpsc::Receiver<CoreCommand>,
-    pub endpoints: watch::Receiver<Told>,
+    pub commands: mpsc::Receiver<CoreCommand>,
+    pub endpoints: watch::Receiver<EndpointSnapshot>,
     pub phase: watch::Receiver<Phase>,
-    pub reports: mpsc::UnboundedSender<Report>,
+    pub reports: mpsc::UnboundedSender<CoreReport>,
     /// The lead's leave to start again.
-    pub again: mpsc::Receiver<()>,
+    pub restart_permits: mpsc::Receiver<()>,
 }
 
 /// Runs until the program stops, through failures.
-pub fn run(mut berth: Berth) {
-    log::set_thread_core(berth.core);
-    let mut gossip = berth.shared.subscribe_observations();
+pub fn run(mut slot: CoreSlot) {
+    log::set_thread_core(slot.core);
+    let mut gossip = slot.shared.subscribe_observations();
     let mut board = Board::default();
     loop {
         let why = match Builder::new_current_thread().enable_all().build() {
-            Ok(runtime) => match life(&runtime, &mut berth, &mut gossip, &mut board) {
+            Ok(runtime) => match life(&runtime, &mut slot, &mut gossip, &mut board) {
                 Ok(()) => break,
                 Err(why) => why,
             },
             Err(why) => format!("no runtime ({why})"),
         };
-        if berth.reports.send(Report::Failed(berth.core, why)).is_err()
-            || berth.again.blocking_recv().is_none()
+        if slot.reports.send(CoreReport::Failed(slot.core, why)).is_err()
+            || slot.restart_permits.blocking_recv().is_none()
         {
             return;
         }
     }
-    let _ = berth.reports.send(Report::Ended(berth.core));
+    let _ = slot.reports.send(CoreReport::Ended(slot.core));
 }
 
 /// One life: from an empty dispatcher to the end of the program, or to a failure and its last answers. What it counted
 /// and what others had told it outlive it.
 fn life(
     runtime: &Runtime,
-    berth: &mut Berth,
+    slot: &mut CoreSlot,
     gossip: &mut Option<Gossip<ObservationMessage>>,
     board: &mut Board,
 ) -> Result<(), String> {
     let local = LocalSet::new();
-    let (shared, core) = (berth.shared.clone(), berth.core);
-    let mut dispatcher =
-        Dispatcher::on(shared, core, berth.clock, berth.trunk, berth.room, berth.verticals.clone());
-    dispatcher.counters = berth.shared.cores[core].metrics.borrow().counters.clone();
+    let (shared, core) = (slot.shared.clone(), slot.core);
+    let mut dispatcher = Dispatcher::on(
+        shared,
+        core,
+        slot.clock,
+        slot.connections,
+        slot.admission,
+        slot.query_classes.clone(),
+    );
+    dispatcher.counters = slot.shared.cores[core].metrics.borrow().counters.clone();
     dispatcher.observations = std::mem::take(board);
-    dispatcher.shard_map = berth.layouts.map(ShardMapView::new);
-    dispatcher.subscribe_config(berth.settings.clone());
+    dispatcher.shard_map = slot.shard_map.map(ShardMapView::new);
+    dispatcher.subscribe_config(slot.config_updates.clone());
     let dispatcher = Rc::new(RefCell::new(dispatcher));
-    let lived = catch_unwind(AssertUnwindSafe(|| local.block_on(runtime, tend(&dispatcher, berth, gossip))));
+    let lived = catch_unwind(AssertUnwindSafe(|| local.block_on(runtime, tend(&dispatcher, slot, gossip))));
     let why = match lived {
         Ok(Ok(())) => return Ok(()),
         Ok(Err(why)) => why,
@@ -141,7 +136,7 @@
             })
             .await;
         });
-        say(&dispatcher, berth, None);
+        say(&dispatcher, slot, None);
         *board = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
     // Connections and queries that are left go with their tasks, and what they held of the shared state with them.
@@ -173,9 +168,9 @@
 }
 
 /// Says how this core is, for the lead and for whoever asks another core for the counters.
-fn say(dispatcher: &DispatcherHandle, berth: &Berth, work: Option<&mut Work>) {
+fn say(dispatcher: &DispatcherHandle, slot: &CoreSlot, work: Option<&mut Work>) {
     let (now, core_state, dispatcher) =
-        (berth.clock.now(), &berth.shared.cores[berth.core], dispatcher.borrow());
+        (slot.clock.now(), &slot.shared.cores[slot.core], dispatcher.borrow());
     core_state.client_count.store(dispatcher.clients.len(), Relaxed);
     if let Some(work) = work {
         core_state.active_clients.store(dispatcher.clients.take_active_count(), Relaxed);
@@ -188,30 +183,30 @@
 /// Tends a core until the stop is seen through, or something of it has failed.
 async fn tend(
     dispatcher: &DispatcherHandle,
-    berth: &mut Berth,
+    slot: &mut CoreSlot,
     gossip: &mut Option<Gossip<ObservationMessage>>,
 ) -> Result<(), String> {
-    adopt(dispatcher, &berth.endpoints.borrow_and_update().clone());
+    adopt(dispatcher, &slot.endpoints.borrow_and_update().clone());
     dispatcher.borrow_mut().endpoints.is_replaced = true;
     dispatcher.borrow_mut().replay_observations();
-    let module = rounds::newest(dispatcher, berth.seed);
-    let mut rounds = spawn_local(rounds::run(dispatcher.clone(), module, berth.for_nodes.clone()));
-    let mut failures = berth.endpoints.borrow().failures;
+    let module = rounds::newest(dispatcher, slot.seed);
+    let mut rounds = spawn_local(rounds::run(dispatcher.clone(), module, slot.for_nodes.clone()));
+    let mut failures = slot.endpoints.borrow().failures;
     let mut stopping: Option<JoinHandle<()>> = None;
     // A core that starts anew in the midst of a stop hears of it as of news.
-    berth.phase.mark_changed();
-    let mut beats = interval(BEAT);
+    slot.phase.mark_changed();
+    let mut beats = interval(HEARTBEAT_INTERVAL);
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut work = Work { at: berth.clock.now(), cpu: Work::cpu(), busy: 0.0 };
+    let mut work = Work { at: slot.clock.now(), cpu: Work::cpu(), busy: 0.0 };
     loop {
         tokio::select! {
             biased;
             // First of all the endpoint list: after a pause nothing new goes out before it (the fence sees to that).
-            changed = berth.endpoints.changed() => {
+            changed = slot.endpoints.changed() => {
                 if changed.is_err() {
                     return Err("the lead is gone".into());
                 }
-                let told = berth.endpoints.borrow_and_update().clone();
+                let told = slot.endpoints.borrow_and_update().clone();
                 adopt(dispatcher, &told);
                 if std::mem::replace(&mut failures, told.failures) != told.failures {
                     dispatcher.borrow_mut().endpoint_poll_failed();
@@ -222,10 +217,10 @@
                 _ => "its rounds panicked".into(),
             }),
             // The round takes them over.
-            Ok(()) = berth.settings.changed() => dispatcher.borrow().work_ready.notify_one(),
-            changed = berth.phase.changed(), if stopping.is_none() => {
-                if changed.is_ok() && *berth.phase.borrow_and_update() != Phase::Serving {
-                    let closed = closed(berth.phase.clone());
+            Ok(()) = slot.config_updates.changed() => dispatcher.borrow().work_ready.notify_one(),
+            changed = slot.phase.changed(), if stopping.is_none() => {
+                if changed.is_ok() && *slot.phase.borrow_and_update() != Phase::Serving {
+                    let closed = closed(slot.phase.clone());
                     stopping = Some(spawn_local(graceful_shutdown::shut_down(dispatcher.clone(), closed)));
                 }
             }
@@ -233,7 +228,7 @@
                 seen.map_err(|_| "its stop panicked".to_string())?;
                 // Guards against connections that were dealt to this core in the moment in which it had none left.
                 let mut late = false;
-                while let Ok(order) = berth.orders.try_recv() {
+                while let Ok(order) = slot.commands.try_recv() {
                     late = true;
                     carry_out(dispatcher, order);
                 }
@@ -241,13 +236,13 @@
                     stopping = Some(spawn_local(graceful_shutdown::end_late_connections(dispatcher.clone())));
                     continue;
                 }
-                say(dispatcher, berth, None);
+                say(dispatcher, slot, None);
                 return Ok(());
             }
-            Some(order) = berth.orders.recv() => carry_out(dispatcher, order),
+            Some(order) = slot.commands.recv() => carry_out(dispatcher, order),
             word = heard(gossip) => {
                 if let ControlFlow::Continue(word) = word {
-                    if word.core != berth.core {
+                    if word.core != slot.core {
                         dispatcher.borrow_mut().remote_observation(word);
                     }
                 } else {
@@ -257,14 +252,14 @@
             _ = beats.tick() => {
                 let mut held = dispatcher.borrow_mut();
                 held.recheck_fence();
-                let now = berth.clock.now();
+                let now = slot.clock.now();
                 let Dispatcher { observations: board, endpoints, .. } = &mut *held;
                 board.sweep(now, |node| endpoints.nodes.contains_key(node));
-                if berth.for_nodes.pool.is_short() {
+                if slot.for_nodes.pool.is_short() {
                     endpoints.retire_longest_idle();
                 }
                 drop(held);
-                say(dispatcher, berth, Some(&mut work));
+                say(dispatcher, slot, Some(&mut work));
                 #[cfg(feature = "faults")]
                 play(dispatcher.borrow_mut().injected_fault.take());
             }
@@ -302,7 +297,7 @@
     let _ = phase.wait_for(|phase| *phase == Phase::Closed).await;
 }
 
-fn adopt(dispatcher: &DispatcherHandle, told: &Told) {
+fn adopt(dispatcher: &DispatcherHandle, told: &EndpointSnapshot) {
     let mut dispatcher = dispatcher.borrow_mut();
     if told.number > dispatcher.endpoints_generation {
         dispatcher.endpoints.adopt(&told.entries);
--- /dev/null
+++ b/crates/router/src/io/core_supervisor.rs
@@ -0,0 +1,155 @@
+//! Watches over the cores of a program by their heartbeats and reports.
+use super::core::{CoreReport, HEARTBEAT_INTERVAL};
+use super::endpoint_publisher::EndpointPublisher;
+use crate::state::shared::{CoreCommand, CoreState, MetricsSnapshot, SharedState};
+use alderway_cores::balance::{Balance, Load};
+use alderway_cores::crew::{Change, Crew, State};
+use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::Relaxed;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
+
+/// Watches over the cores: starts failed ones anew, finds those that hang, and evens out their load.
+pub struct CoreSupervisor {
+    shared: Arc<SharedState>,
+    clock: Clock,
+    publisher: Rc<RefCell<EndpointPublisher>>,
+    crew: Rc<RefCell<Crew>>,
+    balance: Balance,
+    /// What the cores report.
+    reports: mpsc::UnboundedReceiver<CoreReport>,
+    /// Lets each core start again after a failure.
+    restarts: Vec<mpsc::Sender<()>>,
+    /// When the cores were last looked at.
+    looked_at: Cell<f64>,
+}
+
+impl CoreSupervisor {
+    /// Over the cores of `crew`, each of which has an entry in `restarts`.
+    pub fn new(
+        shared: Arc<SharedState>,
+        clock: Clock,
+        publisher: Rc<RefCell<EndpointPublisher>>,
+        crew: Rc<RefCell<Crew>>,
+        reports: mpsc::UnboundedReceiver<CoreReport>,
+        restarts: Vec<mpsc::Sender<()>>,
+    ) -> Self {
+        let (balance, looked_at) = (Balance::new(restarts.len()), Cell::new(clock.now()));
+        CoreSupervisor { shared, clock, publisher, crew, balance, reports, restarts, looked_at }
+    }
+
+    /// Watches until SIGTERM.
+    ///
+    /// # Errors
+    /// No core is left that will ever serve.
+    pub async fn watch(&mut self, mut terminations: Signals) -> io::Result<()> {
+        let mut looks = interval(HEARTBEAT_INTERVAL);
+        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            tokio::select! {
+                biased;
+                _ = terminations.recv() => return Ok(()),
+                Some(report) = self.reports.recv() => {
+                    if let CoreReport::Failed(core, why) = report {
+                        tracing::error!(target: "failure", "core {core}: {why}");
+                        let change = self.crew.borrow_mut().failed(core, self.clock.now());
+                        change.iter().for_each(log_change);
+                    }
+                }
+                _ = looks.tick() => {
+                    let starts = self.crew.borrow_mut().starts(self.clock.now());
+                    for core in starts {
+                        let _ = self.restarts[core].try_send(());
+                    }
+                    self.look();
+                }
+            }
+            if self.crew.borrow().is_lost() {
+                return Err(io::Error::other("every core has failed too often"));
+            }
+        }
+    }
+
+    /// Goes on looking at the cores while connections are still accepted in a shutdown: one that was silent may beat again.
+    pub async fn look_on(&self) {
+        loop {
+            sleep(HEARTBEAT_INTERVAL).await;
+            self.see_beats().iter().for_each(log_change);
+        }
+    }
+
+    /// Waits until the cores that are still there have shut down, until a time at the latest; how many have not.
+    pub async fn wait_for_shutdown(&mut self, until: f64) -> usize {
+        let is_there = |state| !matches!(state, State::Failed(_) | State::Lost);
+        let mut left = self.crew.borrow().count(is_there);
+        while left > 0 && self.clock.now() < until {
+            let remaining = Duration::from_secs_f64((until - self.clock.now()).max(0.0));
+            match timeout(remaining, self.reports.recv()).await {
+                Ok(Some(CoreReport::Ended(_) | CoreReport::Failed(..))) => left -= 1,
+                _ => break,
+            }
+        }
+        left
+    }
+
+    /// Takes in how the cores have beaten, and finds those that hang.
+    fn see_beats(&self) -> Vec<Change> {
+        let (now, mut crew) = (self.clock.now(), self.crew.borrow_mut());
+        let mut changes = vec![];
+        for (core, core_state) in self.shared.cores.iter().enumerate() {
+            let at = core_state.heartbeat_ms.load(Relaxed) as f64 / 1e3;
+            changes.extend(crew.beat(core, at, core_state.client_count.load(Relaxed)));
+        }
+        crew.lead_paused(self.looked_at.replace(now), now);
+        changes.extend(crew.look(now));
+        changes
+    }
+
+    fn look(&mut self) {
+        let changes = self.see_beats();
+        let (now, crew) = (self.clock.now(), self.crew.borrow());
+        let counters = self.publisher.borrow().counters.clone();
+        self.shared.acceptor_metrics.send_replace(Arc::new(MetricsSnapshot { counters, gauges: vec![] }));
+        changes.iter().for_each(log_change);
+        self.shared.cores_serving.store(crew.serving(), Relaxed);
+        self.shared.cores_hung.store(crew.count(|s| matches!(s, State::Hung(_))), Relaxed);
+        self.shared.cores_lost.store(crew.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
+        let load = |(core, core_state): (usize, &CoreState)| Load {
+            busy: core_state.busy_permille.load(Relaxed) as f64 / 1e3,
+            active: core_state.active_clients.load(Relaxed),
+            serving: crew.state(core) == State::Serving,
+        };
+        let loads: Vec<Load> = self.shared.cores.iter().enumerate().map(load).collect();
+        if let Some(going) = self.balance.next(now, &loads) {
+            let (from, to, connections) = (going.from, going.to, going.connections);
+            tracing::info!(
+                target: "balance",
+                "core {from} ({:.2} busy) gives {connections} connections to core {to} ({:.2} busy)",
+                loads[from].busy,
+                loads[to].busy
+            );
+            let _ = self.shared.send_command(from, CoreCommand::GiveAway { to, connections });
+        }
+    }
+}
+
+fn log_change(change: &Change) {
+    let Change { core, state, serving } = change;
+    match state {
+        State::Serving => tracing::info!(target: "cores", "core {core} serves; {serving} serve"),
+        State::Starting => tracing::info!(target: "cores", "core {core} starts; {serving} serve"),
+        State::Hung(since) => {
+            tracing::error!(target: "cores", "core {core} hangs since {since:.3}; {serving} serve")
+        }
+        State::Failed(_) => tracing::error!(target: "cores", "core {core} failed; {serving} serve"),
+        State::Lost => {
+            tracing::error!(target: "cores", "core {core} failed too often and stays out; {serving} serve");
+        }
+    }
+}
--- a/crates/router/src/io/mod.rs
+++ b/crates/router/src/io/mod.rs
@@ -2,9 +2,11 @@
 pub mod acceptor;
 pub mod arrival;
 mod client_session;
+pub mod connection_balancer;
 pub mod core;
+pub mod core_supervisor;
 pub mod discovery;
-pub mod lead;
+pub mod endpoint_publisher;
 pub mod node_session;
 pub mod rounds;
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,7 +1,9 @@
 //! Runs a program as it was started: a router on one core in this thread, a router on several cores, or a planner.
+mod several_cores;
+
 use crate::control::{self, Subscription};
 use crate::gossip::{self, Circle};
-use crate::io::{acceptor, arrival, discovery, lead, rounds};
+use crate::io::{acceptor, arrival, discovery, rounds};
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::live_config::LiveConfig;
 use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
@@ -44,7 +46,7 @@
     if config.role == Role::Planner {
         local.block_on(&runtime, post::run(config, clock))
     } else if multicore.cores > 1 {
-        local.block_on(&runtime, lead::run(config, subscription, multicore, clock))
+        local.block_on(&runtime, several_cores::run(config, subscription, multicore, clock))
     } else {
         local.block_on(&runtime, run_on_one_core(config, subscription, multicore, clock))
     }
@@ -83,12 +85,7 @@
     live_config.attach(Box::new(move |name| counting.borrow_mut().counters.increment(name)), None);
     let (discovery, discovery_address) = watch::channel(discovery);
     spawn_local(discovery::run(dispatcher.clone(), discovery_address));
-    // Where the control plane governs the settings, a reload would undo a version unseen.
-    let reloadable = subscription.is_none().then(|| live_config.clone());
-    if let Some(subscription) = subscription {
-        let apply = control::to_running(live_config.clone());
-        control::start(subscription, &name, post::incarnation(), apply, shared, clock);
-    }
+    let reloadable = subscribe(subscription, &live_config, &name, shared, clock);
     spawn_local(reload_at_sighup(hangups, previous, discovery, clock, reloadable));
 
     let close = Rc::default();
@@ -103,6 +100,21 @@
     Ok(())
 }
 
+/// Subscribes to the control plane, if the operator's file names it. Returns what a reload may change: nothing where the
+/// control plane governs the settings, as a file would undo a version unseen.
+fn subscribe(
+    subscription: Option<Subscription>,
+    live_config: &LiveConfig,
+    name: &str,
+    shared: Arc<SharedState>,
+    clock: Clock,
+) -> Option<LiveConfig> {
+    let Some(subscription) = subscription else { return Some(live_config.clone()) };
+    let apply = control::to_running(live_config.clone());
+    control::start(subscription, name, post::incarnation(), apply, shared, clock);
+    None
+}
+
 /// Descriptors for clients and for data nodes, after those for gossip and the control plane.
 fn split_descriptors(
     config: &StartupConfig,
