--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -7,10 +7,10 @@
 use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::Terms;
-use alderway_router::control::{Subscription, persisted_version};
+use alderway_router::control::Subscription;
 use alderway_router::gossip::{Circle, Members};
 use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
-use alderway_router::server::serve;
+use alderway_router::server::{control_settings, serve};
 use alderway_router::state::descriptors;
 use alderway_router::state::shard_map::ShardMapConfig;
 use alderway_router::state::shared::MulticoreConfig;
@@ -108,7 +108,7 @@
 fn subscription(operator: &Operator) -> Option<Subscription> {
     let said = operator.subscription.as_ref()?;
     let (zone, keep) = (said.zone.clone(), said.keep.clone().map(PathBuf::from));
-    let terms = SubscriptionConfig {
+    let config = SubscriptionConfig {
         heartbeat_timeout_s: said.silent,
         stale_after_s: said.old,
         ..SubscriptionConfig::default()
@@ -120,10 +120,10 @@
     Some(Subscription {
         machines: machines.collect(),
         zone,
-        terms,
+        config,
         persist_path: keep,
         persisted: None,
-        load_error: None,
+        startup_error: None,
     })
 }
 
@@ -139,7 +139,7 @@
         return Ok((StartupConfig::read(&files.config, overrides, clock)?, None));
     };
     let (config, subscription) =
-        persisted_version::startup_config(subscription, &files.config, clock, router_count)?;
+        control_settings::read_startup_config(subscription, &files.config, clock, router_count)?;
     Ok((config, Some(subscription)))
 }
 
@@ -255,7 +255,7 @@
         ("discovery", config.discovery.to_string()),
         ("data nodes known", config.endpoints.nodes.len().to_string()),
         ("verticals", config.query_classes.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
-        ("queries and parts held", config.settings.intake.max_open.to_string()),
+        ("queries and parts held", config.settings.admission.max_open.to_string()),
         ("descriptors", config.max_descriptors.to_string()),
         ("memory", format!("{} MiB", config.max_memory_bytes / 1024 / 1024)),
         ("cores", sharing.cores.to_string()),
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -5,8 +5,9 @@
 use crate::state::DispatcherHandle;
 use crate::state::clients::ClientConnection;
 use crate::state::descriptors::DescriptorPermit;
-use crate::state::dispatcher::ShutdownPhase;
+use crate::state::dispatcher::Handover;
 use crate::state::shared::{CoreCommand, TransferredConnection};
+use crate::state::shutdown_phase::ShutdownPhase;
 use crate::wire::answer;
 use crate::wire::buffer::Buffer;
 use crate::wire::http::{MESSAGE, Messages, Refusal};
@@ -281,16 +282,19 @@
         }
     }
 
+    /// Whether bytes wait to be written, those of a response that has just come among them.
+    fn has_output(&self) -> bool {
+        answer::encode_pending(self.client);
+        !self.client.output.borrow().is_empty()
+    }
+
     fn closed_while_idle(&self) -> CloseReason {
         if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NeverAsked }
     }
 
     /// Takes the requests that have come, one at a time: the next waits unread until the answer is out.
     fn take_requests(&mut self) {
-        while !self.is_unreadable
-            && self.client.open_query.get().is_none()
-            && self.client.output.borrow().is_empty()
-        {
+        while !self.is_unreadable && self.client.open_query.get().is_none() && !self.has_output() {
             match self.messages.find(&mut self.buffer) {
                 Ok(true) => self.take_request(),
                 Ok(false) => {
@@ -333,10 +337,10 @@
 
     /// Writes what the socket takes of the answer, if there is one.
     fn write_answer(&mut self) -> ControlFlow<CloseReason, Progress> {
-        let mut output = self.client.output.borrow_mut();
-        if output.is_empty() {
+        if !self.has_output() {
             return ControlFlow::Continue(Progress::NothingToWrite);
         }
+        let mut output = self.client.output.borrow_mut();
         self.client.was_served.set(true);
         match self.sender.write(self.stream, &output[self.written_bytes..]) {
             Ok(count) => {
@@ -387,7 +391,7 @@
     /// requests.
     fn core_to_move_to(&self) -> Option<usize> {
         let is_between_requests = self.client.open_query.get().is_none()
-            && self.client.output.borrow().is_empty()
+            && !self.has_output()
             && !self.is_unreadable
             && self.buffer.is_empty()
             && self.client.has_sent_request.get();
@@ -399,15 +403,15 @@
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
-        let (core, left) = dispatcher.handover.filter(|(_, left)| *left > 0)?;
-        dispatcher.handover = Some((core, left - 1));
-        Some(core)
+        let Handover { to, connections } = dispatcher.handover.filter(|handover| handover.connections > 0)?;
+        dispatcher.handover = Some(Handover { to, connections: connections - 1 });
+        Some(to)
     }
 
     /// What the session waits for from `now` on, and until when.
     fn waiting(&mut self, now: f64) -> Waiting {
         let has_open_query = self.client.open_query.get().is_some();
-        let is_writing = !self.client.output.borrow().is_empty();
+        let is_writing = self.has_output();
         let is_idle = !has_open_query && !is_writing;
         let is_half_sent = is_idle && !self.buffer.is_empty();
         let times = &mut self.times;
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -7,10 +7,11 @@
 use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
-use crate::state::dispatcher::{ClassRules, Dispatcher, ShutdownPhase};
-use crate::state::query_classes::ConfigGeneration;
+use crate::state::dispatcher::{Dispatcher, Handover};
+use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use crate::state::shard_map::{ShardMapConfig, ShardMapView};
 use crate::state::shared::{CoreCommand, ObservationMessage, SharedState};
+use crate::state::shutdown_phase::ShutdownPhase;
 use alderway_cores::board::Board;
 use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_telemetry::clock::Clock;
@@ -102,7 +103,7 @@
 ) -> Result<(), String> {
     let local = LocalSet::new();
     let (shared, core) = (slot.shared.clone(), slot.core);
-    let mut dispatcher = Dispatcher::on(
+    let mut dispatcher = Dispatcher::for_core(
         shared,
         core,
         slot.clock,
@@ -190,7 +191,7 @@
     dispatcher.borrow_mut().endpoints.is_replaced = true;
     dispatcher.borrow_mut().replay_observations();
     let module = rounds::newest(dispatcher, slot.seed);
-    let mut rounds = spawn_local(rounds::run(dispatcher.clone(), module, slot.for_nodes.clone()));
+    let mut rounds = spawn_local(rounds::run(dispatcher.clone(), None, module, slot.for_nodes.clone()));
     let mut failures = slot.endpoints.borrow().failures;
     let mut stopping: Option<JoinHandle<()>> = None;
     // A core that starts anew in the midst of a stop hears of it as of news.
@@ -319,7 +320,7 @@
     match order {
         CoreCommand::Serve(connection) => acceptor::take_over(dispatcher, connection),
         CoreCommand::GiveAway { to, connections } => {
-            dispatcher.borrow_mut().handover = Some((to, connections))
+            dispatcher.borrow_mut().handover = Some(Handover { to, connections })
         }
         CoreCommand::CloseLongestIdle => dispatcher.make_room(),
     }
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -1,7 +1,8 @@
 //! Watches over the cores of a program by their heartbeats and reports.
 use super::core::{CoreReport, HEARTBEAT_INTERVAL};
 use super::endpoint_publisher::EndpointPublisher;
-use crate::state::shared::{CoreCommand, CoreState, MetricsSnapshot, SharedState};
+use crate::state::metrics::MetricsSnapshot;
+use crate::state::shared::{CoreCommand, CoreState, SharedState};
 use alderway_cores::balance::{Balance, Load};
 use alderway_cores::crew::{Change, Crew, State};
 use alderway_sockets::signals::Signals;
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -3,8 +3,8 @@
 use super::{arrival, rounds, until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
-use crate::state::dispatcher::Dial;
-use crate::state::node_connection::NodeConnection;
+use crate::state::node_connection::{Dial, NodeConnection};
+use crate::state::node_protocol::NodeReply;
 use crate::wire::buffer::Buffer;
 use crate::wire::{Fault, frames};
 use alderway::interface::AttemptOutcome;
@@ -415,8 +415,9 @@
                 return Err(CorruptedFrame { problem: "a reply with an unknown ending", shard_request });
             }
         };
-        let mut dispatcher = self.dispatcher.borrow_mut();
-        if !dispatcher.reply_received(self.node, self.connection, shard_request, outcome, report, value) {
+        let report = frames::shard_report(report);
+        let reply = NodeReply { request_id: shard_request, outcome, report, value };
+        if !self.dispatcher.borrow_mut().reply_received(self.node, self.connection, &reply) {
             return Err(CorruptedFrame::unnamed("a reply for a part not asked for"));
         }
         Ok(())
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -8,7 +8,7 @@
 //!    after their answer.
 //! 3. Rejecting, once all clients are gone or the time is over: open queries fail, and their answers go out.
 use crate::state::DispatcherHandle;
-use crate::state::dispatcher::ShutdownPhase;
+use crate::state::shutdown_phase::ShutdownPhase;
 use alderway_sockets::signals::Signals;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -4,7 +4,7 @@
 use super::startup::Role;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shared::SharedState;
-use alderway_deployment::live::{self, Changes, Settings};
+use alderway_deployment::{Changes, Settings, changes};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -55,10 +55,10 @@
 /// # Errors
 /// A key is at fault, or differs and only changes with a start.
 pub fn check(settings: &Value, in_force: Option<&Value>) -> Result<CheckedSettings, ConfigError> {
-    let parsed = live::settings(settings).map_err(ConfigError::Invalid)?;
-    let changes = in_force.map_or(Changes::default(), |in_force| live::changes(in_force, settings));
-    if !changes.fixed.is_empty() {
-        return Err(ConfigError::RestartRequired(changes.fixed.into_iter().map(str::to_string).collect()));
+    let parsed = Settings::read(settings).map_err(|error| ConfigError::Invalid(error.to_string()))?;
+    let changes = in_force.map_or(Changes::default(), |in_force| changes(in_force, settings));
+    if !changes.restart.is_empty() {
+        return Err(ConfigError::RestartRequired(changes.restart.into_iter().map(str::to_string).collect()));
     }
     Ok(CheckedSettings { settings: parsed, changed_keys: changes.live })
 }
@@ -100,7 +100,7 @@
             role,
             max_deadline_limit_s,
             in_force: RefCell::new(Arc::new(settings_json)),
-            max_deadline_s: Cell::new(settings.intake.max_deadline_s),
+            max_deadline_s: Cell::new(settings.admission.max_deadline_s),
             updates: watch::channel(Arc::new(ConfigGeneration { serial: 0, settings })).0,
             increment_counter: RefCell::new(None),
             is_serving: RefCell::new(None),
@@ -167,7 +167,7 @@
             return Err(ConfigError::RestartRequired(vec!["settings".into()]));
         }
         let checked = check(settings, Some(&self.in_force()))?;
-        let max_deadline_s = checked.settings.intake.max_deadline_s;
+        let max_deadline_s = checked.settings.admission.max_deadline_s;
         if self.0.max_deadline_limit_s.is_some_and(|limit_s| max_deadline_s > limit_s) {
             return Err(ConfigError::RestartRequired(vec!["Services[].DeadlineUs".into()]));
         }
@@ -176,7 +176,7 @@
 
     /// Hands settings to every core; the serial by which a core says that it has taken them over.
     fn publish(&self, settings: Settings) -> u64 {
-        let longest_s = self.0.max_deadline_s.get().max(settings.intake.max_deadline_s);
+        let longest_s = self.0.max_deadline_s.get().max(settings.admission.max_deadline_s);
         self.0.max_deadline_s.set(longest_s);
         let serial = self.0.updates.borrow().serial + 1;
         self.0.updates.send_replace(Arc::new(ConfigGeneration { serial, settings }));
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,11 +1,11 @@
 //! What a program starts with: the configuration file that `PROXY_CONFIG` names, read, checked and given defaults in this one
 //! place. Each error names the key that is at fault.
 use crate::gossip::Circle;
-use crate::state::dispatcher::ClassRules;
 use crate::state::endpoints::EndpointTable;
+use crate::state::query_classes::ClassRules;
 use crate::state::shard_map::ShardMapConfig;
 use crate::wire::discovery;
-use alderway_deployment::live::{self, Settings};
+use alderway_deployment::Settings;
 use alderway_telemetry::clock::Clock;
 use serde_json::Value;
 use std::io;
@@ -161,7 +161,7 @@
         let settings_json = keys.settings_json()?;
         let mut settings = parse_settings(settings_json)?;
         if let Some(router_count) = overrides.router_count {
-            settings.terms.router_count = router_count as usize;
+            settings.policy.router_count = router_count as usize;
         }
         Ok(StartupConfig {
             path: path.to_path_buf(),
@@ -187,7 +187,7 @@
 const FIXED_KEYS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
 fn parse_settings(json: &Value) -> Result<Settings, StartupError> {
-    live::settings(json).map_err(|why| StartupError::key("settings", format!("expected {why}")))
+    Settings::read(json).map_err(|why| StartupError::key("settings", format!("expected {why}")))
 }
 
 /// Reads the keys of a configuration file. Some may be absent where an environment variable stands in for them.
--- /dev/null
+++ b/crates/router/src/server/control_settings.rs
@@ -0,0 +1,66 @@
+//! Settings from control servers, at the start and while the router serves.
+use crate::control::persisted_version::{self, PersistedVersion};
+use crate::control::{ApplySettings, Subscription};
+use crate::lifecycle::live_config::{ConfigError, LiveConfig};
+use crate::lifecycle::startup::{Overrides, StartupConfig, StartupError};
+use alderway_control_plane::messages::ApplyOutcome;
+use alderway_telemetry::clock::Clock;
+use serde_json::Value;
+use std::path::Path;
+
+/// What a subscribed router starts with: the configuration file, with the persisted version in the place of its settings
+/// where there is one that this program accepts.
+///
+/// # Errors
+/// The configuration file cannot be used.
+pub fn read_startup_config(
+    mut subscription: Subscription,
+    config: &Path,
+    clock: Clock,
+    router_count: Option<u64>,
+) -> Result<(StartupConfig, Subscription), StartupError> {
+    match read_persisted(&subscription, config, clock, router_count) {
+        Ok(Some((persisted, config))) => {
+            subscription.persisted = Some(persisted);
+            return Ok((config, subscription));
+        }
+        Ok(None) => {}
+        Err(error) => subscription.startup_error = Some(error),
+    }
+    let config = StartupConfig::read(config, Overrides { router_count, settings: None }, clock)?;
+    Ok((config, subscription))
+}
+
+/// The persisted version and a start with it; none where nothing is persisted.
+fn read_persisted(
+    subscription: &Subscription,
+    config: &Path,
+    clock: Clock,
+    router_count: Option<u64>,
+) -> Result<Option<(PersistedVersion, StartupConfig)>, persisted_version::StartupError> {
+    let Some(path) = &subscription.persist_path else { return Ok(None) };
+    let Some(persisted) = PersistedVersion::load(path)? else { return Ok(None) };
+    let settings = serde_json::from_str::<Value>(&persisted.version.text).map_err(|error| error.to_string());
+    let config = settings.and_then(|settings| {
+        let overrides = Overrides { router_count, settings: Some(settings) };
+        StartupConfig::read(config, overrides, clock).map_err(|error| error.to_string())
+    });
+    let number = persisted.version.number;
+    let config =
+        config.map_err(|reason| persisted_version::StartupError::InvalidSettings { number, reason })?;
+    Ok(Some((persisted, config)))
+}
+
+/// Applies versions to a running router: one that can change while it serves is in force once all cores have it.
+pub fn apply_to_running(live_config: LiveConfig) -> ApplySettings {
+    Box::new(move |settings, number| {
+        let live_config = live_config.clone();
+        Box::pin(async move {
+            match live_config.apply(settings, Some(number)).await {
+                Ok(_) => ApplyOutcome::Applied,
+                Err(ConfigError::RestartRequired(keys)) => ApplyOutcome::PendingRestart(keys),
+                Err(error @ ConfigError::Invalid(_)) => ApplyOutcome::Rejected(error.to_string()),
+            }
+        })
+    })
+}
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,4 +1,5 @@
 //! Runs a program as it was started: a router on one core in this thread, a router on several cores, or a planner.
+pub mod control_settings;
 mod several_cores;
 
 use crate::control::{self, Subscription};
@@ -15,7 +16,8 @@
 use crate::state::shard_map::ShardMapView;
 use crate::state::shared::{MulticoreConfig, SharedState};
 use crate::tier::forwarder::Forwarder;
-use crate::tier::{links, post};
+use crate::tier::links::{self, Tier};
+use crate::tier::post;
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log;
@@ -61,7 +63,7 @@
     // Before anybody can know that this program is up: unhandled, either signal would end it.
     let (terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let (for_clients, for_nodes) = split_descriptors(&config, subscription.is_some());
-    let shared = SharedState::new(config.settings.intake.max_open, multicore, f64::INFINITY).0;
+    let shared = SharedState::new(config.settings.admission.max_open, multicore, f64::INFINITY).0;
     let (role, settings) = (config.role.clone(), config.settings.clone());
     let live_config = LiveConfig::new(shared.clone(), role, config.settings_json.clone(), settings, None);
     let previous = PreviousConfig::of(&config);
@@ -74,12 +76,12 @@
     tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known");
     let dispatcher = Rc::new(RefCell::new(dispatcher));
 
-    connect_to_planners(&dispatcher, &role, &name, &for_nodes, clock);
+    let forwarder = connect_to_planners(&dispatcher, &role, &name, &for_nodes, clock);
     if let Some(gossip) = gossip {
         gossip::start(&dispatcher, gossip, &name, post::incarnation()).await?;
     }
     let policy = rounds::newest(&dispatcher, seed);
-    let rounds = spawn_local(rounds::run(dispatcher.clone(), policy, for_nodes));
+    let rounds = spawn_local(rounds::run(dispatcher.clone(), forwarder, policy, for_nodes));
     spawn_local(wake_at_new_settings(dispatcher.clone(), live_config.subscribe()));
     let counting = dispatcher.clone();
     live_config.attach(Box::new(move |name| counting.borrow_mut().counters.increment(name)), None);
@@ -110,7 +112,7 @@
     clock: Clock,
 ) -> Option<LiveConfig> {
     let Some(subscription) = subscription else { return Some(live_config.clone()) };
-    let apply = control::to_running(live_config.clone());
+    let apply = control_settings::apply_to_running(live_config.clone());
     control::start(subscription, name, post::incarnation(), apply, shared, clock);
     None
 }
@@ -132,9 +134,9 @@
     live_config: &LiveConfig,
     clock: Clock,
 ) -> Dispatcher {
-    let (connections, admission) = (config.settings.trunk, config.settings.intake);
+    let (connections, admission) = (config.settings.connections, config.settings.admission);
     let classes = config.query_classes.clone();
-    let mut dispatcher = Dispatcher::on(shared, 0, clock, connections, admission, classes);
+    let mut dispatcher = Dispatcher::for_core(shared, 0, clock, connections, admission, classes);
     dispatcher.subscribe_config(live_config.subscribe());
     dispatcher.endpoints = std::mem::take(&mut config.endpoints);
     dispatcher.shard_map = config.shard_map.map(ShardMapView::new);
@@ -149,14 +151,15 @@
     name: &str,
     for_nodes: &Arc<DescriptorPool>,
     clock: Clock,
-) {
-    let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return };
+) -> Option<Tier> {
+    let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return None };
     let watch = Watch { beat: *heartbeat_interval_s, patience: *heartbeat_timeout_s };
     let work_ready = dispatcher.borrow().work_ready.clone();
     let forwarder = Forwarder::new(name, post::incarnation(), watch, clock, work_ready);
     let forwarder = Rc::new(RefCell::new(forwarder));
-    dispatcher.borrow_mut().forwarder = Some(forwarder.clone());
+    dispatcher.borrow_mut().metrics_sources.push(forwarder.clone());
     links::start(dispatcher, &forwarder, planners, for_nodes, post::incarnation());
+    Some(forwarder)
 }
 
 /// Has a round played for new settings, where nothing else asks for one.
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -39,11 +39,11 @@
     let previous = PreviousConfig::of(&config);
     let StartupConfig { name, listen, discovery, endpoints, seed, settings, .. } = config;
     let (mut terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
-    let mut router = Policy::new(seed, settings.terms);
+    let mut router = Policy::new(seed, settings.policy);
     // It tells forwarders what it sees of data nodes, as one core tells others.
     router.join(SharedLimits::new(2).for_core(0));
     let verticals = config.query_classes.len();
-    let (deadline, room) = (settings.intake.max_deadline_s, settings.intake.max_open);
+    let (deadline, room) = (settings.admission.max_deadline_s, settings.admission.max_open);
     let shared = Rc::new(RefCell::new(Planner::new(clock, verticals, deadline, room, endpoints)));
     let listener = TcpListener::bind(listen).await?;
     let at = listener.local_addr()?;
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -3,15 +3,15 @@
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
-use alderway_deployment::live::{self, Changes};
+use alderway_deployment::{Changes, Settings, changes};
 use alderway_router::lifecycle::live_config::{Applied, ConfigError, LiveConfig, check};
 use alderway_router::lifecycle::startup::Role;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
-use alderway_router::state::queries::{Query, ShardRequest};
 use alderway_router::state::query_classes::ConfigGeneration;
 use alderway_router::state::shared::{MulticoreConfig, SharedState};
 use alderway_telemetry::clock::Clock;
+use common::dispatcher::{open_query, response_text, shard_requests};
 use common::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -89,7 +89,7 @@
 fn how_a_number_is_written_and_what_nobody_reads_is_no_change() {
     let mut new = with("/Services/0/Worth", json!(1.0));
     new["Comment"] = json!("as before");
-    assert_eq!(live::changes(&held(), &new), Changes::default());
+    assert_eq!(changes(&held(), &new), Changes::default());
 }
 
 // The dispatcher.
@@ -101,13 +101,13 @@
 }
 
 fn issue(serial: u64, all: &Value) -> Arc<ConfigGeneration> {
-    Arc::new(ConfigGeneration { serial, settings: live::settings(all).expect("sound") })
+    Arc::new(ConfigGeneration { serial, settings: Settings::read(all).expect("sound") })
 }
 
 /// A dispatcher and its module, with one data node.
 fn dispatcher() -> Started {
     let began = issue(0, &held());
-    let (trunk, room) = (began.settings.trunk, began.settings.intake);
+    let (trunk, room) = (began.settings.connections, began.settings.admission);
     let mut dispatcher = Dispatcher::new(Clock::default(), trunk, room, vec![]);
     let (news, told) = watch::channel(began);
     dispatcher.subscribe_config(told);
@@ -174,23 +174,11 @@
     /// As a request is taken in; the vertical's place, or none.
     fn take(&mut self, id: &str, name: &str) -> Option<(usize, Rc<ClientConnection>)> {
         self.dispatcher.refresh_config();
-        let vertical = self.dispatcher.class_slot(name)?;
-        let client = Rc::new(ClientConnection::default());
-        let parts = vec![ShardRequest::new(format!("{id}.1").into(), 1, 1.0)];
-        let (not_after, text) =
-            (self.dispatcher.clock.now() + self.dispatcher.admission.max_deadline_s, String::new());
-        let (of, coverage) = (client.clone(), None);
-        let query = Query {
-            id: id.into(),
-            class: vertical,
-            not_after_s: not_after,
-            text,
-            requests: parts,
-            client: of,
-            coverage,
-        };
-        self.dispatcher.open_query(&client, query).expect("taken");
-        Some((vertical, client))
+        let class = self.dispatcher.class_slot(name)?;
+        let (time_left_s, requests) =
+            (self.dispatcher.admission.max_deadline_s, shard_requests(id, &[1], 1.0));
+        let client = open_query(&mut self.dispatcher, id, class, time_left_s, requests, None).expect("taken");
+        Some((class, client))
     }
 
     fn ends(&mut self, part: &str, ending: AttemptOutcome) -> Vec<String> {
@@ -233,7 +221,7 @@
     assert!(all.take("b", "region-report").is_none(), "unknown from here on");
     assert_eq!(all.dispatcher.queries.open_in_class(old), 1);
     assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
-    assert!(client.output.borrow().starts_with(b"HTTP/1.1 200 "));
+    assert!(response_text(&client).starts_with("HTTP/1.1 200 "));
     let counted = all.dispatcher.metrics_text();
     assert!(counted.contains("queries_merged{region-report} 1"), "{counted}");
 }
@@ -301,7 +289,7 @@
 
 fn live(role: Role) -> (LiveConfig, Arc<SharedState>) {
     let shared = SharedState::new(180, MulticoreConfig { cores: 2, ..MulticoreConfig::default() }, 1.0).0;
-    let began = live::settings(&held()).expect("sound");
+    let began = Settings::read(&held()).expect("sound");
     (LiveConfig::new(shared.clone(), role, held(), began, None), shared)
 }
 
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -65,7 +65,7 @@
     assert_eq!((config.max_descriptors, config.max_memory_bytes, config.seed), (256, 64 * 1024 * 1024, 0x1f));
     assert_eq!(config.endpoints.nodes.keys().cloned().collect::<Vec<_>>(), ["s-1"]);
     assert_eq!(config.settings_json, document()["settings"]);
-    assert_eq!(config.settings.terms.router_count, 2);
+    assert_eq!(config.settings.policy.router_count, 2);
     let classes: Vec<&str> = config.query_classes.iter().map(|class| class.name.as_str()).collect();
     assert_eq!(classes, ["site-search", "region-report"]);
     let fixed = document();
@@ -100,8 +100,8 @@
         Clock::default(),
     )
     .expect("good");
-    assert_eq!((&config.settings_json, config.settings.terms.router_count), (&settings, 9));
-    assert_eq!(config.settings.intake.min_round_interval_s, 0.007);
+    assert_eq!((&config.settings_json, config.settings.policy.router_count), (&settings, 9));
+    assert_eq!(config.settings.admission.min_round_interval_s, 0.007);
     // A reload compares the file with itself.
     assert_eq!(config.fixed_keys[3], ("settings", document()["settings"].clone()));
 }
