--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -7,10 +7,10 @@
 use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::Terms;
-use alderway_router::control::Subscription;
+use alderway_router::control::{Subscription, settings as control_settings};
 use alderway_router::gossip::{Circle, Members};
 use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
-use alderway_router::server::{control_settings, serve};
+use alderway_router::server::serve;
 use alderway_router::state::descriptors;
 use alderway_router::state::shard_map::ShardMapConfig;
 use alderway_router::state::shared::MulticoreConfig;
@@ -139,7 +139,7 @@
         return Ok((StartupConfig::read(&files.config, overrides, clock)?, None));
     };
     let (config, subscription) =
-        control_settings::read_startup_config(subscription, &files.config, clock, router_count)?;
+        control_settings::startup_config(subscription, &files.config, clock, router_count)?;
     Ok((config, Some(subscription)))
 }
 
--- a/crates/router/src/server/control_settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -1,6 +1,6 @@
-//! Settings from control servers, at the start and while the router serves.
-use crate::control::persisted_version::{self, PersistedVersion};
-use crate::control::{ApplySettings, Subscription};
+//! Settings from control servers: those of the persisted version at the start, and later versions while the router serves.
+use super::persisted_version::{PersistedVersion, UnusableVersion};
+use super::{ApplySettings, Subscription};
 use crate::lifecycle::live_config::{ConfigError, LiveConfig};
 use crate::lifecycle::startup::{Overrides, StartupConfig, StartupError};
 use alderway_control_plane::messages::ApplyOutcome;
@@ -9,11 +9,12 @@
 use std::path::Path;
 
 /// What a subscribed router starts with: the configuration file, with the persisted version in the place of its settings
-/// where there is one that this program accepts.
+/// where there is one that this program accepts. `router_count` is how many programs share the quotas, where that is not
+/// what the settings say.
 ///
 /// # Errors
 /// The configuration file cannot be used.
-pub fn read_startup_config(
+pub fn startup_config(
     mut subscription: Subscription,
     config: &Path,
     clock: Clock,
@@ -37,7 +38,7 @@
     config: &Path,
     clock: Clock,
     router_count: Option<u64>,
-) -> Result<Option<(PersistedVersion, StartupConfig)>, persisted_version::StartupError> {
+) -> Result<Option<(PersistedVersion, StartupConfig)>, UnusableVersion> {
     let Some(path) = &subscription.persist_path else { return Ok(None) };
     let Some(persisted) = PersistedVersion::load(path)? else { return Ok(None) };
     let settings = serde_json::from_str::<Value>(&persisted.version.text).map_err(|error| error.to_string());
@@ -46,12 +47,11 @@
         StartupConfig::read(config, overrides, clock).map_err(|error| error.to_string())
     });
     let number = persisted.version.number;
-    let config =
-        config.map_err(|reason| persisted_version::StartupError::InvalidSettings { number, reason })?;
+    let config = config.map_err(|reason| UnusableVersion::InvalidSettings { number, reason })?;
     Ok(Some((persisted, config)))
 }
 
-/// Applies versions to a running router: one that can change while it serves is in force once all cores have it.
+/// Applies versions to a running router: one that can change while it serves is active once all cores have it.
 pub fn apply_to_running(live_config: LiveConfig) -> ApplySettings {
     Box::new(move |settings, number| {
         let live_config = live_config.clone();
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -282,12 +282,6 @@
         }
     }
 
-    /// Whether bytes wait to be written, those of a response that has just come among them.
-    fn has_output(&self) -> bool {
-        answer::encode_pending(self.client);
-        !self.client.output.borrow().is_empty()
-    }
-
     fn closed_while_idle(&self) -> CloseReason {
         if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NeverAsked }
     }
@@ -310,6 +304,12 @@
         }
     }
 
+    /// Whether bytes wait to be written, those of a response that has just come among them.
+    fn has_output(&self) -> bool {
+        answer::encode_pending(self.client);
+        !self.client.output.borrow().is_empty()
+    }
+
     fn take_request(&mut self) {
         let (head, body) = self.messages.message(&self.buffer);
         let has_bytes_behind = self.buffer.data().len() > self.messages.end();
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -56,11 +56,11 @@
 /// A key is at fault, or differs and only changes with a start.
 pub fn check(settings: &Value, in_force: Option<&Value>) -> Result<CheckedSettings, ConfigError> {
     let parsed = Settings::read(settings).map_err(|error| ConfigError::Invalid(error.to_string()))?;
-    let changes = in_force.map_or(Changes::default(), |in_force| changes(in_force, settings));
-    if !changes.restart.is_empty() {
-        return Err(ConfigError::RestartRequired(changes.restart.into_iter().map(str::to_string).collect()));
+    let changed = in_force.map_or(Changes::default(), |in_force| changes(in_force, settings));
+    if !changed.restart.is_empty() {
+        return Err(ConfigError::RestartRequired(changed.restart.into_iter().map(str::to_string).collect()));
     }
-    Ok(CheckedSettings { settings: parsed, changed_keys: changes.live })
+    Ok(CheckedSettings { settings: parsed, changed_keys: changed.live })
 }
 
 /// Increments a counter of this program by its name.
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,5 +1,5 @@
 //! Runs a program as it was started: a router on one core in this thread, a router on several cores, or a planner.
-pub mod control_settings;
+
 mod several_cores;
 
 use crate::control::{self, Subscription};
@@ -112,7 +112,7 @@
     clock: Clock,
 ) -> Option<LiveConfig> {
     let Some(subscription) = subscription else { return Some(live_config.clone()) };
-    let apply = control_settings::apply_to_running(live_config.clone());
+    let apply = control::settings::apply_to_running(live_config.clone());
     control::start(subscription, name, post::incarnation(), apply, shared, clock);
     None
 }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -7,9 +7,9 @@
 use alderway_control_plane::version_sink::VersionSink;
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_router::control::persisted_version::{PersistedVersion, VersionWriter};
+use alderway_router::control::settings::startup_config;
 use alderway_router::control::{ApplySettings, Subscription, start};
 use alderway_router::lifecycle::startup::StartupConfig;
-use alderway_router::server::control_settings;
 use alderway_router::state::metrics::MetricsSnapshot;
 use alderway_router::state::shared::{MulticoreConfig, SharedState};
 use alderway_telemetry::clock::Clock;
@@ -377,11 +377,8 @@
         persisted: None,
         startup_error: None,
     };
-    let read = || {
-        control_settings::read_startup_config(subscription(), &config, Clock::default(), None)
-            .expect("a good file")
-    };
-    let (startup, control) = read();
+    let (startup, control) =
+        startup_config(subscription(), &config, Clock::default(), None).expect("a startup configuration");
     assert_eq!(startup.settings_json, settings(2));
     assert_eq!(control.persisted.as_ref().map(|persisted| persisted.version.number), Some(2));
     run_local(async {
@@ -409,7 +406,9 @@
         })
         .await;
     });
-    assert_eq!(read().0.settings_json, settings(3));
+    let (startup, _) =
+        startup_config(subscription(), &config, Clock::default(), None).expect("a startup configuration");
+    assert_eq!(startup.settings_json, settings(3));
 }
 
 /// A configuration with settings 0.
@@ -435,8 +434,8 @@
         persisted: None,
         startup_error: None,
     };
-    control_settings::read_startup_config(subscription, &configured(folder), Clock::default(), None)
-        .expect("a good file")
+    startup_config(subscription, &configured(folder), Clock::default(), None)
+        .expect("a startup configuration")
 }
 
 #[rstest]
