--- a/crates/control-plane/src/subscriber/config.rs
+++ b/crates/control-plane/src/subscriber/config.rs
@@ -12,9 +12,9 @@
     pub connect_timeout_s: f64,
     /// Longest backoff in seconds between two attempts of a round through all control servers. Each backoff is drawn
     /// from a quarter of it to all of it.
-    pub min_backoff_s: f64,
-    /// Longest backoff in seconds between two rounds. It doubles from twice `min_backoff_s` to this.
-    pub max_backoff_s: f64,
+    pub attempt_backoff_s: f64,
+    /// Longest backoff in seconds between two rounds. It doubles from twice `attempt_backoff_s` to this.
+    pub round_backoff_max_s: f64,
     /// Seconds after which a control server is left that is behind or sees no quorum. Doubles with each one that is left.
     pub behind_timeout_s: f64,
     /// Seconds, drawn from this to its double, after which the own zone's control servers are tried again.
@@ -34,8 +34,8 @@
             heartbeat_interval_s: 1.0,
             heartbeat_timeout_s: 3.0,
             connect_timeout_s: 1.0,
-            min_backoff_s: 0.4,
-            max_backoff_s: 4.0,
+            attempt_backoff_s: 0.4,
+            round_backoff_max_s: 4.0,
             behind_timeout_s: 5.0,
             own_zone_retry_s: 60.0,
             stale_after_s: 10.0,
--- a/crates/control-plane/src/subscriber/endpoint_selection.rs
+++ b/crates/control-plane/src/subscriber/endpoint_selection.rs
@@ -52,7 +52,7 @@
             order,
             position: 0,
             failed_attempts: 0,
-            round_backoff_s: 2.0 * config.min_backoff_s,
+            round_backoff_s: 2.0 * config.attempt_backoff_s,
             own_zone_returns: 0,
             random,
         }
@@ -77,25 +77,25 @@
 
     /// Seconds before the first attempt.
     pub(super) fn initial_delay_s(&mut self) -> f64 {
-        self.draw(0.0, self.config.min_backoff_s)
+        self.draw(0.0, self.config.attempt_backoff_s)
     }
 
     /// The attempt or connection failed: goes on to the next endpoint, and returns the backoff in seconds.
     pub(super) fn advance(&mut self) -> f64 {
         self.position = (self.position + 1) % self.order.len().max(1);
         self.failed_attempts += 1;
-        let mut backoff_s = self.config.min_backoff_s;
+        let mut backoff_s = self.config.attempt_backoff_s;
         if self.failed_attempts >= self.order.len() {
             self.failed_attempts = 0;
             backoff_s = self.round_backoff_s;
-            self.round_backoff_s = (2.0 * backoff_s).min(self.config.max_backoff_s);
+            self.round_backoff_s = (2.0 * backoff_s).min(self.config.round_backoff_max_s);
         }
         self.draw(MIN_BACKOFF_FRACTION * backoff_s, backoff_s)
     }
 
     /// The connection proved good: backoffs start anew.
     pub(super) fn reset_backoff(&mut self) {
-        self.round_backoff_s = 2.0 * self.config.min_backoff_s;
+        self.round_backoff_s = 2.0 * self.config.attempt_backoff_s;
         self.failed_attempts = 0;
     }
 
--- a/crates/control-server/src/admin/messages.rs
+++ b/crates/control-server/src/admin/messages.rs
@@ -80,7 +80,7 @@
     },
     /// The versions asked for, oldest first.
     History {
-        /// VersionNumber of the latest version; 0: there is none.
+        /// Number of the latest version; 0: there is none.
         newest: VersionNumber,
         /// As many as asked for, up to a limit of the server.
         versions: Vec<VersionSummary>,
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -300,7 +300,7 @@
         let patience = Duration::from_millis(line.load.patience);
         let left = patience.saturating_sub(Duration::from_secs_f64(behind.max(0.0)));
         let (asked_for, text, request) = line.query(left.as_millis().max(1) as u64);
-        // PROTOCOL: where a router's close of a kept connection crosses a request that it has not read, the client
+        // The users' protocol: where a router's close of a kept connection crosses a request that it has not read, the client
         // sends that once more on a new connection. Once read, an end without an answer is a loss.
         let asked = timeout(left + Duration::from_millis(500), async {
             let kept = stream.is_some();
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -12,9 +12,9 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// PROTOCOL: an empty line comes every two seconds while nothing changes.
+/// The users' protocol: an empty line comes every two seconds while nothing changes.
 const BLANK: Duration = Duration::from_secs(2);
-/// PROTOCOL: the old address closes its open connections so long after a move.
+/// The users' protocol: the old address closes its open connections so long after a move.
 pub const MOVED: Duration = Duration::from_millis(1500);
 /// A change counts as told so long after discovery could be reached, and so long after SIGHUP.
 const TOLD_BY: f64 = 6.0;
--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// PROTOCOL: each time limit is 50 ms longer.
+/// The users' protocol: each time limit is 50 ms longer.
 const SLACK: f64 = 0.05;
 /// STANDING: an attempt may begin so long after its client's close.
 const LEFT: f64 = 0.1;
@@ -12,15 +12,15 @@
 const HELD_UP: f64 = 0.15;
 /// STANDING: up to so long after its time an answer only earns nothing.
 const LATE: f64 = 0.5;
-/// LATER: a bad client is owed its error or close so long after it connected.
+/// The users' protocol, later edition: a bad client is owed its error or close so long after it connected.
 const OWED: f64 = 3.0;
 /// A close that takes longer than this to be seen did not cross the request.
 const CROSSING: f64 = 0.05;
-/// PROTOCOL: new connections keep coming for so long after SIGTERM.
+/// The users' protocol: new connections keep coming for so long after SIGTERM.
 const NEW_AFTER_TERM: f64 = 0.4;
 /// STANDING: a restarted router is ready within this.
 const READY: f64 = 6.0;
-/// PROTOCOL: a request that came so long after SIGTERM and is unanswered at SIGKILL is lost.
+/// The users' protocol: a request that came so long after SIGTERM and is unanswered at SIGKILL is lost.
 const AFTER_TERM: f64 = 0.7;
 
 /// One broken rule, with what shows it.
--- a/crates/lab/src/soak/world.rs
+++ b/crates/lab/src/soak/world.rs
@@ -29,7 +29,7 @@
 const SUCCEEDS: Duration = Duration::from_millis(600);
 /// Share of data nodes that serve at any time, at the least.
 const SERVING: f64 = 0.6;
-/// PROTOCOL: SIGKILL comes no sooner than the longest deadline, counted as 3 s at most, and 0.7 s.
+/// The users' protocol: SIGKILL comes no sooner than the longest deadline, counted as 3 s at most, and 0.7 s.
 const KILL: f64 = 0.7;
 const LONGEST_DEADLINE: f64 = 3.0;
 
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -22,9 +22,9 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// LATER: a connection with no open request on it may be closed after 2 s.
+/// The users' protocol, later edition: a connection with no open request on it may be closed after 2 s.
 const IDLE_TIMEOUT_S: f64 = 2.0;
-/// LATER: whoever sends no request is owed an error or a close within 3 s of connecting.
+/// The users' protocol, later edition: whoever sends no request is owed an error or a close within 3 s of connecting.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
 /// How long a connection that this side ends waits for the client to end it too, so that what the client still sends does
 /// not reset the answer on its way.
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -6,7 +6,7 @@
 //! 1. Draining, from SIGTERM: the listener stays open for [`LISTEN_DURATION`], and connections are served as before.
 //! 2. Closing, as soon as a query that came now might find no time for its answer: idle connections are closed, busy ones
 //!    after their answer.
-//! 3. Rejecting, once all clients are gone or the time is over: open queries fail, and their answers go out.
+//! 3. Ending, once all clients are gone or the time is over: open queries fail, and their answers go out.
 use crate::state::DispatcherHandle;
 use crate::state::shutdown_phase::ShutdownPhase;
 use alderway_sockets::signals::Signals;
@@ -16,9 +16,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// How long the listener stays open after SIGTERM. PROTOCOL: new connections keep coming for 0.4 s.
+/// How long the listener stays open after SIGTERM. The users' protocol: new connections keep coming for 0.4 s.
 pub const LISTEN_DURATION: Duration = Duration::from_millis(500);
-/// PROTOCOL: SIGKILL comes no sooner than the longest deadline, counted as 3 s where it is longer, and 0.7 s.
+/// The users' protocol: SIGKILL comes no sooner than the longest deadline, counted as 3 s where it is longer, and 0.7 s.
 const MAX_DEADLINE_S: f64 = 3.0;
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
 /// How long before SIGKILL the program has ended.
@@ -65,7 +65,7 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    let open_queries = reject_all(&dispatcher);
+    let open_queries = fail_open_queries(&dispatcher);
     clients_gone(&dispatcher, times.end + LAST_ANSWERS_S).await;
     let took_s = clock.now() - times.began;
     tracing::info!(target: "stop", "ended after {took_s:.1} s: {open_queries} queries aborted");
@@ -91,10 +91,10 @@
 }
 
 /// Fails all open queries; how many there were.
-fn reject_all(dispatcher: &DispatcherHandle) -> usize {
+fn fail_open_queries(dispatcher: &DispatcherHandle) -> usize {
     let mut dispatcher = dispatcher.borrow_mut();
     let open_queries = dispatcher.queries.len();
-    dispatcher.shutdown_phase = ShutdownPhase::Rejecting;
+    dispatcher.shutdown_phase = ShutdownPhase::Ending;
     dispatcher.fail_all_queries();
     open_queries
 }
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -208,7 +208,7 @@
         }
         self.notify_ended_attempts(policy);
         self.pending.notify_disconnected(policy);
-        if self.shutdown_phase < ShutdownPhase::Rejecting {
+        if self.shutdown_phase < ShutdownPhase::Ending {
             self.notify_retired_classes(policy);
         }
         self.pending.notify_timers(now, policy);
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -22,7 +22,7 @@
             return Err(QueryError::IdInUse);
         }
         self.count_query("taken", class);
-        let is_rejecting = self.shutdown_phase == ShutdownPhase::Rejecting;
+        let is_rejecting = self.shutdown_phase == ShutdownPhase::Ending;
         let permit = permits::may_admit(is_rejecting, capacity.is_some() && id_claim.is_ok());
         let (Some(capacity), Ok(id_claim), Ok(())) = (capacity, id_claim, permit) else {
             self.count_query("turned_away", class);
@@ -107,7 +107,7 @@
         QueryResponse::Results { complete, results: results.collect() }
     }
 
-    /// Rejects a query that had no effect.
+    /// Rejects a query: a retry by its client is harmless.
     pub(super) fn reject_query(&mut self, query_id: &str, retry_after_s: Option<f64>) {
         let Some(query) = self.close_query(query_id, "rejected") else { return };
         self.check_rejection(&query);
--- a/crates/router/src/state/response.rs
+++ b/crates/router/src/state/response.rs
@@ -35,7 +35,7 @@
     },
     /// No capacity was left for the query, or none is admitted any more.
     NoCapacity,
-    /// The policy rejected it; it had no effect.
+    /// The policy rejected it: a retry by its client is harmless.
     Rejected {
         /// Advice to the client when to try again, in seconds.
         retry_after_s: Option<f64>,
--- a/crates/router/src/state/shutdown_phase.rs
+++ b/crates/router/src/state/shutdown_phase.rs
@@ -10,6 +10,6 @@
     Draining,
     /// Every connection closes with its present response.
     Closing,
-    /// A new query would find no time for a response and is rejected at once.
-    Rejecting,
+    /// Open queries have been failed; a new one would find no time for a response and is rejected at once.
+    Ending,
 }
--- a/crates/router/tests/dispatcher/queries.rs
+++ b/crates/router/tests/dispatcher/queries.rs
@@ -14,7 +14,7 @@
 #[rstest]
 fn a_query_that_comes_as_the_program_ends_is_turned_away_at_once() {
     let mut dispatcher = dispatcher();
-    dispatcher.shutdown_phase = ShutdownPhase::Rejecting;
+    dispatcher.shutdown_phase = ShutdownPhase::Ending;
     let client = Rc::new(ClientConnection::default());
     let (id, part) = ("q".into(), ShardRequest::new("q.1".into(), 1, 1.0));
     let (not_after, text, parts) = (dispatcher.clock.now() + 5.0, String::new(), vec![part]);
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -108,7 +108,7 @@
 fn fast_config() -> SubscriptionConfig {
     SubscriptionConfig {
         behind_timeout_s: 0.3,
-        min_backoff_s: 0.05,
+        attempt_backoff_s: 0.05,
         heartbeat_interval_s: 0.2,
         heartbeat_timeout_s: 1.0,
         stale_after_s: 1.0,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -82,7 +82,7 @@
 pub struct SlowStartConfig {
     /// Fraction of its full capacity that it has right after its start.
     pub initial_fraction: f64,
-    /// Seconds until it has its full capacity.
+    /// Seconds over which the capacity rises to full, counted from `window_s` after the start.
     pub warm_up_s: f64,
     /// Load, as a multiple of the node's capacity at that moment, that overloads it.
     pub capacity_multiple: f64,
@@ -231,11 +231,11 @@
         outcome: AttemptOutcome,
         latency_s: f64,
     );
-    /// The client of a query is gone.
+    /// The query ended without the policy: its client is gone, or its deadline passed.
     fn client_disconnected(&mut self, query: &str);
     /// The timer set with this tag fired.
     fn timer_fired(&mut self, tag: u64);
-    /// What another core of this router observed of a data node.
+    /// What another core, or another router by gossip, observed of a data node.
     fn node_observed(&mut self, _node: &str, _observation: NodeObservation) {}
     /// Queries of the whole fleet, this router's included, that ended since the last call: after their latency
     /// objective, and within it.
@@ -250,7 +250,8 @@
     fn cancel_attempt(&mut self, request: &str, attempt: usize);
     /// Answers a query with what has come in.
     fn answer(&mut self, query: &str, complete: bool);
-    /// Rejects a query, which promises that it had no effect; `retry_after_s` is the advice to its client.
+    /// Rejects a query: a retry by its client is harmless, as it had no effect or its class may be repeated.
+    /// `retry_after_s` is the advice to its client.
     fn reject(&mut self, query: &str, retry_after_s: Option<f64>);
     /// Fails a query that may have had an effect.
     fn fail(&mut self, query: &str);
@@ -260,7 +261,7 @@
     fn poll_endpoints(&mut self);
     /// Writes a line to the log.
     fn log(&mut self, text: &str);
-    /// Shares an observation of a data node with the other cores.
+    /// Shares an observation of a data node with the other cores, and with other routers where there is gossip.
     fn share_observation(&mut self, _node: &str, _observation: NodeObservation) {}
     /// A query that had attempts has ended; `late` is whether it counts as overload in the fleet's figures.
     fn query_ended(&mut self, _late: bool) {}
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -19,7 +19,7 @@
 const EJECTION_GROWTH: f64 = 1.6;
 const EJECTION_FACTOR_MAX: f64 = 16.0;
 const EJECTION_UNIT_MIN_S: f64 = 0.25;
-/// By then the endpoint list tells what has become of the node.
+/// By then discovery has reported a node that is really gone.
 const EJECTION_MAX_S: f64 = 6.0;
 /// A late node is passed over for this long for each router, as more routers try it more often in sum.
 const AVOIDANCE_PER_ROUTER_S: f64 = 0.25;
