--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -70,7 +70,8 @@
     let of = |name: &str| counted.get(&format!("queries_{name}{{site-search}}")).copied().unwrap_or(0);
     let ended = ["merged", "merged_in_part", "rejected", "aborted", "turned_away", "left", "overdue"];
     assert_eq!(of("taken"), ended.iter().map(|name| of(name)).sum::<u64>() + counted["queries_open"]);
-    assert_eq!(of("merged"), sent.merged());
+    // A query may be answered in part under load, with the same status.
+    assert_eq!(of("merged") + of("merged_in_part"), sent.merged(), "{counted:?}");
     house.until("ids come back", |c| c["ids_open"] == 0);
 }
 
