--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -1,8 +1,7 @@
 //! A forwarder's part between dispatcher and module: queries go to a planner or to the own module, endings of leaf calls to
 //! whoever has to know them, and decisions to the dispatcher only from whoever decides. What was tried for a part is kept
 //! here, so that whoever takes a query over knows what may have run. No sockets.
-use super::Outbox;
-use super::planner::same_start;
+use super::{Outbox, received_observation};
 use crate::state::counters::Counters;
 use crate::state::metrics::{MetricsSnapshot, MetricsSource};
 use alderway::interface::{
@@ -242,17 +241,8 @@
                 }
                 let seen = self.clock.now();
                 let Some(here) = self.starts.get(&node).copied() else { return };
-                if let Some(started) = same_start(here, started, seen) {
-                    self.heard.push((
-                        node,
-                        NodeObservation {
-                            started_at_s: started,
-                            observed_at_s: seen,
-                            slow_for_s: late,
-                            very_slow_for_s: far,
-                            unresponsive_for_s: sick,
-                        },
-                    ));
+                if let Some(observation) = received_observation(here, started, [late, far, sick], seen) {
+                    self.heard.push((node, observation));
                     self.counters.increment("evidence_heard{planner}");
                 }
             }
--- a/crates/router/src/tier/mod.rs
+++ b/crates/router/src/tier/mod.rs
@@ -7,6 +7,7 @@
 pub mod planner;
 pub mod post;
 
+use alderway::interface::NodeObservation;
 use alderway_tier::messages::Message;
 use alderway_transport::{Hello, encode_hello, encode_message};
 use std::rc::Rc;
@@ -38,3 +39,29 @@
         self.wake.notify_one();
     }
 }
+
+/// Two readings of one start, each by its own side's clock, differ by less, in seconds.
+const START_TOLERANCE_S: f64 = 1.0;
+
+/// An observation that the other side sent, as this side knows the node: `started_at_s` is the start of its process here,
+/// `started_ago_s` the start that was observed. None where it was of another process. `spans_s` are for how long the node
+/// counts as slow, very slow and unresponsive.
+fn received_observation(
+    started_at_s: Option<f64>,
+    started_ago_s: Option<f64>,
+    spans_s: [f64; 3],
+    now_s: f64,
+) -> Option<NodeObservation> {
+    let is_same_process = match (started_at_s, started_ago_s) {
+        (Some(here), Some(ago)) => (now_s - ago - here).abs() < START_TOLERANCE_S,
+        (here, ago) => here.is_none() && ago.is_none(),
+    };
+    let [slow_for_s, very_slow_for_s, unresponsive_for_s] = spans_s;
+    is_same_process.then_some(NodeObservation {
+        started_at_s,
+        observed_at_s: now_s,
+        slow_for_s,
+        very_slow_for_s,
+        unresponsive_for_s,
+    })
+}
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -1,7 +1,7 @@
 //! A planner: the decision module for many forwarders. It follows discovery by itself, takes queries with what was tried
 //! for them, and tells each forwarder the decisions for its own. What a forwarder that is gone had out ends here with its
 //! session, so that nothing of it weighs on a data node for ever. No sockets.
-use super::Outbox;
+use super::{Outbox, received_observation};
 use crate::io::discovery::Follower;
 use crate::state::counters::Counters;
 use crate::state::endpoints::EndpointTable;
@@ -90,16 +90,6 @@
     asked: Arc<Notify>,
 }
 
-/// The start of a data node as this side has it, if it is the one that another side has seen so many seconds ago: two
-/// readings of one start differ by a little.
-pub fn same_start(here: Option<f64>, ago: Option<f64>, now: f64) -> Option<Option<f64>> {
-    let same = match (here, ago) {
-        (Some(here), Some(ago)) => (now - ago - here).abs() < 1.0,
-        (here, ago) => here.is_none() && ago.is_none(),
-    };
-    same.then_some(here)
-}
-
 /// The module's name of what a forwarder calls by its own.
 fn named(session: SessionId, name: &str) -> String {
     format!("{session}/{name}")
@@ -243,18 +233,9 @@
                 let Some(here) = self.endpoints.nodes.get(&node).map(|node| node.started_at_s) else {
                     return true;
                 };
-                if let Some(started) = same_start(here, started, seen) {
+                if let Some(observation) = received_observation(here, started, [late, far, sick], seen) {
                     self.counters.increment("evidence_heard");
-                    self.came.push(Came::NodeObservation(
-                        node,
-                        NodeObservation {
-                            started_at_s: started,
-                            observed_at_s: seen,
-                            slow_for_s: late,
-                            very_slow_for_s: far,
-                            unresponsive_for_s: sick,
-                        },
-                    ));
+                    self.came.push(Came::NodeObservation(node, observation));
                 }
             }
             _ => return false,
--- a/crates/router/tests/dispatcher/client_connections.rs
+++ b/crates/router/tests/dispatcher/client_connections.rs
@@ -2,16 +2,16 @@
 use crate::common::dispatcher::played;
 use crate::dispatcher;
 use alderway_router::io::acceptor;
+use alderway_router::state::DispatcherHandle;
 use alderway_router::state::clients::ClientTable;
 use alderway_router::state::descriptors;
-use alderway_router::state::dispatcher::Dispatcher;
 use rstest::rstest;
 use std::rc::Rc;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 
 /// A client's connection to a dispatcher that listens, in the story's own runtime.
-async fn listened_to(dispatcher: &Rc<std::cell::RefCell<Dispatcher>>) -> tokio::net::TcpStream {
+async fn listened_to(dispatcher: &DispatcherHandle) -> tokio::net::TcpStream {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let share = descriptors::split(64, usize::MAX, 1).0;
@@ -59,14 +59,21 @@
     });
 }
 
+/// A client whose first request has been answered.
+async fn answered_once(dispatcher: &DispatcherHandle) -> tokio::net::TcpStream {
+    let mut stream = listened_to(dispatcher).await;
+    let mut answer = [0; 200];
+    stream.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
+    assert!(stream.read(&mut answer).await.expect("an answer") > 0);
+    stream
+}
+
 #[rstest]
 fn a_connection_dismissed_as_a_request_begins_to_come_serves_it_and_closes() {
     played(async {
         let dispatcher = Rc::new(std::cell::RefCell::new(dispatcher()));
-        let mut stream = listened_to(&dispatcher).await;
+        let mut stream = answered_once(&dispatcher).await;
         let mut answer = [0; 200];
-        stream.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
-        assert!(stream.read(&mut answer).await.expect("an answer") > 0);
         // Both in one instant; the rest comes once the first half is read.
         stream.try_write(b"GET /up HTTP/1.1\r\n").expect("written");
         dispatcher.borrow().clients.close_idle();
@@ -84,10 +91,8 @@
 fn a_client_that_speaks_as_its_connection_closes_is_not_reset() {
     played(async {
         let dispatcher = Rc::new(std::cell::RefCell::new(dispatcher()));
-        let mut stream = listened_to(&dispatcher).await;
+        let mut stream = answered_once(&dispatcher).await;
         let mut answer = [0; 200];
-        stream.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
-        assert!(stream.read(&mut answer).await.expect("an answer") > 0);
         dispatcher.borrow().clients.close_idle();
         assert_eq!(stream.read(&mut answer).await.expect("an end"), 0);
         // What crosses the close: the client has not looked at its connection yet.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -121,6 +121,18 @@
         deployment
     }
 
+    /// One node that takes eight shard requests in an attempt, which costs work of its own.
+    pub fn of_one_node() -> Self {
+        let placement = ShardPlacement {
+            replica_groups: 1,
+            groups_per_shard: 1,
+            max_batch: 8,
+            attempt_overhead_s: 0.05,
+            explicit_holders: None,
+        };
+        Deployment { placement, node_count: 1, ..Deployment::default() }
+    }
+
     pub fn policy_config(self) -> PolicyConfig {
         PolicyConfig {
             router_count: self.router_count,
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -121,14 +121,7 @@
     #[case] outcome: AttemptOutcome,
     #[case] ejections: usize,
 ) {
-    let one = ShardPlacement {
-        replica_groups: 1,
-        groups_per_shard: 1,
-        max_batch: 8,
-        attempt_overhead_s: 0.05,
-        explicit_holders: None,
-    };
-    let mut host = Host::with(|d| (d.placement, d.node_count) = (one, 1));
+    let mut host = Host::new(Deployment::of_one_node());
     host.answer_queries(9, 1, 0.1);
     host.query(0, &[0, 1, 2]);
     host.wait(0.1);
--- a/tests/replica_selection.rs
+++ b/tests/replica_selection.rs
@@ -50,14 +50,7 @@
 
 #[rstest]
 fn a_warm_node_with_any_capacity_takes_a_whole_batch() {
-    let one = ShardPlacement {
-        replica_groups: 1,
-        groups_per_shard: 1,
-        max_batch: 8,
-        attempt_overhead_s: 0.05,
-        explicit_holders: None,
-    };
-    let mut host = Host::with(|d| (d.placement, d.node_count) = (one, 1));
+    let mut host = Host::new(Deployment::of_one_node());
     assert_eq!(attempts(&host.query(0, &[0, 1, 2])).len(), 3);
     assert_eq!(attempts(&host.query(1, &[0, 1, 2])).len(), 3, "three of four places taken, three more sent");
     assert_eq!(attempts(&host.query(2, &[0])).len(), 0);
