--- a/crates/cores/src/lib.rs
+++ b/crates/cores/src/lib.rs
@@ -9,11 +9,11 @@
 //! - `pool`: stated amounts (room, descriptors) that hold for the whole program at every instant.
 //! - `fence`: whether a core knows all that it must know before it sends something new.
 //! - `board`: the newest evidence of each data node, for a core that starts anew.
-//! - `crew`: which cores serve, hang or have failed, who gets the next connection, when one is given up.
+//! - `core_table`: which cores serve, hang or have failed, which gets the next connection, when one is not restarted.
 //! - `balance`: which connections move from a busy core to one with time.
 pub mod balance;
 pub mod board;
-pub mod crew;
+pub mod core_table;
 pub mod fence;
 pub mod ids;
 pub mod pool;
--- a/crates/cores/tests/stories.rs
+++ b/crates/cores/tests/stories.rs
@@ -2,7 +2,7 @@
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::balance::{Balance, Load, Move};
 use alderway_cores::board::Board;
-use alderway_cores::crew::{Crew, State};
+use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_cores::fence::{Fence, Held};
 use alderway_cores::ids::{Ids, Refused};
 use alderway_cores::pool::Pool;
@@ -137,43 +137,43 @@
 
 #[rstest]
 fn connections_go_to_cores_that_serve_and_evenly() {
-    let mut crew = Crew::new(3, 0.0);
+    let mut table = CoreTable::new(3, 0.0);
     for core in 0..3 {
-        crew.beat(core, 0.1, 0);
+        table.record_heartbeat(core, 0.1, 0);
     }
-    let dealt: Vec<_> = (0..6).filter_map(|_| crew.deal()).collect();
+    let dealt: Vec<_> = (0..6).filter_map(|_| table.assign_connection()).collect();
     assert_eq!((0..3).map(|c| dealt.iter().filter(|&&d| d == c).count()).collect::<Vec<_>>(), [2, 2, 2]);
-    crew.beat(0, 0.7, 2);
-    crew.beat(1, 0.7, 0);
-    let hung = crew.look(0.7);
+    table.record_heartbeat(0, 0.7, 2);
+    table.record_heartbeat(1, 0.7, 0);
+    let hung = table.mark_hung(0.7);
     assert_eq!((hung.len(), hung[0].core, hung[0].serving), (1, 2, 2));
-    assert_eq!((0..3).filter_map(|_| crew.deal()).collect::<Vec<_>>(), [1, 1, 0]);
+    assert_eq!((0..3).filter_map(|_| table.assign_connection()).collect::<Vec<_>>(), [1, 1, 0]);
     // It wakes, and serves again.
-    assert_eq!(crew.beat(2, 3.0, 2).map(|c| c.state), Some(State::Serving));
+    assert_eq!(table.record_heartbeat(2, 3.0, 2).map(|c| c.status), Some(CoreStatus::Serving));
 }
 
 #[rstest]
 fn a_core_that_goes_on_failing_is_left_out_and_the_others_serve() {
-    let mut crew = Crew::new(2, 0.0);
+    let mut table = CoreTable::new(2, 0.0);
     for core in 0..2 {
-        crew.beat(core, 0.1, 1);
+        table.record_heartbeat(core, 0.1, 1);
     }
     let (mut now, mut starts) = (1.0, 0);
-    while crew.state(1) != State::Lost {
-        crew.failed(1, now);
-        assert_eq!(crew.deal(), Some(0));
-        assert!(crew.starts(now).is_empty(), "it started at once");
+    while table.status(1) != CoreStatus::Lost {
+        table.record_failure(1, now);
+        assert_eq!(table.assign_connection(), Some(0));
+        assert!(table.take_due_restarts(now).is_empty(), "it started at once");
         now += 2.0;
-        crew.beat(0, now, 1);
-        starts += crew.starts(now).len();
-        crew.beat(1, now + 0.1, 0);
+        table.record_heartbeat(0, now, 1);
+        starts += table.take_due_restarts(now).len();
+        table.record_heartbeat(1, now + 0.1, 0);
     }
-    assert_eq!((starts, crew.serving(), crew.is_lost()), (5, 1, false));
+    assert_eq!((starts, table.serving_count(), table.are_all_lost()), (5, 1, false));
     // A failure now and then is not held against it.
-    let mut crew = Crew::new(1, 0.0);
+    let mut table = CoreTable::new(1, 0.0);
     for hour in 1..50 {
-        crew.failed(0, f64::from(hour) * 3600.0);
-        assert_eq!(crew.starts(f64::from(hour) * 3600.0 + 1.0), [0]);
+        table.record_failure(0, f64::from(hour) * 3600.0);
+        assert_eq!(table.take_due_restarts(f64::from(hour) * 3600.0 + 1.0), [0]);
     }
 }
 
@@ -313,14 +313,14 @@
 
 #[rstest]
 fn a_pause_of_the_lead_is_not_taken_for_one_of_the_cores() {
-    let mut crew = Crew::new(2, 0.0);
-    crew.beat(0, 0.1, 0);
-    crew.beat(1, 0.1, 0);
-    crew.lead_paused(0.1, 0.9);
-    assert_eq!(crew.look(0.9), []);
+    let mut table = CoreTable::new(2, 0.0);
+    table.record_heartbeat(0, 0.1, 0);
+    table.record_heartbeat(1, 0.1, 0);
+    table.acceptor_paused(0.1, 0.9);
+    assert_eq!(table.mark_hung(0.9), []);
     // From then on they have to beat again.
-    crew.beat(0, 1.0, 0);
-    crew.lead_paused(1.3, 1.45);
-    let hung: Vec<usize> = crew.look(1.45).iter().map(|change| change.core).collect();
+    table.record_heartbeat(0, 1.0, 0);
+    table.acceptor_paused(1.3, 1.45);
+    let hung: Vec<usize> = table.mark_hung(1.45).iter().map(|change| change.core).collect();
     assert_eq!(hung, [1]);
 }
--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -2,7 +2,7 @@
 use super::acceptor::ConnectionAcceptor;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::shared::{CoreCommand, SharedState, TransferredConnection};
-use alderway_cores::crew::Crew;
+use alderway_cores::core_table::CoreTable;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,14 +16,14 @@
 /// Hands each accepted connection to the core that has the fewest.
 pub struct ConnectionBalancer {
     shared: Arc<SharedState>,
-    crew: Rc<RefCell<Crew>>,
+    crew: Rc<RefCell<CoreTable>>,
     /// The core that was last asked to make room.
     last_asked: Cell<usize>,
 }
 
 impl ConnectionBalancer {
     /// Over the cores of `crew`.
-    pub fn new(shared: Arc<SharedState>, crew: Rc<RefCell<Crew>>) -> Rc<Self> {
+    pub fn new(shared: Arc<SharedState>, crew: Rc<RefCell<CoreTable>>) -> Rc<Self> {
         Rc::new(ConnectionBalancer { shared, crew, last_asked: Cell::new(0) })
     }
 }
@@ -40,7 +40,7 @@
         let mut command =
             CoreCommand::Serve(TransferredConnection { stream, permit, has_sent_request: false });
         loop {
-            let core = self.crew.borrow_mut().deal();
+            let core = self.crew.borrow_mut().assign_connection();
             if let Some(core) = core {
                 match self.shared.send_command(core, command) {
                     Ok(()) => return,
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -4,7 +4,7 @@
 use crate::state::metrics::MetricsSnapshot;
 use crate::state::shared::{CoreCommand, CoreState, SharedState};
 use alderway_cores::balance::{Balance, Load};
-use alderway_cores::crew::{Change, Crew, State};
+use alderway_cores::core_table::{CoreStatus, CoreTable, StatusChange};
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use std::cell::{Cell, RefCell};
@@ -24,7 +24,7 @@
     shared: Arc<SharedState>,
     clock: Clock,
     publisher: Rc<RefCell<EndpointPublisher>>,
-    crew: Rc<RefCell<Crew>>,
+    crew: Rc<RefCell<CoreTable>>,
     balance: Balance,
     /// What the cores report.
     reports: mpsc::UnboundedReceiver<CoreReport>,
@@ -40,7 +40,7 @@
         shared: Arc<SharedState>,
         clock: Clock,
         publisher: Rc<RefCell<EndpointPublisher>>,
-        crew: Rc<RefCell<Crew>>,
+        crew: Rc<RefCell<CoreTable>>,
         reports: mpsc::UnboundedReceiver<CoreReport>,
         restarts: Vec<mpsc::Sender<()>>,
     ) -> Self {
@@ -62,19 +62,19 @@
                 Some(report) = self.reports.recv() => {
                     if let CoreReport::Failed(core, why) = report {
                         tracing::error!(target: "failure", "core {core}: {why}");
-                        let change = self.crew.borrow_mut().failed(core, self.clock.now());
+                        let change = self.crew.borrow_mut().record_failure(core, self.clock.now());
                         change.iter().for_each(log_change);
                     }
                 }
                 _ = looks.tick() => {
-                    let starts = self.crew.borrow_mut().starts(self.clock.now());
+                    let starts = self.crew.borrow_mut().take_due_restarts(self.clock.now());
                     for core in starts {
                         let _ = self.restarts[core].try_send(());
                     }
                     self.look();
                 }
             }
-            if self.crew.borrow().is_lost() {
+            if self.crew.borrow().are_all_lost() {
                 return Err(io::Error::other("every core has failed too often"));
             }
         }
@@ -91,7 +91,7 @@
     /// Waits until the cores that are still there have shut down, until a time at the latest; how many have not. Guards
     /// against a process that stands still past that time: what the cores have reported by then is read all the same.
     pub async fn wait_for_shutdown(&mut self, until: f64) -> usize {
-        let is_there = |state| !matches!(state, State::Failed(_) | State::Lost);
+        let is_there = |state| !matches!(state, CoreStatus::Failed(_) | CoreStatus::Lost);
         let mut left = self.crew.borrow().count(is_there);
         while left > 0 {
             let remaining = Duration::from_secs_f64((until - self.clock.now()).max(0.0)).max(REPORT_WAIT_MIN);
@@ -104,15 +104,15 @@
     }
 
     /// Takes in how the cores have beaten, and finds those that hang.
-    fn see_beats(&self) -> Vec<Change> {
+    fn see_beats(&self) -> Vec<StatusChange> {
         let (now, mut crew) = (self.clock.now(), self.crew.borrow_mut());
         let mut changes = vec![];
         for (core, core_state) in self.shared.cores.iter().enumerate() {
             let at = core_state.heartbeat_ms.load(Relaxed) as f64 / 1e3;
-            changes.extend(crew.beat(core, at, core_state.client_count.load(Relaxed)));
+            changes.extend(crew.record_heartbeat(core, at, core_state.client_count.load(Relaxed)));
         }
-        crew.lead_paused(self.looked_at.replace(now), now);
-        changes.extend(crew.look(now));
+        crew.acceptor_paused(self.looked_at.replace(now), now);
+        changes.extend(crew.mark_hung(now));
         changes
     }
 
@@ -122,13 +122,15 @@
         let counters = self.publisher.borrow().counters.clone();
         self.shared.acceptor_metrics.send_replace(Arc::new(MetricsSnapshot { counters, gauges: vec![] }));
         changes.iter().for_each(log_change);
-        self.shared.cores_serving.store(crew.serving(), Relaxed);
-        self.shared.cores_hung.store(crew.count(|s| matches!(s, State::Hung(_))), Relaxed);
-        self.shared.cores_lost.store(crew.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
+        self.shared.cores_serving.store(crew.serving_count(), Relaxed);
+        self.shared.cores_hung.store(crew.count(|s| matches!(s, CoreStatus::Hung(_))), Relaxed);
+        self.shared
+            .cores_lost
+            .store(crew.count(|s| matches!(s, CoreStatus::Failed(_) | CoreStatus::Lost)), Relaxed);
         let load = |(core, core_state): (usize, &CoreState)| Load {
             busy: core_state.busy_permille.load(Relaxed) as f64 / 1e3,
             active: core_state.active_clients.load(Relaxed),
-            serving: crew.state(core) == State::Serving,
+            serving: crew.status(core) == CoreStatus::Serving,
         };
         let loads: Vec<Load> = self.shared.cores.iter().enumerate().map(load).collect();
         if let Some(going) = self.balance.next(now, &loads) {
@@ -144,16 +146,16 @@
     }
 }
 
-fn log_change(change: &Change) {
-    let Change { core, state, serving } = change;
+fn log_change(change: &StatusChange) {
+    let StatusChange { core, status: state, serving } = change;
     match state {
-        State::Serving => tracing::info!(target: "cores", "core {core} serves; {serving} serve"),
-        State::Starting => tracing::info!(target: "cores", "core {core} starts; {serving} serve"),
-        State::Hung(since) => {
+        CoreStatus::Serving => tracing::info!(target: "cores", "core {core} serves; {serving} serve"),
+        CoreStatus::Starting => tracing::info!(target: "cores", "core {core} starts; {serving} serve"),
+        CoreStatus::Hung(since) => {
             tracing::error!(target: "cores", "core {core} hangs since {since:.3}; {serving} serve")
         }
-        State::Failed(_) => tracing::error!(target: "cores", "core {core} failed; {serving} serve"),
-        State::Lost => {
+        CoreStatus::Failed(_) => tracing::error!(target: "cores", "core {core} failed; {serving} serve"),
+        CoreStatus::Lost => {
             tracing::error!(target: "cores", "core {core} failed too often and stays out; {serving} serve");
         }
     }
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -15,7 +15,7 @@
 use crate::state::metrics::MetricsSnapshot;
 use crate::state::shard_map::{ShardMapConfig, ShardMapView};
 use crate::state::shared::{MulticoreConfig, SharedState};
-use alderway_cores::crew::{Crew, State};
+use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log;
@@ -90,7 +90,7 @@
     arrival::stamp(&listener)?;
     let (address, cores) = (listener.local_addr()?, multicore.cores);
     tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known, {cores} cores");
-    let crew = Rc::new(RefCell::new(Crew::new(cores, clock.now())));
+    let crew = Rc::new(RefCell::new(CoreTable::new(cores, clock.now())));
     attach(&live_config, &publisher, &crew);
     let (discovery, discovery_address) = watch::channel(discovery);
     let reloadable = subscribe(subscription, &live_config, &name, shared.clone(), clock);
@@ -129,11 +129,16 @@
 }
 
 /// Tells the live configuration where to count, and which cores serve.
-fn attach(live_config: &LiveConfig, publisher: &Rc<RefCell<EndpointPublisher>>, crew: &Rc<RefCell<Crew>>) {
+fn attach(
+    live_config: &LiveConfig,
+    publisher: &Rc<RefCell<EndpointPublisher>>,
+    crew: &Rc<RefCell<CoreTable>>,
+) {
     let (publisher, crew) = (publisher.clone(), crew.clone());
     let increment = move |name: &'static str| publisher.borrow_mut().counters.increment(name);
-    let is_serving =
-        move |core| !matches!(crew.borrow().state(core), State::Hung(_) | State::Failed(_) | State::Lost);
+    let is_serving = move |core| {
+        !matches!(crew.borrow().status(core), CoreStatus::Hung(_) | CoreStatus::Failed(_) | CoreStatus::Lost)
+    };
     live_config.attach(Box::new(increment), Some(Box::new(is_serving)));
 }
 
