--- a/crates/cores/src/lib.rs
+++ b/crates/cores/src/lib.rs
@@ -6,7 +6,7 @@
 //! atomic each.
 //!
 //! - `ids`: which query ids are open on any core.
-//! - `pool`: stated amounts (room, descriptors) that hold for the whole program at every instant.
+//! - `pool`: amounts (capacity for queries, file descriptors) that hold for the whole process at every instant.
 //! - `fence`: whether a core knows all that it must know before it sends something new.
 //! - `board`: the newest evidence of each data node, for a core that starts anew.
 //! - `core_table`: which cores serve, hang or have failed, which gets the next connection, when one is not restarted.
--- a/crates/cores/tests/stories.rs
+++ b/crates/cores/tests/stories.rs
@@ -81,7 +81,7 @@
             let (pool, out) = (pool.clone(), out.clone());
             thread::spawn(move || {
                 for _ in 0..20_000 {
-                    let Some(taken) = pool.take(amount) else { continue };
+                    let Some(taken) = pool.acquire(amount) else { continue };
                     assert!(out.fetch_add(amount, Ordering::SeqCst) + amount <= 10);
                     out.fetch_sub(amount, Ordering::SeqCst);
                     drop(taken);
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -165,7 +165,7 @@
     let limit = size.get(name).expect("a figure") as usize;
     let free = |limit: usize| {
         let (_, nodes) = descriptors::split(limit, usize::MAX, cores);
-        std::iter::from_fn(|| nodes.pool.take(1)).fold(vec![], |mut held, one| {
+        std::iter::from_fn(|| nodes.pool.acquire(1)).fold(vec![], |mut held, one| {
             held.push(one);
             held
         })
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -243,7 +243,7 @@
                 let now = slot.clock.now();
                 let Dispatcher { observations: board, endpoints, .. } = &mut *held;
                 board.sweep(now, |node| endpoints.nodes.contains_key(node));
-                if slot.for_nodes.pool.is_short() {
+                if slot.for_nodes.pool.has_waiters() {
                     endpoints.retire_longest_idle();
                 }
                 drop(held);
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -130,7 +130,7 @@
         dispatcher.borrow_mut().counters.increment("dials_short_of_descriptors");
         dispatcher.borrow_mut().endpoints.retire_longest_idle();
         // Guards against idle connections of other cores that hold what this one lacks: they let some go.
-        waiting.get_or_insert_with(|| descriptors.pool.waits());
+        waiting.get_or_insert_with(|| descriptors.pool.register_waiter());
         descriptors.released.notified().await;
     };
     drop(waiting);
--- a/crates/router/src/state/descriptors.rs
+++ b/crates/router/src/state/descriptors.rs
@@ -1,6 +1,6 @@
 //! The file descriptors of the process, split into two pools so that neither clients nor data nodes can take the other's,
 //! nor those of the listener and discovery.
-use alderway_cores::pool::{Pool, Taken};
+use alderway_cores::pool::{Pool, PoolPermit};
 use std::sync::Arc;
 use tokio::sync::Notify;
 
@@ -28,7 +28,7 @@
 
 /// The right to hold one descriptor, given back on drop.
 pub struct DescriptorPermit {
-    taken: Option<Taken>,
+    taken: Option<PoolPermit>,
     pool: Arc<DescriptorPool>,
 }
 
@@ -39,7 +39,7 @@
 
     /// Takes one, if any is free.
     pub fn acquire(self: &Arc<Self>) -> Option<DescriptorPermit> {
-        Some(DescriptorPermit { taken: Some(self.pool.take(1)?), pool: self.clone() })
+        Some(DescriptorPermit { taken: Some(self.pool.acquire(1)?), pool: self.clone() })
     }
 }
 
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -16,7 +16,7 @@
     /// [`QueryError::IdInUse`] if a query with its id is open on some core.
     pub fn open_query(&mut self, client: &Rc<ClientConnection>, query: Query) -> Result<(), QueryError> {
         let class = query.class;
-        let capacity = self.shared.capacity.take(1 + query.requests.len());
+        let capacity = self.shared.capacity.acquire(1 + query.requests.len());
         let id_claim = self.shared.ids.claim(self.core as u8, &query.id);
         if matches!(id_claim, Err(Refused::Open)) {
             return Err(QueryError::IdInUse);
--- a/crates/router/src/state/dispatcher/shard_changes.rs
+++ b/crates/router/src/state/dispatcher/shard_changes.rs
@@ -48,7 +48,7 @@
         };
         let split_into = shard_map.split_requests(&query.id, request);
         // Guards against many queries that grow past the memory limit by one change of the shard map.
-        let Some(capacity) = self.shared.capacity.take(split_into.len()) else {
+        let Some(capacity) = self.shared.capacity.acquire(split_into.len()) else {
             return self.counters.increment("divisions_without_room");
         };
         shard_map.request_closed(request);
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -3,7 +3,7 @@
 use super::response::AnswerCoverage;
 use super::timer_queue::TimerQueue;
 use alderway_cores::ids::Claim;
-use alderway_cores::pool::Taken;
+use alderway_cores::pool::PoolPermit;
 use alderway_layouts::{Range, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display, Formatter};
@@ -141,7 +141,7 @@
     /// Its id, which no other query may have.
     pub id_claim: Claim,
     /// Capacity for itself and its shard requests.
-    pub capacity: Vec<Taken>,
+    pub capacity: Vec<PoolPermit>,
 }
 
 /// What a frame says of an open shard request.
@@ -298,7 +298,7 @@
     }
 
     /// Replaces a shard request by several; it stays for a late answer.
-    pub fn split_request(&mut self, request_id: &str, into: Vec<ShardRequest>, capacity: Taken) {
+    pub fn split_request(&mut self, request_id: &str, into: Vec<ShardRequest>, capacity: PoolPermit) {
         let Some(&RequestIndex { query: number, index }) = self.requests.get(request_id) else { return };
         let Some(query) = self.open.get_mut(&number) else { return };
         if let Some(keys) = query.requests.get_mut(index).and_then(|request| request.keys.as_mut()) {
