--- a/crates/cores/src/lib.rs
+++ b/crates/cores/src/lib.rs
@@ -8,12 +8,12 @@
 //! - `ids`: which query ids are open on any core.
 //! - `pool`: amounts (capacity for queries, file descriptors) that hold for the whole process at every instant.
 //! - `fence`: whether a core knows all that it must know before it sends something new.
-//! - `board`: the newest evidence of each data node, for a core that starts anew.
+//! - `observation_cache`: the newest observation of each data node, for the policy of a core that is restarted.
 //! - `core_table`: which cores serve, hang or have failed, which gets the next connection, when one is not restarted.
 //! - `balance`: which connections move from a busy core to one with time.
 pub mod balance;
-pub mod board;
 pub mod core_table;
 pub mod fence;
 pub mod ids;
+pub mod observation_cache;
 pub mod pool;
--- a/crates/cores/tests/stories.rs
+++ b/crates/cores/tests/stories.rs
@@ -1,10 +1,10 @@
 //! Stories of what cores share: each plays a failure that the sharing is there for.
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::balance::{Balance, Load, Move};
-use alderway_cores::board::Board;
 use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_cores::fence::{Fence, Held};
 use alderway_cores::ids::{Ids, Refused};
+use alderway_cores::observation_cache::ObservationCache;
 use alderway_cores::pool::Pool;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -122,17 +122,17 @@
 
 #[rstest]
 fn a_core_that_starts_anew_hears_what_still_holds_and_nothing_older() {
-    let mut board = Board::default();
-    board.note("s", late(10.0, 2.0));
-    board.note("s", late(9.0, 20.0));
-    board.note("t", late(10.0, 0.5));
-    board.note("u", late(10.0, 5.0));
-    board.note("u", late(10.4, 0.0));
-    board.note("gone", late(10.0, 9.0));
-    board.sweep(10.5, |node| node != "gone");
-    assert_eq!(board.tell(11.0), vec![("s".to_string(), late(10.0, 2.0))]);
-    board.sweep(12.1, |_| true);
-    assert!(board.is_empty());
+    let mut cache = ObservationCache::default();
+    cache.record("s", late(10.0, 2.0));
+    cache.record("s", late(9.0, 20.0));
+    cache.record("t", late(10.0, 0.5));
+    cache.record("u", late(10.0, 5.0));
+    cache.record("u", late(10.4, 0.0));
+    cache.record("gone", late(10.0, 9.0));
+    cache.sweep(10.5, |node| node != "gone");
+    assert_eq!(cache.current(11.0), vec![("s".to_string(), late(10.0, 2.0))]);
+    cache.sweep(12.1, |_| true);
+    assert!(cache.is_empty());
 }
 
 #[rstest]
@@ -296,7 +296,7 @@
     fn the_board_holds_the_newest_word(
         words in prop::collection::vec((0..3u8, 0.0..10.0f64, prop::sample::select(vec![0.0, 1.0, 30.0])), 1..60),
     ) {
-        let (mut board, mut newest) = (Board::default(), BTreeMap::<String, NodeObservation>::new());
+        let (mut cache, mut newest) = (ObservationCache::default(), BTreeMap::<String, NodeObservation>::new());
         for (node, seen, span) in words {
             let (node, word) = (format!("n{node}"), late(seen, span));
             // A sound word ends what it is newer than, and is not kept itself.
@@ -304,10 +304,10 @@
             if old.is_none() {
                 newest.insert(node.clone(), word);
             }
-            board.note(&node, word);
+            cache.record(&node, word);
         }
         let holds = newest.into_iter().filter(|(_, w)| w.slow_for_s > 0.0 && w.observed_at_s + w.slow_for_s > 10.0);
-        prop_assert_eq!(board.tell(10.0), holds.collect::<Vec<_>>());
+        prop_assert_eq!(cache.current(10.0), holds.collect::<Vec<_>>());
     }
 }
 
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -11,7 +11,7 @@
 use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use crate::state::shard_map::{ShardMapConfig, ShardMapView};
 use crate::state::shared::{CoreCommand, ObservationMessage, SharedState};
-use alderway_cores::board::Board;
+use alderway_cores::observation_cache::ObservationCache;
 use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log;
@@ -72,7 +72,7 @@
 pub fn run(mut slot: CoreSlot) {
     log::set_thread_core(slot.core);
     let mut gossip = slot.shared.subscribe_observations();
-    let mut board = Board::default();
+    let mut board = ObservationCache::default();
     loop {
         let why = match Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => match life(&runtime, &mut slot, &mut gossip, &mut board) {
@@ -96,7 +96,7 @@
     runtime: &Runtime,
     slot: &mut CoreSlot,
     gossip: &mut Option<Gossip<ObservationMessage>>,
-    board: &mut Board,
+    board: &mut ObservationCache,
 ) -> Result<(), String> {
     let local = LocalSet::new();
     let (shared, core) = (slot.shared.clone(), slot.core);
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -35,7 +35,7 @@
 use super::shutdown_phase::ShutdownPhase;
 use super::stall_detector::StallDetector;
 use alderway::interface::{AttemptOutcome, DecisionSink, NodeObservation, PolicyInput};
-use alderway_cores::board::Board;
+use alderway_cores::observation_cache::ObservationCache;
 use alderway_deployment::{AdmissionConfig, ConnectionConfig};
 use alderway_telemetry::clock::Clock;
 use std::cell::RefCell;
@@ -87,7 +87,7 @@
     /// Attempts wait until this core has caught up with the endpoint list.
     pub is_fenced: bool,
     /// Observations of other cores that still hold, for a policy that starts anew.
-    pub observations: Board,
+    pub observations: ObservationCache,
     /// The shard map, where one is followed; otherwise shards lie in the platform's ring.
     pub shard_map: Option<ShardMapView>,
     /// The way to other routers, where there is one.
@@ -143,7 +143,7 @@
             core,
             endpoints_generation: 0,
             is_fenced: false,
-            observations: Board::default(),
+            observations: ObservationCache::default(),
             shard_map: None,
             gossip: None,
             metrics_sources: vec![],
--- a/crates/router/src/state/dispatcher/observations.rs
+++ b/crates/router/src/state/dispatcher/observations.rs
@@ -7,7 +7,7 @@
     /// Takes in what another core or router observed, for the next round.
     pub fn remote_observation(&mut self, message: ObservationMessage) {
         self.counters.increment("evidence_heard");
-        self.observations.note(&message.node, message.observation);
+        self.observations.record(&message.node, message.observation);
         self.pending.add_observation(message.node, message.observation);
         self.work_ready.notify_one();
     }
@@ -23,7 +23,7 @@
     /// Tells the next round everything that others observed and that still holds, as a policy that starts anew knows
     /// nothing.
     pub fn replay_observations(&mut self) {
-        self.pending.set_observations(self.observations.tell(self.clock.now()));
+        self.pending.set_observations(self.observations.current(self.clock.now()));
         self.work_ready.notify_one();
     }
 
