--- a/crates/cores/src/lib.rs
+++ b/crates/cores/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! - `ids`: which query ids are open on any core.
 //! - `pool`: amounts (capacity for queries, file descriptors) that hold for the whole process at every instant.
-//! - `fence`: whether a core knows all that it must know before it sends something new.
+//! - `fence`: whether a core has every update that it needs before it starts new attempts.
 //! - `observation_cache`: the newest observation of each data node, for the policy of a core that is restarted.
 //! - `core_table`: which cores serve, hang or have failed, which gets the next connection, when one is not restarted.
 //! - `balance`: which connections move from a busy core to one with time.
--- a/crates/cores/tests/stories.rs
+++ b/crates/cores/tests/stories.rs
@@ -2,7 +2,7 @@
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::balance::{Balance, Load, Move};
 use alderway_cores::core_table::{CoreStatus, CoreTable};
-use alderway_cores::fence::{Fence, Held};
+use alderway_cores::fence::{Blocked, Fence};
 use alderway_cores::ids::{Ids, Refused};
 use alderway_cores::observation_cache::ObservationCache;
 use alderway_cores::pool::Pool;
@@ -96,24 +96,24 @@
 #[rstest]
 fn a_core_that_slept_through_a_drain_sends_nothing_until_it_has_caught_up() {
     let fence = Fence::new(1.0);
-    fence.looked(10.0);
+    fence.record_discovery_read(10.0);
     let known = fence.publish();
-    assert_eq!(fence.passes(known, 10.2), Ok(()));
+    assert_eq!(fence.check(known, 10.2), Ok(()));
     let drain = fence.publish();
-    assert_eq!(fence.passes(known, 10.3), Err(Held::Behind));
-    assert_eq!(fence.passes(drain, 10.3), Ok(()));
+    assert_eq!(fence.check(known, 10.3), Err(Blocked::ListOutdated));
+    assert_eq!(fence.check(drain, 10.3), Ok(()));
 }
 
 #[rstest]
 fn while_the_lead_stands_still_no_core_sends_by_its_list() {
     let fence = Fence::new(1.0);
-    fence.looked(10.0);
-    assert_eq!((fence.passes(0, 11.0), fence.passes(0, 11.1)), (Ok(()), Err(Held::Unled)));
-    fence.looked(11.2);
-    assert_eq!(fence.passes(0, 11.3), Ok(()));
+    fence.record_discovery_read(10.0);
+    assert_eq!((fence.check(0, 11.0), fence.check(0, 11.1)), (Ok(()), Err(Blocked::DiscoveryStale)));
+    fence.record_discovery_read(11.2);
+    assert_eq!(fence.check(0, 11.3), Ok(()));
     // A look that was begun before an earlier one ended takes nothing back.
-    fence.looked(10.5);
-    assert_eq!(fence.passes(0, 12.1), Ok(()));
+    fence.record_discovery_read(10.5);
+    assert_eq!(fence.check(0, 12.1), Ok(()));
 }
 
 fn late(seen: f64, late: f64) -> NodeObservation {
@@ -278,13 +278,13 @@
             now += pause;
             match what {
                 0 => published = fence.publish(),
-                1 => { fence.looked(now); looked = now; }
+                1 => { fence.record_discovery_read(now); looked = now; }
                 2 => known[core] = published,
                 _ => {}
             }
             for known in known {
                 // The fence counts in whole milliseconds.
-                let passes = fence.passes(known, now).is_ok();
+                let passes = fence.check(known, now).is_ok();
                 prop_assert!(!passes || (known == published && now - looked <= 1.001));
                 prop_assert!(passes || known < published || now - looked >= 0.999);
             }
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -46,7 +46,7 @@
         let mut publisher =
             EndpointPublisher { clock, polls_endpoints, endpoints, shared, counters, shard_map, snapshots };
         publisher.publish();
-        publisher.shared.fence.looked(clock.now());
+        publisher.shared.fence.record_discovery_read(clock.now());
         publisher
     }
 
@@ -101,7 +101,7 @@
         true
     }
     fn looked(&mut self, at: f64) {
-        self.shared.fence.looked(at);
+        self.shared.fence.record_discovery_read(at);
     }
     fn layout_since(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -144,15 +144,15 @@
     /// Whether the next frame would start attempts that the fence holds back. Guards against a core that stood still
     /// while its endpoint list changed: what it decided by the old list waits until it has caught up.
     fn is_held_by_fence(&mut self, node: &str, number: u64, now: f64) -> bool {
-        let Err(reason) = self.shared.fence.passes(self.endpoints_generation, now) else { return false };
+        let Err(reason) = self.shared.fence.check(self.endpoints_generation, now) else { return false };
         let connection = self.endpoints.connection(node, number);
         if !connection.is_some_and(|connection| connection.next_starts_attempts()) {
             return false;
         }
         if !std::mem::replace(&mut self.is_fenced, true) {
             self.counters.increment(match reason {
-                fence::Held::Behind => "sends_held_back{roster_behind}",
-                fence::Held::Unled => "sends_held_back{lead_late}",
+                fence::Blocked::ListOutdated => "sends_held_back{roster_behind}",
+                fence::Blocked::DiscoveryStale => "sends_held_back{lead_late}",
             });
         }
         true
@@ -237,7 +237,7 @@
 
     /// Lets attempts go on that the fence held back, once it lets them pass.
     pub fn recheck_fence(&mut self) {
-        if self.is_fenced && self.shared.fence.passes(self.endpoints_generation, self.clock.now()).is_ok() {
+        if self.is_fenced && self.shared.fence.check(self.endpoints_generation, self.clock.now()).is_ok() {
             self.is_fenced = false;
             let connections = self.endpoints.nodes.values().flat_map(|record| record.connections.values());
             connections.for_each(|connection| connection.wake.notify_one());
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -173,7 +173,7 @@
 
     /// Whether queries can be served: data nodes and, where one is followed, the shard map are known.
     pub fn is_ready(&self) -> bool {
-        let is_led = self.shared.fence.passes(u64::MAX, self.clock.now()).is_ok();
+        let is_led = self.shared.fence.check(u64::MAX, self.clock.now()).is_ok();
         let is_mapped = self.shard_map.as_ref().is_none_or(|shard_map| shard_map.version().is_some());
         self.endpoints.has_nodes() && self.shutdown_phase == ShutdownPhase::Serving && is_led && is_mapped
     }
--- a/crates/router/tests/dispatcher/endpoints.rs
+++ b/crates/router/tests/dispatcher/endpoints.rs
@@ -60,7 +60,7 @@
     let (shared, _inboxes) =
         SharedState::new(100, MulticoreConfig { cores: 2, ..MulticoreConfig::default() }, 1.0);
     dispatcher.shared = shared.clone();
-    shared.fence.looked(dispatcher.clock.now());
+    shared.fence.record_discovery_read(dispatcher.clock.now());
     take(&mut dispatcher, "q", &[0]);
     told(&mut dispatcher);
     dispatcher.start_attempt("q.0", "s", 1.0);
