--- a/crates/cores/src/lib.rs
+++ b/crates/cores/src/lib.rs
@@ -10,10 +10,10 @@
 //! - `fence`: whether a core has every update that it needs before it starts new attempts.
 //! - `observation_cache`: the newest observation of each data node, for the policy of a core that is restarted.
 //! - `core_table`: which cores serve, hang or have failed, which gets the next connection, when one is not restarted.
-//! - `balance`: which connections move from a busy core to one with time.
-pub mod balance;
+//! - `rebalancer`: which client connections move from a busy core to a less busy one.
 pub mod core_table;
 pub mod fence;
 pub mod ids;
 pub mod observation_cache;
 pub mod pool;
+pub mod rebalancer;
--- a/crates/cores/tests/stories.rs
+++ b/crates/cores/tests/stories.rs
@@ -1,11 +1,11 @@
 //! Stories of what cores share: each plays a failure that the sharing is there for.
 use alderway::interface::{NodeObservation, SharedLimits};
-use alderway_cores::balance::{Balance, Load, Move};
 use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_cores::fence::{Blocked, Fence};
 use alderway_cores::ids::{Ids, Refused};
 use alderway_cores::observation_cache::ObservationCache;
 use alderway_cores::pool::Pool;
+use alderway_cores::rebalancer::{ConnectionMove, CoreLoad, Rebalancer};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -177,27 +177,30 @@
     }
 }
 
-fn load(busy: f64, active: usize) -> Load {
-    Load { busy, active, serving: true }
+fn load(utilization: f64, active_clients: usize) -> CoreLoad {
+    CoreLoad { utilization, active_clients, is_serving: true }
 }
 
 #[rstest]
-#[case::one_busy_of_three([load(0.9, 4), load(0.1, 0), load(0.2, 3)], Some(Move { from: 0, to: 1, connections: 2 }))]
+#[case::one_busy_of_three([load(0.9, 4), load(0.1, 0), load(0.2, 3)], Some(ConnectionMove { from: 0, to: 1, connections: 2 }))]
 #[case::one_connection_has_nowhere_better([load(0.9, 1), load(0.1, 0), load(0.1, 0)], None)]
 #[case::all_busy([load(0.9, 4), load(0.85, 4), load(0.8, 4)], None)]
 #[case::all_idle([load(0.3, 4), load(0.0, 0), load(0.0, 0)], None)]
-#[case::not_to_a_core_that_hangs([load(0.9, 4), Load { busy: 0.0, active: 0, serving: false }, load(0.8, 4)], None)]
-fn busy_connections_move_to_a_core_with_time(#[case] loads: [Load; 3], #[case] expected: Option<Move>) {
-    assert_eq!(Balance::new(3).next(5.0, &loads), expected);
+#[case::not_to_a_core_that_hangs([load(0.9, 4), CoreLoad { utilization: 0.0, active_clients: 0, is_serving: false }, load(0.8, 4)], None)]
+fn busy_connections_move_to_a_core_with_time(
+    #[case] loads: [CoreLoad; 3],
+    #[case] expected: Option<ConnectionMove>,
+) {
+    assert_eq!(Rebalancer::new(3).next_move(5.0, &loads), expected);
 }
 
 #[rstest]
 fn a_move_is_seen_before_the_next_one() {
-    let mut balance = Balance::new(2);
+    let mut rebalancer = Rebalancer::new(2);
     let loads = [load(0.9, 4), load(0.1, 0)];
-    assert!(balance.next(5.0, &loads).is_some());
-    assert_eq!(balance.next(5.5, &loads), None);
-    assert!(balance.next(6.0, &loads).is_some());
+    assert!(rebalancer.next_move(5.0, &loads).is_some());
+    assert_eq!(rebalancer.next_move(5.5, &loads), None);
+    assert!(rebalancer.next_move(6.0, &loads).is_some());
 }
 
 /// The same cases every time.
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -3,8 +3,8 @@
 use super::endpoint_publisher::EndpointPublisher;
 use crate::state::metrics::MetricsSnapshot;
 use crate::state::shared::{CoreCommand, CoreState, SharedState};
-use alderway_cores::balance::{Balance, Load};
 use alderway_cores::core_table::{CoreStatus, CoreTable, StatusChange};
+use alderway_cores::rebalancer::{CoreLoad, Rebalancer};
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use std::cell::{Cell, RefCell};
@@ -25,7 +25,7 @@
     clock: Clock,
     publisher: Rc<RefCell<EndpointPublisher>>,
     crew: Rc<RefCell<CoreTable>>,
-    balance: Balance,
+    balance: Rebalancer,
     /// What the cores report.
     reports: mpsc::UnboundedReceiver<CoreReport>,
     /// Lets each core start again after a failure.
@@ -44,7 +44,7 @@
         reports: mpsc::UnboundedReceiver<CoreReport>,
         restarts: Vec<mpsc::Sender<()>>,
     ) -> Self {
-        let (balance, looked_at) = (Balance::new(restarts.len()), Cell::new(clock.now()));
+        let (balance, looked_at) = (Rebalancer::new(restarts.len()), Cell::new(clock.now()));
         CoreSupervisor { shared, clock, publisher, crew, balance, reports, restarts, looked_at }
     }
 
@@ -127,19 +127,19 @@
         self.shared
             .cores_lost
             .store(crew.count(|s| matches!(s, CoreStatus::Failed(_) | CoreStatus::Lost)), Relaxed);
-        let load = |(core, core_state): (usize, &CoreState)| Load {
-            busy: core_state.busy_permille.load(Relaxed) as f64 / 1e3,
-            active: core_state.active_clients.load(Relaxed),
-            serving: crew.status(core) == CoreStatus::Serving,
+        let load = |(core, core_state): (usize, &CoreState)| CoreLoad {
+            utilization: core_state.busy_permille.load(Relaxed) as f64 / 1e3,
+            active_clients: core_state.active_clients.load(Relaxed),
+            is_serving: crew.status(core) == CoreStatus::Serving,
         };
-        let loads: Vec<Load> = self.shared.cores.iter().enumerate().map(load).collect();
-        if let Some(going) = self.balance.next(now, &loads) {
+        let loads: Vec<CoreLoad> = self.shared.cores.iter().enumerate().map(load).collect();
+        if let Some(going) = self.balance.next_move(now, &loads) {
             let (from, to, connections) = (going.from, going.to, going.connections);
             tracing::info!(
                 target: "balance",
                 "core {from} ({:.2} busy) gives {connections} connections to core {to} ({:.2} busy)",
-                loads[from].busy,
-                loads[to].busy
+                loads[from].utilization,
+                loads[to].utilization
             );
             let _ = self.shared.send_command(from, CoreCommand::GiveAway { to, connections });
         }
