--- a/crates/cores/tests/stories.rs
+++ b/crates/cores/tests/stories.rs
@@ -2,8 +2,8 @@
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_cores::fence::{Blocked, Fence};
-use alderway_cores::ids::{Ids, Refused};
 use alderway_cores::observation_cache::ObservationCache;
+use alderway_cores::open_ids::{ClaimError, OpenIds};
 use alderway_cores::pool::Pool;
 use alderway_cores::rebalancer::{ConnectionMove, CoreLoad, Rebalancer};
 use proptest::prelude::*;
@@ -16,10 +16,10 @@
 
 #[rstest]
 fn an_id_open_on_one_core_is_refused_on_every_other_until_its_answer() {
-    let ids = Ids::new(100);
+    let ids = OpenIds::new(100);
     let open = ids.claim(0, "9b1f").expect("free");
-    assert_eq!(ids.claim(0, "9b1f").err(), Some(Refused::Open));
-    assert_eq!(ids.claim(3, "9b1f").err(), Some(Refused::Open));
+    assert_eq!(ids.claim(0, "9b1f").err(), Some(ClaimError::AlreadyOpen));
+    assert_eq!(ids.claim(3, "9b1f").err(), Some(ClaimError::AlreadyOpen));
     drop(open);
     assert!(ids.claim(3, "9b1f").is_ok());
 }
@@ -28,7 +28,7 @@
 fn of_cores_that_ask_for_one_id_at_once_exactly_one_gets_it() {
     const CORES: usize = 6;
     const ROUNDS: usize = 4_000;
-    let (ids, begin) = (Ids::new(64), Arc::new(Barrier::new(CORES)));
+    let (ids, begin) = (OpenIds::new(64), Arc::new(Barrier::new(CORES)));
     let won: Arc<Vec<AtomicUsize>> = Arc::new((0..ROUNDS).map(|_| AtomicUsize::new(0)).collect());
     let cores: Vec<_> = (0..CORES)
         .map(|core| {
@@ -53,7 +53,7 @@
 #[rstest]
 fn claims_that_come_and_go_never_stand_twice() {
     const CORES: usize = 4;
-    let (ids, inside) = (Ids::new(64), Arc::new(AtomicUsize::new(0)));
+    let (ids, inside) = (OpenIds::new(64), Arc::new(AtomicUsize::new(0)));
     let cores: Vec<_> = (0..CORES)
         .map(|core| {
             let (ids, inside) = (ids.clone(), inside.clone());
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -6,7 +6,7 @@
 use crate::state::shutdown_phase::ShutdownPhase;
 use alderway::interface::{AttemptOutcome, PolicyInput};
 use alderway::permits::{self, Denial};
-use alderway_cores::ids::Refused;
+use alderway_cores::open_ids::ClaimError;
 use std::rc::Rc;
 
 impl Dispatcher {
@@ -18,7 +18,7 @@
         let class = query.class;
         let capacity = self.shared.capacity.acquire(1 + query.requests.len());
         let id_claim = self.shared.ids.claim(self.core as u8, &query.id);
-        if matches!(id_claim, Err(Refused::Open)) {
+        if matches!(id_claim, Err(ClaimError::AlreadyOpen)) {
             return Err(QueryError::IdInUse);
         }
         self.count_query("taken", class);
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -2,7 +2,7 @@
 use super::clients::ClientConnection;
 use super::response::AnswerCoverage;
 use super::timer_queue::TimerQueue;
-use alderway_cores::ids::Claim;
+use alderway_cores::open_ids::IdClaim;
 use alderway_cores::pool::PoolPermit;
 use alderway_layouts::{Range, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -139,7 +139,7 @@
 /// What an open query takes of what all cores share; given back on drop.
 pub struct QueryReservation {
     /// Its id, which no other query may have.
-    pub id_claim: Claim,
+    pub id_claim: IdClaim,
     /// Capacity for itself and its shard requests.
     pub capacity: Vec<PoolPermit>,
 }
