--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -281,8 +281,11 @@
                 &mut bytes,
                 &Hello { version: Message::VERSION, is_planner: true, incarnation: 1, name },
             );
-            encode_message(&mut bytes, &Message::Beat { number: 1, roster: 1_000_000, able: true })
-                .expect("it fits a frame");
+            encode_message(
+                &mut bytes,
+                &Message::Heartbeat { number: 1, endpoints_version: 1_000_000, accepts_queries: true },
+            )
+            .expect("it fits a frame");
             stream.write_all(&bytes).expect("written");
             // Reads all, says nothing.
             let mut space = [0; 4096];
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -12,7 +12,7 @@
 use alderway_telemetry::clock::Clock;
 use alderway_tier::custody::{Asking, Custody, Decider};
 use alderway_tier::members::{Change, Members, Watch};
-use alderway_tier::messages::{Message, Tried};
+use alderway_tier::messages::{Message, PriorAttempt};
 use alderway_transport::{Hello, Incarnation, Name};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -149,7 +149,10 @@
         let (beats, changes) = self.members.tick(self.clock.now());
         for (planner, number) in beats {
             let endpoints = self.endpoints.0;
-            self.send(&planner, &Message::Beat { number, roster: endpoints, able: true });
+            self.send(
+                &planner,
+                &Message::Heartbeat { number, endpoints_version: endpoints, accepts_queries: true },
+            );
         }
         self.changed(changes);
     }
@@ -196,10 +199,10 @@
         let now = self.clock.now();
         let Some(record) = self.queries.get(&query) else { return };
         let mut out = vec![];
-        let tried = |(node, at, ending): &(String, f64, Option<AttemptOutcome>)| Tried {
+        let tried = |(node, at, ending): &(String, f64, Option<AttemptOutcome>)| PriorAttempt {
             node: node.clone(),
-            age: now - at,
-            ending: ending.map(Into::into),
+            age_s: now - at,
+            outcome: ending.map(Into::into),
         };
         let part = |part: &Part| {
             (part.id.clone(), part.shard, part.weight, part.calls.iter().map(tried).collect::<Vec<_>>())
@@ -211,12 +214,12 @@
                 ((part.id.clone(), hop), PlannedCall { planner, node, started_at_s: *started_at_s })
             }));
         }
-        let take = Message::Take {
+        let take = Message::AssignQuery {
             term,
-            vertical: record.vertical as u32,
-            customer: record.customer.clone(),
-            left: record.not_after - now,
-            parts: record.parts.iter().map(part).collect(),
+            query_class: record.vertical as u32,
+            tenant: record.customer.clone(),
+            time_left_s: record.not_after - now,
+            requests: record.parts.iter().map(part).collect(),
             query,
         };
         self.calls.extend(out);
@@ -230,13 +233,20 @@
     pub fn read(&mut self, hello: &Hello, message: Message, dispatcher: &mut dyn DecisionSink) {
         let from = Decider::Planner(hello.name.clone());
         match message {
-            Message::Beat { number, roster: endpoints, able } => {
-                self.send(&hello.name, &Message::Heard { number });
+            Message::Heartbeat { number, endpoints_version: endpoints, accepts_queries: able } => {
+                self.send(&hello.name, &Message::HeartbeatAck { number });
                 let changes = self.members.beat(&hello.name, hello.incarnation, endpoints, able);
                 self.changed(changes);
             }
-            Message::Heard { number } => self.members.heard(&hello.name, hello.incarnation, number),
-            Message::Evidence { node, started, late, far, sick, relay } => {
+            Message::HeartbeatAck { number } => self.members.heard(&hello.name, hello.incarnation, number),
+            Message::Observation {
+                node,
+                started_ago_s: started,
+                slow_for_s: late,
+                very_slow_for_s: far,
+                unresponsive_for_s: sick,
+                relay,
+            } => {
                 // Planners learn from each other by way of one of their forwarders; what is heard is not told on, so
                 // nothing goes round.
                 if relay {
@@ -246,7 +256,14 @@
                         let node = node.clone();
                         self.send(
                             &other,
-                            &Message::Evidence { node, started, late, far, sick, relay: false },
+                            &Message::Observation {
+                                node,
+                                started_ago_s: started,
+                                slow_for_s: late,
+                                very_slow_for_s: far,
+                                unresponsive_for_s: sick,
+                                relay: false,
+                            },
                         );
                         self.counters.increment("evidence_relayed");
                     }
@@ -258,7 +275,7 @@
                     self.counters.increment("evidence_heard{planner}");
                 }
             }
-            Message::Call { term, part, node, limit } => {
+            Message::StartAttempt { term, request: part, node, timeout_s: limit } => {
                 let query = self.custody.accepts(&from, term);
                 let known = self.parts.get(&part).filter(|(of, _)| Some(of.as_str()) == query).cloned();
                 let Some((query, at)) = known else { return self.counters.increment("decisions_refused") };
@@ -271,7 +288,7 @@
                     dispatcher.start_attempt(&part, &node, limit);
                 }
             }
-            Message::Cancel { part, hop, .. } => {
+            Message::CancelAttempt { request: part, attempt: hop, .. } => {
                 // After the final answer as well: the losers of its race.
                 match self.calls.get(&(part.clone(), hop as usize)) {
                     Some(call) if call.planner == hello.name => {
@@ -282,22 +299,22 @@
                     None => self.counters.increment("cancels_crossed"),
                 }
             }
-            Message::Answer { term, query, whole } => {
+            Message::Answer { term, query, complete: whole } => {
                 if self.finish(&from, term, &query) {
                     dispatcher.answer(&query, whole);
                 }
             }
-            Message::Reject { term, query, come_back } => {
+            Message::Reject { term, query, retry_after_s: come_back } => {
                 if self.finish(&from, term, &query) {
                     dispatcher.reject(&query, come_back);
                 }
             }
-            Message::Abort { term, query } => {
+            Message::Fail { term, query } => {
                 if self.finish(&from, term, &query) {
                     dispatcher.fail(&query);
                 }
             }
-            Message::Take { .. } | Message::Ended { .. } | Message::Left { .. } => {
+            Message::AssignQuery { .. } | Message::AttemptEnded { .. } | Message::QueryClosed { .. } => {
                 self.counters.increment("decisions_refused");
             }
         }
@@ -349,7 +366,7 @@
         };
         // Those that came when the query was over already, and were not started: no end of them will be told.
         calls.iter().for_each(|call| drop(self.calls.remove(call)));
-        self.send(&planner, &Message::Left { query: query.into() });
+        self.send(&planner, &Message::QueryClosed { query: query.into() });
         true
     }
 
@@ -359,7 +376,16 @@
         let now = self.clock.now();
         for ((part, hop), PlannedCall { planner, node, started_at_s }) in std::mem::take(&mut self.calls) {
             let (hop, ending, latency) = (hop as u32, AttemptOutcome::Cancelled.into(), now - started_at_s);
-            self.send(&planner, &Message::Ended { part, hop, node, ending, latency });
+            self.send(
+                &planner,
+                &Message::AttemptEnded {
+                    request: part,
+                    attempt: hop,
+                    node,
+                    outcome: ending,
+                    latency_s: latency,
+                },
+            );
         }
         let open: Vec<String> = self.queries.keys().cloned().collect();
         for query in open {
--- a/crates/router/src/tier/forwarder/split.rs
+++ b/crates/router/src/tier/forwarder/split.rs
@@ -99,7 +99,13 @@
         match self.forwarder.calls.remove(&(part.into(), hop)) {
             Some(call) => {
                 let (part, node) = (part.into(), node.into());
-                let ended = Message::Ended { part, hop: hop as u32, node, ending: ending.into(), latency };
+                let ended = Message::AttemptEnded {
+                    request: part,
+                    attempt: hop as u32,
+                    node,
+                    outcome: ending.into(),
+                    latency_s: latency,
+                };
                 self.forwarder.send(&call.planner, &ended);
             }
             None => self.own.attempt_ended(part, hop, node, ending, latency),
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -11,7 +11,7 @@
 use crate::state::endpoints::EndpointTable;
 use alderway::interface::{AttemptOutcome, NodeObservation, PolicyInput};
 use alderway_telemetry::clock::Clock;
-use alderway_tier::messages::{Message, Tried};
+use alderway_tier::messages::{Message, PriorAttempt};
 use alderway_tier::ramp;
 use alderway_transport::Hello;
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,7 +52,7 @@
         vertical: usize,
         customer: String,
         not_after: f64,
-        parts: Vec<(String, u32, f64, Vec<Tried>)>,
+        parts: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     },
     Ended {
         part: String,
@@ -239,26 +239,46 @@
     /// Takes a forwarder's message in; false where it is none that a forwarder sends.
     pub fn read(&mut self, id: SessionId, message: Message) -> bool {
         match message {
-            Message::Beat { number, .. } => {
-                self.send(id, &Message::Heard { number });
+            Message::Heartbeat { number, .. } => {
+                self.send(id, &Message::HeartbeatAck { number });
                 return true;
             }
-            Message::Heard { .. } => {
+            Message::HeartbeatAck { .. } => {
                 self.sessions.get_mut(&id).into_iter().for_each(|session| session.unanswered = None);
                 return true;
             }
-            Message::Take { term, query, vertical, customer, left, parts } => {
+            Message::AssignQuery {
+                term,
+                query,
+                query_class: vertical,
+                tenant: customer,
+                time_left_s: left,
+                requests: parts,
+            } => {
                 self.take(id, term, query, vertical as usize, customer, left, parts);
             }
-            Message::Ended { part, hop, node, ending, latency } => {
+            Message::AttemptEnded {
+                request: part,
+                attempt: hop,
+                node,
+                outcome: ending,
+                latency_s: latency,
+            } => {
                 let out = self.sessions.get_mut(&id).and_then(|s| s.calls.remove(&(part.clone(), hop)));
                 if out.is_some() {
                     let (part, hop, ending) = (named(id, &part), hop as usize, ending.into());
                     self.came.push(Came::Ended { part, hop, node, ending, latency });
                 }
             }
-            Message::Left { query } => self.left(id, &query),
-            Message::Evidence { node, started, late, far, sick, .. } => {
+            Message::QueryClosed { query } => self.left(id, &query),
+            Message::Observation {
+                node,
+                started_ago_s: started,
+                slow_for_s: late,
+                very_slow_for_s: far,
+                unresponsive_for_s: sick,
+                ..
+            } => {
                 let seen = self.clock.now();
                 let Some(here) = self.endpoints.nodes.get(&node).map(|node| node.started_at_s) else {
                     return true;
@@ -283,7 +303,7 @@
         vertical: usize,
         customer: String,
         left: f64,
-        parts: Vec<(String, u32, f64, Vec<Tried>)>,
+        parts: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     ) {
         let name = named(session, &id);
         let tried = parts.iter().any(|part| !part.3.is_empty());
@@ -292,7 +312,7 @@
         // tried may have run; it is taken beyond the room, so that the module judges it.
         if vertical >= self.verticals || left.is_nan() || !(fits || tried) {
             self.counters.increment("queries_turned_away");
-            return self.send(session, &Message::Reject { term, query: id, come_back: None });
+            return self.send(session, &Message::Reject { term, query: id, retry_after_s: None });
         }
         let (now, number) = (self.clock.now(), self.last + 1);
         self.last = number;
@@ -305,8 +325,8 @@
         if let Some(there) = self.sessions.get_mut(&session) {
             there.queries.insert(number);
             for (part, _, _, tried) in &parts {
-                for (hop, call) in tried.iter().enumerate().filter(|(_, call)| call.ending.is_none()) {
-                    there.calls.insert((part.clone(), hop as u32), (call.node.clone(), now - call.age));
+                for (hop, call) in tried.iter().enumerate().filter(|(_, call)| call.outcome.is_none()) {
+                    there.calls.insert((part.clone(), hop as u32), (call.node.clone(), now - call.age_s));
                 }
             }
         }
@@ -326,10 +346,10 @@
             session.next += 1;
             let name = session.name.as_deref();
             let taken = name.zip(self.since).is_some_and(|(name, since)| ramp::takes(name, since, RAMP, now));
-            session.outbox.send(&Message::Beat {
+            session.outbox.send(&Message::Heartbeat {
                 number: session.next,
-                roster: endpoints,
-                able: able && taken,
+                endpoints_version: endpoints,
+                accepts_queries: able && taken,
             });
             let since = *session.unanswered.get_or_insert(now);
             if now - since > patience {
@@ -367,8 +387,8 @@
                             module.adopt_attempt(
                                 name,
                                 &call.node,
-                                call.age.max(0.0),
-                                call.ending.map(Into::into),
+                                call.age_s.max(0.0),
+                                call.outcome.map(Into::into),
                             );
                         }
                     }
--- a/crates/router/src/tier/planner/rounds.rs
+++ b/crates/router/src/tier/planner/rounds.rs
@@ -42,7 +42,7 @@
             session.calls.insert((name.clone(), hop), (node.clone(), now));
         }
         planner.counters.increment("leaf_calls_decided");
-        planner.send(session, &Message::Call { term, part: name, node, limit });
+        planner.send(session, &Message::StartAttempt { term, request: name, node, timeout_s: limit });
     }
 
     fn cancel_attempt(&mut self, part: &str, hop: usize) {
@@ -50,19 +50,23 @@
         let number = planner.parts.get(part).map(|part| part.0);
         let term = number.and_then(|number| planner.of(number)).map_or(0, |of| of.1);
         let Some((session, name)) = unnamed(part) else { return };
-        planner.send(session, &Message::Cancel { term, part: name.into(), hop: hop as u32 });
+        planner.send(session, &Message::CancelAttempt { term, request: name.into(), attempt: hop as u32 });
     }
 
     fn answer(&mut self, query: &str, whole: bool) {
-        self.0.borrow_mut().finish(query, |term, query| Message::Answer { term, query, whole });
+        self.0.borrow_mut().finish(query, |term, query| Message::Answer { term, query, complete: whole });
     }
 
     fn reject(&mut self, query: &str, come_back: Option<f64>) {
-        self.0.borrow_mut().finish(query, |term, query| Message::Reject { term, query, come_back });
+        self.0.borrow_mut().finish(query, |term, query| Message::Reject {
+            term,
+            query,
+            retry_after_s: come_back,
+        });
     }
 
     fn fail(&mut self, query: &str) {
-        self.0.borrow_mut().finish(query, |term, query| Message::Abort { term, query });
+        self.0.borrow_mut().finish(query, |term, query| Message::Fail { term, query });
     }
 
     fn set_timer(&mut self, span: f64, tag: u64) {
@@ -86,7 +90,14 @@
         let NodeObservation { slow_for_s: late, very_slow_for_s: far, unresponsive_for_s: sick, .. } = seen;
         for (n, session) in planner.sessions.values_mut().enumerate() {
             let (node, relay) = (node.into(), n == 0);
-            session.outbox.send(&Message::Evidence { node, started, late, far, sick, relay });
+            session.outbox.send(&Message::Observation {
+                node,
+                started_ago_s: started,
+                slow_for_s: late,
+                very_slow_for_s: far,
+                unresponsive_for_s: sick,
+                relay,
+            });
         }
     }
 }
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -4,7 +4,7 @@
 use alderway_router::tier::forwarder::{Forwarder, Split};
 use alderway_telemetry::clock::Clock;
 use alderway_tier::members::Watch;
-use alderway_tier::messages::{Ended, Message};
+use alderway_tier::messages::{Message, WireOutcome};
 use alderway_transport::{FrameReader, Hello};
 use common::dispatcher::{Recorded, RecordingPolicy};
 use common::tier::take_messages;
@@ -48,12 +48,12 @@
         forwarder.greeted(&planner).expect("it is new");
         let mut router =
             Router { forwarder, planner, reader: FrameReader::default(), sink: NotingSink::default() };
-        router.hears(Message::Beat { number: 1, roster: 1, able: true });
+        router.hears(Message::Heartbeat { number: 1, endpoints_version: 1, accepts_queries: true });
         // Before a planner is able, its own beat has to be answered.
         router.forwarder.tick();
         for message in router.sent() {
-            if let Message::Beat { number, .. } = message {
-                router.hears(Message::Heard { number });
+            if let Message::Heartbeat { number, .. } = message {
+                router.hears(Message::HeartbeatAck { number });
             }
         }
         router
@@ -67,7 +67,7 @@
     fn sent(&mut self) -> Vec<Message> {
         let outbox = self.forwarder.outbox(&self.planner).expect("it is there");
         let mut messages = take_messages(outbox, &mut self.reader);
-        messages.retain(|message| !matches!(message, Message::Heard { .. }));
+        messages.retain(|message| !matches!(message, Message::HeartbeatAck { .. }));
         messages
     }
 
@@ -88,19 +88,21 @@
             input.shard_request_added(number, &format!("{id}.0"), 0, 1.0);
         });
         match sent[..] {
-            [Message::Take { term, .. }] => term,
+            [Message::AssignQuery { term, .. }] => term,
             _ => panic!("{sent:?}"),
         }
     }
 
-    fn call(&mut self, term: u64, part: &str) {
-        self.hears(Message::Call { term, part: part.into(), node: "s".into(), limit: 1.0 });
+    fn call(&mut self, term: u64, request: &str) {
+        self.hears(Message::StartAttempt { term, request: request.into(), node: "s".into(), timeout_s: 1.0 });
     }
 }
 
-fn ended(message: &Message) -> Option<(&str, u32, &str, Ended)> {
+fn ended(message: &Message) -> Option<(&str, u32, &str, WireOutcome)> {
     match message {
-        Message::Ended { part, hop, node, ending, .. } => Some((part, *hop, node, *ending)),
+        Message::AttemptEnded { request, attempt, node, outcome, .. } => {
+            Some((request, *attempt, node, *outcome))
+        }
         _ => None,
     }
 }
@@ -111,14 +113,14 @@
     let mut router = Router::new();
     let answered = router.ask(0, "q");
     router.call(answered, "q.0");
-    router.hears(Message::Answer { term: answered, query: "q".into(), whole: false });
+    router.hears(Message::Answer { term: answered, query: "q".into(), complete: false });
     let open = router.ask(1, "r");
     router.call(open, "r.0");
     router.forwarder.start_over();
     let sent = router.sent();
     let ends: Vec<_> = sent.iter().filter_map(ended).collect();
-    assert_eq!(ends, [("q.0", 0, "s", Ended::Cancelled), ("r.0", 0, "s", Ended::Cancelled)]);
-    assert_eq!(sent.last(), Some(&Message::Left { query: "r".into() }));
+    assert_eq!(ends, [("q.0", 0, "s", WireOutcome::Cancelled), ("r.0", 0, "s", WireOutcome::Cancelled)]);
+    assert_eq!(sent.last(), Some(&Message::QueryClosed { query: "r".into() }));
 }
 
 /// Guards against records that stay for ever: the dispatcher starts nothing for a query that is over.
@@ -127,8 +129,11 @@
     let mut router = Router::new();
     let term = router.ask(0, "q");
     router.call(term, "q.0");
-    assert_eq!(router.round(|input| input.client_disconnected("q")), [Message::Left { query: "q".into() }]);
-    router.hears(Message::Cancel { term, part: "q.0".into(), hop: 0 });
+    assert_eq!(
+        router.round(|input| input.client_disconnected("q")),
+        [Message::QueryClosed { query: "q".into() }]
+    );
+    router.hears(Message::CancelAttempt { term, request: "q.0".into(), attempt: 0 });
     assert!(router.forwarder.counters.text().contains("cancels_crossed 1"), "nothing is known of it");
     assert_eq!(router.sink.0, ["start q.0 s"]);
 }
@@ -139,5 +144,5 @@
     let term = router.ask(0, "q");
     router.call(term, "q.0");
     let sent = router.round(|input| input.attempt_ended("q.0", 0, "s", AttemptOutcome::Success, 0.1));
-    assert_eq!(sent.iter().filter_map(ended).collect::<Vec<_>>(), [("q.0", 0, "s", Ended::Success)]);
+    assert_eq!(sent.iter().filter_map(ended).collect::<Vec<_>>(), [("q.0", 0, "s", WireOutcome::Success)]);
 }
--- a/crates/router/tests/planner.rs
+++ b/crates/router/tests/planner.rs
@@ -13,8 +13,9 @@
 use std::cell::RefCell;
 
 fn take(query: &str) -> Message {
-    let parts = vec![(format!("{query}.0"), 0, 1.0, vec![])];
-    Message::Take { term: 1, query: query.into(), vertical: 0, customer: String::new(), left: 5.0, parts }
+    let requests = vec![(format!("{query}.0"), 0, 1.0, vec![])];
+    let (query, tenant) = (query.into(), String::new());
+    Message::AssignQuery { term: 1, query, query_class: 0, tenant, time_left_s: 5.0, requests }
 }
 
 /// Guards against a query that ends one planner after the other, as each forwarder hands it on.
@@ -82,7 +83,7 @@
     for number in 0..200 {
         let query = format!("q{number}");
         let decided = forwarder.tells(take(&query), &mut policy);
-        assert!(matches!(decided[..], [Message::Call { .. }]), "{query}: {decided:?}");
-        forwarder.tells(Message::Left { query }, &mut policy);
+        assert!(matches!(decided[..], [Message::StartAttempt { .. }]), "{query}: {decided:?}");
+        forwarder.tells(Message::QueryClosed { query }, &mut policy);
     }
 }
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -1,4 +1,5 @@
-//! What forwarders and planners say to each other, in the frames of `alderway_transport`.
+//! The messages between forwarders and planners, in the frames of `alderway_transport`. They are encoded by `postcard`: the
+//! order of variants and fields and the types of the fields are the wire format.
 use alderway::interface::AttemptOutcome;
 use alderway_transport::WireMessage;
 use serde::{Deserialize, Serialize};
@@ -8,127 +9,182 @@
     const VERSION: u16 = 1;
 }
 
-/// A leaf call as a forwarder made it, for a planner that takes a query over.
+/// An attempt that a forwarder has started for a shard request, for a planner that takes over the query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tried {
+pub struct PriorAttempt {
+    /// The data node that it was sent to.
     pub node: String,
-    /// Seconds ago.
-    pub age: f64,
-    pub ending: Option<Ended>,
+    /// Seconds since it was started.
+    pub age_s: f64,
+    /// How it ended; none while it is in flight.
+    pub outcome: Option<WireOutcome>,
 }
 
-/// How a leaf call ended, as the wire has it.
+/// How an attempt ended, as encoded on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ended {
+pub enum WireOutcome {
+    /// See [`AttemptOutcome::Success`].
     Success,
+    /// See [`AttemptOutcome::Error`].
     Error,
-    Full,
+    /// See [`AttemptOutcome::Rejected`].
+    Rejected,
+    /// See [`AttemptOutcome::TimedOut`].
     TimedOut,
+    /// See [`AttemptOutcome::Unreachable`].
     Unreachable,
-    Reset,
+    /// See [`AttemptOutcome::ConnectionReset`].
+    ConnectionReset,
+    /// See [`AttemptOutcome::Cancelled`].
     Cancelled,
+    /// See [`AttemptOutcome::NeverSent`].
     NeverSent,
-    Moved,
+    /// See [`AttemptOutcome::ShardMoved`].
+    ShardMoved,
 }
 
-impl From<AttemptOutcome> for Ended {
-    fn from(ending: AttemptOutcome) -> Self {
-        match ending {
-            AttemptOutcome::Success => Ended::Success,
-            AttemptOutcome::Error => Ended::Error,
-            AttemptOutcome::Rejected => Ended::Full,
-            AttemptOutcome::TimedOut => Ended::TimedOut,
-            AttemptOutcome::Unreachable => Ended::Unreachable,
-            AttemptOutcome::ConnectionReset => Ended::Reset,
-            AttemptOutcome::Cancelled => Ended::Cancelled,
-            AttemptOutcome::NeverSent => Ended::NeverSent,
-            AttemptOutcome::ShardMoved => Ended::Moved,
+impl From<AttemptOutcome> for WireOutcome {
+    fn from(outcome: AttemptOutcome) -> Self {
+        match outcome {
+            AttemptOutcome::Success => WireOutcome::Success,
+            AttemptOutcome::Error => WireOutcome::Error,
+            AttemptOutcome::Rejected => WireOutcome::Rejected,
+            AttemptOutcome::TimedOut => WireOutcome::TimedOut,
+            AttemptOutcome::Unreachable => WireOutcome::Unreachable,
+            AttemptOutcome::ConnectionReset => WireOutcome::ConnectionReset,
+            AttemptOutcome::Cancelled => WireOutcome::Cancelled,
+            AttemptOutcome::NeverSent => WireOutcome::NeverSent,
+            AttemptOutcome::ShardMoved => WireOutcome::ShardMoved,
         }
     }
 }
 
-impl From<Ended> for AttemptOutcome {
-    fn from(ended: Ended) -> Self {
-        match ended {
-            Ended::Success => AttemptOutcome::Success,
-            Ended::Error => AttemptOutcome::Error,
-            Ended::Full => AttemptOutcome::Rejected,
-            Ended::TimedOut => AttemptOutcome::TimedOut,
-            Ended::Unreachable => AttemptOutcome::Unreachable,
-            Ended::Reset => AttemptOutcome::ConnectionReset,
-            Ended::Cancelled => AttemptOutcome::Cancelled,
-            Ended::NeverSent => AttemptOutcome::NeverSent,
-            Ended::Moved => AttemptOutcome::ShardMoved,
+impl From<WireOutcome> for AttemptOutcome {
+    fn from(outcome: WireOutcome) -> Self {
+        match outcome {
+            WireOutcome::Success => AttemptOutcome::Success,
+            WireOutcome::Error => AttemptOutcome::Error,
+            WireOutcome::Rejected => AttemptOutcome::Rejected,
+            WireOutcome::TimedOut => AttemptOutcome::TimedOut,
+            WireOutcome::Unreachable => AttemptOutcome::Unreachable,
+            WireOutcome::ConnectionReset => AttemptOutcome::ConnectionReset,
+            WireOutcome::Cancelled => AttemptOutcome::Cancelled,
+            WireOutcome::NeverSent => AttemptOutcome::NeverSent,
+            WireOutcome::ShardMoved => AttemptOutcome::ShardMoved,
         }
     }
 }
 
-/// What follows a hello. Spans are seconds; no time of a clock is ever told.
+/// What follows the hello on a connection between a forwarder and a planner. Clocks differ between machines, so messages
+/// hold spans in seconds and never points in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A forwarder asks a planner to decide for a query; `term` counts its askings, `left` is the client's time.
-    Take {
+    /// Forwarder to planner: assigns a query to the planner.
+    AssignQuery {
+        /// The forwarder's number of this assignment; the planner repeats it in its decisions.
         term: u64,
+        /// The query's id.
         query: String,
-        vertical: u32,
-        customer: String,
-        left: f64,
-        parts: Vec<(String, u32, f64, Vec<Tried>)>,
+        /// Index of its query class.
+        query_class: u32,
+        /// The tenant that sent it.
+        tenant: String,
+        /// Seconds until its deadline.
+        time_left_s: f64,
+        /// Its shard requests: id, shard, weight and the attempts so far.
+        requests: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     },
-    Ended {
-        part: String,
-        hop: u32,
+    /// Forwarder to planner: an attempt that the planner has started or taken over ended.
+    AttemptEnded {
+        /// The shard request's id.
+        request: String,
+        /// Number of the attempt within the shard request, from 0.
+        attempt: u32,
+        /// The data node that it was sent to.
         node: String,
-        ending: Ended,
-        latency: f64,
+        /// How it ended.
+        outcome: WireOutcome,
+        /// Seconds from its start to its end.
+        latency_s: f64,
     },
-    Left {
+    /// Forwarder to planner: a query has ended without the planner's decision, for example because its client left.
+    QueryClosed {
+        /// The query's id.
         query: String,
     },
-    /// A planner's decisions, each for the term in which it was asked.
-    Call {
+    /// Planner to forwarder: starts an attempt.
+    StartAttempt {
+        /// The term of the query's assignment.
         term: u64,
-        part: String,
+        /// The shard request's id.
+        request: String,
+        /// The data node to send it to.
         node: String,
-        limit: f64,
+        /// Seconds after which the attempt times out.
+        timeout_s: f64,
     },
-    Cancel {
+    /// Planner to forwarder: cancels an attempt.
+    CancelAttempt {
+        /// The term of the query's assignment.
         term: u64,
-        part: String,
-        hop: u32,
+        /// The shard request's id.
+        request: String,
+        /// Number of the attempt within the shard request, from 0.
+        attempt: u32,
     },
+    /// Planner to forwarder: answers a query from the replies received.
     Answer {
+        /// The term of the query's assignment.
         term: u64,
+        /// The query's id.
         query: String,
-        whole: bool,
+        /// Whether the answer counts as complete.
+        complete: bool,
     },
+    /// Planner to forwarder: rejects a query.
     Reject {
+        /// The term of the query's assignment.
         term: u64,
+        /// The query's id.
         query: String,
-        come_back: Option<f64>,
+        /// Seconds after which the client may retry.
+        retry_after_s: Option<f64>,
     },
-    Abort {
+    /// Planner to forwarder: fails a query.
+    Fail {
+        /// The term of the query's assignment.
         term: u64,
+        /// The query's id.
         query: String,
     },
-    /// Both: alive, with how far the roster is known, and whether more is taken.
-    Beat {
+    /// Either way: the sender is alive.
+    Heartbeat {
+        /// Number of the heartbeat on this connection, from 1.
         number: u64,
-        roster: u64,
-        able: bool,
+        /// The latest version of the endpoint list that the sender knows.
+        endpoints_version: u64,
+        /// Whether a planner accepts new queries; always true from a forwarder.
+        accepts_queries: bool,
     },
-    /// The answer to a beat.
-    Heard {
+    /// Either way: acknowledges a heartbeat.
+    HeartbeatAck {
+        /// The heartbeat's number.
         number: u64,
     },
-    /// What a planner saw of a data node, which started so many seconds ago, if that is known; the spans count from now.
-    /// The forwarder that gets it to relay passes it on to the other planners.
-    Evidence {
+    /// What a planner observed of a data node. The spans count from the time of sending; one of 0 says that the node is
+    /// healthy in that respect.
+    Observation {
+        /// The data node's name.
         node: String,
-        started: Option<f64>,
-        late: f64,
-        far: f64,
-        sick: f64,
+        /// Seconds since the node's process started, if known.
+        started_ago_s: Option<f64>,
+        /// For how long the node counts as slow.
+        slow_for_s: f64,
+        /// For how long it counts as very slow.
+        very_slow_for_s: f64,
+        /// For how long it counts as unresponsive.
+        unresponsive_for_s: f64,
+        /// Whether the forwarder that receives it forwards it to the other planners.
         relay: bool,
     },
 }
--- a/crates/tier/tests/stories.rs
+++ b/crates/tier/tests/stories.rs
@@ -2,7 +2,7 @@
 use alderway_tier::custody::{Asking, Custody, Decider};
 use alderway_tier::leases::{Dealer, Holder, Terms};
 use alderway_tier::members::{Change, Members, Watch};
-use alderway_tier::messages::{Ended, Message, Tried};
+use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
 use alderway_tier::ramp;
 use alderway_transport::{
     FrameError, FrameReader, Hello, Received, WireMessage, encode_hello, encode_message,
@@ -158,19 +158,19 @@
 }
 
 fn some() -> Vec<Message> {
-    let tried = Tried { node: "s-1".into(), age: 0.25, ending: Some(Ended::Reset) };
+    let tried = PriorAttempt { node: "s-1".into(), age_s: 0.25, outcome: Some(WireOutcome::ConnectionReset) };
     vec![
-        Message::Take {
+        Message::AssignQuery {
             term: 9,
             query: "q".into(),
-            vertical: 1,
-            customer: String::new(),
-            left: 0.5,
-            parts: vec![("q.3".into(), 3, 0.5, vec![tried])],
+            query_class: 1,
+            tenant: String::new(),
+            time_left_s: 0.5,
+            requests: vec![("q.3".into(), 3, 0.5, vec![tried])],
         },
-        Message::Call { term: 9, part: "q.3".into(), node: "s-2".into(), limit: 0.4 },
-        Message::Reject { term: 9, query: "q".into(), come_back: Some(0.1) },
-        Message::Beat { number: 3, roster: 41, able: true },
+        Message::StartAttempt { term: 9, request: "q.3".into(), node: "s-2".into(), timeout_s: 0.4 },
+        Message::Reject { term: 9, query: "q".into(), retry_after_s: Some(0.1) },
+        Message::Heartbeat { number: 3, endpoints_version: 41, accepts_queries: true },
     ]
 }
 
--- a/crates/tier/tests/wire_format.rs
+++ b/crates/tier/tests/wire_format.rs
@@ -1,6 +1,6 @@
-//! The wire format of forwarders and planners against recorded bytes: `data/frames.hex` holds a line a frame, its name and
-//! its bytes in hex. Each is decoded, compared field by field with the value that it stands for, and encoded again.
-use alderway_tier::messages::{Ended, Message, Tried};
+//! The wire format between forwarders and planners against recorded bytes. `data/frames.hex` has one frame a line: its name
+//! and its bytes in hex. Each frame is decoded, compared with the expected value, and encoded again.
+use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
 use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -34,99 +34,112 @@
     ]
 }
 
-/// Every kind of message, with every variant of what it holds.
+/// Every variant of a message, with every variant of its optional fields.
 fn messages() -> Vec<(&'static str, Message)> {
-    let ended = |name, ending| {
-        let message =
-            Message::Ended { part: "q-1.3".into(), hop: 2, node: "s-17".into(), ending, latency: 0.0625 };
-        (name, message)
+    let ended = |name, outcome| {
+        let (request, node) = ("q-1.3".into(), "s-17".into());
+        (name, Message::AttemptEnded { request, attempt: 2, node, outcome, latency_s: 0.0625 })
     };
-    let tried = vec![
-        Tried { node: "s-1".into(), age: 0.25, ending: None },
-        Tried { node: "s-2".into(), age: 0.5, ending: Some(Ended::Reset) },
-        Tried { node: "s-3".into(), age: 1.75, ending: Some(Ended::Moved) },
+    let prior_attempts = vec![
+        PriorAttempt { node: "s-1".into(), age_s: 0.25, outcome: None },
+        PriorAttempt { node: "s-2".into(), age_s: 0.5, outcome: Some(WireOutcome::ConnectionReset) },
+        PriorAttempt { node: "s-3".into(), age_s: 1.75, outcome: Some(WireOutcome::ShardMoved) },
     ];
     vec![
         (
             "take",
-            Message::Take {
+            Message::AssignQuery {
                 term: 300,
                 query: "q-1".into(),
-                vertical: 4,
-                customer: "c-9".into(),
-                left: 0.75,
-                parts: vec![("q-1.3".into(), 3, 0.5, tried), ("q-1.200".into(), 200, 0.125, vec![])],
+                query_class: 4,
+                tenant: "c-9".into(),
+                time_left_s: 0.75,
+                requests: vec![
+                    ("q-1.3".into(), 3, 0.5, prior_attempts),
+                    ("q-1.200".into(), 200, 0.125, vec![]),
+                ],
             },
         ),
-        ended("ended_success", Ended::Success),
-        ended("ended_error", Ended::Error),
-        ended("ended_full", Ended::Full),
-        ended("ended_timed_out", Ended::TimedOut),
-        ended("ended_unreachable", Ended::Unreachable),
-        ended("ended_reset", Ended::Reset),
-        ended("ended_cancelled", Ended::Cancelled),
-        ended("ended_never_sent", Ended::NeverSent),
-        ended("ended_moved", Ended::Moved),
-        ("left", Message::Left { query: "q-2".into() }),
-        ("call", Message::Call { term: 301, part: "q-1.3".into(), node: "s-5".into(), limit: 0.375 }),
-        ("cancel", Message::Cancel { term: 302, part: "q-1.4".into(), hop: 130 }),
-        ("answer_complete", Message::Answer { term: 303, query: "q-3".into(), whole: true }),
-        ("answer_partial", Message::Answer { term: 304, query: "q-4".into(), whole: false }),
-        ("reject", Message::Reject { term: 305, query: "q-5".into(), come_back: None }),
-        ("reject_with_retry_after", Message::Reject { term: 306, query: "q-6".into(), come_back: Some(1.5) }),
-        ("abort", Message::Abort { term: 307, query: "q-7".into() }),
-        ("beat", Message::Beat { number: 9, roster: 1_000_000, able: true }),
-        ("beat_not_able", Message::Beat { number: 10, roster: 0, able: false }),
-        ("heard", Message::Heard { number: 11 }),
+        ended("ended_success", WireOutcome::Success),
+        ended("ended_error", WireOutcome::Error),
+        ended("ended_full", WireOutcome::Rejected),
+        ended("ended_timed_out", WireOutcome::TimedOut),
+        ended("ended_unreachable", WireOutcome::Unreachable),
+        ended("ended_reset", WireOutcome::ConnectionReset),
+        ended("ended_cancelled", WireOutcome::Cancelled),
+        ended("ended_never_sent", WireOutcome::NeverSent),
+        ended("ended_moved", WireOutcome::ShardMoved),
+        ("left", Message::QueryClosed { query: "q-2".into() }),
+        (
+            "call",
+            Message::StartAttempt {
+                term: 301,
+                request: "q-1.3".into(),
+                node: "s-5".into(),
+                timeout_s: 0.375,
+            },
+        ),
+        ("cancel", Message::CancelAttempt { term: 302, request: "q-1.4".into(), attempt: 130 }),
+        ("answer_complete", Message::Answer { term: 303, query: "q-3".into(), complete: true }),
+        ("answer_partial", Message::Answer { term: 304, query: "q-4".into(), complete: false }),
+        ("reject", Message::Reject { term: 305, query: "q-5".into(), retry_after_s: None }),
+        (
+            "reject_with_retry_after",
+            Message::Reject { term: 306, query: "q-6".into(), retry_after_s: Some(1.5) },
+        ),
+        ("abort", Message::Fail { term: 307, query: "q-7".into() }),
+        ("beat", Message::Heartbeat { number: 9, endpoints_version: 1_000_000, accepts_queries: true }),
+        ("beat_not_able", Message::Heartbeat { number: 10, endpoints_version: 0, accepts_queries: false }),
+        ("heard", Message::HeartbeatAck { number: 11 }),
         (
             "evidence",
-            Message::Evidence {
+            Message::Observation {
                 node: "s-6".into(),
-                started: Some(86_400.5),
-                late: 0.5,
-                far: 1.25,
-                sick: 2.5,
+                started_ago_s: Some(86_400.5),
+                slow_for_s: 0.5,
+                very_slow_for_s: 1.25,
+                unresponsive_for_s: 2.5,
                 relay: true,
             },
         ),
         (
             "evidence_start_unknown",
-            Message::Evidence {
+            Message::Observation {
                 node: "s-7".into(),
-                started: None,
-                late: 0.0,
-                far: 0.0,
-                sick: 0.0,
+                started_ago_s: None,
+                slow_for_s: 0.0,
+                very_slow_for_s: 0.0,
+                unresponsive_for_s: 0.0,
                 relay: false,
             },
         ),
     ]
 }
 
-/// Fails to compile where a kind of message or an ending is added, so that its frame is recorded as well.
+/// Fails to compile if a variant of a message or an outcome is added, so that a frame of it gets recorded.
 fn assert_variants_known(message: &Message) {
     match message {
-        Message::Ended { ending, .. } => match ending {
-            Ended::Success
-            | Ended::Error
-            | Ended::Full
-            | Ended::TimedOut
-            | Ended::Unreachable
-            | Ended::Reset
-            | Ended::Cancelled
-            | Ended::NeverSent
-            | Ended::Moved => {}
+        Message::AttemptEnded { outcome, .. } => match outcome {
+            WireOutcome::Success
+            | WireOutcome::Error
+            | WireOutcome::Rejected
+            | WireOutcome::TimedOut
+            | WireOutcome::Unreachable
+            | WireOutcome::ConnectionReset
+            | WireOutcome::Cancelled
+            | WireOutcome::NeverSent
+            | WireOutcome::ShardMoved => {}
         },
-        Message::Take { .. }
-        | Message::Left { .. }
-        | Message::Call { .. }
-        | Message::Cancel { .. }
+        Message::AssignQuery { .. }
+        | Message::QueryClosed { .. }
+        | Message::StartAttempt { .. }
+        | Message::CancelAttempt { .. }
         | Message::Answer { .. }
         | Message::Reject { .. }
-        | Message::Abort { .. }
-        | Message::Beat { .. }
-        | Message::Heard { .. }
-        | Message::Evidence { .. } => {}
+        | Message::Fail { .. }
+        | Message::Heartbeat { .. }
+        | Message::HeartbeatAck { .. }
+        | Message::Observation { .. } => {}
     }
 }
 
