--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -7,8 +7,8 @@
 use alderway_lab::load::{self, Load, Outcome};
 use alderway_lab::model::{Fault, Make};
 use alderway_lab::program::{Build, Program, Setting};
-use alderway_tier::custody::Custody;
 use alderway_tier::messages::Message;
+use alderway_tier::query_assignments::QueryAssignments;
 use alderway_transport::{Hello, WireMessage, encode_hello, encode_message};
 use common::{Client, logged, until};
 use nix::sys::signal::Signal;
@@ -216,7 +216,7 @@
     let house = house(planners, Setting::default(), Make { service: 0.002, exponential: false, ..quick() });
     // Two forwarders that ask different planners, where there are two.
     let all: Vec<String> = (0..planners).map(|n| format!("p-{n}")).collect();
-    let asks = |n: &usize| Custody::new(&format!("f-{n}")).prefers(all.iter());
+    let asks = |n: &usize| QueryAssignments::new(&format!("f-{n}")).preferred_decider(all.iter());
     let second = (1..100).find(|n| planners == 1 || asks(n) != asks(&0)).expect("there is one");
     let (one, other) = (house.met(), house.met_as(&format!("f-{second}")));
     sound(&load::send(one.address, &house.load(150.0, 1.0), house.clock));
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -10,9 +10,9 @@
 use crate::state::metrics::{MetricsSnapshot, MetricsSource};
 use alderway::interface::{AttemptOutcome, DecisionSink, NodeObservation};
 use alderway_telemetry::clock::Clock;
-use alderway_tier::custody::{Asking, Custody, Decider};
 use alderway_tier::members::{Change, Members, Watch};
 use alderway_tier::messages::{Message, PriorAttempt};
+use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
 use alderway_transport::{Hello, Incarnation, Name};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
     name: Name,
     incarnation: Incarnation,
     clock: Clock,
-    custody: Custody,
+    assignments: QueryAssignments,
     members: Members,
     links: BTreeMap<Name, Outbox>,
     queries: BTreeMap<String, Query>,
@@ -57,7 +57,7 @@
     /// Leaf calls that are out, or were when their query ended, by part and number.
     calls: BTreeMap<(String, usize), PlannedCall>,
     /// Queries asked of a planner in this round, once all their parts are known.
-    fresh: Vec<Asking>,
+    fresh: Vec<Assignment>,
     /// Queries that the own module takes over in the next round.
     own_due: Vec<String>,
     heard: Vec<(String, NodeObservation)>,
@@ -76,7 +76,7 @@
             name: name.into(),
             incarnation,
             clock,
-            custody: Custody::new(name),
+            assignments: QueryAssignments::new(name),
             members: Members::new(watch),
             links: BTreeMap::new(),
             queries: BTreeMap::new(),
@@ -176,21 +176,21 @@
             link.wake.notify_one();
         }
         let able = self.able();
-        let askings = self.custody.lost(name, able.iter());
+        let reassigned = self.assignments.reassign_from(name, able.iter());
         let left = able.len();
-        let held = askings.len();
+        let held = reassigned.len();
         tracing::warn!(target: "tier", "planner {name} is lost: {held} queries asked anew, {left} planners able");
         self.counters.increment("planners_lost");
         self.counters.add("queries_asked_anew", held);
         self.calls.retain(|_, call| call.planner != name);
-        for asking in askings {
-            self.ask(asking);
+        for assignment in reassigned {
+            self.ask(assignment);
         }
     }
 
     /// Asks whoever is to decide, with all that was tried.
-    fn ask(&mut self, asking: Asking) {
-        let Asking { query, decider, term } = asking;
+    fn ask(&mut self, assignment: Assignment) {
+        let Assignment { query, decider, term } = assignment;
         let Decider::Planner(planner) = decider else {
             self.counters.increment("queries_decided{own}");
             self.own_due.push(query);
@@ -276,7 +276,7 @@
                 }
             }
             Message::StartAttempt { term, request: part, node, timeout_s: limit } => {
-                let query = self.custody.accepts(&from, term);
+                let query = self.assignments.query_of(&from, term);
                 let known = self.parts.get(&part).filter(|(of, _)| Some(of.as_str()) == query).cloned();
                 let Some((query, at)) = known else { return self.counters.increment("decisions_refused") };
                 let now = self.clock.now();
@@ -321,7 +321,7 @@
     }
 
     fn finish(&mut self, from: &Decider, term: u64, query: &str) -> bool {
-        let decides = self.custody.accepts(from, term) == Some(query);
+        let decides = self.assignments.query_of(from, term) == Some(query);
         if decides {
             self.forget(query);
         } else {
@@ -330,11 +330,11 @@
         decides
     }
 
-    fn forget(&mut self, query: &str) -> Option<Asking> {
+    fn forget(&mut self, query: &str) -> Option<Assignment> {
         if let Some(record) = self.queries.remove(query) {
             record.parts.iter().for_each(|part| drop(self.parts.remove(&part.id)));
         }
-        self.custody.close(query)
+        self.assignments.close(query)
     }
 
     // What the own module decides.
@@ -361,7 +361,7 @@
             .flat_map(|query| &query.parts)
             .flat_map(|part| (0..part.calls.len()).map(|hop| (part.id.clone(), hop)))
             .collect();
-        let Some(Decider::Planner(planner)) = self.forget(query).map(|asking| asking.decider) else {
+        let Some(Decider::Planner(planner)) = self.forget(query).map(|assignment| assignment.decider) else {
             return false;
         };
         // Those that came when the query was over already, and were not started: no end of them will be told.
@@ -397,7 +397,7 @@
 
     /// Queries held, and those that the own module decides for.
     pub fn figures(&self) -> [(&'static str, u64); 3] {
-        let (held, own) = self.custody.count();
+        let (held, own) = self.assignments.counts();
         [
             ("planners_able", self.able().len() as u64),
             ("queries_with_planners", (held - own) as u64),
--- a/crates/router/src/tier/forwarder/split.rs
+++ b/crates/router/src/tier/forwarder/split.rs
@@ -1,8 +1,8 @@
 //! What the dispatcher tells in a round, passed on to whoever decides: a planner, or the own module.
 use super::{Forwarder, Part, Query};
 use alderway::interface::{AttemptOutcome, NodeObservation, NodeState, PolicyInput, StateTransfer};
-use alderway_tier::custody::Decider;
 use alderway_tier::messages::Message;
+use alderway_tier::query_assignments::Decider;
 
 /// What the dispatcher tells, on its way to whoever decides.
 pub struct Split<'a> {
@@ -34,10 +34,10 @@
 
     /// Ends a round: what is asked of planners goes out.
     pub fn end(self) {
-        for asking in std::mem::take(&mut self.forwarder.fresh) {
+        for assignment in std::mem::take(&mut self.forwarder.fresh) {
             // Its planner may have been lost in the round, and the query asked anew.
-            if self.forwarder.custody.accepts(&asking.decider, asking.term).is_some() {
-                self.forwarder.ask(asking);
+            if self.forwarder.assignments.query_of(&assignment.decider, assignment.term).is_some() {
+                self.forwarder.ask(assignment);
             }
         }
     }
@@ -66,15 +66,15 @@
 
     fn query_arrived(&mut self, number: u64, id: &str, vertical: usize, customer: &str, not_after: f64) {
         let able = self.forwarder.able();
-        let Some(asking) = self.forwarder.custody.open(id, able.iter()) else { return };
+        let Some(assignment) = self.forwarder.assignments.assign(id, able.iter()) else { return };
         let query = Query { number, vertical, customer: customer.into(), not_after, parts: vec![] };
         self.forwarder.queries.insert(id.into(), query);
-        self.told = (id.into(), asking.decider == Decider::Own);
-        if asking.decider == Decider::Own {
+        self.told = (id.into(), assignment.decider == Decider::Local);
+        if assignment.decider == Decider::Local {
             self.forwarder.counters.increment("queries_decided{own}");
             self.own.query_arrived(number, id, vertical, customer, not_after);
         } else {
-            self.forwarder.fresh.push(asking);
+            self.forwarder.fresh.push(assignment);
         }
     }
 
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -4,13 +4,13 @@
 //!
 //! - `messages`: what they say to each other on the wire.
 //! - `members`: which planners are there, by heartbeats with incarnations.
-//! - `custody`: which planner decides for a query, through deaths, hangs and partitions.
+//! - `query_assignments`: which decider each query is assigned to, through planners that die, hang or are cut off.
 //! - `ramp`: how a planner that has just started takes load.
 //! - `leases`: shares of a stated amount with an end, so that the sum holds whoever cannot be reached.
-pub mod custody;
 pub mod leases;
 pub mod members;
 pub mod messages;
+pub mod query_assignments;
 pub mod ramp;
 
 pub use alderway_transport::{Incarnation, Name};
--- a/crates/tier/tests/model.rs
+++ b/crates/tier/tests/model.rs
@@ -1,6 +1,6 @@
 //! An exhaustive walk over a small system: one forwarder with two queries and two planners, each of which may die, be taken
-//! for lost though it lives, and speak again; words are under way for as long as they like. Custody is the program's own.
-use alderway_tier::custody::{Asking, Custody, Decider};
+//! for lost though it lives, and speak again; words are under way for as long as they like. QueryAssignments is the program's own.
+use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
 use alderway_transport::Name;
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    custody: Custody,
+    assignments: QueryAssignments,
     /// Queries that have come, calls of each that went out and may run, calls that are out, and final answers.
     come: [bool; 2],
     ran: [u8; 2],
@@ -71,18 +71,18 @@
     }
 
     /// Asks whoever is to decide; the own module decides at once, as it needs no word.
-    fn ask(&self, state: &mut State, asking: &Asking) {
-        let query = QUERIES.iter().position(|q| *q == asking.query).expect("one of two");
+    fn ask(&self, state: &mut State, assignment: &Assignment) {
+        let query = QUERIES.iter().position(|q| *q == assignment.query).expect("one of two");
         let tried = state.ran[query] > 0 && !self.forgetful;
-        match &asking.decider {
+        match &assignment.decider {
             Decider::Planner(name) => {
                 let planner = PLANNERS.iter().position(|p| p == name).expect("one of two");
-                state.there[planner].push(Word::Take { query, term: asking.term, tried });
+                state.there[planner].push(Word::Take { query, term: assignment.term, tried });
             }
             // What may have run is not sent again: its answer is waited for, or it is given up.
-            Decider::Own if tried && state.out[query] => {}
-            Decider::Own if tried => self.finish(state, query),
-            Decider::Own => self.call(state, query),
+            Decider::Local if tried && state.out[query] => {}
+            Decider::Local if tried => self.finish(state, query),
+            Decider::Local => self.call(state, query),
         }
     }
 
@@ -94,13 +94,13 @@
     fn finish(&self, state: &mut State, query: usize) {
         state.answers[query] += 1;
         state.out[query] = false;
-        state.custody.close(QUERIES[query]);
+        state.assignments.close(QUERIES[query]);
     }
 
     fn accepts(&self, state: &State, planner: usize, query: usize, term: u64) -> bool {
         let from = Decider::Planner(PLANNERS[planner].into());
-        (self.trusting && state.custody.count().0 > 0)
-            || state.custody.accepts(&from, term) == Some(QUERIES[query])
+        (self.trusting && state.assignments.counts().0 > 0)
+            || state.assignments.query_of(&from, term) == Some(QUERIES[query])
     }
 }
 
@@ -110,7 +110,7 @@
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            custody: Custody::new("f"),
+            assignments: QueryAssignments::new("f"),
             come: [false; 2],
             ran: [0; 2],
             out: [false; 2],
@@ -154,8 +154,8 @@
             Step::Come(query) => {
                 next.come[query] = true;
                 let able = System::able(&next);
-                let asking = next.custody.open(QUERIES[query], able.iter())?;
-                self.ask(&mut next, &asking);
+                let assignment = next.assignments.assign(QUERIES[query], able.iter())?;
+                self.ask(&mut next, &assignment);
             }
             Step::Read(planner) => match next.there[planner].remove(0) {
                 Word::Take { query, term, tried } => {
@@ -193,7 +193,7 @@
                 let decider = PLANNERS.iter().enumerate().find(|(p, _)| {
                     next.taken[*p].iter().any(|taken| {
                         let from = Decider::Planner(PLANNERS[*p].into());
-                        next.custody.accepts(&from, taken.term) == Some(QUERIES[query])
+                        next.assignments.query_of(&from, taken.term) == Some(QUERIES[query])
                     })
                 });
                 match decider.map(|d| d.0) {
@@ -201,10 +201,10 @@
                     None => {
                         // The own module's, or its planner has yet to read what it is asked: that one aborts.
                         if next
-                            .custody
+                            .assignments
                             .clone()
                             .close(QUERIES[query])
-                            .is_some_and(|a| a.decider == Decider::Own)
+                            .is_some_and(|a| a.decider == Decider::Local)
                         {
                             self.finish(&mut next, query);
                         }
@@ -221,8 +221,8 @@
                 next.failures -= u8::from(next.alive[planner]);
                 next.member[planner] = false;
                 let able = System::able(&next);
-                for asking in next.custody.lost(PLANNERS[planner], able.iter()) {
-                    self.ask(&mut next, &asking);
+                for assignment in next.assignments.reassign_from(PLANNERS[planner], able.iter()) {
+                    self.ask(&mut next, &assignment);
                 }
             }
         }
@@ -237,7 +237,7 @@
             Property::always("no effect twice", |_, state: &State| state.ran.iter().all(|n| *n <= 1)),
             Property::always("held until it is answered", |_, state: &State| {
                 let open = (0..2).filter(|q| state.come[*q] && state.answers[*q] == 0).count();
-                state.custody.count().0 == open
+                state.assignments.counts().0 == open
             }),
             Property::eventually("every query is answered", |_, state: &State| state.answers == [1, 1]),
         ]
--- a/crates/tier/tests/stories.rs
+++ b/crates/tier/tests/stories.rs
@@ -1,8 +1,8 @@
 //! Stories of planners that die, hang, come back and speak again, of shares that end, and of bytes that are no frames.
-use alderway_tier::custody::{Asking, Custody, Decider};
 use alderway_tier::leases::{Dealer, Holder, Terms};
 use alderway_tier::members::{Change, Members, Watch};
 use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
+use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
 use alderway_tier::ramp;
 use alderway_transport::{
     FrameError, FrameReader, Hello, Received, WireMessage, encode_hello, encode_message,
@@ -21,40 +21,44 @@
 
 #[rstest]
 fn a_lost_planners_queries_go_to_another_and_its_words_count_no_more() {
-    let (mut custody, all) = (Custody::new("f-1"), names(&["p-1", "p-2"]));
-    let first = custody.open("q", all.iter()).expect("new");
-    assert_eq!(custody.accepts(&first.decider, first.term), Some("q"));
-    assert!(custody.open("q", all.iter()).is_none(), "one of that name is held");
+    let (mut assignments, all) = (QueryAssignments::new("f-1"), names(&["p-1", "p-2"]));
+    let first = assignments.assign("q", all.iter()).expect("new");
+    assert_eq!(assignments.query_of(&first.decider, first.term), Some("q"));
+    assert!(assignments.assign("q", all.iter()).is_none(), "one of that name is held");
     let Decider::Planner(lost) = first.decider.clone() else { panic!("a planner was there") };
-    let again = custody.lost(&lost, all.iter());
+    let again = assignments.reassign_from(&lost, all.iter());
     assert!(again.len() == 1 && again[0].decider != first.decider && again[0].term > first.term);
     // It was only paused, and speaks again; so does the first term by way of the other.
-    assert_eq!(custody.accepts(&first.decider, first.term), None);
-    assert_eq!(custody.accepts(&again[0].decider, first.term), None);
-    assert_eq!(custody.accepts(&first.decider, again[0].term), None);
-    assert_eq!(custody.accepts(&again[0].decider, again[0].term), Some("q"));
-    assert_eq!(custody.close("q"), Some(again[0].clone()));
-    assert_eq!((custody.accepts(&again[0].decider, again[0].term), custody.count()), (None, (0, 0)));
+    assert_eq!(assignments.query_of(&first.decider, first.term), None);
+    assert_eq!(assignments.query_of(&again[0].decider, first.term), None);
+    assert_eq!(assignments.query_of(&first.decider, again[0].term), None);
+    assert_eq!(assignments.query_of(&again[0].decider, again[0].term), Some("q"));
+    assert_eq!(assignments.close("q"), Some(again[0].clone()));
+    assert_eq!(
+        (assignments.query_of(&again[0].decider, again[0].term), assignments.counts()),
+        (None, (0, 0))
+    );
 }
 
 #[rstest]
 fn with_no_planner_left_the_own_module_decides_and_keeps_what_it_has() {
-    let (mut custody, all) = (Custody::new("f-1"), names(&["p-1"]));
-    custody.open("q", all.iter()).expect("new");
+    let (mut assignments, all) = (QueryAssignments::new("f-1"), names(&["p-1"]));
+    assignments.assign("q", all.iter()).expect("new");
     assert_eq!(
-        custody.lost("p-1", all.iter()),
-        [Asking { query: "q".into(), decider: Decider::Own, term: 2 }]
+        assignments.reassign_from("p-1", all.iter()),
+        [Assignment { query: "q".into(), decider: Decider::Local, term: 2 }]
     );
-    assert_eq!(custody.open("r", [].iter()).expect("new").decider, Decider::Own);
+    assert_eq!(assignments.assign("r", [].iter()).expect("new").decider, Decider::Local);
     // Back again, it gets what is new; nobody takes from the own module what it has begun.
-    assert_eq!(custody.open("s", all.iter()).expect("new").decider, planner("p-1"));
-    assert_eq!(custody.count(), (3, 2));
+    assert_eq!(assignments.assign("s", all.iter()).expect("new").decider, planner("p-1"));
+    assert_eq!(assignments.counts(), (3, 2));
 }
 
 #[rstest]
 fn forwarders_spread_over_planners_and_only_those_of_a_lost_one_move() {
     let all = names(&["p-1", "p-2", "p-3"]);
-    let chosen = |n: usize, able: &[String]| Custody::new(&format!("f-{n}")).prefers(able.iter());
+    let chosen =
+        |n: usize, able: &[String]| QueryAssignments::new(&format!("f-{n}")).preferred_decider(able.iter());
     let of = |name: &str| (0..300).filter(|n| chosen(*n, &all) == planner(name)).count();
     assert!(all.iter().all(|name| of(name) > 60), "{:?}", all.iter().map(|n| of(n)).collect::<Vec<_>>());
     for n in 0..300 {
