--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -21,7 +21,7 @@
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log;
-use alderway_tier::members::Watch;
+use alderway_tier::planner_membership::HeartbeatConfig;
 use nix::sys::signal::Signal;
 use std::cell::RefCell;
 use std::io;
@@ -153,7 +153,7 @@
     clock: Clock,
 ) -> Option<Tier> {
     let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return None };
-    let watch = Watch { beat: *heartbeat_interval_s, patience: *heartbeat_timeout_s };
+    let watch = HeartbeatConfig { interval_s: *heartbeat_interval_s, timeout_s: *heartbeat_timeout_s };
     let work_ready = dispatcher.borrow().work_ready.clone();
     let forwarder = Forwarder::new(name, post::incarnation(), watch, clock, work_ready);
     let forwarder = Rc::new(RefCell::new(forwarder));
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -10,8 +10,8 @@
 use crate::state::metrics::{MetricsSnapshot, MetricsSource};
 use alderway::interface::{AttemptOutcome, DecisionSink, NodeObservation};
 use alderway_telemetry::clock::Clock;
-use alderway_tier::members::{Change, Members, Watch};
 use alderway_tier::messages::{Message, PriorAttempt};
+use alderway_tier::planner_membership::{HeartbeatConfig, PlannerChange, PlannerMembership};
 use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
 use alderway_transport::{Hello, Incarnation, Name};
 use std::cell::RefCell;
@@ -50,7 +50,7 @@
     incarnation: Incarnation,
     clock: Clock,
     assignments: QueryAssignments,
-    members: Members,
+    membership: PlannerMembership,
     links: BTreeMap<Name, Outbox>,
     queries: BTreeMap<String, Query>,
     parts: BTreeMap<String, (String, usize)>,
@@ -71,13 +71,19 @@
 }
 
 impl Forwarder {
-    pub fn new(name: &str, incarnation: Incarnation, watch: Watch, clock: Clock, came: Rc<Notify>) -> Self {
+    pub fn new(
+        name: &str,
+        incarnation: Incarnation,
+        watch: HeartbeatConfig,
+        clock: Clock,
+        came: Rc<Notify>,
+    ) -> Self {
         Forwarder {
             name: name.into(),
             incarnation,
             clock,
             assignments: QueryAssignments::new(name),
-            members: Members::new(watch),
+            membership: PlannerMembership::new(watch),
             links: BTreeMap::new(),
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
@@ -98,7 +104,7 @@
     }
 
     fn able(&self) -> Vec<Name> {
-        self.members.names().filter(|name| self.members.may_ask(name, self.due)).cloned().collect()
+        self.membership.names().filter(|name| self.membership.is_available(name, self.due)).cloned().collect()
     }
 
     fn send(&mut self, planner: &str, message: &Message) {
@@ -122,7 +128,7 @@
 
     /// A planner has said hello on a new connection; false where that is an earlier self of one that is known.
     pub fn greeted(&mut self, hello: &Hello) -> Option<Rc<Notify>> {
-        let changes = self.members.greeted(&hello.name, hello.incarnation, self.clock.now())?;
+        let changes = self.membership.connected(&hello.name, hello.incarnation, self.clock.now())?;
         self.changed(changes);
         let outbox = Outbox::new(&self.hello());
         let wake = outbox.wake.clone();
@@ -133,12 +139,12 @@
 
     /// A connection to a planner has ended.
     pub fn ended(&mut self, hello: &Hello) {
-        let changes = self.members.ended(&hello.name, hello.incarnation);
+        let changes = self.membership.disconnected(&hello.name, hello.incarnation);
         self.changed(changes);
     }
 
     pub fn outbox(&mut self, hello: &Hello) -> Option<&mut Outbox> {
-        if self.members.incarnation(&hello.name) != Some(hello.incarnation) {
+        if self.membership.incarnation(&hello.name) != Some(hello.incarnation) {
             return None;
         }
         self.links.get_mut(&hello.name).filter(|link| !link.over)
@@ -146,7 +152,7 @@
 
     /// Beats that are due, and planners that were silent too long.
     pub fn tick(&mut self) {
-        let (beats, changes) = self.members.tick(self.clock.now());
+        let (beats, changes) = self.membership.tick(self.clock.now());
         for (planner, number) in beats {
             let endpoints = self.endpoints.0;
             self.send(
@@ -157,14 +163,14 @@
         self.changed(changes);
     }
 
-    fn changed(&mut self, changes: Vec<Change>) {
+    fn changed(&mut self, changes: Vec<PlannerChange>) {
         for change in changes {
             match change {
-                Change::Able(name, able) => {
+                PlannerChange::AcceptsQueries(name, able) => {
                     let word = if able { "decides" } else { "takes nothing new" };
                     tracing::info!(target: "tier", "planner {name} {word}: {} able", self.able().len());
                 }
-                Change::Lost(name) => self.lost(&name),
+                PlannerChange::Lost(name) => self.lost(&name),
             }
         }
     }
@@ -235,10 +241,13 @@
         match message {
             Message::Heartbeat { number, endpoints_version: endpoints, accepts_queries: able } => {
                 self.send(&hello.name, &Message::HeartbeatAck { number });
-                let changes = self.members.beat(&hello.name, hello.incarnation, endpoints, able);
+                let changes =
+                    self.membership.heartbeat_received(&hello.name, hello.incarnation, endpoints, able);
                 self.changed(changes);
             }
-            Message::HeartbeatAck { number } => self.members.heard(&hello.name, hello.incarnation, number),
+            Message::HeartbeatAck { number } => {
+                self.membership.heartbeat_acknowledged(&hello.name, hello.incarnation, number)
+            }
             Message::Observation {
                 node,
                 started_ago_s: started,
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -3,8 +3,8 @@
 use alderway::interface::{AttemptOutcome, DecisionSink, PolicyInput};
 use alderway_router::tier::forwarder::{Forwarder, Split};
 use alderway_telemetry::clock::Clock;
-use alderway_tier::members::Watch;
 use alderway_tier::messages::{Message, WireOutcome};
+use alderway_tier::planner_membership::HeartbeatConfig;
 use alderway_transport::{FrameReader, Hello};
 use common::dispatcher::{Recorded, RecordingPolicy};
 use common::tier::take_messages;
@@ -42,7 +42,7 @@
 
 impl Router {
     fn new() -> Self {
-        let watch = Watch { beat: 0.05, patience: 1.0 };
+        let watch = HeartbeatConfig { interval_s: 0.05, timeout_s: 1.0 };
         let mut forwarder = Forwarder::new("r-0", 1, watch, Clock::default(), Rc::default());
         let planner = Hello::of_planner::<Message>("p-0", 1);
         forwarder.greeted(&planner).expect("it is new");
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -3,13 +3,13 @@
 //! clocks: bytes and times are passed in. It never chooses a data node; that is the decision module's, wherever it runs.
 //!
 //! - `messages`: what they say to each other on the wire.
-//! - `members`: which planners are there, by heartbeats with incarnations.
+//! - `planner_membership`: which planners are available, by heartbeats with incarnations.
 //! - `query_assignments`: which decider each query is assigned to, through planners that die, hang or are cut off.
 //! - `ramp`: how a planner that has just started takes load.
 //! - `leases`: shares of a stated amount with an end, so that the sum holds whoever cannot be reached.
 pub mod leases;
-pub mod members;
 pub mod messages;
+pub mod planner_membership;
 pub mod query_assignments;
 pub mod ramp;
 
--- a/crates/tier/tests/stories.rs
+++ b/crates/tier/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Stories of planners that die, hang, come back and speak again, of shares that end, and of bytes that are no frames.
 use alderway_tier::leases::{Dealer, Holder, Terms};
-use alderway_tier::members::{Change, Members, Watch};
 use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
+use alderway_tier::planner_membership::{HeartbeatConfig, PlannerChange, PlannerMembership};
 use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
 use alderway_tier::ramp;
 use alderway_transport::{
@@ -68,51 +68,63 @@
     }
 }
 
-const WATCH: Watch = Watch { beat: 0.05, patience: 0.2 };
+const WATCH: HeartbeatConfig = HeartbeatConfig { interval_s: 0.05, timeout_s: 0.2 };
 
 #[rstest]
 fn a_planner_that_hangs_is_lost_though_its_connection_stands() {
-    let mut members = Members::new(WATCH);
-    assert_eq!(members.greeted("p", 1, 0.0), Some(vec![]));
-    assert!(!members.may_ask("p", 0), "it has not said that it is able");
-    assert_eq!(members.beat("p", 1, 7, true), [Change::Able("p".into(), true)]);
-    assert!(members.may_ask("p", 7) && !members.may_ask("p", 8), "it must know the roster as far as we do");
-    assert_eq!(members.tick(0.0), (vec![("p".into(), 1)], vec![]));
-    members.heard("p", 1, 1);
-    assert_eq!(members.tick(0.05).0, [("p".into(), 2)]);
+    let mut membership = PlannerMembership::new(WATCH);
+    assert_eq!(membership.connected("p", 1, 0.0), Some(vec![]));
+    assert!(!membership.is_available("p", 0), "it has not said that it is able");
+    assert_eq!(
+        membership.heartbeat_received("p", 1, 7, true),
+        [PlannerChange::AcceptsQueries("p".into(), true)]
+    );
+    assert!(
+        membership.is_available("p", 7) && !membership.is_available("p", 8),
+        "it must know the roster as far as we do"
+    );
+    assert_eq!(membership.tick(0.0), (vec![("p".into(), 1)], vec![]));
+    membership.heartbeat_acknowledged("p", 1, 1);
+    assert_eq!(membership.tick(0.05).0, [("p".into(), 2)]);
     // From here on nothing comes back: also where only our words reach it, or only its own reach us.
-    members.beat("p", 1, 7, true);
-    assert_eq!(members.tick(0.24).1, []);
-    assert_eq!(members.tick(0.25).1, [Change::Lost("p".into())]);
-    assert!(!members.may_ask("p", 0));
-    assert_eq!(members.beat("p", 1, 9, true), [], "it is no member any more");
+    membership.heartbeat_received("p", 1, 7, true);
+    assert_eq!(membership.tick(0.24).1, []);
+    assert_eq!(membership.tick(0.25).1, [PlannerChange::Lost("p".into())]);
+    assert!(!membership.is_available("p", 0));
+    assert_eq!(membership.heartbeat_received("p", 1, 9, true), [], "it is no member any more");
 }
 
 #[rstest]
 fn a_planner_started_again_takes_its_earlier_selfs_place_and_that_one_never_comes_back() {
-    let mut members = Members::new(WATCH);
-    members.greeted("p", 1, 0.0);
-    members.beat("p", 1, 0, true);
-    assert_eq!(members.greeted("p", 2, 1.0), Some(vec![Change::Lost("p".into())]));
-    assert_eq!((members.ended("p", 1), members.beat("p", 1, 0, true)), (vec![], vec![]));
-    assert_eq!(members.incarnation("p"), Some(2));
-    members.ended("p", 2);
-    assert_eq!(members.greeted("p", 1, 2.0), None, "a connection that the network held back");
+    let mut membership = PlannerMembership::new(WATCH);
+    membership.connected("p", 1, 0.0);
+    membership.heartbeat_received("p", 1, 0, true);
+    assert_eq!(membership.connected("p", 2, 1.0), Some(vec![PlannerChange::Lost("p".into())]));
+    assert_eq!(
+        (membership.disconnected("p", 1), membership.heartbeat_received("p", 1, 0, true)),
+        (vec![], vec![])
+    );
+    assert_eq!(membership.incarnation("p"), Some(2));
+    membership.disconnected("p", 2);
+    assert_eq!(membership.connected("p", 1, 2.0), None, "a connection that the network held back");
 }
 
 /// Guards against a planner that is refused for ever as its wall clock went back between two starts.
 #[rstest]
 fn a_planner_that_starts_again_with_its_clock_set_back_is_taken_once_its_former_self_is_gone() {
-    let mut members = Members::new(WATCH);
-    members.greeted("p", 900, 0.0);
-    let (beats, _) = members.tick(5.0);
-    members.heard("p", 900, beats[0].1);
-    assert_eq!(members.greeted("p", 7, 5.1), None, "the later one is there");
-    members.ended("p", 900);
-    assert_eq!(members.greeted("p", 7, 5.2), None, "it was there a moment ago");
-    assert_eq!(members.greeted("p", 7, 8.5), Some(vec![]));
-    assert_eq!(members.beat("p", 7, 0, true), [Change::Able("p".into(), true)]);
-    assert_eq!(members.greeted("p", 6, 8.6), None, "and its own earlier self is refused");
+    let mut membership = PlannerMembership::new(WATCH);
+    membership.connected("p", 900, 0.0);
+    let (beats, _) = membership.tick(5.0);
+    membership.heartbeat_acknowledged("p", 900, beats[0].1);
+    assert_eq!(membership.connected("p", 7, 5.1), None, "the later one is there");
+    membership.disconnected("p", 900);
+    assert_eq!(membership.connected("p", 7, 5.2), None, "it was there a moment ago");
+    assert_eq!(membership.connected("p", 7, 8.5), Some(vec![]));
+    assert_eq!(
+        membership.heartbeat_received("p", 7, 0, true),
+        [PlannerChange::AcceptsQueries("p".into(), true)]
+    );
+    assert_eq!(membership.connected("p", 6, 8.6), None, "and its own earlier self is refused");
 }
 
 #[rstest]
