--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -12,7 +12,7 @@
 use alderway::interface::{AttemptOutcome, NodeObservation, PolicyInput};
 use alderway_telemetry::clock::Clock;
 use alderway_tier::messages::{Message, PriorAttempt};
-use alderway_tier::ramp;
+use alderway_tier::slow_start;
 use alderway_transport::Hello;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -345,7 +345,9 @@
         for session in self.sessions.values_mut() {
             session.next += 1;
             let name = session.name.as_deref();
-            let taken = name.zip(self.since).is_some_and(|(name, since)| ramp::takes(name, since, RAMP, now));
+            let taken = name
+                .zip(self.since)
+                .is_some_and(|(name, since)| slow_start::accepts_forwarder(name, since, RAMP, now));
             session.outbox.send(&Message::Heartbeat {
                 number: session.next,
                 endpoints_version: endpoints,
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -5,12 +5,12 @@
 //! - `messages`: what they say to each other on the wire.
 //! - `planner_membership`: which planners are available, by heartbeats with incarnations.
 //! - `query_assignments`: which decider each query is assigned to, through planners that die, hang or are cut off.
-//! - `ramp`: how a planner that has just started takes load.
+//! - `slow_start`: how a planner that has just started accepts forwarders one after the other.
 //! - `leases`: shares of a stated amount with an end, so that the sum holds whoever cannot be reached.
 pub mod leases;
 pub mod messages;
 pub mod planner_membership;
 pub mod query_assignments;
-pub mod ramp;
+pub mod slow_start;
 
 pub use alderway_transport::{Incarnation, Name};
--- a/crates/tier/tests/stories.rs
+++ b/crates/tier/tests/stories.rs
@@ -3,7 +3,7 @@
 use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
 use alderway_tier::planner_membership::{HeartbeatConfig, PlannerChange, PlannerMembership};
 use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
-use alderway_tier::ramp;
+use alderway_tier::slow_start;
 use alderway_transport::{
     FrameError, FrameReader, Hello, Received, WireMessage, encode_hello, encode_message,
 };
@@ -129,11 +129,13 @@
 
 #[rstest]
 fn a_planner_that_has_just_started_takes_forwarders_one_after_the_other() {
-    let taken = |now: f64| (0..400).filter(|n| ramp::takes(&format!("f-{n}"), 10.0, 2.0, now)).count();
+    let taken = |now: f64| {
+        (0..400).filter(|n| slow_start::accepts_forwarder(&format!("f-{n}"), 10.0, 2.0, now)).count()
+    };
     assert_eq!((taken(9.9), taken(12.0)), (0, 400));
     assert!((60..140).contains(&taken(10.5)) && (160..240).contains(&taken(11.0)), "{}", taken(11.0));
-    assert!((0..400).all(|n| !ramp::takes(&format!("f-{n}"), 10.0, 2.0, 10.5)
-        || ramp::takes(&format!("f-{n}"), 10.0, 2.0, 11.0)));
+    assert!((0..400).all(|n| !slow_start::accepts_forwarder(&format!("f-{n}"), 10.0, 2.0, 10.5)
+        || slow_start::accepts_forwarder(&format!("f-{n}"), 10.0, 2.0, 11.0)));
 }
 
 const TERMS: Terms = Terms { amount: 10, window: 1.0, span: 2.0, drift: 0.01 };
