--- a/crates/tier/src/leases.rs
+++ b/crates/tier/src/leases.rs
@@ -1,122 +1,127 @@
-//! Shares of a stated amount, each with an end: whoever deals them out counts a share as spent until every unit that was
-//! sent by it has left the window for which the amount is stated; whoever holds one counts its end from before it asked,
-//! by a steady clock of its own. So the sum never passes the amount, though nobody's clocks agree, words are lost on the
-//! way, and a dealer that was paused comes back: each term of dealing waits out all that an earlier one may have dealt.
-//! Amounts are whole units of work, times seconds.
+//! Leases on a shared budget of work. A grantor counts a lease as outstanding until every unit that may have been spent
+//! from it has left the window for which the budget is stated. A holder counts the lease's end from the time of its
+//! request, which is before the grant, by its own monotonic clock. So the sum spent in any window never exceeds the
+//! budget, even if clocks disagree, messages are lost, or a grantor resumes after a pause: each new grantor waits until all
+//! leases of earlier ones have ended.
 use crate::Name;
 use std::collections::BTreeMap;
 
-/// What is stated, and how it is dealt.
+/// The budget, and how leases on it are granted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// Units that all together may spend in any window.
-    pub amount: u64,
-    pub window: f64,
-    /// For how long a share holds.
-    pub span: f64,
-    /// By what part two steady clocks may go apart.
-    pub drift: f64,
+pub struct LeaseConfig {
+    /// Units of work that all holders together may spend in any window.
+    pub units_per_window: u64,
+    /// Length of the window.
+    pub window_s: f64,
+    /// How long a lease is valid.
+    pub lease_s: f64,
+    /// Most by which two monotonic clocks differ in rate, as a fraction.
+    pub max_clock_drift: f64,
 }
 
-/// A share as it is dealt.
+/// A lease as it is granted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
-    /// The dealer's term; a holder never goes back to an earlier one.
+pub struct Lease {
+    /// The grantor's term. A holder rejects leases of terms earlier than the latest one it has seen.
     pub term: u64,
+    /// Units that may be spent.
     pub units: u64,
-    pub span: f64,
+    /// How long it is valid.
+    pub duration_s: f64,
 }
 
-/// Deals shares out. One for each term; an earlier one that comes back finds its shares refused.
+/// Grants leases, one grantor for each term. Leases of an earlier grantor that resumes are rejected.
 #[derive(Clone, Debug)]
-pub struct Dealer {
-    terms: Terms,
+pub struct LeaseGrantor {
+    config: LeaseConfig,
     term: u64,
-    /// From when it deals: all that an earlier term dealt has ended by then.
-    opens: f64,
-    /// Units out, with when they have left every window, by holder.
-    out: BTreeMap<Name, Vec<(u64, f64)>>,
+    /// When it starts to grant: all leases of earlier terms have ended by then.
+    opens_at: f64,
+    /// Outstanding units by holder, each with the time at which they have left every window.
+    outstanding: BTreeMap<Name, Vec<(u64, f64)>>,
 }
 
-impl Dealer {
-    /// `first` where no earlier term can have dealt anything.
-    pub fn new(terms: Terms, term: u64, now: f64, first: bool) -> Self {
-        let opens = if first { now } else { now + Dealer::counts_for(&terms) };
-        Dealer { terms, term, opens, out: BTreeMap::new() }
+impl LeaseGrantor {
+    /// A grantor for `term`, from `now` on; `is_first` says that no earlier term can have granted anything.
+    pub fn new(config: LeaseConfig, term: u64, now: f64, is_first: bool) -> Self {
+        let opens_at = if is_first { now } else { now + LeaseGrantor::outstanding_for_s(&config) };
+        LeaseGrantor { config, term, opens_at, outstanding: BTreeMap::new() }
     }
 
-    /// How long after it is dealt a share may still weigh: its span, then the window of what was sent at its end.
-    fn counts_for(terms: &Terms) -> f64 {
-        (terms.span + terms.window) * (1.0 + terms.drift)
+    /// Seconds after its grant during which a lease counts: its duration, and the window of what is spent at its end.
+    fn outstanding_for_s(config: &LeaseConfig) -> f64 {
+        (config.lease_s + config.window_s) * (1.0 + config.max_clock_drift)
     }
 
     fn sweep(&mut self, now: f64) {
-        self.out.retain(|_, shares| {
-            shares.retain(|(_, until)| *until > now);
-            !shares.is_empty()
+        self.outstanding.retain(|_, leases| {
+            leases.retain(|(_, until)| *until > now);
+            !leases.is_empty()
         });
     }
 
-    /// Units that may be out now.
-    pub fn out(&mut self, now: f64) -> u64 {
+    /// Units that may still be spent or count in a window.
+    pub fn outstanding(&mut self, now: f64) -> u64 {
         self.sweep(now);
-        self.out.values().flatten().map(|(units, _)| units).sum()
+        self.outstanding.values().flatten().map(|(units, _)| units).sum()
     }
 
-    /// A share of at most so many units; nothing where none are left.
-    pub fn deal(&mut self, holder: &str, wanted: u64, now: f64) -> Option<Share> {
-        if now < self.opens {
+    /// Grants a lease on at most `wanted` units; none if no units are left or earlier leases have not ended.
+    pub fn grant(&mut self, holder: &str, wanted: u64, now: f64) -> Option<Lease> {
+        if now < self.opens_at {
             return None;
         }
-        let units = wanted.min(self.terms.amount - self.out(now).min(self.terms.amount));
+        let budget = self.config.units_per_window;
+        let units = wanted.min(budget - self.outstanding(now).min(budget));
         if units == 0 {
             return None;
         }
-        let until = now + Dealer::counts_for(&self.terms);
-        self.out.entry(holder.into()).or_default().push((units, until));
-        Some(Share { term: self.term, units, span: self.terms.span })
+        let until = now + LeaseGrantor::outstanding_for_s(&self.config);
+        self.outstanding.entry(holder.into()).or_default().push((units, until));
+        Some(Lease { term: self.term, units, duration_s: self.config.lease_s })
     }
 }
 
-/// Spends shares. Units of a share that has ended are gone, spent or not.
+/// Spends the units of its leases. Units left when a lease ends are lost.
 #[derive(Clone, Debug, Default)]
-pub struct Holder {
+pub struct LeaseHolder {
     term: u64,
-    shares: Vec<(u64, f64)>,
+    /// Units left of each lease, and when it ends.
+    leases: Vec<(u64, f64)>,
 }
 
-impl Holder {
-    /// A share has come that was asked for at `asked`: it ends a span after that, which is before it ends for its dealer.
-    /// One of an earlier term than was seen before is refused.
-    pub fn take(&mut self, share: Share, asked: f64) -> bool {
-        if share.term < self.term {
+impl LeaseHolder {
+    /// Accepts a lease that was requested at `requested_at`: it ends its duration after that, which is before it ends for
+    /// the grantor. Returns false for a lease of an earlier term than the latest one seen.
+    pub fn accept(&mut self, lease: Lease, requested_at: f64) -> bool {
+        if lease.term < self.term {
             return false;
         }
-        if share.term > self.term {
-            // Guards against two dealers: what the earlier one dealt is over once the later one's word is here.
-            self.shares.clear();
+        if lease.term > self.term {
+            // Guards against two grantors at once: a later term ends all leases of the earlier one.
+            self.leases.clear();
         }
-        self.term = share.term;
-        self.shares.push((share.units, asked + share.span));
+        self.term = lease.term;
+        self.leases.push((lease.units, requested_at + lease.duration_s));
         true
     }
 
-    /// Units that are left now.
-    pub fn left(&mut self, now: f64) -> u64 {
-        self.shares.retain(|(units, until)| *units > 0 && *until > now);
-        self.shares.iter().map(|(units, _)| units).sum()
+    /// Units that are left.
+    pub fn remaining(&mut self, now: f64) -> u64 {
+        self.leases.retain(|(units, until)| *units > 0 && *until > now);
+        self.leases.iter().map(|(units, _)| units).sum()
     }
 
-    /// Spends so many units, those that end first; or none, and false.
+    /// Spends units, from the leases that end first. Returns false and spends none if fewer are left.
     pub fn spend(&mut self, units: u64, now: f64) -> bool {
-        if self.left(now) < units {
+        if self.remaining(now) < units {
             return false;
         }
-        self.shares.sort_by(|a, b| a.1.total_cmp(&b.1));
-        let mut rest = units;
-        for (held, _) in &mut self.shares {
-            let part = rest.min(*held);
-            (*held, rest) = (*held - part, rest - part);
+        self.leases.sort_by(|a, b| a.1.total_cmp(&b.1));
+        let mut to_spend = units;
+        for (left, _) in &mut self.leases {
+            let spent = to_spend.min(*left);
+            (*left, to_spend) = (*left - spent, to_spend - spent);
         }
         true
     }
--- a/crates/tier/tests/stories.rs
+++ b/crates/tier/tests/stories.rs
@@ -1,5 +1,5 @@
 //! Stories of planners that die, hang, come back and speak again, of shares that end, and of bytes that are no frames.
-use alderway_tier::leases::{Dealer, Holder, Terms};
+use alderway_tier::leases::{LeaseConfig, LeaseGrantor, LeaseHolder};
 use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
 use alderway_tier::planner_membership::{HeartbeatConfig, PlannerChange, PlannerMembership};
 use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
@@ -138,31 +138,32 @@
         || slow_start::accepts_forwarder(&format!("f-{n}"), 10.0, 2.0, 11.0)));
 }
 
-const TERMS: Terms = Terms { amount: 10, window: 1.0, span: 2.0, drift: 0.01 };
+const LEASE_CONFIG: LeaseConfig =
+    LeaseConfig { units_per_window: 10, window_s: 1.0, lease_s: 2.0, max_clock_drift: 0.01 };
 
 #[rstest]
 fn a_share_is_dealt_again_only_when_all_sent_by_it_has_left_the_window() {
-    let mut dealer = Dealer::new(TERMS, 1, 0.0, true);
-    let share = dealer.deal("a", 8, 0.0).expect("there");
-    assert_eq!((dealer.deal("b", 8, 0.0).map(|s| s.units), dealer.deal("b", 8, 1.0)), (Some(2), None));
-    let mut holder = Holder::default();
-    assert!(holder.take(share, 0.0) && holder.spend(3, 1.0) && !holder.spend(6, 1.0));
-    assert_eq!((holder.left(1.99), holder.left(2.0)), (5, 0));
-    assert_eq!((dealer.out(3.02), dealer.out(3.04)), (10, 0));
+    let mut grantor = LeaseGrantor::new(LEASE_CONFIG, 1, 0.0, true);
+    let share = grantor.grant("a", 8, 0.0).expect("there");
+    assert_eq!((grantor.grant("b", 8, 0.0).map(|s| s.units), grantor.grant("b", 8, 1.0)), (Some(2), None));
+    let mut holder = LeaseHolder::default();
+    assert!(holder.accept(share, 0.0) && holder.spend(3, 1.0) && !holder.spend(6, 1.0));
+    assert_eq!((holder.remaining(1.99), holder.remaining(2.0)), (5, 0));
+    assert_eq!((grantor.outstanding(3.02), grantor.outstanding(3.04)), (10, 0));
 }
 
 #[rstest]
 fn a_new_term_deals_nothing_until_the_earlier_ones_shares_have_ended() {
-    let mut old = Dealer::new(TERMS, 1, 0.0, true);
-    let share = old.deal("a", 10, 5.0).expect("there");
-    let mut new = Dealer::new(TERMS, 2, 5.0, false);
-    assert!(new.deal("b", 1, 7.9).is_none() && new.deal("b", 1, 8.04).is_some());
-    let mut holder = Holder::default();
-    assert!(holder.take(share, 5.0));
-    // A dealer that was paused comes back: whoever knows the later term takes nothing from it.
-    assert!(holder.take(new.deal("a", 1, 9.0).expect("there"), 9.0));
-    assert!(!holder.take(old.deal("a", 10, 9.1).expect("it does not know"), 9.1));
-    assert_eq!(holder.left(9.2), 1);
+    let mut old = LeaseGrantor::new(LEASE_CONFIG, 1, 0.0, true);
+    let share = old.grant("a", 10, 5.0).expect("there");
+    let mut new = LeaseGrantor::new(LEASE_CONFIG, 2, 5.0, false);
+    assert!(new.grant("b", 1, 7.9).is_none() && new.grant("b", 1, 8.04).is_some());
+    let mut holder = LeaseHolder::default();
+    assert!(holder.accept(share, 5.0));
+    // A grantor that was paused comes back: whoever knows the later term takes nothing from it.
+    assert!(holder.accept(new.grant("a", 1, 9.0).expect("there"), 9.0));
+    assert!(!holder.accept(old.grant("a", 10, 9.1).expect("it does not know"), 9.1));
+    assert_eq!(holder.remaining(9.2), 1);
 }
 
 fn sent(messages: &[Message]) -> Vec<u8> {
@@ -276,9 +277,9 @@
         skews in prop::collection::vec(-0.009..0.009f64, 3),
     ) {
         let mut now = 100.0;
-        let mut dealer = Dealer::new(TERMS, 1, now, true);
+        let mut grantor = LeaseGrantor::new(LEASE_CONFIG, 1, now, true);
         let mut term = 1;
-        let mut holders = vec![Holder::default(); 3];
+        let mut holders = vec![LeaseHolder::default(); 3];
         let mut spent: Vec<(f64, u64)> = vec![];
         // A steady clock of its own, which goes a little faster or slower.
         let clock = |holder: usize, now: f64| 50.0 + now * (1.0 + skews[holder]);
@@ -287,10 +288,10 @@
                 0..2 => {
                     let asked = clock(who, now);
                     // The way there and back takes its time, or the answer is lost.
-                    let share = dealer.deal(&who.to_string(), units, now);
+                    let share = grantor.grant(&who.to_string(), units, now);
                     now += wait / 4.0;
                     if let Some(share) = share.filter(|_| units != 7) {
-                        holders[who].take(share, asked);
+                        holders[who].accept(share, asked);
                     }
                 }
                 2..4 => {
@@ -300,12 +301,12 @@
                 }
                 4 if units == 1 => {
                     term += 1;
-                    dealer = Dealer::new(TERMS, term, now, false);
+                    grantor = LeaseGrantor::new(LEASE_CONFIG, term, now, false);
                 }
                 _ => now += wait,
             }
-            let window: u64 = spent.iter().filter(|(at, _)| *at > now - TERMS.window).map(|(_, u)| u).sum();
-            prop_assert!(window <= TERMS.amount, "{} in a window", window);
+            let window: u64 = spent.iter().filter(|(at, _)| *at > now - LEASE_CONFIG.window_s).map(|(_, u)| u).sum();
+            prop_assert!(window <= LEASE_CONFIG.units_per_window, "{} in a window", window);
         }
     }
 }
