--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -4,13 +4,13 @@
 //! of I/O and clocks: frames and times are passed in. It never carries a query, chooses a data node or turns anything
 //! away, and losing any word costs knowledge, never a rule.
 //!
-//! - `ring`: who dials whom, from the stated list of members alone.
-//! - `transit`: how long a frame was under way at the most, by steady clocks that agree on nothing but their pace.
+//! - `ring`: which members dial which, from the list of members alone.
+//! - `transit_time`: an upper bound on how long a frame was in transit, by clocks that agree only on their rate.
 //! - `words`: what is told: the newest word of each origin on each subject, with its age.
 //! - `view`: one router's part in all this; the one place where the others meet.
 //! - `verdicts`: when others' word on a data node is believed.
 pub mod ring;
-pub mod transit;
+pub mod transit_time;
 pub mod verdicts;
 pub mod view;
 pub mod words;
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -1,6 +1,6 @@
 //! One router's part among its peers: its links, the words that it keeps and tells, and who is there. It is fed frames,
 //! beats and what the own module saw, each with a time of the own steady clock, and gives frames, changes and verdicts.
-use crate::transit::Transit;
+use crate::transit_time::TransitEstimator;
 use crate::verdicts::{self, Verdict};
 use crate::words::{Kept, Subject, Taken, What, Word, Words};
 use crate::{Frame, Incarnation, Name, Terms, ring};
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 struct Link {
     peer: Name,
-    transit: Transit,
+    transit: TransitEstimator,
     /// What it has heard.
     upto: u64,
 }
@@ -168,7 +168,7 @@
     /// Whom this router dials.
     pub fn dials(&self) -> Vec<Name> {
         let all: BTreeSet<Name> = self.members.keys().cloned().chain([self.own.clone()]).collect();
-        ring::dialled(&all, &self.own)
+        ring::dial_targets(&all, &self.own)
     }
 
     /// A peer has said hello; the number of the link from here on. One whose incarnation is earlier than what is known here
@@ -187,7 +187,7 @@
             self.outbid.insert(peer.into());
         }
         self.last_link += 1;
-        let link = Link { peer: peer.into(), transit: Transit::default(), upto: 0 };
+        let link = Link { peer: peer.into(), transit: TransitEstimator::default(), upto: 0 };
         self.links.insert(self.last_link, link);
         Ok(self.last_link)
     }
@@ -218,7 +218,7 @@
     pub fn came(&mut self, link: u64, frame: Frame, now: f64) -> Vec<(Name, State)> {
         let Terms { stale, most, drift, .. } = self.terms;
         let Some(held) = self.links.get_mut(&link) else { return vec![] };
-        let Some(way) = held.transit.came(frame.stamp, frame.echo, now, drift) else {
+        let Some(way) = held.transit.frame_received(frame.stamp, frame.echo, now, drift) else {
             // Said again when it can be dated.
             self.met.frames_undated += u64::from(!frame.words.is_empty());
             return vec![];
--- a/crates/peers/tests/mesh.rs
+++ b/crates/peers/tests/mesh.rs
@@ -195,8 +195,8 @@
 #[case(300, 9)]
 fn a_member_dials_as_many_as_the_count_has_digits(#[case] count: usize, #[case] links: usize) {
     let members = members(count);
-    assert!(members.iter().all(|own| ring::dialled(&members, own).len() == links));
-    assert!(ring::dialled(&members, "a stranger").is_empty());
+    assert!(members.iter().all(|own| ring::dial_targets(&members, own).len() == links));
+    assert!(ring::dial_targets(&members, "a stranger").is_empty());
 }
 
 /// Guards against one liar, or one router that is cut off, that takes a sound node out for all.
@@ -463,17 +463,17 @@
         offset in -1e6..1e6f64,
         rate in -0.0005..0.0005f64,
     ) {
-        use alderway_peers::transit::Transit;
+        use alderway_peers::transit_time::TransitEstimator;
         // Two clocks a thousandth apart at the most; the world's is the first one's.
         let other = |t: f64| offset + (1.0 + rate) * t;
-        let (mut near, mut far, mut now) = (Transit::default(), Transit::default(), 0.0);
+        let (mut near, mut far, mut now) = (TransitEstimator::default(), TransitEstimator::default(), 0.0);
         for (there, back, rest) in delays {
             let sent = now;
             let met = sent + there;
-            far.came(sent, near.echo(sent), other(met), 0.001);
+            far.frame_received(sent, near.echo(sent), other(met), 0.001);
             let replied = met + rest;
             let came = replied + back;
-            if let Some(way) = near.came(other(replied), far.echo(other(replied)), came, 0.001) {
+            if let Some(way) = near.frame_received(other(replied), far.echo(other(replied)), came, 0.001) {
                 prop_assert!(way >= back - 1e-6, "{way} for {back}");
             }
             now = came + 0.1;
@@ -534,7 +534,7 @@
     }
     mesh.pass(5.0);
     let busy = (mesh.words - before) as f64 / 5.0 / count as f64;
-    let links = 2.0 * ring::dialled(&members(count), &name(0)).len() as f64;
+    let links = 2.0 * ring::dial_targets(&members(count), &name(0)).len() as f64;
     println!(
         "{count} routers: {rest:.0} words a second each at rest, {busy:.0} with verdicts, {links} links"
     );
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -48,7 +48,7 @@
     /// Descriptors that links may take: those dialled, as many that dial, one that is on its way each, and the listener.
     pub fn descriptors(&self) -> usize {
         let names: BTreeSet<Name> = self.members.keys().cloned().collect();
-        names.first().map_or(0, |any| 4 * ring::dialled(&names, any).len() + 1)
+        names.first().map_or(0, |any| 4 * ring::dial_targets(&names, any).len() + 1)
     }
 }
 
