--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -9,7 +9,7 @@
 use alderway_lab::program::{Build, Program, Setting};
 use alderway_lab::wires::{Act, Fault, Schedule, Wires};
 use alderway_peers::Frame;
-use alderway_peers::words::{What, Word};
+use alderway_peers::updates::{Update, UpdateBody};
 use alderway_transport::{FrameReader, Hello, Received, encode_hello, encode_message};
 use common::{PATIENCE, until};
 use nix::sys::signal::Signal;
@@ -267,16 +267,23 @@
     let (mut stream, mut reader) = play(&house, 0, "r4", u64::MAX - 5);
     let nodes: Vec<String> = house.fleet.nodes.iter().map(|node| node.name.clone()).collect();
     let heard = frame(&mut stream, &mut reader).expect("a frame");
-    let lies = nodes.iter().enumerate().map(|(n, node)| Word {
+    let lies = nodes.iter().enumerate().map(|(n, node)| Update {
         origin: "r4".into(),
         incarnation: u64::MAX - 5,
         number: n as u64 + 1,
-        age: 0.0,
-        what: What::Verdict { node: node.clone(), started: None, ago: 0.0, late: 1e9, far: 1e9, sick: 1e9 },
+        age_s: 0.0,
+        body: UpdateBody::Observation {
+            node: node.clone(),
+            uptime_s: None,
+            observed_ago_s: 0.0,
+            slow_for_s: 1e9,
+            very_slow_for_s: 1e9,
+            unresponsive_for_s: 1e9,
+        },
     });
     let mut bytes = vec![];
     let words = lies.collect();
-    encode_message(&mut bytes, &Frame { stamp: 1.0, echo: Some((heard.stamp, 0.0)), words })
+    encode_message(&mut bytes, &Frame { sent_at_s: 1.0, echo: Some((heard.sent_at_s, 0.0)), updates: words })
         .expect("it fits a frame");
     stream.write_all(&bytes).expect("written");
     let taken = counted(house.router(0), "words_taken");
--- a/crates/lab/src/capacity/words.rs
+++ b/crates/lab/src/capacity/words.rs
@@ -157,7 +157,7 @@
         for way in &self.ways {
             let router = &mut self.routers[way.from];
             if let Some(frame) = router.view.frame(way.link, self.now + router.offset) {
-                self.words += frame.words.len();
+                self.words += frame.updates.len();
                 encode_message(&mut bytes, &frame).expect("a frame of gossip fits");
                 self.frames += 1;
             }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -6,18 +6,18 @@
 //!
 //! - `ring`: which members dial which, from the list of members alone.
 //! - `transit_time`: an upper bound on how long a frame was in transit, by clocks that agree only on their rate.
-//! - `words`: what is told: the newest word of each origin on each subject, with its age.
+//! - `updates`: the updates that are gossiped, and the newest of each origin about each subject.
 //! - `view`: one router's part in all this; the one place where the others meet.
-//! - `verdicts`: when others' word on a data node is believed.
+//! - `quorum`: when other routers' observations of a data node are accepted.
+pub mod quorum;
 pub mod ring;
 pub mod transit_time;
-pub mod verdicts;
+pub mod updates;
 pub mod view;
-pub mod words;
 
 use alderway_transport::WireMessage;
 use serde::{Deserialize, Serialize};
-use words::Word;
+use updates::Update;
 
 pub use alderway_transport::{Incarnation, Name};
 
@@ -25,10 +25,10 @@
 /// nobody but whoever hears several of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    pub stamp: f64,
+    pub sent_at_s: f64,
     /// The newest stamp that came over this link, and how long it was held here.
     pub echo: Option<(f64, f64)>,
-    pub words: Vec<Word>,
+    pub updates: Vec<Update>,
 }
 
 impl WireMessage for Frame {
--- /dev/null
+++ b/crates/peers/src/quorum.rs
@@ -0,0 +1,109 @@
+//! When observations of a data node by other routers are accepted. A quorum of routers has to agree on whether the node is
+//! healthy, each by an update that is not stale, and the spans accepted are the longest that a quorum of them reaches. So
+//! faulty or stuck routers, as long as they are fewer than the quorum, can neither take a healthy node out, nor keep it out
+//! longer, nor make an unresponsive one count as healthy. The policy sees to it that this router's own later observations
+//! take precedence.
+use crate::updates::{StoredUpdate, UpdateBody};
+
+/// What a quorum of routers observed of a data node's process. The spans count from `observed_at_s`.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AgreedObservation {
+    /// When the process started, if known.
+    pub started_at_s: Option<f64>,
+    /// The latest time such that a quorum observed the node then or later.
+    pub observed_at_s: f64,
+    /// For how long the node counts as slow.
+    pub slow_for_s: f64,
+    /// For how long it counts as very slow.
+    pub very_slow_for_s: f64,
+    /// For how long it counts as unresponsive.
+    pub unresponsive_for_s: f64,
+}
+
+/// Start times that differ by less are of the same process: each router derives them by its own clock.
+const START_TOLERANCE_S: f64 = 0.5;
+
+fn is_same_process(one: Option<f64>, other: Option<f64>) -> bool {
+    match (one, other) {
+        (Some(one), Some(other)) => (one - other).abs() < START_TOLERANCE_S,
+        (None, None) => true,
+        _ => false,
+    }
+}
+
+/// The highest value that at least `quorum` of the values reach.
+fn reached_by_quorum(values: impl Iterator<Item = f64>, quorum: usize) -> Option<f64> {
+    let mut values: Vec<f64> = values.collect();
+    values.sort_by(|a, b| b.total_cmp(a));
+    values.get(quorum.max(1) - 1).copied()
+}
+
+/// One router's observation, with the ends of its spans by the own clock.
+struct Observation {
+    observed_at: f64,
+    /// Until when the node is slow, very slow and unresponsive.
+    until: [f64; 3],
+    is_unhealthy: bool,
+}
+
+/// What a quorum observed of the process that started at `started_at_s`, from the latest update of each router about its
+/// node. Updates older than `max_age_s` don't count, and no span lasts longer than the update that it comes from.
+pub fn agreed_observation(
+    updates: &[&StoredUpdate],
+    started_at_s: Option<f64>,
+    now: f64,
+    max_age_s: f64,
+    quorum: usize,
+) -> Option<AgreedObservation> {
+    let observation = |update: &&StoredUpdate| match update.body {
+        UpdateBody::Observation {
+            uptime_s,
+            observed_ago_s,
+            slow_for_s,
+            very_slow_for_s,
+            unresponsive_for_s,
+            ..
+        } if observed_ago_s >= 0.0 && now - update.created_at < max_age_s => {
+            let observed_at = update.created_at - f64::from(observed_ago_s);
+            let spans = [slow_for_s, very_slow_for_s, unresponsive_for_s].map(f64::from);
+            let until = spans.map(|span| update.created_at + span.clamp(0.0, max_age_s));
+            let is_unhealthy = spans.iter().any(|span| *span > 0.0);
+            let observed_start = uptime_s.map(|uptime_s| observed_at - f64::from(uptime_s));
+            is_same_process(observed_start, started_at_s).then_some(Observation {
+                observed_at,
+                until,
+                is_unhealthy,
+            })
+        }
+        _ => None,
+    };
+    let (unhealthy, healthy): (Vec<Observation>, Vec<Observation>) =
+        updates.iter().filter_map(observation).partition(|observation| observation.is_unhealthy);
+    let observed_at = |list: &[Observation]| reached_by_quorum(list.iter().map(|o| o.observed_at), quorum);
+    let agreed_unhealthy = observed_at(&unhealthy).map(|observed_at_s| {
+        let span = |n: usize| {
+            let until = reached_by_quorum(unhealthy.iter().map(|o| o.until[n]), quorum);
+            until.map_or(0.0, |until| (until - observed_at_s).max(0.0))
+        };
+        AgreedObservation {
+            started_at_s,
+            observed_at_s,
+            slow_for_s: span(0),
+            very_slow_for_s: span(1),
+            unresponsive_for_s: span(2),
+        }
+    });
+    let agreed_healthy = observed_at(&healthy).map(|observed_at_s| AgreedObservation {
+        started_at_s,
+        observed_at_s,
+        slow_for_s: 0.0,
+        very_slow_for_s: 0.0,
+        unresponsive_for_s: 0.0,
+    });
+    match (agreed_unhealthy, agreed_healthy) {
+        (Some(unhealthy), Some(healthy)) => {
+            Some(if healthy.observed_at_s > unhealthy.observed_at_s { healthy } else { unhealthy })
+        }
+        (unhealthy, healthy) => unhealthy.or(healthy),
+    }
+}
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -1,8 +1,8 @@
 //! One router's part among its peers: its links, the words that it keeps and tells, and who is there. It is fed frames,
 //! beats and what the own module saw, each with a time of the own steady clock, and gives frames, changes and verdicts.
+use crate::quorum::{self, AgreedObservation};
 use crate::transit_time::TransitEstimator;
-use crate::verdicts::{self, Verdict};
-use crate::words::{Kept, Subject, Taken, What, Word, Words};
+use crate::updates::{MergeResult, StoredUpdate, Subject, Update, UpdateBody, UpdateStore};
 use crate::{Frame, Incarnation, Name, Terms, ring};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -101,7 +101,7 @@
     own: Name,
     incarnation: Incarnation,
     members: BTreeMap<Name, Member>,
-    words: Words,
+    words: UpdateStore,
     links: BTreeMap<u64, Link>,
     last_link: u64,
     number: u64,
@@ -132,7 +132,7 @@
             own: own.into(),
             incarnation,
             members: BTreeMap::new(),
-            words: Words::default(),
+            words: UpdateStore::default(),
             links: BTreeMap::new(),
             last_link: 0,
             number: 0,
@@ -157,7 +157,7 @@
             self.members.entry(name.clone()).or_insert(Member { state: State::Unheard, said: now });
         }
         let (own, known) = (&self.own, &self.members);
-        self.words.keep(|name| name == own || known.contains_key(name));
+        self.words.retain_origins(|name| name == own || known.contains_key(name));
         self.links.retain(|_, link| known.contains_key(&link.peer));
     }
 
@@ -211,21 +211,21 @@
             (words, held.upto) = self.words.since(held.upto, link, now, MOST_A_FRAME);
         }
         self.met.words_told += words.len() as u64;
-        Some(Frame { stamp: now, echo, words })
+        Some(Frame { sent_at_s: now, echo, updates: words })
     }
 
-    /// A frame has come. What changes of members it shows.
+    /// A frame has come. UpdateBody changes of members it shows.
     pub fn came(&mut self, link: u64, frame: Frame, now: f64) -> Vec<(Name, State)> {
         let Terms { stale, most, drift, .. } = self.terms;
         let Some(held) = self.links.get_mut(&link) else { return vec![] };
-        let Some(way) = held.transit.frame_received(frame.stamp, frame.echo, now, drift) else {
+        let Some(way) = held.transit.frame_received(frame.sent_at_s, frame.echo, now, drift) else {
             // Said again when it can be dated.
-            self.met.frames_undated += u64::from(!frame.words.is_empty());
+            self.met.frames_undated += u64::from(!frame.updates.is_empty());
             return vec![];
         };
         let mut changes = vec![];
-        for mut word in frame.words {
-            word.age += way;
+        for mut word in frame.updates {
+            word.age_s += way;
             if word.origin == self.own {
                 if word.incarnation > self.incarnation {
                     self.outbid_former_self(word.incarnation, now);
@@ -236,33 +236,33 @@
                 self.met.words_strange += 1;
                 continue;
             }
-            let (origin, what, said) = (word.origin.clone(), word.what.clone(), now - word.age);
-            match self.words.take(word, now, stale, most, Some(link)) {
-                Taken::New => self.met.words_taken += 1,
-                Taken::Known => {
+            let (origin, what, said) = (word.origin.clone(), word.body.clone(), now - word.age_s);
+            match self.words.merge(word, now, stale, most, Some(link)) {
+                MergeResult::New => self.met.words_taken += 1,
+                MergeResult::Known => {
                     self.met.words_known += 1;
                     continue;
                 }
-                Taken::Stale => {
+                MergeResult::Stale => {
                     self.met.words_stale += 1;
                     continue;
                 }
-                Taken::Former => {
+                MergeResult::FormerIncarnation => {
                     self.met.words_former += 1;
                     continue;
                 }
             }
             match what {
-                What::Alive => changes.extend(self.shows(&origin, State::Alive, said)),
-                What::Leaves => changes.extend(self.shows(&origin, State::Left, said)),
-                What::Misses { member, incarnation } => {
+                UpdateBody::Alive => changes.extend(self.shows(&origin, State::Alive, said)),
+                UpdateBody::Leaving => changes.extend(self.shows(&origin, State::Left, said)),
+                UpdateBody::Missed { member, incarnation } => {
                     if member == self.own && incarnation >= self.incarnation && !self.leaves {
                         self.met.refuted += 1;
                         self.outbid_former_self(incarnation, now);
                     }
                 }
-                What::Over { late, in_time } => self.add(late, in_time),
-                What::Verdict { node, .. } => drop(self.changed.insert(node)),
+                UpdateBody::QueryCounts { late, in_time } => self.add(late, in_time),
+                UpdateBody::Observation { node, .. } => drop(self.changed.insert(node)),
             }
         }
         changes
@@ -299,11 +299,11 @@
         (std::mem::replace(&mut member.state, state) != state).then(|| (name.into(), state))
     }
 
-    fn tell(&mut self, what: What, now: f64) {
+    fn tell(&mut self, what: UpdateBody, now: f64) {
         self.number += 1;
         let (origin, incarnation, number) = (self.own.clone(), self.incarnation, self.number);
-        let word = Word { origin, incarnation, number, age: 0.0, what };
-        self.words.take(word, now, self.terms.stale, self.terms.most, None);
+        let word = Update { origin, incarnation, number, age_s: 0.0, body: what };
+        self.words.merge(word, now, self.terms.stale, self.terms.most, None);
     }
 
     /// What the own module saw of a data node: spans from now on, as in its own words. That a node is sound is told only
@@ -332,7 +332,17 @@
             }
             let [late, far, sick] = own.until.map(|until| (until - now).max(0.0) as f32);
             let (started, ago) = (own.started.map(|at| (own.seen - at) as f32), (now - own.seen) as f32);
-            self.tell(What::Verdict { node: node.clone(), started, ago, late, far, sick }, now);
+            self.tell(
+                UpdateBody::Observation {
+                    node: node.clone(),
+                    uptime_s: started,
+                    observed_ago_s: ago,
+                    slow_for_s: late,
+                    very_slow_for_s: far,
+                    unresponsive_for_s: sick,
+                },
+                now,
+            );
             self.verdicts.entry(node).and_modify(|own| own.said = now);
         }
     }
@@ -340,20 +350,20 @@
     /// Says that this router goes, for frames that go out yet.
     pub fn leave(&mut self, now: f64) {
         self.leaves = true;
-        self.tell(What::Leaves, now);
+        self.tell(UpdateBody::Leaving, now);
     }
 
     /// To be called a few times a beat: says what is due, and finds who is missed.
     pub fn tick(&mut self, now: f64) -> Vec<(Name, State)> {
         if now >= self.pulse_at && !self.leaves {
             self.pulse_at = now + self.terms.pulse;
-            self.tell(What::Alive, now);
+            self.tell(UpdateBody::Alive, now);
         }
         if now - self.over_at >= 0.5 * self.terms.pulse && self.own_over != (0, 0) {
             self.over_at = now;
             let (late, in_time) = std::mem::take(&mut self.own_over);
             self.add(late, in_time);
-            self.tell(What::Over { late, in_time }, now);
+            self.tell(UpdateBody::QueryCounts { late, in_time }, now);
         }
         self.repeat(now);
         self.words.sweep(now, self.terms.stale);
@@ -374,7 +384,7 @@
         missed.extend(std::mem::take(&mut self.outbid));
         for member in missed {
             if let Some(incarnation) = self.words.incarnation(&member) {
-                self.tell(What::Misses { member, incarnation }, now);
+                self.tell(UpdateBody::Missed { member, incarnation }, now);
             }
         }
         changes
@@ -382,15 +392,19 @@
 
     /// What is believed of data nodes on which something was said since it was last asked; `started` tells the start of
     /// a node's process by the own roster, none where it is not known here.
-    pub fn heard(&mut self, started: impl Fn(&str) -> Option<Option<f64>>, now: f64) -> Vec<(Name, Verdict)> {
+    pub fn heard(
+        &mut self,
+        started: impl Fn(&str) -> Option<Option<f64>>,
+        now: f64,
+    ) -> Vec<(Name, AgreedObservation)> {
         let Terms { stale, witnesses, .. } = self.terms;
         let mut believed = vec![];
         for node in std::mem::take(&mut self.changed) {
             let Some(started) = started(&node) else { continue };
             let subject = Subject::Node(node.clone());
-            let others = self.words.on(&subject).filter(|(by, _)| **by != self.own);
-            let said: Vec<&Kept> = others.map(|(_, kept)| kept).collect();
-            if let Some(verdict) = verdicts::believed(&said, started, now, stale, witnesses) {
+            let others = self.words.about(&subject).filter(|(by, _)| **by != self.own);
+            let said: Vec<&StoredUpdate> = others.map(|(_, kept)| kept).collect();
+            if let Some(verdict) = quorum::agreed_observation(&said, started, now, stale, witnesses) {
                 believed.push((node, verdict));
             }
         }
@@ -411,7 +425,7 @@
     }
 
     /// All that is held of others and of oneself, for whoever compares two routers' views.
-    pub fn holds(&self, now: f64) -> Vec<Word> {
+    pub fn holds(&self, now: f64) -> Vec<Update> {
         let mut words = self.words.since(0, 0, now, usize::MAX).0;
         words.sort_by(|a, b| (&a.origin, a.number).cmp(&(&b.origin, b.number)));
         words
--- a/crates/peers/tests/mesh.rs
+++ b/crates/peers/tests/mesh.rs
@@ -1,7 +1,7 @@
 //! Stories of many routers' views without sockets: links with delays that hold frames while they are cut, clocks that agree on
 //! nothing and drift, routers that stop, start anew and lie. Time passes as a story says; chance is seeded.
+use alderway_peers::updates::{Update, UpdateBody, UpdateStore};
 use alderway_peers::view::{State, View};
-use alderway_peers::words::{What, Word, Words};
 use alderway_peers::{Frame, Name, Terms, ring};
 use alderway_transport::{FrameReader, Hello, Received, encode_hello, encode_message};
 use proptest::prelude::*;
@@ -31,7 +31,7 @@
     cut: BTreeSet<(usize, usize)>,
     delay: f64,
     chance: Pcg32,
-    believed: Vec<(f64, usize, Name, alderway_peers::verdicts::Verdict)>,
+    believed: Vec<(f64, usize, Name, alderway_peers::quorum::AgreedObservation)>,
     changes: Vec<(f64, usize, Name, State)>,
     words: usize,
 }
@@ -127,7 +127,7 @@
                     }
                     let now = self.local(from);
                     if let Some(frame) = self.routers[from].view.frame(link, now) {
-                        self.words += frame.words.len();
+                        self.words += frame.updates.len();
                         let draw = f64::from(self.chance.next_u32()) / 4294967296.0;
                         let at = self.now + self.delay * (0.5 + draw);
                         self.ways.entry((from, to)).or_default().push_back((at, frame));
@@ -172,7 +172,7 @@
         let mut latest = BTreeMap::new();
         for (_, by, about, verdict) in &self.believed {
             if about == node {
-                latest.insert(*by, verdict.seen + verdict.sick);
+                latest.insert(*by, verdict.observed_at_s + verdict.unresponsive_for_s);
             }
         }
         latest.into_iter().filter(|(by, until)| *until > self.local(*by)).map(|(by, _)| by).collect()
@@ -320,13 +320,19 @@
     mesh.starts_anew(1, 901);
     // Its clock went back: those that know the later one tell it.
     let words = Frame {
-        words: vec![Word { origin: name(1), incarnation: 950, number: 4, age: 0.0, what: What::Alive }],
+        updates: vec![Update {
+            origin: name(1),
+            incarnation: 950,
+            number: 4,
+            age_s: 0.0,
+            body: UpdateBody::Alive,
+        }],
         ..Frame::default()
     };
     mesh.pass(0.5);
     let (link, now) = (mesh.links.iter().find(|(e, _)| e.0 == 1).map(|(_, l)| l.0), mesh.local(1) + 0.05);
     let echo = Some((now - 0.01, 0.0));
-    mesh.routers[1].view.came(link.expect("linked"), Frame { stamp: 7.0, echo, ..words }, now);
+    mesh.routers[1].view.came(link.expect("linked"), Frame { sent_at_s: 7.0, echo, ..words }, now);
     assert_eq!(mesh.routers[1].view.incarnation(), 951);
 }
 
@@ -398,26 +404,26 @@
     assert!(mesh.routers.iter_mut().all(|r| r.view.fleet().is_none()), "once");
 }
 
-fn word() -> impl Strategy<Value = Word> {
-    let what = prop_oneof![
-        Just(What::Alive),
-        Just(What::Leaves),
-        (0..3usize, 0..3u64).prop_map(|(m, incarnation)| What::Misses { member: name(m), incarnation }),
-        (0..3usize, 0.0..5.0f32).prop_map(|(n, sick)| What::Verdict {
+fn word() -> impl Strategy<Value = Update> {
+    let body = prop_oneof![
+        Just(UpdateBody::Alive),
+        Just(UpdateBody::Leaving),
+        (0..3usize, 0..3u64).prop_map(|(m, incarnation)| UpdateBody::Missed { member: name(m), incarnation }),
+        (0..3usize, 0.0..5.0f32).prop_map(|(n, unresponsive_for_s)| UpdateBody::Observation {
             node: format!("s-{n}"),
-            started: None,
-            ago: 0.0,
-            late: 0.0,
-            far: 0.0,
-            sick
+            uptime_s: None,
+            observed_ago_s: 0.0,
+            slow_for_s: 0.0,
+            very_slow_for_s: 0.0,
+            unresponsive_for_s,
         }),
     ];
-    (0..3usize, 1..3u64, 1..20u64, what).prop_map(|(origin, incarnation, number, what)| Word {
+    (0..3usize, 1..3u64, 1..20u64, body).prop_map(|(origin, incarnation, number, body)| Update {
         origin: name(origin),
         incarnation,
         number,
-        age: 0.1,
-        what,
+        age_s: 0.1,
+        body,
     })
 }
 
@@ -437,18 +443,18 @@
         for word in words {
             one.insert((word.origin.clone(), word.incarnation, word.number), word);
         }
-        let words: Vec<Word> = one.into_values().collect();
-        let (mut straight, mut mixed) = (Words::default(), Words::default());
+        let words: Vec<Update> = one.into_values().collect();
+        let (mut straight, mut mixed) = (UpdateStore::default(), UpdateStore::default());
         for word in &words {
-            straight.take(word.clone(), 1.0, 2.0, 99, None);
+            straight.merge(word.clone(), 1.0, 2.0, 99, None);
         }
         for at in &order {
-            mixed.take(words[at.index(words.len())].clone(), 1.0, 2.0, 99, None);
+            mixed.merge(words[at.index(words.len())].clone(), 1.0, 2.0, 99, None);
         }
         for word in words.iter().rev() {
-            mixed.take(word.clone(), 1.0, 2.0, 99, None);
+            mixed.merge(word.clone(), 1.0, 2.0, 99, None);
         }
-        let all = |words: &Words| {
+        let all = |words: &UpdateStore| {
             let mut all = words.since(0, 0, 1.0, 999).0;
             all.sort_by(|a, b| (&a.origin, a.number).cmp(&(&b.origin, b.number)));
             all
@@ -493,9 +499,9 @@
         let hello = Hello { version: 1, is_planner: false, incarnation: 1, name: name(1) };
         encode_hello::<Frame>(&mut good, &hello);
         let (started, far) = (Some(age as f32), stamp as f32);
-        let what = What::Verdict { node: "s".into(), started, ago: sick, late: sick, far, sick };
-        let word = Word { origin: name(1), incarnation: 1, number: u64::MAX, age, what };
-        encode_message(&mut good, &Frame { stamp, echo: Some((age, f64::from(sick))), words: vec![word] }).expect("it fits a frame");
+        let body = UpdateBody::Observation { node: "s".into(), uptime_s: started, observed_ago_s: sick, slow_for_s: sick, very_slow_for_s: far, unresponsive_for_s: sick };
+        let word = Update { origin: name(1), incarnation: 1, number: u64::MAX, age_s: age, body };
+        encode_message(&mut good, &Frame { sent_at_s: stamp, echo: Some((age, f64::from(sick))), updates: vec![word] }).expect("it fits a frame");
         good.append(&mut bytes);
         let mut view = View::new(&name(0), 1, &members(3), Terms::default(), 5.0);
         let link = view.greeted(&name(1), 1).expect("a member");
@@ -507,7 +513,7 @@
                 if let Received::Message(frame) = read {
                     view.came(link, frame, 6.0);
                     for (_, verdict) in view.heard(|_| Some(None), 6.0) {
-                        prop_assert!(verdict.sick <= 2.0 + 1e9);
+                        prop_assert!(verdict.unresponsive_for_s <= 2.0 + 1e9);
                     }
                 }
             }
--- a/crates/peers/tests/wire_format.rs
+++ b/crates/peers/tests/wire_format.rs
@@ -1,7 +1,7 @@
-//! The wire format of gossip among routers against recorded bytes: `data/frames.hex` holds a line a frame, its name and its
-//! bytes in hex. Each is decoded, compared field by field with the value that it stands for, and encoded again.
+//! The wire format of gossip against recorded bytes. `data/frames.hex` has one frame a line: its name and its bytes in hex.
+//! Each frame is decoded, compared with the expected value, and encoded again.
 use alderway_peers::Frame;
-use alderway_peers::words::{What, Word};
+use alderway_peers::updates::{Update, UpdateBody};
 use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -21,59 +21,64 @@
     Hello { version: 1, is_planner: false, incarnation: 0x0102_0304_0506_0708, name: "n0".into() }
 }
 
-/// A frame with one word of each kind, and those with variants of what it holds.
+/// Frames with an update of each kind, and with each variant of their optional fields.
 fn expected_frames() -> Vec<(&'static str, Frame)> {
-    let with = |what| Frame {
-        stamp: 12.5,
+    let with = |body| Frame {
+        sent_at_s: 12.5,
         echo: None,
-        words: vec![Word {
+        updates: vec![Update {
             origin: "n1".into(),
             incarnation: 1_700_000_000_000,
             number: 300,
-            age: 0.75,
-            what,
+            age_s: 0.75,
+            body,
         }],
     };
-    let own = Word { origin: "n2".into(), incarnation: 3, number: 1, age: 0.0, what: What::Alive };
-    let passed_on = Word { origin: "n3".into(), incarnation: 4, number: 2, age: 1.5, what: What::Leaves };
+    let own = Update { origin: "n2".into(), incarnation: 3, number: 1, age_s: 0.0, body: UpdateBody::Alive };
+    let passed_on =
+        Update { origin: "n3".into(), incarnation: 4, number: 2, age_s: 1.5, body: UpdateBody::Leaving };
     vec![
-        ("empty", Frame { stamp: 0.0, echo: None, words: vec![] }),
-        ("echo", Frame { stamp: 1024.125, echo: Some((1000.5, 0.0625)), words: vec![] }),
-        ("two_words", Frame { stamp: 2.5, echo: Some((1.5, 0.5)), words: vec![own, passed_on] }),
-        ("alive", with(What::Alive)),
-        ("leaves", with(What::Leaves)),
-        ("misses", with(What::Misses { member: "n7".into(), incarnation: 200 })),
-        ("over", with(What::Over { late: 3, in_time: 500 })),
+        ("empty", Frame { sent_at_s: 0.0, echo: None, updates: vec![] }),
+        ("echo", Frame { sent_at_s: 1024.125, echo: Some((1000.5, 0.0625)), updates: vec![] }),
+        ("two_words", Frame { sent_at_s: 2.5, echo: Some((1.5, 0.5)), updates: vec![own, passed_on] }),
+        ("alive", with(UpdateBody::Alive)),
+        ("leaves", with(UpdateBody::Leaving)),
+        ("misses", with(UpdateBody::Missed { member: "n7".into(), incarnation: 200 })),
+        ("over", with(UpdateBody::QueryCounts { late: 3, in_time: 500 })),
         (
             "verdict",
-            with(What::Verdict {
+            with(UpdateBody::Observation {
                 node: "s-17".into(),
-                started: Some(3600.5),
-                ago: 0.25,
-                late: 0.5,
-                far: 1.25,
-                sick: 2.5,
+                uptime_s: Some(3600.5),
+                observed_ago_s: 0.25,
+                slow_for_s: 0.5,
+                very_slow_for_s: 1.25,
+                unresponsive_for_s: 2.5,
             }),
         ),
         (
             "verdict_start_unknown",
-            with(What::Verdict {
+            with(UpdateBody::Observation {
                 node: "s-18".into(),
-                started: None,
-                ago: 0.0,
-                late: 0.0,
-                far: 0.0,
-                sick: 0.0,
+                uptime_s: None,
+                observed_ago_s: 0.0,
+                slow_for_s: 0.0,
+                very_slow_for_s: 0.0,
+                unresponsive_for_s: 0.0,
             }),
         ),
     ]
 }
 
-/// Fails to compile where a kind of word is added, so that its frame is recorded as well.
+/// Fails to compile if a kind of update is added, so that a frame of it gets recorded.
 fn assert_variants_known(frame: &Frame) {
-    for word in &frame.words {
-        match word.what {
-            What::Alive | What::Leaves | What::Misses { .. } | What::Over { .. } | What::Verdict { .. } => {}
+    for update in &frame.updates {
+        match update.body {
+            UpdateBody::Alive
+            | UpdateBody::Leaving
+            | UpdateBody::Missed { .. }
+            | UpdateBody::QueryCounts { .. }
+            | UpdateBody::Observation { .. } => {}
         }
     }
 }
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -230,13 +230,13 @@
             self.peers.borrow_mut().view.heard(started, now)
         };
         for (node, verdict) in believed {
-            let (started, seen) = (verdict.started, verdict.seen);
+            let (started, seen) = (verdict.started_at_s, verdict.observed_at_s);
             let seen = NodeObservation {
                 started_at_s: started,
                 observed_at_s: seen,
-                slow_for_s: verdict.late,
-                very_slow_for_s: verdict.far,
-                unresponsive_for_s: verdict.sick,
+                slow_for_s: verdict.slow_for_s,
+                very_slow_for_s: verdict.very_slow_for_s,
+                unresponsive_for_s: verdict.unresponsive_for_s,
             };
             let mut dispatcher = self.dispatcher.borrow_mut();
             let core = dispatcher.core;
