--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -6,7 +6,7 @@
 
 use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
-use alderway_peers::Terms;
+use alderway_peers::GossipConfig;
 use alderway_router::control::{Subscription, settings as control_settings};
 use alderway_router::gossip::{Circle, Members};
 use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
@@ -98,7 +98,13 @@
         return Err(format!("`peers`: `members` does not name this router, `{name}`"));
     }
     let operator::Peers { beat, pulse, stale, witnesses, verdicts, .. } = *peers;
-    let terms = Terms { beat, pulse, stale, witnesses, ..Terms::default() };
+    let terms = GossipConfig {
+        frame_interval_s: beat,
+        alive_interval_s: pulse,
+        max_age_s: stale,
+        quorum: witnesses,
+        ..GossipConfig::default()
+    };
     let path = files.operator.clone();
     let again = path.map(|path| Arc::new(move || members(&path)) as Arc<_>);
     Ok(Some(Circle { members: peers.members.clone(), terms, verdicts, again }))
--- a/crates/lab/src/capacity/words.rs
+++ b/crates/lab/src/capacity/words.rs
@@ -4,7 +4,7 @@
 //! that end all the time, with verdicts of a tenth of the routers on ten data nodes each, and with both; then, where they are
 //! few enough for one machine's memory, the worst second after a fifth of them is gone.
 use alderway_peers::view::View;
-use alderway_peers::{Frame, Name, Terms};
+use alderway_peers::{Frame, GossipConfig, Name};
 use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use clap::Args;
 use nix::time::{ClockId, clock_gettime};
@@ -90,7 +90,7 @@
 }
 
 impl Mesh {
-    pub fn new(count: usize, terms: Terms, seed: u64) -> Mesh {
+    pub fn new(count: usize, terms: GossipConfig, seed: u64) -> Mesh {
         let mut chance = Pcg32::new(seed, 3);
         let members: BTreeSet<Name> = (0..count).map(name).collect();
         let places: BTreeMap<Name, usize> = (0..count).map(|n| (name(n), n)).collect();
@@ -105,10 +105,10 @@
         }
         let mut ways = vec![];
         for from in 0..count {
-            for peer in routers[from].view.dials() {
+            for peer in routers[from].view.dial_targets() {
                 let to = places[&peer];
-                let ours = routers[from].view.greeted(&peer, STARTED);
-                let theirs = routers[to].view.greeted(&name(from), STARTED);
+                let ours = routers[from].view.link_opened(&peer, STARTED);
+                let theirs = routers[to].view.link_opened(&name(from), STARTED);
                 if let (Ok(ours), Ok(theirs)) = (ours, theirs) {
                     ways.push(Way { from, to, link: ours, there: theirs });
                     ways.push(Way { from: to, to: from, link: theirs, there: ours });
@@ -123,7 +123,7 @@
         let _ = reader.next_frame();
         Mesh {
             now: 0.0,
-            beat: terms.beat,
+            beat: terms.frame_interval_s,
             routers,
             ways,
             queries: false,
@@ -136,7 +136,7 @@
 
     /// Links of a router.
     pub fn links(&self) -> usize {
-        self.routers[0].view.links()
+        self.routers[0].view.link_count()
     }
 
     fn pass(&mut self, span: f64) {
@@ -149,14 +149,14 @@
     fn one_beat(&mut self) {
         for router in self.routers.iter_mut().filter(|router| !router.gone) {
             if self.queries {
-                router.view.over(false);
+                router.view.query_ended(false);
             }
             router.view.tick(self.now + router.offset);
         }
         let (mut bytes, mut ends) = (vec![], vec![]);
         for way in &self.ways {
             let router = &mut self.routers[way.from];
-            if let Some(frame) = router.view.frame(way.link, self.now + router.offset) {
+            if let Some(frame) = router.view.next_frame(way.link, self.now + router.offset) {
                 self.words += frame.updates.len();
                 encode_message(&mut bytes, &frame).expect("a frame of gossip fits");
                 self.frames += 1;
@@ -171,8 +171,8 @@
             while let Ok(Some(Received::Message(frame))) = self.reader.next_frame() {
                 let router = &mut self.routers[way.to];
                 let now = self.now + router.offset + 0.4 * self.beat;
-                router.view.came(way.there, frame, now);
-                router.view.heard(|_| Some(None), now);
+                router.view.frame_received(way.there, frame, now);
+                router.view.take_agreed_observations(|_| Some(None), now);
             }
         }
     }
@@ -183,7 +183,7 @@
         for router in self.routers.iter_mut().take(tenth) {
             for node in 0..10 {
                 let now = self.now + router.offset;
-                router.view.say(&format!("s-{node}"), None, [0.0, 0.0, 1000.0], now);
+                router.view.observe_node(&format!("s-{node}"), None, [0.0, 0.0, 1000.0], now);
             }
         }
     }
@@ -192,7 +192,7 @@
     fn lose_a_fifth(&mut self) {
         let first = self.routers.len() - self.routers.len() / 5;
         for way in self.ways.iter().filter(|way| way.from >= first || way.to >= first) {
-            self.routers[way.from].view.ended(way.link);
+            self.routers[way.from].view.link_closed(way.link);
         }
         self.ways.retain(|way| way.from < first && way.to < first);
         self.routers[first..].iter_mut().for_each(|router| router.gone = true);
@@ -209,7 +209,8 @@
             bytes: self.bytes as f64 * a_second,
             frames: (self.frames * self.empty()) as f64 * a_second,
             processor: (processor() - before) * a_second,
-            kept: self.routers.iter().map(|router| router.view.kept()).sum::<usize>() as f64 * a_router,
+            kept: self.routers.iter().map(|router| router.view.update_count()).sum::<usize>() as f64
+                * a_router,
         }
     }
 
@@ -244,7 +245,7 @@
 const GONE: usize = 9;
 
 pub fn play(count: usize, seed: u64, window: f64, lose: bool) -> Shown {
-    let mut mesh = Mesh::new(count, Terms::default(), seed);
+    let mut mesh = Mesh::new(count, GossipConfig::default(), seed);
     // Until round trips are known and every member has been heard of.
     mesh.pass(2.0);
     let rest = mesh.measured(window);
@@ -258,7 +259,7 @@
     let both = mesh.measured(window);
     let links = mesh.links();
     let lost = lose.then(|| {
-        mesh = Mesh::new(count, Terms::default(), seed);
+        mesh = Mesh::new(count, GossipConfig::default(), seed);
         mesh.pass(2.0);
         mesh.lose_a_fifth();
         let seconds: Vec<Spent> = (0..GONE).map(|_| mesh.measured(1.0)).collect();
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -1,433 +1,467 @@
-//! One router's part among its peers: its links, the words that it keeps and tells, and who is there. It is fed frames,
-//! beats and what the own module saw, each with a time of the own steady clock, and gives frames, changes and verdicts.
+//! One router's view of the others: its links, the updates that it stores and sends, and which members are alive. It is
+//! driven by received frames, by ticks and by what the own policy observes, each with a time of the own monotonic clock. It
+//! returns frames to send, changes of members, and observations that a quorum agrees on.
 use crate::quorum::{self, AgreedObservation};
 use crate::transit_time::TransitEstimator;
 use crate::updates::{MergeResult, StoredUpdate, Subject, Update, UpdateBody, UpdateStore};
-use crate::{Frame, Incarnation, Name, Terms, ring};
+use crate::{Frame, GossipConfig, Incarnation, Name, ring};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Most words in one frame; what is left goes with the next.
-const MOST_A_FRAME: usize = 4096;
-/// Pulses without a word of a member before it is missed, and before it is taken for dead.
-const MISSED: f64 = 3.0;
-const DEAD: f64 = 6.0;
+/// Most updates in one frame; the rest follows in the next.
+const MAX_UPDATES_PER_FRAME: usize = 4096;
+/// Alive intervals without an update of a member after which it counts as missed, and as dead.
+const MISSED_AFTER_INTERVALS: f64 = 3.0;
+const DEAD_AFTER_INTERVALS: f64 = 6.0;
 
-/// How a member stands, as far as is known here.
+/// The state of a member, as far as this router knows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum State {
-    /// Nothing was ever heard of it.
-    Unheard,
+pub enum MemberState {
+    /// No update of it has ever been received.
+    NeverSeen,
+    /// Its updates arrive in time.
     Alive,
+    /// Its updates are late.
     Missed,
+    /// It has been late for so long that it is considered dead.
     Dead,
+    /// It has announced its shutdown.
     Left,
 }
 
-impl fmt::Display for State {
+impl fmt::Display for MemberState {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
-            State::Unheard => "unheard of",
-            State::Alive => "alive",
-            State::Missed => "missed",
-            State::Dead => "dead",
-            State::Left => "gone as planned",
+            MemberState::NeverSeen => "never seen",
+            MemberState::Alive => "alive",
+            MemberState::Missed => "missed",
+            MemberState::Dead => "dead",
+            MemberState::Left => "shut down",
         })
     }
 }
 
-/// Why a link is of no use.
+/// Why a link is rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
-    /// It is not of the stated list.
-    Stranger(Name),
-    /// It calls itself by the own name.
-    Oneself,
+pub enum LinkError {
+    /// The peer is not in the list of members.
+    UnknownMember(Name),
+    /// The peer uses this router's own name.
+    OwnName,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for LinkError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::Stranger(name) => write!(out, "`{name}` is not of the members here"),
-            Refused::Oneself => write!(out, "it calls itself by the name of this router"),
+            LinkError::UnknownMember(name) => write!(out, "`{name}` is not in this router's list of members"),
+            LinkError::OwnName => write!(out, "the peer uses the name of this router"),
         }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    state: State,
-    /// When it last said that it is there.
-    said: f64,
+    state: MemberState,
+    /// When its newest update that it is alive, or leaving, was created; initially when it was added to the list.
+    last_alive_at: f64,
 }
 
 #[derive(Debug)]
 struct Link {
     peer: Name,
     transit: TransitEstimator,
-    /// What it has heard.
-    upto: u64,
+    /// Serial of the update store up to which updates were sent.
+    sent_up_to: u64,
 }
 
-/// What the own module last said of a data node, while it holds.
+/// The own policy's last observation of a data node, as long as any of its spans lasts.
 #[derive(Clone, Debug)]
-struct Own {
-    started: Option<f64>,
-    seen: f64,
+struct OwnObservation {
+    started_at: Option<f64>,
+    observed_at: f64,
+    /// Until when the node is slow, very slow and unresponsive.
     until: [f64; 3],
-    said: f64,
+    /// When an update of it was last created.
+    sent_at: f64,
 }
 
-/// What was met, for counters.
+/// What has happened so far, for the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Met {
-    pub words_told: u64,
-    pub words_taken: u64,
-    pub words_known: u64,
-    pub words_stale: u64,
-    /// Of an earlier start of their origin.
-    pub words_former: u64,
-    /// Of nobody that is a member here.
-    pub words_strange: u64,
-    /// That it was missed, and said that it is there.
-    pub refuted: u64,
-    /// Frames whose age cannot be told yet, as nothing has gone both ways.
+pub struct ViewCounters {
+    /// Updates sent.
+    pub updates_sent: u64,
+    /// Updates received that were news.
+    pub updates_new: u64,
+    /// Updates received that were known already.
+    pub updates_known: u64,
+    /// Updates received that were too old.
+    pub updates_stale: u64,
+    /// Updates received of a former incarnation of their origin.
+    pub updates_of_former_incarnations: u64,
+    /// Updates received whose origin is not a member.
+    pub updates_of_unknown_origins: u64,
+    /// Times that this router was reported missed and refuted it.
+    pub refutations: u64,
+    /// Frames with updates whose age is unknown, before the first round trip on their link.
     pub frames_undated: u64,
 }
 
+/// The state of one router's gossip.
 #[derive(Debug)]
 pub struct View {
-    terms: Terms,
-    own: Name,
+    config: GossipConfig,
+    own_name: Name,
     incarnation: Incarnation,
+    /// All members but this router.
     members: BTreeMap<Name, Member>,
-    words: UpdateStore,
+    updates: UpdateStore,
     links: BTreeMap<u64, Link>,
     last_link: u64,
-    number: u64,
-    pulse_at: f64,
-    leaves: bool,
-    verdicts: BTreeMap<Name, Own>,
-    /// Data nodes on which others have said something since it was last asked.
-    changed: BTreeSet<Name>,
-    /// Members whose links say an earlier incarnation than is known here: they have yet to hear of the later one.
-    outbid: BTreeSet<Name>,
-    /// Own queries that ended late and in time and have yet to be told of; the fleet's that have yet to be heard.
-    own_over: (u32, u32),
-    over: (u32, u32),
-    over_at: f64,
-    pub met: Met,
+    /// Number of the last update created here.
+    last_number: u64,
+    next_alive_at: f64,
+    is_leaving: bool,
+    own_observations: BTreeMap<Name, OwnObservation>,
+    /// Data nodes with updates received since the last `take_agreed_observations`.
+    changed_nodes: BTreeSet<Name>,
+    /// Members that connected with an earlier incarnation than the one known here, which has to be sent to them.
+    superseded: BTreeSet<Name>,
+    /// This router's queries that ended since the last update of their counts: late, and in time.
+    own_query_counts: (u32, u32),
+    /// All routers' queries that ended since the last `take_query_counts`: late, and in time.
+    query_counts: (u32, u32),
+    query_counts_sent_at: f64,
+    /// For the metrics.
+    pub counters: ViewCounters,
 }
 
 impl View {
+    /// The view of the router `own_name`, which starts at `now`.
     pub fn new(
-        own: &str,
+        own_name: &str,
         incarnation: Incarnation,
         members: &BTreeSet<Name>,
-        terms: Terms,
+        config: GossipConfig,
         now: f64,
     ) -> Self {
         let mut view = View {
-            terms,
-            own: own.into(),
+            config,
+            own_name: own_name.into(),
             incarnation,
             members: BTreeMap::new(),
-            words: UpdateStore::default(),
+            updates: UpdateStore::default(),
             links: BTreeMap::new(),
             last_link: 0,
-            number: 0,
-            pulse_at: now,
-            leaves: false,
-            verdicts: BTreeMap::new(),
-            changed: BTreeSet::new(),
-            outbid: BTreeSet::new(),
-            own_over: (0, 0),
-            over: (0, 0),
-            over_at: now,
-            met: Met::default(),
+            last_number: 0,
+            next_alive_at: now,
+            is_leaving: false,
+            own_observations: BTreeMap::new(),
+            changed_nodes: BTreeSet::new(),
+            superseded: BTreeSet::new(),
+            own_query_counts: (0, 0),
+            query_counts: (0, 0),
+            query_counts_sent_at: now,
+            counters: ViewCounters::default(),
         };
         view.set_members(members, now);
         view
     }
 
-    /// A new list of members. Of those that are no longer there words are dropped, and links end.
+    /// Replaces the list of members. Updates of and links to members that are no longer in it are dropped.
     pub fn set_members(&mut self, members: &BTreeSet<Name>, now: f64) {
         self.members.retain(|name, _| members.contains(name));
-        for name in members.iter().filter(|name| **name != self.own) {
-            self.members.entry(name.clone()).or_insert(Member { state: State::Unheard, said: now });
+        for name in members.iter().filter(|name| **name != self.own_name) {
+            let member = Member { state: MemberState::NeverSeen, last_alive_at: now };
+            self.members.entry(name.clone()).or_insert(member);
         }
-        let (own, known) = (&self.own, &self.members);
-        self.words.retain_origins(|name| name == own || known.contains_key(name));
-        self.links.retain(|_, link| known.contains_key(&link.peer));
+        let (own_name, members) = (&self.own_name, &self.members);
+        self.updates.retain_origins(|name| name == own_name || members.contains_key(name));
+        self.links.retain(|_, link| members.contains_key(&link.peer));
     }
 
+    /// This router's incarnation, which rises if a later one is known to the others.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whom this router dials.
-    pub fn dials(&self) -> Vec<Name> {
-        let all: BTreeSet<Name> = self.members.keys().cloned().chain([self.own.clone()]).collect();
-        ring::dial_targets(&all, &self.own)
+    /// The members that this router dials.
+    pub fn dial_targets(&self) -> Vec<Name> {
+        let all: BTreeSet<Name> = self.members.keys().cloned().chain([self.own_name.clone()]).collect();
+        ring::dial_targets(&all, &self.own_name)
     }
 
-    /// A peer has said hello; the number of the link from here on. One whose incarnation is earlier than what is known here
-    /// is told the later one, which it outbids: incarnations go by wall clocks, and its clock may have gone back.
+    /// Opens a link to a peer whose hello was received, and returns its number. A peer with an earlier incarnation than the
+    /// one known here is sent the later one and then raises its own: incarnations are taken from wall clocks, and its
+    /// clock may have gone back.
     ///
     /// # Errors
-    /// It is no member, or calls itself by the own name.
-    pub fn greeted(&mut self, peer: &str, incarnation: Incarnation) -> Result<u64, Refused> {
-        if peer == self.own {
-            return Err(Refused::Oneself);
+    /// The peer is not a member, or uses this router's own name.
+    pub fn link_opened(&mut self, peer: &str, incarnation: Incarnation) -> Result<u64, LinkError> {
+        if peer == self.own_name {
+            return Err(LinkError::OwnName);
         }
         if !self.members.contains_key(peer) {
-            return Err(Refused::Stranger(peer.into()));
+            return Err(LinkError::UnknownMember(peer.into()));
         }
-        if self.words.incarnation(peer).is_some_and(|known| incarnation < known) {
-            self.outbid.insert(peer.into());
+        if self.updates.incarnation(peer).is_some_and(|known| incarnation < known) {
+            self.superseded.insert(peer.into());
         }
         self.last_link += 1;
-        let link = Link { peer: peer.into(), transit: TransitEstimator::default(), upto: 0 };
+        let link = Link { peer: peer.into(), transit: TransitEstimator::default(), sent_up_to: 0 };
         self.links.insert(self.last_link, link);
         Ok(self.last_link)
     }
 
-    pub fn ended(&mut self, link: u64) {
+    /// Removes a link whose connection has closed.
+    pub fn link_closed(&mut self, link: u64) {
         self.links.remove(&link);
     }
 
-    pub fn links(&self) -> usize {
+    /// How many links are open.
+    pub fn link_count(&self) -> usize {
         self.links.len()
     }
 
-    /// What goes out over a link at a beat. The driver asks once the last one has gone out whole: what a slow link has
-    /// not heard stays here, the newest word of each in the place of its earlier ones. Before anything has gone both ways
-    /// nothing is told, as it could not be dated there. None once the link's peer is no member any more.
-    pub fn frame(&mut self, link: u64, now: f64) -> Option<Frame> {
-        let held = self.links.get_mut(&link)?;
-        let echo = held.transit.echo(now);
-        let mut words = vec![];
+    /// The next frame for a link; none if its peer is no longer a member. To be called once in each frame interval, after
+    /// the previous frame was written in full: what a slow link has not sent yet stays in the store, where newer updates
+    /// replace older ones. Before the first round trip a frame has no updates, as their age would be unknown to the peer.
+    pub fn next_frame(&mut self, link: u64, now: f64) -> Option<Frame> {
+        let open = self.links.get_mut(&link)?;
+        let echo = open.transit.echo(now);
+        let mut updates = vec![];
         if echo.is_some() {
-            (words, held.upto) = self.words.since(held.upto, link, now, MOST_A_FRAME);
+            (updates, open.sent_up_to) =
+                self.updates.since(open.sent_up_to, link, now, MAX_UPDATES_PER_FRAME);
         }
-        self.met.words_told += words.len() as u64;
-        Some(Frame { sent_at_s: now, echo, updates: words })
+        self.counters.updates_sent += updates.len() as u64;
+        Some(Frame { sent_at_s: now, echo, updates })
     }
 
-    /// A frame has come. UpdateBody changes of members it shows.
-    pub fn came(&mut self, link: u64, frame: Frame, now: f64) -> Vec<(Name, State)> {
-        let Terms { stale, most, drift, .. } = self.terms;
-        let Some(held) = self.links.get_mut(&link) else { return vec![] };
-        let Some(way) = held.transit.frame_received(frame.sent_at_s, frame.echo, now, drift) else {
-            // Said again when it can be dated.
-            self.met.frames_undated += u64::from(!frame.updates.is_empty());
+    /// Processes a received frame, and returns the changes of members that it shows.
+    pub fn frame_received(&mut self, link: u64, frame: Frame, now: f64) -> Vec<(Name, MemberState)> {
+        let GossipConfig { max_age_s, max_updates_per_origin, max_clock_drift, .. } = self.config;
+        let Some(open) = self.links.get_mut(&link) else { return vec![] };
+        let transit_s = open.transit.frame_received(frame.sent_at_s, frame.echo, now, max_clock_drift);
+        let Some(transit_s) = transit_s else {
+            // Its updates are dropped; the peer repeats those that still hold.
+            self.counters.frames_undated += u64::from(!frame.updates.is_empty());
             return vec![];
         };
         let mut changes = vec![];
-        for mut word in frame.updates {
-            word.age_s += way;
-            if word.origin == self.own {
-                if word.incarnation > self.incarnation {
-                    self.outbid_former_self(word.incarnation, now);
+        for mut update in frame.updates {
+            update.age_s += transit_s;
+            if update.origin == self.own_name {
+                if update.incarnation > self.incarnation {
+                    self.supersede_incarnation(update.incarnation, now);
                 }
                 continue;
             }
-            if !self.members.contains_key(&word.origin) {
-                self.met.words_strange += 1;
+            if !self.members.contains_key(&update.origin) {
+                self.counters.updates_of_unknown_origins += 1;
                 continue;
             }
-            let (origin, what, said) = (word.origin.clone(), word.body.clone(), now - word.age_s);
-            match self.words.merge(word, now, stale, most, Some(link)) {
-                MergeResult::New => self.met.words_taken += 1,
+            let (origin, body, created_at) = (update.origin.clone(), update.body.clone(), now - update.age_s);
+            match self.updates.merge(update, now, max_age_s, max_updates_per_origin, Some(link)) {
+                MergeResult::New => self.counters.updates_new += 1,
                 MergeResult::Known => {
-                    self.met.words_known += 1;
+                    self.counters.updates_known += 1;
                     continue;
                 }
                 MergeResult::Stale => {
-                    self.met.words_stale += 1;
+                    self.counters.updates_stale += 1;
                     continue;
                 }
                 MergeResult::FormerIncarnation => {
-                    self.met.words_former += 1;
+                    self.counters.updates_of_former_incarnations += 1;
                     continue;
                 }
             }
-            match what {
-                UpdateBody::Alive => changes.extend(self.shows(&origin, State::Alive, said)),
-                UpdateBody::Leaving => changes.extend(self.shows(&origin, State::Left, said)),
+            match body {
+                UpdateBody::Alive => changes.extend(self.set_state(&origin, MemberState::Alive, created_at)),
+                UpdateBody::Leaving => changes.extend(self.set_state(&origin, MemberState::Left, created_at)),
                 UpdateBody::Missed { member, incarnation } => {
-                    if member == self.own && incarnation >= self.incarnation && !self.leaves {
-                        self.met.refuted += 1;
-                        self.outbid_former_self(incarnation, now);
+                    if member == self.own_name && incarnation >= self.incarnation && !self.is_leaving {
+                        self.counters.refutations += 1;
+                        self.supersede_incarnation(incarnation, now);
                     }
                 }
-                UpdateBody::QueryCounts { late, in_time } => self.add(late, in_time),
-                UpdateBody::Observation { node, .. } => drop(self.changed.insert(node)),
+                UpdateBody::QueryCounts { late, in_time } => self.add_query_counts(late, in_time),
+                UpdateBody::Observation { node, .. } => drop(self.changed_nodes.insert(node)),
             }
         }
         changes
     }
 
-    /// Others know an incarnation of this router: it says that it is there, under a later one if that is not its own.
-    /// Guards against a clock that went back between two starts, which makes the former self look like the later one.
-    fn outbid_former_self(&mut self, known: Incarnation, now: f64) {
+    /// Announces with the next tick that this router is alive, under a later incarnation than the one `known` to others if
+    /// that is not its own. Guards against a wall clock that went back between two starts, which makes the former
+    /// incarnation look like the later one.
+    fn supersede_incarnation(&mut self, known: Incarnation, now: f64) {
         if known > self.incarnation {
             self.incarnation = known.saturating_add(1);
         }
-        self.pulse_at = now;
+        self.next_alive_at = now;
     }
 
-    /// A query of this router is over.
-    pub fn over(&mut self, late: bool) {
-        let count = if late { &mut self.own_over.0 } else { &mut self.own_over.1 };
+    /// Counts a query of this router that has ended.
+    pub fn query_ended(&mut self, late: bool) {
+        let count = if late { &mut self.own_query_counts.0 } else { &mut self.own_query_counts.1 };
         *count = count.saturating_add(1);
     }
 
-    fn add(&mut self, late: u32, in_time: u32) {
-        let (sum_late, sum_in_time) = self.over;
-        self.over = (sum_late.saturating_add(late), sum_in_time.saturating_add(in_time));
+    fn add_query_counts(&mut self, late: u32, in_time: u32) {
+        let (sum_late, sum_in_time) = self.query_counts;
+        self.query_counts = (sum_late.saturating_add(late), sum_in_time.saturating_add(in_time));
     }
 
-    /// How many queries of all routers have ended since it was last asked, as far as that was heard: late, and in time.
-    pub fn fleet(&mut self) -> Option<(u32, u32)> {
-        Some(std::mem::take(&mut self.over)).filter(|over| *over != (0, 0))
+    /// How many queries of all routers are known to have ended since the last call: late, and in time. None if there were
+    /// none.
+    pub fn take_query_counts(&mut self) -> Option<(u32, u32)> {
+        Some(std::mem::take(&mut self.query_counts)).filter(|counts| *counts != (0, 0))
     }
 
-    fn shows(&mut self, name: &str, state: State, said: f64) -> Option<(Name, State)> {
+    fn set_state(&mut self, name: &str, state: MemberState, created_at: f64) -> Option<(Name, MemberState)> {
         let member = self.members.get_mut(name)?;
-        member.said = member.said.max(said);
+        member.last_alive_at = member.last_alive_at.max(created_at);
         (std::mem::replace(&mut member.state, state) != state).then(|| (name.into(), state))
     }
 
-    fn tell(&mut self, what: UpdateBody, now: f64) {
-        self.number += 1;
-        let (origin, incarnation, number) = (self.own.clone(), self.incarnation, self.number);
-        let word = Update { origin, incarnation, number, age_s: 0.0, body: what };
-        self.words.merge(word, now, self.terms.stale, self.terms.most, None);
+    fn create_update(&mut self, body: UpdateBody, now: f64) {
+        self.last_number += 1;
+        let (origin, incarnation, number) = (self.own_name.clone(), self.incarnation, self.last_number);
+        let update = Update { origin, incarnation, number, age_s: 0.0, body };
+        let GossipConfig { max_age_s, max_updates_per_origin, .. } = self.config;
+        self.updates.merge(update, now, max_age_s, max_updates_per_origin, None);
     }
 
-    /// What the own module saw of a data node: spans from now on, as in its own words. That a node is sound is told only
-    /// to take something back.
-    pub fn say(&mut self, node: &str, started: Option<f64>, spans: [f64; 3], now: f64) {
-        if spans.iter().all(|span| *span <= 0.0) && !self.verdicts.contains_key(node) {
+    /// Gossips an observation of the own policy: for how many seconds from `now` on a data node counts as slow, very slow
+    /// and unresponsive. That a node is healthy is only sent to retract an earlier observation.
+    pub fn observe_node(&mut self, node: &str, started_at: Option<f64>, spans_s: [f64; 3], now: f64) {
+        if spans_s.iter().all(|span| *span <= 0.0) && !self.own_observations.contains_key(node) {
             return;
         }
-        let until = spans.map(|span| now + span);
-        let own = Own { started, seen: now, until, said: f64::NEG_INFINITY };
-        self.verdicts.insert(node.into(), own);
-        self.repeat(now);
+        let until = spans_s.map(|span| now + span);
+        let own = OwnObservation { started_at, observed_at: now, until, sent_at: f64::NEG_INFINITY };
+        self.own_observations.insert(node.into(), own);
+        self.send_own_observations(now);
     }
 
-    /// Says again what still holds before it is stale to others. What has run out is not said again.
-    fn repeat(&mut self, now: f64) {
-        let due: Vec<(Name, Own)> = {
-            let due = self.verdicts.iter().filter(|(_, own)| now - own.said >= 0.5 * self.terms.stale);
+    /// Sends own observations that are new, and repeats those that still hold before they are stale at the others. Expired
+    /// ones are dropped.
+    fn send_own_observations(&mut self, now: f64) {
+        let due: Vec<(Name, OwnObservation)> = {
+            let repeat_after_s = 0.5 * self.config.max_age_s;
+            let due = self.own_observations.iter().filter(|(_, own)| now - own.sent_at >= repeat_after_s);
             due.map(|(node, own)| (node.clone(), own.clone())).collect()
         };
         for (node, own) in due {
             let holds = own.until.iter().any(|until| *until > now);
-            if !holds && own.said.is_finite() {
-                self.verdicts.remove(&node);
+            if !holds && own.sent_at.is_finite() {
+                self.own_observations.remove(&node);
                 continue;
             }
-            let [late, far, sick] = own.until.map(|until| (until - now).max(0.0) as f32);
-            let (started, ago) = (own.started.map(|at| (own.seen - at) as f32), (now - own.seen) as f32);
-            self.tell(
-                UpdateBody::Observation {
-                    node: node.clone(),
-                    uptime_s: started,
-                    observed_ago_s: ago,
-                    slow_for_s: late,
-                    very_slow_for_s: far,
-                    unresponsive_for_s: sick,
-                },
-                now,
-            );
-            self.verdicts.entry(node).and_modify(|own| own.said = now);
+            let spans = own.until.map(|until| (until - now).max(0.0) as f32);
+            let [slow_for_s, very_slow_for_s, unresponsive_for_s] = spans;
+            let body = UpdateBody::Observation {
+                node: node.clone(),
+                uptime_s: own.started_at.map(|at| (own.observed_at - at) as f32),
+                observed_ago_s: (now - own.observed_at) as f32,
+                slow_for_s,
+                very_slow_for_s,
+                unresponsive_for_s,
+            };
+            self.create_update(body, now);
+            self.own_observations.entry(node).and_modify(|own| own.sent_at = now);
         }
     }
 
-    /// Says that this router goes, for frames that go out yet.
-    pub fn leave(&mut self, now: f64) {
-        self.leaves = true;
-        self.tell(UpdateBody::Leaving, now);
+    /// Announces the shutdown of this router, with the next frames.
+    pub fn announce_leaving(&mut self, now: f64) {
+        self.is_leaving = true;
+        self.create_update(UpdateBody::Leaving, now);
     }
 
-    /// To be called a few times a beat: says what is due, and finds who is missed.
-    pub fn tick(&mut self, now: f64) -> Vec<(Name, State)> {
-        if now >= self.pulse_at && !self.leaves {
-            self.pulse_at = now + self.terms.pulse;
-            self.tell(UpdateBody::Alive, now);
+    /// Creates the updates that are due, drops stale ones, and returns changes of members that are missed or dead. To be
+    /// called a few times in each frame interval.
+    pub fn tick(&mut self, now: f64) -> Vec<(Name, MemberState)> {
+        let alive_interval_s = self.config.alive_interval_s;
+        if now >= self.next_alive_at && !self.is_leaving {
+            self.next_alive_at = now + alive_interval_s;
+            self.create_update(UpdateBody::Alive, now);
         }
-        if now - self.over_at >= 0.5 * self.terms.pulse && self.own_over != (0, 0) {
-            self.over_at = now;
-            let (late, in_time) = std::mem::take(&mut self.own_over);
-            self.add(late, in_time);
-            self.tell(UpdateBody::QueryCounts { late, in_time }, now);
+        let counts_are_due = now - self.query_counts_sent_at >= 0.5 * alive_interval_s;
+        if counts_are_due && self.own_query_counts != (0, 0) {
+            self.query_counts_sent_at = now;
+            let (late, in_time) = std::mem::take(&mut self.own_query_counts);
+            self.add_query_counts(late, in_time);
+            self.create_update(UpdateBody::QueryCounts { late, in_time }, now);
         }
-        self.repeat(now);
-        self.words.sweep(now, self.terms.stale);
+        self.send_own_observations(now);
+        self.updates.sweep(now, self.config.max_age_s);
         let (mut changes, mut missed) = (vec![], vec![]);
         for (name, member) in &mut self.members {
-            let silent = (now - member.said) / self.terms.pulse;
+            let silent_intervals = (now - member.last_alive_at) / alive_interval_s;
             let state = match member.state {
-                State::Alive if silent > MISSED => State::Missed,
-                State::Missed if silent > DEAD => State::Dead,
+                MemberState::Alive if silent_intervals > MISSED_AFTER_INTERVALS => MemberState::Missed,
+                MemberState::Missed if silent_intervals > DEAD_AFTER_INTERVALS => MemberState::Dead,
                 state => state,
             };
             if state != member.state {
                 member.state = state;
                 changes.push((name.clone(), state));
-                missed.extend((state == State::Missed).then(|| name.clone()));
+                missed.extend((state == MemberState::Missed).then(|| name.clone()));
             }
         }
-        missed.extend(std::mem::take(&mut self.outbid));
+        missed.extend(std::mem::take(&mut self.superseded));
         for member in missed {
-            if let Some(incarnation) = self.words.incarnation(&member) {
-                self.tell(UpdateBody::Missed { member, incarnation }, now);
+            if let Some(incarnation) = self.updates.incarnation(&member) {
+                self.create_update(UpdateBody::Missed { member, incarnation }, now);
             }
         }
         changes
     }
 
-    /// What is believed of data nodes on which something was said since it was last asked; `started` tells the start of
-    /// a node's process by the own roster, none where it is not known here.
-    pub fn heard(
+    /// Observations that a quorum agrees on, of data nodes with updates received since the last call. `started_at` returns
+    /// when a node's process started by the own endpoint list, and none for a node that is not listed.
+    pub fn take_agreed_observations(
         &mut self,
-        started: impl Fn(&str) -> Option<Option<f64>>,
+        started_at: impl Fn(&str) -> Option<Option<f64>>,
         now: f64,
     ) -> Vec<(Name, AgreedObservation)> {
-        let Terms { stale, witnesses, .. } = self.terms;
-        let mut believed = vec![];
-        for node in std::mem::take(&mut self.changed) {
-            let Some(started) = started(&node) else { continue };
+        let GossipConfig { max_age_s, quorum, .. } = self.config;
+        let mut agreed = vec![];
+        for node in std::mem::take(&mut self.changed_nodes) {
+            let Some(started_at) = started_at(&node) else { continue };
             let subject = Subject::Node(node.clone());
-            let others = self.words.about(&subject).filter(|(by, _)| **by != self.own);
-            let said: Vec<&StoredUpdate> = others.map(|(_, kept)| kept).collect();
-            if let Some(verdict) = quorum::agreed_observation(&said, started, now, stale, witnesses) {
-                believed.push((node, verdict));
+            let others = self.updates.about(&subject).filter(|(origin, _)| **origin != self.own_name);
+            let updates: Vec<&StoredUpdate> = others.map(|(_, update)| update).collect();
+            if let Some(observation) =
+                quorum::agreed_observation(&updates, started_at, now, max_age_s, quorum)
+            {
+                agreed.push((node, observation));
             }
         }
-        believed
+        agreed
     }
 
-    pub fn state(&self, name: &str) -> Option<State> {
+    /// The state of a member.
+    pub fn state(&self, name: &str) -> Option<MemberState> {
         self.members.get(name).map(|member| member.state)
     }
 
-    /// How many members stand so.
-    pub fn count(&self, state: State) -> usize {
+    /// How many members have a state.
+    pub fn count(&self, state: MemberState) -> usize {
         self.members.values().filter(|member| member.state == state).count()
     }
 
-    pub fn kept(&self) -> usize {
-        self.words.len()
+    /// How many updates are stored.
+    pub fn update_count(&self) -> usize {
+        self.updates.len()
     }
 
-    /// All that is held of others and of oneself, for whoever compares two routers' views.
-    pub fn holds(&self, now: f64) -> Vec<Update> {
-        let mut words = self.words.since(0, 0, now, usize::MAX).0;
-        words.sort_by(|a, b| (&a.origin, a.number).cmp(&(&b.origin, b.number)));
-        words
+    /// All stored updates, this router's included, in the order of their origins and numbers.
+    pub fn all_updates(&self, now: f64) -> Vec<Update> {
+        let mut updates = self.updates.since(0, 0, now, usize::MAX).0;
+        updates.sort_by(|a, b| (&a.origin, a.number).cmp(&(&b.origin, b.number)));
+        updates
     }
 }
--- a/crates/peers/tests/mesh.rs
+++ b/crates/peers/tests/mesh.rs
@@ -1,8 +1,8 @@
 //! Stories of many routers' views without sockets: links with delays that hold frames while they are cut, clocks that agree on
 //! nothing and drift, routers that stop, start anew and lie. Time passes as a story says; chance is seeded.
 use alderway_peers::updates::{Update, UpdateBody, UpdateStore};
-use alderway_peers::view::{State, View};
-use alderway_peers::{Frame, Name, Terms, ring};
+use alderway_peers::view::{MemberState, View};
+use alderway_peers::{Frame, GossipConfig, Name, ring};
 use alderway_transport::{FrameReader, Hello, Received, encode_hello, encode_message};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -23,7 +23,7 @@
 
 struct Mesh {
     now: f64,
-    terms: Terms,
+    terms: GossipConfig,
     routers: Vec<Router>,
     /// By the two ends: the link's number at each.
     links: BTreeMap<(usize, usize), (u64, u64)>,
@@ -32,7 +32,7 @@
     delay: f64,
     chance: Pcg32,
     believed: Vec<(f64, usize, Name, alderway_peers::quorum::AgreedObservation)>,
-    changes: Vec<(f64, usize, Name, State)>,
+    changes: Vec<(f64, usize, Name, MemberState)>,
     words: usize,
 }
 
@@ -45,11 +45,11 @@
 }
 
 impl Mesh {
-    fn new(count: usize, terms: Terms, seed: u64) -> Mesh {
+    fn new(count: usize, terms: GossipConfig, seed: u64) -> Mesh {
         let mut chance = Pcg32::new(seed, 3);
         let mut draw = || f64::from(chance.next_u32()) / 4294967296.0;
         let routers = (0..count).map(|n| {
-            let (offset, rate) = (1e4 * draw(), 1.0 + terms.drift * 0.4 * (2.0 * draw() - 1.0));
+            let (offset, rate) = (1e4 * draw(), 1.0 + terms.max_clock_drift * 0.4 * (2.0 * draw() - 1.0));
             let view = View::new(&name(n), 1, &members(count), terms, offset);
             Router { view, offset, rate, stopped: false }
         });
@@ -76,11 +76,11 @@
     }
 
     fn dial(&mut self, from: usize) {
-        for peer in self.routers[from].view.dials() {
+        for peer in self.routers[from].view.dial_targets() {
             let Ok(to) = peer[1..].parse::<usize>() else { continue };
             let (a, b) = (self.routers[from].view.incarnation(), self.routers[to].view.incarnation());
-            let ours = self.routers[from].view.greeted(&peer, b);
-            let theirs = self.routers[to].view.greeted(&name(from), a);
+            let ours = self.routers[from].view.link_opened(&peer, b);
+            let theirs = self.routers[to].view.link_opened(&name(from), a);
             if let (Ok(ours), Ok(theirs)) = (ours, theirs) {
                 self.links.insert((from, to), (ours, theirs));
             }
@@ -94,9 +94,11 @@
         self.routers[n].view = View::new(&name(n), incarnation, &members(count), self.terms, now);
         self.dial(n);
         for from in (0..count).filter(|from| *from != n) {
-            if self.routers[from].view.dials().contains(&name(n)) && !self.links.contains_key(&(from, n)) {
-                let ours = self.routers[from].view.greeted(&name(n), incarnation);
-                let theirs = self.routers[n].view.greeted(&name(from), 1);
+            if self.routers[from].view.dial_targets().contains(&name(n))
+                && !self.links.contains_key(&(from, n))
+            {
+                let ours = self.routers[from].view.link_opened(&name(n), incarnation);
+                let theirs = self.routers[n].view.link_opened(&name(from), 1);
                 if let (Ok(ours), Ok(theirs)) = (ours, theirs) {
                     self.links.insert((from, n), (ours, theirs));
                 }
@@ -106,9 +108,9 @@
 
     /// Beats of a tenth of a second each.
     fn pass(&mut self, span: f64) {
-        let beats = (span / self.terms.beat).round() as usize;
+        let beats = (span / self.terms.frame_interval_s).round() as usize;
         for _ in 0..beats {
-            self.now += self.terms.beat;
+            self.now += self.terms.frame_interval_s;
             for n in 0..self.routers.len() {
                 let now = self.local(n);
                 if !self.routers[n].stopped {
@@ -126,7 +128,7 @@
                         continue;
                     }
                     let now = self.local(from);
-                    if let Some(frame) = self.routers[from].view.frame(link, now) {
+                    if let Some(frame) = self.routers[from].view.next_frame(link, now) {
                         self.words += frame.updates.len();
                         let draw = f64::from(self.chance.next_u32()) / 4294967296.0;
                         let at = self.now + self.delay * (0.5 + draw);
@@ -142,7 +144,7 @@
         let ways: Vec<(usize, usize)> = self.ways.keys().copied().collect();
         for (from, to) in ways {
             while !self.cut.contains(&(from, to)) && !self.routers[to].stopped {
-                let until = self.now + 0.5 * self.terms.beat;
+                let until = self.now + 0.5 * self.terms.frame_interval_s;
                 let Some(way) =
                     self.ways.get_mut(&(from, to)).filter(|w| w.front().is_some_and(|f| f.0 <= until))
                 else {
@@ -152,10 +154,10 @@
                 let link =
                     self.links.get(&(from, to)).map(|l| l.1).or(self.links.get(&(to, from)).map(|l| l.0));
                 let Some(link) = link else { continue };
-                let now = self.local(to) + 0.4 * self.terms.beat;
-                let changes = self.routers[to].view.came(link, frame, now);
+                let now = self.local(to) + 0.4 * self.terms.frame_interval_s;
+                let changes = self.routers[to].view.frame_received(link, frame, now);
                 self.changes.extend(changes.into_iter().map(|(name, state)| (self.now, to, name, state)));
-                for (node, verdict) in self.routers[to].view.heard(|_| Some(None), now) {
+                for (node, verdict) in self.routers[to].view.take_agreed_observations(|_| Some(None), now) {
                     self.believed.push((self.now, to, node, verdict));
                 }
             }
@@ -164,7 +166,7 @@
 
     fn say(&mut self, n: usize, node: &str, sick: f64) {
         let now = self.local(n);
-        self.routers[n].view.say(node, None, [0.0, 0.0, sick], now);
+        self.routers[n].view.observe_node(node, None, [0.0, 0.0, sick], now);
     }
 
     /// Who believes now that a node is sick.
@@ -204,7 +206,7 @@
 #[case::one_says_so(1, 0)]
 #[case::two_say_so(2, 5)]
 fn a_verdict_is_believed_once_as_many_as_are_stated_say_so(#[case] say: usize, #[case] believe: usize) {
-    let mut mesh = Mesh::new(7, Terms::default(), 1);
+    let mut mesh = Mesh::new(7, GossipConfig::default(), 1);
     mesh.pass(1.0);
     (0..say).for_each(|n| mesh.say(n, "s-1", 5.0));
     mesh.pass(0.5);
@@ -215,7 +217,7 @@
 /// Guards against a liar that keeps a node out for longer than another witness says.
 #[rstest]
 fn a_liar_beside_an_honest_witness_adds_nothing_to_what_that_one_says() {
-    let mut mesh = Mesh::new(7, Terms::default(), 2);
+    let mut mesh = Mesh::new(7, GossipConfig::default(), 2);
     mesh.pass(1.0);
     mesh.say(0, "s-1", 0.4);
     mesh.say(1, "s-1", 1e9);
@@ -228,7 +230,7 @@
 /// Guards against words that outlive the links over which they could be taken back.
 #[rstest]
 fn without_links_a_verdict_counts_for_nothing_once_it_is_stale() {
-    let mut mesh = Mesh::new(8, Terms::default(), 3);
+    let mut mesh = Mesh::new(8, GossipConfig::default(), 3);
     mesh.pass(1.0);
     (0..4).for_each(|n| mesh.say(n, "s-1", 1000.0));
     mesh.pass(1.0);
@@ -236,7 +238,7 @@
     mesh.pass(6.0);
     assert!(mesh.believers("s-1").len() >= 7, "said again while it holds");
     mesh.partition(|n| n < 4);
-    let stale = mesh.terms.stale;
+    let stale = mesh.terms.max_age_s;
     mesh.pass(stale + 0.2);
     assert_eq!(mesh.believers("s-1"), (0..4).collect(), "those that still hear each other");
 }
@@ -244,36 +246,36 @@
 /// Guards against words that waited in a link and are taken for new.
 #[rstest]
 fn words_held_past_their_time_are_stale_when_they_arrive() {
-    let mut mesh = Mesh::new(5, Terms::default(), 4);
+    let mut mesh = Mesh::new(5, GossipConfig::default(), 4);
     mesh.pass(1.0);
     mesh.partition(|n| n < 2);
     (0..2).for_each(|n| mesh.say(n, "s-1", 1000.0));
     mesh.pass(0.3);
     // They go silent with the word on its way.
     (0..2).for_each(|n| mesh.routers[n].stopped = true);
-    mesh.pass(mesh.terms.stale + 0.1);
+    mesh.pass(mesh.terms.max_age_s + 0.1);
     mesh.cut.clear();
     mesh.pass(0.5);
     assert!(mesh.believers("s-1").iter().all(|n| *n < 2), "{:?}", mesh.believers("s-1"));
-    assert!(mesh.routers[2].view.met.words_stale > 0);
+    assert!(mesh.routers[2].view.counters.updates_stale > 0);
 }
 
 /// Guards against half of a fleet that goes on as if the other half were there, or never finds it again.
 #[rstest]
 fn halves_miss_each_other_and_find_each_other_again() {
-    let mut mesh = Mesh::new(16, Terms::default(), 5);
+    let mut mesh = Mesh::new(16, GossipConfig::default(), 5);
     mesh.pass(2.0);
-    assert!(mesh.routers.iter().all(|r| r.view.count(State::Alive) == 15));
+    assert!(mesh.routers.iter().all(|r| r.view.count(MemberState::Alive) == 15));
     mesh.partition(|n| n < 8);
     mesh.pass(8.0);
     for router in &mesh.routers {
-        assert_eq!((router.view.count(State::Alive), router.view.count(State::Dead)), (7, 8));
+        assert_eq!((router.view.count(MemberState::Alive), router.view.count(MemberState::Dead)), (7, 8));
     }
     mesh.cut.clear();
     mesh.pass(3.0);
-    assert!(mesh.routers.iter().all(|r| r.view.count(State::Alive) == 15));
+    assert!(mesh.routers.iter().all(|r| r.view.count(MemberState::Alive) == 15));
     let held = |n: usize| -> Vec<(Name, u64)> {
-        mesh.routers[n].view.holds(0.0).into_iter().map(|w| (w.origin, w.number)).collect()
+        mesh.routers[n].view.all_updates(0.0).into_iter().map(|w| (w.origin, w.number)).collect()
     };
     assert!((1..16).all(|n| held(n).len() == held(0).len()));
 }
@@ -281,17 +283,17 @@
 /// Guards against a router taken for dead by all though only one way to one peer is cut.
 #[rstest]
 fn a_link_cut_one_way_makes_nobody_missed() {
-    let mut mesh = Mesh::new(6, Terms::default(), 6);
+    let mut mesh = Mesh::new(6, GossipConfig::default(), 6);
     mesh.pass(2.0);
     mesh.cut.insert((0, 1));
     mesh.pass(10.0);
-    assert!(mesh.changes.iter().all(|(_, _, _, state)| *state == State::Alive), "{:?}", mesh.changes);
+    assert!(mesh.changes.iter().all(|(_, _, _, state)| *state == MemberState::Alive), "{:?}", mesh.changes);
 }
 
 /// Guards against the words of a router's former life, still on their way when it has started anew.
 #[rstest]
 fn words_of_a_former_start_count_no_more() {
-    let mut mesh = Mesh::new(5, Terms::default(), 7);
+    let mut mesh = Mesh::new(5, GossipConfig::default(), 7);
     mesh.pass(1.0);
     mesh.cut.extend([(0, 1), (0, 2), (0, 4)]);
     mesh.say(0, "s-1", 1000.0);
@@ -304,7 +306,7 @@
     mesh.pass(0.6);
     mesh.ways.extend(held);
     mesh.pass(0.3);
-    assert!(mesh.routers.iter().any(|r| r.view.met.words_former > 0));
+    assert!(mesh.routers.iter().any(|r| r.view.counters.updates_of_former_incarnations > 0));
     mesh.say(3, "s-1", 1000.0);
     mesh.pass(0.4);
     assert!(mesh.believers("s-1").is_empty(), "one witness is left: {:?}", mesh.believers("s-1"));
@@ -313,7 +315,7 @@
 /// Guards against a clock that went back between two starts: the new self would be taken for a former one for ever.
 #[rstest]
 fn a_later_self_is_outbid() {
-    let mut mesh = Mesh::new(4, Terms::default(), 8);
+    let mut mesh = Mesh::new(4, GossipConfig::default(), 8);
     mesh.pass(1.0);
     mesh.starts_anew(1, 900);
     mesh.pass(1.0);
@@ -332,14 +334,14 @@
     mesh.pass(0.5);
     let (link, now) = (mesh.links.iter().find(|(e, _)| e.0 == 1).map(|(_, l)| l.0), mesh.local(1) + 0.05);
     let echo = Some((now - 0.01, 0.0));
-    mesh.routers[1].view.came(link.expect("linked"), Frame { sent_at_s: 7.0, echo, ..words }, now);
+    mesh.routers[1].view.frame_received(link.expect("linked"), Frame { sent_at_s: 7.0, echo, ..words }, now);
     assert_eq!(mesh.routers[1].view.incarnation(), 951);
 }
 
 /// Guards against a router that all others refuse for ever, as its wall clock went back between two starts.
 #[rstest]
 fn a_router_that_starts_again_with_its_clock_set_back_is_heard_by_all() {
-    let mut mesh = Mesh::new(5, Terms::default(), 12);
+    let mut mesh = Mesh::new(5, GossipConfig::default(), 12);
     mesh.starts_anew(1, 900);
     mesh.pass(1.0);
     // Its words are stale to the others by then, its incarnation is known.
@@ -349,7 +351,7 @@
     mesh.routers[1].stopped = false;
     mesh.pass(2.0);
     let states: Vec<_> = (0..5).filter(|n| *n != 1).map(|n| mesh.routers[n].view.state(&name(1))).collect();
-    assert_eq!(states, [Some(State::Alive); 4]);
+    assert_eq!(states, [Some(MemberState::Alive); 4]);
     assert_eq!(mesh.routers[1].view.incarnation(), 901);
     mesh.say(1, "s-1", 1000.0);
     mesh.say(2, "s-1", 1000.0);
@@ -360,20 +362,24 @@
 /// Guards against a router that was stopped and is taken for dead for longer than it takes to say that it is not.
 #[rstest]
 fn a_router_that_was_stopped_says_that_it_is_there() {
-    let mut mesh = Mesh::new(6, Terms::default(), 9);
+    let mut mesh = Mesh::new(6, GossipConfig::default(), 9);
     mesh.pass(2.0);
     mesh.routers[2].stopped = true;
     mesh.pass(4.0);
-    assert!((0..6).filter(|n| *n != 2).all(|n| mesh.routers[n].view.state(&name(2)) == Some(State::Missed)));
+    assert!(
+        (0..6).filter(|n| *n != 2).all(|n| mesh.routers[n].view.state(&name(2)) == Some(MemberState::Missed))
+    );
     mesh.routers[2].stopped = false;
     mesh.pass(0.6);
-    assert!((0..6).filter(|n| *n != 2).all(|n| mesh.routers[n].view.state(&name(2)) == Some(State::Alive)));
+    assert!(
+        (0..6).filter(|n| *n != 2).all(|n| mesh.routers[n].view.state(&name(2)) == Some(MemberState::Alive))
+    );
 }
 
 /// Lists that differ: words of whom one does not know go no further there, and do no harm.
 #[rstest]
 fn who_is_of_one_list_only_is_a_stranger_to_the_other() {
-    let mut mesh = Mesh::new(5, Terms::default(), 10);
+    let mut mesh = Mesh::new(5, GossipConfig::default(), 10);
     mesh.pass(1.0);
     let four: BTreeSet<Name> = members(5).into_iter().filter(|m| *m != name(4)).collect();
     let now = mesh.local(0);
@@ -383,25 +389,25 @@
     mesh.pass(0.5);
     assert!(!mesh.believers("s-1").contains(&0), "to it there is one witness");
     assert!(mesh.believers("s-1").contains(&1));
-    assert!(mesh.routers[0].view.met.words_strange > 0);
-    assert!(mesh.routers[0].view.greeted(&name(4), 9).is_err());
+    assert!(mesh.routers[0].view.counters.updates_of_unknown_origins > 0);
+    assert!(mesh.routers[0].view.link_opened(&name(4), 9).is_err());
     mesh.routers[0].view.set_members(&members(5), now);
     mesh.pass(1.5);
-    assert_eq!(mesh.routers[0].view.state(&name(4)), Some(State::Alive));
+    assert_eq!(mesh.routers[0].view.state(&name(4)), Some(MemberState::Alive));
 }
 
 /// Guards against a jam that each of many routers sees too little of: all know how the queries of all have ended.
 #[rstest]
 fn each_hears_how_the_queries_of_all_have_ended() {
-    let mut mesh = Mesh::new(16, Terms::default(), 13);
+    let mut mesh = Mesh::new(16, GossipConfig::default(), 13);
     mesh.pass(1.0);
     for n in 0..16 {
-        mesh.routers[n].view.over(n % 4 == 0);
-        mesh.routers[n].view.over(false);
+        mesh.routers[n].view.query_ended(n % 4 == 0);
+        mesh.routers[n].view.query_ended(false);
     }
     mesh.pass(1.5);
-    assert!(mesh.routers.iter_mut().all(|r| r.view.fleet() == Some((4, 28))));
-    assert!(mesh.routers.iter_mut().all(|r| r.view.fleet().is_none()), "once");
+    assert!(mesh.routers.iter_mut().all(|r| r.view.take_query_counts() == Some((4, 28))));
+    assert!(mesh.routers.iter_mut().all(|r| r.view.take_query_counts().is_none()), "once");
 }
 
 fn word() -> impl Strategy<Value = Update> {
@@ -503,23 +509,23 @@
         let word = Update { origin: name(1), incarnation: 1, number: u64::MAX, age_s: age, body };
         encode_message(&mut good, &Frame { sent_at_s: stamp, echo: Some((age, f64::from(sick))), updates: vec![word] }).expect("it fits a frame");
         good.append(&mut bytes);
-        let mut view = View::new(&name(0), 1, &members(3), Terms::default(), 5.0);
-        let link = view.greeted(&name(1), 1).expect("a member");
+        let mut view = View::new(&name(0), 1, &members(3), GossipConfig::default(), 5.0);
+        let link = view.link_opened(&name(1), 1).expect("a member");
         let mut reader: FrameReader<Frame> = FrameReader::default();
         let (first, rest) = good.split_at(at.index(good.len()));
         for bytes in [first, rest] {
             reader.feed(bytes);
             while let Ok(Some(read)) = reader.next_frame() {
                 if let Received::Message(frame) = read {
-                    view.came(link, frame, 6.0);
-                    for (_, verdict) in view.heard(|_| Some(None), 6.0) {
+                    view.frame_received(link, frame, 6.0);
+                    for (_, verdict) in view.take_agreed_observations(|_| Some(None), 6.0) {
                         prop_assert!(verdict.unresponsive_for_s <= 2.0 + 1e9);
                     }
                 }
             }
         }
         view.tick(7.0);
-        view.frame(link, 7.0);
+        view.next_frame(link, 7.0);
     }
 }
 
@@ -529,7 +535,7 @@
 #[case(16)]
 #[case(64)]
 fn words_a_second_stay_within_those_of_flooding_over_the_links(#[case] count: usize) {
-    let mut mesh = Mesh::new(count, Terms::default(), 12);
+    let mut mesh = Mesh::new(count, GossipConfig::default(), 12);
     mesh.pass(2.0);
     let before = mesh.words;
     mesh.pass(5.0);
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -6,8 +6,8 @@
 use crate::state::shared::ObservationMessage;
 use crate::state::{DispatcherHandle, counters::Counters};
 use alderway::interface::NodeObservation;
-use alderway_peers::view::{Refused, State, View};
-use alderway_peers::{Frame, Name, Terms, ring};
+use alderway_peers::view::{LinkError, MemberState, View};
+use alderway_peers::{Frame, GossipConfig, Name, ring};
 use alderway_sockets::Sender;
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
@@ -37,7 +37,7 @@
 #[derive(Clone)]
 pub struct Circle {
     pub members: Members,
-    pub terms: Terms,
+    pub terms: GossipConfig,
     /// Whether data nodes that are late for this router or sick are told of.
     pub verdicts: bool,
     /// Reads the list again, at SIGHUP.
@@ -68,7 +68,7 @@
     /// operator has nothing told of these: whether a node is late depends on the way to it too.
     pub fn say(&mut self, node: &str, seen: NodeObservation) {
         if self.verdicts {
-            self.view.say(
+            self.view.observe_node(
                 node,
                 seen.started_at_s,
                 [seen.slow_for_s, seen.very_slow_for_s, seen.unresponsive_for_s],
@@ -83,24 +83,24 @@
     }
 
     pub fn figures(&self) -> (Counters, Vec<(&'static str, u64)>) {
-        let (met, view) = (self.view.met, &self.view);
+        let (met, view) = (self.view.counters, &self.view);
         let mut counters = self.counters.clone();
-        counters.add("words_told", met.words_told as usize);
-        counters.add("words_taken", met.words_taken as usize);
-        counters.add("words_known", met.words_known as usize);
-        counters.add("words_stale", met.words_stale as usize);
-        counters.add("words_former", met.words_former as usize);
-        counters.add("words_strange", met.words_strange as usize);
-        counters.add("words_refuting", met.refuted as usize);
+        counters.add("words_told", met.updates_sent as usize);
+        counters.add("words_taken", met.updates_new as usize);
+        counters.add("words_known", met.updates_known as usize);
+        counters.add("words_stale", met.updates_stale as usize);
+        counters.add("words_former", met.updates_of_former_incarnations as usize);
+        counters.add("words_strange", met.updates_of_unknown_origins as usize);
+        counters.add("words_refuting", met.refutations as usize);
         counters.add("frames_undated", met.frames_undated as usize);
         let open = vec![
-            ("peers_alive", view.count(State::Alive) as u64),
-            ("peers_missed", view.count(State::Missed) as u64),
-            ("peers_dead", view.count(State::Dead) as u64),
-            ("peers_left", view.count(State::Left) as u64),
-            ("peers_unheard", view.count(State::Unheard) as u64),
-            ("peer_links", view.links() as u64),
-            ("words_kept", view.kept() as u64),
+            ("peers_alive", view.count(MemberState::Alive) as u64),
+            ("peers_missed", view.count(MemberState::Missed) as u64),
+            ("peers_dead", view.count(MemberState::Dead) as u64),
+            ("peers_left", view.count(MemberState::Left) as u64),
+            ("peers_unheard", view.count(MemberState::NeverSeen) as u64),
+            ("peer_links", view.link_count() as u64),
+            ("words_kept", view.update_count() as u64),
         ];
         (counters, open)
     }
@@ -119,7 +119,7 @@
     }
 
     fn query_ended(&self, late: bool) {
-        self.borrow_mut().view.over(late);
+        self.borrow_mut().view.query_ended(late);
     }
 }
 
@@ -149,7 +149,7 @@
     spawn_local(async move {
         loop {
             tokio::select! {
-                () = terms.recv() => dials.ends.peers.borrow_mut().view.leave(clock.now()),
+                () = terms.recv() => dials.ends.peers.borrow_mut().view.announce_leaving(clock.now()),
                 () = hangups.recv() => dials.read_again(&circle),
             }
         }
@@ -167,7 +167,7 @@
 
 impl Dials {
     fn set(&mut self, members: &Members) {
-        let dialled = self.ends.peers.borrow().view.dials();
+        let dialled = self.ends.peers.borrow().view.dial_targets();
         let wanted: BTreeSet<(Name, SocketAddr)> =
             dialled.into_iter().filter_map(|name| members.get(&name).map(|at| (name, *at))).collect();
         self.tasks.retain(|whom, task| {
@@ -206,7 +206,7 @@
 struct Ends {
     dispatcher: DispatcherHandle,
     peers: Held,
-    terms: Terms,
+    terms: GossipConfig,
 }
 
 impl Ends {
@@ -214,7 +214,7 @@
         self.peers.borrow().clock.now()
     }
 
-    fn say(changes: Vec<(Name, State)>) {
+    fn say(changes: Vec<(Name, MemberState)>) {
         for (name, state) in changes {
             tracing::info!(target: "peers", "{name} is {state}");
         }
@@ -223,11 +223,11 @@
     /// A frame has come: what it shows of members is said, what is believed of data nodes goes to the module.
     fn came(&self, link: u64, frame: Frame) {
         let now = self.clock();
-        Ends::say(self.peers.borrow_mut().view.came(link, frame, now));
+        Ends::say(self.peers.borrow_mut().view.frame_received(link, frame, now));
         let believed = {
             let dispatcher = self.dispatcher.borrow();
             let started = |node: &str| dispatcher.endpoints.nodes.get(node).map(|node| node.started_at_s);
-            self.peers.borrow_mut().view.heard(started, now)
+            self.peers.borrow_mut().view.take_agreed_observations(started, now)
         };
         for (node, verdict) in believed {
             let (started, seen) = (verdict.started_at_s, verdict.observed_at_s);
@@ -244,19 +244,19 @@
         }
     }
 
-    fn greeted(&self, hello: &Hello) -> Result<u64, Refused> {
-        self.peers.borrow_mut().view.greeted(&hello.name, hello.incarnation)
+    fn greeted(&self, hello: &Hello) -> Result<u64, LinkError> {
+        self.peers.borrow_mut().view.link_opened(&hello.name, hello.incarnation)
     }
 }
 
 async fn tick(ends: Ends) {
-    let mut ticks = interval(Duration::from_secs_f64(0.5 * ends.terms.beat));
+    let mut ticks = interval(Duration::from_secs_f64(0.5 * ends.terms.frame_interval_s));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let now = ends.clock();
         Ends::say(ends.peers.borrow_mut().view.tick(now));
-        let over = ends.peers.borrow_mut().view.fleet();
+        let over = ends.peers.borrow_mut().view.take_query_counts();
         if let Some((late, in_time)) = over {
             ends.dispatcher.borrow_mut().remote_fleet_counts(late, in_time);
         }
@@ -285,7 +285,7 @@
         let connected_at = ends.clock();
         match speak(&ends, &stream).await {
             // A peer whose list lacks this router ends the connection at once: it is dialled ever less.
-            Ok(()) if ends.clock() - connected_at > ends.terms.pulse => SessionEnd::Established,
+            Ok(()) if ends.clock() - connected_at > ends.terms.alive_interval_s => SessionEnd::Established,
             Ok(()) => SessionEnd::Unusable,
             Err(why) => {
                 tracing::warn!(target: "peers", "peer at {at}: {why}");
@@ -301,7 +301,7 @@
 
 impl Drop for Link<'_> {
     fn drop(&mut self) {
-        self.0.peers.borrow_mut().view.ended(self.1);
+        self.0.peers.borrow_mut().view.link_closed(self.1);
     }
 }
 
@@ -314,8 +314,8 @@
     let hello =
         exchange_hellos(stream, &mut out, &mut reader, &mut space).await.map_err(|why| why.to_string())?;
     let link = Link(ends, ends.greeted(&hello).map_err(|why| why.to_string())?);
-    let (mut heard, patience) = (ends.clock(), SILENT * ends.terms.pulse);
-    let mut beats = interval(Duration::from_secs_f64(ends.terms.beat));
+    let (mut heard, patience) = (ends.clock(), SILENT * ends.terms.alive_interval_s);
+    let mut beats = interval(Duration::from_secs_f64(ends.terms.frame_interval_s));
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         loop {
@@ -343,7 +343,7 @@
                     return Ok(());
                 }
                 if out.is_empty() {
-                    let Some(frame) = ends.peers.borrow_mut().view.frame(link.1, now) else { return Ok(()) };
+                    let Some(frame) = ends.peers.borrow_mut().view.next_frame(link.1, now) else { return Ok(()) };
                     // A frame that is too long is left out; the next one holds what is newest.
                     let _ = encode_message(&mut out, &frame);
                 }
