--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -8,7 +8,7 @@
 use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
 use alderway_peers::GossipConfig;
 use alderway_router::control::{Subscription, settings as control_settings};
-use alderway_router::gossip::{Circle, Members};
+use alderway_router::gossip::{GossipGroup, MemberAddresses};
 use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
 use alderway_router::server::serve;
 use alderway_router::state::descriptors;
@@ -85,14 +85,14 @@
 }
 
 /// The list of peers as the file gives it now.
-fn members(path: &Path) -> Result<Members, String> {
+fn members(path: &Path) -> Result<MemberAddresses, String> {
     let (operator, _) = operator_at(Some(path))?;
     let peers = operator.peers.ok_or_else(|| format!("{}: it says nothing of `peers`", path.display()))?;
     Ok(peers.members)
 }
 
 /// The routers that this one knows, if the operator's file names any.
-fn circle(operator: &Operator, files: &Files, name: &str) -> Result<Option<Circle>, String> {
+fn circle(operator: &Operator, files: &Files, name: &str) -> Result<Option<GossipGroup>, String> {
     let Some(peers) = &operator.peers else { return Ok(None) };
     if !peers.members.contains_key(name) {
         return Err(format!("`peers`: `members` does not name this router, `{name}`"));
@@ -107,7 +107,12 @@
     };
     let path = files.operator.clone();
     let again = path.map(|path| Arc::new(move || members(&path)) as Arc<_>);
-    Ok(Some(Circle { members: peers.members.clone(), terms, verdicts, again }))
+    Ok(Some(GossipGroup {
+        members: peers.members.clone(),
+        config: terms,
+        shares_observations: verdicts,
+        reload_members: again,
+    }))
 }
 
 /// The control machines that tell this router its settings, if the operator's file names any.
@@ -183,7 +188,7 @@
         Count::Cores(cores) => cores,
         Count::All => std::thread::available_parallelism().map_or(1, usize::from).min(operator::MOST_CORES),
     };
-    let for_peers = config.gossip.as_ref().map_or(0, Circle::descriptors);
+    let for_peers = config.gossip.as_ref().map_or(0, GossipGroup::max_descriptors);
     let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
     let least = descriptors::minimum(cores) + for_peers + for_control;
     if config.max_descriptors < least {
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -1,6 +1,6 @@
-//! Routers that know each other, on sockets: a listener for those that dial this one, a task for each that it dials, and
-//! the beat. What is told, kept and believed stands in `alderway_peers`; this is how it gets from socket to socket, and
-//! from there to the dispatcher, as word of another decision point.
+//! Gossip among query routers, on sockets: a listener for the members that dial this router, a task for each member that it
+//! dials, and the timers. Which updates are sent, stored and accepted is decided in `alderway_peers`; accepted observations
+//! are passed to the dispatcher.
 use crate::state::gossip_link::GossipLink;
 use crate::state::metrics::{MetricsSnapshot, MetricsSource};
 use crate::state::shared::ObservationMessage;
@@ -27,53 +27,55 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-/// Without a frame for so many pulses a link is dialled anew.
-const SILENT: f64 = 6.0;
+/// Alive intervals without any bytes received after which a link is closed.
+const LINK_TIMEOUT_INTERVALS: f64 = 6.0;
+/// Bytes read from a socket at once.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// All members by name, with where each listens for the others.
-pub type Members = BTreeMap<Name, SocketAddr>;
+/// All members by name, with the address at which each accepts the others.
+pub type MemberAddresses = BTreeMap<Name, SocketAddr>;
 
-/// Who the members are, and how they tell each other.
+/// Which routers gossip, and how.
 #[derive(Clone)]
-pub struct Circle {
-    pub members: Members,
-    pub terms: GossipConfig,
-    /// Whether data nodes that are late for this router or sick are told of.
-    pub verdicts: bool,
-    /// Reads the list again, at SIGHUP.
-    pub again: Option<Arc<dyn Fn() -> Result<Members, String> + Send + Sync>>,
+pub struct GossipGroup {
+    /// All members, this router included.
+    pub members: MemberAddresses,
+    /// Intervals and limits.
+    pub config: GossipConfig,
+    /// Whether this router sends what it observes of data nodes.
+    pub shares_observations: bool,
+    /// Reads the list of members again at SIGHUP, if it may change.
+    pub reload_members: Option<Arc<dyn Fn() -> Result<MemberAddresses, String> + Send + Sync>>,
 }
 
-impl Circle {
-    /// Descriptors that links may take: those dialled, as many that dial, one that is on its way each, and the listener.
-    pub fn descriptors(&self) -> usize {
+impl GossipGroup {
+    /// Most descriptors that the links take: for each member dialled one link out, one link in, and one connection in
+    /// progress for either, and one for the listener.
+    pub fn max_descriptors(&self) -> usize {
         let names: BTreeSet<Name> = self.members.keys().cloned().collect();
         names.first().map_or(0, |any| 4 * ring::dial_targets(&names, any).len() + 1)
     }
 }
 
-/// What the dispatcher and the links share.
-pub struct Peers {
-    pub view: View,
+/// The gossip state that the dispatcher and the links share.
+pub struct Gossip {
+    view: View,
     clock: Clock,
     name: Name,
-    verdicts: bool,
+    shares_observations: bool,
     counters: Counters,
 }
 
-pub type Held = Rc<RefCell<Peers>>;
+type GossipHandle = Rc<RefCell<Gossip>>;
 
-impl Peers {
-    /// What the own module saw of a data node; spans from now on. Where routers have unlike ways to data nodes the
-    /// operator has nothing told of these: whether a node is late depends on the way to it too.
-    pub fn say(&mut self, node: &str, seen: NodeObservation) {
-        if self.verdicts {
-            self.view.observe_node(
-                node,
-                seen.started_at_s,
-                [seen.slow_for_s, seen.very_slow_for_s, seen.unresponsive_for_s],
-                self.clock.now(),
-            );
+impl Gossip {
+    /// Sends what the own policy observed of a data node. An operator turns this off where routers reach data nodes over
+    /// unlike paths, as whether a node is slow then depends on the path as well.
+    fn share_observation(&mut self, node: &str, observation: NodeObservation) {
+        if self.shares_observations {
+            let NodeObservation { slow_for_s, very_slow_for_s, unresponsive_for_s, .. } = observation;
+            let spans_s = [slow_for_s, very_slow_for_s, unresponsive_for_s];
+            self.view.observe_node(node, observation.started_at_s, spans_s, self.clock.now());
         }
     }
 
@@ -82,18 +84,18 @@
         Hello { version: Frame::VERSION, is_planner: false, incarnation, name }
     }
 
-    pub fn figures(&self) -> (Counters, Vec<(&'static str, u64)>) {
-        let (met, view) = (self.view.counters, &self.view);
+    fn metrics(&self) -> MetricsSnapshot {
+        let (counted, view) = (self.view.counters, &self.view);
         let mut counters = self.counters.clone();
-        counters.add("words_told", met.updates_sent as usize);
-        counters.add("words_taken", met.updates_new as usize);
-        counters.add("words_known", met.updates_known as usize);
-        counters.add("words_stale", met.updates_stale as usize);
-        counters.add("words_former", met.updates_of_former_incarnations as usize);
-        counters.add("words_strange", met.updates_of_unknown_origins as usize);
-        counters.add("words_refuting", met.refutations as usize);
-        counters.add("frames_undated", met.frames_undated as usize);
-        let open = vec![
+        counters.add("words_told", counted.updates_sent as usize);
+        counters.add("words_taken", counted.updates_new as usize);
+        counters.add("words_known", counted.updates_known as usize);
+        counters.add("words_stale", counted.updates_stale as usize);
+        counters.add("words_former", counted.updates_of_former_incarnations as usize);
+        counters.add("words_strange", counted.updates_of_unknown_origins as usize);
+        counters.add("words_refuting", counted.refutations as usize);
+        counters.add("frames_undated", counted.frames_undated as usize);
+        let gauges = vec![
             ("peers_alive", view.count(MemberState::Alive) as u64),
             ("peers_missed", view.count(MemberState::Missed) as u64),
             ("peers_dead", view.count(MemberState::Dead) as u64),
@@ -102,20 +104,19 @@
             ("peer_links", view.link_count() as u64),
             ("words_kept", view.update_count() as u64),
         ];
-        (counters, open)
+        MetricsSnapshot { counters, gauges }
     }
 }
 
-impl MetricsSource for RefCell<Peers> {
+impl MetricsSource for RefCell<Gossip> {
     fn metrics(&self) -> MetricsSnapshot {
-        let (counters, gauges) = self.borrow().figures();
-        MetricsSnapshot { counters, gauges }
+        self.borrow().metrics()
     }
 }
 
-impl GossipLink for RefCell<Peers> {
+impl GossipLink for RefCell<Gossip> {
     fn share_observation(&self, node: &str, observation: NodeObservation) {
-        self.borrow_mut().say(node, observation);
+        self.borrow_mut().share_observation(node, observation);
     }
 
     fn query_ended(&self, late: bool) {
@@ -123,207 +124,235 @@
     }
 }
 
-/// Starts listening and dialling; the dispatcher tells from here on what its module sees.
+/// Starts to listen and to dial, and attaches the gossip to the dispatcher, which shares observations from here on.
+///
+/// # Errors
+/// The group does not contain `name`, or no socket or signal handler could be had.
 pub async fn start(
     dispatcher: &DispatcherHandle,
-    circle: Circle,
+    group: GossipGroup,
     name: &str,
     incarnation: u64,
 ) -> io::Result<()> {
     let clock = dispatcher.borrow().clock;
-    let own = circle.members.get(name).copied().ok_or_else(|| io::Error::other("not of the members"))?;
-    let listener = TcpListener::bind(own).await?;
+    let listen = group.members.get(name).copied();
+    let listen = listen.ok_or_else(|| io::Error::other(format!("the peers do not include `{name}`")))?;
+    let listener = TcpListener::bind(listen).await?;
     tracing::info!(target: "peers", "{name} hears peers at {}", listener.local_addr()?);
-    let names = circle.members.keys().cloned().collect();
-    let view = View::new(name, incarnation, &names, circle.terms, clock.now());
-    let (name, verdicts) = (name.to_string(), circle.verdicts);
-    let held = Peers { view, clock, name: name.clone(), verdicts, counters: Counters::default() };
-    let peers = Rc::new(RefCell::new(held));
-    dispatcher.borrow_mut().gossip = Some(peers.clone());
-    let ends = Ends { dispatcher: dispatcher.clone(), peers, terms: circle.terms };
-    spawn_local(accept(ends.clone(), listener));
-    spawn_local(tick(ends.clone()));
-    let mut dials = Dials { ends, own: name, seed: incarnation, tasks: BTreeMap::new() };
-    dials.set(&circle.members);
-    let (mut terms, mut hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
+    let names = group.members.keys().cloned().collect();
+    let view = View::new(name, incarnation, &names, group.config, clock.now());
+    let (name, shares_observations) = (name.to_string(), group.shares_observations);
+    let gossip =
+        Gossip { view, clock, name: name.clone(), shares_observations, counters: Counters::default() };
+    let gossip = Rc::new(RefCell::new(gossip));
+    dispatcher.borrow_mut().gossip = Some(gossip.clone());
+    let context = LinkContext { dispatcher: dispatcher.clone(), gossip, config: group.config };
+    spawn_local(accept(context.clone(), listener));
+    spawn_local(tick(context.clone()));
+    let mut dialer = Dialer { context, own_name: name, seed: incarnation, tasks: BTreeMap::new() };
+    dialer.dial(&group.members);
+    let (mut terminations, mut hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     spawn_local(async move {
         loop {
             tokio::select! {
-                () = terms.recv() => dials.ends.peers.borrow_mut().view.announce_leaving(clock.now()),
-                () = hangups.recv() => dials.read_again(&circle),
+                () = terminations.recv() => {
+                    dialer.context.gossip.borrow_mut().view.announce_leaving(clock.now());
+                }
+                () = hangups.recv() => dialer.reload(&group),
             }
         }
     });
     Ok(())
 }
 
-/// Tasks that keep up links to whoever this router dials.
-struct Dials {
-    ends: Ends,
-    own: Name,
+/// The tasks that keep this router connected to the members that it dials.
+struct Dialer {
+    context: LinkContext,
+    own_name: Name,
     seed: u64,
     tasks: BTreeMap<(Name, SocketAddr), JoinHandle<()>>,
 }
 
-impl Dials {
-    fn set(&mut self, members: &Members) {
-        let dialled = self.ends.peers.borrow().view.dial_targets();
-        let wanted: BTreeSet<(Name, SocketAddr)> =
-            dialled.into_iter().filter_map(|name| members.get(&name).map(|at| (name, *at))).collect();
-        self.tasks.retain(|whom, task| {
-            let stays = wanted.contains(whom);
+impl Dialer {
+    /// Starts the tasks for the members that this router dials, and aborts those for others.
+    fn dial(&mut self, members: &MemberAddresses) {
+        let targets = self.context.gossip.borrow().view.dial_targets();
+        let targets: BTreeSet<(Name, SocketAddr)> = targets
+            .into_iter()
+            .filter_map(|name| members.get(&name).map(|address| (name, *address)))
+            .collect();
+        self.tasks.retain(|target, task| {
+            let stays = targets.contains(target);
             if !stays {
                 task.abort();
             }
             stays
         });
-        for whom in wanted {
-            let (ends, at) = (self.ends.clone(), whom.1);
+        for target in targets {
+            let (context, address) = (self.context.clone(), target.1);
             let seed = self.seed ^ (self.tasks.len() as u64) << 17;
-            self.tasks.entry(whom).or_insert_with(|| spawn_local(keep(ends, at, seed)));
+            self.tasks.entry(target).or_insert_with(|| spawn_local(stay_connected(context, address, seed)));
         }
     }
 
-    /// Guards against a list that is missing, faulty or leaves this router out: the old one holds.
-    fn read_again(&mut self, circle: &Circle) {
-        let Some(again) = &circle.again else { return };
-        match again() {
-            Ok(members) if members.contains_key(&self.own) => {
-                let (names, now) = (members.keys().cloned().collect(), self.ends.clock());
-                self.ends.peers.borrow_mut().view.set_members(&names, now);
-                self.set(&members);
+    /// Reads the list of members again. Guards against a list that is missing, invalid or without this router: the old one
+    /// remains in force.
+    fn reload(&mut self, group: &GossipGroup) {
+        let Some(reload_members) = &group.reload_members else { return };
+        match reload_members() {
+            Ok(members) if members.contains_key(&self.own_name) => {
+                let (names, now) = (members.keys().cloned().collect(), self.context.now());
+                self.context.gossip.borrow_mut().view.set_members(&names, now);
+                self.dial(&members);
                 tracing::info!(target: "peers", "{} members", members.len());
             }
             Ok(_) => {
-                tracing::warn!(target: "peers", "the new list leaves this router out; the old one holds")
+                tracing::warn!(
+                    target: "peers",
+                    "the new list of members lacks this router, `{}`; the old list holds",
+                    self.own_name
+                );
             }
-            Err(why) => tracing::warn!(target: "peers", "{why}; the old list holds"),
+            Err(error) => tracing::warn!(target: "peers", "{error}; the old list holds"),
         }
     }
 }
 
+/// What each link needs.
 #[derive(Clone)]
-struct Ends {
+struct LinkContext {
     dispatcher: DispatcherHandle,
-    peers: Held,
-    terms: GossipConfig,
+    gossip: GossipHandle,
+    config: GossipConfig,
 }
 
-impl Ends {
-    fn clock(&self) -> f64 {
-        self.peers.borrow().clock.now()
+impl LinkContext {
+    fn now(&self) -> f64 {
+        self.gossip.borrow().clock.now()
     }
 
-    fn say(changes: Vec<(Name, MemberState)>) {
+    fn log_changes(changes: Vec<(Name, MemberState)>) {
         for (name, state) in changes {
             tracing::info!(target: "peers", "{name} is {state}");
         }
     }
 
-    /// A frame has come: what it shows of members is said, what is believed of data nodes goes to the module.
-    fn came(&self, link: u64, frame: Frame) {
-        let now = self.clock();
-        Ends::say(self.peers.borrow_mut().view.frame_received(link, frame, now));
-        let believed = {
+    /// Processes a received frame: logs changes of members, and passes observations that a quorum agrees on to the
+    /// dispatcher.
+    fn frame_received(&self, link: u64, frame: Frame) {
+        let now = self.now();
+        LinkContext::log_changes(self.gossip.borrow_mut().view.frame_received(link, frame, now));
+        let agreed = {
             let dispatcher = self.dispatcher.borrow();
-            let started = |node: &str| dispatcher.endpoints.nodes.get(node).map(|node| node.started_at_s);
-            self.peers.borrow_mut().view.take_agreed_observations(started, now)
+            let started_at = |node: &str| dispatcher.endpoints.nodes.get(node).map(|node| node.started_at_s);
+            self.gossip.borrow_mut().view.take_agreed_observations(started_at, now)
         };
-        for (node, verdict) in believed {
-            let (started, seen) = (verdict.started_at_s, verdict.observed_at_s);
-            let seen = NodeObservation {
-                started_at_s: started,
-                observed_at_s: seen,
-                slow_for_s: verdict.slow_for_s,
-                very_slow_for_s: verdict.very_slow_for_s,
-                unresponsive_for_s: verdict.unresponsive_for_s,
+        for (node, agreed) in agreed {
+            let observation = NodeObservation {
+                started_at_s: agreed.started_at_s,
+                observed_at_s: agreed.observed_at_s,
+                slow_for_s: agreed.slow_for_s,
+                very_slow_for_s: agreed.very_slow_for_s,
+                unresponsive_for_s: agreed.unresponsive_for_s,
             };
             let mut dispatcher = self.dispatcher.borrow_mut();
             let core = dispatcher.core;
-            dispatcher.remote_observation(ObservationMessage { core, node, observation: seen });
+            dispatcher.remote_observation(ObservationMessage { core, node, observation });
         }
     }
 
-    fn greeted(&self, hello: &Hello) -> Result<u64, LinkError> {
-        self.peers.borrow_mut().view.link_opened(&hello.name, hello.incarnation)
+    fn open_link(&self, hello: &Hello) -> Result<OpenLink<'_>, LinkError> {
+        let number = self.gossip.borrow_mut().view.link_opened(&hello.name, hello.incarnation)?;
+        Ok(OpenLink { context: self, number })
     }
 }
 
-async fn tick(ends: Ends) {
-    let mut ticks = interval(Duration::from_secs_f64(0.5 * ends.terms.frame_interval_s));
+/// Runs the timers of the view, and passes the query counts of all routers to the dispatcher.
+async fn tick(context: LinkContext) {
+    let mut ticks = interval(Duration::from_secs_f64(0.5 * context.config.frame_interval_s));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let now = ends.clock();
-        Ends::say(ends.peers.borrow_mut().view.tick(now));
-        let over = ends.peers.borrow_mut().view.take_query_counts();
-        if let Some((late, in_time)) = over {
-            ends.dispatcher.borrow_mut().remote_fleet_counts(late, in_time);
+        let now = context.now();
+        LinkContext::log_changes(context.gossip.borrow_mut().view.tick(now));
+        let counts = context.gossip.borrow_mut().view.take_query_counts();
+        if let Some((late, in_time)) = counts {
+            context.dispatcher.borrow_mut().remote_fleet_counts(late, in_time);
         }
     }
 }
 
-async fn accept(ends: Ends, listener: TcpListener) {
+async fn accept(context: LinkContext, listener: TcpListener) {
     loop {
-        let Ok((stream, _)) = alderway_sockets::accept(&listener).await else {
+        let Ok((stream, address)) = alderway_sockets::accept(&listener).await else {
             sleep(alderway_sockets::PAUSE).await;
             continue;
         };
-        let ends = ends.clone();
+        let context = context.clone();
         spawn_local(async move {
-            if let Err(why) = speak(&ends, &stream).await {
-                ends.peers.borrow_mut().counters.increment("peer_links_refused");
-                tracing::warn!(target: "peers", "one that dialled: {why}");
+            if let Err(error) = run_link(&context, &stream).await {
+                context.gossip.borrow_mut().counters.increment("peer_links_refused");
+                tracing::warn!(target: "peers", "connection from {address}: {error}");
             }
         });
     }
 }
 
-/// Keeps up a link for as long as it is wanted.
-async fn keep(ends: Ends, at: SocketAddr, seed: u64) {
+/// Keeps a link to a member, for as long as its task runs.
+async fn stay_connected(context: LinkContext, address: SocketAddr, seed: u64) {
     let session = async |stream: TcpStream| {
-        let connected_at = ends.clock();
-        match speak(&ends, &stream).await {
-            // A peer whose list lacks this router ends the connection at once: it is dialled ever less.
-            Ok(()) if ends.clock() - connected_at > ends.terms.alive_interval_s => SessionEnd::Established,
+        let connected_at = context.now();
+        match run_link(&context, &stream).await {
+            // A peer whose list lacks this router closes the connection at once; it is dialled ever less often.
+            Ok(()) if context.now() - connected_at > context.config.alive_interval_s => {
+                SessionEnd::Established
+            }
             Ok(()) => SessionEnd::Unusable,
-            Err(why) => {
-                tracing::warn!(target: "peers", "peer at {at}: {why}");
+            Err(error) => {
+                tracing::warn!(target: "peers", "peer at {address}: {error}");
                 SessionEnd::Unusable
             }
         }
     };
-    keep_connected(at, seed, session).await;
+    keep_connected(address, seed, session).await;
 }
 
-/// The link of one connection: it ends with it, whoever ended that.
-struct Link<'a>(&'a Ends, u64);
+/// An open link, removed from the view on drop.
+struct OpenLink<'a> {
+    context: &'a LinkContext,
+    number: u64,
+}
 
-impl Drop for Link<'_> {
+impl Drop for OpenLink<'_> {
     fn drop(&mut self) {
-        self.0.peers.borrow_mut().view.link_closed(self.1);
+        self.context.gossip.borrow_mut().view.link_closed(self.number);
     }
 }
 
-/// Speaks until the connection ends; an error if it was of no use.
-async fn speak(ends: &Ends, stream: &TcpStream) -> Result<(), String> {
+/// Exchanges frames until the connection ends.
+///
+/// # Errors
+/// The peer is no member or violates the protocol.
+async fn run_link(context: &LinkContext, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
     let mut sender = Sender::default();
-    let (mut out, mut reader, mut space) = (vec![], FrameReader::<Frame>::default(), vec![0; 64 * 1024]);
-    encode_hello::<Frame>(&mut out, &ends.peers.borrow().hello());
-    let hello =
-        exchange_hellos(stream, &mut out, &mut reader, &mut space).await.map_err(|why| why.to_string())?;
-    let link = Link(ends, ends.greeted(&hello).map_err(|why| why.to_string())?);
-    let (mut heard, patience) = (ends.clock(), SILENT * ends.terms.alive_interval_s);
-    let mut beats = interval(Duration::from_secs_f64(ends.terms.frame_interval_s));
-    beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let (mut out, mut reader, mut buffer) =
+        (vec![], FrameReader::<Frame>::default(), vec![0; READ_BUFFER_BYTES]);
+    encode_hello::<Frame>(&mut out, &context.gossip.borrow().hello());
+    let hello = exchange_hellos(stream, &mut out, &mut reader, &mut buffer).await;
+    let hello = hello.map_err(|error| error.to_string())?;
+    let link = context.open_link(&hello).map_err(|error| error.to_string())?;
+    let mut last_received_at = context.now();
+    let timeout_s = LINK_TIMEOUT_INTERVALS * context.config.alive_interval_s;
+    let mut frames = interval(Duration::from_secs_f64(context.config.frame_interval_s));
+    frames.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         loop {
             match reader.next_frame() {
-                Ok(Some(Received::Message(frame))) => ends.came(link.1, frame),
-                Ok(Some(Received::Hello(_))) => return Err("it says hello twice".into()),
+                Ok(Some(Received::Message(frame))) => context.frame_received(link.number, frame),
+                Ok(Some(Received::Hello(_))) => return Err("the peer sent a second hello".into()),
                 Ok(None) => break,
-                Err(why) => return Err(why.to_string()),
+                Err(error) => return Err(error.to_string()),
             }
         }
         if !out.is_empty() {
@@ -335,26 +364,31 @@
         tokio::select! {
             ready = stream.readable() => if ready.is_err() { return Ok(()) },
             () = sender.ready(stream), if !out.is_empty() => continue,
-            // What a slow link has not taken is not written twice: the next frame holds what is new by then.
-            _ = beats.tick() => {
-                let now = ends.clock();
-                if now - heard > patience {
-                    tracing::warn!(target: "peers", "{} is silent: its link ends", hello.name);
+            // While a slow link has not taken the last frame, no new one is made: the next one holds what is new by then.
+            _ = frames.tick() => {
+                let now = context.now();
+                if now - last_received_at > timeout_s {
+                    tracing::warn!(
+                        target: "peers",
+                        "{} has sent nothing for {timeout_s:.1} s: its link is closed",
+                        hello.name
+                    );
                     return Ok(());
                 }
                 if out.is_empty() {
-                    let Some(frame) = ends.peers.borrow_mut().view.next_frame(link.1, now) else { return Ok(()) };
-                    // A frame that is too long is left out; the next one holds what is newest.
+                    let frame = context.gossip.borrow_mut().view.next_frame(link.number, now);
+                    let Some(frame) = frame else { return Ok(()) };
+                    // A frame that is too long is dropped; the next one holds the newest updates.
                     let _ = encode_message(&mut out, &frame);
                 }
                 continue;
             }
         }
-        match alderway_sockets::read(stream, &mut space) {
+        match alderway_sockets::read(stream, &mut buffer) {
             Ok(Some(0)) | Err(_) => return Ok(()),
             Ok(Some(count)) => {
-                heard = ends.clock();
-                reader.feed(&space[..count]);
+                last_received_at = context.now();
+                reader.feed(&buffer[..count]);
             }
             Ok(None) => {}
         }
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,6 +1,6 @@
 //! What a program starts with: the configuration file that `PROXY_CONFIG` names, read, checked and given defaults in this one
 //! place. Each error names the key that is at fault.
-use crate::gossip::Circle;
+use crate::gossip::GossipGroup;
 use crate::state::endpoints::EndpointTable;
 use crate::state::query_classes::ClassRules;
 use crate::state::shard_map::ShardMapConfig;
@@ -57,7 +57,7 @@
     /// What the program does in its installation.
     pub role: Role,
     /// Routers that exchange observations with this one; none where it knows of no other.
-    pub gossip: Option<Circle>,
+    pub gossip: Option<GossipGroup>,
 }
 
 /// What a program does in its installation.
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -3,7 +3,7 @@
 mod several_cores;
 
 use crate::control::{self, Subscription};
-use crate::gossip::{self, Circle};
+use crate::gossip::{self, GossipGroup};
 use crate::io::{acceptor, arrival, discovery, rounds};
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::live_config::LiveConfig;
@@ -122,7 +122,7 @@
     config: &StartupConfig,
     has_subscription: bool,
 ) -> (Arc<DescriptorPool>, Arc<DescriptorPool>) {
-    let for_gossip = config.gossip.as_ref().map_or(0, Circle::descriptors);
+    let for_gossip = config.gossip.as_ref().map_or(0, GossipGroup::max_descriptors);
     let for_control = if has_subscription { control::DESCRIPTORS } else { 0 };
     let available = config.max_descriptors - for_gossip - for_control;
     descriptors::split(available, config.max_memory_bytes, 1)
