--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -5,7 +5,7 @@
 use alderway_control_server::server::{self, ServerConfig};
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_operator::{Control as ControlConfig, LogForm};
-use alderway_router::tier::post;
+use alderway_router::tier::planner_server;
 use alderway_telemetry::log::{self, LogFormat};
 use clap::Args;
 use std::io;
@@ -67,7 +67,7 @@
 async fn version_sink(name: String, address: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
     let Some(address) = address else { return Ok(Box::new(DiscardVersions)) };
     let config = PublisherConfig::default();
-    let subscriptions = Subscriptions::listen(&name, post::incarnation(), address, config).await;
+    let subscriptions = Subscriptions::listen(&name, planner_server::incarnation(), address, config).await;
     let named = |error: io::Error| io::Error::new(error.kind(), format!("routers at {address}: {error}"));
     Ok(Box::new(subscriptions.map_err(named)?))
 }
--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -2,8 +2,8 @@
 use super::{node_session, until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
-use crate::tier::forwarder::Split;
-use crate::tier::links::Tier;
+use crate::tier::forwarder::InputSplitter;
+use crate::tier::planner_links::ForwarderHandle;
 use alderway::interface::{DecisionSink, NodeObservation, PolicyInput, SharedLimits};
 use alderway::policy::Policy;
 use std::convert::Infallible;
@@ -12,7 +12,7 @@
 use tokio::task::{spawn_local, yield_now};
 
 /// The dispatcher as the module writes to it; a forwarder notes what its own module decides.
-pub struct Pen<'a>(&'a DispatcherHandle, Option<&'a Tier>);
+pub struct Pen<'a>(&'a DispatcherHandle, Option<&'a ForwarderHandle>);
 
 impl<'a> Pen<'a> {
     /// For decisions that a forwarder has noted already.
@@ -21,13 +21,13 @@
     }
 
     fn finished(&self, query: &str) {
-        self.1.iter().for_each(|tier| tier.borrow_mut().own_finished(query));
+        self.1.iter().for_each(|tier| tier.borrow_mut().local_query_finished(query));
     }
 }
 
 impl DecisionSink for Pen<'_> {
     fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
-        self.1.iter().for_each(|tier| tier.borrow_mut().own_called(part, node));
+        self.1.iter().for_each(|tier| tier.borrow_mut().local_attempt_started(part, node));
         self.0.borrow_mut().start_attempt(part, node, limit);
     }
     fn cancel_attempt(&mut self, part: &str, hop: usize) {
@@ -86,7 +86,7 @@
 /// module on a forwarder.
 pub async fn run<E>(
     dispatcher: DispatcherHandle,
-    tier: Option<Tier>,
+    tier: Option<ForwarderHandle>,
     module: impl Fn() -> Result<Policy, E>,
     share: Arc<DescriptorPool>,
 ) -> Result<(), E> {
@@ -123,7 +123,7 @@
                 None => dispatcher.borrow_mut().notify_policy(now, intake),
                 Some(tier) => {
                     let mut tier = tier.borrow_mut();
-                    let mut split = Split::begin(&mut tier, intake);
+                    let mut split = InputSplitter::begin(&mut tier, intake);
                     dispatcher.borrow_mut().notify_policy(now, &mut split);
                     split.end();
                 }
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -16,8 +16,8 @@
 use crate::state::shard_map::ShardMapView;
 use crate::state::shared::{MulticoreConfig, SharedState};
 use crate::tier::forwarder::Forwarder;
-use crate::tier::links::{self, Tier};
-use crate::tier::post;
+use crate::tier::planner_links::{self, ForwarderHandle};
+use crate::tier::planner_server;
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use alderway_telemetry::log;
@@ -46,7 +46,7 @@
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
     if config.role == Role::Planner {
-        local.block_on(&runtime, post::run(config, clock))
+        local.block_on(&runtime, planner_server::run(config, clock))
     } else if multicore.cores > 1 {
         local.block_on(&runtime, several_cores::run(config, subscription, multicore, clock))
     } else {
@@ -78,7 +78,7 @@
 
     let forwarder = connect_to_planners(&dispatcher, &role, &name, &for_nodes, clock);
     if let Some(gossip) = gossip {
-        gossip::start(&dispatcher, gossip, &name, post::incarnation()).await?;
+        gossip::start(&dispatcher, gossip, &name, planner_server::incarnation()).await?;
     }
     let policy = rounds::newest(&dispatcher, seed);
     let rounds = spawn_local(rounds::run(dispatcher.clone(), forwarder, policy, for_nodes));
@@ -113,7 +113,7 @@
 ) -> Option<LiveConfig> {
     let Some(subscription) = subscription else { return Some(live_config.clone()) };
     let apply = control::settings::apply_to_running(live_config.clone());
-    control::start(subscription, name, post::incarnation(), apply, shared, clock);
+    control::start(subscription, name, planner_server::incarnation(), apply, shared, clock);
     None
 }
 
@@ -151,14 +151,14 @@
     name: &str,
     for_nodes: &Arc<DescriptorPool>,
     clock: Clock,
-) -> Option<Tier> {
+) -> Option<ForwarderHandle> {
     let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return None };
     let watch = HeartbeatConfig { interval_s: *heartbeat_interval_s, timeout_s: *heartbeat_timeout_s };
     let work_ready = dispatcher.borrow().work_ready.clone();
-    let forwarder = Forwarder::new(name, post::incarnation(), watch, clock, work_ready);
+    let forwarder = Forwarder::new(name, planner_server::incarnation(), watch, clock, work_ready);
     let forwarder = Rc::new(RefCell::new(forwarder));
     dispatcher.borrow_mut().metrics_sources.push(forwarder.clone());
-    links::start(dispatcher, &forwarder, planners, for_nodes, post::incarnation());
+    planner_links::start(dispatcher, &forwarder, planners, for_nodes, planner_server::incarnation());
     Some(forwarder)
 }
 
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -1,9 +1,10 @@
-//! A forwarder's part between dispatcher and module: queries go to a planner or to the own module, endings of leaf calls to
-//! whoever has to know them, and decisions to the dispatcher only from whoever decides. What was tried for a part is kept
-//! here, so that whoever takes a query over knows what may have run. No sockets.
-mod split;
+//! A forwarder's part between its dispatcher and the deciders. It passes queries to a planner or to the own policy and the
+//! outcomes of attempts to the decider that needs them, and carries out decisions only if they come from the query's
+//! decider. It records the attempts of each shard request, so that a decider that takes over a query knows which may have
+//! run. Uses no sockets.
+mod input_splitter;
 
-pub use split::Split;
+pub use input_splitter::InputSplitter;
 
 use super::{Outbox, received_observation};
 use crate::state::counters::Counters;
@@ -19,307 +20,317 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// For how long a planner may know less of the endpoint list than this side before it is asked no more: half the grace.
-const BEHIND: f64 = 1.0;
+/// How long a planner may lack the latest version of the endpoint list before it gets no new queries: half the grace period
+/// of a drain.
+const MAX_ENDPOINTS_LAG_S: f64 = 1.0;
 
-struct Part {
+struct Attempt {
+    node: String,
+    started_at: f64,
+    /// None while it is in flight.
+    outcome: Option<AttemptOutcome>,
+}
+
+struct ShardRequest {
     id: String,
     shard: u32,
     weight: f64,
-    /// Its leaf calls: where to, when, and how they ended.
-    calls: Vec<(String, f64, Option<AttemptOutcome>)>,
+    attempts: Vec<Attempt>,
 }
 
 struct Query {
     number: u64,
-    vertical: usize,
-    customer: String,
-    not_after: f64,
-    parts: Vec<Part>,
+    class: usize,
+    tenant: String,
+    deadline: f64,
+    requests: Vec<ShardRequest>,
 }
 
-/// A leaf call by a planner's decision, which has to hear how it ends.
-struct PlannedCall {
+/// An attempt that a planner decided on, and whose outcome it has to be sent.
+struct PlannerAttempt {
     planner: Name,
     node: String,
-    started_at_s: f64,
+    started_at: f64,
 }
 
+/// The state of a forwarder beside its dispatcher.
 pub struct Forwarder {
     name: Name,
     incarnation: Incarnation,
     clock: Clock,
     assignments: QueryAssignments,
-    membership: PlannerMembership,
-    links: BTreeMap<Name, Outbox>,
+    planners: PlannerMembership,
+    outboxes: BTreeMap<Name, Outbox>,
     queries: BTreeMap<String, Query>,
-    parts: BTreeMap<String, (String, usize)>,
-    /// Leaf calls that are out, or were when their query ended, by part and number.
-    calls: BTreeMap<(String, usize), PlannedCall>,
-    /// Queries asked of a planner in this round, once all their parts are known.
-    fresh: Vec<Assignment>,
-    /// Queries that the own module takes over in the next round.
-    own_due: Vec<String>,
-    heard: Vec<(String, NodeObservation)>,
-    /// The endpoint list's version here, and the one that planners must know by now.
-    endpoints: (u64, f64),
-    due: u64,
-    /// When data nodes started, by the clock here.
-    starts: BTreeMap<String, Option<f64>>,
+    /// The query and the position in it of each shard request, by id.
+    requests: BTreeMap<String, (String, usize)>,
+    /// Attempts that are in flight, or were when their query ended, by shard request and number.
+    planner_attempts: BTreeMap<(String, usize), PlannerAttempt>,
+    /// Assignments to planners of queries that arrived in this round, to be sent at its end with all shard requests.
+    new_assignments: Vec<Assignment>,
+    /// Queries that the own policy takes over in the next round.
+    local_takeovers: Vec<String>,
+    /// Observations by planners, for the own policy.
+    observations: Vec<(String, NodeObservation)>,
+    /// The version of the endpoint list here, and since when.
+    endpoints_version: (u64, f64),
+    /// The version that planners must know by now.
+    required_endpoints_version: u64,
+    /// When the process of each data node started, by the clock here.
+    node_starts: BTreeMap<String, Option<f64>>,
+    /// For the metrics.
     pub counters: Counters,
-    pub came: Rc<Notify>,
+    round_requested: Rc<Notify>,
 }
 
 impl Forwarder {
+    /// A forwarder without planners; `round_requested` is notified when the own policy has something to decide.
     pub fn new(
         name: &str,
         incarnation: Incarnation,
-        watch: HeartbeatConfig,
+        heartbeats: HeartbeatConfig,
         clock: Clock,
-        came: Rc<Notify>,
+        round_requested: Rc<Notify>,
     ) -> Self {
         Forwarder {
             name: name.into(),
             incarnation,
             clock,
             assignments: QueryAssignments::new(name),
-            membership: PlannerMembership::new(watch),
-            links: BTreeMap::new(),
+            planners: PlannerMembership::new(heartbeats),
+            outboxes: BTreeMap::new(),
             queries: BTreeMap::new(),
-            parts: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            fresh: vec![],
-            own_due: vec![],
-            heard: vec![],
-            endpoints: (0, 0.0),
-            due: 0,
-            starts: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            planner_attempts: BTreeMap::new(),
+            new_assignments: vec![],
+            local_takeovers: vec![],
+            observations: vec![],
+            endpoints_version: (0, 0.0),
+            required_endpoints_version: 0,
+            node_starts: BTreeMap::new(),
             counters: Counters::default(),
-            came,
+            round_requested,
         }
     }
 
+    /// The hello for connections to planners.
     pub fn hello(&self) -> Hello {
         Hello::new::<Message>(self.name.clone(), self.incarnation)
     }
 
-    fn able(&self) -> Vec<Name> {
-        self.membership.names().filter(|name| self.membership.is_available(name, self.due)).cloned().collect()
+    fn available_planners(&self) -> Vec<Name> {
+        let is_available = |name: &&Name| self.planners.is_available(name, self.required_endpoints_version);
+        self.planners.names().filter(is_available).cloned().collect()
     }
 
     fn send(&mut self, planner: &str, message: &Message) {
-        if let Some(link) = self.links.get_mut(planner) {
-            link.send(message);
+        if let Some(outbox) = self.outboxes.get_mut(planner) {
+            outbox.send(message);
         }
     }
 
-    /// What the dispatcher knows of the endpoint list now.
-    pub fn knows(&mut self, endpoints: u64) {
+    /// Sets the version of the endpoint list that the dispatcher knows. To be called with every tick.
+    pub fn set_endpoints_version(&mut self, version: u64) {
         let now = self.clock.now();
-        if now - self.endpoints.1 >= BEHIND {
-            self.due = self.endpoints.0;
+        let (known, since) = self.endpoints_version;
+        if now - since >= MAX_ENDPOINTS_LAG_S {
+            self.required_endpoints_version = known;
         }
-        if endpoints != self.endpoints.0 {
-            self.endpoints = (endpoints, now);
+        if version != known {
+            self.endpoints_version = (version, now);
         }
     }
 
     // Planners.
 
-    /// A planner has said hello on a new connection; false where that is an earlier self of one that is known.
-    pub fn greeted(&mut self, hello: &Hello) -> Option<Rc<Notify>> {
-        let changes = self.membership.connected(&hello.name, hello.incarnation, self.clock.now())?;
-        self.changed(changes);
+    /// A planner's hello was received on a new connection. Returns the notification of its outbox; none if the hello is of
+    /// an earlier incarnation and the connection has to end.
+    pub fn planner_connected(&mut self, hello: &Hello) -> Option<Rc<Notify>> {
+        let changes = self.planners.connected(&hello.name, hello.incarnation, self.clock.now())?;
+        self.apply_changes(changes);
         let outbox = Outbox::new(&self.hello());
         let wake = outbox.wake.clone();
-        self.links.insert(hello.name.clone(), outbox);
-        tracing::info!(target: "tier", "planner {} is met: incarnation {}", hello.name, hello.incarnation);
+        self.outboxes.insert(hello.name.clone(), outbox);
+        tracing::info!(target: "tier", "planner {} connected, incarnation {}", hello.name, hello.incarnation);
         Some(wake)
     }
 
-    /// A connection to a planner has ended.
-    pub fn ended(&mut self, hello: &Hello) {
-        let changes = self.membership.disconnected(&hello.name, hello.incarnation);
-        self.changed(changes);
+    /// The connection to a planner has closed.
+    pub fn planner_disconnected(&mut self, hello: &Hello) {
+        let changes = self.planners.disconnected(&hello.name, hello.incarnation);
+        self.apply_changes(changes);
     }
 
+    /// The outbox of a planner's connection; none once the planner is lost or superseded, or has not read for too long.
     pub fn outbox(&mut self, hello: &Hello) -> Option<&mut Outbox> {
-        if self.membership.incarnation(&hello.name) != Some(hello.incarnation) {
+        if self.planners.incarnation(&hello.name) != Some(hello.incarnation) {
             return None;
         }
-        self.links.get_mut(&hello.name).filter(|link| !link.over)
+        self.outboxes.get_mut(&hello.name).filter(|outbox| !outbox.is_overfull)
     }
 
-    /// Beats that are due, and planners that were silent too long.
+    /// Sends the heartbeats that are due, and reassigns the queries of planners that have timed out.
     pub fn tick(&mut self) {
-        let (beats, changes) = self.membership.tick(self.clock.now());
-        for (planner, number) in beats {
-            let endpoints = self.endpoints.0;
-            self.send(
-                &planner,
-                &Message::Heartbeat { number, endpoints_version: endpoints, accepts_queries: true },
-            );
+        let (heartbeats, changes) = self.planners.tick(self.clock.now());
+        for (planner, number) in heartbeats {
+            let endpoints_version = self.endpoints_version.0;
+            let heartbeat = Message::Heartbeat { number, endpoints_version, accepts_queries: true };
+            self.send(&planner, &heartbeat);
         }
-        self.changed(changes);
+        self.apply_changes(changes);
     }
 
-    fn changed(&mut self, changes: Vec<PlannerChange>) {
+    fn apply_changes(&mut self, changes: Vec<PlannerChange>) {
         for change in changes {
             match change {
-                PlannerChange::AcceptsQueries(name, able) => {
-                    let word = if able { "decides" } else { "takes nothing new" };
-                    tracing::info!(target: "tier", "planner {name} {word}: {} able", self.able().len());
+                PlannerChange::AcceptsQueries(name, accepts_queries) => {
+                    let what = if accepts_queries { "decides" } else { "does not decide" };
+                    let available = self.available_planners().len();
+                    tracing::info!(target: "tier", "planner {name} {what} for new queries: {available} available");
                 }
-                PlannerChange::Lost(name) => self.lost(&name),
+                PlannerChange::Lost(name) => self.planner_lost(&name),
             }
         }
     }
 
-    /// Everything that a planner held is asked of another now, or of the own module.
-    fn lost(&mut self, name: &str) {
-        if let Some(link) = self.links.remove(name) {
-            // Its driver ends the connection.
-            link.wake.notify_one();
+    /// Reassigns all queries of a planner, to another one or the own policy.
+    fn planner_lost(&mut self, name: &str) {
+        if let Some(outbox) = self.outboxes.remove(name) {
+            // The task of the connection closes it.
+            outbox.wake.notify_one();
         }
-        let able = self.able();
-        let reassigned = self.assignments.reassign_from(name, able.iter());
-        let left = able.len();
-        let held = reassigned.len();
-        tracing::warn!(target: "tier", "planner {name} is lost: {held} queries asked anew, {left} planners able");
+        let available = self.available_planners();
+        let reassigned = self.assignments.reassign_from(name, available.iter());
+        tracing::warn!(
+            target: "tier",
+            "planner {name} is lost: {} queries reassigned, {} planners available",
+            reassigned.len(),
+            available.len()
+        );
         self.counters.increment("planners_lost");
-        self.counters.add("queries_asked_anew", held);
-        self.calls.retain(|_, call| call.planner != name);
+        self.counters.add("queries_asked_anew", reassigned.len());
+        self.planner_attempts.retain(|_, attempt| attempt.planner != name);
         for assignment in reassigned {
-            self.ask(assignment);
+            self.send_assignment(assignment);
         }
     }
 
-    /// Asks whoever is to decide, with all that was tried.
-    fn ask(&mut self, assignment: Assignment) {
+    /// Sends a query to its decider, with the attempts so far.
+    fn send_assignment(&mut self, assignment: Assignment) {
         let Assignment { query, decider, term } = assignment;
         let Decider::Planner(planner) = decider else {
             self.counters.increment("queries_decided{own}");
-            self.own_due.push(query);
-            return self.came.notify_one();
+            self.local_takeovers.push(query);
+            return self.round_requested.notify_one();
         };
         let now = self.clock.now();
         let Some(record) = self.queries.get(&query) else { return };
-        let mut out = vec![];
-        let tried = |(node, at, ending): &(String, f64, Option<AttemptOutcome>)| PriorAttempt {
-            node: node.clone(),
-            age_s: now - at,
-            outcome: ending.map(Into::into),
-        };
-        let part = |part: &Part| {
-            (part.id.clone(), part.shard, part.weight, part.calls.iter().map(tried).collect::<Vec<_>>())
-        };
-        for part in &record.parts {
-            let still = part.calls.iter().enumerate().filter(|(_, call)| call.2.is_none());
-            out.extend(still.map(|(hop, (node, started_at_s, _))| {
-                let (planner, node) = (planner.clone(), node.clone());
-                ((part.id.clone(), hop), PlannedCall { planner, node, started_at_s: *started_at_s })
+        for request in &record.requests {
+            let in_flight =
+                request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none());
+            self.planner_attempts.extend(in_flight.map(|(number, attempt)| {
+                let (planner, node) = (planner.clone(), attempt.node.clone());
+                let attempt = PlannerAttempt { planner, node, started_at: attempt.started_at };
+                ((request.id.clone(), number), attempt)
             }));
         }
-        let take = Message::AssignQuery {
+        let prior_attempt = |attempt: &Attempt| PriorAttempt {
+            node: attempt.node.clone(),
+            age_s: now - attempt.started_at,
+            outcome: attempt.outcome.map(Into::into),
+        };
+        let request = |request: &ShardRequest| {
+            let attempts = request.attempts.iter().map(prior_attempt).collect::<Vec<_>>();
+            (request.id.clone(), request.shard, request.weight, attempts)
+        };
+        let message = Message::AssignQuery {
             term,
-            query_class: record.vertical as u32,
-            tenant: record.customer.clone(),
-            time_left_s: record.not_after - now,
-            requests: record.parts.iter().map(part).collect(),
+            query_class: record.class as u32,
+            tenant: record.tenant.clone(),
+            time_left_s: record.deadline - now,
+            requests: record.requests.iter().map(request).collect(),
             query,
         };
-        self.calls.extend(out);
         self.counters.increment("queries_decided{planner}");
-        self.send(&planner, &take);
+        self.send(&planner, &message);
     }
 
-    // What comes from planners.
+    // Messages from planners.
 
-    /// Takes a planner's message in; its decisions go to the dispatcher if it is the one that decides.
-    pub fn read(&mut self, hello: &Hello, message: Message, dispatcher: &mut dyn DecisionSink) {
+    /// Processes a planner's message. Decisions are passed to the dispatcher if the planner is the query's decider.
+    pub fn message_received(&mut self, hello: &Hello, message: Message, dispatcher: &mut dyn DecisionSink) {
         let from = Decider::Planner(hello.name.clone());
         match message {
-            Message::Heartbeat { number, endpoints_version: endpoints, accepts_queries: able } => {
+            Message::Heartbeat { number, endpoints_version, accepts_queries } => {
                 self.send(&hello.name, &Message::HeartbeatAck { number });
-                let changes =
-                    self.membership.heartbeat_received(&hello.name, hello.incarnation, endpoints, able);
-                self.changed(changes);
+                let changes = self.planners.heartbeat_received(
+                    &hello.name,
+                    hello.incarnation,
+                    endpoints_version,
+                    accepts_queries,
+                );
+                self.apply_changes(changes);
             }
             Message::HeartbeatAck { number } => {
-                self.membership.heartbeat_acknowledged(&hello.name, hello.incarnation, number)
+                self.planners.heartbeat_acknowledged(&hello.name, hello.incarnation, number);
             }
             Message::Observation {
                 node,
-                started_ago_s: started,
-                slow_for_s: late,
-                very_slow_for_s: far,
-                unresponsive_for_s: sick,
+                started_ago_s,
+                slow_for_s,
+                very_slow_for_s,
+                unresponsive_for_s,
                 relay,
             } => {
-                // Planners learn from each other by way of one of their forwarders; what is heard is not told on, so
-                // nothing goes round.
+                let spans_s = [slow_for_s, very_slow_for_s, unresponsive_for_s];
                 if relay {
-                    let others: Vec<Name> =
-                        self.links.keys().filter(|name| **name != hello.name).cloned().collect();
-                    for other in others {
-                        let node = node.clone();
-                        self.send(
-                            &other,
-                            &Message::Observation {
-                                node,
-                                started_ago_s: started,
-                                slow_for_s: late,
-                                very_slow_for_s: far,
-                                unresponsive_for_s: sick,
-                                relay: false,
-                            },
-                        );
-                        self.counters.increment("evidence_relayed");
-                    }
+                    self.relay_observation(&hello.name, &node, started_ago_s, spans_s);
                 }
-                let seen = self.clock.now();
-                let Some(here) = self.starts.get(&node).copied() else { return };
-                if let Some(observation) = received_observation(here, started, [late, far, sick], seen) {
-                    self.heard.push((node, observation));
+                let now = self.clock.now();
+                let Some(started_at) = self.node_starts.get(&node).copied() else { return };
+                if let Some(observation) = received_observation(started_at, started_ago_s, spans_s, now) {
+                    self.observations.push((node, observation));
                     self.counters.increment("evidence_heard{planner}");
                 }
             }
-            Message::StartAttempt { term, request: part, node, timeout_s: limit } => {
+            Message::StartAttempt { term, request, node, timeout_s } => {
                 let query = self.assignments.query_of(&from, term);
-                let known = self.parts.get(&part).filter(|(of, _)| Some(of.as_str()) == query).cloned();
-                let Some((query, at)) = known else { return self.counters.increment("decisions_refused") };
-                let now = self.clock.now();
-                if let Some(record) = self.queries.get_mut(&query).map(|query| &mut query.parts[at]) {
-                    let call =
-                        PlannedCall { planner: hello.name.clone(), node: node.clone(), started_at_s: now };
-                    self.calls.insert((part.clone(), record.calls.len()), call);
-                    record.calls.push((node.clone(), now, None));
-                    dispatcher.start_attempt(&part, &node, limit);
+                let known = self.requests.get(&request).filter(|(of, _)| Some(of.as_str()) == query).cloned();
+                let Some((query, index)) = known else {
+                    return self.counters.increment("decisions_refused");
+                };
+                let started_at = self.clock.now();
+                if let Some(record) = self.queries.get_mut(&query).map(|query| &mut query.requests[index]) {
+                    let planner = hello.name.clone();
+                    let attempt = PlannerAttempt { planner, node: node.clone(), started_at };
+                    self.planner_attempts.insert((request.clone(), record.attempts.len()), attempt);
+                    record.attempts.push(Attempt { node: node.clone(), started_at, outcome: None });
+                    dispatcher.start_attempt(&request, &node, timeout_s);
                 }
             }
-            Message::CancelAttempt { request: part, attempt: hop, .. } => {
-                // After the final answer as well: the losers of its race.
-                match self.calls.get(&(part.clone(), hop as usize)) {
-                    Some(call) if call.planner == hello.name => {
-                        dispatcher.cancel_attempt(&part, hop as usize)
+            Message::CancelAttempt { request, attempt, .. } => {
+                // Also after the final answer, for attempts that it no longer needs.
+                match self.planner_attempts.get(&(request.clone(), attempt as usize)) {
+                    Some(known) if known.planner == hello.name => {
+                        dispatcher.cancel_attempt(&request, attempt as usize)
                     }
                     Some(_) => self.counters.increment("decisions_refused"),
-                    // The call ended here while the word to cancel it was on its way.
+                    // The attempt ended here while the message was in flight.
                     None => self.counters.increment("cancels_crossed"),
                 }
             }
-            Message::Answer { term, query, complete: whole } => {
-                if self.finish(&from, term, &query) {
-                    dispatcher.answer(&query, whole);
+            Message::Answer { term, query, complete } => {
+                if self.accept_final(&from, term, &query) {
+                    dispatcher.answer(&query, complete);
                 }
             }
-            Message::Reject { term, query, retry_after_s: come_back } => {
-                if self.finish(&from, term, &query) {
-                    dispatcher.reject(&query, come_back);
+            Message::Reject { term, query, retry_after_s } => {
+                if self.accept_final(&from, term, &query) {
+                    dispatcher.reject(&query, retry_after_s);
                 }
             }
             Message::Fail { term, query } => {
-                if self.finish(&from, term, &query) {
+                if self.accept_final(&from, term, &query) {
                     dispatcher.fail(&query);
                 }
             }
@@ -329,88 +340,108 @@
         }
     }
 
-    fn finish(&mut self, from: &Decider, term: u64, query: &str) -> bool {
-        let decides = self.assignments.query_of(from, term) == Some(query);
-        if decides {
-            self.forget(query);
+    /// Sends an observation of one planner to all others, with `relay` unset, so that it never circulates.
+    fn relay_observation(&mut self, from: &str, node: &str, started_ago_s: Option<f64>, spans_s: [f64; 3]) {
+        let [slow_for_s, very_slow_for_s, unresponsive_for_s] = spans_s;
+        let others: Vec<Name> = self.outboxes.keys().filter(|name| *name != from).cloned().collect();
+        for other in others {
+            let observation = Message::Observation {
+                node: node.into(),
+                started_ago_s,
+                slow_for_s,
+                very_slow_for_s,
+                unresponsive_for_s,
+                relay: false,
+            };
+            self.send(&other, &observation);
+            self.counters.increment("evidence_relayed");
+        }
+    }
+
+    /// Whether a final decision on a query comes from its decider; if so, the query is removed.
+    fn accept_final(&mut self, from: &Decider, term: u64, query: &str) -> bool {
+        let accepted = self.assignments.query_of(from, term) == Some(query);
+        if accepted {
+            self.remove_query(query);
         } else {
             self.counters.increment("decisions_refused");
         }
-        decides
+        accepted
     }
 
-    fn forget(&mut self, query: &str) -> Option<Assignment> {
+    fn remove_query(&mut self, query: &str) -> Option<Assignment> {
         if let Some(record) = self.queries.remove(query) {
-            record.parts.iter().for_each(|part| drop(self.parts.remove(&part.id)));
+            record.requests.iter().for_each(|request| drop(self.requests.remove(&request.id)));
         }
         self.assignments.close(query)
     }
 
-    // What the own module decides.
+    // Decisions of the own policy.
 
-    pub fn own_called(&mut self, part: &str, node: &str) {
-        let now = self.clock.now();
-        if let Some((query, at)) = self.parts.get(part)
+    /// Records an attempt that the own policy starts.
+    pub fn local_attempt_started(&mut self, request: &str, node: &str) {
+        let started_at = self.clock.now();
+        if let Some((query, index)) = self.requests.get(request)
             && let Some(query) = self.queries.get_mut(query)
         {
-            query.parts[*at].calls.push((node.into(), now, None));
+            query.requests[*index].attempts.push(Attempt { node: node.into(), started_at, outcome: None });
         }
     }
 
-    pub fn own_finished(&mut self, query: &str) {
-        self.forget(query);
+    /// Removes a query that the own policy has answered, rejected or failed.
+    pub fn local_query_finished(&mut self, query: &str) {
+        self.remove_query(query);
     }
 
-    /// A query has ended here, and the calls for it have. The planner that decides for it is told; false where none does.
-    fn left(&mut self, query: &str) -> bool {
-        let calls: Vec<(String, usize)> = self
+    /// Removes a query that has ended here together with its attempts, and notifies the planner that decides for it. Returns
+    /// false if no planner does.
+    fn query_closed(&mut self, query: &str) -> bool {
+        let attempts: Vec<(String, usize)> = self
             .queries
             .get(query)
             .into_iter()
-            .flat_map(|query| &query.parts)
-            .flat_map(|part| (0..part.calls.len()).map(|hop| (part.id.clone(), hop)))
+            .flat_map(|query| &query.requests)
+            .flat_map(|request| (0..request.attempts.len()).map(|number| (request.id.clone(), number)))
             .collect();
-        let Some(Decider::Planner(planner)) = self.forget(query).map(|assignment| assignment.decider) else {
+        let Some(Decider::Planner(planner)) = self.remove_query(query).map(|assignment| assignment.decider)
+        else {
             return false;
         };
-        // Those that came when the query was over already, and were not started: no end of them will be told.
-        calls.iter().for_each(|call| drop(self.calls.remove(call)));
+        // Attempts that were decided on after the query had ended were not started and will not end.
+        attempts.iter().for_each(|attempt| drop(self.planner_attempts.remove(attempt)));
         self.send(&planner, &Message::QueryClosed { query: query.into() });
         true
     }
 
-    /// Everything is over, as after a failure of the own module. Guards against calls that count at a planner's data
-    /// nodes for ever: nobody tells their ends after this.
+    /// Ends everything, after a failure of the own policy. Guards against attempts that count at a planner's data nodes for
+    /// ever: no outcome of theirs is sent after this.
     pub fn start_over(&mut self) {
         let now = self.clock.now();
-        for ((part, hop), PlannedCall { planner, node, started_at_s }) in std::mem::take(&mut self.calls) {
-            let (hop, ending, latency) = (hop as u32, AttemptOutcome::Cancelled.into(), now - started_at_s);
-            self.send(
-                &planner,
-                &Message::AttemptEnded {
-                    request: part,
-                    attempt: hop,
-                    node,
-                    outcome: ending,
-                    latency_s: latency,
-                },
-            );
+        for ((request, number), attempt) in std::mem::take(&mut self.planner_attempts) {
+            let PlannerAttempt { planner, node, started_at } = attempt;
+            let ended = Message::AttemptEnded {
+                request,
+                attempt: number as u32,
+                node,
+                outcome: AttemptOutcome::Cancelled.into(),
+                latency_s: now - started_at,
+            };
+            self.send(&planner, &ended);
         }
         let open: Vec<String> = self.queries.keys().cloned().collect();
         for query in open {
-            self.left(&query);
+            self.query_closed(&query);
         }
-        self.own_due.clear();
-        self.fresh.clear();
+        self.local_takeovers.clear();
+        self.new_assignments.clear();
     }
 
-    /// Queries held, and those that the own module decides for.
-    pub fn figures(&self) -> [(&'static str, u64); 3] {
-        let (held, own) = self.assignments.counts();
+    fn gauges(&self) -> [(&'static str, u64); 3] {
+        let (open, local) = self.assignments.counts();
         [
-            ("planners_able", self.able().len() as u64),
-            ("queries_with_planners", (held - own) as u64),
-            ("queries_with_own_module", own as u64),
+            ("planners_able", self.available_planners().len() as u64),
+            ("queries_with_planners", (open - local) as u64),
+            ("queries_with_own_module", local as u64),
         ]
     }
 }
@@ -418,6 +449,6 @@
 impl MetricsSource for RefCell<Forwarder> {
     fn metrics(&self) -> MetricsSnapshot {
         let forwarder = self.borrow();
-        MetricsSnapshot { counters: forwarder.counters.clone(), gauges: forwarder.figures().to_vec() }
+        MetricsSnapshot { counters: forwarder.counters.clone(), gauges: forwarder.gauges().to_vec() }
     }
 }
--- a/crates/router/src/tier/mod.rs
+++ b/crates/router/src/tier/mod.rs
@@ -1,11 +1,12 @@
-//! The two levels on sockets. A forwarder is a router whose decisions come from planners, as far as any can be asked: it
-//! holds clients, queries, leaf calls and connections to data nodes, and stands between its dispatcher and its own module
-//! (`forwarder`); `links` are its connections to planners. A planner holds the module for many forwarders (`planner`);
-//! `post` is its listener. Who decides for what stands in `alderway_tier`, which data node in the decision module.
+//! The two tiers on sockets. A forwarder is a router whose decisions come from planners as long as any is available: it
+//! holds clients, queries, attempts and connections to data nodes. `forwarder` is its part between its dispatcher and its own
+//! policy, `planner_links` are its connections to planners. A planner runs the policy for many forwarders: `planner` is its
+//! state, `planner_server` accepts the forwarders. Which decider decides for which query is decided in `alderway_tier`, and
+//! which data node is sent to in the policy.
 pub mod forwarder;
-pub mod links;
 pub mod planner;
-pub mod post;
+pub mod planner_links;
+pub mod planner_server;
 
 use alderway::interface::NodeObservation;
 use alderway_tier::messages::Message;
@@ -13,34 +14,38 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What waits to be written to a peer.
+/// Bytes that wait to be written to a peer.
 #[derive(Default)]
 pub struct Outbox {
+    /// The encoded messages.
     pub bytes: Vec<u8>,
+    /// Notified when there is something to write, or the connection is to end.
     pub wake: Rc<Notify>,
-    /// It took too little for too long.
-    pub over: bool,
+    /// Whether the connection has to end because the peer does not read.
+    pub is_overfull: bool,
 }
 
-/// Most bytes that wait for one peer: past that it is taken for one that does not read.
-const MOST: usize = 8 * 1024 * 1024;
+/// Bytes waiting for a peer beyond which the peer is assumed not to read.
+const MAX_OUTBOX_BYTES: usize = 8 * 1024 * 1024;
 
 impl Outbox {
+    /// An outbox with the hello of a new connection.
     pub fn new(hello: &Hello) -> Self {
         let mut outbox = Outbox::default();
         encode_hello::<Message>(&mut outbox.bytes, hello);
         outbox
     }
 
+    /// Appends a message.
     pub fn send(&mut self, message: &Message) {
-        if self.bytes.len() > MOST || encode_message(&mut self.bytes, message).is_err() {
-            self.over = true;
+        if self.bytes.len() > MAX_OUTBOX_BYTES || encode_message(&mut self.bytes, message).is_err() {
+            self.is_overfull = true;
         }
         self.wake.notify_one();
     }
 }
 
-/// Two readings of one start, each by its own side's clock, differ by less, in seconds.
+/// Most by which the start of a process differs as seen by the clocks of the two sides, in seconds.
 const START_TOLERANCE_S: f64 = 1.0;
 
 /// An observation that the other side sent, as this side knows the node: `started_at_s` is the start of its process here,
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -163,7 +163,10 @@
     }
 
     pub fn outbox(&mut self, session: SessionId) -> Option<&mut Outbox> {
-        self.sessions.get_mut(&session).map(|session| &mut session.outbox).filter(|outbox| !outbox.over)
+        self.sessions
+            .get_mut(&session)
+            .map(|session| &mut session.outbox)
+            .filter(|outbox| !outbox.is_overfull)
     }
 
     /// The connection has ended: the module hears that its clients have left and its calls are given up.
@@ -355,7 +358,7 @@
             });
             let since = *session.unanswered.get_or_insert(now);
             if now - since > patience {
-                session.outbox.over = true;
+                session.outbox.is_overfull = true;
                 session.outbox.wake.notify_one();
             }
         }
--- /dev/null
+++ b/crates/router/src/tier/planner_links.rs
@@ -0,0 +1,158 @@
+//! The tasks for a forwarder's connections to its planners. Each connection is dialled again after it ends, with growing
+//! randomized waits, so that forwarders don't all reconnect at once to a planner that has just started.
+use super::Outbox;
+use super::forwarder::Forwarder;
+use crate::io::rounds::{self, Pen};
+use crate::state::DispatcherHandle;
+use crate::state::descriptors::DescriptorPool;
+use alderway_sockets::Sender;
+use alderway_tier::messages::Message;
+use alderway_transport::{FrameReader, Hello, Received, SessionEnd, exchange_hellos, keep_connected};
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::task::spawn_local;
+use tokio::time::{MissedTickBehavior, interval};
+
+/// The forwarder as its tasks share it.
+pub type ForwarderHandle = Rc<RefCell<Forwarder>>;
+
+/// How often heartbeats and their time-outs are checked.
+const TICK: Duration = Duration::from_millis(10);
+/// Bytes read from a socket at once.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+
+/// Keeps the forwarder connected to all planners, for as long as the program runs.
+pub fn start(
+    dispatcher: &DispatcherHandle,
+    forwarder: &ForwarderHandle,
+    planners: &[SocketAddr],
+    descriptors: &Arc<DescriptorPool>,
+    seed: u64,
+) {
+    for (n, address) in planners.iter().enumerate() {
+        let link = PlannerLink {
+            dispatcher: dispatcher.clone(),
+            forwarder: forwarder.clone(),
+            descriptors: descriptors.clone(),
+        };
+        let (address, seed) = (*address, seed ^ (n as u64) << 17);
+        spawn_local(async move { link.stay_connected(address, seed).await });
+    }
+    let (forwarder, dispatcher) = (forwarder.clone(), dispatcher.clone());
+    spawn_local(async move {
+        let mut ticks = interval(TICK);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            ticks.tick().await;
+            let version = dispatcher.borrow().endpoints.version.unwrap_or(0);
+            let mut forwarder = forwarder.borrow_mut();
+            forwarder.set_endpoints_version(version);
+            forwarder.tick();
+        }
+    });
+}
+
+/// What the connection to one planner needs.
+struct PlannerLink {
+    dispatcher: DispatcherHandle,
+    forwarder: ForwarderHandle,
+    /// For connections to data nodes.
+    descriptors: Arc<DescriptorPool>,
+}
+
+impl PlannerLink {
+    async fn stay_connected(&self, address: SocketAddr, seed: u64) {
+        let session = async |stream: TcpStream| match self.run_session(&stream).await {
+            Ok(()) => SessionEnd::Established,
+            Err(error) => {
+                tracing::warn!(target: "tier", "planner at {address}: {error}");
+                SessionEnd::Unusable
+            }
+        };
+        keep_connected(address, seed, session).await;
+    }
+
+    /// Exchanges messages until the connection ends.
+    ///
+    /// # Errors
+    /// The peer is not a usable planner or violates the protocol.
+    async fn run_session(&self, stream: &TcpStream) -> Result<(), String> {
+        let mut out = Outbox::new(&self.forwarder.borrow().hello()).bytes;
+        let (mut reader, mut buffer) = (FrameReader::default(), vec![0; READ_BUFFER_BYTES]);
+        let hello = exchange_hellos(stream, &mut out, &mut reader, &mut buffer).await;
+        let hello = hello.map_err(|error| error.to_string())?;
+        if !hello.is_planner {
+            return Err("the peer is not a planner".into());
+        }
+        let Some(wake) = self.forwarder.borrow_mut().planner_connected(&hello) else {
+            let Hello { incarnation, name, .. } = hello;
+            return Err(format!("incarnation {incarnation} of {name} is earlier than the one known"));
+        };
+        // The hello has been sent already.
+        if let Some(outbox) = self.forwarder.borrow_mut().outbox(&hello) {
+            outbox.bytes.clear();
+        }
+        let ended = self.exchange_messages(stream, &hello, &wake, reader, buffer).await;
+        self.forwarder.borrow_mut().planner_disconnected(&hello);
+        self.dispatcher.borrow().work_ready.notify_one();
+        ended
+    }
+
+    async fn exchange_messages(
+        &self,
+        stream: &TcpStream,
+        hello: &Hello,
+        wake: &Rc<Notify>,
+        mut reader: FrameReader<Message>,
+        mut buffer: Vec<u8>,
+    ) -> Result<(), String> {
+        let mut sender = Sender::default();
+        loop {
+            let mut has_unsent = false;
+            {
+                let mut forwarder = self.forwarder.borrow_mut();
+                // Without an outbox the planner is lost or superseded, or does not read: its decisions no longer count.
+                let Some(outbox) = forwarder.outbox(hello) else { return Ok(()) };
+                if !outbox.bytes.is_empty() {
+                    match sender.write(stream, &outbox.bytes) {
+                        Ok(count) => drop(outbox.bytes.drain(..count)),
+                        Err(_) => return Ok(()),
+                    }
+                    has_unsent = !outbox.bytes.is_empty();
+                }
+            }
+            let mut has_received = false;
+            loop {
+                match reader.next_frame() {
+                    Ok(Some(Received::Message(message))) => {
+                        has_received = true;
+                        let mut sink = Pen::bare(&self.dispatcher);
+                        self.forwarder.borrow_mut().message_received(hello, message, &mut sink);
+                    }
+                    Ok(Some(Received::Hello(_))) => return Err("the peer sent a second hello".into()),
+                    Ok(None) => break,
+                    Err(error) => return Err(error.to_string()),
+                }
+            }
+            if has_received {
+                rounds::post(&self.dispatcher, &self.descriptors);
+                continue;
+            }
+            tokio::select! {
+                ready = stream.readable() => if ready.is_err() { return Ok(()) },
+                () = sender.ready(stream), if has_unsent => continue,
+                () = wake.notified() => continue,
+            }
+            match alderway_sockets::read(stream, &mut buffer) {
+                Ok(Some(0)) | Err(_) => return Ok(()),
+                Ok(Some(count)) => reader.feed(&buffer[..count]),
+                Ok(None) => {}
+            }
+        }
+    }
+}
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -1,7 +1,7 @@
 //! A forwarder without sockets: what its planner hears of the calls that it decided.
 mod common;
 use alderway::interface::{AttemptOutcome, DecisionSink, PolicyInput};
-use alderway_router::tier::forwarder::{Forwarder, Split};
+use alderway_router::tier::forwarder::{Forwarder, InputSplitter};
 use alderway_telemetry::clock::Clock;
 use alderway_tier::messages::{Message, WireOutcome};
 use alderway_tier::planner_membership::HeartbeatConfig;
@@ -45,7 +45,7 @@
         let watch = HeartbeatConfig { interval_s: 0.05, timeout_s: 1.0 };
         let mut forwarder = Forwarder::new("r-0", 1, watch, Clock::default(), Rc::default());
         let planner = Hello::of_planner::<Message>("p-0", 1);
-        forwarder.greeted(&planner).expect("it is new");
+        forwarder.planner_connected(&planner).expect("it is new");
         let mut router =
             Router { forwarder, planner, reader: FrameReader::default(), sink: NotingSink::default() };
         router.hears(Message::Heartbeat { number: 1, endpoints_version: 1, accepts_queries: true });
@@ -60,7 +60,7 @@
     }
 
     fn hears(&mut self, message: Message) {
-        self.forwarder.read(&self.planner, message, &mut self.sink);
+        self.forwarder.message_received(&self.planner, message, &mut self.sink);
     }
 
     /// What the planner has been sent since the last look, beats and their answers apart.
@@ -74,7 +74,7 @@
     /// Plays one round with what the dispatcher tells in it.
     fn round(&mut self, tell: impl FnOnce(&mut dyn PolicyInput)) -> Vec<Message> {
         let mut own = RecordingPolicy::new(Recorded::Endpoints);
-        let mut split = Split::begin(&mut self.forwarder, &mut own);
+        let mut split = InputSplitter::begin(&mut self.forwarder, &mut own);
         tell(&mut split);
         split.end();
         assert!(own.events.is_empty(), "nothing is the own policy's: {:?}", own.events);
