--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -1,9 +1,9 @@
-//! A planner: the decision module for many forwarders. It follows discovery by itself, takes queries with what was tried
-//! for them, and tells each forwarder the decisions for its own. What a forwarder that is gone had out ends here with its
-//! session, so that nothing of it weighs on a data node for ever. No sockets.
+//! A planner's state: the policy's input and output for many forwarders. It follows discovery by itself, receives queries with
+//! the attempts made for them so far, and sends each forwarder the decisions on its queries. When the connection to a
+//! forwarder closes, its attempts end here, so that none counts at a data node for ever. Uses no sockets.
 mod rounds;
 
-pub use rounds::{PolicyFailed, round};
+pub use rounds::{PolicyPanicked, run_round};
 
 use super::{Outbox, received_observation};
 use crate::io::discovery::Follower;
@@ -19,192 +19,217 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
+/// Number of a forwarder's connection.
 pub type SessionId = u64;
 
-/// Seconds in which a planner that has just started comes to take every forwarder's queries.
-const RAMP: f64 = 1.0;
+/// Seconds after which a planner that has just started accepts the queries of all forwarders.
+const SLOW_START_S: f64 = 1.0;
 
-/// A forwarder's connection.
+/// The connection to a forwarder.
 struct Session {
     outbox: Outbox,
-    /// As its hello says.
+    /// The forwarder's name; none before its hello was received.
     name: Option<String>,
     queries: BTreeSet<u64>,
-    /// Leaf calls that it has out by this planner's word: part and number, with the node and since when.
-    calls: BTreeMap<(String, u32), (String, f64)>,
-    /// The oldest beat of ours that it has not answered, and the last one.
-    unanswered: Option<f64>,
-    next: u64,
+    /// Its attempts in flight, by shard request and number: the data node and the time of the start.
+    attempts: BTreeMap<(String, u32), (String, f64)>,
+    /// When the oldest heartbeat was sent that the forwarder has not acknowledged.
+    unacknowledged_since: Option<f64>,
+    last_heartbeat_number: u64,
 }
 
 struct Query {
     session: SessionId,
-    /// As the forwarder calls it, and its parts as the module does.
+    /// The id that the forwarder uses.
     id: String,
     term: u64,
-    parts: Vec<String>,
+    /// The ids of its shard requests, as the policy knows them.
+    requests: Vec<String>,
 }
 
-/// Something that came in since the last round.
-enum Came {
+/// An input for the policy's next round.
+enum Input {
     Query {
         number: u64,
-        vertical: usize,
-        customer: String,
-        not_after: f64,
-        parts: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
+        class: usize,
+        tenant: String,
+        deadline: f64,
+        /// Id, shard, weight and attempts so far of each shard request.
+        requests: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     },
-    Ended {
-        part: String,
-        hop: usize,
+    AttemptEnded {
+        request: String,
+        attempt: usize,
         node: String,
-        ending: AttemptOutcome,
-        latency: f64,
+        outcome: AttemptOutcome,
+        latency_s: f64,
     },
-    Left(String),
-    Alarm(u64),
-    /// What another planner saw.
-    NodeObservation(String, NodeObservation),
+    ClientDisconnected(String),
+    Timer(u64),
+    /// An observation by another planner.
+    NodeObserved(String, NodeObservation),
 }
 
-/// All but the module, which writes into it.
+/// Everything but the policy, which writes its decisions here.
 pub struct Planner {
+    /// The clock of all times here.
     pub clock: Clock,
-    verticals: usize,
-    deadline: f64,
-    room: usize,
+    query_classes: usize,
+    max_deadline_s: f64,
+    /// Most queries and shard requests that are open.
+    capacity: usize,
+    /// The endpoint list.
     pub endpoints: EndpointTable,
     sessions: BTreeMap<SessionId, Session>,
     queries: BTreeMap<u64, Query>,
-    /// By the module's names, which hold the session's number.
-    ids: BTreeMap<String, u64>,
-    /// With how many leaf calls each part has had.
-    parts: BTreeMap<String, (u64, u32)>,
-    held: usize,
-    came: Vec<Came>,
-    alarms: Vec<(f64, u64)>,
-    last: u64,
-    pub stopping: bool,
-    /// When it could first serve.
-    since: Option<f64>,
+    /// Query numbers by the policy's ids of the queries.
+    query_numbers: BTreeMap<String, u64>,
+    /// The query's number and the count of attempts so far of each shard request, by the policy's id.
+    requests: BTreeMap<String, (u64, u32)>,
+    /// Queries and shard requests that are open.
+    open_count: usize,
+    inputs: Vec<Input>,
+    timers: Vec<(f64, u64)>,
+    /// The last number given to a session or a query.
+    last_number: u64,
+    /// Whether it accepts no new queries because the program is shutting down.
+    pub is_stopping: bool,
+    /// When data nodes were first known.
+    serving_since: Option<f64>,
+    /// For the metrics.
     pub counters: Counters,
+    /// Notified when a round is to be run.
     pub wake: Rc<Notify>,
-    asked: Arc<Notify>,
+    poll_requested: Arc<Notify>,
 }
 
-/// The module's name of what a forwarder calls by its own.
-fn named(session: SessionId, name: &str) -> String {
-    format!("{session}/{name}")
+/// The policy's id of a query or a shard request: ids of different forwarders may be equal.
+fn policy_id(session: SessionId, id: &str) -> String {
+    format!("{session}/{id}")
 }
 
-/// The session and the forwarder's name.
-fn unnamed(name: &str) -> Option<(SessionId, &str)> {
-    let (session, name) = name.split_once('/')?;
-    Some((session.parse().ok()?, name))
+/// The session and the forwarder's id from a policy's id.
+fn split_policy_id(id: &str) -> Option<(SessionId, &str)> {
+    let (session, id) = id.split_once('/')?;
+    Some((session.parse().ok()?, id))
 }
 
-/// The end of a call of which the forwarder will tell none.
-fn cancelled(session: SessionId, (part, hop): (String, u32), node: String, latency: f64) -> Came {
-    let (part, hop) = (named(session, &part), hop as usize);
-    Came::Ended { part, hop, node, ending: AttemptOutcome::Cancelled, latency }
+/// The end of an attempt for which the forwarder will send none.
+fn cancelled(session: SessionId, (request, attempt): (String, u32), node: String, latency_s: f64) -> Input {
+    let (request, attempt) = (policy_id(session, &request), attempt as usize);
+    Input::AttemptEnded { request, attempt, node, outcome: AttemptOutcome::Cancelled, latency_s }
 }
 
 impl Planner {
-    pub fn new(clock: Clock, verticals: usize, deadline: f64, room: usize, endpoints: EndpointTable) -> Self {
+    /// A planner without forwarders, for at most `capacity` open queries and shard requests.
+    pub fn new(
+        clock: Clock,
+        query_classes: usize,
+        max_deadline_s: f64,
+        capacity: usize,
+        endpoints: EndpointTable,
+    ) -> Self {
         Planner {
             clock,
-            verticals,
-            deadline,
-            room,
+            query_classes,
+            max_deadline_s,
+            capacity,
             endpoints,
             sessions: BTreeMap::new(),
             queries: BTreeMap::new(),
-            ids: BTreeMap::new(),
-            parts: BTreeMap::new(),
-            held: 0,
-            came: vec![],
-            alarms: vec![],
-            last: 0,
-            stopping: false,
-            since: None,
+            query_numbers: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            open_count: 0,
+            inputs: vec![],
+            timers: vec![],
+            last_number: 0,
+            is_stopping: false,
+            serving_since: None,
             counters: Counters::default(),
             wake: Rc::default(),
-            asked: Arc::default(),
+            poll_requested: Arc::default(),
         }
     }
 
-    pub fn open(&self) -> usize {
+    /// How many queries are open.
+    pub fn open_queries(&self) -> usize {
         self.queries.len()
     }
 
-    /// Whether new queries are taken: data nodes are known, there is room, and no stop has begun.
-    fn able(&self) -> bool {
-        self.endpoints.has_nodes() && !self.stopping && self.held < self.room
+    /// Whether new queries are accepted: data nodes are known, there is capacity, and no shutdown has begun.
+    fn accepts_queries(&self) -> bool {
+        self.endpoints.has_nodes() && !self.is_stopping && self.open_count < self.capacity
     }
 
     // Forwarders.
 
-    pub fn begin(&mut self, hello: &Hello) -> (SessionId, Rc<Notify>) {
-        self.last += 1;
+    /// Opens a session for a new connection; `hello` is the planner's own. Returns the notification of its outbox.
+    pub fn open_session(&mut self, hello: &Hello) -> (SessionId, Rc<Notify>) {
+        self.last_number += 1;
         let outbox = Outbox::new(hello);
         let wake = outbox.wake.clone();
-        let (queries, calls) = Default::default();
-        self.sessions
-            .insert(self.last, Session { outbox, name: None, queries, calls, unanswered: None, next: 0 });
+        let session = Session {
+            outbox,
+            name: None,
+            queries: BTreeSet::new(),
+            attempts: BTreeMap::new(),
+            unacknowledged_since: None,
+            last_heartbeat_number: 0,
+        };
+        self.sessions.insert(self.last_number, session);
         self.counters.increment("forwarders{met}");
-        (self.last, wake)
+        (self.last_number, wake)
     }
 
-    /// Its hello has come.
-    pub fn greeted(&mut self, session: SessionId, name: &str) {
+    /// The forwarder's hello was received.
+    pub fn hello_received(&mut self, session: SessionId, name: &str) {
         if let Some(session) = self.sessions.get_mut(&session) {
             session.name = Some(name.into());
         }
     }
 
+    /// The outbox of a session; none once the session is closed, or the forwarder has not read for too long.
     pub fn outbox(&mut self, session: SessionId) -> Option<&mut Outbox> {
-        self.sessions
-            .get_mut(&session)
-            .map(|session| &mut session.outbox)
-            .filter(|outbox| !outbox.is_overfull)
+        let session = self.sessions.get_mut(&session)?;
+        Some(&mut session.outbox).filter(|outbox| !outbox.is_overfull)
     }
 
-    /// The connection has ended: the module hears that its clients have left and its calls are given up.
-    pub fn end(&mut self, id: SessionId) {
+    /// Closes a session. Its queries and attempts end for the policy as disconnected and cancelled.
+    pub fn close_session(&mut self, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
         let now = self.clock.now();
         for number in session.queries {
-            if let Some(query) = self.forget(number) {
-                self.came.push(Came::Left(named(id, &query.id)));
+            if let Some(query) = self.remove_query(number) {
+                self.inputs.push(Input::ClientDisconnected(policy_id(id, &query.id)));
             }
         }
-        for (call, (node, started_at_s)) in session.calls {
-            self.came.push(cancelled(id, call, node, now - started_at_s));
+        for (attempt, (node, started_at)) in session.attempts {
+            self.inputs.push(cancelled(id, attempt, node, now - started_at));
         }
         self.counters.increment("forwarders{gone}");
         self.wake.notify_one();
     }
 
-    /// A query is over at its forwarder, which has told the end of every call that it started. Guards against calls that
-    /// count at a data node for ever: one that came to the forwarder after that was not started, and ends here.
-    fn left(&mut self, id: SessionId, query: &str) {
-        let name = named(id, query);
-        let Some(query) = self.ids.get(&name).copied().and_then(|number| self.forget(number)) else { return };
+    /// A query has ended at its forwarder, which has sent the end of every attempt that it started. Guards against attempts
+    /// that count at a data node for ever: one that reached the forwarder after that was not started, and ends here.
+    fn query_closed(&mut self, id: SessionId, query: &str) {
+        let query_id = policy_id(id, query);
+        let number = self.query_numbers.get(&query_id).copied();
+        let Some(query) = number.and_then(|number| self.remove_query(number)) else { return };
         let now = self.clock.now();
-        let parts: BTreeSet<&str> =
-            query.parts.iter().filter_map(|part| unnamed(part)).map(|(_, part)| part).collect();
-        let session = self.sessions.get_mut(&id);
-        let calls = session.map(|session| &mut session.calls);
-        let not_started = calls
-            .into_iter()
-            .flat_map(|calls| calls.extract_if(.., |(part, _), _| parts.contains(part.as_str())));
-        let ends = not_started.map(|(call, (node, at))| cancelled(id, call, node, now - at));
-        self.came.extend(ends);
-        self.came.push(Came::Left(name));
+        let requests: BTreeSet<&str> =
+            query.requests.iter().filter_map(|id| split_policy_id(id)).map(|(_, id)| id).collect();
+        let attempts = self.sessions.get_mut(&id).map(|session| &mut session.attempts);
+        let not_started = attempts.into_iter().flat_map(|attempts| {
+            attempts.extract_if(.., |(request, _), _| requests.contains(request.as_str()))
+        });
+        let ends = not_started.map(|(attempt, (node, at))| cancelled(id, attempt, node, now - at));
+        self.inputs.extend(ends);
+        self.inputs.push(Input::ClientDisconnected(query_id));
     }
 
-    /// After a failure of the policy: ends all sessions, so that each forwarder has what it asked decided elsewhere, and
-    /// tells the next policy the endpoint list from the start.
+    /// After a panic of the policy: closes all sessions, so that the forwarders reassign their queries, and prepares the
+    /// whole endpoint list for the next policy.
     pub fn start_over(&mut self) {
         self.counters.increment("module_failures");
         let sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
@@ -212,10 +237,10 @@
             if let Some(session) = self.sessions.get(&id) {
                 session.outbox.wake.notify_one();
             }
-            self.end(id);
+            self.close_session(id);
         }
-        self.came.clear();
-        self.alarms.clear();
+        self.inputs.clear();
+        self.timers.clear();
         self.endpoints.mark_all_changed();
         self.wake.notify_one();
     }
@@ -226,69 +251,61 @@
         }
     }
 
-    fn forget(&mut self, number: u64) -> Option<Query> {
+    fn remove_query(&mut self, number: u64) -> Option<Query> {
         let query = self.queries.remove(&number)?;
-        self.ids.remove(&named(query.session, &query.id));
-        for part in &query.parts {
-            self.parts.remove(part);
+        self.query_numbers.remove(&policy_id(query.session, &query.id));
+        for request in &query.requests {
+            self.requests.remove(request);
         }
-        self.held -= 1 + query.parts.len();
+        self.open_count -= 1 + query.requests.len();
         if let Some(session) = self.sessions.get_mut(&query.session) {
             session.queries.remove(&number);
         }
         Some(query)
     }
 
-    /// Takes a forwarder's message in; false where it is none that a forwarder sends.
-    pub fn read(&mut self, id: SessionId, message: Message) -> bool {
+    /// Processes a forwarder's message; returns false for one that forwarders must not send.
+    pub fn message_received(&mut self, id: SessionId, message: Message) -> bool {
         match message {
             Message::Heartbeat { number, .. } => {
                 self.send(id, &Message::HeartbeatAck { number });
                 return true;
             }
             Message::HeartbeatAck { .. } => {
-                self.sessions.get_mut(&id).into_iter().for_each(|session| session.unanswered = None);
+                if let Some(session) = self.sessions.get_mut(&id) {
+                    session.unacknowledged_since = None;
+                }
                 return true;
             }
-            Message::AssignQuery {
-                term,
-                query,
-                query_class: vertical,
-                tenant: customer,
-                time_left_s: left,
-                requests: parts,
-            } => {
-                self.take(id, term, query, vertical as usize, customer, left, parts);
+            Message::AssignQuery { term, query, query_class, tenant, time_left_s, requests } => {
+                self.query_assigned(id, term, query, query_class as usize, tenant, time_left_s, requests);
             }
-            Message::AttemptEnded {
-                request: part,
-                attempt: hop,
-                node,
-                outcome: ending,
-                latency_s: latency,
-            } => {
-                let out = self.sessions.get_mut(&id).and_then(|s| s.calls.remove(&(part.clone(), hop)));
-                if out.is_some() {
-                    let (part, hop, ending) = (named(id, &part), hop as usize, ending.into());
-                    self.came.push(Came::Ended { part, hop, node, ending, latency });
+            Message::AttemptEnded { request, attempt, node, outcome, latency_s } => {
+                let attempts = self.sessions.get_mut(&id).map(|session| &mut session.attempts);
+                let known = attempts.and_then(|attempts| attempts.remove(&(request.clone(), attempt)));
+                if known.is_some() {
+                    let (request, attempt) = (policy_id(id, &request), attempt as usize);
+                    let outcome = outcome.into();
+                    self.inputs.push(Input::AttemptEnded { request, attempt, node, outcome, latency_s });
                 }
             }
-            Message::QueryClosed { query } => self.left(id, &query),
+            Message::QueryClosed { query } => self.query_closed(id, &query),
             Message::Observation {
                 node,
-                started_ago_s: started,
-                slow_for_s: late,
-                very_slow_for_s: far,
-                unresponsive_for_s: sick,
+                started_ago_s,
+                slow_for_s,
+                very_slow_for_s,
+                unresponsive_for_s,
                 ..
             } => {
-                let seen = self.clock.now();
-                let Some(here) = self.endpoints.nodes.get(&node).map(|node| node.started_at_s) else {
+                let now = self.clock.now();
+                let Some(started_at) = self.endpoints.nodes.get(&node).map(|node| node.started_at_s) else {
                     return true;
                 };
-                if let Some(observation) = received_observation(here, started, [late, far, sick], seen) {
+                let spans_s = [slow_for_s, very_slow_for_s, unresponsive_for_s];
+                if let Some(observation) = received_observation(started_at, started_ago_s, spans_s, now) {
                     self.counters.increment("evidence_heard");
-                    self.came.push(Came::NodeObservation(node, observation));
+                    self.inputs.push(Input::NodeObserved(node, observation));
                 }
             }
             _ => return false,
@@ -298,66 +315,70 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn take(
+    fn query_assigned(
         &mut self,
         session: SessionId,
         term: u64,
         id: String,
-        vertical: usize,
-        customer: String,
-        left: f64,
-        parts: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
+        class: usize,
+        tenant: String,
+        time_left_s: f64,
+        requests: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     ) {
-        let name = named(session, &id);
-        let tried = parts.iter().any(|part| !part.3.is_empty());
-        let fits = self.held + 1 + parts.len() <= self.room && !self.ids.contains_key(&name);
-        // Guards against a queue that nobody reads in time: past its room a planner turns away at once. What was
-        // tried may have run; it is taken beyond the room, so that the module judges it.
-        if vertical >= self.verticals || left.is_nan() || !(fits || tried) {
+        let query_id = policy_id(session, &id);
+        let has_attempts = requests.iter().any(|(_, _, _, attempts)| !attempts.is_empty());
+        let fits = self.open_count + 1 + requests.len() <= self.capacity
+            && !self.query_numbers.contains_key(&query_id);
+        // Guards against a queue that grows faster than it is processed: beyond its capacity a planner rejects at once.
+        // Queries with attempts are accepted beyond it, as attempts may have run and the policy has to account for them.
+        if class >= self.query_classes || time_left_s.is_nan() || !(fits || has_attempts) {
             self.counters.increment("queries_turned_away");
             return self.send(session, &Message::Reject { term, query: id, retry_after_s: None });
         }
-        let (now, number) = (self.clock.now(), self.last + 1);
-        self.last = number;
-        self.held += 1 + parts.len();
-        let names: Vec<String> = parts.iter().map(|part| named(session, &part.0)).collect();
-        for (name, part) in names.iter().zip(&parts) {
-            self.parts.insert(name.clone(), (number, part.3.len() as u32));
+        let (now, number) = (self.clock.now(), self.last_number + 1);
+        self.last_number = number;
+        self.open_count += 1 + requests.len();
+        let request_ids: Vec<String> = requests.iter().map(|(id, ..)| policy_id(session, id)).collect();
+        for (request_id, (_, _, _, attempts)) in request_ids.iter().zip(&requests) {
+            self.requests.insert(request_id.clone(), (number, attempts.len() as u32));
         }
-        self.ids.insert(name, number);
-        if let Some(there) = self.sessions.get_mut(&session) {
-            there.queries.insert(number);
-            for (part, _, _, tried) in &parts {
-                for (hop, call) in tried.iter().enumerate().filter(|(_, call)| call.outcome.is_none()) {
-                    there.calls.insert((part.clone(), hop as u32), (call.node.clone(), now - call.age_s));
-                }
+        self.query_numbers.insert(query_id, number);
+        if let Some(open) = self.sessions.get_mut(&session) {
+            open.queries.insert(number);
+            for (request, _, _, attempts) in &requests {
+                let in_flight = attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none());
+                open.attempts.extend(in_flight.map(|(n, attempt)| {
+                    ((request.clone(), n as u32), (attempt.node.clone(), now - attempt.age_s))
+                }));
             }
         }
-        self.counters.increment(if tried { "queries_taken{over}" } else { "queries_taken{new}" });
-        self.queries.insert(number, Query { session, id, term, parts: names });
-        let not_after = now + left.min(self.deadline);
-        self.came.push(Came::Query { number, vertical, customer, not_after, parts });
+        let counter = if has_attempts { "queries_taken{over}" } else { "queries_taken{new}" };
+        self.counters.increment(counter);
+        self.queries.insert(number, Query { session, id, term, requests: request_ids });
+        let deadline = now + time_left_s.min(self.max_deadline_s);
+        self.inputs.push(Input::Query { number, class, tenant, deadline, requests });
     }
 
-    /// Says how this planner is to every forwarder; those that answered nothing for so long are over.
-    pub fn beat(&mut self, patience: f64) {
-        let (able, endpoints, now) = (self.able(), self.endpoints.version.unwrap_or(0), self.clock.now());
-        if self.since.is_none() && self.endpoints.has_nodes() {
-            self.since = Some(now);
+    /// Sends a heartbeat to every forwarder, and ends the connections to those that have acknowledged none for `timeout_s`.
+    pub fn send_heartbeats(&mut self, timeout_s: f64) {
+        let endpoints_version = self.endpoints.version.unwrap_or(0);
+        let (accepts_queries, now) = (self.accepts_queries(), self.clock.now());
+        if self.serving_since.is_none() && self.endpoints.has_nodes() {
+            self.serving_since = Some(now);
         }
         for session in self.sessions.values_mut() {
-            session.next += 1;
-            let name = session.name.as_deref();
-            let taken = name
-                .zip(self.since)
-                .is_some_and(|(name, since)| slow_start::accepts_forwarder(name, since, RAMP, now));
+            session.last_heartbeat_number += 1;
+            let is_admitted =
+                session.name.as_deref().zip(self.serving_since).is_some_and(|(name, since)| {
+                    slow_start::accepts_forwarder(name, since, SLOW_START_S, now)
+                });
             session.outbox.send(&Message::Heartbeat {
-                number: session.next,
-                endpoints_version: endpoints,
-                accepts_queries: able && taken,
+                number: session.last_heartbeat_number,
+                endpoints_version,
+                accepts_queries: accepts_queries && is_admitted,
             });
-            let since = *session.unanswered.get_or_insert(now);
-            if now - since > patience {
+            let since = *session.unacknowledged_since.get_or_insert(now);
+            if now - since > timeout_s {
                 session.outbox.is_overfull = true;
                 session.outbox.wake.notify_one();
             }
@@ -366,57 +387,50 @@
 
     // Rounds.
 
-    pub fn next_due(&self) -> f64 {
-        self.alarms.iter().map(|alarm| alarm.0).fold(f64::INFINITY, f64::min)
+    /// When the next timer fires; infinity if none is set.
+    pub fn next_timer(&self) -> f64 {
+        self.timers.iter().map(|timer| timer.0).fold(f64::INFINITY, f64::min)
     }
 
-    fn tell(&mut self, now: f64, module: &mut dyn PolicyInput) {
-        self.endpoints.notify_policy(module);
+    fn notify_policy(&mut self, now: f64, policy: &mut dyn PolicyInput) {
+        self.endpoints.notify_policy(policy);
         self.endpoints.drop_removed();
-        let due: Vec<u64> = self.alarms.extract_if(.., |alarm| alarm.0 <= now).map(|alarm| alarm.1).collect();
-        self.came.extend(due.into_iter().map(Came::Alarm));
-        for came in std::mem::take(&mut self.came) {
-            match came {
-                Came::Query { number, vertical, customer, not_after, parts } => {
+        let due: Vec<u64> = self.timers.extract_if(.., |timer| timer.0 <= now).map(|timer| timer.1).collect();
+        self.inputs.extend(due.into_iter().map(Input::Timer));
+        for input in std::mem::take(&mut self.inputs) {
+            match input {
+                Input::Query { number, class, tenant, deadline, requests } => {
                     let Some(query) = self.queries.get(&number) else { continue };
-                    module.query_arrived(
-                        number,
-                        &named(query.session, &query.id),
-                        vertical,
-                        &customer,
-                        not_after,
-                    );
-                    for ((_, shard, weight, tried), name) in parts.iter().zip(&query.parts) {
-                        module.shard_request_added(number, name, *shard, *weight);
-                        for call in tried {
-                            module.adopt_attempt(
-                                name,
-                                &call.node,
-                                call.age_s.max(0.0),
-                                call.outcome.map(Into::into),
-                            );
+                    let query_id = policy_id(query.session, &query.id);
+                    policy.query_arrived(number, &query_id, class, &tenant, deadline);
+                    for ((_, shard, weight, attempts), request_id) in requests.iter().zip(&query.requests) {
+                        policy.shard_request_added(number, request_id, *shard, *weight);
+                        for attempt in attempts {
+                            let outcome = attempt.outcome.map(Into::into);
+                            policy.adopt_attempt(request_id, &attempt.node, attempt.age_s.max(0.0), outcome);
                         }
                     }
                 }
-                Came::Ended { part, hop, node, ending, latency } => {
-                    module.attempt_ended(&part, hop, &node, ending, latency);
+                Input::AttemptEnded { request, attempt, node, outcome, latency_s } => {
+                    policy.attempt_ended(&request, attempt, &node, outcome, latency_s);
                 }
-                Came::Left(query) => module.client_disconnected(&query),
-                Came::Alarm(tag) => module.timer_fired(tag),
-                Came::NodeObservation(node, seen) => module.node_observed(&node, seen),
+                Input::ClientDisconnected(query) => policy.client_disconnected(&query),
+                Input::Timer(tag) => policy.timer_fired(tag),
+                Input::NodeObserved(node, observation) => policy.node_observed(&node, observation),
             }
         }
     }
 
-    /// The forwarder's session and term of a query.
-    fn of(&self, number: u64) -> Option<(SessionId, u64)> {
+    /// The session and the term of a query.
+    fn session_and_term(&self, number: u64) -> Option<(SessionId, u64)> {
         let query = self.queries.get(&number)?;
         Some((query.session, query.term))
     }
 
-    fn finish(&mut self, query: &str, message: impl FnOnce(u64, String) -> Message) {
-        let Some(number) = self.ids.get(query).copied() else { return };
-        if let Some(query) = self.forget(number) {
+    /// Removes a query, and sends its forwarder the final decision that `message` makes of the term and the query's id.
+    fn finish_query(&mut self, query: &str, message: impl FnOnce(u64, String) -> Message) {
+        let Some(number) = self.query_numbers.get(query).copied() else { return };
+        if let Some(query) = self.remove_query(number) {
             self.send(query.session, &message(query.term, query.id));
         }
     }
@@ -430,7 +444,7 @@
         false
     }
     fn asked(&self) -> Arc<Notify> {
-        self.asked.clone()
+        self.poll_requested.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
--- a/crates/router/src/tier/planner/rounds.rs
+++ b/crates/router/src/tier/planner/rounds.rs
@@ -1,102 +1,109 @@
-//! One round of a planner's module, and its decisions on their way to the forwarders.
-use super::{Planner, unnamed};
+//! A round of a planner's policy, and its decisions as messages to the forwarders.
+use super::{Planner, split_policy_id};
 use alderway::interface::{DecisionSink, NodeObservation, PolicyInput};
 use alderway::policy::Policy;
 use alderway_tier::messages::Message;
+use std::cell::RefCell;
 use std::convert::Infallible;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The policy panicked in a round: nothing of it may be used any more.
+/// The policy panicked in a round and must not be used any more.
 #[derive(Debug, thiserror::Error)]
-#[error("the decision module failed")]
-pub struct PolicyFailed;
+#[error("the policy panicked")]
+pub struct PolicyPanicked;
 
-/// One round: all that came in is told, and decisions go to their forwarders.
+/// Runs one round: the policy gets all inputs since the last round, and its decisions are sent to the forwarders.
 ///
 /// # Errors
-/// The policy panicked. The planner goes on with another one after [`Planner::start_over`].
-pub fn round(planner: &std::cell::RefCell<Planner>, module: &mut Policy) -> Result<(), PolicyFailed> {
+/// The policy panicked. The planner continues with another policy after [`Planner::start_over`].
+pub fn run_round(planner: &RefCell<Planner>, policy: &mut Policy) -> Result<(), PolicyPanicked> {
     let now = planner.borrow().clock.now();
-    let tell = |intake: &mut dyn PolicyInput| {
-        planner.borrow_mut().tell(now, intake);
+    let notify = |input: &mut dyn PolicyInput| {
+        planner.borrow_mut().notify_policy(now, input);
         Ok::<(), Infallible>(())
     };
-    let round = AssertUnwindSafe(|| module.round(now, tell, &mut Pen(planner)));
-    let Ok(Ok(())) = catch_unwind(round) else { return Err(PolicyFailed) };
+    let round = AssertUnwindSafe(|| policy.round(now, notify, &mut MessageSink(planner)));
+    let Ok(Ok(())) = catch_unwind(round) else { return Err(PolicyPanicked) };
     planner.borrow_mut().counters.increment("rounds");
     Ok(())
 }
 
-struct Pen<'a>(&'a std::cell::RefCell<Planner>);
+/// Sends each decision to the forwarder of its query.
+struct MessageSink<'a>(&'a RefCell<Planner>);
 
-impl DecisionSink for Pen<'_> {
-    fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
+impl DecisionSink for MessageSink<'_> {
+    fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64) {
         let mut planner = self.0.borrow_mut();
-        let Some((number, calls)) = planner.parts.get_mut(part) else { return };
-        let (number, hop) = (*number, *calls);
-        *calls += 1;
-        let (Some((session, term)), Some((_, name))) = (planner.of(number), unnamed(part)) else { return };
-        let now = planner.clock.now();
-        let (name, node) = (name.to_string(), node.to_string());
+        let Some((number, attempts)) = planner.requests.get_mut(request) else { return };
+        let (number, attempt) = (*number, *attempts);
+        *attempts += 1;
+        let (Some((session, term)), Some((_, id))) =
+            (planner.session_and_term(number), split_policy_id(request))
+        else {
+            return;
+        };
+        let started_at = planner.clock.now();
+        let (request, node) = (id.to_string(), node.to_string());
         if let Some(session) = planner.sessions.get_mut(&session) {
-            session.calls.insert((name.clone(), hop), (node.clone(), now));
+            session.attempts.insert((request.clone(), attempt), (node.clone(), started_at));
         }
         planner.counters.increment("leaf_calls_decided");
-        planner.send(session, &Message::StartAttempt { term, request: name, node, timeout_s: limit });
+        planner.send(session, &Message::StartAttempt { term, request, node, timeout_s });
     }
 
-    fn cancel_attempt(&mut self, part: &str, hop: usize) {
+    fn cancel_attempt(&mut self, request: &str, attempt: usize) {
         let mut planner = self.0.borrow_mut();
-        let number = planner.parts.get(part).map(|part| part.0);
-        let term = number.and_then(|number| planner.of(number)).map_or(0, |of| of.1);
-        let Some((session, name)) = unnamed(part) else { return };
-        planner.send(session, &Message::CancelAttempt { term, request: name.into(), attempt: hop as u32 });
+        let number = planner.requests.get(request).map(|request| request.0);
+        // After the final decision there is no term any more; the forwarder cancels without one.
+        let term = number.and_then(|number| planner.session_and_term(number)).map_or(0, |(_, term)| term);
+        let Some((session, id)) = split_policy_id(request) else { return };
+        let cancel = Message::CancelAttempt { term, request: id.into(), attempt: attempt as u32 };
+        planner.send(session, &cancel);
     }
 
-    fn answer(&mut self, query: &str, whole: bool) {
-        self.0.borrow_mut().finish(query, |term, query| Message::Answer { term, query, complete: whole });
+    fn answer(&mut self, query: &str, complete: bool) {
+        let answer = |term, query| Message::Answer { term, query, complete };
+        self.0.borrow_mut().finish_query(query, answer);
     }
 
-    fn reject(&mut self, query: &str, come_back: Option<f64>) {
-        self.0.borrow_mut().finish(query, |term, query| Message::Reject {
-            term,
-            query,
-            retry_after_s: come_back,
-        });
+    fn reject(&mut self, query: &str, retry_after_s: Option<f64>) {
+        let reject = |term, query| Message::Reject { term, query, retry_after_s };
+        self.0.borrow_mut().finish_query(query, reject);
     }
 
     fn fail(&mut self, query: &str) {
-        self.0.borrow_mut().finish(query, |term, query| Message::Fail { term, query });
+        self.0.borrow_mut().finish_query(query, |term, query| Message::Fail { term, query });
     }
 
-    fn set_timer(&mut self, span: f64, tag: u64) {
+    fn set_timer(&mut self, span_s: f64, tag: u64) {
         let mut planner = self.0.borrow_mut();
-        let at = planner.clock.now() + span;
-        planner.alarms.push((at, tag));
+        let at = planner.clock.now() + span_s;
+        planner.timers.push((at, tag));
     }
 
     fn poll_endpoints(&mut self) {
-        self.0.borrow().asked.notify_one();
+        self.0.borrow().poll_requested.notify_one();
     }
 
     fn log(&mut self, text: &str) {
         tracing::info!(target: "module", "{text}");
     }
 
-    fn share_observation(&mut self, node: &str, seen: NodeObservation) {
+    fn share_observation(&mut self, node: &str, observation: NodeObservation) {
         let mut planner = self.0.borrow_mut();
         let now = planner.clock.now();
-        let started = planner.endpoints.nodes.get(node).and_then(|node| node.started_at_s).map(|at| now - at);
-        let NodeObservation { slow_for_s: late, very_slow_for_s: far, unresponsive_for_s: sick, .. } = seen;
+        let started_at = planner.endpoints.nodes.get(node).and_then(|node| node.started_at_s);
+        let started_ago_s = started_at.map(|at| now - at);
+        let NodeObservation { slow_for_s, very_slow_for_s, unresponsive_for_s, .. } = observation;
         for (n, session) in planner.sessions.values_mut().enumerate() {
-            let (node, relay) = (node.into(), n == 0);
             session.outbox.send(&Message::Observation {
-                node,
-                started_ago_s: started,
-                slow_for_s: late,
-                very_slow_for_s: far,
-                unresponsive_for_s: sick,
-                relay,
+                node: node.into(),
+                started_ago_s,
+                slow_for_s,
+                very_slow_for_s,
+                unresponsive_for_s,
+                // One forwarder is enough to reach the other planners.
+                relay: n == 0,
             });
         }
     }
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -1,4 +1,4 @@
-//! A planner's drivers: the listener for forwarders, a task a connection, discovery, and the rounds of its module.
+//! A planner's tasks: the listener for forwarders, one task a connection, discovery, and the rounds of the policy.
 use super::planner::{self, Planner};
 use crate::io::{discovery, until};
 use crate::lifecycle::graceful_shutdown;
@@ -22,162 +22,184 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-type Shared = Rc<RefCell<Planner>>;
+type PlannerHandle = Rc<RefCell<Planner>>;
 
-const BEAT: Duration = Duration::from_millis(50);
-/// A forwarder that answers no beat for so long is gone; its own patience is shorter.
-const PATIENCE: f64 = 1.0;
-const GREETING: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
+/// Seconds after which the connection to a forwarder ends that acknowledges no heartbeat. Longer than a forwarder's own
+/// time-out, so that the forwarder reassigns its queries first.
+const HEARTBEAT_TIMEOUT_S: f64 = 1.0;
+/// How long a new connection may take until the forwarder's hello.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often a shutdown checks for open queries.
+const SHUTDOWN_POLL: Duration = Duration::from_millis(10);
+/// How long the last decisions get to be written in a shutdown.
+const LAST_WRITES: Duration = Duration::from_millis(50);
+/// Bytes read from a socket at once.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A later start has a larger one.
+/// A new incarnation, from the wall clock: a later start has a larger one unless the clock went back.
 pub fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// Runs a planner until SIGTERM has been seen through: it takes nothing new, and what it holds ends first.
+/// Runs a planner until SIGTERM, after which it accepts no new queries and ends once the open ones have ended.
+///
+/// # Errors
+/// No socket or signal handler could be had, or the task of the rounds ended.
 pub async fn run(config: StartupConfig, clock: Clock) -> io::Result<()> {
     let previous = PreviousConfig::of(&config);
     let StartupConfig { name, listen, discovery, endpoints, seed, settings, .. } = config;
-    let (mut terms, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
+    let (mut terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let policy_config = settings.policy;
     let make_policy = move || {
         let mut policy = Policy::new(seed, policy_config.clone());
-        // It tells forwarders what it sees of data nodes, as one core tells others.
+        // Makes the policy share its observations of data nodes, as with another core.
         policy.join(SharedLimits::new(2).for_core(0));
         policy
     };
-    let verticals = config.query_classes.len();
-    let (deadline, room) = (settings.admission.max_deadline_s, settings.admission.max_open);
-    let shared = Rc::new(RefCell::new(Planner::new(clock, verticals, deadline, room, endpoints)));
+    let query_classes = config.query_classes.len();
+    let (max_deadline_s, capacity) = (settings.admission.max_deadline_s, settings.admission.max_open);
+    let planner = Planner::new(clock, query_classes, max_deadline_s, capacity, endpoints);
+    let planner = Rc::new(RefCell::new(planner));
     let listener = TcpListener::bind(listen).await?;
-    let at = listener.local_addr()?;
-    tracing::info!(target: "start", "{name} listens at {at}: a planner");
-    let (agent, address) = watch::channel(discovery);
-    spawn_local(discovery::run(shared.clone(), address));
-    spawn_local(reload_at_sighup(hangups, previous, agent, clock, None));
+    let address = listener.local_addr()?;
+    tracing::info!(target: "start", "{name} listens at {address}: a planner");
+    let (discovery, discovery_address) = watch::channel(discovery);
+    spawn_local(discovery::run(planner.clone(), discovery_address));
+    spawn_local(reload_at_sighup(hangups, previous, discovery, clock, None));
     let hello = Hello::of_planner::<Message>(name, incarnation());
-    spawn_local(accept(shared.clone(), listener, hello));
-    spawn_local(beats(shared.clone()));
-    let mut rounds = spawn_local(rounds(shared.clone(), make_policy));
+    spawn_local(accept(planner.clone(), listener, hello));
+    spawn_local(send_heartbeats(planner.clone()));
+    let mut rounds = spawn_local(run_rounds(planner.clone(), make_policy));
     tokio::select! {
-        _ = terms.recv() => {}
-        ended = &mut rounds => return Err(io::Error::other(format!("the rounds ended: {ended:?}"))),
+        _ = terminations.recv() => {}
+        ended = &mut rounds => {
+            return Err(io::Error::other(format!("the planner's rounds ended: {ended:?}")));
+        }
     }
-    shared.borrow_mut().stopping = true;
-    shared.borrow_mut().beat(PATIENCE);
-    let over = clock.now() + graceful_shutdown::time_limit_s(deadline);
-    while shared.borrow().open() > 0 && clock.now() < over {
-        sleep(Duration::from_millis(10)).await;
+    planner.borrow_mut().is_stopping = true;
+    planner.borrow_mut().send_heartbeats(HEARTBEAT_TIMEOUT_S);
+    let until = clock.now() + graceful_shutdown::time_limit_s(max_deadline_s);
+    while planner.borrow().open_queries() > 0 && clock.now() < until {
+        sleep(SHUTDOWN_POLL).await;
     }
-    // Decisions on their way go out.
-    sleep(Duration::from_millis(50)).await;
-    tracing::info!(target: "stop", "ended: {} queries open", shared.borrow().open());
-    log::write_unlimited(&shared.borrow().counters.text());
+    sleep(LAST_WRITES).await;
+    tracing::info!(target: "stop", "ended with {} open queries", planner.borrow().open_queries());
+    log::write_unlimited(&planner.borrow().counters.text());
     Ok(())
 }
 
-/// Plays rounds for as long as the program runs. Guards against a query that makes the policy panic: the planner goes on
-/// with a new policy, and the forwarders have what they asked of it decided elsewhere.
-async fn rounds(planner: Shared, make_policy: impl Fn() -> Policy) {
+/// Runs rounds for as long as the program runs. Guards against a query that makes the policy panic: the planner continues
+/// with a new policy, and the forwarders reassign their queries.
+async fn run_rounds(planner: PlannerHandle, make_policy: impl Fn() -> Policy) {
     let mut policy = make_policy();
     let (clock, wake) = (planner.borrow().clock, planner.borrow().wake.clone());
     loop {
-        let due = planner.borrow().next_due();
+        let next_timer = planner.borrow().next_timer();
         tokio::select! {
             () = wake.notified() => {}
-            () = until(clock, due), if due.is_finite() => {}
+            () = until(clock, next_timer), if next_timer.is_finite() => {}
         }
-        // Whatever else has come by now is told in the same round.
+        // Lets other tasks add what they have received to the same round.
         yield_now().await;
-        if let Err(error) = planner::round(&planner, &mut policy) {
-            tracing::error!(target: "failure", "{error}: all forwarders are left, it starts anew");
+        if let Err(error) = planner::run_round(&planner, &mut policy) {
+            tracing::error!(
+                target: "failure",
+                "{error}: all forwarders are disconnected, the planner continues with a new policy"
+            );
             policy = make_policy();
             planner.borrow_mut().start_over();
         }
     }
 }
 
-async fn beats(planner: Shared) {
-    let mut beats = interval(BEAT);
-    beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+async fn send_heartbeats(planner: PlannerHandle) {
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        beats.tick().await;
-        planner.borrow_mut().beat(PATIENCE);
+        ticks.tick().await;
+        planner.borrow_mut().send_heartbeats(HEARTBEAT_TIMEOUT_S);
     }
 }
 
-async fn accept(planner: Shared, listener: TcpListener, hello: Hello) {
+async fn accept(planner: PlannerHandle, listener: TcpListener, hello: Hello) {
     loop {
-        let Ok((stream, _)) = alderway_sockets::accept(&listener).await else {
+        let Ok((stream, address)) = alderway_sockets::accept(&listener).await else {
             sleep(alderway_sockets::PAUSE).await;
             continue;
         };
         let (planner, hello) = (planner.clone(), hello.clone());
         spawn_local(async move {
             let _ = stream.set_nodelay(true);
-            if let Err(why) = speak(&planner, &stream, &hello).await {
-                tracing::warn!(target: "tier", "a forwarder: {why}");
+            if let Err(error) = run_session(&planner, &stream, &hello).await {
+                tracing::warn!(target: "tier", "forwarder at {address}: {error}");
             }
         });
     }
 }
 
-async fn speak(planner: &Shared, stream: &TcpStream, hello: &Hello) -> Result<(), String> {
-    let (mut reader, mut space) = (FrameReader::default(), vec![0; 64 * 1024]);
-    let (session, wake) = planner.borrow_mut().begin(hello);
-    let mut greeted = false;
+/// Exchanges messages with a forwarder until the connection ends.
+///
+/// # Errors
+/// The peer is not a usable forwarder or violates the protocol, or the session was closed here.
+async fn run_session(planner: &PlannerHandle, stream: &TcpStream, hello: &Hello) -> Result<(), String> {
+    let (mut reader, mut buffer) = (FrameReader::default(), vec![0; READ_BUFFER_BYTES]);
+    let (session, wake) = planner.borrow_mut().open_session(hello);
+    let mut has_hello = false;
     let mut sender = Sender::default();
     let ended = loop {
-        let mut waits = false;
+        let mut has_unsent = false;
         {
             let mut planner = planner.borrow_mut();
             let Some(outbox) = planner.outbox(session) else {
-                break Err("it does not read, or this planner starts anew".to_string());
+                break Err("closed here: the forwarder does not respond, or the policy failed".to_string());
             };
             if !outbox.bytes.is_empty() {
                 match sender.write(stream, &outbox.bytes) {
                     Ok(count) => drop(outbox.bytes.drain(..count)),
                     Err(_) => break Ok(()),
                 }
-                waits = !outbox.bytes.is_empty();
+                has_unsent = !outbox.bytes.is_empty();
             }
         }
         match reader.next_frame() {
-            Ok(Some(Received::Hello(theirs))) if theirs.is_planner => break Err("it is a planner".into()),
+            Ok(Some(Received::Hello(theirs))) if theirs.is_planner => {
+                break Err("the peer is a planner".into());
+            }
             Ok(Some(Received::Hello(theirs))) => {
-                tracing::info!(target: "tier", "forwarder {} is met", theirs.name);
-                planner.borrow_mut().greeted(session, &theirs.name);
-                greeted = true;
+                tracing::info!(target: "tier", "forwarder {} connected", theirs.name);
+                planner.borrow_mut().hello_received(session, &theirs.name);
+                has_hello = true;
                 continue;
             }
             Ok(Some(Received::Message(message))) => {
-                if !planner.borrow_mut().read(session, message) {
-                    break Err("it sends what only planners send".into());
+                if !planner.borrow_mut().message_received(session, message) {
+                    break Err("the peer sent a message that only planners send".into());
                 }
                 continue;
             }
             Ok(None) => {}
-            Err(why) => break Err(why.to_string()),
+            Err(error) => break Err(error.to_string()),
         }
         let ready = async {
             tokio::select! {
                 ready = stream.readable() => ready.is_ok(),
-                () = sender.ready(stream), if waits => true,
+                () = sender.ready(stream), if has_unsent => true,
                 () = wake.notified() => true,
             }
         };
-        let ready = if greeted { Ok(ready.await) } else { timeout(GREETING, ready).await };
+        let ready = if has_hello { Ok(ready.await) } else { timeout(HELLO_TIMEOUT, ready).await };
         match ready {
             Ok(true) => {}
             Ok(false) => break Ok(()),
             Err(_) => break Err("no hello in time".into()),
         }
-        match alderway_sockets::read(stream, &mut space) {
+        match alderway_sockets::read(stream, &mut buffer) {
             Ok(Some(0)) | Err(_) => break Ok(()),
-            Ok(Some(count)) => reader.feed(&space[..count]),
+            Ok(Some(count)) => reader.feed(&buffer[..count]),
             Ok(None) => {}
         }
     };
-    planner.borrow_mut().end(session);
+    planner.borrow_mut().close_session(session);
     ended
 }
--- a/crates/router/tests/planner.rs
+++ b/crates/router/tests/planner.rs
@@ -23,22 +23,22 @@
 fn a_policy_that_panics_ends_the_sessions_and_the_planner_goes_on_with_another() {
     let hello = Hello::of_planner::<Message>("p-0", 1);
     let planner = RefCell::new(Planner::new(Clock::default(), 1, 5.0, 100, EndpointTable::default()));
-    let (session, _wake) = planner.borrow_mut().begin(&hello);
-    assert!(planner.borrow_mut().read(session, take("q")));
+    let (session, _wake) = planner.borrow_mut().open_session(&hello);
+    assert!(planner.borrow_mut().message_received(session, take("q")));
     // It knows no query class, so that it panics on any query.
     let mut without_classes = Policy::new(7, PolicyConfig::default());
-    assert!(planner::round(&planner, &mut without_classes).is_err());
+    assert!(planner::run_round(&planner, &mut without_classes).is_err());
 
     planner.borrow_mut().start_over();
     assert!(planner.borrow_mut().outbox(session).is_none(), "the forwarder is left");
-    assert_eq!(planner.borrow().open(), 0);
+    assert_eq!(planner.borrow().open_queries(), 0);
     assert!(planner.borrow().counters.text().contains("module_failures 1"));
 
-    let (session, _wake) = planner.borrow_mut().begin(&hello);
+    let (session, _wake) = planner.borrow_mut().open_session(&hello);
     let greeting_bytes = planner.borrow_mut().outbox(session).expect("it is served").bytes.len();
-    assert!(planner.borrow_mut().read(session, take("r")));
-    assert!(planner::round(&planner, &mut one_class_policy()).is_ok());
-    assert_eq!(planner.borrow().open(), 0, "without a data node it is rejected at once");
+    assert!(planner.borrow_mut().message_received(session, take("r")));
+    assert!(planner::run_round(&planner, &mut one_class_policy()).is_ok());
+    assert_eq!(planner.borrow().open_queries(), 0, "without a data node it is rejected at once");
     assert!(planner.borrow_mut().outbox(session).expect("it is served").bytes.len() > greeting_bytes);
 }
 
@@ -60,14 +60,14 @@
 impl<'a> Forwarder<'a> {
     fn of(planner: &'a RefCell<Planner>) -> Self {
         let hello = Hello::of_planner::<Message>("p-0", 1);
-        let (session, _wake) = planner.borrow_mut().begin(&hello);
+        let (session, _wake) = planner.borrow_mut().open_session(&hello);
         Forwarder { planner, session, reader: FrameReader::default() }
     }
 
     /// Tells the planner; returns what that has sent after a round.
     fn tells(&mut self, message: Message, policy: &mut Policy) -> Vec<Message> {
-        assert!(self.planner.borrow_mut().read(self.session, message));
-        planner::round(self.planner, policy).expect("a round");
+        assert!(self.planner.borrow_mut().message_received(self.session, message));
+        planner::run_round(self.planner, policy).expect("a round");
         let mut planner = self.planner.borrow_mut();
         let outbox = planner.outbox(self.session).expect("it is served");
         take_messages(outbox, &mut self.reader)
