--- a/crates/router/tests/common/tier.rs
+++ b/crates/router/tests/common/tier.rs
@@ -1,12 +1,12 @@
-//! What one side of the two levels has sent to the other, without sockets.
+//! Reads the messages that a forwarder or a planner sends, without sockets.
 use alderway_router::tier::Outbox;
 use alderway_tier::messages::Message;
 use alderway_transport::{FrameReader, Received};
 
-/// Takes the messages that wait in an outbox.
+/// Takes the messages out of an outbox.
 pub fn take_messages(outbox: &mut Outbox, reader: &mut FrameReader<Message>) -> Vec<Message> {
     reader.feed(&std::mem::take(&mut outbox.bytes));
-    let frames = std::iter::from_fn(|| reader.next_frame().expect("sound"));
+    let frames = std::iter::from_fn(|| reader.next_frame().expect("valid frames"));
     frames
         .filter_map(|frame| match frame {
             Received::Message(message) => Some(message),
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -1,4 +1,4 @@
-//! A forwarder without sockets: what its planner hears of the calls that it decided.
+//! A forwarder without sockets: what it sends its planner about the attempts that the planner decided on.
 mod common;
 use alderway::interface::{AttemptOutcome, DecisionSink, PolicyInput};
 use alderway_router::tier::forwarder::{Forwarder, InputSplitter};
@@ -11,11 +11,11 @@
 use rstest::rstest;
 use std::rc::Rc;
 
-/// A dispatcher that notes which calls it is told to start and to cancel.
+/// Records which attempts are started and cancelled, and which queries are answered.
 #[derive(Default)]
-struct NotingSink(Vec<String>);
+struct RecordingSink(Vec<String>);
 
-impl DecisionSink for NotingSink {
+impl DecisionSink for RecordingSink {
     fn start_attempt(&mut self, request: &str, node: &str, _timeout_s: f64) {
         self.0.push(format!("start {request} {node}"));
     }
@@ -32,57 +32,57 @@
     fn log(&mut self, _text: &str) {}
 }
 
-/// A forwarder with one planner, which takes queries.
+/// A forwarder with one planner, which accepts queries.
 struct Router {
     forwarder: Forwarder,
     planner: Hello,
     reader: FrameReader<Message>,
-    sink: NotingSink,
+    sink: RecordingSink,
 }
 
 impl Router {
     fn new() -> Self {
-        let watch = HeartbeatConfig { interval_s: 0.05, timeout_s: 1.0 };
-        let mut forwarder = Forwarder::new("r-0", 1, watch, Clock::default(), Rc::default());
+        let heartbeats = HeartbeatConfig { interval_s: 0.05, timeout_s: 1.0 };
+        let mut forwarder = Forwarder::new("r-0", 1, heartbeats, Clock::default(), Rc::default());
         let planner = Hello::of_planner::<Message>("p-0", 1);
-        forwarder.planner_connected(&planner).expect("it is new");
+        forwarder.planner_connected(&planner).expect("a new planner");
         let mut router =
-            Router { forwarder, planner, reader: FrameReader::default(), sink: NotingSink::default() };
-        router.hears(Message::Heartbeat { number: 1, endpoints_version: 1, accepts_queries: true });
-        // Before a planner is able, its own beat has to be answered.
+            Router { forwarder, planner, reader: FrameReader::default(), sink: RecordingSink::default() };
+        router.receive(Message::Heartbeat { number: 1, endpoints_version: 1, accepts_queries: true });
+        // Acknowledges the forwarder's heartbeats.
         router.forwarder.tick();
         for message in router.sent() {
             if let Message::Heartbeat { number, .. } = message {
-                router.hears(Message::HeartbeatAck { number });
+                router.receive(Message::HeartbeatAck { number });
             }
         }
         router
     }
 
-    fn hears(&mut self, message: Message) {
+    fn receive(&mut self, message: Message) {
         self.forwarder.message_received(&self.planner, message, &mut self.sink);
     }
 
-    /// What the planner has been sent since the last look, beats and their answers apart.
+    /// The messages sent to the planner since the last call, except acknowledgements of heartbeats.
     fn sent(&mut self) -> Vec<Message> {
-        let outbox = self.forwarder.outbox(&self.planner).expect("it is there");
+        let outbox = self.forwarder.outbox(&self.planner).expect("a connected planner");
         let mut messages = take_messages(outbox, &mut self.reader);
         messages.retain(|message| !matches!(message, Message::HeartbeatAck { .. }));
         messages
     }
 
-    /// Plays one round with what the dispatcher tells in it.
-    fn round(&mut self, tell: impl FnOnce(&mut dyn PolicyInput)) -> Vec<Message> {
-        let mut own = RecordingPolicy::new(Recorded::Endpoints);
-        let mut split = InputSplitter::begin(&mut self.forwarder, &mut own);
-        tell(&mut split);
-        split.end();
-        assert!(own.events.is_empty(), "nothing is the own policy's: {:?}", own.events);
+    /// Runs one round with the given policy input.
+    fn round(&mut self, notify: impl FnOnce(&mut dyn PolicyInput)) -> Vec<Message> {
+        let mut policy = RecordingPolicy::new(Recorded::Endpoints);
+        let mut splitter = InputSplitter::begin(&mut self.forwarder, &mut policy);
+        notify(&mut splitter);
+        splitter.end();
+        assert!(policy.events.is_empty(), "input for the own policy: {:?}", policy.events);
         self.sent()
     }
 
-    /// A query of one part is asked of the planner; returns its term.
-    fn ask(&mut self, number: u64, id: &str) -> u64 {
+    /// Assigns a query with one shard request to the planner, and returns the term.
+    fn assign(&mut self, number: u64, id: &str) -> u64 {
         let sent = self.round(|input| {
             input.query_arrived(number, id, 0, "", 5.0);
             input.shard_request_added(number, &format!("{id}.0"), 0, 1.0);
@@ -93,12 +93,17 @@
         }
     }
 
-    fn call(&mut self, term: u64, request: &str) {
-        self.hears(Message::StartAttempt { term, request: request.into(), node: "s".into(), timeout_s: 1.0 });
+    fn start_attempt(&mut self, term: u64, request: &str) {
+        self.receive(Message::StartAttempt {
+            term,
+            request: request.into(),
+            node: "s".into(),
+            timeout_s: 1.0,
+        });
     }
 }
 
-fn ended(message: &Message) -> Option<(&str, u32, &str, WireOutcome)> {
+fn attempt_ended(message: &Message) -> Option<(&str, u32, &str, WireOutcome)> {
     match message {
         Message::AttemptEnded { request, attempt, node, outcome, .. } => {
             Some((request, *attempt, node, *outcome))
@@ -107,42 +112,45 @@
     }
 }
 
-/// Guards against calls that count at a planner's data nodes for ever.
+/// Guards against attempts that count at a planner's data nodes for ever.
 #[rstest]
-fn a_failure_of_the_own_policy_ends_the_planners_calls_for_it_too() {
+fn a_failure_of_the_own_policy_ends_attempts_for_the_planner_too() {
     let mut router = Router::new();
-    let answered = router.ask(0, "q");
-    router.call(answered, "q.0");
-    router.hears(Message::Answer { term: answered, query: "q".into(), complete: false });
-    let open = router.ask(1, "r");
-    router.call(open, "r.0");
+    let answered = router.assign(0, "q");
+    router.start_attempt(answered, "q.0");
+    router.receive(Message::Answer { term: answered, query: "q".into(), complete: false });
+    let open = router.assign(1, "r");
+    router.start_attempt(open, "r.0");
     router.forwarder.start_over();
     let sent = router.sent();
-    let ends: Vec<_> = sent.iter().filter_map(ended).collect();
+    let ends: Vec<_> = sent.iter().filter_map(attempt_ended).collect();
     assert_eq!(ends, [("q.0", 0, "s", WireOutcome::Cancelled), ("r.0", 0, "s", WireOutcome::Cancelled)]);
     assert_eq!(sent.last(), Some(&Message::QueryClosed { query: "r".into() }));
 }
 
-/// Guards against records that stay for ever: the dispatcher starts nothing for a query that is over.
+/// Guards against records that are never removed: the dispatcher starts no attempt of a query that has ended.
 #[rstest]
-fn a_call_that_came_as_its_query_was_over_is_forgotten_with_it() {
+fn an_attempt_decided_on_as_its_query_ended_is_removed_with_it() {
     let mut router = Router::new();
-    let term = router.ask(0, "q");
-    router.call(term, "q.0");
+    let term = router.assign(0, "q");
+    router.start_attempt(term, "q.0");
     assert_eq!(
         router.round(|input| input.client_disconnected("q")),
         [Message::QueryClosed { query: "q".into() }]
     );
-    router.hears(Message::CancelAttempt { term, request: "q.0".into(), attempt: 0 });
-    assert!(router.forwarder.counters.text().contains("cancels_crossed 1"), "nothing is known of it");
+    router.receive(Message::CancelAttempt { term, request: "q.0".into(), attempt: 0 });
+    assert!(router.forwarder.counters.text().contains("cancels_crossed 1"), "the attempt is still known");
     assert_eq!(router.sink.0, ["start q.0 s"]);
 }
 
 #[rstest]
-fn the_end_of_a_planners_call_is_told_to_the_planner() {
+fn the_end_of_an_attempt_is_sent_to_its_planner() {
     let mut router = Router::new();
-    let term = router.ask(0, "q");
-    router.call(term, "q.0");
+    let term = router.assign(0, "q");
+    router.start_attempt(term, "q.0");
     let sent = router.round(|input| input.attempt_ended("q.0", 0, "s", AttemptOutcome::Success, 0.1));
-    assert_eq!(sent.iter().filter_map(ended).collect::<Vec<_>>(), [("q.0", 0, "s", WireOutcome::Success)]);
+    assert_eq!(
+        sent.iter().filter_map(attempt_ended).collect::<Vec<_>>(),
+        [("q.0", 0, "s", WireOutcome::Success)]
+    );
 }
--- a/crates/router/tests/planner.rs
+++ b/crates/router/tests/planner.rs
@@ -1,4 +1,4 @@
-//! A planner without sockets: forwarders' sessions, and a policy that fails.
+//! A planner without sockets: sessions of forwarders, and a policy that panics.
 mod common;
 use alderway::interface::{NodeState, PolicyConfig};
 use alderway::policy::Policy;
@@ -12,45 +12,45 @@
 use rstest::rstest;
 use std::cell::RefCell;
 
-fn take(query: &str) -> Message {
+fn assign_query(query: &str) -> Message {
     let requests = vec![(format!("{query}.0"), 0, 1.0, vec![])];
     let (query, tenant) = (query.into(), String::new());
     Message::AssignQuery { term: 1, query, query_class: 0, tenant, time_left_s: 5.0, requests }
 }
 
-/// Guards against a query that ends one planner after the other, as each forwarder hands it on.
+/// Guards against a query that crashes one planner after the other, as its forwarder reassigns it.
 #[rstest]
-fn a_policy_that_panics_ends_the_sessions_and_the_planner_goes_on_with_another() {
+fn a_policy_panic_closes_the_sessions_and_the_planner_continues_with_another() {
     let hello = Hello::of_planner::<Message>("p-0", 1);
     let planner = RefCell::new(Planner::new(Clock::default(), 1, 5.0, 100, EndpointTable::default()));
     let (session, _wake) = planner.borrow_mut().open_session(&hello);
-    assert!(planner.borrow_mut().message_received(session, take("q")));
-    // It knows no query class, so that it panics on any query.
+    assert!(planner.borrow_mut().message_received(session, assign_query("q")));
+    // Without query classes it panics on any query.
     let mut without_classes = Policy::new(7, PolicyConfig::default());
     assert!(planner::run_round(&planner, &mut without_classes).is_err());
 
     planner.borrow_mut().start_over();
-    assert!(planner.borrow_mut().outbox(session).is_none(), "the forwarder is left");
+    assert!(planner.borrow_mut().outbox(session).is_none(), "the session is closed");
     assert_eq!(planner.borrow().open_queries(), 0);
     assert!(planner.borrow().counters.text().contains("module_failures 1"));
 
     let (session, _wake) = planner.borrow_mut().open_session(&hello);
-    let greeting_bytes = planner.borrow_mut().outbox(session).expect("it is served").bytes.len();
-    assert!(planner.borrow_mut().message_received(session, take("r")));
+    let greeting_bytes = planner.borrow_mut().outbox(session).expect("an open session").bytes.len();
+    assert!(planner.borrow_mut().message_received(session, assign_query("r")));
     assert!(planner::run_round(&planner, &mut one_class_policy()).is_ok());
-    assert_eq!(planner.borrow().open_queries(), 0, "without a data node it is rejected at once");
-    assert!(planner.borrow_mut().outbox(session).expect("it is served").bytes.len() > greeting_bytes);
+    assert_eq!(planner.borrow().open_queries(), 0, "a query without data nodes is rejected at once");
+    assert!(planner.borrow_mut().outbox(session).expect("an open session").bytes.len() > greeting_bytes);
 }
 
 /// A planner that knows one data node.
-fn planner_of_one_node() -> RefCell<Planner> {
+fn planner_with_one_node() -> RefCell<Planner> {
     let mut endpoints = EndpointTable::default();
     endpoints.begin_update(1, true);
     endpoints.update("s", ([127, 0, 0, 1], 1).into(), 0, NodeState::Serving, None);
     RefCell::new(Planner::new(Clock::default(), 1, 5.0, 100, endpoints))
 }
 
-/// A forwarder as its planner sees it.
+/// A forwarder's session with a planner.
 struct Forwarder<'a> {
     planner: &'a RefCell<Planner>,
     session: SessionId,
@@ -58,32 +58,32 @@
 }
 
 impl<'a> Forwarder<'a> {
-    fn of(planner: &'a RefCell<Planner>) -> Self {
+    fn connect(planner: &'a RefCell<Planner>) -> Self {
         let hello = Hello::of_planner::<Message>("p-0", 1);
         let (session, _wake) = planner.borrow_mut().open_session(&hello);
         Forwarder { planner, session, reader: FrameReader::default() }
     }
 
-    /// Tells the planner; returns what that has sent after a round.
-    fn tells(&mut self, message: Message, policy: &mut Policy) -> Vec<Message> {
+    /// Sends a message to the planner, and returns the messages that it sends in the next round.
+    fn send(&mut self, message: Message, policy: &mut Policy) -> Vec<Message> {
         assert!(self.planner.borrow_mut().message_received(self.session, message));
-        planner::run_round(self.planner, policy).expect("a round");
+        planner::run_round(self.planner, policy).expect("the policy does not panic");
         let mut planner = self.planner.borrow_mut();
-        let outbox = planner.outbox(self.session).expect("it is served");
+        let outbox = planner.outbox(self.session).expect("an open session");
         take_messages(outbox, &mut self.reader)
     }
 }
 
-/// Guards against calls that count at a data node for ever: a forwarder whose client left as the call was on its way
-/// starts none, and has no end of it to tell.
+/// Guards against attempts that count at a data node for ever: a forwarder whose query ends while the message to start an
+/// attempt is in flight does not start it, and sends no end of it.
 #[rstest]
-fn a_call_that_crosses_the_end_of_its_query_does_not_count_at_its_data_node() {
-    let (planner, mut policy) = (planner_of_one_node(), one_class_policy());
-    let mut forwarder = Forwarder::of(&planner);
+fn an_attempt_that_crosses_the_end_of_its_query_does_not_count_at_its_node() {
+    let (planner, mut policy) = (planner_with_one_node(), one_class_policy());
+    let mut forwarder = Forwarder::connect(&planner);
     for number in 0..200 {
         let query = format!("q{number}");
-        let decided = forwarder.tells(take(&query), &mut policy);
+        let decided = forwarder.send(assign_query(&query), &mut policy);
         assert!(matches!(decided[..], [Message::StartAttempt { .. }]), "{query}: {decided:?}");
-        forwarder.tells(Message::QueryClosed { query }, &mut policy);
+        forwarder.send(Message::QueryClosed { query }, &mut policy);
     }
 }
