--- a/crates/cores/src/open_ids.rs
+++ b/crates/cores/src/open_ids.rs
@@ -21,7 +21,7 @@
 const HASH_MASK: u64 = (1 << CORE_SHIFT) - 1;
 
 /// The open ids of all cores.
-pub struct OpenIds {
+pub struct OpenQueryIds {
     rows: Vec<[AtomicU64; SLOTS_PER_ROW]>,
     key: RandomState,
 }
@@ -37,7 +37,7 @@
 
 /// A claimed id; it is released on drop.
 pub struct IdClaim {
-    ids: Arc<OpenIds>,
+    ids: Arc<OpenQueryIds>,
     row: usize,
     slot: usize,
 }
@@ -48,13 +48,13 @@
     }
 }
 
-impl OpenIds {
+impl OpenQueryIds {
     /// A table for `capacity` open queries. It has as many rows, so that the probability of nine ids in one row, which has
     /// eight slots, is about one in a million.
     pub fn new(capacity: usize) -> Arc<Self> {
         let row = || std::array::from_fn(|_| AtomicU64::new(FREE));
         let rows = (0..capacity.clamp(64, 1 << 20)).map(|_| row()).collect();
-        Arc::new(OpenIds { rows, key: RandomState::new() })
+        Arc::new(OpenQueryIds { rows, key: RandomState::new() })
     }
 
     /// Claims an id if it is open on no core. Of several cores that claim the same id at once, exactly one succeeds: each
--- a/crates/cores/tests/shared_state.rs
+++ b/crates/cores/tests/shared_state.rs
@@ -3,7 +3,7 @@
 use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_cores::fence::{Blocked, Fence};
 use alderway_cores::observation_cache::ObservationCache;
-use alderway_cores::open_ids::{ClaimError, OpenIds};
+use alderway_cores::open_ids::{ClaimError, OpenQueryIds};
 use alderway_cores::pool::Pool;
 use alderway_cores::rebalancer::{ConnectionMove, CoreLoad, Rebalancer};
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
 
 #[rstest]
 fn an_id_open_on_one_core_is_rejected_on_every_core_until_released() {
-    let ids = OpenIds::new(100);
+    let ids = OpenQueryIds::new(100);
     let open = ids.claim(0, "9b1f").expect("free");
     assert_eq!(ids.claim(0, "9b1f").err(), Some(ClaimError::AlreadyOpen));
     assert_eq!(ids.claim(3, "9b1f").err(), Some(ClaimError::AlreadyOpen));
@@ -28,7 +28,7 @@
 fn concurrent_claims_of_one_id_succeed_on_exactly_one_core() {
     const CORES: usize = 6;
     const ROUNDS: usize = 4_000;
-    let (ids, begin) = (OpenIds::new(64), Arc::new(Barrier::new(CORES)));
+    let (ids, begin) = (OpenQueryIds::new(64), Arc::new(Barrier::new(CORES)));
     let claims: Arc<Vec<AtomicUsize>> = Arc::new((0..ROUNDS).map(|_| AtomicUsize::new(0)).collect());
     let cores: Vec<_> = (0..CORES)
         .map(|core| {
@@ -56,7 +56,7 @@
 #[rstest]
 fn repeated_claims_of_one_id_are_never_held_by_two_cores() {
     const CORES: usize = 4;
-    let (ids, inside) = (OpenIds::new(64), Arc::new(AtomicUsize::new(0)));
+    let (ids, inside) = (OpenQueryIds::new(64), Arc::new(AtomicUsize::new(0)));
     let cores: Vec<_> = (0..CORES)
         .map(|core| {
             let (ids, inside) = (ids.clone(), inside.clone());
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -4,7 +4,7 @@
 use super::metrics::MetricsSnapshot;
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::fence::Fence;
-use alderway_cores::open_ids::OpenIds;
+use alderway_cores::open_ids::OpenQueryIds;
 use alderway_cores::pool::Pool;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
@@ -86,7 +86,7 @@
 /// What all cores share.
 pub struct SharedState {
     /// Ids of open queries.
-    pub ids: Arc<OpenIds>,
+    pub ids: Arc<OpenQueryIds>,
     /// Capacity for queries and shard requests.
     pub capacity: Arc<Pool>,
     /// Keeps a core that has fallen behind from starting attempts.
@@ -152,7 +152,7 @@
             vec![CoreState::new(None)]
         };
         let shared = SharedState {
-            ids: OpenIds::new(capacity),
+            ids: OpenQueryIds::new(capacity),
             capacity: Pool::new(capacity),
             fence: Fence::new(if has_several { patience_s } else { f64::INFINITY }),
             limits: SharedLimits::new(cores),
