--- a/crates/peers/src/transit_time.rs
+++ b/crates/peers/src/transit_time.rs
@@ -44,7 +44,7 @@
     }
 
     /// The echo for the next frame to the peer: its newest timestamp, and how long it has been held.
-    pub fn echo(&self, now: f64) -> Option<(f64, f64)> {
+    pub fn next_echo(&self, now: f64) -> Option<(f64, f64)> {
         self.last_received.map(|(sent_at, at)| (sent_at, now - at))
     }
 }
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -47,19 +47,19 @@
 }
 
 impl UpdateBody {
-    fn subject(&self) -> Subject {
+    fn subject(&self) -> UpdateSubject {
         match self {
-            UpdateBody::Alive | UpdateBody::Leaving => Subject::Origin,
-            UpdateBody::Missed { member, .. } => Subject::Member(member.clone()),
-            UpdateBody::QueryCounts { .. } => Subject::QueryCounts,
-            UpdateBody::Observation { node, .. } => Subject::Node(node.clone()),
+            UpdateBody::Alive | UpdateBody::Leaving => UpdateSubject::Origin,
+            UpdateBody::Missed { member, .. } => UpdateSubject::Member(member.clone()),
+            UpdateBody::QueryCounts { .. } => UpdateSubject::QueryCounts,
+            UpdateBody::Observation { node, .. } => UpdateSubject::Node(node.clone()),
         }
     }
 }
 
 /// What an update is about. A later update of an origin replaces an earlier one about the same subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Subject {
+pub enum UpdateSubject {
     /// The origin itself.
     Origin,
     /// The origin's queries.
@@ -97,13 +97,13 @@
     /// Its position among all updates stored, from which links find what they have not sent yet.
     serial: u64,
     /// The link that it was received on.
-    link: Option<u64>,
+    received_on: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Origin {
     incarnation: Incarnation,
-    updates: BTreeMap<Subject, StoredUpdate>,
+    updates: BTreeMap<UpdateSubject, StoredUpdate>,
     /// The highest number among the dropped updates of this incarnation.
     highest_dropped: u64,
 }
@@ -129,7 +129,7 @@
 }
 
 impl UpdateStore {
-    /// Stores an update, unless it is stale or not news; `link` is the link that it was received on. Of each origin at most
+    /// Stores an update, unless it is stale or not news; `received_on` is the link that it was received on. Of each origin at most
     /// `max_per_origin` updates are stored.
     pub fn merge(
         &mut self,
@@ -137,7 +137,7 @@
         now: f64,
         max_age_s: f64,
         max_per_origin: usize,
-        link: Option<u64>,
+        received_on: Option<u64>,
     ) -> MergeResult {
         if !(update.age_s >= 0.0 && update.age_s < max_age_s) {
             return MergeResult::Stale;
@@ -160,7 +160,7 @@
             created_at: now - update.age_s,
             body: update.body,
             serial: self.last_serial,
-            link,
+            received_on,
         };
         origin.updates.insert(subject, stored);
         // Guards against an origin that sends more than can be stored: its oldest updates are dropped.
@@ -176,18 +176,20 @@
     pub fn sweep(&mut self, now: f64, max_age_s: f64) {
         for origin in self.origins.values_mut() {
             let stale = origin.updates.iter().filter(|(_, stored)| now - stored.created_at >= max_age_s);
-            let stale: Vec<Subject> = stale.map(|(subject, _)| subject.clone()).collect();
+            let stale: Vec<UpdateSubject> = stale.map(|(subject, _)| subject.clone()).collect();
             stale.iter().for_each(|subject| origin.drop_update(subject));
         }
     }
 
     /// Up to `max_updates` updates that were stored after `serial` and not received on `link`, oldest first, and the serial
     /// from which the next call for the link continues.
-    pub fn since(&self, serial: u64, link: u64, now: f64, max_updates: usize) -> (Vec<Update>, u64) {
+    pub fn updates_after(&self, serial: u64, link: u64, now: f64, max_updates: usize) -> (Vec<Update>, u64) {
         let mut unsent: Vec<(&Name, Incarnation, &StoredUpdate)> = vec![];
         for (name, origin) in &self.origins {
-            let of_origin =
-                origin.updates.values().filter(|stored| stored.serial > serial && stored.link != Some(link));
+            let of_origin = origin
+                .updates
+                .values()
+                .filter(|stored| stored.serial > serial && stored.received_on != Some(link));
             unsent.extend(of_origin.map(|stored| (name, origin.incarnation, stored)));
         }
         unsent.sort_unstable_by_key(|(_, _, stored)| stored.serial);
@@ -214,7 +216,10 @@
     }
 
     /// The updates about a subject, with their origins.
-    pub fn about<'a>(&'a self, subject: &'a Subject) -> impl Iterator<Item = (&'a Name, &'a StoredUpdate)> {
+    pub fn updates_about<'a>(
+        &'a self,
+        subject: &'a UpdateSubject,
+    ) -> impl Iterator<Item = (&'a Name, &'a StoredUpdate)> {
         self.origins.iter().filter_map(move |(name, origin)| Some((name, origin.updates.get(subject)?)))
     }
 
@@ -230,7 +235,7 @@
 }
 
 impl Origin {
-    fn drop_update(&mut self, subject: &Subject) {
+    fn drop_update(&mut self, subject: &UpdateSubject) {
         if let Some(stored) = self.updates.remove(subject) {
             self.highest_dropped = self.highest_dropped.max(stored.number);
         }
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -3,7 +3,7 @@
 //! returns frames to send, changes of members, and observations that a quorum agrees on.
 use crate::quorum::{self, AgreedObservation};
 use crate::transit_time::TransitEstimator;
-use crate::updates::{MergeResult, StoredUpdate, Subject, Update, UpdateBody, UpdateStore};
+use crate::updates::{MergeResult, StoredUpdate, Update, UpdateBody, UpdateStore, UpdateSubject};
 use crate::{Frame, GossipConfig, Incarnation, Name, ring};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -227,11 +227,11 @@
     /// replace older ones. Before the first round trip a frame has no updates, as their age would be unknown to the peer.
     pub fn next_frame(&mut self, link: u64, now: f64) -> Option<Frame> {
         let open = self.links.get_mut(&link)?;
-        let echo = open.transit.echo(now);
+        let echo = open.transit.next_echo(now);
         let mut updates = vec![];
         if echo.is_some() {
             (updates, open.sent_up_to) =
-                self.updates.since(open.sent_up_to, link, now, MAX_UPDATES_PER_FRAME);
+                self.updates.updates_after(open.sent_up_to, link, now, MAX_UPDATES_PER_FRAME);
         }
         self.counters.updates_sent += updates.len() as u64;
         Some(Frame { sent_at_s: now, echo, updates })
@@ -431,8 +431,8 @@
         let mut agreed = vec![];
         for node in std::mem::take(&mut self.changed_nodes) {
             let Some(started_at) = started_at(&node) else { continue };
-            let subject = Subject::Node(node.clone());
-            let others = self.updates.about(&subject).filter(|(origin, _)| **origin != self.own_name);
+            let subject = UpdateSubject::Node(node.clone());
+            let others = self.updates.updates_about(&subject).filter(|(origin, _)| **origin != self.own_name);
             let updates: Vec<&StoredUpdate> = others.map(|(_, update)| update).collect();
             if let Some(observation) =
                 quorum::agreed_observation(&updates, started_at, now, max_age_s, quorum)
@@ -460,7 +460,7 @@
 
     /// All stored updates, this router's included, in the order of their origins and numbers.
     pub fn all_updates(&self, now: f64) -> Vec<Update> {
-        let mut updates = self.updates.since(0, 0, now, usize::MAX).0;
+        let mut updates = self.updates.updates_after(0, 0, now, usize::MAX).0;
         updates.sort_by(|a, b| (&a.origin, a.number).cmp(&(&b.origin, b.number)));
         updates
     }
--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -477,7 +477,7 @@
             shuffled.merge(update.clone(), 1.0, 2.0, 99, None);
         }
         let all = |store: &UpdateStore| {
-            let mut all = store.since(0, 0, 1.0, 999).0;
+            let mut all = store.updates_after(0, 0, 1.0, 999).0;
             all.sort_by(|a, b| (&a.origin, a.number).cmp(&(&b.origin, b.number)));
             all
         };
@@ -498,10 +498,10 @@
         for (there, back, pause) in delays {
             let sent = now;
             let arrived = sent + there;
-            far.frame_received(sent, near.echo(sent), other(arrived), 0.001);
+            far.frame_received(sent, near.next_echo(sent), other(arrived), 0.001);
             let replied = arrived + pause;
             let returned = replied + back;
-            if let Some(transit_s) = near.frame_received(other(replied), far.echo(other(replied)), returned, 0.001) {
+            if let Some(transit_s) = near.frame_received(other(replied), far.next_echo(other(replied)), returned, 0.001) {
                 prop_assert!(transit_s >= back - 1e-6, "{transit_s} for {back}");
             }
             now = returned + 0.1;
