--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -437,7 +437,7 @@
     }
 
     fn gauges(&self) -> [(&'static str, u64); 3] {
-        let (open, local) = self.assignments.counts();
+        let (open, local) = (self.assignments.open_count(), self.assignments.local_count());
         [
             ("planners_able", self.available_planners().len() as u64),
             ("queries_with_planners", (open - local) as u64),
--- a/crates/tier/src/leases.rs
+++ b/crates/tier/src/leases.rs
@@ -42,9 +42,9 @@
 }
 
 impl LeaseGrantor {
-    /// A grantor for `term`, from `now` on; `is_first` says that no earlier term can have granted anything.
-    pub fn new(config: LeaseConfig, term: u64, now: f64, is_first: bool) -> Self {
-        let opens_at = if is_first { now } else { now + LeaseGrantor::outstanding_for_s(&config) };
+    /// A grantor for `term`, from `now` on; `is_first_term` says that no earlier term can have granted anything.
+    pub fn new(config: LeaseConfig, term: u64, now: f64, is_first_term: bool) -> Self {
+        let opens_at = if is_first_term { now } else { now + LeaseGrantor::outstanding_for_s(&config) };
         LeaseGrantor { config, term, opens_at, outstanding: BTreeMap::new() }
     }
 
--- a/crates/tier/src/query_assignments.rs
+++ b/crates/tier/src/query_assignments.rs
@@ -111,9 +111,13 @@
         Some(Assignment { query: query.into(), decider, term })
     }
 
-    /// How many queries are open, and how many of them the own policy decides for.
-    pub fn counts(&self) -> (usize, usize) {
-        let local = self.by_query.values().filter(|(decider, _)| *decider == Decider::Local).count();
-        (self.by_query.len(), local)
+    /// The number of open queries.
+    pub fn open_count(&self) -> usize {
+        self.by_query.len()
+    }
+
+    /// The number of open queries that are assigned to the forwarder's local policy.
+    pub fn local_count(&self) -> usize {
+        self.by_query.values().filter(|(decider, _)| *decider == Decider::Local).count()
     }
 }
--- a/crates/tier/tests/forwarders_and_planners.rs
+++ b/crates/tier/tests/forwarders_and_planners.rs
@@ -36,10 +36,8 @@
     assert_eq!(assignments.query_of(&first.decider, reassigned[0].term), None);
     assert_eq!(assignments.query_of(&reassigned[0].decider, reassigned[0].term), Some("q"));
     assert_eq!(assignments.close("q"), Some(reassigned[0].clone()));
-    assert_eq!(
-        (assignments.query_of(&reassigned[0].decider, reassigned[0].term), assignments.counts()),
-        (None, (0, 0))
-    );
+    assert_eq!(assignments.query_of(&reassigned[0].decider, reassigned[0].term), None);
+    assert_eq!((assignments.open_count(), assignments.local_count()), (0, 0));
 }
 
 #[rstest]
@@ -53,7 +51,7 @@
     assert_eq!(assignments.assign("r", [].iter()).expect("a new query").decider, Decider::Local);
     // A planner that is available again gets new queries; those of the own policy stay with it.
     assert_eq!(assignments.assign("s", all.iter()).expect("a new query").decider, planner("p-1"));
-    assert_eq!(assignments.counts(), (3, 2));
+    assert_eq!((assignments.open_count(), assignments.local_count()), (3, 2));
 }
 
 #[rstest]
--- a/crates/tier/tests/query_assignment_model.rs
+++ b/crates/tier/tests/query_assignment_model.rs
@@ -107,7 +107,7 @@
 
     fn accepts(&self, state: &State, planner: usize, query: usize, term: u64) -> bool {
         let from = Decider::Planner(PLANNERS[planner].into());
-        (self.ignores_terms && state.assignments.counts().0 > 0)
+        (self.ignores_terms && state.assignments.open_count() > 0)
             || state.assignments.query_of(&from, term) == Some(QUERIES[query])
     }
 }
@@ -248,7 +248,7 @@
             }),
             Property::always("assigned until it is answered", |_, state: &State| {
                 let open = (0..2).filter(|q| state.arrived[*q] && state.answers[*q] == 0).count();
-                state.assignments.counts().0 == open
+                state.assignments.open_count() == open
             }),
             Property::eventually("every query is answered", |_, state: &State| state.answers == [1, 1]),
         ]
