--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -21,13 +21,13 @@
     }
 
     fn finished(&self, query: &str) {
-        self.1.iter().for_each(|tier| tier.borrow_mut().local_query_finished(query));
+        self.1.iter().for_each(|tier| tier.borrow_mut().remove_local_query(query));
     }
 }
 
 impl DecisionSink for Pen<'_> {
     fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
-        self.1.iter().for_each(|tier| tier.borrow_mut().local_attempt_started(part, node));
+        self.1.iter().for_each(|tier| tier.borrow_mut().record_local_attempt(part, node));
         self.0.borrow_mut().start_attempt(part, node, limit);
     }
     fn cancel_attempt(&mut self, part: &str, hop: usize) {
@@ -123,9 +123,9 @@
                 None => dispatcher.borrow_mut().notify_policy(now, intake),
                 Some(tier) => {
                     let mut tier = tier.borrow_mut();
-                    let mut split = InputSplitter::begin(&mut tier, intake);
+                    let mut split = InputSplitter::begin_round(&mut tier, intake);
                     dispatcher.borrow_mut().notify_policy(now, &mut split);
-                    split.end();
+                    split.end_round();
                 }
             }
             Ok::<(), Infallible>(())
@@ -136,7 +136,7 @@
         if catch_unwind(round).is_err() {
             tracing::error!(target: "failure", "the module failed: open queries are aborted, it starts anew");
             router = module()?;
-            tier.iter().for_each(|tier| tier.borrow_mut().start_over());
+            tier.iter().for_each(|tier| tier.borrow_mut().abort_all_queries());
             dispatcher.borrow_mut().restart_policy();
         }
         dispatcher.borrow_mut().counters.increment("rounds");
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -379,7 +379,7 @@
     // Decisions of the own policy.
 
     /// Records an attempt that the own policy starts.
-    pub fn local_attempt_started(&mut self, request: &str, node: &str) {
+    pub fn record_local_attempt(&mut self, request: &str, node: &str) {
         let started_at = self.clock.now();
         if let Some((query, index)) = self.requests.get(request)
             && let Some(query) = self.queries.get_mut(query)
@@ -389,7 +389,7 @@
     }
 
     /// Removes a query that the own policy has answered, rejected or failed.
-    pub fn local_query_finished(&mut self, query: &str) {
+    pub fn remove_local_query(&mut self, query: &str) {
         self.remove_query(query);
     }
 
@@ -415,7 +415,7 @@
 
     /// Ends everything, after a failure of the own policy. Guards against attempts that count at a planner's data nodes for
     /// ever: no outcome of theirs is sent after this.
-    pub fn start_over(&mut self) {
+    pub fn abort_all_queries(&mut self) {
         let now = self.clock.now();
         for ((request, number), attempt) in std::mem::take(&mut self.planner_attempts) {
             let PlannerAttempt { planner, node, started_at } = attempt;
--- a/crates/router/src/tier/forwarder/input_splitter.rs
+++ b/crates/router/src/tier/forwarder/input_splitter.rs
@@ -14,7 +14,7 @@
 
 impl<'a> InputSplitter<'a> {
     /// Begins a round: the own policy first gets observations by planners and the queries that it takes over.
-    pub fn begin(forwarder: &'a mut Forwarder, policy: &'a mut dyn PolicyInput) -> Self {
+    pub fn begin_round(forwarder: &'a mut Forwarder, policy: &'a mut dyn PolicyInput) -> Self {
         let now = forwarder.clock.now();
         for (node, observation) in std::mem::take(&mut forwarder.observations) {
             policy.node_observed(&node, observation);
@@ -34,7 +34,7 @@
     }
 
     /// Ends a round: new assignments are sent to their planners.
-    pub fn end(self) {
+    pub fn end_round(self) {
         for assignment in std::mem::take(&mut self.forwarder.new_assignments) {
             // The planner may have been lost during the round and the query reassigned.
             let assignments = &self.forwarder.assignments;
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -152,7 +152,7 @@
     }
 
     /// How many queries are open.
-    pub fn open_queries(&self) -> usize {
+    pub fn open_query_count(&self) -> usize {
         self.queries.len()
     }
 
@@ -230,7 +230,7 @@
 
     /// After a panic of the policy: closes all sessions, so that the forwarders reassign their queries, and prepares the
     /// whole endpoint list for the next policy.
-    pub fn start_over(&mut self) {
+    pub fn close_all_sessions(&mut self) {
         self.counters.increment("module_failures");
         let sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
         for id in sessions {
@@ -360,7 +360,7 @@
     }
 
     /// Sends a heartbeat to every forwarder, and ends the connections to those that have acknowledged none for `timeout_s`.
-    pub fn send_heartbeats(&mut self, timeout_s: f64) {
+    pub fn send_heartbeats_and_check_timeouts(&mut self, timeout_s: f64) {
         let endpoints_version = self.endpoints.version.unwrap_or(0);
         let (accepts_queries, now) = (self.accepts_queries(), self.clock.now());
         if self.serving_since.is_none() && self.endpoints.has_nodes() {
@@ -388,7 +388,7 @@
     // Rounds.
 
     /// When the next timer fires; infinity if none is set.
-    pub fn next_timer(&self) -> f64 {
+    pub fn next_timer_at(&self) -> f64 {
         self.timers.iter().map(|timer| timer.0).fold(f64::INFINITY, f64::min)
     }
 
--- a/crates/router/src/tier/planner/rounds.rs
+++ b/crates/router/src/tier/planner/rounds.rs
@@ -15,7 +15,7 @@
 /// Runs one round: the policy gets all inputs since the last round, and its decisions are sent to the forwarders.
 ///
 /// # Errors
-/// The policy panicked. The planner continues with another policy after [`Planner::start_over`].
+/// The policy panicked. The planner continues with another policy after [`Planner::close_all_sessions`].
 pub fn run_round(planner: &RefCell<Planner>, policy: &mut Policy) -> Result<(), PolicyPanicked> {
     let now = planner.borrow().clock.now();
     let notify = |input: &mut dyn PolicyInput| {
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -78,13 +78,13 @@
         }
     }
     planner.borrow_mut().is_stopping = true;
-    planner.borrow_mut().send_heartbeats(HEARTBEAT_TIMEOUT_S);
+    planner.borrow_mut().send_heartbeats_and_check_timeouts(HEARTBEAT_TIMEOUT_S);
     let until = clock.now() + graceful_shutdown::time_limit_s(max_deadline_s);
-    while planner.borrow().open_queries() > 0 && clock.now() < until {
+    while planner.borrow().open_query_count() > 0 && clock.now() < until {
         sleep(SHUTDOWN_POLL).await;
     }
     sleep(LAST_WRITES).await;
-    tracing::info!(target: "stop", "ended with {} open queries", planner.borrow().open_queries());
+    tracing::info!(target: "stop", "ended with {} open queries", planner.borrow().open_query_count());
     log::write_unlimited(&planner.borrow().counters.text());
     Ok(())
 }
@@ -95,10 +95,10 @@
     let mut policy = make_policy();
     let (clock, wake) = (planner.borrow().clock, planner.borrow().wake.clone());
     loop {
-        let next_timer = planner.borrow().next_timer();
+        let next_timer_at = planner.borrow().next_timer_at();
         tokio::select! {
             () = wake.notified() => {}
-            () = until(clock, next_timer), if next_timer.is_finite() => {}
+            () = until(clock, next_timer_at), if next_timer_at.is_finite() => {}
         }
         // Lets other tasks add what they have received to the same round.
         yield_now().await;
@@ -108,7 +108,7 @@
                 "{error}: all forwarders are disconnected, the planner continues with a new policy"
             );
             policy = make_policy();
-            planner.borrow_mut().start_over();
+            planner.borrow_mut().close_all_sessions();
         }
     }
 }
@@ -118,7 +118,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        planner.borrow_mut().send_heartbeats(HEARTBEAT_TIMEOUT_S);
+        planner.borrow_mut().send_heartbeats_and_check_timeouts(HEARTBEAT_TIMEOUT_S);
     }
 }
 
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -74,9 +74,9 @@
     /// Runs one round with the given policy input.
     fn round(&mut self, notify: impl FnOnce(&mut dyn PolicyInput)) -> Vec<Message> {
         let mut policy = RecordingPolicy::new(Recorded::Endpoints);
-        let mut splitter = InputSplitter::begin(&mut self.forwarder, &mut policy);
+        let mut splitter = InputSplitter::begin_round(&mut self.forwarder, &mut policy);
         notify(&mut splitter);
-        splitter.end();
+        splitter.end_round();
         assert!(policy.events.is_empty(), "input for the own policy: {:?}", policy.events);
         self.sent()
     }
@@ -121,7 +121,7 @@
     router.receive(Message::Answer { term: answered, query: "q".into(), complete: false });
     let open = router.assign(1, "r");
     router.start_attempt(open, "r.0");
-    router.forwarder.start_over();
+    router.forwarder.abort_all_queries();
     let sent = router.sent();
     let ends: Vec<_> = sent.iter().filter_map(attempt_ended).collect();
     assert_eq!(ends, [("q.0", 0, "s", WireOutcome::Cancelled), ("r.0", 0, "s", WireOutcome::Cancelled)]);
--- a/crates/router/tests/planner.rs
+++ b/crates/router/tests/planner.rs
@@ -29,16 +29,16 @@
     let mut without_classes = Policy::new(7, PolicyConfig::default());
     assert!(planner::run_round(&planner, &mut without_classes).is_err());
 
-    planner.borrow_mut().start_over();
+    planner.borrow_mut().close_all_sessions();
     assert!(planner.borrow_mut().outbox(session).is_none(), "the session is closed");
-    assert_eq!(planner.borrow().open_queries(), 0);
+    assert_eq!(planner.borrow().open_query_count(), 0);
     assert!(planner.borrow().counters.text().contains("module_failures 1"));
 
     let (session, _wake) = planner.borrow_mut().open_session(&hello);
     let greeting_bytes = planner.borrow_mut().outbox(session).expect("an open session").bytes.len();
     assert!(planner.borrow_mut().message_received(session, assign_query("r")));
     assert!(planner::run_round(&planner, &mut one_class_policy()).is_ok());
-    assert_eq!(planner.borrow().open_queries(), 0, "a query without data nodes is rejected at once");
+    assert_eq!(planner.borrow().open_query_count(), 0, "a query without data nodes is rejected at once");
     assert!(planner.borrow_mut().outbox(session).expect("an open session").bytes.len() > greeting_bytes);
 }
 
