--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -58,7 +58,7 @@
 }
 
 /// The gossip state that the dispatcher and the links share.
-pub struct Gossip {
+pub struct GossipService {
     view: View,
     clock: Clock,
     name: Name,
@@ -66,9 +66,9 @@
     counters: Counters,
 }
 
-type GossipHandle = Rc<RefCell<Gossip>>;
+type GossipHandle = Rc<RefCell<GossipService>>;
 
-impl Gossip {
+impl GossipService {
     /// Sends what the own policy observed of a data node. An operator turns this off where routers reach data nodes over
     /// unlike paths, as whether a node is slow then depends on the path as well.
     fn share_observation(&mut self, node: &str, observation: NodeObservation) {
@@ -108,13 +108,13 @@
     }
 }
 
-impl MetricsSource for RefCell<Gossip> {
+impl MetricsSource for RefCell<GossipService> {
     fn metrics(&self) -> MetricsSnapshot {
         self.borrow().metrics()
     }
 }
 
-impl GossipLink for RefCell<Gossip> {
+impl GossipLink for RefCell<GossipService> {
     fn share_observation(&self, node: &str, observation: NodeObservation) {
         self.borrow_mut().share_observation(node, observation);
     }
@@ -143,7 +143,7 @@
     let view = View::new(name, incarnation, &names, group.config, clock.now());
     let (name, shares_observations) = (name.to_string(), group.shares_observations);
     let gossip =
-        Gossip { view, clock, name: name.clone(), shares_observations, counters: Counters::default() };
+        GossipService { view, clock, name: name.clone(), shares_observations, counters: Counters::default() };
     let gossip = Rc::new(RefCell::new(gossip));
     dispatcher.borrow_mut().gossip = Some(gossip.clone());
     let context = LinkContext { dispatcher: dispatcher.clone(), gossip, config: group.config };
