--- a/crates/cores/src/core_table.rs
+++ b/crates/cores/src/core_table.rs
@@ -1,28 +1,32 @@
-//! The status of each core. Cores send heartbeats; the acceptor thread checks them, assigns connections to cores that
-//! serve, and decides whether a core that failed is restarted.
+//! The status of each core of a router process; a core is one thread. Cores send heartbeats to the acceptor thread,
+//! which detects cores that hang, assigns connections to cores that serve, and decides whether a core that failed is
+//! restarted. All times are seconds of the clock that all threads share.
 use std::collections::VecDeque;
 
-/// A core without a heartbeat for longer than this is hung: it gets no new connections until its next heartbeat.
+/// Seconds without a heartbeat after which a core is hung. A hung core gets no new connections until its next
+/// heartbeat.
 const HEARTBEAT_TIMEOUT_S: f64 = 0.5;
-/// A core that fails more often than this within `FAILURE_WINDOW_S` is not restarted, since it would go on failing with
-/// the queries it takes.
+/// A core that fails more often than this within `FAILURE_WINDOW_S` is not restarted, since each further failure would
+/// abort the queries that the core has accepted.
 const MAX_FAILURES: usize = 5;
 const FAILURE_WINDOW_S: f64 = 60.0;
-/// Wait before the first restart; it doubles with each further failure within `FAILURE_WINDOW_S`.
+/// Seconds from a core's first failure to its restart; doubled with each further failure within `FAILURE_WINDOW_S`.
 const INITIAL_RESTART_DELAY_S: f64 = 0.05;
 
-/// What a core does at present.
+/// Whether a core serves, hangs or has failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CoreStatus {
-    /// Its thread has started and has sent no heartbeat yet.
+    /// The core's thread has started and has sent no heartbeat yet.
     Starting,
-    /// It sends heartbeats in time.
+    /// The core's heartbeats arrive within `HEARTBEAT_TIMEOUT_S`.
     Serving,
-    /// It has missed its heartbeats; holds the time of the last one.
+    /// No heartbeat for longer than `HEARTBEAT_TIMEOUT_S`. Holds the time of the last heartbeat, in seconds of the
+    /// shared clock.
     Hung(f64),
-    /// Its thread has ended; holds the time of the restart.
+    /// The core's thread has ended without a shutdown. Holds the time at which the core is to be restarted, in seconds
+    /// of the shared clock.
     Failed(f64),
-    /// It has failed too often and is not restarted.
+    /// The core has failed more than `MAX_FAILURES` times within `FAILURE_WINDOW_S` and is not restarted.
     Lost,
 }
 
@@ -31,9 +35,9 @@
 pub struct StatusChange {
     /// Index of the core.
     pub core: usize,
-    /// Its new status.
+    /// The core's new status.
     pub status: CoreStatus,
-    /// How many cores serve after the change.
+    /// The number of cores with status `Serving` after the change.
     pub serving: usize,
 }
 
@@ -41,22 +45,22 @@
     status: CoreStatus,
     last_heartbeat_s: f64,
     clients: usize,
-    /// Connections assigned since the last heartbeat, which `clients` may not include yet.
+    /// Connections assigned since the core's last heartbeat, whose client count may not include them.
     assigned: usize,
-    /// Times of the failures within `FAILURE_WINDOW_S`.
+    /// Times of the core's failures within the last `FAILURE_WINDOW_S`, in seconds of the shared clock.
     failures: VecDeque<f64>,
 }
 
-/// The cores of one process, as the acceptor thread sees them.
+/// The cores of one process, as known to the acceptor thread.
 pub struct CoreTable {
     cores: Vec<Core>,
-    /// The core at which the search for the next connection's core begins, so that cores with equally few clients take
-    /// turns.
+    /// Index of the core at which the search for the next connection's core begins, so that cores with equally few
+    /// clients get connections in turn.
     next_core: usize,
 }
 
 impl CoreTable {
-    /// A table of `count` cores that start at `now`.
+    /// Creates a table of `count` cores whose threads start at `now`.
     pub fn new(count: usize, now: f64) -> Self {
         let core = || Core {
             status: CoreStatus::Starting,
@@ -68,17 +72,17 @@
         CoreTable { cores: (0..count).map(|_| core()).collect(), next_core: 0 }
     }
 
-    /// The status of a core.
+    /// Returns the status of the core with index `core`.
     pub fn status(&self, core: usize) -> CoreStatus {
         self.cores[core].status
     }
 
-    /// How many cores serve.
+    /// The number of cores with status `Serving`.
     pub fn serving_count(&self) -> usize {
         self.cores.iter().filter(|c| c.status == CoreStatus::Serving).count()
     }
 
-    /// How many cores have a status that matches.
+    /// The number of cores whose status satisfies `matches`.
     pub fn count(&self, matches: impl Fn(CoreStatus) -> bool) -> usize {
         self.cores.iter().filter(|c| matches(c.status)).count()
     }
@@ -91,23 +95,24 @@
         Some(StatusChange { core, status, serving: self.serving_count() })
     }
 
-    /// Records a core's latest heartbeat, sent at `at`, and its number of clients.
+    /// Records a heartbeat that a core sent at `at`, with the core's number of clients. Ignores a heartbeat that is not
+    /// newer than the last one recorded.
     pub fn record_heartbeat(&mut self, core: usize, at: f64, clients: usize) -> Option<StatusChange> {
-        let own = &mut self.cores[core];
-        if at <= own.last_heartbeat_s {
+        let record = &mut self.cores[core];
+        if at <= record.last_heartbeat_s {
             return None;
         }
-        (own.last_heartbeat_s, own.clients, own.assigned) = (at, clients, 0);
-        match own.status {
+        (record.last_heartbeat_s, record.clients, record.assigned) = (at, clients, 0);
+        match record.status {
             CoreStatus::Starting | CoreStatus::Hung(_) => self.set_status(core, CoreStatus::Serving),
-            // The heartbeat of a core that has failed since was sent before the failure.
+            // A heartbeat of a failed core was sent before the failure.
             CoreStatus::Serving | CoreStatus::Failed(_) | CoreStatus::Lost => None,
         }
     }
 
-    /// Accounts for a pause of the acceptor thread, which last checked the cores at `since`. Guards against taking that
-    /// pause for a hang of the cores: if it was longer than the heartbeat timeout, the timeout of each serving core
-    /// starts again.
+    /// Accounts for a pause of the acceptor thread, which last checked the cores at `since`. After a pause longer than
+    /// the heartbeat timeout, the timeout of each serving core starts again at `now`. Guards against marking cores as
+    /// hung because the acceptor thread was paused itself.
     pub fn acceptor_paused(&mut self, since: f64, now: f64) {
         if now - since > HEARTBEAT_TIMEOUT_S {
             let serving = self.cores.iter_mut().filter(|core| core.status == CoreStatus::Serving);
@@ -115,7 +120,7 @@
         }
     }
 
-    /// Marks serving cores as hung whose heartbeat has timed out, and returns the changes.
+    /// Marks each serving core as hung whose heartbeat has timed out, and returns the changes of status.
     pub fn mark_hung(&mut self, now: f64) -> Vec<StatusChange> {
         let overdue =
             |c: &Core| c.status == CoreStatus::Serving && now - c.last_heartbeat_s > HEARTBEAT_TIMEOUT_S;
@@ -125,19 +130,20 @@
             .collect()
     }
 
-    /// Records that a core's thread has ended without a shutdown.
+    /// Records that a core's thread has ended without a shutdown, and schedules the core's restart or marks the core as
+    /// lost.
     pub fn record_failure(&mut self, core: usize, now: f64) -> Option<StatusChange> {
-        let own = &mut self.cores[core];
-        own.failures.push_back(now);
-        own.failures.retain(|at| now - at < FAILURE_WINDOW_S);
-        (own.clients, own.assigned) = (0, 0);
-        let count = own.failures.len();
+        let record = &mut self.cores[core];
+        record.failures.push_back(now);
+        record.failures.retain(|at| now - at < FAILURE_WINDOW_S);
+        (record.clients, record.assigned) = (0, 0);
+        let count = record.failures.len();
         let delay = INITIAL_RESTART_DELAY_S * f64::from(1u32 << (count - 1).min(10));
         let status = if count > MAX_FAILURES { CoreStatus::Lost } else { CoreStatus::Failed(now + delay) };
         self.set_status(core, status)
     }
 
-    /// Returns the failed cores whose restart is due and marks them as starting.
+    /// Returns the indices of the failed cores whose time of restart has come, and marks these cores as starting.
     pub fn take_due_restarts(&mut self, now: f64) -> Vec<usize> {
         let due = |c: &Core| matches!(c.status, CoreStatus::Failed(at) if at <= now);
         let due: Vec<usize> = (0..self.cores.len()).filter(|&i| due(&self.cores[i])).collect();
@@ -147,13 +153,13 @@
         due
     }
 
-    /// Whether every core is lost.
+    /// Whether every core has status `Lost`, so that none will be restarted.
     pub fn are_all_lost(&self) -> bool {
         self.cores.iter().all(|c| c.status == CoreStatus::Lost)
     }
 
-    /// The core for the next connection: a serving one with the fewest clients, in rotation among equals. While no core
-    /// serves, a starting one. None if there is neither.
+    /// Assigns the next connection to the serving core with the fewest clients, in rotation among equals, or to a
+    /// starting core if none serves. Returns the core's index, or `None` if no core serves or starts.
     pub fn assign_connection(&mut self) -> Option<usize> {
         let count = self.cores.len();
         let rank = |c: &Core| match c.status {
@@ -163,8 +169,8 @@
         };
         let order = (0..count).map(|step| (self.next_core + step) % count);
         let candidates = order.filter_map(|i| {
-            let own = &self.cores[i];
-            Some((rank(own)?, own.clients + own.assigned, i))
+            let record = &self.cores[i];
+            Some((rank(record)?, record.clients + record.assigned, i))
         });
         let core = candidates.min_by_key(|&(rank, clients, _)| (rank, clients))?.2;
         self.next_core = (core + 1) % count;
--- a/crates/cores/src/fence.rs
+++ b/crates/cores/src/fence.rs
@@ -1,30 +1,36 @@
-//! Whether a core may start new attempts. A data node that starts to drain must get no new attempt after its grace
-//! period, not even from a core that was paused meanwhile. A core can't detect by itself that it missed an update of the
-//! endpoint list, so it checks this fence before each new attempt.
+//! A fence that blocks a core from starting attempts while the core's endpoint list may be outdated. A data node that
+//! starts to drain must get no new attempt after its grace period, not even from a core that was paused and missed the
+//! update. A core can't detect a missed update by itself, so each core checks the fence before each new attempt. All
+//! times are of the clock that all threads share.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The latest endpoint list that the acceptor thread has published, and how recent it is.
+/// The number of the latest endpoint list that the acceptor thread has published, and the time of its last read of
+/// discovery.
 #[derive(Debug)]
 pub struct Fence {
+    /// Number of the latest published endpoint list; 0 before the first one.
     published: AtomicU64,
-    /// When the acceptor thread had last read everything from discovery, in milliseconds of the common clock.
+    /// When the acceptor thread had last processed all updates received from discovery, in milliseconds of the shared
+    /// clock.
     last_discovery_read_ms: AtomicU64,
-    /// Seconds without a complete read of discovery after which the fence blocks every core.
+    /// Seconds after `last_discovery_read_ms` from which the fence blocks every core.
     max_discovery_age_s: f64,
 }
 
-/// Why the fence blocks a core.
+/// Why a core may not start new attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Blocked {
     /// The core has not applied the latest published endpoint list.
     ListOutdated,
-    /// The acceptor thread has not read from discovery for too long and may have missed an update itself.
+    /// The acceptor thread has not read from discovery for more than `max_discovery_age_s` and may have missed an
+    /// update.
     DiscoveryStale,
 }
 
 impl Fence {
-    /// A fence that blocks every core once discovery has not been read for `max_discovery_age_s`.
+    /// Creates a fence that blocks every core once discovery has not been read for more than `max_discovery_age_s`
+    /// seconds.
     pub fn new(max_discovery_age_s: f64) -> Arc<Self> {
         Arc::new(Fence {
             published: AtomicU64::new(0),
@@ -33,8 +39,8 @@
         })
     }
 
-    /// Assigns the next number to an endpoint list that is about to be sent to the cores, and returns it. From here on
-    /// the fence blocks cores that have not applied that list.
+    /// Assigns the next number to an endpoint list that is about to be sent to the cores, and returns the number. From
+    /// then on the fence blocks each core until the core has applied this list.
     pub fn publish(&self) -> u64 {
         self.published.fetch_add(1, Ordering::AcqRel) + 1
     }
@@ -44,18 +50,19 @@
         self.published.load(Ordering::Acquire)
     }
 
-    /// Records that the acceptor thread has read everything that discovery had sent by `now`, or that there is no watch
-    /// to read from and the last list remains in force.
+    /// Records that at `now` the acceptor thread had processed all updates received from discovery, or that there is no
+    /// discovery watch and the last list remains in force.
     pub fn record_discovery_read(&self, now: f64) {
         self.last_discovery_read_ms.fetch_max((now * 1e3) as u64, Ordering::AcqRel);
     }
 
-    /// Checks whether a core that has applied the list number `applied` may start new attempts.
+    /// Checks at `now` whether a core may start new attempts; `applied_list` is the number of the endpoint list that
+    /// the core has applied.
     ///
     /// # Errors
-    /// Why it may not.
-    pub fn check(&self, applied: u64, now: f64) -> Result<(), Blocked> {
-        if applied < self.published() {
+    /// The reason why the core may not start new attempts.
+    pub fn check(&self, applied_list: u64, now: f64) -> Result<(), Blocked> {
+        if applied_list < self.published() {
             return Err(Blocked::ListOutdated);
         }
         let last_read_s = self.last_discovery_read_ms.load(Ordering::Acquire) as f64 / 1e3;
--- a/crates/cores/src/observation_cache.rs
+++ b/crates/cores/src/observation_cache.rs
@@ -1,13 +1,14 @@
-//! The newest observation of each data node that a core received from the others, kept for the core's next policy when
-//! its thread is restarted after a failure.
+//! The newest observation of each data node that one core received from the other cores. When the core's thread is
+//! restarted after a failure, its next policy gets these observations. An observation holds three spans: the seconds
+//! from `observed_at_s` for which the node counts as slow, as very slow and as unresponsive.
 use alderway::interface::NodeObservation;
 use std::collections::BTreeMap;
 
-/// Unexpired observations by the name of the data node.
+/// Observations that have not expired, by data node name.
 #[derive(Default)]
 pub struct ObservationCache(BTreeMap<String, NodeObservation>);
 
-/// The time at which the last of an observation's spans ends.
+/// When the longest of the observation's spans ends, in seconds of the shared clock.
 fn expires_at_s(observation: &NodeObservation) -> f64 {
     let longest_s =
         observation.slow_for_s.max(observation.very_slow_for_s).max(observation.unresponsive_for_s);
@@ -15,7 +16,7 @@
 }
 
 impl ObservationCache {
-    /// Stores an observation, unless a newer one of the same process of the node is stored.
+    /// Stores an observation, unless the stored one is of the same process of the node and at least as new.
     pub fn record(&mut self, node: &str, observation: NodeObservation) {
         if self.0.get(node).is_some_and(|stored| {
             stored.started_at_s == observation.started_at_s
@@ -23,7 +24,7 @@
         }) {
             return;
         }
-        // An observation without any span says that the node is healthy again: it removes the stored one.
+        // An observation whose spans are all 0 reports a healthy node and removes the stored observation.
         if expires_at_s(&observation) <= observation.observed_at_s {
             self.0.remove(node);
         } else {
@@ -31,23 +32,23 @@
         }
     }
 
-    /// Drops observations that have expired and those of nodes that are not in the endpoint list.
+    /// Removes observations that have expired and observations of nodes that are not in the endpoint list.
     pub fn sweep(&mut self, now: f64, is_listed: impl Fn(&str) -> bool) {
         self.0.retain(|node, observation| is_listed(node) && expires_at_s(observation) > now);
     }
 
-    /// The observations that have not expired, with the names of their nodes.
+    /// Returns the observations that have not expired at `now`, with the names of their nodes.
     pub fn current(&self, now: f64) -> Vec<(String, NodeObservation)> {
         let current = self.0.iter().filter(|(_, observation)| expires_at_s(observation) > now);
         current.map(|(node, observation)| (node.clone(), *observation)).collect()
     }
 
-    /// How many observations are stored.
+    /// The number of stored observations.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether none is stored.
+    /// Whether no observation is stored.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/cores/src/open_ids.rs
+++ b/crates/cores/src/open_ids.rs
@@ -1,41 +1,42 @@
-//! The ids of open queries of all cores, in a lock-free hash table. An id is claimed before its query is admitted and
-//! released when the claim is dropped. A slot holds 54 bits of the id's hash under a key of the process; the row is
-//! chosen by other bits. Two different ids that are open at once collide with a probability below 10^-16; the later one
-//! is rejected.
+//! The ids of the open queries of all cores, in a lock-free hash table of rows with eight slots each. A core claims an
+//! id before it admits the query, and dropping the claim releases the id. A slot holds 54 bits of the id's hash under a
+//! key of the process; a second hash selects the row. Two different ids that are open at the same time collide with a
+//! probability below 10^-16; the later claim is then rejected.
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Slots of a row; an id has one row and may be in any of its slots.
+/// Slots in a row. Each id has one row and may occupy any slot of that row.
 const SLOTS_PER_ROW: usize = 8;
+/// Value of a slot without a claim.
 const FREE: u64 = 0;
-/// Set in a confirmed claim. Without it the claim is tentative, and a core with a tentative claim of the same id in an
-/// earlier slot may remove it.
+/// Bit that is set in a confirmed claim. A claim without this bit is tentative, and a core with a tentative claim of
+/// the same id in an earlier slot may remove it.
 const CONFIRMED: u64 = 1 << 63;
-/// Set in every claim, so that no claim looks like a free slot.
+/// Bit that is set in every claim, so that no claim equals `FREE`.
 const OCCUPIED: u64 = 1 << 62;
-/// Lowest bit of the claiming core's index. A core claims an id only once at a time, so no two claims write the same word
-/// into a slot. Without the index a core could confirm a slot from which its claim was removed and which holds another
-/// core's claim by then.
+/// Position of the lowest bit of the claiming core's index in a slot. A core claims an id only once at a time, so no
+/// two claims write the same value into a slot. Without the index a core could confirm a slot from which its claim was
+/// removed and into which another core has meanwhile written a claim.
 const CORE_SHIFT: u32 = 54;
 const HASH_MASK: u64 = (1 << CORE_SHIFT) - 1;
 
-/// The open ids of all cores.
+/// The ids of the queries that are open on any core.
 pub struct OpenQueryIds {
     rows: Vec<[AtomicU64; SLOTS_PER_ROW]>,
     key: RandomState,
 }
 
-/// Why an id can't be claimed.
+/// Why an id was not claimed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClaimError {
-    /// A query with this id is open.
+    /// A query with this id is open, on this core or another.
     AlreadyOpen,
-    /// All slots of the id's row are occupied.
+    /// Every slot of the id's row is occupied.
     RowFull,
 }
 
-/// A claimed id; it is released on drop.
+/// A claimed id. Dropping the claim releases the id.
 pub struct IdClaim {
     ids: Arc<OpenQueryIds>,
     row: usize,
@@ -49,22 +50,23 @@
 }
 
 impl OpenQueryIds {
-    /// A table for `capacity` open queries. It has as many rows, so that the probability of nine ids in one row, which has
-    /// eight slots, is about one in a million.
+    /// Creates a table with one row for each of `capacity` open queries, but at least 64 and at most 2^20 rows. With as
+    /// many open queries as rows, a given row gets more ids than its eight slots with a probability of about one in a
+    /// million.
     pub fn new(capacity: usize) -> Arc<Self> {
         let row = || std::array::from_fn(|_| AtomicU64::new(FREE));
         let rows = (0..capacity.clamp(64, 1 << 20)).map(|_| row()).collect();
         Arc::new(OpenQueryIds { rows, key: RandomState::new() })
     }
 
-    /// Claims an id if it is open on no core. Of several cores that claim the same id at once, exactly one succeeds: each
-    /// writes a tentative claim and then reads the whole row. A core withdraws if it finds the id confirmed, or tentative
-    /// in an earlier slot. It removes a tentative claim in a later slot, or withdraws if that has been confirmed
-    /// meanwhile. No core waits for another: a core that is paused halfway blocks none, and at worst its id is rejected
-    /// until it continues.
+    /// Claims an id if no core has claimed it. Of several cores that claim the same id at once, exactly one succeeds:
+    /// each core writes a tentative claim and then reads the whole row. A core withdraws its claim if the id is
+    /// confirmed in another slot, or tentative in an earlier slot. A core removes a tentative claim in a later slot, or
+    /// withdraws if that claim has been confirmed meanwhile. No core waits for another: if a core is paused halfway,
+    /// other claims of the same id are at worst rejected until the core continues.
     ///
     /// # Errors
-    /// The id is open, or its row has no free slot.
+    /// `AlreadyOpen` if the id is claimed, `RowFull` if the id's row has no free slot.
     pub fn claim(self: &Arc<Self>, core: u8, id: &str) -> Result<IdClaim, ClaimError> {
         let (hash, row) = (self.key.hash_one(id), self.key.hash_one((1, id)) as usize % self.rows.len());
         let tentative = OCCUPIED | u64::from(core) << CORE_SHIFT | (hash & HASH_MASK);
@@ -95,7 +97,7 @@
                 }
             }
         }
-        // Fails if a core with a claim in an earlier slot has removed this one.
+        // Fails if a core with a claim in an earlier slot has removed this core's claim.
         let confirmed = tentative | CONFIRMED;
         match slots[own].compare_exchange(tentative, confirmed, Ordering::SeqCst, Ordering::SeqCst) {
             Ok(_) => Ok(IdClaim { ids: self.clone(), row, slot: own }),
@@ -103,7 +105,7 @@
         }
     }
 
-    /// How many ids are open.
+    /// The number of confirmed claims, that is, of open queries.
     pub fn count(&self) -> usize {
         let is_claimed = |slot: &&AtomicU64| slot.load(Ordering::SeqCst) & CONFIRMED != 0;
         self.rows.iter().flatten().filter(is_claimed).count()
--- a/crates/cores/src/pool.rs
+++ b/crates/cores/src/pool.rs
@@ -1,44 +1,45 @@
-//! A fixed amount shared by all cores of a process: capacity for queries and shard requests, or file descriptors. An
-//! acquisition gets its whole amount in one atomic step or nothing, so the permits held never add up to more than the
-//! pool's amount. Nothing is divided among the cores in advance, so no core holds back what another needs.
+//! A fixed number of units that all cores of a process share. A unit is the capacity for one query or shard request, or
+//! one file descriptor. A caller acquires all the units that it asks for in one atomic step, or none, so the acquired
+//! units never exceed the pool's size. No units are reserved for a core in advance, so no core holds back units that
+//! another core needs.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A counter of free units.
+/// A pool of units that are free or held by permits.
 #[derive(Debug)]
 pub struct Pool {
     free: AtomicUsize,
-    /// Callers that found too little free and are waiting.
+    /// Number of callers that found too few free units and are waiting.
     waiters: AtomicUsize,
 }
 
-/// Units acquired from a pool, given back on drop.
+/// Units acquired from a pool. Dropping the permit returns the units to the pool.
 #[derive(Debug)]
 pub struct PoolPermit {
     pool: Arc<Pool>,
-    amount: usize,
+    units: usize,
 }
 
 impl Pool {
-    /// A pool with `amount` free units.
-    pub fn new(amount: usize) -> Arc<Self> {
-        Arc::new(Pool { free: AtomicUsize::new(amount), waiters: AtomicUsize::new(0) })
+    /// Creates a pool with `units` free units.
+    pub fn new(units: usize) -> Arc<Self> {
+        Arc::new(Pool { free: AtomicUsize::new(units), waiters: AtomicUsize::new(0) })
     }
 
-    /// Acquires `amount` units, or none if fewer are free.
-    pub fn acquire(self: &Arc<Self>, amount: usize) -> Option<PoolPermit> {
-        let less = |free: usize| free.checked_sub(amount);
+    /// Acquires `units` units. Returns `None` if fewer are free.
+    pub fn acquire(self: &Arc<Self>, units: usize) -> Option<PoolPermit> {
+        let less = |free: usize| free.checked_sub(units);
         self.free.fetch_update(Ordering::AcqRel, Ordering::Acquire, less).ok()?;
-        Some(PoolPermit { pool: self.clone(), amount })
+        Some(PoolPermit { pool: self.clone(), units })
     }
 
-    /// Units that are free now.
+    /// The number of units that are free now.
     pub fn free(&self) -> usize {
         self.free.load(Ordering::Acquire)
     }
 
-    /// Registers a waiter until the returned value is dropped, so that holders of permits can release what they don't
-    /// need.
+    /// Counts the caller as waiting until the returned guard is dropped. Holders of permits check `has_waiters` and
+    /// release units that they don't need.
     pub fn register_waiter(self: &Arc<Self>) -> WaiterGuard {
         self.waiters.fetch_add(1, Ordering::AcqRel);
         WaiterGuard(self.clone())
@@ -50,7 +51,7 @@
     }
 }
 
-/// Counts as a waiter of its pool until it is dropped.
+/// Counts one waiting caller of the pool until it is dropped.
 pub struct WaiterGuard(Arc<Pool>);
 
 impl Drop for WaiterGuard {
@@ -61,6 +62,6 @@
 
 impl Drop for PoolPermit {
     fn drop(&mut self) {
-        self.pool.free.fetch_add(self.amount, Ordering::AcqRel);
+        self.pool.free.fetch_add(self.units, Ordering::AcqRel);
     }
 }
--- a/crates/cores/src/rebalancer.rs
+++ b/crates/cores/src/rebalancer.rs
@@ -1,51 +1,53 @@
-//! Which client connections move between cores. New connections are spread evenly, but a few of them may bring most of
-//! the work: a core that is much busier than another hands over the connections that send the next requests, since those
-//! are likely the busy ones.
+//! Decides which client connections move between cores. New connections are spread evenly, but a few connections may
+//! bring most of the load: a core that is much busier than another hands over the connections that send the next
+//! requests, since these are likely the busy ones.
 
-/// The least utilization of a core that hands connections over, as a fraction of its time.
+/// Utilization from which on a core hands over connections: the fraction of recent time that the core was busy, from 0
+/// to 1.
 const MIN_UTILIZATION: f64 = 0.35;
-/// The least difference in utilization between the two cores.
+/// Difference in utilization between two cores from which on connections move, from 0 to 1.
 const MIN_UTILIZATION_GAP: f64 = 0.20;
-/// Seconds after a move during which neither core takes part in another: the reported loads predate the move.
+/// Seconds after a move during which neither of its cores takes part in another move, because the reported loads
+/// predate the first one.
 const COOLDOWN_S: f64 = 1.0;
 
-/// The load that a core reports.
+/// The load that one core reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CoreLoad {
-    /// Fraction of its recent time that it was busy.
+    /// Fraction of recent time that the core was busy, from 0 to 1.
     pub utilization: f64,
-    /// Clients that recently had a response.
+    /// Number of clients that recently received a response.
     pub active_clients: usize,
-    /// Whether it serves.
+    /// Whether the core has status `CoreStatus::Serving`.
     pub is_serving: bool,
 }
 
-/// A number of connections that one core hands over to another.
+/// A decision to move client connections from one core to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionMove {
-    /// The core that hands them over.
+    /// Index of the core that hands over the connections.
     pub from: usize,
-    /// The core that gets them.
+    /// Index of the core that receives the connections.
     pub to: usize,
-    /// How many.
+    /// The number of connections to move.
     pub connections: usize,
 }
 
 /// Decides on moves from the loads of all cores.
 pub struct Rebalancer {
-    /// When each core last took part in a move.
+    /// When each core last took part in a move, in seconds of the shared clock.
     last_moves: Vec<f64>,
 }
 
 impl Rebalancer {
-    /// For so many cores.
+    /// Creates a rebalancer for `cores` cores.
     pub fn new(cores: usize) -> Self {
         Rebalancer { last_moves: vec![f64::NEG_INFINITY; cores] }
     }
 
-    /// The next move from the busiest to the least busy core, if it would reduce the difference. As many connections move
-    /// as account for half the difference if all are equally busy. A core's only active connection never moves, since
-    /// the whole load would move with it.
+    /// Decides whether connections move from the busiest to the least busy core. The number of connections accounts for
+    /// half the difference in utilization if all connections are equally busy. Returns `None` if the difference is too
+    /// small, or if the busier core has only one active connection, since the whole load would move with it.
     pub fn next_move(&mut self, now: f64, loads: &[CoreLoad]) -> Option<ConnectionMove> {
         let is_cool = |i: usize| now - self.last_moves[i] >= COOLDOWN_S;
         let eligible = || (0..loads.len()).filter(|&i| loads[i].is_serving && is_cool(i));
--- a/crates/cores/tests/shared_state.rs
+++ b/crates/cores/tests/shared_state.rs
@@ -1,4 +1,5 @@
-//! State that cores share: concurrent claims and permits, paused threads, and cores that fail or hang.
+//! Tests of the state that cores share: concurrent claims of ids and permits, paused threads, and cores that fail or
+//! hang.
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_cores::fence::{Blocked, Fence};
@@ -114,7 +115,7 @@
     assert_eq!((fence.check(0, 11.0), fence.check(0, 11.1)), (Ok(()), Err(Blocked::DiscoveryStale)));
     fence.record_discovery_read(11.2);
     assert_eq!(fence.check(0, 11.3), Ok(()));
-    // An earlier time that is recorded late does not move the record back.
+    // Recording an earlier time does not replace the later one.
     fence.record_discovery_read(10.5);
     assert_eq!(fence.check(0, 12.1), Ok(()));
 }
@@ -154,7 +155,7 @@
     let hung = table.mark_hung(0.7);
     assert_eq!((hung.len(), hung[0].core, hung[0].serving), (1, 2, 2));
     assert_eq!((0..3).filter_map(|_| table.assign_connection()).collect::<Vec<_>>(), [1, 1, 0]);
-    // Its next heartbeat makes it serve again.
+    // The next heartbeat of the hung core makes it serve again.
     assert_eq!(table.record_heartbeat(2, 3.0, 2).map(|c| c.status), Some(CoreStatus::Serving));
 }
 
@@ -175,7 +176,7 @@
         table.record_heartbeat(1, now + 0.1, 0);
     }
     assert_eq!((restarts, table.serving_count(), table.are_all_lost()), (5, 1, false));
-    // Failures further apart than the window never add up.
+    // Failures more than the failure window apart are not counted together.
     let mut table = CoreTable::new(1, 0.0);
     for hour in 1..50 {
         table.record_failure(0, f64::from(hour) * 3600.0);
@@ -209,7 +210,7 @@
     assert!(rebalancer.next_move(6.0, &loads).is_some());
 }
 
-/// A configuration that generates the same cases in each run.
+/// A proptest configuration with a fixed seed, so that each run generates the same cases.
 fn seeded(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -222,7 +223,8 @@
 proptest! {
     #![proptest_config(seeded(256))]
 
-    /// Withdrawals of all cores in any window never exceed the capacity plus the deposits in that window.
+    /// In any sequence of steps, all cores together withdraw at most the budget's capacity plus the deposits of these
+    /// steps.
     #[test]
     fn a_retry_budget_shared_by_cores_holds_in_every_window(
         steps in prop::collection::vec((0..4u8, any::<bool>()), 1..400),
@@ -240,7 +242,7 @@
                 core.deposit(ratio, capacity);
                 log.push((ratio, 0.0));
             }
-            // A core that restarts must not refill the bucket.
+            // A core that is restarted calls `fill` again, which must not refill the budget.
             core.fill(capacity);
         }
         for from in 0..log.len() {
@@ -253,7 +255,8 @@
         }
     }
 
-    /// For any order of requests: within one span only a single core sends to a node in slow start.
+    /// For any order of requests, only one core at a time sends to a node in slow start, for the seconds that the core
+    /// asked for.
     #[test]
     fn only_one_core_at_a_time_sends_to_a_node_in_slow_start(
         steps in prop::collection::vec((0..4u8, 0.0..0.4f64, 0.2..1.0f64), 1..200),
@@ -272,11 +275,12 @@
                 *turns.entry(core).or_insert(0) += 1;
             }
         }
-        // A core that no longer asks does not keep the node's turn.
+        // A core that sends no further requests to the node does not block the other cores.
         prop_assert!(cores.iter().any(|c| c.try_slow_start_turn("cold", now + 1.1, 0.1)));
     }
 
-    /// For any order of updates and reads: no core passes with an outdated list or stale discovery.
+    /// For any order of list updates and discovery reads, the fence blocks each core whose list is outdated and all
+    /// cores once the last read of discovery is too old.
     #[test]
     fn the_fence_passes_only_cores_that_have_every_update(
         steps in prop::collection::vec((0..4u8, 0..3usize, 0.0..0.6f64), 1..200),
@@ -292,7 +296,7 @@
                 _ => {}
             }
             for applied in applied {
-                // The fence stores whole milliseconds.
+                // The fence stores whole milliseconds, so its limit is exact to 1 ms.
                 let passes = fence.check(applied, now).is_ok();
                 prop_assert!(!passes || (applied == published && now - read_at <= 1.001));
                 prop_assert!(passes || applied < published || now - read_at >= 0.999);
@@ -300,7 +304,7 @@
         }
     }
 
-    /// For observations in any order, the cache holds the newest unexpired one of each node.
+    /// For observations in any order, the cache holds the newest unexpired observation of each node.
     #[test]
     fn the_cache_holds_the_newest_observation(
         observations in prop::collection::vec((0..3u8, 0.0..10.0f64, prop::sample::select(vec![0.0, 1.0, 30.0])), 1..60),
@@ -308,7 +312,7 @@
         let (mut cache, mut newest) = (ObservationCache::default(), BTreeMap::<String, NodeObservation>::new());
         for (node, observed_at_s, span_s) in observations {
             let (node, observation) = (format!("n{node}"), slow(observed_at_s, span_s));
-            // An observation of a healthy node removes older ones and is not stored itself.
+            // An observation of a healthy node removes older observations and is not stored itself.
             let newer = newest.get(&node).filter(|held| held.slow_for_s > 0.0 && held.observed_at_s >= observed_at_s);
             if newer.is_none() {
                 newest.insert(node.clone(), observation);
@@ -327,7 +331,7 @@
     table.record_heartbeat(1, 0.1, 0);
     table.acceptor_paused(0.1, 0.9);
     assert_eq!(table.mark_hung(0.9), []);
-    // From then on heartbeats are due again.
+    // After the pause, heartbeats time out as before.
     table.record_heartbeat(0, 1.0, 0);
     table.acceptor_paused(1.3, 1.45);
     let hung: Vec<usize> = table.mark_hung(1.45).iter().map(|change| change.core).collect();
