--- a/crates/peers/src/quorum.rs
+++ b/crates/peers/src/quorum.rs
@@ -1,26 +1,29 @@
-//! When observations of a data node by other routers are accepted. A quorum of routers has to agree on whether the node is
-//! healthy, each by an update that is not stale, and the spans accepted are the longest that a quorum of them reaches. So
-//! faulty or stuck routers, as long as they are fewer than the quorum, can neither take a healthy node out, nor keep it out
-//! longer, nor make an unresponsive one count as healthy. The policy sees to it that this router's own later observations
-//! take precedence.
+//! Decides when observations of a data node by other routers are accepted. An observation holds three spans: the
+//! seconds for which the node counts as slow, as very slow and as unresponsive. A quorum is the number of other routers
+//! that must agree on whether the node is healthy, each by an update that is not stale. An accepted span is the longest
+//! one that the updates of a quorum of routers confirm. So faulty or stuck routers, as long as they are fewer than the
+//! quorum, can't make a healthy node count as unhealthy, extend the time for which a node counts as unhealthy, or make
+//! an unresponsive node count as healthy. If this router observes the node itself later, the policy prefers that
+//! observation. All times without another clock are seconds of this router's monotonic clock.
 use crate::updates::{StoredUpdate, UpdateBody};
 
-/// What a quorum of routers observed of a data node's process. The spans count from `observed_at_s`.
+/// An observation of a data node's process that a quorum of other routers agrees on. The spans count from
+/// `observed_at_s`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AgreedObservation {
-    /// When the process started, if known.
+    /// When the node's process started, in seconds of this router's clock, if known.
     pub started_at_s: Option<f64>,
-    /// The latest time such that a quorum observed the node then or later.
+    /// The latest time, in seconds of this router's clock, at or after which a quorum of routers observed the node.
     pub observed_at_s: f64,
-    /// For how long the node counts as slow.
+    /// Seconds after `observed_at_s` for which the node counts as slow.
     pub slow_for_s: f64,
-    /// For how long it counts as very slow.
+    /// Seconds after `observed_at_s` for which the node counts as very slow.
     pub very_slow_for_s: f64,
-    /// For how long it counts as unresponsive.
+    /// Seconds after `observed_at_s` for which the node counts as unresponsive.
     pub unresponsive_for_s: f64,
 }
 
-/// Start times that differ by less are of the same process: each router derives them by its own clock.
+/// Two start times that differ by less are of the same process: each router derives start times by its own clock.
 const START_TOLERANCE_S: f64 = 0.5;
 
 fn is_same_process(one: Option<f64>, other: Option<f64>) -> bool {
@@ -31,23 +34,24 @@
     }
 }
 
-/// The highest value that at least `quorum` of the values reach.
+/// The highest value that at least `quorum` of the values equal or exceed; `None` if there are fewer values.
 fn reached_by_quorum(values: impl Iterator<Item = f64>, quorum: usize) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(|a, b| b.total_cmp(a));
     values.get(quorum.max(1) - 1).copied()
 }
 
-/// One router's observation, with the ends of its spans by the own clock.
+/// One router's observation, in seconds of the clock of the router that runs this code.
 struct Observation {
     observed_at: f64,
-    /// Until when the node is slow, very slow and unresponsive.
+    /// When the node stops counting as slow, as very slow and as unresponsive.
     until: [f64; 3],
     is_unhealthy: bool,
 }
 
-/// What a quorum observed of the process that started at `started_at_s`, from the latest update of each router about its
-/// node. Updates older than `max_age_s` don't count, and no span lasts longer than the update that it comes from.
+/// Returns what a quorum of routers observed of the data node's process that started at `started_at_s`, or `None` if no
+/// quorum agrees. `updates` holds the latest update about this node of each other router. Updates older than
+/// `max_age_s` don't count, and each span ends at most `max_age_s` seconds after the creation of its update.
 pub fn agreed_observation(
     updates: &[&StoredUpdate],
     started_at_s: Option<f64>,
--- a/crates/peers/src/transit_time.rs
+++ b/crates/peers/src/transit_time.rs
@@ -1,22 +1,23 @@
-//! An upper bound on how long a received frame was in transit. Guards against updates that were delayed in a stalled link or
-//! a paused router and would count as new when they arrive. A frame that echoes a timestamp of ours completes a round
-//! trip, and its own transit is part of that trip, which bounds the offset between the two clocks. By as much as a later
-//! frame exceeds that bound, it was in transit. The bound holds for any delay in either direction, as long as the clocks
-//! differ in rate by no more than the configured drift.
+//! Computes an upper bound on how long a received frame was in transit. Guards against updates that were delayed by a
+//! stalled link or a paused router and would count as new on arrival. Each frame echoes a timestamp of its receiver,
+//! which completes a round trip. The frame's transit is part of that round trip, which bounds the difference between
+//! the two clocks. The bound holds for any delay in either direction, as long as the clocks differ in rate by no more
+//! than the configured drift. All times are seconds; those of the peer's clock are named so, the others are of this
+//! router's monotonic clock.
 
 /// Estimates the transit times of the frames on one link.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransitEstimator {
-    /// The least offset of our clock ahead of the peer's, and when it was measured.
+    /// A lower bound on this router's clock minus the peer's clock, in seconds, and when the bound was measured.
     min_offset: Option<(f64, f64)>,
-    /// The newest timestamp of the peer, and when it was received.
+    /// The peer's newest timestamp, in seconds of the peer's clock, and when this router received it.
     last_received: Option<(f64, f64)>,
 }
 
 impl TransitEstimator {
-    /// Accounts for a frame received at `now`, sent at `sent_at` by the peer's clock, with an echo of one of our timestamps
-    /// and how long the peer held it. Returns the most seconds that the frame was in transit; none before the first round
-    /// trip.
+    /// Processes a frame that was received at `now` and sent at `sent_at` of the peer's clock. `echo` is the newest
+    /// timestamp that the peer has received from this router, and the seconds since the peer received it. Returns an
+    /// upper bound on the seconds that the frame was in transit, or `None` before the first round trip.
     pub fn frame_received(
         &mut self,
         sent_at: f64,
@@ -38,12 +39,13 @@
         self.min_offset(now, max_clock_drift).map(|least| (offset - least).max(0.0))
     }
 
-    /// The least offset at `now`, less the drift that may have occurred since it was measured.
+    /// The lower bound on the clock difference at `now`, reduced by the drift that may have occurred since its
+    /// measurement.
     fn min_offset(&self, now: f64, max_clock_drift: f64) -> Option<f64> {
         self.min_offset.map(|(least, at)| least - max_clock_drift * (now - at))
     }
 
-    /// The echo for the next frame to the peer: its newest timestamp, and how long it has been held.
+    /// Returns the echo for the next frame to the peer: the peer's newest timestamp, and the seconds since its receipt.
     pub fn next_echo(&self, now: f64) -> Option<(f64, f64)> {
         self.last_received.map(|(sent_at, at)| (sent_at, now - at))
     }
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -1,47 +1,50 @@
-//! The updates that routers gossip. An update has an origin, the origin's incarnation, and a number that grows with each
-//! update. The newest update of each origin about each subject is stored, by whichever link and in whatever order updates
-//! arrive, so routers that have received the same updates store the same. Updates are dropped once they are stale, and a
-//! later incarnation of an origin drops all updates of an earlier one.
+//! The updates that routers gossip, and their store. An update is one router's report about one subject; that router is
+//! the update's origin. An update names the origin's incarnation and a number that grows with each update of the
+//! origin. The store holds the newest update of each origin about each subject, regardless of the links and the order
+//! in which updates arrive, so routers that have received the same updates store the same. Updates are dropped when
+//! they are older than the maximum age, and the first update of a later incarnation drops the origin's earlier updates.
+//! All times are seconds of this router's monotonic clock.
 use crate::{Incarnation, Name};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an update reports. Encoded by `postcard`: the order of variants and fields and the types of the fields are the wire
-/// format.
+/// The content of an update. Encoded by `postcard`: the order of variants and fields and the types of the fields are
+/// the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UpdateBody {
-    /// The origin is alive.
+    /// The update's origin is alive.
     Alive,
-    /// The origin is shutting down.
+    /// The update's origin is shutting down.
     Leaving,
-    /// The origin has not heard from a member for long. The member refutes this when it receives it.
+    /// The update's origin has received no update of another member for several alive intervals. That member refutes
+    /// the report when it receives it.
     Missed {
-        /// The member.
+        /// The member whose updates are missing.
         member: Name,
-        /// Its latest incarnation that the origin knows.
+        /// The latest incarnation of `member` that is known to the update's origin.
         incarnation: Incarnation,
     },
-    /// How many of the origin's queries have ended since its last update of this kind.
+    /// How many queries of the update's origin have ended since its previous update of this kind.
     QueryCounts {
-        /// Those that ended too late.
+        /// Number of queries that ended late.
         late: u32,
-        /// Those that ended in time.
+        /// Number of queries that ended in time.
         in_time: u32,
     },
-    /// What the origin observed of a data node by its own attempts. The spans count from the creation of the update; one of
-    /// 0 says that the node is healthy in that respect.
+    /// What the update's origin observed of a data node by its own attempts. The spans count from the creation of the
+    /// update; a span of 0 means that the node is healthy in that respect.
     Observation {
-        /// The data node.
+        /// The data node's name.
         node: Name,
         /// Seconds from the start of the node's process to the observation, if known.
         uptime_s: Option<f32>,
         /// Seconds from the observation to the creation of the update.
         observed_ago_s: f32,
-        /// For how long the node counts as slow.
+        /// Seconds for which the node counts as slow.
         slow_for_s: f32,
-        /// For how long it counts as very slow.
+        /// Seconds for which the node counts as very slow.
         very_slow_for_s: f32,
-        /// For how long it counts as unresponsive.
+        /// Seconds for which the node counts as unresponsive.
         unresponsive_for_s: f32,
     },
 }
@@ -57,46 +60,48 @@
     }
 }
 
-/// What an update is about. A later update of an origin replaces an earlier one about the same subject.
+/// The subject of an update. A later update of the same origin about the same subject replaces the earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpdateSubject {
-    /// The origin itself.
+    /// The update's origin: whether it is alive or shutting down.
     Origin,
-    /// The origin's queries.
+    /// How the queries of the update's origin have ended.
     QueryCounts,
-    /// Another member.
+    /// A member whose updates the origin misses, by name.
     Member(Name),
-    /// A data node.
+    /// A data node, by name.
     Node(Name),
 }
 
-/// An update as it is sent.
+/// One router's report about one subject, in the form in which it is sent to other routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// The member that created it.
+    /// The member that created the update.
     pub origin: Name,
-    /// The origin's incarnation.
+    /// The incarnation of the origin that created the update.
     pub incarnation: Incarnation,
-    /// Grows with each update of the origin.
+    /// Number of the update; grows with each update that the origin creates.
     pub number: u64,
-    /// An upper bound on the seconds since its creation.
+    /// An upper bound on the update's age in seconds.
     pub age_s: f64,
-    /// What it reports.
+    /// The content of the update.
     pub body: UpdateBody,
 }
 
-/// An update as it is stored.
+/// An update in the form in which it is stored; the store holds the origin and the incarnation beside it.
 #[derive(Clone, Debug)]
 pub struct StoredUpdate {
-    /// Its number.
+    /// The update's number; grows with each update that the origin creates.
     pub number: u64,
-    /// A lower bound on the time of its creation, by the own clock.
+    /// A lower bound on when the update was created, in seconds of this router's clock.
     pub created_at: f64,
-    /// What it reports.
+    /// The content of the update.
     pub body: UpdateBody,
-    /// Its position among all updates stored, from which links find what they have not sent yet.
+    /// Number that the store assigned to the update, growing in the order in which updates were stored. Each link
+    /// records up to which serial its updates were sent.
     serial: u64,
-    /// The link that it was received on.
+    /// The link on which the update was received and over which it is not sent back; `None` for an update that this
+    /// router created.
     received_on: Option<u64>,
 }
 
@@ -104,24 +109,25 @@
 struct Origin {
     incarnation: Incarnation,
     updates: BTreeMap<UpdateSubject, StoredUpdate>,
-    /// The highest number among the dropped updates of this incarnation.
+    /// The highest number among the dropped updates of this incarnation. An update up to this number is not stored
+    /// again.
     highest_dropped: u64,
 }
 
-/// What became of an update that was merged.
+/// Whether an update was stored, or why not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MergeResult {
-    /// It is stored.
+    /// The update was new and has been stored.
     New,
-    /// It, or a later one about its subject, was stored already.
+    /// The update, or a later one of the same origin about the same subject, had been received before.
     Known,
-    /// It was too old.
+    /// The update was as old as the maximum age or older, or its age was invalid.
     Stale,
-    /// A later incarnation of its origin is known.
+    /// The update is of an earlier incarnation of its origin than the latest one known.
     FormerIncarnation,
 }
 
-/// The newest updates of all origins.
+/// The newest update of each origin about each subject.
 #[derive(Debug, Default)]
 pub struct UpdateStore {
     origins: BTreeMap<Name, Origin>,
@@ -129,8 +135,9 @@
 }
 
 impl UpdateStore {
-    /// Stores an update, unless it is stale or not news; `received_on` is the link that it was received on. Of each origin at most
-    /// `max_per_origin` updates are stored.
+    /// Stores an update, unless it is as old as `max_age_s` seconds or not new. `received_on` is the link on which the
+    /// update was received, `None` if this router created it. At most `max_per_origin` updates of each origin are
+    /// stored.
     pub fn merge(
         &mut self,
         update: Update,
@@ -163,7 +170,7 @@
             received_on,
         };
         origin.updates.insert(subject, stored);
-        // Guards against an origin that sends more than can be stored: its oldest updates are dropped.
+        // Guards against an origin that sends more updates than can be stored: its oldest updates are dropped.
         while origin.updates.len() > max_per_origin {
             let oldest = origin.updates.iter().min_by_key(|(_, stored)| stored.number);
             let Some(oldest) = oldest.map(|(subject, _)| subject.clone()) else { break };
@@ -172,7 +179,7 @@
         MergeResult::New
     }
 
-    /// Drops updates that are stale.
+    /// Drops updates that are as old as `max_age_s` seconds or older.
     pub fn sweep(&mut self, now: f64, max_age_s: f64) {
         for origin in self.origins.values_mut() {
             let stale = origin.updates.iter().filter(|(_, stored)| now - stored.created_at >= max_age_s);
@@ -181,8 +188,8 @@
         }
     }
 
-    /// Up to `max_updates` updates that were stored after `serial` and not received on `link`, oldest first, and the serial
-    /// from which the next call for the link continues.
+    /// Returns up to `max_updates` updates with a serial above `serial` that were not received on `link`, in the order
+    /// of their serials, and the serial to pass in the next call for this link.
     pub fn updates_after(&self, serial: u64, link: u64, now: f64, max_updates: usize) -> (Vec<Update>, u64) {
         let mut unsent: Vec<(&Name, Incarnation, &StoredUpdate)> = vec![];
         for (name, origin) in &self.origins {
@@ -205,17 +212,17 @@
         (unsent.into_iter().take(max_updates).map(update).collect(), sent_up_to)
     }
 
-    /// Drops all updates of origins that don't match.
+    /// Drops all updates of origins whose name does not satisfy `matches`.
     pub fn retain_origins(&mut self, matches: impl Fn(&str) -> bool) {
         self.origins.retain(|name, _| matches(name));
     }
 
-    /// The latest known incarnation of an origin.
+    /// Returns the latest known incarnation of an origin, or `None` if no update of this origin is known.
     pub fn incarnation(&self, origin: &str) -> Option<Incarnation> {
         self.origins.get(origin).map(|origin| origin.incarnation)
     }
 
-    /// The updates about a subject, with their origins.
+    /// Returns the updates of all origins about a subject, with the names of their origins.
     pub fn updates_about<'a>(
         &'a self,
         subject: &'a UpdateSubject,
@@ -223,12 +230,12 @@
         self.origins.iter().filter_map(move |(name, origin)| Some((name, origin.updates.get(subject)?)))
     }
 
-    /// How many updates are stored.
+    /// The number of stored updates of all origins.
     pub fn len(&self) -> usize {
         self.origins.values().map(|origin| origin.updates.len()).sum()
     }
 
-    /// Whether none is stored.
+    /// Whether no update is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -1,6 +1,8 @@
-//! One router's view of the others: its links, the updates that it stores and sends, and which members are alive. It is
-//! driven by received frames, by ticks and by what the own policy observes, each with a time of the own monotonic clock. It
-//! returns frames to send, changes of members, and observations that a quorum agrees on.
+//! One router's gossip state: its links to other members, the updates that it stores and sends, and which members are
+//! alive. Received frames, periodic ticks and the observations of this router's policy are passed in; frames to send,
+//! changes of members' states, and observations that a quorum of routers agrees on are returned. An observation holds
+//! three spans: the seconds for which a data node counts as slow, as very slow and as unresponsive. All times are
+//! seconds of this router's monotonic clock.
 use crate::quorum::{self, AgreedObservation};
 use crate::transit_time::TransitEstimator;
 use crate::updates::{MergeResult, StoredUpdate, Update, UpdateBody, UpdateStore, UpdateSubject};
@@ -8,24 +10,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Most updates in one frame; the rest follows in the next.
+/// Maximum number of updates in one frame; further updates follow in the next frame.
 const MAX_UPDATES_PER_FRAME: usize = 4096;
-/// Alive intervals without an update of a member after which it counts as missed, and as dead.
+/// Alive intervals (`GossipConfig::alive_interval_s`) without an update of a member after which the member is `Missed`.
 const MISSED_AFTER_INTERVALS: f64 = 3.0;
+/// Alive intervals without an update of a member after which the member is `Dead`.
 const DEAD_AFTER_INTERVALS: f64 = 6.0;
 
-/// The state of a member, as far as this router knows.
+/// The state of a member, as known to this router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MemberState {
-    /// No update of it has ever been received.
+    /// No update that the member is alive has been received.
     NeverSeen,
-    /// Its updates arrive in time.
+    /// The member's latest update that it is alive is no older than `MISSED_AFTER_INTERVALS` alive intervals.
     Alive,
-    /// Its updates are late.
+    /// The member's latest update that it is alive is older than `MISSED_AFTER_INTERVALS` alive intervals.
     Missed,
-    /// It has been late for so long that it is considered dead.
+    /// The member's latest update that it is alive is older than `DEAD_AFTER_INTERVALS` alive intervals.
     Dead,
-    /// It has announced its shutdown.
+    /// The member has announced its shutdown.
     Left,
 }
 
@@ -41,7 +44,7 @@
     }
 }
 
-/// Why a link is rejected.
+/// Why a link to a peer is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkError {
     /// The peer is not in the list of members.
@@ -62,7 +65,8 @@
 #[derive(Clone, Debug)]
 struct Member {
     state: MemberState,
-    /// When its newest update that it is alive, or leaving, was created; initially when it was added to the list.
+    /// When the newest `Alive` or `Leaving` update of the member was created; before the first one, when the member was
+    /// added to the list.
     last_alive_at: f64,
 }
 
@@ -70,43 +74,43 @@
 struct Link {
     peer: Name,
     transit: TransitEstimator,
-    /// Serial of the update store up to which updates were sent.
+    /// Updates up to this serial of the update store were sent over this link.
     sent_up_to: u64,
 }
 
-/// The own policy's last observation of a data node, as long as any of its spans lasts.
+/// The last observation of a data node by this router's policy, stored until its longest span ends.
 #[derive(Clone, Debug)]
 struct OwnObservation {
     started_at: Option<f64>,
     observed_at: f64,
-    /// Until when the node is slow, very slow and unresponsive.
+    /// When the node stops counting as slow, as very slow and as unresponsive.
     until: [f64; 3],
-    /// When an update of it was last created.
+    /// When this router last created an update with this observation.
     sent_at: f64,
 }
 
-/// What has happened so far, for the metrics.
+/// Counters of sent and received updates and frames, for the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ViewCounters {
-    /// Updates sent.
+    /// Updates sent over all links, counted once per link.
     pub updates_sent: u64,
-    /// Updates received that were news.
+    /// Received updates that were new and have been stored.
     pub updates_new: u64,
-    /// Updates received that were known already.
+    /// Received updates that were known already.
     pub updates_known: u64,
-    /// Updates received that were too old.
+    /// Received updates that were older than the maximum age.
     pub updates_stale: u64,
-    /// Updates received of a former incarnation of their origin.
+    /// Received updates of an earlier incarnation of their origin.
     pub updates_of_former_incarnations: u64,
-    /// Updates received whose origin is not a member.
+    /// Received updates whose origin is not a member.
     pub updates_of_unknown_origins: u64,
-    /// Times that this router was reported missed and refuted it.
+    /// Received reports that this router is missed, which it refuted.
     pub refutations: u64,
-    /// Frames with updates whose age is unknown, before the first round trip on their link.
+    /// Received frames with updates of unknown age, because no round trip had been completed on their link.
     pub frames_undated: u64,
 }
 
-/// The state of one router's gossip.
+/// The gossip state of one router.
 #[derive(Debug)]
 pub struct View {
     config: GossipConfig,
@@ -117,26 +121,27 @@
     updates: UpdateStore,
     links: BTreeMap<u64, Link>,
     last_link: u64,
-    /// Number of the last update created here.
+    /// Number of the last update that this router created.
     last_number: u64,
     next_alive_at: f64,
     is_leaving: bool,
     own_observations: BTreeMap<Name, OwnObservation>,
-    /// Data nodes with updates received since the last `take_agreed_observations`.
+    /// Data nodes of which updates were received since the last call of `take_agreed_observations`.
     changed_nodes: BTreeSet<Name>,
-    /// Members that connected with an earlier incarnation than the one known here, which has to be sent to them.
+    /// Members that connected with an earlier incarnation than the latest one known to this router. The next tick sends
+    /// them the later one.
     superseded: BTreeSet<Name>,
-    /// This router's queries that ended since the last update of their counts: late, and in time.
+    /// How many queries of this router have ended since its last `QueryCounts` update: late, and in time.
     own_query_counts: (u32, u32),
-    /// All routers' queries that ended since the last `take_query_counts`: late, and in time.
+    /// How many queries of all routers have ended since the last call of `take_query_counts`: late, and in time.
     query_counts: (u32, u32),
     query_counts_sent_at: f64,
-    /// For the metrics.
+    /// Counters of sent and received updates, for the metrics.
     pub counters: ViewCounters,
 }
 
 impl View {
-    /// The view of the router `own_name`, which starts at `now`.
+    /// Creates the gossip state of the router `own_name`, which starts at `now`.
     pub fn new(
         own_name: &str,
         incarnation: Incarnation,
@@ -167,7 +172,7 @@
         view
     }
 
-    /// Replaces the list of members. Updates of and links to members that are no longer in it are dropped.
+    /// Replaces the list of members. Updates of removed members and links to them are dropped.
     pub fn set_members(&mut self, members: &BTreeSet<Name>, now: f64) {
         self.members.retain(|name, _| members.contains(name));
         for name in members.iter().filter(|name| **name != self.own_name) {
@@ -179,20 +184,20 @@
         self.links.retain(|_, link| members.contains_key(&link.peer));
     }
 
-    /// This router's incarnation, which rises if a later one is known to the others.
+    /// Returns this router's incarnation, which rises when another member knows a later one.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The members that this router dials.
+    /// Returns the members that this router dials.
     pub fn dial_targets(&self) -> Vec<Name> {
         let all: BTreeSet<Name> = self.members.keys().cloned().chain([self.own_name.clone()]).collect();
         ring::dial_targets(&all, &self.own_name)
     }
 
-    /// Opens a link to a peer whose hello was received, and returns its number. A peer with an earlier incarnation than the
-    /// one known here is sent the later one and then raises its own: incarnations are taken from wall clocks, and its
-    /// clock may have gone back.
+    /// Opens a link to a peer whose hello was received, and returns the link's number. If the peer's incarnation is
+    /// earlier than the latest one known to this router, the peer is sent the later one and raises its own:
+    /// incarnations are taken from wall clocks, and the peer's clock may have been set back.
     ///
     /// # Errors
     /// The peer is not a member, or uses this router's own name.
@@ -217,14 +222,15 @@
         self.links.remove(&link);
     }
 
-    /// How many links are open.
+    /// The number of open links.
     pub fn link_count(&self) -> usize {
         self.links.len()
     }
 
-    /// The next frame for a link; none if its peer is no longer a member. To be called once in each frame interval, after
-    /// the previous frame was written in full: what a slow link has not sent yet stays in the store, where newer updates
-    /// replace older ones. Before the first round trip a frame has no updates, as their age would be unknown to the peer.
+    /// Returns the next frame for a link, or `None` if the link is closed. Call this once in each frame interval, after
+    /// the previous frame was written in full: unsent updates stay in the store, where newer updates replace older
+    /// ones. Before the first round trip on the link a frame contains no updates, as the peer can't determine their
+    /// age.
     pub fn next_frame(&mut self, link: u64, now: f64) -> Option<Frame> {
         let open = self.links.get_mut(&link)?;
         let echo = open.transit.next_echo(now);
@@ -237,13 +243,13 @@
         Some(Frame { sent_at_s: now, echo, updates })
     }
 
-    /// Processes a received frame, and returns the changes of members that it shows.
+    /// Processes a received frame, and returns the members whose state has changed.
     pub fn frame_received(&mut self, link: u64, frame: Frame, now: f64) -> Vec<(Name, MemberState)> {
         let GossipConfig { max_age_s, max_updates_per_origin, max_clock_drift, .. } = self.config;
         let Some(open) = self.links.get_mut(&link) else { return vec![] };
         let transit_s = open.transit.frame_received(frame.sent_at_s, frame.echo, now, max_clock_drift);
         let Some(transit_s) = transit_s else {
-            // Its updates are dropped; the peer repeats those that still hold.
+            // The frame's updates are dropped; the peer repeats those that remain valid.
             self.counters.frames_undated += u64::from(!frame.updates.is_empty());
             return vec![];
         };
@@ -292,9 +298,10 @@
         changes
     }
 
-    /// Announces with the next tick that this router is alive, under a later incarnation than the one `known` to others if
-    /// that is not its own. Guards against a wall clock that went back between two starts, which makes the former
-    /// incarnation look like the later one.
+    /// Schedules an `Alive` update for the next tick, and raises this router's incarnation above `known`, an
+    /// incarnation of this router that others know, if that one is later. Guards against a wall clock that was set back
+    /// between two starts, after which the other members would ignore this router's updates as those of an earlier
+    /// incarnation.
     fn supersede_incarnation(&mut self, known: Incarnation, now: f64) {
         if known > self.incarnation {
             self.incarnation = known.saturating_add(1);
@@ -302,7 +309,7 @@
         self.next_alive_at = now;
     }
 
-    /// Counts a query of this router that has ended.
+    /// Counts a query of this router that has ended, late or in time.
     pub fn query_ended(&mut self, late: bool) {
         let count = if late { &mut self.own_query_counts.0 } else { &mut self.own_query_counts.1 };
         *count = count.saturating_add(1);
@@ -313,8 +320,8 @@
         self.query_counts = (sum_late.saturating_add(late), sum_in_time.saturating_add(in_time));
     }
 
-    /// How many queries of all routers are known to have ended since the last call: late, and in time. None if there were
-    /// none.
+    /// Returns how many queries of all routers have ended, late and in time, according to the updates received since
+    /// the last call. `None` if there are none.
     pub fn take_query_counts(&mut self) -> Option<(u32, u32)> {
         Some(std::mem::take(&mut self.query_counts)).filter(|counts| *counts != (0, 0))
     }
@@ -333,8 +340,9 @@
         self.updates.merge(update, now, max_age_s, max_updates_per_origin, None);
     }
 
-    /// Gossips an observation of the own policy: for how many seconds from `now` on a data node counts as slow, very slow
-    /// and unresponsive. That a node is healthy is only sent to retract an earlier observation.
+    /// Gossips an observation of a data node by this router's policy. `spans_s` are the seconds from `now` on for which
+    /// the node counts as slow, as very slow and as unresponsive; `started_at` is when the node's process started. An
+    /// observation of a healthy node is sent only to retract an earlier one.
     pub fn observe_node(&mut self, node: &str, started_at: Option<f64>, spans_s: [f64; 3], now: f64) {
         if spans_s.iter().all(|span| *span <= 0.0) && !self.own_observations.contains_key(node) {
             return;
@@ -345,8 +353,8 @@
         self.send_own_observations(now);
     }
 
-    /// Sends own observations that are new, and repeats those that still hold before they are stale at the others. Expired
-    /// ones are dropped.
+    /// Creates updates for new observations of this router's policy, and repeats unexpired observations after half the
+    /// maximum age of an update, so that other routers never hold only a stale one. Expired observations are dropped.
     fn send_own_observations(&mut self, now: f64) {
         let due: Vec<(Name, OwnObservation)> = {
             let repeat_after_s = 0.5 * self.config.max_age_s;
@@ -374,14 +382,14 @@
         }
     }
 
-    /// Announces the shutdown of this router, with the next frames.
+    /// Creates an update that this router is shutting down, which is sent in the next frames.
     pub fn announce_leaving(&mut self, now: f64) {
         self.is_leaving = true;
         self.create_update(UpdateBody::Leaving, now);
     }
 
-    /// Creates the updates that are due, drops stale ones, and returns changes of members that are missed or dead. To be
-    /// called a few times in each frame interval.
+    /// Creates the updates that are due, drops stale updates, and returns the members whose state has changed to
+    /// `Missed` or `Dead`. Call this several times in each frame interval.
     pub fn tick(&mut self, now: f64) -> Vec<(Name, MemberState)> {
         let alive_interval_s = self.config.alive_interval_s;
         if now >= self.next_alive_at && !self.is_leaving {
@@ -420,8 +428,9 @@
         changes
     }
 
-    /// Observations that a quorum agrees on, of data nodes with updates received since the last call. `started_at` returns
-    /// when a node's process started by the own endpoint list, and none for a node that is not listed.
+    /// Returns the observations that a quorum of other routers agrees on, of those data nodes of which updates were
+    /// received since the last call. `started_at` returns when a node's process started according to this router's
+    /// endpoint list: `None` if the list lacks the node, `Some(None)` if the start is unknown.
     pub fn take_agreed_observations(
         &mut self,
         started_at: impl Fn(&str) -> Option<Option<f64>>,
@@ -443,22 +452,22 @@
         agreed
     }
 
-    /// The state of a member.
+    /// Returns the state of a member, or `None` if the name is not in the list of members.
     pub fn state(&self, name: &str) -> Option<MemberState> {
         self.members.get(name).map(|member| member.state)
     }
 
-    /// How many members have a state.
+    /// The number of other members in this state.
     pub fn count(&self, state: MemberState) -> usize {
         self.members.values().filter(|member| member.state == state).count()
     }
 
-    /// How many updates are stored.
+    /// The number of stored updates, this router's included.
     pub fn update_count(&self) -> usize {
         self.updates.len()
     }
 
-    /// All stored updates, this router's included, in the order of their origins and numbers.
+    /// Returns all stored updates, this router's included, sorted by origin and number.
     pub fn all_updates(&self, now: f64) -> Vec<Update> {
         let mut updates = self.updates.updates_after(0, 0, now, usize::MAX).0;
         updates.sort_by(|a, b| (&a.origin, a.number).cmp(&(&b.origin, b.number)));
--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -1,6 +1,6 @@
-//! Simulation of many routers' views without sockets: links that delay frames and hold them back while they are cut, clocks
-//! with different offsets that drift, and routers that are paused, restart or send false observations. Time is simulated, and
-//! random choices are seeded.
+//! Simulation of the gossip of many routers without sockets: links that delay frames, or hold them back while they are
+//! cut; clocks with different offsets and rates; and routers that are paused, restart or send false observations. Time
+//! is simulated in seconds, and random choices are seeded.
 use alderway_peers::quorum::AgreedObservation;
 use alderway_peers::updates::{Update, UpdateBody, UpdateStore};
 use alderway_peers::view::{MemberState, View};
@@ -15,29 +15,29 @@
 
 struct Router {
     view: View,
-    /// Offset and rate of its clock against the simulated time.
+    /// The router's clock shows `offset + rate * t` seconds at the simulated time `t`.
     offset: f64,
     rate: f64,
     paused: bool,
 }
 
-/// Frames in flight in one direction, each with the simulated time of its arrival, unless the direction is cut.
+/// The frames in flight in one direction of a link, each with the simulated time of its arrival.
 type Direction = VecDeque<(f64, Frame)>;
 
 struct Mesh {
     now: f64,
     config: GossipConfig,
     routers: Vec<Router>,
-    /// The link's number at each of its two ends, by the ends.
+    /// The number of each link at its dialling and at its accepting router, by the indices of these two routers.
     links: BTreeMap<(usize, usize), (u64, u64)>,
     in_flight: BTreeMap<(usize, usize), Direction>,
-    /// Directions that hold back their frames.
+    /// Directions, from one router to another, in which frames are held back.
     cut: BTreeSet<(usize, usize)>,
     delay: f64,
     random: Pcg32,
-    /// Agreed observations with the time, the router and the data node.
+    /// Accepted observations: the simulated time, the accepting router, the data node and the observation.
     agreed: Vec<(f64, usize, Name, AgreedObservation)>,
-    /// Changes of members with the time and the router that noticed them.
+    /// Changes of members' states: the simulated time, the router that noticed the change, the member and its state.
     changes: Vec<(f64, usize, Name, MemberState)>,
     updates_sent: usize,
 }
@@ -77,7 +77,7 @@
         mesh
     }
 
-    /// A router's time by its own clock.
+    /// The time of a router's clock in seconds.
     fn local(&self, n: usize) -> f64 {
         self.routers[n].offset + self.routers[n].rate * self.now
     }
@@ -114,8 +114,8 @@
     }
 
     /// Advances the simulation, in steps of one frame interval.
-    fn pass(&mut self, span: f64) {
-        let steps = (span / self.config.frame_interval_s).round() as usize;
+    fn pass(&mut self, span_s: f64) {
+        let steps = (span_s / self.config.frame_interval_s).round() as usize;
         for _ in 0..steps {
             self.now += self.config.frame_interval_s;
             for n in 0..self.routers.len() {
@@ -128,7 +128,8 @@
             let links: Vec<_> = self.links.iter().map(|(ends, links)| (*ends, *links)).collect();
             for ((a, b), (at_a, at_b)) in links {
                 for (from, to, link) in [(a, b, at_a), (b, a, at_b)] {
-                    // As on a socket, a frame is only written once the earlier ones have left.
+                    // A direction holds four frames at most, like a socket whose buffer is full: no new frame is
+                    // created while the earlier ones wait.
                     if self.routers[from].paused
                         || self.in_flight.get(&(from, to)).is_some_and(|frames| frames.len() > 3)
                     {
@@ -172,13 +173,13 @@
         }
     }
 
-    /// A router's policy observes that a data node is unresponsive.
+    /// Records that a router's policy observes a data node as unresponsive for the next `unresponsive_for_s` seconds.
     fn observe(&mut self, n: usize, node: &str, unresponsive_for_s: f64) {
         let now = self.local(n);
         self.routers[n].view.observe_node(node, None, [0.0, 0.0, unresponsive_for_s], now);
     }
 
-    /// The routers that accept at present that a node is unresponsive.
+    /// The routers for which the data node counts as unresponsive now, by the latest observation that each accepted.
     fn accepting(&self, node: &str) -> BTreeSet<usize> {
         let mut latest = BTreeMap::new();
         for (_, by, about, agreed) in &self.agreed {
@@ -204,13 +205,14 @@
 #[case(5, 3)]
 #[case(16, 4)]
 #[case(300, 9)]
-fn a_member_dials_as_many_others_as_the_count_has_binary_digits(#[case] count: usize, #[case] links: usize) {
+fn a_member_dials_the_binary_logarithm_of_the_count_rounded_up(#[case] count: usize, #[case] links: usize) {
     let members = members(count);
     assert!(members.iter().all(|own| ring::dial_targets(&members, own).len() == links));
     assert!(ring::dial_targets(&members, "not a member").is_empty());
 }
 
-/// Guards against a single router, faulty or cut off, that takes a healthy node out for all.
+/// Guards against a single faulty or disconnected router that makes all other routers treat a healthy node as
+/// unresponsive.
 #[rstest]
 #[case::one_observer(1, 0)]
 #[case::two_observers(2, 5)]
@@ -223,7 +225,7 @@
     assert_eq!(others.len(), accepting);
 }
 
-/// Guards against a faulty router that keeps a node out for longer than a second router observes.
+/// Guards against a faulty router that makes a node count as unresponsive for longer than a correct router observes.
 #[rstest]
 fn a_faulty_router_does_not_extend_the_span_that_a_correct_one_observes() {
     let mut mesh = Mesh::new(7, GossipConfig::default(), 2);
@@ -236,7 +238,7 @@
     assert!(mesh.accepting("s-1").is_empty());
 }
 
-/// Guards against observations that stay in force when the links are gone over which they would be retracted.
+/// Guards against observations that stay in force after the links are cut over which they would be retracted.
 #[rstest]
 fn without_links_an_observation_expires_once_it_is_stale() {
     let mut mesh = Mesh::new(8, GossipConfig::default(), 3);
@@ -256,7 +258,7 @@
     );
 }
 
-/// Guards against updates that were delayed in a link and are taken for new.
+/// Guards against updates that were delayed in a link for longer than the maximum age and are accepted as new.
 #[rstest]
 fn updates_that_are_delayed_too_long_are_stale_when_they_arrive() {
     let mut mesh = Mesh::new(5, GossipConfig::default(), 4);
@@ -264,7 +266,7 @@
     mesh.partition(|n| n < 2);
     (0..2).for_each(|n| mesh.observe(n, "s-1", 1000.0));
     mesh.pass(0.3);
-    // The observers are paused with the updates in flight.
+    // The observing routers are paused while their updates are in flight.
     (0..2).for_each(|n| mesh.routers[n].paused = true);
     mesh.pass(mesh.config.max_age_s + 0.1);
     mesh.cut.clear();
@@ -273,7 +275,7 @@
     assert!(mesh.routers[2].view.counters.updates_stale > 0);
 }
 
-/// Guards against a partition that goes unnoticed, or from which the two halves never recover.
+/// Guards against a partition that the routers don't detect, or after which its halves don't accept each other again.
 #[rstest]
 fn the_halves_of_a_partition_detect_it_and_recover() {
     let mut mesh = Mesh::new(16, GossipConfig::default(), 5);
@@ -293,7 +295,7 @@
     assert!((1..16).all(|n| stored(n).len() == stored(0).len()));
 }
 
-/// Guards against a router that is considered dead because one direction of one link is cut.
+/// Guards against a router that counts as dead because one direction of one of its links is cut.
 #[rstest]
 fn a_link_cut_in_one_direction_makes_no_member_missed() {
     let mut mesh = Mesh::new(6, GossipConfig::default(), 6);
@@ -303,7 +305,8 @@
     assert!(mesh.changes.iter().all(|(_, _, _, state)| *state == MemberState::Alive), "{:?}", mesh.changes);
 }
 
-/// Guards against updates of a router's former incarnation that arrive after its restart.
+/// Guards against updates of a router's earlier incarnation that arrive after the router's restart and count towards a
+/// quorum.
 #[rstest]
 fn updates_of_a_former_incarnation_are_ignored() {
     let mut mesh = Mesh::new(5, GossipConfig::default(), 7);
@@ -325,7 +328,8 @@
     assert!(mesh.accepting("s-1").is_empty(), "one observer is left: {:?}", mesh.accepting("s-1"));
 }
 
-/// Guards against a wall clock that went back between two starts: the new incarnation would be ignored for ever.
+/// Guards against a wall clock that was set back between two starts: the other routers would ignore the new incarnation
+/// forever.
 #[rstest]
 fn a_router_raises_its_incarnation_above_one_that_others_know() {
     let mut mesh = Mesh::new(4, GossipConfig::default(), 8);
@@ -333,7 +337,7 @@
     mesh.restart(1, 900);
     mesh.pass(1.0);
     mesh.restart(1, 901);
-    // Its clock went back: members that know a later incarnation send it.
+    // The clock of router 1 was set back: members that know a later incarnation send an update with it.
     let frame = Frame {
         updates: vec![Update {
             origin: name(1),
@@ -351,13 +355,13 @@
     assert_eq!(mesh.routers[1].view.incarnation(), 951);
 }
 
-/// Guards against a router that all others ignore for ever because its wall clock went back between two starts.
+/// Guards against a router that all others ignore forever because its wall clock was set back between two starts.
 #[rstest]
 fn a_router_restarted_with_its_clock_set_back_is_accepted_by_all() {
     let mut mesh = Mesh::new(5, GossipConfig::default(), 12);
     mesh.restart(1, 900);
     mesh.pass(1.0);
-    // Its updates are stale at the others by then; its incarnation is still known.
+    // After the pause the updates of router 1 are stale at the others, but its incarnation is still known.
     mesh.routers[1].paused = true;
     mesh.pass(30.0);
     mesh.restart(1, 7);
@@ -372,7 +376,7 @@
     assert!(!mesh.accepting("s-1").is_empty(), "its observations count");
 }
 
-/// Guards against a router that stays missed after a pause for longer than its refutation takes.
+/// Guards against a router that stays in state `Missed` after a pause although it has resumed sending.
 #[rstest]
 fn a_router_that_was_paused_refutes_that_it_is_missed() {
     let mut mesh = Mesh::new(6, GossipConfig::default(), 9);
@@ -389,7 +393,7 @@
     );
 }
 
-/// While lists of members differ, updates of an unknown origin are dropped without further effect.
+/// While the lists of members differ, updates of an origin outside the list are dropped and have no other effect.
 #[rstest]
 fn updates_of_an_origin_outside_the_list_are_ignored() {
     let mut mesh = Mesh::new(5, GossipConfig::default(), 10);
@@ -409,7 +413,7 @@
     assert_eq!(mesh.routers[0].view.state(&name(4)), Some(MemberState::Alive));
 }
 
-/// Guards against an overload that each of many routers sees too little of to detect.
+/// Guards against an overload that no single router detects, because each of many routers sees only a few late queries.
 #[rstest]
 fn each_router_knows_how_the_queries_of_all_have_ended() {
     let mut mesh = Mesh::new(16, GossipConfig::default(), 13);
@@ -454,13 +458,13 @@
         cases: 256, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Merging the same updates gives the same store, in whatever order and however often each arrives.
+    /// Merging the same updates gives the same store, in any order and with any repetitions.
     #[test]
     fn merging_in_any_order_gives_the_same_store(
         updates in prop::collection::vec(update(), 1..40),
         order in prop::collection::vec(any::<prop::sample::Index>(), 80),
     ) {
-        // Each number has one update: others generated for it are dropped.
+        // Of several generated updates with the same origin, incarnation and number, one is kept.
         let mut by_number = BTreeMap::new();
         for update in updates {
             by_number.insert((update.origin.clone(), update.incarnation, update.number), update);
@@ -484,7 +488,7 @@
         prop_assert_eq!(all(&in_order), all(&shuffled));
     }
 
-    /// For any delays and clock offsets, the transit time of a frame is never underestimated.
+    /// For any delays and clock offsets, the estimated transit time of a frame is at least the actual one.
     #[test]
     fn the_transit_time_is_an_upper_bound(
         delays in prop::collection::vec((0.0..3.0f64, 0.0..3.0f64, 0.0..2.0f64), 1..40),
@@ -492,7 +496,7 @@
         rate in -0.0005..0.0005f64,
     ) {
         use alderway_peers::transit_time::TransitEstimator;
-        // Two clocks whose rates differ by a thousandth at most; the first one shows the simulated time.
+        // Two clocks whose rates differ by 0.05 percent at most; the first clock shows the simulated time.
         let other = |t: f64| offset + (1.0 + rate) * t;
         let (mut near, mut far, mut now) = (TransitEstimator::default(), TransitEstimator::default(), 0.0);
         for (there, back, pause) in delays {
@@ -508,7 +512,8 @@
         }
     }
 
-    /// Any bytes, split anywhere, give an error or frames and never a panic, and the view processes any such frame.
+    /// Arbitrary bytes, split at any position, yield an error or frames and never a panic, and the view processes every
+    /// such frame without a panic.
     #[test]
     fn arbitrary_bytes_and_frames_never_panic(
         mut bytes in prop::collection::vec(any::<u8>(), 0..400),
@@ -553,8 +558,8 @@
     }
 }
 
-/// Prints how many updates each router sends a second: idle, and while a tenth of the routers observe ten nodes each. The
-/// idle rate is bounded by that of flooding each update over every link of the ring.
+/// Prints how many updates each router sends per second: when idle, and while a tenth of the routers observe ten data
+/// nodes each. The idle rate must not exceed 1.2 times that of sending each update once over every link of the ring.
 #[rstest]
 #[case(16)]
 #[case(64)]
--- a/crates/peers/tests/wire_format.rs
+++ b/crates/peers/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The wire format of gossip against recorded bytes. `data/frames.hex` has one frame a line: its name and its bytes in hex.
-//! Each frame is decoded, compared with the expected value, and encoded again.
+//! Compares the wire format of gossip with recorded bytes. Each line of `data/frames.hex` holds the name of a frame and
+//! its bytes in hex.
 use alderway_peers::Frame;
 use alderway_peers::updates::{Update, UpdateBody};
 use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
@@ -21,7 +21,7 @@
     Hello { version: 1, is_planner: false, incarnation: 0x0102_0304_0506_0708, name: "n0".into() }
 }
 
-/// Frames with an update of each kind, and with each variant of their optional fields.
+/// A frame with an update of each kind, and frames with each variant of the optional fields.
 fn expected_frames() -> Vec<(&'static str, Frame)> {
     let with = |body| Frame {
         sent_at_s: 12.5,
@@ -70,7 +70,8 @@
     ]
 }
 
-/// Fails to compile if a kind of update is added, so that a frame of it gets recorded.
+/// Fails to compile when a kind of update is added, as a reminder to add a frame of that kind to `expected_frames` and
+/// `data/frames.hex`.
 fn assert_variants_known(frame: &Frame) {
     for update in &frame.updates {
         match update.body {
