--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -1,6 +1,6 @@
-//! Gossip among query routers, on sockets: a listener for the members that dial this router, a task for each member that it
-//! dials, and the timers. Which updates are sent, stored and accepted is decided in `alderway_peers`; accepted observations
-//! are passed to the dispatcher.
+//! Gossip among query routers (the members) over TCP: a listener for the members that dial this router, a task for each
+//! member that this router dials, and the timers. The crate `alderway_peers` decides which updates are sent, stored and
+//! accepted; observations of data nodes that a quorum of other routers agrees on are passed to the dispatcher.
 use crate::state::gossip_link::GossipLink;
 use crate::state::metrics::{MetricsSnapshot, MetricsSource};
 use crate::state::shared::ObservationMessage;
@@ -27,37 +27,37 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-/// Alive intervals without any bytes received after which a link is closed.
+/// A link on which no bytes are received for this many alive intervals (`GossipConfig::alive_interval_s`) is closed.
 const LINK_TIMEOUT_INTERVALS: f64 = 6.0;
-/// Bytes read from a socket at once.
+/// Maximum number of bytes read from a socket at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// All members by name, with the address at which each accepts the others.
+/// The address at which each member accepts connections of other members, by member name.
 pub type MemberAddresses = BTreeMap<Name, SocketAddr>;
 
-/// Which routers gossip, and how.
+/// The members and settings of gossip.
 #[derive(Clone)]
 pub struct GossipGroup {
     /// All members, this router included.
     pub members: MemberAddresses,
     /// Intervals and limits.
     pub config: GossipConfig,
-    /// Whether this router sends what it observes of data nodes.
+    /// Whether this router sends its observations of data nodes to the other members.
     pub shares_observations: bool,
-    /// Reads the list of members again at SIGHUP, if it may change.
+    /// Reads the list of members again; called at SIGHUP. `None` if the list can't change while the router runs.
     pub reload_members: Option<Arc<dyn Fn() -> Result<MemberAddresses, String> + Send + Sync>>,
 }
 
 impl GossipGroup {
-    /// Most descriptors that the links take: for each member dialled one link out, one link in, and one connection in
-    /// progress for either, and one for the listener.
+    /// Maximum number of file descriptors that gossip uses: one for the listener, and for each member that this router
+    /// dials one for each of an outgoing link, an incoming link, and a connection being opened in either direction.
     pub fn max_descriptors(&self) -> usize {
         let names: BTreeSet<Name> = self.members.keys().cloned().collect();
         names.first().map_or(0, |any| 4 * ring::dial_targets(&names, any).len() + 1)
     }
 }
 
-/// The gossip state that the dispatcher and the links share.
+/// The running gossip service, shared by the dispatcher and the tasks of the links.
 pub struct GossipService {
     view: View,
     clock: Clock,
@@ -69,8 +69,8 @@
 type GossipHandle = Rc<RefCell<GossipService>>;
 
 impl GossipService {
-    /// Sends what the own policy observed of a data node. An operator turns this off where routers reach data nodes over
-    /// unlike paths, as whether a node is slow then depends on the path as well.
+    /// Sends an observation of a data node by this router's policy. Operators disable `shares_observations` where
+    /// routers reach data nodes over different network paths, since slowness then depends on the path too.
     fn share_observation(&mut self, node: &str, observation: NodeObservation) {
         if self.shares_observations {
             let NodeObservation { slow_for_s, very_slow_for_s, unresponsive_for_s, .. } = observation;
@@ -124,10 +124,11 @@
     }
 }
 
-/// Starts to listen and to dial, and attaches the gossip to the dispatcher, which shares observations from here on.
+/// Starts to listen and to dial members, and attaches the gossip service to the dispatcher, which shares observations
+/// from then on.
 ///
 /// # Errors
-/// The group does not contain `name`, or no socket or signal handler could be had.
+/// The group does not contain `name`, or a socket or a signal handler can't be created.
 pub async fn start(
     dispatcher: &DispatcherHandle,
     group: GossipGroup,
@@ -136,7 +137,9 @@
 ) -> io::Result<()> {
     let clock = dispatcher.borrow().clock;
     let listen = group.members.get(name).copied();
-    let listen = listen.ok_or_else(|| io::Error::other(format!("the peers do not include `{name}`")))?;
+    let listen = listen.ok_or_else(|| {
+        io::Error::other(format!("the list of gossip members does not contain this router's name, `{name}`"))
+    })?;
     let listener = TcpListener::bind(listen).await?;
     tracing::info!(target: "peers", "{name} hears peers at {}", listener.local_addr()?);
     let names = group.members.keys().cloned().collect();
@@ -165,7 +168,7 @@
     Ok(())
 }
 
-/// The tasks that keep this router connected to the members that it dials.
+/// The tasks that keep this router connected to the members that it dials, by member name and address.
 struct Dialer {
     context: LinkContext,
     own_name: Name,
@@ -174,7 +177,8 @@
 }
 
 impl Dialer {
-    /// Starts the tasks for the members that this router dials, and aborts those for others.
+    /// Starts a task for each member that this router is to dial and has no task for, and aborts the tasks of other
+    /// members.
     fn dial(&mut self, members: &MemberAddresses) {
         let targets = self.context.gossip.borrow().view.dial_targets();
         let targets: BTreeSet<(Name, SocketAddr)> = targets
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Reads the list of members again. Guards against a list that is missing, invalid or without this router: the old one
+    /// Reads the list of members again. If the new list can't be read, is invalid or lacks this router, the old list
     /// remains in force.
     fn reload(&mut self, group: &GossipGroup) {
         let Some(reload_members) = &group.reload_members else { return };
@@ -204,21 +208,23 @@
                 let (names, now) = (members.keys().cloned().collect(), self.context.now());
                 self.context.gossip.borrow_mut().view.set_members(&names, now);
                 self.dial(&members);
-                tracing::info!(target: "peers", "{} members", members.len());
+                tracing::info!(target: "peers", "reloaded the list of members: {} members", members.len());
             }
             Ok(_) => {
                 tracing::warn!(
                     target: "peers",
-                    "the new list of members lacks this router, `{}`; the old list holds",
+                    "the reloaded list of members does not contain this router, `{}`; the old list holds",
                     self.own_name
                 );
             }
-            Err(error) => tracing::warn!(target: "peers", "{error}; the old list holds"),
+            Err(error) => {
+                tracing::warn!(target: "peers", "cannot reload the list of members: {error}; the old list holds")
+            }
         }
     }
 }
 
-/// What each link needs.
+/// The state that the tasks of all links share.
 #[derive(Clone)]
 struct LinkContext {
     dispatcher: DispatcherHandle,
@@ -233,12 +239,12 @@
 
     fn log_changes(changes: Vec<(Name, MemberState)>) {
         for (name, state) in changes {
-            tracing::info!(target: "peers", "{name} is {state}");
+            tracing::info!(target: "peers", "member {name} changed to state `{state}`");
         }
     }
 
-    /// Processes a received frame: logs changes of members, and passes observations that a quorum agrees on to the
-    /// dispatcher.
+    /// Processes a received frame, logs members whose state has changed, and passes observations that a quorum of other
+    /// routers agrees on to the dispatcher.
     fn frame_received(&self, link: u64, frame: Frame) {
         let now = self.now();
         LinkContext::log_changes(self.gossip.borrow_mut().view.frame_received(link, frame, now));
@@ -267,7 +273,8 @@
     }
 }
 
-/// Runs the timers of the view, and passes the query counts of all routers to the dispatcher.
+/// Calls the periodic work of the gossip state twice in each frame interval, and passes the query counts of all routers
+/// to the dispatcher.
 async fn tick(context: LinkContext) {
     let mut ticks = interval(Duration::from_secs_f64(0.5 * context.config.frame_interval_s));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -292,24 +299,25 @@
         spawn_local(async move {
             if let Err(error) = run_link(&context, &stream).await {
                 context.gossip.borrow_mut().counters.increment("peer_links_refused");
-                tracing::warn!(target: "peers", "connection from {address}: {error}");
+                tracing::warn!(target: "peers", "closed the connection from {address}: {error}");
             }
         });
     }
 }
 
-/// Keeps a link to a member, for as long as its task runs.
+/// Dials a member and keeps a link to it until the task is aborted.
 async fn stay_connected(context: LinkContext, address: SocketAddr, seed: u64) {
     let session = async |stream: TcpStream| {
         let connected_at = context.now();
         match run_link(&context, &stream).await {
-            // A peer whose list lacks this router closes the connection at once; it is dialled ever less often.
+            // A peer whose list of members lacks this router closes the connection at once. Such a session counts as
+            // unusable, so that the waits between dials grow.
             Ok(()) if context.now() - connected_at > context.config.alive_interval_s => {
                 SessionEnd::Established
             }
             Ok(()) => SessionEnd::Unusable,
             Err(error) => {
-                tracing::warn!(target: "peers", "peer at {address}: {error}");
+                tracing::warn!(target: "peers", "closed the connection to the peer at {address}: {error}");
                 SessionEnd::Unusable
             }
         }
@@ -317,7 +325,7 @@
     keep_connected(address, seed, session).await;
 }
 
-/// An open link, removed from the view on drop.
+/// An open link, which is removed from the gossip state on drop.
 struct OpenLink<'a> {
     context: &'a LinkContext,
     number: u64,
@@ -329,10 +337,10 @@
     }
 }
 
-/// Exchanges frames until the connection ends.
+/// Exchanges frames with a peer until the connection ends.
 ///
 /// # Errors
-/// The peer is no member or violates the protocol.
+/// The peer is not a member or violates the protocol.
 async fn run_link(context: &LinkContext, stream: &TcpStream) -> Result<(), String> {
     let _ = stream.set_nodelay(true);
     let mut sender = Sender::default();
@@ -364,13 +372,14 @@
         tokio::select! {
             ready = stream.readable() => if ready.is_err() { return Ok(()) },
             () = sender.ready(stream), if !out.is_empty() => continue,
-            // While a slow link has not taken the last frame, no new one is made: the next one holds what is new by then.
+            // While the last frame is not fully written, no new frame is created; the next frame will contain the
+            // updates that are newest by then.
             _ = frames.tick() => {
                 let now = context.now();
                 if now - last_received_at > timeout_s {
                     tracing::warn!(
                         target: "peers",
-                        "{} has sent nothing for {timeout_s:.1} s: its link is closed",
+                        "closed the link to {}: nothing was received for {timeout_s:.1} s",
                         hello.name
                     );
                     return Ok(());
@@ -378,7 +387,7 @@
                 if out.is_empty() {
                     let frame = context.gossip.borrow_mut().view.next_frame(link.number, now);
                     let Some(frame) = frame else { return Ok(()) };
-                    // A frame that is too long is dropped; the next one holds the newest updates.
+                    // A frame that exceeds the maximum length is dropped; the next frame contains the newest updates.
                     let _ = encode_message(&mut out, &frame);
                 }
                 continue;
