--- a/crates/tier/src/leases.rs
+++ b/crates/tier/src/leases.rs
@@ -1,54 +1,60 @@
-//! Leases on a shared budget of work. A grantor counts a lease as outstanding until every unit that may have been spent
-//! from it has left the window for which the budget is stated. A holder counts the lease's end from the time of its
-//! request, which is before the grant, by its own monotonic clock. So the sum spent in any window never exceeds the
-//! budget, even if clocks disagree, messages are lost, or a grantor resumes after a pause: each new grantor waits until all
-//! leases of earlier ones have ended.
+//! Leases on a shared budget: at most a fixed number of units of work may be spent in any time window of a fixed
+//! length. A grantor grants holders leases, each on a number of units for a limited time, and one grantor after another
+//! is in charge, each with a higher term. A grantor counts a lease as outstanding until every unit that may have been
+//! spent from it has left the window. A holder counts the lease's duration from the time of its request, which precedes
+//! the grant. So the units spent in any window never exceed the budget, even if clocks differ, messages are lost, or an
+//! earlier grantor resumes after a pause: each new grantor waits until all leases of earlier grantors have ended. All
+//! times are seconds, `now` of the monotonic clock of the grantor or holder that it is passed to.
 use crate::Name;
 use std::collections::BTreeMap;
 
-/// The budget, and how leases on it are granted.
+/// The budget and the duration of leases on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseConfig {
-    /// Units of work that all holders together may spend in any window.
+    /// Maximum number of units that all holders together may spend in any window.
     pub units_per_window: u64,
-    /// Length of the window.
+    /// Length of the window in seconds.
     pub window_s: f64,
-    /// How long a lease is valid.
+    /// Duration of a lease in seconds.
     pub lease_s: f64,
-    /// Most by which two monotonic clocks differ in rate, as a fraction.
+    /// Maximum difference in rate between two monotonic clocks, as a fraction: 0.001 is one millisecond per second.
     pub max_clock_drift: f64,
 }
 
-/// A lease as it is granted.
+/// The right of a holder to spend a number of units for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    /// The grantor's term. A holder rejects leases of terms earlier than the latest one it has seen.
+    /// The term of the grantor. A holder rejects leases of earlier terms than the latest one that it has seen.
     pub term: u64,
-    /// Units that may be spent.
+    /// Number of units that the holder may spend.
     pub units: u64,
-    /// How long it is valid.
+    /// Seconds from the holder's request to the end of the lease.
     pub duration_s: f64,
 }
 
-/// Grants leases, one grantor for each term. Leases of an earlier grantor that resumes are rejected.
+/// Grants leases during one term. Holders reject the leases of a grantor of an earlier term.
 #[derive(Clone, Debug)]
 pub struct LeaseGrantor {
     config: LeaseConfig,
     term: u64,
-    /// When it starts to grant: all leases of earlier terms have ended by then.
+    /// When the grantor starts to grant leases, in seconds of its clock: all leases of earlier terms have ended by
+    /// then.
     opens_at: f64,
-    /// Outstanding units by holder, each with the time at which they have left every window.
+    /// For each holder, the units of each outstanding lease and when they have left every window, in seconds of the
+    /// grantor's clock.
     outstanding: BTreeMap<Name, Vec<(u64, f64)>>,
 }
 
 impl LeaseGrantor {
-    /// A grantor for `term`, from `now` on; `is_first_term` says that no earlier term can have granted anything.
+    /// Creates a grantor for `term` that starts at `now`. If `is_first_term`, no lease of an earlier term can exist and
+    /// the grantor does not wait for any to end.
     pub fn new(config: LeaseConfig, term: u64, now: f64, is_first_term: bool) -> Self {
         let opens_at = if is_first_term { now } else { now + LeaseGrantor::outstanding_for_s(&config) };
         LeaseGrantor { config, term, opens_at, outstanding: BTreeMap::new() }
     }
 
-    /// Seconds after its grant during which a lease counts: its duration, and the window of what is spent at its end.
+    /// Seconds after its grant for which a lease is outstanding: its duration, then one window for units spent just
+    /// before its end.
     fn outstanding_for_s(config: &LeaseConfig) -> f64 {
         (config.lease_s + config.window_s) * (1.0 + config.max_clock_drift)
     }
@@ -60,13 +66,14 @@
         });
     }
 
-    /// Units that may still be spent or count in a window.
+    /// The number of units that may still be spent, or were spent and have not left the window for certain.
     pub fn outstanding(&mut self, now: f64) -> u64 {
         self.sweep(now);
         self.outstanding.values().flatten().map(|(units, _)| units).sum()
     }
 
-    /// Grants a lease on at most `wanted` units; none if no units are left or earlier leases have not ended.
+    /// Grants a lease on `wanted` units, or on the units that are left if these are fewer. Returns `None` if no units
+    /// are left or if leases of earlier terms may not have ended.
     pub fn grant(&mut self, holder: &str, wanted: u64, now: f64) -> Option<Lease> {
         if now < self.opens_at {
             return None;
@@ -82,23 +89,24 @@
     }
 }
 
-/// Spends the units of its leases. Units left when a lease ends are lost.
+/// Spends the units of the leases that it has accepted. Units that are left when their lease ends can't be spent.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseHolder {
     term: u64,
-    /// Units left of each lease, and when it ends.
+    /// For each lease, the units that are left and when the lease ends, in seconds of the holder's clock.
     leases: Vec<(u64, f64)>,
 }
 
 impl LeaseHolder {
-    /// Accepts a lease that was requested at `requested_at`: it ends its duration after that, which is before it ends for
-    /// the grantor. Returns false for a lease of an earlier term than the latest one seen.
+    /// Accepts a lease that was requested at `requested_at` and ends its duration after that, which is before the
+    /// grantor counts it as ended. Returns false and rejects the lease if a lease of a later term was accepted.
     pub fn accept(&mut self, lease: Lease, requested_at: f64) -> bool {
         if lease.term < self.term {
             return false;
         }
         if lease.term > self.term {
-            // Guards against two grantors at once: a later term ends all leases of the earlier one.
+            // Guards against two grantors that both grant leases: the first lease of a later term ends all leases of
+            // earlier terms.
             self.leases.clear();
         }
         self.term = lease.term;
@@ -106,13 +114,13 @@
         true
     }
 
-    /// Units that are left.
+    /// The number of units that the holder may spend at `now`.
     pub fn remaining(&mut self, now: f64) -> u64 {
         self.leases.retain(|(units, until)| *units > 0 && *until > now);
         self.leases.iter().map(|(units, _)| units).sum()
     }
 
-    /// Spends units, from the leases that end first. Returns false and spends none if fewer are left.
+    /// Spends units, first of the leases that end first. Returns false and spends none if fewer than `units` are left.
     pub fn spend(&mut self, units: u64, now: f64) -> bool {
         if self.remaining(now) < units {
             return false;
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -1,5 +1,7 @@
-//! The messages between forwarders and planners, in the frames of `alderway_transport`. They are encoded by `postcard`: the
-//! order of variants and fields and the types of the fields are the wire format.
+//! The messages between forwarders and planners, sent in the frames of `alderway_transport`. They are encoded by
+//! `postcard`: the order of variants and fields and the types of the fields are the wire format. A term is the number
+//! of one assignment of a query to a planner; a forwarder numbers its assignments in increasing order and ignores
+//! decisions with an earlier term than the query's latest one.
 use alderway::interface::AttemptOutcome;
 use alderway_transport::WireMessage;
 use serde::{Deserialize, Serialize};
@@ -9,14 +11,14 @@
     const VERSION: u16 = 1;
 }
 
-/// An attempt that a forwarder has started for a shard request, for a planner that takes over the query.
+/// An attempt that a forwarder has started for a shard request, sent to the planner that takes over the query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PriorAttempt {
-    /// The data node that it was sent to.
+    /// Name of the data node that the attempt was sent to.
     pub node: String,
-    /// Seconds since it was started.
+    /// Seconds since the attempt was started.
     pub age_s: f64,
-    /// How it ended; none while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<WireOutcome>,
 }
 
@@ -75,116 +77,119 @@
     }
 }
 
-/// What follows the hello on a connection between a forwarder and a planner. Clocks differ between machines, so messages
-/// hold spans in seconds and never points in time.
+/// A message after the hello on a connection between a forwarder and a planner. The clocks of different machines
+/// differ, so messages contain durations in seconds and never points in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Forwarder to planner: assigns a query to the planner.
     AssignQuery {
-        /// The forwarder's number of this assignment; the planner repeats it in its decisions.
+        /// Number of this assignment, which the planner repeats in its decisions on the query.
         term: u64,
-        /// The query's id.
+        /// Id of the query.
         query: String,
-        /// Index of its query class.
+        /// Index of the query's class.
         query_class: u32,
-        /// The tenant that sent it.
+        /// Name of the tenant that sent the query.
         tenant: String,
-        /// Seconds until its deadline.
+        /// Seconds until the query's deadline.
         time_left_s: f64,
-        /// Its shard requests: id, shard, weight and the attempts so far.
+        /// The query's shard requests: id, shard, weight (the request's fraction of the query's result) and the
+        /// attempts so far.
         requests: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     },
-    /// Forwarder to planner: an attempt that the planner has started or taken over ended.
+    /// Forwarder to planner: an attempt has ended that the planner had started or that `AssignQuery` had listed as in
+    /// flight.
     AttemptEnded {
-        /// The shard request's id.
+        /// Id of the shard request.
         request: String,
-        /// Number of the attempt within the shard request, from 0.
+        /// Number of the attempt among those of the shard request, counted from 0.
         attempt: u32,
-        /// The data node that it was sent to.
+        /// Name of the data node that the attempt was sent to.
         node: String,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: WireOutcome,
-        /// Seconds from its start to its end.
+        /// Seconds from the attempt's start to its end.
         latency_s: f64,
     },
-    /// Forwarder to planner: a query has ended without the planner's decision, for example because its client left.
+    /// Forwarder to planner: a query has ended without a decision of the planner, for example because the client
+    /// disconnected.
     QueryClosed {
-        /// The query's id.
+        /// Id of the query.
         query: String,
     },
     /// Planner to forwarder: starts an attempt.
     StartAttempt {
-        /// The term of the query's assignment.
+        /// Number of the query's assignment that this decision is for.
         term: u64,
-        /// The shard request's id.
+        /// Id of the shard request.
         request: String,
-        /// The data node to send it to.
+        /// Name of the data node to send the attempt to.
         node: String,
         /// Seconds after which the attempt times out.
         timeout_s: f64,
     },
     /// Planner to forwarder: cancels an attempt.
     CancelAttempt {
-        /// The term of the query's assignment.
+        /// Number of the query's assignment that this decision is for.
         term: u64,
-        /// The shard request's id.
+        /// Id of the shard request.
         request: String,
-        /// Number of the attempt within the shard request, from 0.
+        /// Number of the attempt among those of the shard request, counted from 0.
         attempt: u32,
     },
-    /// Planner to forwarder: answers a query from the replies received.
+    /// Planner to forwarder: answers a query with the replies of data nodes received so far.
     Answer {
-        /// The term of the query's assignment.
+        /// Number of the query's assignment that this decision is for.
         term: u64,
-        /// The query's id.
+        /// Id of the query.
         query: String,
         /// Whether the answer counts as complete.
         complete: bool,
     },
     /// Planner to forwarder: rejects a query.
     Reject {
-        /// The term of the query's assignment.
+        /// Number of the query's assignment that this decision is for.
         term: u64,
-        /// The query's id.
+        /// Id of the query.
         query: String,
-        /// Seconds after which the client may retry.
+        /// Seconds after which the client may retry; `None` if the planner suggests none.
         retry_after_s: Option<f64>,
     },
     /// Planner to forwarder: fails a query.
     Fail {
-        /// The term of the query's assignment.
+        /// Number of the query's assignment that this decision is for.
         term: u64,
-        /// The query's id.
+        /// Id of the query.
         query: String,
     },
-    /// Either way: the sender is alive.
+    /// In both directions: the sender is alive.
     Heartbeat {
-        /// Number of the heartbeat on this connection, from 1.
+        /// Number of the heartbeat on this connection, counted from 1.
         number: u64,
-        /// The latest version of the endpoint list that the sender knows.
+        /// Latest version of the endpoint list that the sender has received.
         endpoints_version: u64,
-        /// Whether a planner accepts new queries; always true from a forwarder.
+        /// Whether the planner accepts new queries; always true in a forwarder's heartbeat.
         accepts_queries: bool,
     },
-    /// Either way: acknowledges a heartbeat.
+    /// In both directions: acknowledges a heartbeat and all earlier ones on this connection.
     HeartbeatAck {
-        /// The heartbeat's number.
+        /// Number of the acknowledged heartbeat.
         number: u64,
     },
-    /// What a planner observed of a data node. The spans count from the time of sending; one of 0 says that the node is
-    /// healthy in that respect.
+    /// In both directions: what a planner observed of a data node. The receiver counts the durations from receipt; a
+    /// duration of 0 means that the node is healthy in that respect.
     Observation {
-        /// The data node's name.
+        /// Name of the data node.
         node: String,
-        /// Seconds since the node's process started, if known.
+        /// Seconds from the start of the node's process to the sending of the message, if known.
         started_ago_s: Option<f64>,
-        /// For how long the node counts as slow.
+        /// Seconds from receipt for which the node counts as slow.
         slow_for_s: f64,
-        /// For how long it counts as very slow.
+        /// Seconds from receipt for which the node counts as very slow.
         very_slow_for_s: f64,
-        /// For how long it counts as unresponsive.
+        /// Seconds from receipt for which the node counts as unresponsive.
         unresponsive_for_s: f64,
-        /// Whether the forwarder that receives it forwards it to the other planners.
+        /// Whether the receiving forwarder forwards the observation to the other planners.
         relay: bool,
     },
 }
--- a/crates/tier/src/planner_membership.rs
+++ b/crates/tier/src/planner_membership.rs
@@ -1,68 +1,71 @@
-//! Which planners one forwarder can use, by its own clock. A planner remains a member as long as it acknowledges
-//! heartbeats: one that hangs, or is cut off in either direction, stops acknowledging while its connection stays open. A
-//! later incarnation of a planner supersedes the earlier one, whose messages are ignored from then on.
+//! Which planners are members for one forwarder: those that are connected and acknowledge its heartbeats. A planner
+//! that hangs, or is unreachable in one direction, stops acknowledging heartbeats while its connection stays open, and
+//! is removed. A planner that restarts has a later incarnation, and messages of its earlier incarnation are ignored
+//! from then on. All times are seconds of the forwarder's monotonic clock.
 use crate::{Incarnation, Name};
 use std::collections::BTreeMap;
 
-/// How heartbeats are sent and timed out.
+/// The interval and timeout of heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeartbeatConfig {
     /// Seconds between two heartbeats to a planner.
     pub interval_s: f64,
-    /// Seconds after which a planner is lost that has not acknowledged a heartbeat.
+    /// Seconds without an acknowledgement of a heartbeat after which its planner counts as lost.
     pub timeout_s: f64,
 }
 
-/// How long an earlier incarnation is rejected after the later one was last connected. A hello that the network delayed
-/// arrives sooner; after this time, the wall clock of a restarted planner has gone back.
+/// Seconds after the end of a planner's connection during which a hello with an earlier incarnation of that planner is
+/// rejected. A hello that the network delayed arrives within this time; a later hello is from a planner whose wall
+/// clock was set back before its restart.
 const EARLIER_INCARNATION_REJECTED_FOR_S: f64 = 3.0;
 
 #[derive(Clone, Debug)]
 struct Planner {
     incarnation: Incarnation,
-    /// Whether its last heartbeat said that it accepts new queries.
+    /// Whether the planner's last heartbeat reported that it accepts new queries.
     accepts_queries: bool,
     endpoints_version: u64,
-    /// The oldest heartbeat that it has not acknowledged: its number and when it was sent.
+    /// The number of the oldest heartbeat that the planner has not acknowledged, and when it was sent.
     unacknowledged: Option<(u64, f64)>,
     last_heartbeat_at: f64,
     last_heartbeat_number: u64,
 }
 
-/// A change that affects the queries of a planner.
+/// A change of a planner that affects the assignment of queries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerChange {
-    /// The planner has disconnected, timed out or restarted; none of its decisions counts any more.
+    /// The planner has disconnected, timed out or restarted, and its decisions are ignored from now on.
     Lost(Name),
-    /// The planner accepts new queries from here on, or no longer does.
+    /// The planner has started or stopped to accept new queries.
     AcceptsQueries(Name, bool),
 }
 
-/// The planners that are connected, and the incarnations of those that were.
+/// The connected planners, and the latest incarnations of those that have disconnected.
 #[derive(Debug)]
 pub struct PlannerMembership {
     config: HeartbeatConfig,
     planners: BTreeMap<Name, Planner>,
-    /// The latest incarnation of each planner that has ever connected.
+    /// The latest accepted incarnation of each planner that has ever connected.
     last_seen: BTreeMap<Name, LastSeen>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct LastSeen {
     incarnation: Incarnation,
-    /// When it was last connected.
+    /// When the planner was last connected.
     at: f64,
 }
 
 impl PlannerMembership {
-    /// Without any planner.
+    /// Creates the membership without any planner.
     pub fn new(config: HeartbeatConfig) -> Self {
         PlannerMembership { config, planners: BTreeMap::new(), last_seen: BTreeMap::new() }
     }
 
-    /// A planner's hello was received on a new connection. Returns none if the hello is to be rejected: it names an earlier
-    /// incarnation of a planner that is connected, or was until a moment ago. After that an earlier incarnation is
-    /// accepted: incarnations are taken from wall clocks, so it may be the planner after a restart.
+    /// Processes the hello of a planner on a new connection, and returns the changes. Returns `None` if the hello must
+    /// be rejected, because a later incarnation of the planner is connected or was until a moment ago. After that time
+    /// an earlier incarnation is accepted: incarnations are taken from wall clocks, and the clock may have been set
+    /// back before the planner restarted.
     pub fn connected(
         &mut self,
         name: &str,
@@ -92,7 +95,7 @@
         self.planners.contains_key(name) || self.last_seen.get(name).is_some_and(is_recent)
     }
 
-    /// The connection to an incarnation of a planner has closed.
+    /// Processes the end of the connection to an incarnation of a planner, and returns the changes.
     pub fn disconnected(&mut self, name: &str, incarnation: Incarnation) -> Vec<PlannerChange> {
         if self.planners.get(name).is_none_or(|planner| planner.incarnation != incarnation) {
             return vec![];
@@ -101,7 +104,8 @@
         vec![PlannerChange::Lost(name.into())]
     }
 
-    /// A planner's heartbeat was received: which version of the endpoint list it knows, and whether it accepts new queries.
+    /// Processes a planner's heartbeat, which contains the planner's version of the endpoint list and whether the
+    /// planner accepts new queries. Returns the changes.
     pub fn heartbeat_received(
         &mut self,
         name: &str,
@@ -118,7 +122,7 @@
         vec![PlannerChange::AcceptsQueries(name.into(), accepts_queries)]
     }
 
-    /// A planner has acknowledged a heartbeat, and with it all earlier ones.
+    /// Processes a planner's acknowledgement of a heartbeat, which also acknowledges all earlier heartbeats.
     pub fn heartbeat_acknowledged(&mut self, name: &str, incarnation: Incarnation, number: u64) {
         if let Some(planner) = self.planners.get_mut(name).filter(|p| p.incarnation == incarnation)
             && planner.unacknowledged.is_some_and(|(oldest, _)| oldest <= number)
@@ -127,7 +131,8 @@
         }
     }
 
-    /// Returns the heartbeats that are due, by planner and number, and removes planners that have timed out.
+    /// Returns the heartbeats that are due, each as the planner's name and the heartbeat's number, and the planners
+    /// that have timed out and were removed.
     pub fn tick(&mut self, now: f64) -> (Vec<(Name, u64)>, Vec<PlannerChange>) {
         let HeartbeatConfig { interval_s, timeout_s } = self.config;
         for name in self.planners.keys() {
@@ -154,19 +159,20 @@
         (heartbeats, lost.into_iter().map(PlannerChange::Lost).collect())
     }
 
-    /// Whether new queries may be assigned to a planner: it accepts them, and it knows the endpoint list in this version or
-    /// a later one. Guards against a planner that is cut off from discovery and keeps sending to nodes that drain.
+    /// Whether new queries may be assigned to a planner: the planner accepts queries and has received at least version
+    /// `min_endpoints_version` of the endpoint list. Guards against a planner that is disconnected from discovery and
+    /// keeps sending attempts to draining data nodes.
     pub fn is_available(&self, name: &str, min_endpoints_version: u64) -> bool {
         let is_available = |p: &Planner| p.accepts_queries && p.endpoints_version >= min_endpoints_version;
         self.planners.get(name).is_some_and(is_available)
     }
 
-    /// The incarnation of a planner that is connected.
+    /// Returns the incarnation of a connected planner, or `None` if the planner is not connected.
     pub fn incarnation(&self, name: &str) -> Option<Incarnation> {
         self.planners.get(name).map(|planner| planner.incarnation)
     }
 
-    /// The names of all connected planners.
+    /// Returns the names of all connected planners.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.planners.keys()
     }
--- a/crates/tier/src/query_assignments.rs
+++ b/crates/tier/src/query_assignments.rs
@@ -1,29 +1,30 @@
-//! Which decider each query of a forwarder is assigned to: one planner, or the forwarder's own policy while no planner is
-//! available. Only the forwarder's record counts. Each assignment has a term, and only decisions that name the latest
-//! term of their query and come from its decider are carried out. So a query has one decider at every instant, even if a
-//! planner that was given up resumes, and which attempts may have run is known from the forwarder's own record. Knows no
-//! time: `planner_membership` decides which planners are available.
+//! Which decider each query of a forwarder is assigned to. A decider decides on a query's attempts and on its answer:
+//! it is a planner, or the local policy, which runs in the forwarder itself, while no planner is available. Each
+//! assignment has a term, a number that grows with each assignment of the forwarder. The forwarder carries out a
+//! decision only if it names the query's latest term and comes from the decider of that term. So a query has one
+//! decider at every instant, even if a planner that was considered lost resumes. This module uses no time:
+//! `planner_membership` determines which planners are available.
 use crate::Name;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// What decides for a query.
+/// What decides on a query's attempts and its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Decider {
-    /// A planner, by name.
+    /// The planner with this name.
     Planner(Name),
-    /// The forwarder's own policy, which sees only this forwarder's queries.
+    /// The forwarder's local policy, which knows only this forwarder's queries.
     Local,
 }
 
-/// One assignment of a query.
+/// The assignment of a query to a decider.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Assignment {
-    /// The query's id.
+    /// Id of the query.
     pub query: String,
-    /// What decides for it.
+    /// The decider that the query is assigned to.
     pub decider: Decider,
-    /// The number that the decider's decisions have to name.
+    /// Number of this assignment, which the decider's decisions must name.
     pub term: u64,
 }
 
@@ -31,15 +32,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QueryAssignments {
     forwarder: Name,
-    /// The decider and the latest term of each open query.
+    /// The decider and the latest term of each open query, by query id.
     by_query: BTreeMap<String, (Decider, u64)>,
-    /// Queries by their latest term.
+    /// The id of each open query, by the query's latest term.
     by_term: BTreeMap<u64, String>,
     last_term: u64,
 }
 
 impl QueryAssignments {
-    /// No assignments yet, of the forwarder of this name.
+    /// Creates the assignments of the forwarder with this name, without any query.
     pub fn new(forwarder: &str) -> Self {
         QueryAssignments {
             forwarder: forwarder.into(),
@@ -49,9 +50,10 @@
         }
     }
 
-    /// The decider for this forwarder's next queries, out of the available planners. All of them go to one planner, so that
-    /// it sees most of what they show. Each forwarder ranks the planners by rendezvous hashing, so the forwarders of a
-    /// lost planner spread over the others and no other forwarder changes its planner.
+    /// Returns the decider for this forwarder's next queries. All of them go to one of the `available` planners, so
+    /// that the planner observes most effects of its decisions. Forwarders choose by rendezvous hashing of their name
+    /// with each planner's, so the forwarders of a lost planner spread over the other planners and no other forwarder
+    /// changes its planner.
     pub fn preferred_decider<'n>(&self, available: impl Iterator<Item = &'n Name>) -> Decider {
         let weight = |planner: &&Name| {
             let mut hash = DefaultHasher::new();
@@ -71,7 +73,7 @@
         Assignment { query: query.into(), decider, term }
     }
 
-    /// Assigns a new query; none if one with this id is open.
+    /// Assigns a new query to a decider. Returns `None` if a query with this id is open.
     pub fn assign<'n>(
         &mut self,
         query: &str,
@@ -84,7 +86,8 @@
         Some(self.assign_to(query, decider))
     }
 
-    /// Reassigns all queries of a planner that is no longer available, to another planner or the own policy.
+    /// Reassigns all queries of a planner that is no longer available, to another planner or to the local policy.
+    /// Returns the new assignments.
     pub fn reassign_from<'n>(
         &mut self,
         planner: &str,
@@ -97,14 +100,15 @@
         queries.iter().map(|query| self.assign_to(query, decider.clone())).collect()
     }
 
-    /// The query that a decision in this term is for; none if the query has another term or decider by now.
+    /// Returns the query that a decision of the decider `from` with this term is for, or `None` if the query's latest
+    /// assignment has another term or decider.
     pub fn query_of(&self, from: &Decider, term: u64) -> Option<&str> {
         let query = self.by_term.get(&term)?;
         self.by_query.get(query).filter(|(decider, latest)| decider == from && *latest == term)?;
         Some(query)
     }
 
-    /// Removes a query that was answered or whose client left, and returns its last assignment.
+    /// Removes a query that was answered or whose client disconnected, and returns the query's last assignment.
     pub fn close(&mut self, query: &str) -> Option<Assignment> {
         let (decider, term) = self.by_query.remove(query)?;
         self.by_term.remove(&term);
--- a/crates/tier/src/slow_start.rs
+++ b/crates/tier/src/slow_start.rs
@@ -1,11 +1,11 @@
-//! Slow start of a planner. A planner that has just started has observed no data node, so it accepts forwarders
-//! gradually: each has a fixed position between 0 and 1, by a hash of its name, and is accepted once that fraction of the
-//! ramp has passed. Forwarders that all reconnect at once are thereby spread over the ramp, and the planner learns from the
-//! queries of the first ones.
+//! Slow start of a planner, which accepts forwarders gradually because it has observed no data node when it starts.
+//! Each forwarder has a fixed position between 0 and 1, by a hash of its name, and is accepted after that fraction of
+//! the ramp, the time from the first to the last acceptance. Forwarders that reconnect at the same moment are thereby
+//! accepted one after another, and the planner learns from the queries of the first ones.
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Whether a planner that began to serve at `serving_since` accepts queries of a forwarder at `now`, if it accepts all
-/// forwarders after `ramp_s` seconds.
+/// Whether a planner accepts queries of a forwarder at `now`, if the planner started to serve at `serving_since` and
+/// accepts all forwarders `ramp_s` seconds later. Both times are seconds of the planner's clock.
 pub fn accepts_forwarder(forwarder: &str, serving_since: f64, ramp_s: f64, now: f64) -> bool {
     let mut hash = DefaultHasher::new();
     forwarder.hash(&mut hash);
--- a/crates/tier/tests/forwarders_and_planners.rs
+++ b/crates/tier/tests/forwarders_and_planners.rs
@@ -1,4 +1,4 @@
-//! Planners that are lost, hang and resume; leases that end; and bytes that are not frames.
+//! Tests of planners that are lost, hang and resume, of leases that end, and of corrupted bytes on a connection.
 use alderway_tier::leases::{LeaseConfig, LeaseGrantor, LeaseHolder};
 use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
 use alderway_tier::planner_membership::{HeartbeatConfig, PlannerChange, PlannerMembership};
@@ -30,7 +30,7 @@
     assert!(
         reassigned.len() == 1 && reassigned[0].decider != first.decider && reassigned[0].term > first.term
     );
-    // The planner was only paused and resumes; the other one sends a decision with the first term.
+    // The lost planner was only paused and resumes, and the new planner sends a decision with the earlier term.
     assert_eq!(assignments.query_of(&first.decider, first.term), None);
     assert_eq!(assignments.query_of(&reassigned[0].decider, first.term), None);
     assert_eq!(assignments.query_of(&first.decider, reassigned[0].term), None);
@@ -49,7 +49,7 @@
         [Assignment { query: "q".into(), decider: Decider::Local, term: 2 }]
     );
     assert_eq!(assignments.assign("r", [].iter()).expect("a new query").decider, Decider::Local);
-    // A planner that is available again gets new queries; those of the own policy stay with it.
+    // A planner that is available again gets new queries; the local policy keeps the queries that it took over.
     assert_eq!(assignments.assign("s", all.iter()).expect("a new query").decider, planner("p-1"));
     assert_eq!((assignments.open_count(), assignments.local_count()), (3, 2));
 }
@@ -91,7 +91,7 @@
     assert_eq!(membership.tick(0.0), (vec![("p".into(), 1)], vec![]));
     membership.heartbeat_acknowledged("p", 1, 1);
     assert_eq!(membership.tick(0.05).0, [("p".into(), 2)]);
-    // From here on no heartbeat is acknowledged, as with a link that is cut in one direction.
+    // From here on the planner acknowledges no heartbeat, as if the link were cut in one direction.
     membership.heartbeat_received("p", 1, 7, true);
     assert_eq!(membership.tick(0.24).1, []);
     assert_eq!(membership.tick(0.25).1, [PlannerChange::Lost("p".into())]);
@@ -114,7 +114,7 @@
     assert_eq!(membership.connected("p", 1, 2.0), None, "a hello that the network delayed");
 }
 
-/// Guards against a planner that is rejected for ever because its wall clock went back between two starts.
+/// Guards against a planner that is rejected forever because its wall clock was set back between two starts.
 #[rstest]
 fn a_planner_restarted_with_its_clock_set_back_is_accepted_once_the_later_incarnation_is_gone() {
     let mut membership = PlannerMembership::new(HEARTBEAT_CONFIG);
@@ -176,7 +176,7 @@
     assert!(new.grant("b", 1, 7.9).is_none() && new.grant("b", 1, 8.04).is_some());
     let mut holder = LeaseHolder::default();
     assert!(holder.accept(lease, 5.0));
-    // The earlier grantor resumes after a pause: a holder that knows the later term rejects its leases.
+    // The grantor of term 1 resumes after a pause: a holder that has accepted a lease of term 2 rejects its leases.
     assert!(holder.accept(new.grant("a", 1, 9.0).expect("units are left"), 9.0));
     assert!(!holder.accept(old.grant("a", 10, 9.1).expect("it does not know of the later term"), 9.1));
     assert_eq!(holder.remaining(9.2), 1);
@@ -262,7 +262,7 @@
         while let Ok(Some(_)) = reader.next_frame() {}
     }
 
-    /// A corrupted byte never yields another message: the checksum detects it.
+    /// A corrupted byte never yields a different message: the checksum detects the change.
     #[test]
     fn a_corrupted_byte_is_detected(at in 0..1000usize, flip in 1..=255u8) {
         let mut bytes = encoded(&sample_messages());
@@ -286,7 +286,8 @@
         prop_assert!(sample_messages().starts_with(&read), "{:?}", read);
     }
 
-    /// With successive grantors, holders whose clocks drift, and lost leases, no window sees more spent than the budget.
+    /// The units spent in any window stay within the budget, with grantors that replace each other, holders whose
+    /// clocks drift, and messages with leases that are lost.
     #[test]
     fn spending_in_any_window_stays_within_the_budget(
         steps in prop::collection::vec((0..6u8, 0..3usize, 1..8u64, 0.0..0.6f64), 1..80),
@@ -297,13 +298,13 @@
         let mut term = 1;
         let mut holders = vec![LeaseHolder::default(); 3];
         let mut spent: Vec<(f64, u64)> = vec![];
-        // Each holder's monotonic clock runs slightly faster or slower.
+        // The monotonic clock of each holder differs in rate by up to 0.9 percent.
         let clock = |holder: usize, now: f64| 50.0 + now * (1.0 + skews[holder]);
         for (step, who, units, wait) in steps {
             match step {
                 0..2 => {
                     let requested_at = clock(who, now);
-                    // The round trip takes time, and the response may be lost.
+                    // The round trip takes time, and a response with a lease of 7 units is lost.
                     let lease = grantor.grant(&who.to_string(), units, now);
                     now += wait / 4.0;
                     if let Some(lease) = lease.filter(|_| units != 7) {
--- a/crates/tier/tests/query_assignment_model.rs
+++ b/crates/tier/tests/query_assignment_model.rs
@@ -1,5 +1,6 @@
-//! Model checking of query assignments: one forwarder with two queries and two planners. Planners may die, or be considered
-//! lost while they are alive and keep sending; messages may be delayed for any time. `QueryAssignments` is the real one.
+//! Model checking of query assignments for one forwarder with two queries and two planners. Planners may crash, or
+//! count as lost while they are alive and keep sending; messages may be delayed for any time. The model uses the
+//! production code of `QueryAssignments`.
 use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
 use alderway_transport::Name;
 use rstest::rstest;
@@ -8,12 +9,12 @@
 const PLANNERS: [&str; 2] = ["p-0", "p-1"];
 const QUERIES: [&str; 2] = ["q-0", "q-1"];
 
-/// A query assigned to a planner, as the planner knows it.
+/// A query assigned to a planner, as recorded by that planner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ReceivedQuery {
     query: usize,
     term: u64,
-    /// An attempt of it may have run: the forwarder reported one, or this planner started one.
+    /// Whether an attempt of the query may have run: the forwarder reported one, or this planner started one.
     attempted: bool,
     ended: bool,
 }
@@ -30,46 +31,49 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     assignments: QueryAssignments,
-    /// Whether each query has arrived.
+    /// Whether each query has arrived at the forwarder.
     arrived: [bool; 2],
-    /// Attempts of each query that were sent and may have run.
+    /// Number of attempts of each query that were sent and may have run.
     started: [u8; 2],
     /// Whether an attempt of each query is in flight.
     in_flight: [bool; 2],
-    /// Final answers of each query.
+    /// Number of answers of each query, including failures.
     answers: [u8; 2],
-    /// Whether each planner is alive, and whether the forwarder considers it available.
+    /// Whether each planner is alive.
     alive: [bool; 2],
+    /// Whether the forwarder considers each planner available.
     available: [bool; 2],
-    /// The queries that each planner was assigned.
+    /// The queries that each planner has received.
     received: [Vec<ReceivedQuery>; 2],
-    /// Messages in flight to and from each planner, in order.
+    /// Messages in flight to each planner, in order.
     to_planner: [Vec<Packet>; 2],
+    /// Messages in flight from each planner, in order.
     from_planner: [Vec<Packet>; 2],
-    /// How many more failures may occur.
+    /// Number of failures that may still occur: crashes, and planners that count as lost while they are alive.
     failures_left: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A query arrives.
+    /// The query with this index arrives at the forwarder.
     Arrive(usize),
-    /// A planner receives its next message.
+    /// The planner with this index receives its next message.
     PlannerReceives(usize),
-    /// The forwarder receives the next message of a planner.
+    /// The forwarder receives the next message of the planner with this index.
     ForwarderReceives(usize),
-    /// A data node replies to an attempt of a query.
+    /// A data node replies to the attempt of the query with this index.
     AttemptEnds(usize),
+    /// The planner with this index crashes.
     PlannerDies(usize),
-    /// The forwarder considers a planner lost, whether or not it is.
+    /// The forwarder considers the planner with this index as lost, whether or not it is alive.
     PlannerLost(usize),
 }
 
-/// The model, with rules that can be broken to show that the check detects it.
+/// The model. Each field breaks a rule, to show that the model checker detects the violation.
 struct System {
-    /// Breaks a rule: decisions are accepted without regard to the decider and the term.
+    /// The forwarder accepts decisions without checking the decider and the term.
     ignores_terms: bool,
-    /// Breaks a rule: a planner that takes over a query does not learn of earlier attempts.
+    /// A planner that takes over a query is not informed of earlier attempts.
     omits_attempts: bool,
 }
 
@@ -78,7 +82,7 @@
         (0..2).filter(|p| state.available[*p]).map(|p| PLANNERS[p].to_string()).collect()
     }
 
-    /// Sends an assignment to its planner; the own policy decides at once, as it needs no message.
+    /// Sends an assignment to its planner. If the query is assigned to the local policy, that policy decides at once.
     fn send_assignment(&self, state: &mut State, assignment: &Assignment) {
         let query = QUERIES.iter().position(|q| *q == assignment.query).expect("one of two");
         let attempted = state.started[query] > 0 && !self.omits_attempts;
@@ -87,7 +91,7 @@
                 let planner = PLANNERS.iter().position(|p| p == name).expect("one of two");
                 state.to_planner[planner].push(Packet::Assign { query, term: assignment.term, attempted });
             }
-            // An attempt that may have run is not repeated: its reply is awaited, or the query ends.
+            // The local policy does not repeat an attempt that may have run: it waits for the reply, or the query ends.
             Decider::Local if attempted && state.in_flight[query] => {}
             Decider::Local if attempted => self.finish(state, query),
             Decider::Local => self.start_attempt(state, query),
@@ -149,7 +153,7 @@
             if state.alive[n] && state.failures_left > 0 {
                 steps.push(Step::PlannerDies(n));
             }
-            // A dead planner is detected sooner or later; a live one may be considered lost.
+            // A crashed planner eventually counts as lost; a live one may count as lost.
             if state.available[n] && (!state.alive[n] || state.failures_left > 0) {
                 steps.push(Step::PlannerLost(n));
             }
@@ -168,7 +172,8 @@
             Step::PlannerReceives(planner) => match next.to_planner[planner].remove(0) {
                 Packet::Assign { query, term, attempted } => {
                     next.received[planner].push(ReceivedQuery { query, term, attempted: true, ended: false });
-                    // A side effect that may have happened is not repeated; an attempt in flight may still be answered.
+                    // The planner does not repeat a side effect that may have happened; the attempt in flight may still
+                    // be answered.
                     next.from_planner[planner].push(if attempted {
                         Packet::Fail { query, term }
                     } else {
@@ -208,7 +213,8 @@
                 match decider.map(|d| d.0) {
                     Some(planner) => next.to_planner[planner].push(Packet::AttemptEnded { query }),
                     None => {
-                        // Either the own policy decides, or the planner has not received the assignment yet and will fail it.
+                        // Either the local policy decides, or the planner has not received the assignment yet and will
+                        // fail the query.
                         if next
                             .assignments
                             .clone()
--- a/crates/tier/tests/wire_format.rs
+++ b/crates/tier/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The wire format between forwarders and planners against recorded bytes. `data/frames.hex` has one frame a line: its name
-//! and its bytes in hex. Each frame is decoded, compared with the expected value, and encoded again.
+//! Compares the wire format between forwarders and planners with recorded bytes. Each line of `data/frames.hex` holds
+//! the name of a frame and its bytes in hex.
 use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
 use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
@@ -34,7 +34,7 @@
     ]
 }
 
-/// Every variant of a message, with every variant of its optional fields.
+/// Messages of every variant, with every variant of their optional fields.
 fn messages() -> Vec<(&'static str, Message)> {
     let ended = |name, outcome| {
         let (request, node) = ("q-1.3".into(), "s-17".into());
@@ -116,7 +116,8 @@
     ]
 }
 
-/// Fails to compile if a variant of a message or an outcome is added, so that a frame of it gets recorded.
+/// Fails to compile when a variant of a message or an outcome is added, as a reminder to add a frame of that variant to
+/// `messages` and `data/frames.hex`.
 fn assert_variants_known(message: &Message) {
     match message {
         Message::AttemptEnded { outcome, .. } => match outcome {
