--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -1,7 +1,8 @@
-//! A forwarder's part between its dispatcher and the deciders. It passes queries to a planner or to the own policy and the
-//! outcomes of attempts to the decider that needs them, and carries out decisions only if they come from the query's
-//! decider. It records the attempts of each shard request, so that a decider that takes over a query knows which may have
-//! run. Uses no sockets.
+//! The part of a forwarder between its dispatcher and the deciders of its queries: planners, and the local policy,
+//! which runs in the forwarder itself. In each round, which processes all input since the previous round, it passes
+//! queries and the outcomes of attempts to their deciders. It carries out a decision only if it comes from the query's
+//! decider and names the latest term, the number of the query's assignment. It records the attempts of each shard
+//! request, so that a decider that takes over a query knows which attempts may have run. Uses no sockets.
 mod input_splitter;
 
 pub use input_splitter::InputSplitter;
@@ -20,14 +21,14 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// How long a planner may lack the latest version of the endpoint list before it gets no new queries: half the grace period
-/// of a drain.
+/// Seconds for which a planner may lack the latest version of the endpoint list before it gets no new queries: half the
+/// grace period of a draining data node.
 const MAX_ENDPOINTS_LAG_S: f64 = 1.0;
 
 struct Attempt {
     node: String,
     started_at: f64,
-    /// None while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     outcome: Option<AttemptOutcome>,
 }
 
@@ -46,14 +47,14 @@
     requests: Vec<ShardRequest>,
 }
 
-/// An attempt that a planner decided on, and whose outcome it has to be sent.
+/// An attempt that a planner started or took over with its query; its outcome is to be sent to that planner.
 struct PlannerAttempt {
     planner: Name,
     node: String,
     started_at: f64,
 }
 
-/// The state of a forwarder beside its dispatcher.
+/// The state of a forwarder that is not in its dispatcher.
 pub struct Forwarder {
     name: Name,
     incarnation: Incarnation,
@@ -62,29 +63,31 @@
     planners: PlannerMembership,
     outboxes: BTreeMap<Name, Outbox>,
     queries: BTreeMap<String, Query>,
-    /// The query and the position in it of each shard request, by id.
+    /// The query id, and the index within the query, of each shard request, by shard request id.
     requests: BTreeMap<String, (String, usize)>,
-    /// Attempts that are in flight, or were when their query ended, by shard request and number.
+    /// The attempts of planners whose end was not reported yet, by shard request id and attempt number. An attempt can
+    /// outlive its query.
     planner_attempts: BTreeMap<(String, usize), PlannerAttempt>,
-    /// Assignments to planners of queries that arrived in this round, to be sent at its end with all shard requests.
+    /// Assignments to planners of queries that arrived in this round. They are sent when the round ends, because the
+    /// shard requests of a query follow it.
     new_assignments: Vec<Assignment>,
-    /// Queries that the own policy takes over in the next round.
+    /// Ids of queries that the local policy takes over in the next round.
     local_takeovers: Vec<String>,
-    /// Observations by planners, for the own policy.
+    /// Observations of data nodes by planners, passed to the local policy in the next round.
     observations: Vec<(String, NodeObservation)>,
-    /// The version of the endpoint list here, and since when.
+    /// The version of this forwarder's endpoint list, and when the forwarder got it, in seconds of its clock.
     endpoints_version: (u64, f64),
-    /// The version that planners must know by now.
+    /// The version of the endpoint list that a planner must have received to be assigned new queries.
     required_endpoints_version: u64,
-    /// When the process of each data node started, by the clock here.
+    /// When the process of each listed data node started, in seconds of this forwarder's clock; `None` if unknown.
     node_starts: BTreeMap<String, Option<f64>>,
-    /// For the metrics.
+    /// Counters of planners, queries, decisions and observations, for the metrics.
     pub counters: Counters,
     round_requested: Rc<Notify>,
 }
 
 impl Forwarder {
-    /// A forwarder without planners; `round_requested` is notified when the own policy has something to decide.
+    /// Creates a forwarder without planners. `round_requested` is notified when the local policy has input to process.
     pub fn new(
         name: &str,
         incarnation: Incarnation,
@@ -113,7 +116,7 @@
         }
     }
 
-    /// The hello for connections to planners.
+    /// Returns the hello that this forwarder sends on connections to planners.
     pub fn hello(&self) -> Hello {
         Hello::new::<Message>(self.name.clone(), self.incarnation)
     }
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Sets the version of the endpoint list that the dispatcher knows. To be called with every tick.
+    /// Sets the version of the dispatcher's endpoint list. Call this before each tick.
     pub fn set_endpoints_version(&mut self, version: u64) {
         let now = self.clock.now();
         let (known, since) = self.endpoints_version;
@@ -141,10 +144,11 @@
         }
     }
 
-    // Planners.
+    // Connections to planners and their heartbeats.
 
-    /// A planner's hello was received on a new connection. Returns the notification of its outbox; none if the hello is of
-    /// an earlier incarnation and the connection has to end.
+    /// Processes the hello of a planner on a new connection, and returns the notification of the connection's outbox.
+    /// Returns `None` if the connection must be closed because a later incarnation of the planner is or was just
+    /// connected.
     pub fn planner_connected(&mut self, hello: &Hello) -> Option<Rc<Notify>> {
         let changes = self.planners.connected(&hello.name, hello.incarnation, self.clock.now())?;
         self.apply_changes(changes);
@@ -155,13 +159,14 @@
         Some(wake)
     }
 
-    /// The connection to a planner has closed.
+    /// Processes the end of the connection to a planner: its queries are reassigned.
     pub fn planner_disconnected(&mut self, hello: &Hello) {
         let changes = self.planners.disconnected(&hello.name, hello.incarnation);
         self.apply_changes(changes);
     }
 
-    /// The outbox of a planner's connection; none once the planner is lost or superseded, or has not read for too long.
+    /// Returns the outbox of the connection to a planner. Returns `None` if the planner is lost, a later incarnation of
+    /// it has connected, or more than `MAX_OUTBOX_BYTES` wait for it.
     pub fn outbox(&mut self, hello: &Hello) -> Option<&mut Outbox> {
         if self.planners.incarnation(&hello.name) != Some(hello.incarnation) {
             return None;
@@ -184,19 +189,22 @@
         for change in changes {
             match change {
                 PlannerChange::AcceptsQueries(name, accepts_queries) => {
-                    let what = if accepts_queries { "decides" } else { "does not decide" };
+                    let verb = if accepts_queries { "decides" } else { "does not decide" };
                     let available = self.available_planners().len();
-                    tracing::info!(target: "tier", "planner {name} {what} for new queries: {available} available");
+                    tracing::info!(
+                        target: "tier",
+                        "planner {name} {verb} on new queries: {available} planners available"
+                    );
                 }
                 PlannerChange::Lost(name) => self.planner_lost(&name),
             }
         }
     }
 
-    /// Reassigns all queries of a planner, to another one or the own policy.
+    /// Reassigns all queries of a planner that is lost, to another planner or to the local policy.
     fn planner_lost(&mut self, name: &str) {
         if let Some(outbox) = self.outboxes.remove(name) {
-            // The task of the connection closes it.
+            // Wakes the task of the connection, which then closes it.
             outbox.wake.notify_one();
         }
         let available = self.available_planners();
@@ -215,7 +223,7 @@
         }
     }
 
-    /// Sends a query to its decider, with the attempts so far.
+    /// Sends a query and its attempts so far to the decider that the query is assigned to.
     fn send_assignment(&mut self, assignment: Assignment) {
         let Assignment { query, decider, term } = assignment;
         let Decider::Planner(planner) = decider else {
@@ -255,9 +263,10 @@
         self.send(&planner, &message);
     }
 
-    // Messages from planners.
+    // Messages that planners send.
 
-    /// Processes a planner's message. Decisions are passed to the dispatcher if the planner is the query's decider.
+    /// Processes a planner's message. Decisions are passed to the dispatcher if the planner is the decider of the query
+    /// and names its latest term.
     pub fn message_received(&mut self, hello: &Hello, message: Message, dispatcher: &mut dyn DecisionSink) {
         let from = Decider::Planner(hello.name.clone());
         match message {
@@ -309,13 +318,13 @@
                 }
             }
             Message::CancelAttempt { request, attempt, .. } => {
-                // Also after the final answer, for attempts that it no longer needs.
+                // Cancels are accepted after the query's answer too, for attempts that the answer does not need.
                 match self.planner_attempts.get(&(request.clone(), attempt as usize)) {
                     Some(known) if known.planner == hello.name => {
                         dispatcher.cancel_attempt(&request, attempt as usize)
                     }
                     Some(_) => self.counters.increment("decisions_refused"),
-                    // The attempt ended here while the message was in flight.
+                    // The attempt had ended before the message arrived.
                     None => self.counters.increment("cancels_crossed"),
                 }
             }
@@ -340,7 +349,8 @@
         }
     }
 
-    /// Sends an observation of one planner to all others, with `relay` unset, so that it never circulates.
+    /// Forwards an observation by the planner `from` to all other planners, with `relay` unset so that no other
+    /// forwarder forwards it again.
     fn relay_observation(&mut self, from: &str, node: &str, started_ago_s: Option<f64>, spans_s: [f64; 3]) {
         let [slow_for_s, very_slow_for_s, unresponsive_for_s] = spans_s;
         let others: Vec<Name> = self.outboxes.keys().filter(|name| *name != from).cloned().collect();
@@ -358,7 +368,8 @@
         }
     }
 
-    /// Whether a final decision on a query comes from its decider; if so, the query is removed.
+    /// Whether an answer, rejection or failure of a query comes from the query's decider and names its latest term. If
+    /// so, removes the query.
     fn accept_final(&mut self, from: &Decider, term: u64, query: &str) -> bool {
         let accepted = self.assignments.query_of(from, term) == Some(query);
         if accepted {
@@ -376,9 +387,9 @@
         self.assignments.close(query)
     }
 
-    // Decisions of the own policy.
+    // Decisions of the local policy.
 
-    /// Records an attempt that the own policy starts.
+    /// Records an attempt that the local policy starts.
     pub fn record_local_attempt(&mut self, request: &str, node: &str) {
         let started_at = self.clock.now();
         if let Some((query, index)) = self.requests.get(request)
@@ -388,13 +399,13 @@
         }
     }
 
-    /// Removes a query that the own policy has answered, rejected or failed.
+    /// Removes a query that the local policy has answered, rejected or failed.
     pub fn remove_local_query(&mut self, query: &str) {
         self.remove_query(query);
     }
 
-    /// Removes a query that has ended here together with its attempts, and notifies the planner that decides for it. Returns
-    /// false if no planner does.
+    /// Removes a query that ended without a decision, with its attempts, and notifies its planner. Returns false if the
+    /// query was not assigned to a planner.
     fn query_closed(&mut self, query: &str) -> bool {
         let attempts: Vec<(String, usize)> = self
             .queries
@@ -407,14 +418,15 @@
         else {
             return false;
         };
-        // Attempts that were decided on after the query had ended were not started and will not end.
+        // The dispatcher does not start attempts of a query that has ended, so no end of these attempts will be
+        // reported.
         attempts.iter().for_each(|attempt| drop(self.planner_attempts.remove(attempt)));
         self.send(&planner, &Message::QueryClosed { query: query.into() });
         true
     }
 
-    /// Ends everything, after a failure of the own policy. Guards against attempts that count at a planner's data nodes for
-    /// ever: no outcome of theirs is sent after this.
+    /// Aborts all queries and attempts after a panic of the local policy. Guards against attempts that the planners
+    /// count as in flight at their data nodes forever: the dispatcher reports no outcome of these attempts.
     pub fn abort_all_queries(&mut self) {
         let now = self.clock.now();
         for ((request, number), attempt) in std::mem::take(&mut self.planner_attempts) {
--- a/crates/router/src/tier/forwarder/input_splitter.rs
+++ b/crates/router/src/tier/forwarder/input_splitter.rs
@@ -1,19 +1,21 @@
-//! Passes the dispatcher's input of a round to the decider that it concerns: a planner, or the own policy.
+//! Splits the dispatcher's input for the policy between the deciders of the queries: input for a query of a planner is
+//! sent to that planner, and all other input goes to the local policy, which runs in the forwarder itself. A round
+//! processes all input since the previous round.
 use super::{Forwarder, Query, ShardRequest};
 use alderway::interface::{AttemptOutcome, NodeObservation, NodeState, PolicyInput, StateTransfer};
 use alderway_tier::messages::Message;
 use alderway_tier::query_assignments::Decider;
 
-/// The policy input of one round.
+/// Receives the policy input of one round in place of the local policy, and passes each part to the query's decider.
 pub struct InputSplitter<'a> {
     forwarder: &'a mut Forwarder,
     policy: &'a mut dyn PolicyInput,
-    /// The query whose shard requests are being added, and whether the own policy decides for it.
+    /// Id of the query whose shard requests are being added, and whether the local policy decides on it.
     current_query: (String, bool),
 }
 
 impl<'a> InputSplitter<'a> {
-    /// Begins a round: the own policy first gets observations by planners and the queries that it takes over.
+    /// Begins a round. The local policy first gets the observations by planners and the queries that it takes over.
     pub fn begin_round(forwarder: &'a mut Forwarder, policy: &'a mut dyn PolicyInput) -> Self {
         let now = forwarder.clock.now();
         for (node, observation) in std::mem::take(&mut forwarder.observations) {
@@ -33,10 +35,10 @@
         InputSplitter { forwarder, policy, current_query: (String::new(), false) }
     }
 
-    /// Ends a round: new assignments are sent to their planners.
+    /// Ends a round, and sends the new assignments to their planners.
     pub fn end_round(self) {
         for assignment in std::mem::take(&mut self.forwarder.new_assignments) {
-            // The planner may have been lost during the round and the query reassigned.
+            // The planner may have been lost during the round, and the query reassigned.
             let assignments = &self.forwarder.assignments;
             if assignments.query_of(&assignment.decider, assignment.term).is_some() {
                 self.forwarder.send_assignment(assignment);
@@ -45,7 +47,7 @@
     }
 }
 
-/// Shard maps are not supported on forwarders, so there is nothing to pass on.
+/// Shard maps are not supported on forwarders, so no shard state is transferred.
 impl StateTransfer for InputSplitter<'_> {}
 
 impl PolicyInput for InputSplitter<'_> {
@@ -87,7 +89,7 @@
     }
 
     fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
-        // The shard requests of a query directly follow it.
+        // The shard requests of a query are added directly after the query.
         let (query_id, is_local) = &self.current_query;
         let query = self.forwarder.queries.get_mut(query_id).filter(|query| query.number == number);
         let Some(query) = query else { return };
--- a/crates/router/src/tier/mod.rs
+++ b/crates/router/src/tier/mod.rs
@@ -1,8 +1,9 @@
-//! The two tiers on sockets. A forwarder is a router whose decisions come from planners as long as any is available: it
-//! holds clients, queries, attempts and connections to data nodes. `forwarder` is its part between its dispatcher and its own
-//! policy, `planner_links` are its connections to planners. A planner runs the policy for many forwarders: `planner` is its
-//! state, `planner_server` accepts the forwarders. Which decider decides for which query is decided in `alderway_tier`, and
-//! which data node is sent to in the policy.
+//! Forwarders and planners on sockets. A forwarder is a router that holds clients, queries, attempts and connections to
+//! data nodes, and gets the decisions on its queries from planners, or from its local policy while no planner is
+//! available. `forwarder` is the part of a forwarder that passes input to planners and the local policy and carries out
+//! their decisions; `planner_links` holds a forwarder's connections to planners. A planner runs one policy for many
+//! forwarders: `planner` is a planner's state, `planner_server` accepts forwarders. The crate `alderway_tier` assigns
+//! each query to a planner or the local policy; the policy chooses the data nodes.
 pub mod forwarder;
 pub mod planner;
 pub mod planner_links;
@@ -14,29 +15,30 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Bytes that wait to be written to a peer.
+/// The bytes that wait to be written to the peer of one connection.
 #[derive(Default)]
 pub struct Outbox {
-    /// The encoded messages.
+    /// The encoded messages that were not written yet.
     pub bytes: Vec<u8>,
-    /// Notified when there is something to write, or the connection is to end.
+    /// Notified when there are bytes to write, or when the connection is to be closed.
     pub wake: Rc<Notify>,
-    /// Whether the connection has to end because the peer does not read.
+    /// Whether the connection is to be closed because the peer does not read or respond in time.
     pub is_overfull: bool,
 }
 
-/// Bytes waiting for a peer beyond which the peer is assumed not to read.
+/// Maximum number of waiting bytes; beyond it the peer is assumed not to read, and the connection is closed.
 const MAX_OUTBOX_BYTES: usize = 8 * 1024 * 1024;
 
 impl Outbox {
-    /// An outbox with the hello of a new connection.
+    /// Creates the outbox of a new connection, which starts with `hello`.
     pub fn new(hello: &Hello) -> Self {
         let mut outbox = Outbox::default();
         encode_hello::<Message>(&mut outbox.bytes, hello);
         outbox
     }
 
-    /// Appends a message.
+    /// Appends an encoded message and notifies the task of the connection. If the message can't be encoded or too many
+    /// bytes wait, the connection is marked to be closed.
     pub fn send(&mut self, message: &Message) {
         if self.bytes.len() > MAX_OUTBOX_BYTES || encode_message(&mut self.bytes, message).is_err() {
             self.is_overfull = true;
@@ -45,12 +47,14 @@
     }
 }
 
-/// Most by which the start of a process differs as seen by the clocks of the two sides, in seconds.
+/// Maximum difference in seconds between the start times of one data node process as computed by two machines.
 const START_TOLERANCE_S: f64 = 1.0;
 
-/// An observation that the other side sent, as this side knows the node: `started_at_s` is the start of its process here,
-/// `started_ago_s` the start that was observed. None where it was of another process. `spans_s` are for how long the node
-/// counts as slow, very slow and unresponsive.
+/// Converts a received observation of a data node. `started_at_s` is when the node's process started according to this
+/// process's endpoint list, in seconds of this process's clock; `started_ago_s` are the seconds from the start of the
+/// observed process to the sending of the message. `spans_s` are the seconds from receipt, `now_s`, for which the node
+/// counts as slow, as very slow and as unresponsive. Returns `None` if the observation is of an earlier or later
+/// process of the node.
 fn received_observation(
     started_at_s: Option<f64>,
     started_ago_s: Option<f64>,
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -1,6 +1,9 @@
-//! A planner's state: the policy's input and output for many forwarders. It follows discovery by itself, receives queries with
-//! the attempts made for them so far, and sends each forwarder the decisions on its queries. When the connection to a
-//! forwarder closes, its attempts end here, so that none counts at a data node for ever. Uses no sockets.
+//! A planner's state: the input and output of one policy that decides on the queries of many forwarders. A planner
+//! follows discovery itself, receives queries with the attempts made for them so far, and sends each forwarder the
+//! decisions on its queries. A session is one connection of a forwarder; when it ends, its queries and attempts end for
+//! the policy, so that no attempt counts at a data node forever. A term is the forwarder's number of a query's
+//! assignment, which decisions repeat. A round is one run of the policy on all input since the previous round. Uses no
+//! sockets. All times are seconds of this planner's clock.
 mod rounds;
 
 pub use rounds::{PolicyPanicked, run_round};
@@ -19,42 +22,44 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// Number of a forwarder's connection.
+/// Number of a session, the connection of one forwarder.
 pub type SessionId = u64;
 
-/// Seconds after which a planner that has just started accepts the queries of all forwarders.
+/// Seconds from the first non-empty endpoint list until a planner accepts the queries of all forwarders.
 const SLOW_START_S: f64 = 1.0;
 
-/// The connection to a forwarder.
+/// A session: the connection of one forwarder and the queries of that forwarder.
 struct Session {
     outbox: Outbox,
-    /// The forwarder's name; none before its hello was received.
+    /// The forwarder's name; `None` until its hello is received.
     name: Option<String>,
     queries: BTreeSet<u64>,
-    /// Its attempts in flight, by shard request and number: the data node and the time of the start.
+    /// The attempts in flight, by the forwarder's shard request id and the attempt number: the data node and the start
+    /// time.
     attempts: BTreeMap<(String, u32), (String, f64)>,
-    /// When the oldest heartbeat was sent that the forwarder has not acknowledged.
+    /// When the oldest heartbeat was sent that the forwarder has not acknowledged; `None` if all are acknowledged.
     unacknowledged_since: Option<f64>,
     last_heartbeat_number: u64,
 }
 
 struct Query {
     session: SessionId,
-    /// The id that the forwarder uses.
+    /// The query's id at its forwarder.
     id: String,
     term: u64,
-    /// The ids of its shard requests, as the policy knows them.
+    /// The policy's ids of the query's shard requests.
     requests: Vec<String>,
 }
 
-/// An input for the policy's next round.
+/// Input that the policy processes in its next round.
 enum Input {
     Query {
         number: u64,
         class: usize,
         tenant: String,
         deadline: f64,
-        /// Id, shard, weight and attempts so far of each shard request.
+        /// For each shard request: the forwarder's id, the shard, the weight (the request's fraction of the query's
+        /// result), and the attempts so far.
         requests: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     },
     AttemptEnded {
@@ -66,62 +71,65 @@
     },
     ClientDisconnected(String),
     Timer(u64),
-    /// An observation by another planner.
+    /// An observation of a data node by another planner, with the node's name.
     NodeObserved(String, NodeObservation),
 }
 
-/// Everything but the policy, which writes its decisions here.
+/// The state of a planner except its policy: sessions, queries, timers, and the input for the policy's next round.
 pub struct Planner {
-    /// The clock of all times here.
+    /// The clock of all times in this state.
     pub clock: Clock,
     query_classes: usize,
     max_deadline_s: f64,
-    /// Most queries and shard requests that are open.
+    /// Maximum number of open queries and shard requests, counted together.
     capacity: usize,
-    /// The endpoint list.
+    /// The endpoint list, received from discovery.
     pub endpoints: EndpointTable,
     sessions: BTreeMap<SessionId, Session>,
     queries: BTreeMap<u64, Query>,
-    /// Query numbers by the policy's ids of the queries.
+    /// The number of each query, by the policy's id of the query.
     query_numbers: BTreeMap<String, u64>,
-    /// The query's number and the count of attempts so far of each shard request, by the policy's id.
+    /// For each shard request, by the policy's id: the number of its query, and the number of its attempts so far.
     requests: BTreeMap<String, (u64, u32)>,
-    /// Queries and shard requests that are open.
+    /// Number of open queries and shard requests, counted together.
     open_count: usize,
     inputs: Vec<Input>,
     timers: Vec<(f64, u64)>,
-    /// The last number given to a session or a query.
+    /// The last number assigned to a session or a query.
     last_number: u64,
-    /// Whether it accepts no new queries because the program is shutting down.
+    /// Whether the planner accepts no new queries because the process is shutting down.
     pub is_stopping: bool,
-    /// When data nodes were first known.
+    /// When the endpoint list was first found to contain a data node; `None` before that.
     serving_since: Option<f64>,
-    /// For the metrics.
+    /// Counters of sessions, queries, decisions and rounds, for the metrics.
     pub counters: Counters,
-    /// Notified when a round is to be run.
+    /// Notified when a round of the policy is to be run.
     pub wake: Rc<Notify>,
     poll_requested: Arc<Notify>,
 }
 
-/// The policy's id of a query or a shard request: ids of different forwarders may be equal.
+/// Returns the policy's id of a query or a shard request: the session and the forwarder's id, since ids of different
+/// forwarders may be equal.
 fn policy_id(session: SessionId, id: &str) -> String {
     format!("{session}/{id}")
 }
 
-/// The session and the forwarder's id from a policy's id.
+/// Splits the policy's id of a query or shard request into the session and the forwarder's id. Returns `None` if the id
+/// is malformed.
 fn split_policy_id(id: &str) -> Option<(SessionId, &str)> {
     let (session, id) = id.split_once('/')?;
     Some((session.parse().ok()?, id))
 }
 
-/// The end of an attempt for which the forwarder will send none.
+/// Returns the input that an attempt was cancelled, for an attempt whose end the forwarder will not report.
 fn cancelled(session: SessionId, (request, attempt): (String, u32), node: String, latency_s: f64) -> Input {
     let (request, attempt) = (policy_id(session, &request), attempt as usize);
     Input::AttemptEnded { request, attempt, node, outcome: AttemptOutcome::Cancelled, latency_s }
 }
 
 impl Planner {
-    /// A planner without forwarders, for at most `capacity` open queries and shard requests.
+    /// Creates a planner without sessions. `capacity` is the maximum number of open queries and shard requests, counted
+    /// together; it is exceeded only by queries that already have attempts.
     pub fn new(
         clock: Clock,
         query_classes: usize,
@@ -151,19 +159,20 @@
         }
     }
 
-    /// How many queries are open.
+    /// The number of open queries of all sessions.
     pub fn open_query_count(&self) -> usize {
         self.queries.len()
     }
 
-    /// Whether new queries are accepted: data nodes are known, there is capacity, and no shutdown has begun.
+    /// Whether the planner accepts new queries: it knows data nodes, has capacity left, and is not shutting down.
     fn accepts_queries(&self) -> bool {
         self.endpoints.has_nodes() && !self.is_stopping && self.open_count < self.capacity
     }
 
-    // Forwarders.
+    // Sessions of forwarders and their messages.
 
-    /// Opens a session for a new connection; `hello` is the planner's own. Returns the notification of its outbox.
+    /// Opens a session for a new connection, with the planner's `hello` as the first bytes to send. Returns the
+    /// session's number and the notification of its outbox.
     pub fn open_session(&mut self, hello: &Hello) -> (SessionId, Rc<Notify>) {
         self.last_number += 1;
         let outbox = Outbox::new(hello);
@@ -181,20 +190,21 @@
         (self.last_number, wake)
     }
 
-    /// The forwarder's hello was received.
+    /// Records the forwarder's name from its hello.
     pub fn hello_received(&mut self, session: SessionId, name: &str) {
         if let Some(session) = self.sessions.get_mut(&session) {
             session.name = Some(name.into());
         }
     }
 
-    /// The outbox of a session; none once the session is closed, or the forwarder has not read for too long.
+    /// Returns the outbox of a session. Returns `None` if the session is closed, or is to be closed because the
+    /// forwarder does not read or acknowledge heartbeats.
     pub fn outbox(&mut self, session: SessionId) -> Option<&mut Outbox> {
         let session = self.sessions.get_mut(&session)?;
         Some(&mut session.outbox).filter(|outbox| !outbox.is_overfull)
     }
 
-    /// Closes a session. Its queries and attempts end for the policy as disconnected and cancelled.
+    /// Closes a session. The policy's next round gets its queries as disconnected and its attempts as cancelled.
     pub fn close_session(&mut self, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
         let now = self.clock.now();
@@ -210,8 +220,9 @@
         self.wake.notify_one();
     }
 
-    /// A query has ended at its forwarder, which has sent the end of every attempt that it started. Guards against attempts
-    /// that count at a data node for ever: one that reached the forwarder after that was not started, and ends here.
+    /// Processes the end of a query at its forwarder, which has already reported the end of every attempt that it
+    /// started. Guards against attempts that count as in flight at a data node forever: an attempt that the forwarder
+    /// received after the query's end was not started, and ends here as cancelled.
     fn query_closed(&mut self, id: SessionId, query: &str) {
         let query_id = policy_id(id, query);
         let number = self.query_numbers.get(&query_id).copied();
@@ -228,8 +239,8 @@
         self.inputs.push(Input::ClientDisconnected(query_id));
     }
 
-    /// After a panic of the policy: closes all sessions, so that the forwarders reassign their queries, and prepares the
-    /// whole endpoint list for the next policy.
+    /// Closes all sessions after a panic of the policy, so that the forwarders reassign their queries, and marks the
+    /// whole endpoint list as changed for the next policy.
     pub fn close_all_sessions(&mut self) {
         self.counters.increment("module_failures");
         let sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
@@ -264,7 +275,8 @@
         Some(query)
     }
 
-    /// Processes a forwarder's message; returns false for one that forwarders must not send.
+    /// Processes a message of the forwarder of session `id`. Returns false if the message is one that only planners
+    /// send.
     pub fn message_received(&mut self, id: SessionId, message: Message) -> bool {
         match message {
             Message::Heartbeat { number, .. } => {
@@ -329,8 +341,10 @@
         let has_attempts = requests.iter().any(|(_, _, _, attempts)| !attempts.is_empty());
         let fits = self.open_count + 1 + requests.len() <= self.capacity
             && !self.query_numbers.contains_key(&query_id);
-        // Guards against a queue that grows faster than it is processed: beyond its capacity a planner rejects at once.
-        // Queries with attempts are accepted beyond it, as attempts may have run and the policy has to account for them.
+        // Guards against a queue of queries that grows faster than the policy processes it: beyond its capacity the
+        // planner rejects new queries at once. Queries that already have attempts are accepted nevertheless, as these
+        // attempts may have run and the policy has to count them. A query is also rejected if its class is unknown or
+        // its deadline is not a number, and a new one if its id is open.
         if class >= self.query_classes || time_left_s.is_nan() || !(fits || has_attempts) {
             self.counters.increment("queries_turned_away");
             return self.send(session, &Message::Reject { term, query: id, retry_after_s: None });
@@ -359,7 +373,8 @@
         self.inputs.push(Input::Query { number, class, tenant, deadline, requests });
     }
 
-    /// Sends a heartbeat to every forwarder, and ends the connections to those that have acknowledged none for `timeout_s`.
+    /// Sends a heartbeat to every forwarder, and marks the sessions to be closed that have not acknowledged a heartbeat
+    /// for more than `timeout_s` seconds.
     pub fn send_heartbeats_and_check_timeouts(&mut self, timeout_s: f64) {
         let endpoints_version = self.endpoints.version.unwrap_or(0);
         let (accepts_queries, now) = (self.accepts_queries(), self.clock.now());
@@ -385,9 +400,9 @@
         }
     }
 
-    // Rounds.
+    // Rounds of the policy.
 
-    /// When the next timer fires; infinity if none is set.
+    /// Returns when the policy's next timer fires, or infinity if none is set.
     pub fn next_timer_at(&self) -> f64 {
         self.timers.iter().map(|timer| timer.0).fold(f64::INFINITY, f64::min)
     }
@@ -421,13 +436,14 @@
         }
     }
 
-    /// The session and the term of a query.
+    /// Returns the session and the term of the query with this number, or `None` if the query is not open.
     fn session_and_term(&self, number: u64) -> Option<(SessionId, u64)> {
         let query = self.queries.get(&number)?;
         Some((query.session, query.term))
     }
 
-    /// Removes a query, and sends its forwarder the final decision that `message` makes of the term and the query's id.
+    /// Removes a query, and sends its forwarder the decision that `message` creates from the query's term and the
+    /// forwarder's id of the query.
     fn finish_query(&mut self, query: &str, message: impl FnOnce(u64, String) -> Message) {
         let Some(number) = self.query_numbers.get(query).copied() else { return };
         if let Some(query) = self.remove_query(number) {
--- a/crates/router/src/tier/planner/rounds.rs
+++ b/crates/router/src/tier/planner/rounds.rs
@@ -1,4 +1,5 @@
-//! A round of a planner's policy, and its decisions as messages to the forwarders.
+//! A round of a planner's policy, that is, one run of the policy on all input since the previous round, and the
+//! conversion of its decisions to messages to the forwarders.
 use super::{Planner, split_policy_id};
 use alderway::interface::{DecisionSink, NodeObservation, PolicyInput};
 use alderway::policy::Policy;
@@ -7,15 +8,15 @@
 use std::convert::Infallible;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The policy panicked in a round and must not be used any more.
+/// The policy panicked in a round and must not be used any longer.
 #[derive(Debug, thiserror::Error)]
 #[error("the policy panicked")]
 pub struct PolicyPanicked;
 
-/// Runs one round: the policy gets all inputs since the last round, and its decisions are sent to the forwarders.
+/// Runs one round: the policy gets all input since the previous round, and its decisions are sent to the forwarders.
 ///
 /// # Errors
-/// The policy panicked. The planner continues with another policy after [`Planner::close_all_sessions`].
+/// The policy panicked. The caller must call [`Planner::close_all_sessions`] and continue with a new policy.
 pub fn run_round(planner: &RefCell<Planner>, policy: &mut Policy) -> Result<(), PolicyPanicked> {
     let now = planner.borrow().clock.now();
     let notify = |input: &mut dyn PolicyInput| {
@@ -28,7 +29,7 @@
     Ok(())
 }
 
-/// Sends each decision to the forwarder of its query.
+/// Receives the policy's decisions and sends each one to the forwarder of its query.
 struct MessageSink<'a>(&'a RefCell<Planner>);
 
 impl DecisionSink for MessageSink<'_> {
@@ -54,7 +55,8 @@
     fn cancel_attempt(&mut self, request: &str, attempt: usize) {
         let mut planner = self.0.borrow_mut();
         let number = planner.requests.get(request).map(|request| request.0);
-        // After the final decision there is no term any more; the forwarder cancels without one.
+        // The query's assignment ends with its answer, so a later cancel has no term; the forwarder does not check the
+        // term of a cancel.
         let term = number.and_then(|number| planner.session_and_term(number)).map_or(0, |(_, term)| term);
         let Some((session, id)) = split_policy_id(request) else { return };
         let cancel = Message::CancelAttempt { term, request: id.into(), attempt: attempt as u32 };
@@ -102,7 +104,8 @@
                 slow_for_s,
                 very_slow_for_s,
                 unresponsive_for_s,
-                // One forwarder is enough to reach the other planners.
+                // Only the first forwarder is asked to forward the observation to the other planners, since every
+                // forwarder connects to all planners. If this message is lost, the other planners miss the observation.
                 relay: n == 0,
             });
         }
--- a/crates/router/src/tier/planner_links.rs
+++ b/crates/router/src/tier/planner_links.rs
@@ -1,5 +1,5 @@
-//! The tasks for a forwarder's connections to its planners. Each connection is dialled again after it ends, with growing
-//! randomized waits, so that forwarders don't all reconnect at once to a planner that has just started.
+//! The tasks for a forwarder's connections to its planners. A connection that ends is dialled again after growing
+//! randomized waits, so that forwarders don't all reconnect at the same moment to a planner that has just started.
 use super::Outbox;
 use super::forwarder::Forwarder;
 use crate::io::rounds::{self, Pen};
@@ -18,15 +18,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// The forwarder as its tasks share it.
+/// The forwarder's state, shared by the tasks of its connections.
 pub type ForwarderHandle = Rc<RefCell<Forwarder>>;
 
-/// How often heartbeats and their time-outs are checked.
+/// Interval at which the forwarder sends the heartbeats that are due and checks for planners that have timed out.
 const TICK: Duration = Duration::from_millis(10);
-/// Bytes read from a socket at once.
+/// Maximum number of bytes read from a socket at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Keeps the forwarder connected to all planners, for as long as the program runs.
+/// Starts the tasks that keep the forwarder connected to all planners, for as long as the process runs.
 pub fn start(
     dispatcher: &DispatcherHandle,
     forwarder: &ForwarderHandle,
@@ -57,11 +57,11 @@
     });
 }
 
-/// What the connection to one planner needs.
+/// The state that the task of the connection to one planner uses.
 struct PlannerLink {
     dispatcher: DispatcherHandle,
     forwarder: ForwarderHandle,
-    /// For connections to data nodes.
+    /// Pool of the file descriptors for connections to data nodes.
     descriptors: Arc<DescriptorPool>,
 }
 
@@ -70,17 +70,17 @@
         let session = async |stream: TcpStream| match self.run_session(&stream).await {
             Ok(()) => SessionEnd::Established,
             Err(error) => {
-                tracing::warn!(target: "tier", "planner at {address}: {error}");
+                tracing::warn!(target: "tier", "closed the connection to planner address {address}: {error}");
                 SessionEnd::Unusable
             }
         };
         keep_connected(address, seed, session).await;
     }
 
-    /// Exchanges messages until the connection ends.
+    /// Exchanges messages with a planner until the connection ends.
     ///
     /// # Errors
-    /// The peer is not a usable planner or violates the protocol.
+    /// The peer is not a planner, its incarnation is out of date, or it violates the protocol.
     async fn run_session(&self, stream: &TcpStream) -> Result<(), String> {
         let mut out = Outbox::new(&self.forwarder.borrow().hello()).bytes;
         let (mut reader, mut buffer) = (FrameReader::default(), vec![0; READ_BUFFER_BYTES]);
@@ -91,9 +91,11 @@
         }
         let Some(wake) = self.forwarder.borrow_mut().planner_connected(&hello) else {
             let Hello { incarnation, name, .. } = hello;
-            return Err(format!("incarnation {incarnation} of {name} is earlier than the one known"));
+            return Err(format!(
+                "incarnation {incarnation} of planner {name} is earlier than the latest one that has connected"
+            ));
         };
-        // The hello has been sent already.
+        // The hello at the start of the new outbox has already been sent.
         if let Some(outbox) = self.forwarder.borrow_mut().outbox(&hello) {
             outbox.bytes.clear();
         }
@@ -116,7 +118,8 @@
             let mut has_unsent = false;
             {
                 let mut forwarder = self.forwarder.borrow_mut();
-                // Without an outbox the planner is lost or superseded, or does not read: its decisions no longer count.
+                // Without an outbox the planner is lost, has a later incarnation, or does not read; its decisions are
+                // ignored.
                 let Some(outbox) = forwarder.outbox(hello) else { return Ok(()) };
                 if !outbox.bytes.is_empty() {
                     match sender.write(stream, &outbox.bytes) {
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -1,4 +1,5 @@
-//! A planner's tasks: the listener for forwarders, one task a connection, discovery, and the rounds of the policy.
+//! A planner's tasks: the listener for forwarders, one task for each connection, the watch of discovery, and the rounds
+//! of the policy. In a round the policy processes all input since the previous round and makes its decisions.
 use super::planner::{self, Planner};
 use crate::io::{discovery, until};
 use crate::lifecycle::graceful_shutdown;
@@ -25,27 +26,30 @@
 type PlannerHandle = Rc<RefCell<Planner>>;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Seconds after which the connection to a forwarder ends that acknowledges no heartbeat. Longer than a forwarder's own
-/// time-out, so that the forwarder reassigns its queries first.
+/// A connection to a forwarder that has not acknowledged a heartbeat for this many seconds is closed. Longer than the
+/// timeout by which the forwarder detects a lost planner, so that the forwarder reassigns its queries first.
 const HEARTBEAT_TIMEOUT_S: f64 = 1.0;
-/// How long a new connection may take until the forwarder's hello.
+/// Longest wait of a connection's task before the forwarder's hello is received. Each wake-up of the task, also one for
+/// a heartbeat to send, starts the wait again.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a shutdown checks for open queries.
+/// Interval at which a shutdown checks whether queries are still open.
 const SHUTDOWN_POLL: Duration = Duration::from_millis(10);
-/// How long the last decisions get to be written in a shutdown.
+/// Time that a shutdown waits for the last decisions to be written to the sockets.
 const LAST_WRITES: Duration = Duration::from_millis(50);
-/// Bytes read from a socket at once.
+/// Maximum number of bytes read from a socket at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A new incarnation, from the wall clock: a later start has a larger one unless the clock went back.
+/// Returns a new incarnation: the wall clock in microseconds, so a later start has a larger incarnation unless the
+/// clock was set back.
 pub fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// Runs a planner until SIGTERM, after which it accepts no new queries and ends once the open ones have ended.
+/// Runs a planner until SIGTERM. After SIGTERM the planner accepts no new queries, and this function returns when the
+/// open queries have ended or a time limit has passed.
 ///
 /// # Errors
-/// No socket or signal handler could be had, or the task of the rounds ended.
+/// A socket or a signal handler can't be created, or the task that runs the policy has ended.
 pub async fn run(config: StartupConfig, clock: Clock) -> io::Result<()> {
     let previous = PreviousConfig::of(&config);
     let StartupConfig { name, listen, discovery, endpoints, seed, settings, .. } = config;
@@ -53,7 +57,8 @@
     let policy_config = settings.policy;
     let make_policy = move || {
         let mut policy = Policy::new(seed, policy_config.clone());
-        // Makes the policy share its observations of data nodes, as with another core.
+        // Limits shared by two cores make the policy share its observations of data nodes, as on a router with several
+        // cores.
         policy.join(SharedLimits::new(2).for_core(0));
         policy
     };
@@ -63,7 +68,7 @@
     let planner = Rc::new(RefCell::new(planner));
     let listener = TcpListener::bind(listen).await?;
     let address = listener.local_addr()?;
-    tracing::info!(target: "start", "{name} listens at {address}: a planner");
+    tracing::info!(target: "start", "planner {name} listens at {address}: ready for forwarders");
     let (discovery, discovery_address) = watch::channel(discovery);
     spawn_local(discovery::run(planner.clone(), discovery_address));
     spawn_local(reload_at_sighup(hangups, previous, discovery, clock, None));
@@ -74,7 +79,8 @@
     tokio::select! {
         _ = terminations.recv() => {}
         ended = &mut rounds => {
-            return Err(io::Error::other(format!("the planner's rounds ended: {ended:?}")));
+            let error = format!("the task that runs the planner's policy ended unexpectedly: {ended:?}");
+            return Err(io::Error::other(error));
         }
     }
     planner.borrow_mut().is_stopping = true;
@@ -84,13 +90,14 @@
         sleep(SHUTDOWN_POLL).await;
     }
     sleep(LAST_WRITES).await;
-    tracing::info!(target: "stop", "ended with {} open queries", planner.borrow().open_query_count());
+    let still_open = planner.borrow().open_query_count();
+    tracing::info!(target: "stop", "planner stopped: {still_open} queries were still open");
     log::write_unlimited(&planner.borrow().counters.text());
     Ok(())
 }
 
-/// Runs rounds for as long as the program runs. Guards against a query that makes the policy panic: the planner continues
-/// with a new policy, and the forwarders reassign their queries.
+/// Runs the policy's rounds for as long as the process runs. Guards against a query that makes the policy panic: the
+/// planner continues with a new policy, and the forwarders reassign their queries.
 async fn run_rounds(planner: PlannerHandle, make_policy: impl Fn() -> Policy) {
     let mut policy = make_policy();
     let (clock, wake) = (planner.borrow().clock, planner.borrow().wake.clone());
@@ -100,7 +107,7 @@
             () = wake.notified() => {}
             () = until(clock, next_timer_at), if next_timer_at.is_finite() => {}
         }
-        // Lets other tasks add what they have received to the same round.
+        // Lets other tasks add received messages to the input of this round.
         yield_now().await;
         if let Err(error) = planner::run_round(&planner, &mut policy) {
             tracing::error!(
@@ -132,7 +139,7 @@
         spawn_local(async move {
             let _ = stream.set_nodelay(true);
             if let Err(error) = run_session(&planner, &stream, &hello).await {
-                tracing::warn!(target: "tier", "forwarder at {address}: {error}");
+                tracing::warn!(target: "tier", "closed the connection from {address}: {error}");
             }
         });
     }
@@ -141,7 +148,7 @@
 /// Exchanges messages with a forwarder until the connection ends.
 ///
 /// # Errors
-/// The peer is not a usable forwarder or violates the protocol, or the session was closed here.
+/// The peer is not a forwarder or violates the protocol, or the planner has closed the session.
 async fn run_session(planner: &PlannerHandle, stream: &TcpStream, hello: &Hello) -> Result<(), String> {
     let (mut reader, mut buffer) = (FrameReader::default(), vec![0; READ_BUFFER_BYTES]);
     let (session, wake) = planner.borrow_mut().open_session(hello);
@@ -152,7 +159,9 @@
         {
             let mut planner = planner.borrow_mut();
             let Some(outbox) = planner.outbox(session) else {
-                break Err("closed here: the forwarder does not respond, or the policy failed".to_string());
+                break Err(
+                    "the forwarder did not respond or read in time, or the policy panicked".to_string()
+                );
             };
             if !outbox.bytes.is_empty() {
                 match sender.write(stream, &outbox.bytes) {
@@ -164,7 +173,7 @@
         }
         match reader.next_frame() {
             Ok(Some(Received::Hello(theirs))) if theirs.is_planner => {
-                break Err("the peer is a planner".into());
+                break Err("the peer is a planner, but only forwarders may connect".into());
             }
             Ok(Some(Received::Hello(theirs))) => {
                 tracing::info!(target: "tier", "forwarder {} connected", theirs.name);
@@ -192,7 +201,7 @@
         match ready {
             Ok(true) => {}
             Ok(false) => break Ok(()),
-            Err(_) => break Err("no hello in time".into()),
+            Err(_) => break Err(format!("no hello was received within {HELLO_TIMEOUT:?}")),
         }
         match alderway_sockets::read(stream, &mut buffer) {
             Ok(Some(0)) | Err(_) => break Ok(()),
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -1,4 +1,5 @@
-//! A forwarder without sockets: what it sends its planner about the attempts that the planner decided on.
+//! Tests of the messages that a forwarder sends to its planner about attempts that the planner decided on, without
+//! sockets.
 mod common;
 use alderway::interface::{AttemptOutcome, DecisionSink, PolicyInput};
 use alderway_router::tier::forwarder::{Forwarder, InputSplitter};
@@ -11,7 +12,7 @@
 use rstest::rstest;
 use std::rc::Rc;
 
-/// Records which attempts are started and cancelled, and which queries are answered.
+/// Records the attempts that are started or cancelled and the queries that are answered.
 #[derive(Default)]
 struct RecordingSink(Vec<String>);
 
@@ -32,7 +33,7 @@
     fn log(&mut self, _text: &str) {}
 }
 
-/// A forwarder with one planner, which accepts queries.
+/// A forwarder that is connected to one planner, which accepts queries.
 struct Router {
     forwarder: Forwarder,
     planner: Hello,
@@ -49,7 +50,7 @@
         let mut router =
             Router { forwarder, planner, reader: FrameReader::default(), sink: RecordingSink::default() };
         router.receive(Message::Heartbeat { number: 1, endpoints_version: 1, accepts_queries: true });
-        // Acknowledges the forwarder's heartbeats.
+        // Acknowledges the forwarder's heartbeats, as the planner does.
         router.forwarder.tick();
         for message in router.sent() {
             if let Message::Heartbeat { number, .. } = message {
@@ -63,7 +64,7 @@
         self.forwarder.message_received(&self.planner, message, &mut self.sink);
     }
 
-    /// The messages sent to the planner since the last call, except acknowledgements of heartbeats.
+    /// Returns the messages sent to the planner since the last call, except acknowledgements of heartbeats.
     fn sent(&mut self) -> Vec<Message> {
         let outbox = self.forwarder.outbox(&self.planner).expect("a connected planner");
         let mut messages = take_messages(outbox, &mut self.reader);
@@ -71,17 +72,19 @@
         messages
     }
 
-    /// Runs one round with the given policy input.
+    /// Runs one round with the policy input that `notify` passes, and returns the messages sent to the planner. The
+    /// local policy must get no input.
     fn round(&mut self, notify: impl FnOnce(&mut dyn PolicyInput)) -> Vec<Message> {
         let mut policy = RecordingPolicy::new(Recorded::Endpoints);
         let mut splitter = InputSplitter::begin_round(&mut self.forwarder, &mut policy);
         notify(&mut splitter);
         splitter.end_round();
-        assert!(policy.events.is_empty(), "input for the own policy: {:?}", policy.events);
+        assert!(policy.events.is_empty(), "input for the local policy: {:?}", policy.events);
         self.sent()
     }
 
-    /// Assigns a query with one shard request to the planner, and returns the term.
+    /// Assigns a query with one shard request to the planner, and returns the term, which is the number of the
+    /// assignment.
     fn assign(&mut self, number: u64, id: &str) -> u64 {
         let sent = self.round(|input| {
             input.query_arrived(number, id, 0, "", 5.0);
@@ -112,9 +115,9 @@
     }
 }
 
-/// Guards against attempts that count at a planner's data nodes for ever.
+/// Guards against attempts that a planner counts as in flight at its data nodes forever.
 #[rstest]
-fn a_failure_of_the_own_policy_ends_attempts_for_the_planner_too() {
+fn a_failure_of_the_local_policy_ends_attempts_for_the_planner_too() {
     let mut router = Router::new();
     let answered = router.assign(0, "q");
     router.start_attempt(answered, "q.0");
@@ -128,7 +131,8 @@
     assert_eq!(sent.last(), Some(&Message::QueryClosed { query: "r".into() }));
 }
 
-/// Guards against records that are never removed: the dispatcher starts no attempt of a query that has ended.
+/// Guards against records of attempts that are never removed: the dispatcher starts no attempt of a query that has
+/// ended.
 #[rstest]
 fn an_attempt_decided_on_as_its_query_ended_is_removed_with_it() {
     let mut router = Router::new();
--- a/crates/router/tests/planner.rs
+++ b/crates/router/tests/planner.rs
@@ -1,4 +1,4 @@
-//! A planner without sockets: sessions of forwarders, and a policy that panics.
+//! Tests of a planner without sockets: sessions of forwarders, and a policy that panics.
 mod common;
 use alderway::interface::{NodeState, PolicyConfig};
 use alderway::policy::Policy;
@@ -18,14 +18,15 @@
     Message::AssignQuery { term: 1, query, query_class: 0, tenant, time_left_s: 5.0, requests }
 }
 
-/// Guards against a query that crashes one planner after the other, as its forwarder reassigns it.
+/// Guards against a query that makes the policies of all planners panic, one after another, because its forwarder
+/// reassigns it.
 #[rstest]
 fn a_policy_panic_closes_the_sessions_and_the_planner_continues_with_another() {
     let hello = Hello::of_planner::<Message>("p-0", 1);
     let planner = RefCell::new(Planner::new(Clock::default(), 1, 5.0, 100, EndpointTable::default()));
     let (session, _wake) = planner.borrow_mut().open_session(&hello);
     assert!(planner.borrow_mut().message_received(session, assign_query("q")));
-    // Without query classes it panics on any query.
+    // A policy without query classes panics on any query.
     let mut without_classes = Policy::new(7, PolicyConfig::default());
     assert!(planner::run_round(&planner, &mut without_classes).is_err());
 
@@ -42,7 +43,7 @@
     assert!(planner.borrow_mut().outbox(session).expect("an open session").bytes.len() > greeting_bytes);
 }
 
-/// A planner that knows one data node.
+/// Creates a planner whose endpoint list has one data node, `s`.
 fn planner_with_one_node() -> RefCell<Planner> {
     let mut endpoints = EndpointTable::default();
     endpoints.begin_update(1, true);
@@ -50,7 +51,7 @@
     RefCell::new(Planner::new(Clock::default(), 1, 5.0, 100, endpoints))
 }
 
-/// A forwarder's session with a planner.
+/// A forwarder that is connected to a planner by one session.
 struct Forwarder<'a> {
     planner: &'a RefCell<Planner>,
     session: SessionId,
@@ -64,7 +65,8 @@
         Forwarder { planner, session, reader: FrameReader::default() }
     }
 
-    /// Sends a message to the planner, and returns the messages that it sends in the next round.
+    /// Sends a message to the planner, runs one round of the policy, and returns the messages that the planner sends to
+    /// the forwarder.
     fn send(&mut self, message: Message, policy: &mut Policy) -> Vec<Message> {
         assert!(self.planner.borrow_mut().message_received(self.session, message));
         planner::run_round(self.planner, policy).expect("the policy does not panic");
@@ -74,8 +76,8 @@
     }
 }
 
-/// Guards against attempts that count at a data node for ever: a forwarder whose query ends while the message to start an
-/// attempt is in flight does not start it, and sends no end of it.
+/// Guards against attempts that count as in flight at a data node forever: a forwarder whose query ends while a
+/// `StartAttempt` message is in flight does not start that attempt and does not report its end.
 #[rstest]
 fn an_attempt_that_crosses_the_end_of_its_query_does_not_count_at_its_node() {
     let (planner, mut policy) = (planner_with_one_node(), one_class_policy());
--- a/crates/tier/tests/forwarders_and_planners.rs
+++ b/crates/tier/tests/forwarders_and_planners.rs
@@ -41,7 +41,7 @@
 }
 
 #[rstest]
-fn without_planners_the_own_policy_decides_and_keeps_its_queries() {
+fn without_planners_the_local_policy_decides_and_keeps_its_queries() {
     let (mut assignments, all) = (QueryAssignments::new("f-1"), names(&["p-1"]));
     assignments.assign("q", all.iter()).expect("a new query");
     assert_eq!(
