--- a/crates/cores/src/fence.rs
+++ b/crates/cores/src/fence.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The number of the latest endpoint list that the acceptor thread has published, and the time of its last read of
+/// The number of the latest endpoint list that the acceptor thread has published, and when that thread last read from
 /// discovery.
 #[derive(Debug)]
 pub struct Fence {
--- a/crates/cores/src/pool.rs
+++ b/crates/cores/src/pool.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Counts one waiting caller of the pool until it is dropped.
+/// Counts its creator as a waiting caller of the pool until dropped.
 pub struct WaiterGuard(Arc<Pool>);
 
 impl Drop for WaiterGuard {
--- a/crates/cores/src/rebalancer.rs
+++ b/crates/cores/src/rebalancer.rs
@@ -7,11 +7,11 @@
 const MIN_UTILIZATION: f64 = 0.35;
 /// Difference in utilization between two cores from which on connections move, from 0 to 1.
 const MIN_UTILIZATION_GAP: f64 = 0.20;
-/// Seconds after a move during which neither of its cores takes part in another move, because the reported loads
-/// predate the first one.
+/// Seconds after a move during which its two cores take part in no other move, because the reported loads predate the
+/// move.
 const COOLDOWN_S: f64 = 1.0;
 
-/// The load that one core reports.
+/// The load of one core, reported by that core.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CoreLoad {
     /// Fraction of recent time that the core was busy, from 0 to 1.
@@ -33,7 +33,7 @@
     pub connections: usize,
 }
 
-/// Decides on moves from the loads of all cores.
+/// Decides which connections move, from the loads of all cores.
 pub struct Rebalancer {
     /// When each core last took part in a move, in seconds of the shared clock.
     last_moves: Vec<f64>,
--- a/crates/peers/src/transit_time.rs
+++ b/crates/peers/src/transit_time.rs
@@ -5,7 +5,7 @@
 //! than the configured drift. All times are seconds; those of the peer's clock are named so, the others are of this
 //! router's monotonic clock.
 
-/// Estimates the transit times of the frames on one link.
+/// Computes upper bounds on the transit times of the frames received on one link.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransitEstimator {
     /// A lower bound on this router's clock minus the peer's clock, in seconds, and when the bound was measured.
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -49,7 +49,7 @@
 pub enum LinkError {
     /// The peer is not in the list of members.
     UnknownMember(Name),
-    /// The peer uses this router's own name.
+    /// The peer's hello has this router's own name.
     OwnName,
 }
 
@@ -116,7 +116,7 @@
     config: GossipConfig,
     own_name: Name,
     incarnation: Incarnation,
-    /// All members but this router.
+    /// The state of each member except this router, by name.
     members: BTreeMap<Name, Member>,
     updates: UpdateStore,
     links: BTreeMap<u64, Link>,
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -38,9 +38,9 @@
 /// The members and settings of gossip.
 #[derive(Clone)]
 pub struct GossipGroup {
-    /// All members, this router included.
+    /// The addresses of all members, this router included, by name.
     pub members: MemberAddresses,
-    /// Intervals and limits.
+    /// Intervals and limits of gossip.
     pub config: GossipConfig,
     /// Whether this router sends its observations of data nodes to the other members.
     pub shares_observations: bool,
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -22,26 +22,26 @@
     pub outcome: Option<WireOutcome>,
 }
 
-/// How an attempt ended, as encoded on the wire.
+/// How an attempt ended, as encoded on the wire. The variants correspond to those of [`AttemptOutcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum WireOutcome {
-    /// See [`AttemptOutcome::Success`].
+    /// The data node answered.
     Success,
-    /// See [`AttemptOutcome::Error`].
+    /// The data node failed; the attempt may have had an effect.
     Error,
-    /// See [`AttemptOutcome::Rejected`].
+    /// The data node rejected the attempt for lack of capacity.
     Rejected,
-    /// See [`AttemptOutcome::TimedOut`].
+    /// The attempt's timeout passed.
     TimedOut,
-    /// See [`AttemptOutcome::Unreachable`].
+    /// No connection to the data node could be opened.
     Unreachable,
-    /// See [`AttemptOutcome::ConnectionReset`].
+    /// The connection broke while the attempt was in flight.
     ConnectionReset,
-    /// See [`AttemptOutcome::Cancelled`].
+    /// The router cancelled the attempt.
     Cancelled,
-    /// See [`AttemptOutcome::NeverSent`].
+    /// The attempt ended before any byte of it was written.
     NeverSent,
-    /// See [`AttemptOutcome::ShardMoved`].
+    /// The data node answered that it does not hold the shard.
     ShardMoved,
 }
 
@@ -117,7 +117,7 @@
         /// Id of the query.
         query: String,
     },
-    /// Planner to forwarder: starts an attempt.
+    /// Planner to forwarder: start an attempt for a shard request.
     StartAttempt {
         /// Number of the query's assignment that this decision is for.
         term: u64,
@@ -128,7 +128,7 @@
         /// Seconds after which the attempt times out.
         timeout_s: f64,
     },
-    /// Planner to forwarder: cancels an attempt.
+    /// Planner to forwarder: cancel an attempt.
     CancelAttempt {
         /// Number of the query's assignment that this decision is for.
         term: u64,
@@ -137,16 +137,16 @@
         /// Number of the attempt among those of the shard request, counted from 0.
         attempt: u32,
     },
-    /// Planner to forwarder: answers a query with the replies of data nodes received so far.
+    /// Planner to forwarder: answer a query with the replies of data nodes received so far.
     Answer {
         /// Number of the query's assignment that this decision is for.
         term: u64,
         /// Id of the query.
         query: String,
-        /// Whether the answer counts as complete.
+        /// Whether the policy counts the answer as complete.
         complete: bool,
     },
-    /// Planner to forwarder: rejects a query.
+    /// Planner to forwarder: reject a query.
     Reject {
         /// Number of the query's assignment that this decision is for.
         term: u64,
@@ -155,7 +155,7 @@
         /// Seconds after which the client may retry; `None` if the planner suggests none.
         retry_after_s: Option<f64>,
     },
-    /// Planner to forwarder: fails a query.
+    /// Planner to forwarder: fail a query.
     Fail {
         /// Number of the query's assignment that this decision is for.
         term: u64,
--- a/crates/tier/src/query_assignments.rs
+++ b/crates/tier/src/query_assignments.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// What decides on a query's attempts and its answer.
+/// The planner or policy that decides on a query's attempts and answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Decider {
     /// The planner with this name.
@@ -28,7 +28,7 @@
     pub term: u64,
 }
 
-/// The assignments of one forwarder's open queries.
+/// The assignments of the open queries of one forwarder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QueryAssignments {
     forwarder: Name,
