--- a/crates/peers/src/transit_time.rs
+++ b/crates/peers/src/transit_time.rs
@@ -18,7 +18,7 @@
     /// Processes a frame that was received at `now` and sent at `sent_at` of the peer's clock. `echo` is the newest
     /// timestamp that the peer has received from this router, and the seconds since the peer received it. Returns an
     /// upper bound on the seconds that the frame was in transit, or `None` before the first round trip.
-    pub fn frame_received(
+    pub fn bound_transit_s(
         &mut self,
         sent_at: f64,
         echo: Option<(f64, f64)>,
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -247,7 +247,7 @@
     pub fn frame_received(&mut self, link: u64, frame: Frame, now: f64) -> Vec<(Name, MemberState)> {
         let GossipConfig { max_age_s, max_updates_per_origin, max_clock_drift, .. } = self.config;
         let Some(open) = self.links.get_mut(&link) else { return vec![] };
-        let transit_s = open.transit.frame_received(frame.sent_at_s, frame.echo, now, max_clock_drift);
+        let transit_s = open.transit.bound_transit_s(frame.sent_at_s, frame.echo, now, max_clock_drift);
         let Some(transit_s) = transit_s else {
             // The frame's updates are dropped; the peer repeats those that remain valid.
             self.counters.frames_undated += u64::from(!frame.updates.is_empty());
--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -502,10 +502,10 @@
         for (there, back, pause) in delays {
             let sent = now;
             let arrived = sent + there;
-            far.frame_received(sent, near.next_echo(sent), other(arrived), 0.001);
+            far.bound_transit_s(sent, near.next_echo(sent), other(arrived), 0.001);
             let replied = arrived + pause;
             let returned = replied + back;
-            if let Some(transit_s) = near.frame_received(other(replied), far.next_echo(other(replied)), returned, 0.001) {
+            if let Some(transit_s) = near.bound_transit_s(other(replied), far.next_echo(other(replied)), returned, 0.001) {
                 prop_assert!(transit_s >= back - 1e-6, "{transit_s} for {back}");
             }
             now = returned + 0.1;
