--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -247,7 +247,7 @@
     mesh.pass(1.0);
     assert!(mesh.accepting("s-1").len() >= 7, "{:?}", mesh.accepting("s-1"));
     mesh.pass(6.0);
-    assert!(mesh.accepting("s-1").len() >= 7, "the observation is repeated while it holds");
+    assert!(mesh.accepting("s-1").len() >= 7, "observations are repeated until their spans end");
     mesh.partition(|n| n < 4);
     let max_age_s = mesh.config.max_age_s;
     mesh.pass(max_age_s + 0.2);
@@ -373,7 +373,7 @@
     mesh.observe(1, "s-1", 1000.0);
     mesh.observe(2, "s-1", 1000.0);
     mesh.pass(0.5);
-    assert!(!mesh.accepting("s-1").is_empty(), "its observations count");
+    assert!(!mesh.accepting("s-1").is_empty(), "the observations of router 1 count");
 }
 
 /// Guards against a router that stays in state `Missed` after a pause although it has resumed sending.
@@ -404,7 +404,7 @@
     mesh.observe(4, "s-1", 1000.0);
     mesh.observe(3, "s-1", 1000.0);
     mesh.pass(0.5);
-    assert!(!mesh.accepting("s-1").contains(&0), "it knows one observer only");
+    assert!(!mesh.accepting("s-1").contains(&0), "router 0 knows only one observer");
     assert!(mesh.accepting("s-1").contains(&1));
     assert!(mesh.routers[0].view.counters.updates_of_unknown_origins > 0);
     assert!(mesh.routers[0].view.link_opened(&name(4), 9).is_err());
@@ -536,7 +536,7 @@
         };
         let update = Update { origin: name(1), incarnation: 1, number: u64::MAX, age_s, body };
         let frame = Frame { sent_at_s, echo: Some((age_s, f64::from(span_s))), updates: vec![update] };
-        encode_message(&mut stream, &frame).expect("it fits a frame");
+        encode_message(&mut stream, &frame).expect("the frame is short enough");
         stream.append(&mut bytes);
         let mut view = View::new(&name(0), 1, &members(3), GossipConfig::default(), 5.0);
         let link = view.link_opened(&name(1), 1).expect("a member");
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -143,7 +143,10 @@
         [Message::QueryClosed { query: "q".into() }]
     );
     router.receive(Message::CancelAttempt { term, request: "q.0".into(), attempt: 0 });
-    assert!(router.forwarder.counters.text().contains("cancels_crossed 1"), "the attempt is still known");
+    assert!(
+        router.forwarder.counters.text().contains("cancels_crossed 1"),
+        "the forwarder still records the attempt"
+    );
     assert_eq!(router.sink.0, ["start q.0 s"]);
 }
 
--- a/crates/tier/tests/forwarders_and_planners.rs
+++ b/crates/tier/tests/forwarders_and_planners.rs
@@ -79,14 +79,14 @@
 fn a_planner_that_hangs_is_lost_while_its_connection_is_open() {
     let mut membership = PlannerMembership::new(HEARTBEAT_CONFIG);
     assert_eq!(membership.connected("p", 1, 0.0), Some(vec![]));
-    assert!(!membership.is_available("p", 0), "no heartbeat has said that it accepts queries");
+    assert!(!membership.is_available("p", 0), "no heartbeat has reported that the planner accepts queries");
     assert_eq!(
         membership.heartbeat_received("p", 1, 7, true),
         [PlannerChange::AcceptsQueries("p".into(), true)]
     );
     assert!(
         membership.is_available("p", 7) && !membership.is_available("p", 8),
-        "it must know the required version of the endpoint list"
+        "the planner must have the required version of the endpoint list"
     );
     assert_eq!(membership.tick(0.0), (vec![("p".into(), 1)], vec![]));
     membership.heartbeat_acknowledged("p", 1, 1);
@@ -96,7 +96,7 @@
     assert_eq!(membership.tick(0.24).1, []);
     assert_eq!(membership.tick(0.25).1, [PlannerChange::Lost("p".into())]);
     assert!(!membership.is_available("p", 0));
-    assert_eq!(membership.heartbeat_received("p", 1, 9, true), [], "it is no longer a member");
+    assert_eq!(membership.heartbeat_received("p", 1, 9, true), [], "the planner is no longer a member");
 }
 
 #[rstest]
@@ -178,7 +178,10 @@
     assert!(holder.accept(lease, 5.0));
     // The grantor of term 1 resumes after a pause: a holder that has accepted a lease of term 2 rejects its leases.
     assert!(holder.accept(new.grant("a", 1, 9.0).expect("units are left"), 9.0));
-    assert!(!holder.accept(old.grant("a", 10, 9.1).expect("it does not know of the later term"), 9.1));
+    assert!(
+        !holder
+            .accept(old.grant("a", 10, 9.1).expect("the earlier grantor does not know the later term"), 9.1)
+    );
     assert_eq!(holder.remaining(9.2), 1);
 }
 
--- a/crates/tier/tests/query_assignment_model.rs
+++ b/crates/tier/tests/query_assignment_model.rs
@@ -252,7 +252,7 @@
             Property::always("no side effect happens twice", |_, state: &State| {
                 state.started.iter().all(|n| *n <= 1)
             }),
-            Property::always("assigned until it is answered", |_, state: &State| {
+            Property::always("each open query is assigned", |_, state: &State| {
                 let open = (0..2).filter(|q| state.arrived[*q] && state.answers[*q] == 0).count();
                 state.assignments.open_count() == open
             }),
