--- a/crates/cores/src/lib.rs
+++ b/crates/cores/src/lib.rs
@@ -1,19 +1,20 @@
-//! What the cores of one query router share, and what is decided about them. A program that serves on several
-//! cores has one thread a core, each with its own clients, connections to data nodes and decision module, and one
-//! thread more, the lead, which follows discovery, accepts connections and watches over the cores. This package
-//! holds their common ground, free of I/O and clocks: times are passed in, seconds of one clock that all threads
-//! read. It never opens a socket, starts a thread, waits or takes a lock; what several threads touch is a single
-//! atomic each.
+//! State that the cores of one query router share, and the decisions about the cores. A core is one thread with its own
+//! clients, connections to data nodes and policy. A router on several cores also runs one acceptor thread, which
+//! follows discovery, accepts connections and supervises the cores. This crate does no I/O and reads no clock: times
+//! are passed in, as seconds of a clock that all threads share. It starts no thread, never blocks and takes no
+//! lock; state that several threads share consists of single atomics.
 //!
-//! - `ids`: which query ids are open on any core.
-//! - `pool`: stated amounts (room, descriptors) that hold for the whole program at every instant.
-//! - `fence`: whether a core knows all that it must know before it sends something new.
-//! - `board`: the newest evidence of each data node, for a core that starts anew.
-//! - `crew`: which cores serve, hang or have failed, who gets the next connection, when one is given up.
-//! - `balance`: which connections move from a busy core to one with time.
-pub mod balance;
-pub mod board;
-pub mod crew;
+//! - `open_ids`: the ids of the queries that are open on any core.
+//! - `pool`: a fixed number of units (query capacity or file descriptors) that all cores of the process share.
+//! - `fence`: blocks new attempts on a core whose endpoint list may be outdated.
+//! - `observation_cache`: the newest observation of each data node, for the policy of a core that is restarted.
+//! - `core_table`: the status of each core, the core for each new connection, and which failed cores are restarted.
+//! - `rebalancer`: moves client connections from a busy core to a less busy one.
+#![warn(missing_docs, clippy::missing_errors_doc)]
+
+pub mod core_table;
 pub mod fence;
-pub mod ids;
+pub mod observation_cache;
+pub mod open_ids;
 pub mod pool;
+pub mod rebalancer;
--- a/crates/cores/src/pool.rs
+++ b/crates/cores/src/pool.rs
@@ -1,60 +1,67 @@
-//! A stated amount that holds for the whole program: queries and parts held, descriptors. Taken in one step or not
-//! at all, so that what is out never adds up to more than the amount, not even for an instant; nothing is dealt out
-//! beforehand, so no core sits on a part that another lacks.
+//! A fixed number of units that all cores of a process share. A unit is the capacity for one query or shard request, or
+//! one file descriptor. A caller acquires all the units that it asks for in one atomic step, or none, so the acquired
+//! units never exceed the pool's size. No units are reserved for a core in advance, so no core holds back units that
+//! another core needs.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// A pool of units that are free or held by permits.
 #[derive(Debug)]
 pub struct Pool {
     free: AtomicUsize,
-    /// Takers that found too little and still wait.
-    short: AtomicUsize,
+    /// Number of callers that found too few free units and are waiting.
+    waiters: AtomicUsize,
 }
 
-/// What was taken; dropped, it is given back, and nowhere else.
+/// Units acquired from a pool. Dropping the permit returns the units to the pool.
 #[derive(Debug)]
-pub struct Taken {
+pub struct PoolPermit {
     pool: Arc<Pool>,
-    amount: usize,
+    units: usize,
 }
 
 impl Pool {
-    pub fn new(amount: usize) -> Arc<Self> {
-        Arc::new(Pool { free: AtomicUsize::new(amount), short: AtomicUsize::new(0) })
+    /// Creates a pool with `units` free units.
+    pub fn new(units: usize) -> Arc<Self> {
+        Arc::new(Pool { free: AtomicUsize::new(units), waiters: AtomicUsize::new(0) })
     }
 
-    pub fn take(self: &Arc<Self>, amount: usize) -> Option<Taken> {
-        let less = |free: usize| free.checked_sub(amount);
+    /// Acquires `units` units. Returns `None` if fewer are free.
+    pub fn acquire(self: &Arc<Self>, units: usize) -> Option<PoolPermit> {
+        let less = |free: usize| free.checked_sub(units);
         self.free.fetch_update(Ordering::AcqRel, Ordering::Acquire, less).ok()?;
-        Some(Taken { pool: self.clone(), amount })
+        Some(PoolPermit { pool: self.clone(), units })
     }
 
+    /// The number of units that are free now.
     pub fn free(&self) -> usize {
         self.free.load(Ordering::Acquire)
     }
 
-    /// Says that somebody waits for as long as the returned value lives, so that others may let go of what they
-    /// can spare.
-    pub fn waits(self: &Arc<Self>) -> Waits {
-        self.short.fetch_add(1, Ordering::AcqRel);
-        Waits(self.clone())
+    /// Counts the caller as waiting until the returned guard is dropped. Holders of permits check `has_waiters` and
+    /// release units that they don't need.
+    pub fn register_waiter(self: &Arc<Self>) -> WaiterGuard {
+        self.waiters.fetch_add(1, Ordering::AcqRel);
+        WaiterGuard(self.clone())
     }
 
-    pub fn is_short(&self) -> bool {
-        self.short.load(Ordering::Acquire) > 0
+    /// Whether any caller is waiting for units.
+    pub fn has_waiters(&self) -> bool {
+        self.waiters.load(Ordering::Acquire) > 0
     }
 }
 
-pub struct Waits(Arc<Pool>);
+/// Counts its creator as a waiting caller of the pool until dropped.
+pub struct WaiterGuard(Arc<Pool>);
 
-impl Drop for Waits {
+impl Drop for WaiterGuard {
     fn drop(&mut self) {
-        self.0.short.fetch_sub(1, Ordering::AcqRel);
+        self.0.waiters.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-impl Drop for Taken {
+impl Drop for PoolPermit {
     fn drop(&mut self) {
-        self.pool.free.fetch_add(self.amount, Ordering::AcqRel);
+        self.pool.free.fetch_add(self.units, Ordering::AcqRel);
     }
 }
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -1,381 +1,459 @@
-//! A forwarder's part between dispatcher and module: queries go to a planner or to the own module, endings of leaf calls to
-//! whoever has to know them, and decisions to the dispatcher only from whoever decides. What was tried for a part is kept
-//! here, so that whoever takes a query over knows what may have run. No sockets.
-mod split;
+//! The part of a forwarder between its dispatcher and the deciders of its queries: planners, and the local policy,
+//! which runs in the forwarder itself. In each round, which processes all input since the previous round, it passes
+//! queries and the outcomes of attempts to their deciders. It carries out a decision only if it comes from the query's
+//! decider and names the latest term, the number of the query's assignment. It records the attempts of each shard
+//! request, so that a decider that takes over a query knows which attempts may have run. Uses no sockets.
+mod input_splitter;
 
-pub use split::Split;
+pub use input_splitter::InputSplitter;
 
 use super::{Outbox, received_observation};
 use crate::state::counters::Counters;
 use crate::state::metrics::{MetricsSnapshot, MetricsSource};
 use alderway::interface::{AttemptOutcome, DecisionSink, NodeObservation};
 use alderway_telemetry::clock::Clock;
-use alderway_tier::custody::{Asking, Custody, Decider};
-use alderway_tier::members::{Change, Members, Watch};
-use alderway_tier::messages::{Message, Tried};
+use alderway_tier::messages::{Message, PriorAttempt};
+use alderway_tier::planner_membership::{HeartbeatConfig, PlannerChange, PlannerMembership};
+use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
 use alderway_transport::{Hello, Incarnation, Name};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// For how long a planner may know less of the endpoint list than this side before it is asked no more: half the grace.
-const BEHIND: f64 = 1.0;
+/// Seconds for which a planner may lack the latest version of the endpoint list before it gets no new queries: half the
+/// grace period of a draining data node.
+const MAX_ENDPOINTS_LAG_S: f64 = 1.0;
 
-struct Part {
+struct Attempt {
+    node: String,
+    started_at: f64,
+    /// How the attempt ended; `None` while it is in flight.
+    outcome: Option<AttemptOutcome>,
+}
+
+struct ShardRequest {
     id: String,
     shard: u32,
     weight: f64,
-    /// Its leaf calls: where to, when, and how they ended.
-    calls: Vec<(String, f64, Option<AttemptOutcome>)>,
+    attempts: Vec<Attempt>,
 }
 
 struct Query {
     number: u64,
-    vertical: usize,
-    customer: String,
-    not_after: f64,
-    parts: Vec<Part>,
+    class: usize,
+    tenant: String,
+    deadline: f64,
+    requests: Vec<ShardRequest>,
 }
 
-/// A leaf call by a planner's decision, which has to hear how it ends.
-struct PlannedCall {
+/// An attempt that a planner started or took over with its query; its outcome is to be sent to that planner.
+struct PlannerAttempt {
     planner: Name,
     node: String,
-    started_at_s: f64,
+    started_at: f64,
 }
 
+/// The state of a forwarder that is not in its dispatcher.
 pub struct Forwarder {
     name: Name,
     incarnation: Incarnation,
     clock: Clock,
-    custody: Custody,
-    members: Members,
-    links: BTreeMap<Name, Outbox>,
+    assignments: QueryAssignments,
+    planners: PlannerMembership,
+    outboxes: BTreeMap<Name, Outbox>,
     queries: BTreeMap<String, Query>,
-    parts: BTreeMap<String, (String, usize)>,
-    /// Leaf calls that are out, or were when their query ended, by part and number.
-    calls: BTreeMap<(String, usize), PlannedCall>,
-    /// Queries asked of a planner in this round, once all their parts are known.
-    fresh: Vec<Asking>,
-    /// Queries that the own module takes over in the next round.
-    own_due: Vec<String>,
-    heard: Vec<(String, NodeObservation)>,
-    /// The endpoint list's version here, and the one that planners must know by now.
-    endpoints: (u64, f64),
-    due: u64,
-    /// When data nodes started, by the clock here.
-    starts: BTreeMap<String, Option<f64>>,
+    /// The query id, and the index within the query, of each shard request, by shard request id.
+    requests: BTreeMap<String, (String, usize)>,
+    /// The attempts of planners whose end was not reported yet, by shard request id and attempt number. An attempt can
+    /// outlive its query.
+    planner_attempts: BTreeMap<(String, usize), PlannerAttempt>,
+    /// Assignments to planners of queries that arrived in this round. They are sent when the round ends, because the
+    /// shard requests of a query follow it.
+    new_assignments: Vec<Assignment>,
+    /// Ids of queries that the local policy takes over in the next round.
+    local_takeovers: Vec<String>,
+    /// Observations of data nodes by planners, passed to the local policy in the next round.
+    observations: Vec<(String, NodeObservation)>,
+    /// The version of this forwarder's endpoint list, and when the forwarder got it, in seconds of its clock.
+    endpoints_version: (u64, f64),
+    /// The version of the endpoint list that a planner must have received to be assigned new queries.
+    required_endpoints_version: u64,
+    /// When the process of each listed data node started, in seconds of this forwarder's clock; `None` if unknown.
+    node_starts: BTreeMap<String, Option<f64>>,
+    /// Counters of planners, queries, decisions and observations, for the metrics.
     pub counters: Counters,
-    pub came: Rc<Notify>,
+    round_requested: Rc<Notify>,
 }
 
 impl Forwarder {
-    pub fn new(name: &str, incarnation: Incarnation, watch: Watch, clock: Clock, came: Rc<Notify>) -> Self {
+    /// Creates a forwarder without planners. `round_requested` is notified when the local policy has input to process.
+    pub fn new(
+        name: &str,
+        incarnation: Incarnation,
+        heartbeats: HeartbeatConfig,
+        clock: Clock,
+        round_requested: Rc<Notify>,
+    ) -> Self {
         Forwarder {
             name: name.into(),
             incarnation,
             clock,
-            custody: Custody::new(name),
-            members: Members::new(watch),
-            links: BTreeMap::new(),
+            assignments: QueryAssignments::new(name),
+            planners: PlannerMembership::new(heartbeats),
+            outboxes: BTreeMap::new(),
             queries: BTreeMap::new(),
-            parts: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            fresh: vec![],
-            own_due: vec![],
-            heard: vec![],
-            endpoints: (0, 0.0),
-            due: 0,
-            starts: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            planner_attempts: BTreeMap::new(),
+            new_assignments: vec![],
+            local_takeovers: vec![],
+            observations: vec![],
+            endpoints_version: (0, 0.0),
+            required_endpoints_version: 0,
+            node_starts: BTreeMap::new(),
             counters: Counters::default(),
-            came,
+            round_requested,
         }
     }
 
+    /// Returns the hello that this forwarder sends on connections to planners.
     pub fn hello(&self) -> Hello {
         Hello::new::<Message>(self.name.clone(), self.incarnation)
     }
 
-    fn able(&self) -> Vec<Name> {
-        self.members.names().filter(|name| self.members.may_ask(name, self.due)).cloned().collect()
+    fn available_planners(&self) -> Vec<Name> {
+        let is_available = |name: &&Name| self.planners.is_available(name, self.required_endpoints_version);
+        self.planners.names().filter(is_available).cloned().collect()
     }
 
     fn send(&mut self, planner: &str, message: &Message) {
-        if let Some(link) = self.links.get_mut(planner) {
-            link.send(message);
+        if let Some(outbox) = self.outboxes.get_mut(planner) {
+            outbox.send(message);
         }
     }
 
-    /// What the dispatcher knows of the endpoint list now.
-    pub fn knows(&mut self, endpoints: u64) {
+    /// Sets the version of the dispatcher's endpoint list. Call this before each tick.
+    pub fn set_endpoints_version(&mut self, version: u64) {
         let now = self.clock.now();
-        if now - self.endpoints.1 >= BEHIND {
-            self.due = self.endpoints.0;
+        let (known, since) = self.endpoints_version;
+        if now - since >= MAX_ENDPOINTS_LAG_S {
+            self.required_endpoints_version = known;
         }
-        if endpoints != self.endpoints.0 {
-            self.endpoints = (endpoints, now);
+        if version != known {
+            self.endpoints_version = (version, now);
         }
     }
 
-    // Planners.
+    // Connections to planners and their heartbeats.
 
-    /// A planner has said hello on a new connection; false where that is an earlier self of one that is known.
-    pub fn greeted(&mut self, hello: &Hello) -> Option<Rc<Notify>> {
-        let changes = self.members.greeted(&hello.name, hello.incarnation, self.clock.now())?;
-        self.changed(changes);
+    /// Processes the hello of a planner on a new connection, and returns the notification of the connection's outbox.
+    /// Returns `None` if the connection must be closed because a later incarnation of the planner is or was just
+    /// connected.
+    pub fn planner_connected(&mut self, hello: &Hello) -> Option<Rc<Notify>> {
+        let changes = self.planners.connected(&hello.name, hello.incarnation, self.clock.now())?;
+        self.apply_changes(changes);
         let outbox = Outbox::new(&self.hello());
         let wake = outbox.wake.clone();
-        self.links.insert(hello.name.clone(), outbox);
-        tracing::info!(target: "tier", "planner {} is met: incarnation {}", hello.name, hello.incarnation);
+        self.outboxes.insert(hello.name.clone(), outbox);
+        tracing::info!(target: "tier", "planner {} connected, incarnation {}", hello.name, hello.incarnation);
         Some(wake)
     }
 
-    /// A connection to a planner has ended.
-    pub fn ended(&mut self, hello: &Hello) {
-        let changes = self.members.ended(&hello.name, hello.incarnation);
-        self.changed(changes);
+    /// Processes the end of the connection to a planner: its queries are reassigned.
+    pub fn planner_disconnected(&mut self, hello: &Hello) {
+        let changes = self.planners.disconnected(&hello.name, hello.incarnation);
+        self.apply_changes(changes);
     }
 
+    /// Returns the outbox of the connection to a planner. Returns `None` if the planner is lost, a later incarnation of
+    /// it has connected, or more than `MAX_OUTBOX_BYTES` wait for it.
     pub fn outbox(&mut self, hello: &Hello) -> Option<&mut Outbox> {
-        if self.members.incarnation(&hello.name) != Some(hello.incarnation) {
+        if self.planners.incarnation(&hello.name) != Some(hello.incarnation) {
             return None;
         }
-        self.links.get_mut(&hello.name).filter(|link| !link.over)
+        self.outboxes.get_mut(&hello.name).filter(|outbox| !outbox.is_overfull)
     }
 
-    /// Beats that are due, and planners that were silent too long.
+    /// Sends the heartbeats that are due, and reassigns the queries of planners that have timed out.
     pub fn tick(&mut self) {
-        let (beats, changes) = self.members.tick(self.clock.now());
-        for (planner, number) in beats {
-            let endpoints = self.endpoints.0;
-            self.send(&planner, &Message::Beat { number, roster: endpoints, able: true });
+        let (heartbeats, changes) = self.planners.tick(self.clock.now());
+        for (planner, number) in heartbeats {
+            let endpoints_version = self.endpoints_version.0;
+            let heartbeat = Message::Heartbeat { number, endpoints_version, accepts_queries: true };
+            self.send(&planner, &heartbeat);
         }
-        self.changed(changes);
+        self.apply_changes(changes);
     }
 
-    fn changed(&mut self, changes: Vec<Change>) {
+    fn apply_changes(&mut self, changes: Vec<PlannerChange>) {
         for change in changes {
             match change {
-                Change::Able(name, able) => {
-                    let word = if able { "decides" } else { "takes nothing new" };
-                    tracing::info!(target: "tier", "planner {name} {word}: {} able", self.able().len());
+                PlannerChange::AcceptsQueries(name, accepts_queries) => {
+                    let verb = if accepts_queries { "decides" } else { "does not decide" };
+                    let available = self.available_planners().len();
+                    tracing::info!(
+                        target: "tier",
+                        "planner {name} {verb} on new queries: {available} planners available"
+                    );
                 }
-                Change::Lost(name) => self.lost(&name),
+                PlannerChange::Lost(name) => self.planner_lost(&name),
             }
         }
     }
 
-    /// Everything that a planner held is asked of another now, or of the own module.
-    fn lost(&mut self, name: &str) {
-        if let Some(link) = self.links.remove(name) {
-            // Its driver ends the connection.
-            link.wake.notify_one();
+    /// Reassigns all queries of a planner that is lost, to another planner or to the local policy.
+    fn planner_lost(&mut self, name: &str) {
+        if let Some(outbox) = self.outboxes.remove(name) {
+            // Wakes the task of the connection, which then closes it.
+            outbox.wake.notify_one();
         }
-        let able = self.able();
-        let askings = self.custody.lost(name, able.iter());
-        let left = able.len();
-        let held = askings.len();
-        tracing::warn!(target: "tier", "planner {name} is lost: {held} queries asked anew, {left} planners able");
+        let available = self.available_planners();
+        let reassigned = self.assignments.reassign_from(name, available.iter());
+        tracing::warn!(
+            target: "tier",
+            "planner {name} is lost: {} queries reassigned, {} planners available",
+            reassigned.len(),
+            available.len()
+        );
         self.counters.increment("planners_lost");
-        self.counters.add("queries_asked_anew", held);
-        self.calls.retain(|_, call| call.planner != name);
-        for asking in askings {
-            self.ask(asking);
+        self.counters.add("queries_asked_anew", reassigned.len());
+        self.planner_attempts.retain(|_, attempt| attempt.planner != name);
+        for assignment in reassigned {
+            self.send_assignment(assignment);
         }
     }
 
-    /// Asks whoever is to decide, with all that was tried.
-    fn ask(&mut self, asking: Asking) {
-        let Asking { query, decider, term } = asking;
+    /// Sends a query and its attempts so far to the decider that the query is assigned to.
+    fn send_assignment(&mut self, assignment: Assignment) {
+        let Assignment { query, decider, term } = assignment;
         let Decider::Planner(planner) = decider else {
             self.counters.increment("queries_decided{own}");
-            self.own_due.push(query);
-            return self.came.notify_one();
+            self.local_takeovers.push(query);
+            return self.round_requested.notify_one();
         };
         let now = self.clock.now();
         let Some(record) = self.queries.get(&query) else { return };
-        let mut out = vec![];
-        let tried = |(node, at, ending): &(String, f64, Option<AttemptOutcome>)| Tried {
-            node: node.clone(),
-            age: now - at,
-            ending: ending.map(Into::into),
-        };
-        let part = |part: &Part| {
-            (part.id.clone(), part.shard, part.weight, part.calls.iter().map(tried).collect::<Vec<_>>())
-        };
-        for part in &record.parts {
-            let still = part.calls.iter().enumerate().filter(|(_, call)| call.2.is_none());
-            out.extend(still.map(|(hop, (node, started_at_s, _))| {
-                let (planner, node) = (planner.clone(), node.clone());
-                ((part.id.clone(), hop), PlannedCall { planner, node, started_at_s: *started_at_s })
+        for request in &record.requests {
+            let in_flight =
+                request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none());
+            self.planner_attempts.extend(in_flight.map(|(number, attempt)| {
+                let (planner, node) = (planner.clone(), attempt.node.clone());
+                let attempt = PlannerAttempt { planner, node, started_at: attempt.started_at };
+                ((request.id.clone(), number), attempt)
             }));
         }
-        let take = Message::Take {
+        let prior_attempt = |attempt: &Attempt| PriorAttempt {
+            node: attempt.node.clone(),
+            age_s: now - attempt.started_at,
+            outcome: attempt.outcome.map(Into::into),
+        };
+        let request = |request: &ShardRequest| {
+            let attempts = request.attempts.iter().map(prior_attempt).collect::<Vec<_>>();
+            (request.id.clone(), request.shard, request.weight, attempts)
+        };
+        let message = Message::AssignQuery {
             term,
-            vertical: record.vertical as u32,
-            customer: record.customer.clone(),
-            left: record.not_after - now,
-            parts: record.parts.iter().map(part).collect(),
+            query_class: record.class as u32,
+            tenant: record.tenant.clone(),
+            time_left_s: record.deadline - now,
+            requests: record.requests.iter().map(request).collect(),
             query,
         };
-        self.calls.extend(out);
         self.counters.increment("queries_decided{planner}");
-        self.send(&planner, &take);
+        self.send(&planner, &message);
     }
 
-    // What comes from planners.
+    // Messages that planners send.
 
-    /// Takes a planner's message in; its decisions go to the dispatcher if it is the one that decides.
-    pub fn read(&mut self, hello: &Hello, message: Message, dispatcher: &mut dyn DecisionSink) {
+    /// Processes a planner's message. Decisions are passed to the dispatcher if the planner is the decider of the query
+    /// and names its latest term.
+    pub fn message_received(&mut self, hello: &Hello, message: Message, dispatcher: &mut dyn DecisionSink) {
         let from = Decider::Planner(hello.name.clone());
         match message {
-            Message::Beat { number, roster: endpoints, able } => {
-                self.send(&hello.name, &Message::Heard { number });
-                let changes = self.members.beat(&hello.name, hello.incarnation, endpoints, able);
-                self.changed(changes);
+            Message::Heartbeat { number, endpoints_version, accepts_queries } => {
+                self.send(&hello.name, &Message::HeartbeatAck { number });
+                let changes = self.planners.heartbeat_received(
+                    &hello.name,
+                    hello.incarnation,
+                    endpoints_version,
+                    accepts_queries,
+                );
+                self.apply_changes(changes);
+            }
+            Message::HeartbeatAck { number } => {
+                self.planners.heartbeat_acknowledged(&hello.name, hello.incarnation, number);
             }
-            Message::Heard { number } => self.members.heard(&hello.name, hello.incarnation, number),
-            Message::Evidence { node, started, late, far, sick, relay } => {
-                // Planners learn from each other by way of one of their forwarders; what is heard is not told on, so
-                // nothing goes round.
+            Message::Observation {
+                node,
+                started_ago_s,
+                slow_for_s,
+                very_slow_for_s,
+                unresponsive_for_s,
+                relay,
+            } => {
+                let spans_s = [slow_for_s, very_slow_for_s, unresponsive_for_s];
                 if relay {
-                    let others: Vec<Name> =
-                        self.links.keys().filter(|name| **name != hello.name).cloned().collect();
-                    for other in others {
-                        let node = node.clone();
-                        self.send(
-                            &other,
-                            &Message::Evidence { node, started, late, far, sick, relay: false },
-                        );
-                        self.counters.increment("evidence_relayed");
-                    }
+                    self.relay_observation(&hello.name, &node, started_ago_s, spans_s);
                 }
-                let seen = self.clock.now();
-                let Some(here) = self.starts.get(&node).copied() else { return };
-                if let Some(observation) = received_observation(here, started, [late, far, sick], seen) {
-                    self.heard.push((node, observation));
+                let now = self.clock.now();
+                let Some(started_at) = self.node_starts.get(&node).copied() else { return };
+                if let Some(observation) = received_observation(started_at, started_ago_s, spans_s, now) {
+                    self.observations.push((node, observation));
                     self.counters.increment("evidence_heard{planner}");
                 }
             }
-            Message::Call { term, part, node, limit } => {
-                let query = self.custody.accepts(&from, term);
-                let known = self.parts.get(&part).filter(|(of, _)| Some(of.as_str()) == query).cloned();
-                let Some((query, at)) = known else { return self.counters.increment("decisions_refused") };
-                let now = self.clock.now();
-                if let Some(record) = self.queries.get_mut(&query).map(|query| &mut query.parts[at]) {
-                    let call =
-                        PlannedCall { planner: hello.name.clone(), node: node.clone(), started_at_s: now };
-                    self.calls.insert((part.clone(), record.calls.len()), call);
-                    record.calls.push((node.clone(), now, None));
-                    dispatcher.start_attempt(&part, &node, limit);
+            Message::StartAttempt { term, request, node, timeout_s } => {
+                let query = self.assignments.query_of(&from, term);
+                let known = self.requests.get(&request).filter(|(of, _)| Some(of.as_str()) == query).cloned();
+                let Some((query, index)) = known else {
+                    return self.counters.increment("decisions_refused");
+                };
+                let started_at = self.clock.now();
+                if let Some(record) = self.queries.get_mut(&query).map(|query| &mut query.requests[index]) {
+                    let planner = hello.name.clone();
+                    let attempt = PlannerAttempt { planner, node: node.clone(), started_at };
+                    self.planner_attempts.insert((request.clone(), record.attempts.len()), attempt);
+                    record.attempts.push(Attempt { node: node.clone(), started_at, outcome: None });
+                    dispatcher.start_attempt(&request, &node, timeout_s);
                 }
             }
-            Message::Cancel { part, hop, .. } => {
-                // After the final answer as well: the losers of its race.
-                match self.calls.get(&(part.clone(), hop as usize)) {
-                    Some(call) if call.planner == hello.name => {
-                        dispatcher.cancel_attempt(&part, hop as usize)
+            Message::CancelAttempt { request, attempt, .. } => {
+                // Cancels are accepted after the query's answer too, for attempts that the answer does not need.
+                match self.planner_attempts.get(&(request.clone(), attempt as usize)) {
+                    Some(known) if known.planner == hello.name => {
+                        dispatcher.cancel_attempt(&request, attempt as usize)
                     }
                     Some(_) => self.counters.increment("decisions_refused"),
-                    // The call ended here while the word to cancel it was on its way.
+                    // The attempt had ended before the message arrived.
                     None => self.counters.increment("cancels_crossed"),
                 }
             }
-            Message::Answer { term, query, whole } => {
-                if self.finish(&from, term, &query) {
-                    dispatcher.answer(&query, whole);
+            Message::Answer { term, query, complete } => {
+                if self.accept_final(&from, term, &query) {
+                    dispatcher.answer(&query, complete);
                 }
             }
-            Message::Reject { term, query, come_back } => {
-                if self.finish(&from, term, &query) {
-                    dispatcher.reject(&query, come_back);
+            Message::Reject { term, query, retry_after_s } => {
+                if self.accept_final(&from, term, &query) {
+                    dispatcher.reject(&query, retry_after_s);
                 }
             }
-            Message::Abort { term, query } => {
-                if self.finish(&from, term, &query) {
+            Message::Fail { term, query } => {
+                if self.accept_final(&from, term, &query) {
                     dispatcher.fail(&query);
                 }
             }
-            Message::Take { .. } | Message::Ended { .. } | Message::Left { .. } => {
+            Message::AssignQuery { .. } | Message::AttemptEnded { .. } | Message::QueryClosed { .. } => {
                 self.counters.increment("decisions_refused");
             }
         }
     }
 
-    fn finish(&mut self, from: &Decider, term: u64, query: &str) -> bool {
-        let decides = self.custody.accepts(from, term) == Some(query);
-        if decides {
-            self.forget(query);
+    /// Forwards an observation by the planner `from` to all other planners, with `relay` unset so that no other
+    /// forwarder forwards it again.
+    fn relay_observation(&mut self, from: &str, node: &str, started_ago_s: Option<f64>, spans_s: [f64; 3]) {
+        let [slow_for_s, very_slow_for_s, unresponsive_for_s] = spans_s;
+        let others: Vec<Name> = self.outboxes.keys().filter(|name| *name != from).cloned().collect();
+        for other in others {
+            let observation = Message::Observation {
+                node: node.into(),
+                started_ago_s,
+                slow_for_s,
+                very_slow_for_s,
+                unresponsive_for_s,
+                relay: false,
+            };
+            self.send(&other, &observation);
+            self.counters.increment("evidence_relayed");
+        }
+    }
+
+    /// Whether an answer, rejection or failure of a query comes from the query's decider and names its latest term. If
+    /// so, removes the query.
+    fn accept_final(&mut self, from: &Decider, term: u64, query: &str) -> bool {
+        let accepted = self.assignments.query_of(from, term) == Some(query);
+        if accepted {
+            self.remove_query(query);
         } else {
             self.counters.increment("decisions_refused");
         }
-        decides
+        accepted
     }
 
-    fn forget(&mut self, query: &str) -> Option<Asking> {
+    fn remove_query(&mut self, query: &str) -> Option<Assignment> {
         if let Some(record) = self.queries.remove(query) {
-            record.parts.iter().for_each(|part| drop(self.parts.remove(&part.id)));
+            record.requests.iter().for_each(|request| drop(self.requests.remove(&request.id)));
         }
-        self.custody.close(query)
+        self.assignments.close(query)
     }
 
-    // What the own module decides.
+    // Decisions of the local policy.
 
-    pub fn own_called(&mut self, part: &str, node: &str) {
-        let now = self.clock.now();
-        if let Some((query, at)) = self.parts.get(part)
+    /// Records an attempt that the local policy starts.
+    pub fn record_local_attempt(&mut self, request: &str, node: &str) {
+        let started_at = self.clock.now();
+        if let Some((query, index)) = self.requests.get(request)
             && let Some(query) = self.queries.get_mut(query)
         {
-            query.parts[*at].calls.push((node.into(), now, None));
+            query.requests[*index].attempts.push(Attempt { node: node.into(), started_at, outcome: None });
         }
     }
 
-    pub fn own_finished(&mut self, query: &str) {
-        self.forget(query);
+    /// Removes a query that the local policy has answered, rejected or failed.
+    pub fn remove_local_query(&mut self, query: &str) {
+        self.remove_query(query);
     }
 
-    /// A query has ended here, and the calls for it have. The planner that decides for it is told; false where none does.
-    fn left(&mut self, query: &str) -> bool {
-        let calls: Vec<(String, usize)> = self
+    /// Removes a query that ended without a decision, with its attempts, and notifies its planner. Returns false if the
+    /// query was not assigned to a planner.
+    fn query_closed(&mut self, query: &str) -> bool {
+        let attempts: Vec<(String, usize)> = self
             .queries
             .get(query)
             .into_iter()
-            .flat_map(|query| &query.parts)
-            .flat_map(|part| (0..part.calls.len()).map(|hop| (part.id.clone(), hop)))
+            .flat_map(|query| &query.requests)
+            .flat_map(|request| (0..request.attempts.len()).map(|number| (request.id.clone(), number)))
             .collect();
-        let Some(Decider::Planner(planner)) = self.forget(query).map(|asking| asking.decider) else {
+        let Some(Decider::Planner(planner)) = self.remove_query(query).map(|assignment| assignment.decider)
+        else {
             return false;
         };
-        // Those that came when the query was over already, and were not started: no end of them will be told.
-        calls.iter().for_each(|call| drop(self.calls.remove(call)));
-        self.send(&planner, &Message::Left { query: query.into() });
+        // The dispatcher does not start attempts of a query that has ended, so no end of these attempts will be
+        // reported.
+        attempts.iter().for_each(|attempt| drop(self.planner_attempts.remove(attempt)));
+        self.send(&planner, &Message::QueryClosed { query: query.into() });
         true
     }
 
-    /// Everything is over, as after a failure of the own module. Guards against calls that count at a planner's data
-    /// nodes for ever: nobody tells their ends after this.
-    pub fn start_over(&mut self) {
+    /// Aborts all queries and attempts after a panic of the local policy. Guards against attempts that the planners
+    /// count as in flight at their data nodes forever: the dispatcher reports no outcome of these attempts.
+    pub fn abort_all_queries(&mut self) {
         let now = self.clock.now();
-        for ((part, hop), PlannedCall { planner, node, started_at_s }) in std::mem::take(&mut self.calls) {
-            let (hop, ending, latency) = (hop as u32, AttemptOutcome::Cancelled.into(), now - started_at_s);
-            self.send(&planner, &Message::Ended { part, hop, node, ending, latency });
+        for ((request, number), attempt) in std::mem::take(&mut self.planner_attempts) {
+            let PlannerAttempt { planner, node, started_at } = attempt;
+            let ended = Message::AttemptEnded {
+                request,
+                attempt: number as u32,
+                node,
+                outcome: AttemptOutcome::Cancelled.into(),
+                latency_s: now - started_at,
+            };
+            self.send(&planner, &ended);
         }
         let open: Vec<String> = self.queries.keys().cloned().collect();
         for query in open {
-            self.left(&query);
+            self.query_closed(&query);
         }
-        self.own_due.clear();
-        self.fresh.clear();
+        self.local_takeovers.clear();
+        self.new_assignments.clear();
     }
 
-    /// Queries held, and those that the own module decides for.
-    pub fn figures(&self) -> [(&'static str, u64); 3] {
-        let (held, own) = self.custody.count();
+    fn gauges(&self) -> [(&'static str, u64); 3] {
+        let (open, local) = (self.assignments.open_count(), self.assignments.local_count());
         [
-            ("planners_able", self.able().len() as u64),
-            ("queries_with_planners", (held - own) as u64),
-            ("queries_with_own_module", own as u64),
+            ("planners_able", self.available_planners().len() as u64),
+            ("queries_with_planners", (open - local) as u64),
+            ("queries_with_own_module", local as u64),
         ]
     }
 }
@@ -383,6 +461,6 @@
 impl MetricsSource for RefCell<Forwarder> {
     fn metrics(&self) -> MetricsSnapshot {
         let forwarder = self.borrow();
-        MetricsSnapshot { counters: forwarder.counters.clone(), gauges: forwarder.figures().to_vec() }
+        MetricsSnapshot { counters: forwarder.counters.clone(), gauges: forwarder.gauges().to_vec() }
     }
 }
--- /dev/null
+++ b/crates/router/src/tier/planner_server.rs
@@ -0,0 +1,214 @@
+//! A planner's tasks: the listener for forwarders, one task for each connection, the watch of discovery, and the rounds
+//! of the policy. In a round the policy processes all input since the previous round and makes its decisions.
+use super::planner::{self, Planner};
+use crate::io::{discovery, until};
+use crate::lifecycle::graceful_shutdown;
+use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
+use crate::lifecycle::startup::StartupConfig;
+use alderway::interface::SharedLimits;
+use alderway::policy::Policy;
+use alderway_sockets::Sender;
+use alderway_sockets::signals::Signals;
+use alderway_telemetry::clock::Clock;
+use alderway_telemetry::log;
+use alderway_tier::messages::Message;
+use alderway_transport::{FrameReader, Hello, Received};
+use nix::sys::signal::Signal;
+use std::cell::RefCell;
+use std::io;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
+
+type PlannerHandle = Rc<RefCell<Planner>>;
+
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
+/// A connection to a forwarder that has not acknowledged a heartbeat for this many seconds is closed. Longer than the
+/// timeout by which the forwarder detects a lost planner, so that the forwarder reassigns its queries first.
+const HEARTBEAT_TIMEOUT_S: f64 = 1.0;
+/// Longest wait of a connection's task before the forwarder's hello is received. Each wake-up of the task, also one for
+/// a heartbeat to send, starts the wait again.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which a shutdown checks whether queries are still open.
+const SHUTDOWN_POLL: Duration = Duration::from_millis(10);
+/// Time that a shutdown waits for the last decisions to be written to the sockets.
+const LAST_WRITES: Duration = Duration::from_millis(50);
+/// Maximum number of bytes read from a socket at once.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+
+/// Returns a new incarnation: the wall clock in microseconds, so a later start has a larger incarnation unless the
+/// clock was set back.
+pub fn incarnation() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+}
+
+/// Runs a planner until SIGTERM. After SIGTERM the planner accepts no new queries, and this function returns when the
+/// open queries have ended or a time limit has passed.
+///
+/// # Errors
+/// A socket or a signal handler can't be created, or the task that runs the policy has ended.
+pub async fn run(config: StartupConfig, clock: Clock) -> io::Result<()> {
+    let previous = PreviousConfig::of(&config);
+    let StartupConfig { name, listen, discovery, endpoints, seed, settings, .. } = config;
+    let (mut terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
+    let policy_config = settings.policy;
+    let make_policy = move || {
+        let mut policy = Policy::new(seed, policy_config.clone());
+        // Limits shared by two cores make the policy share its observations of data nodes, as on a router with several
+        // cores.
+        policy.join(SharedLimits::new(2).for_core(0));
+        policy
+    };
+    let query_classes = config.query_classes.len();
+    let (max_deadline_s, capacity) = (settings.admission.max_deadline_s, settings.admission.max_open);
+    let planner = Planner::new(clock, query_classes, max_deadline_s, capacity, endpoints);
+    let planner = Rc::new(RefCell::new(planner));
+    let listener = TcpListener::bind(listen).await?;
+    let address = listener.local_addr()?;
+    tracing::info!(target: "start", "planner {name} listens at {address}: ready for forwarders");
+    let (discovery, discovery_address) = watch::channel(discovery);
+    spawn_local(discovery::run(planner.clone(), discovery_address));
+    spawn_local(reload_at_sighup(hangups, previous, discovery, clock, None));
+    let hello = Hello::of_planner::<Message>(name, incarnation());
+    spawn_local(accept(planner.clone(), listener, hello));
+    spawn_local(send_heartbeats(planner.clone()));
+    let mut rounds = spawn_local(run_rounds(planner.clone(), make_policy));
+    tokio::select! {
+        _ = terminations.recv() => {}
+        ended = &mut rounds => {
+            let error = format!("the task that runs the planner's policy ended unexpectedly: {ended:?}");
+            return Err(io::Error::other(error));
+        }
+    }
+    planner.borrow_mut().is_stopping = true;
+    planner.borrow_mut().send_heartbeats_and_check_timeouts(HEARTBEAT_TIMEOUT_S);
+    let until = clock.now() + graceful_shutdown::time_limit_s(max_deadline_s);
+    while planner.borrow().open_query_count() > 0 && clock.now() < until {
+        sleep(SHUTDOWN_POLL).await;
+    }
+    sleep(LAST_WRITES).await;
+    let still_open = planner.borrow().open_query_count();
+    tracing::info!(target: "stop", "planner stopped: {still_open} queries were still open");
+    log::write_unlimited(&planner.borrow().counters.text());
+    Ok(())
+}
+
+/// Runs the policy's rounds for as long as the process runs. Guards against a query that makes the policy panic: the
+/// planner continues with a new policy, and the forwarders reassign their queries.
+async fn run_rounds(planner: PlannerHandle, make_policy: impl Fn() -> Policy) {
+    let mut policy = make_policy();
+    let (clock, wake) = (planner.borrow().clock, planner.borrow().wake.clone());
+    loop {
+        let next_timer_at = planner.borrow().next_timer_at();
+        tokio::select! {
+            () = wake.notified() => {}
+            () = until(clock, next_timer_at), if next_timer_at.is_finite() => {}
+        }
+        // Lets other tasks add received messages to the input of this round.
+        yield_now().await;
+        if let Err(error) = planner::run_round(&planner, &mut policy) {
+            tracing::error!(
+                target: "failure",
+                "{error}: all forwarders are disconnected, the planner continues with a new policy"
+            );
+            policy = make_policy();
+            planner.borrow_mut().close_all_sessions();
+        }
+    }
+}
+
+async fn send_heartbeats(planner: PlannerHandle) {
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        ticks.tick().await;
+        planner.borrow_mut().send_heartbeats_and_check_timeouts(HEARTBEAT_TIMEOUT_S);
+    }
+}
+
+async fn accept(planner: PlannerHandle, listener: TcpListener, hello: Hello) {
+    loop {
+        let Ok((stream, address)) = alderway_sockets::accept(&listener).await else {
+            sleep(alderway_sockets::PAUSE).await;
+            continue;
+        };
+        let (planner, hello) = (planner.clone(), hello.clone());
+        spawn_local(async move {
+            let _ = stream.set_nodelay(true);
+            if let Err(error) = run_session(&planner, &stream, &hello).await {
+                tracing::warn!(target: "tier", "closed the connection from {address}: {error}");
+            }
+        });
+    }
+}
+
+/// Exchanges messages with a forwarder until the connection ends.
+///
+/// # Errors
+/// The peer is not a forwarder or violates the protocol, or the planner has closed the session.
+async fn run_session(planner: &PlannerHandle, stream: &TcpStream, hello: &Hello) -> Result<(), String> {
+    let (mut reader, mut buffer) = (FrameReader::default(), vec![0; READ_BUFFER_BYTES]);
+    let (session, wake) = planner.borrow_mut().open_session(hello);
+    let mut has_hello = false;
+    let mut sender = Sender::default();
+    let ended = loop {
+        let mut has_unsent = false;
+        {
+            let mut planner = planner.borrow_mut();
+            let Some(outbox) = planner.outbox(session) else {
+                break Err(
+                    "the forwarder did not respond or read in time, or the policy panicked".to_string()
+                );
+            };
+            if !outbox.bytes.is_empty() {
+                match sender.write(stream, &outbox.bytes) {
+                    Ok(count) => drop(outbox.bytes.drain(..count)),
+                    Err(_) => break Ok(()),
+                }
+                has_unsent = !outbox.bytes.is_empty();
+            }
+        }
+        match reader.next_frame() {
+            Ok(Some(Received::Hello(theirs))) if theirs.is_planner => {
+                break Err("the peer is a planner, but only forwarders may connect".into());
+            }
+            Ok(Some(Received::Hello(theirs))) => {
+                tracing::info!(target: "tier", "forwarder {} connected", theirs.name);
+                planner.borrow_mut().hello_received(session, &theirs.name);
+                has_hello = true;
+                continue;
+            }
+            Ok(Some(Received::Message(message))) => {
+                if !planner.borrow_mut().message_received(session, message) {
+                    break Err("the peer sent a message that only planners send".into());
+                }
+                continue;
+            }
+            Ok(None) => {}
+            Err(error) => break Err(error.to_string()),
+        }
+        let ready = async {
+            tokio::select! {
+                ready = stream.readable() => ready.is_ok(),
+                () = sender.ready(stream), if has_unsent => true,
+                () = wake.notified() => true,
+            }
+        };
+        let ready = if has_hello { Ok(ready.await) } else { timeout(HELLO_TIMEOUT, ready).await };
+        match ready {
+            Ok(true) => {}
+            Ok(false) => break Ok(()),
+            Err(_) => break Err(format!("no hello was received within {HELLO_TIMEOUT:?}")),
+        }
+        match alderway_sockets::read(stream, &mut buffer) {
+            Ok(Some(0)) | Err(_) => break Ok(()),
+            Ok(Some(count)) => reader.feed(&buffer[..count]),
+            Ok(None) => {}
+        }
+    };
+    planner.borrow_mut().close_session(session);
+    ended
+}
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -1,21 +1,22 @@
-//! A forwarder without sockets: what its planner hears of the calls that it decided.
+//! Tests of the messages that a forwarder sends to its planner about attempts that the planner decided on, without
+//! sockets.
 mod common;
 use alderway::interface::{AttemptOutcome, DecisionSink, PolicyInput};
-use alderway_router::tier::forwarder::{Forwarder, Split};
+use alderway_router::tier::forwarder::{Forwarder, InputSplitter};
 use alderway_telemetry::clock::Clock;
-use alderway_tier::members::Watch;
-use alderway_tier::messages::{Ended, Message};
+use alderway_tier::messages::{Message, WireOutcome};
+use alderway_tier::planner_membership::HeartbeatConfig;
 use alderway_transport::{FrameReader, Hello};
 use common::dispatcher::{Recorded, RecordingPolicy};
 use common::tier::take_messages;
 use rstest::rstest;
 use std::rc::Rc;
 
-/// A dispatcher that notes which calls it is told to start and to cancel.
+/// Records the attempts that are started or cancelled and the queries that are answered.
 #[derive(Default)]
-struct NotingSink(Vec<String>);
+struct RecordingSink(Vec<String>);
 
-impl DecisionSink for NotingSink {
+impl DecisionSink for RecordingSink {
     fn start_attempt(&mut self, request: &str, node: &str, _timeout_s: f64) {
         self.0.push(format!("start {request} {node}"));
     }
@@ -32,112 +33,131 @@
     fn log(&mut self, _text: &str) {}
 }
 
-/// A forwarder with one planner, which takes queries.
+/// A forwarder that is connected to one planner, which accepts queries.
 struct Router {
     forwarder: Forwarder,
     planner: Hello,
     reader: FrameReader<Message>,
-    sink: NotingSink,
+    sink: RecordingSink,
 }
 
 impl Router {
     fn new() -> Self {
-        let watch = Watch { beat: 0.05, patience: 1.0 };
-        let mut forwarder = Forwarder::new("r-0", 1, watch, Clock::default(), Rc::default());
+        let heartbeats = HeartbeatConfig { interval_s: 0.05, timeout_s: 1.0 };
+        let mut forwarder = Forwarder::new("r-0", 1, heartbeats, Clock::default(), Rc::default());
         let planner = Hello::of_planner::<Message>("p-0", 1);
-        forwarder.greeted(&planner).expect("it is new");
+        forwarder.planner_connected(&planner).expect("a new planner");
         let mut router =
-            Router { forwarder, planner, reader: FrameReader::default(), sink: NotingSink::default() };
-        router.hears(Message::Beat { number: 1, roster: 1, able: true });
-        // Before a planner is able, its own beat has to be answered.
+            Router { forwarder, planner, reader: FrameReader::default(), sink: RecordingSink::default() };
+        router.receive(Message::Heartbeat { number: 1, endpoints_version: 1, accepts_queries: true });
+        // Acknowledges the forwarder's heartbeats, as the planner does.
         router.forwarder.tick();
         for message in router.sent() {
-            if let Message::Beat { number, .. } = message {
-                router.hears(Message::Heard { number });
+            if let Message::Heartbeat { number, .. } = message {
+                router.receive(Message::HeartbeatAck { number });
             }
         }
         router
     }
 
-    fn hears(&mut self, message: Message) {
-        self.forwarder.read(&self.planner, message, &mut self.sink);
+    fn receive(&mut self, message: Message) {
+        self.forwarder.message_received(&self.planner, message, &mut self.sink);
     }
 
-    /// What the planner has been sent since the last look, beats and their answers apart.
+    /// Returns the messages sent to the planner since the last call, except acknowledgements of heartbeats.
     fn sent(&mut self) -> Vec<Message> {
-        let outbox = self.forwarder.outbox(&self.planner).expect("it is there");
+        let outbox = self.forwarder.outbox(&self.planner).expect("a connected planner");
         let mut messages = take_messages(outbox, &mut self.reader);
-        messages.retain(|message| !matches!(message, Message::Heard { .. }));
+        messages.retain(|message| !matches!(message, Message::HeartbeatAck { .. }));
         messages
     }
 
-    /// Plays one round with what the dispatcher tells in it.
-    fn round(&mut self, tell: impl FnOnce(&mut dyn PolicyInput)) -> Vec<Message> {
-        let mut own = RecordingPolicy::new(Recorded::Endpoints);
-        let mut split = Split::begin(&mut self.forwarder, &mut own);
-        tell(&mut split);
-        split.end();
-        assert!(own.events.is_empty(), "nothing is the own policy's: {:?}", own.events);
+    /// Runs one round with the policy input that `notify` passes, and returns the messages sent to the planner. The
+    /// local policy must get no input.
+    fn round(&mut self, notify: impl FnOnce(&mut dyn PolicyInput)) -> Vec<Message> {
+        let mut policy = RecordingPolicy::new(Recorded::Endpoints);
+        let mut splitter = InputSplitter::begin_round(&mut self.forwarder, &mut policy);
+        notify(&mut splitter);
+        splitter.end_round();
+        assert!(policy.events.is_empty(), "input for the local policy: {:?}", policy.events);
         self.sent()
     }
 
-    /// A query of one part is asked of the planner; returns its term.
-    fn ask(&mut self, number: u64, id: &str) -> u64 {
+    /// Assigns a query with one shard request to the planner, and returns the term, which is the number of the
+    /// assignment.
+    fn assign(&mut self, number: u64, id: &str) -> u64 {
         let sent = self.round(|input| {
             input.query_arrived(number, id, 0, "", 5.0);
             input.shard_request_added(number, &format!("{id}.0"), 0, 1.0);
         });
         match sent[..] {
-            [Message::Take { term, .. }] => term,
+            [Message::AssignQuery { term, .. }] => term,
             _ => panic!("{sent:?}"),
         }
     }
 
-    fn call(&mut self, term: u64, part: &str) {
-        self.hears(Message::Call { term, part: part.into(), node: "s".into(), limit: 1.0 });
+    fn start_attempt(&mut self, term: u64, request: &str) {
+        self.receive(Message::StartAttempt {
+            term,
+            request: request.into(),
+            node: "s".into(),
+            timeout_s: 1.0,
+        });
     }
 }
 
-fn ended(message: &Message) -> Option<(&str, u32, &str, Ended)> {
+fn attempt_ended(message: &Message) -> Option<(&str, u32, &str, WireOutcome)> {
     match message {
-        Message::Ended { part, hop, node, ending, .. } => Some((part, *hop, node, *ending)),
+        Message::AttemptEnded { request, attempt, node, outcome, .. } => {
+            Some((request, *attempt, node, *outcome))
+        }
         _ => None,
     }
 }
 
-/// Guards against calls that count at a planner's data nodes for ever.
+/// Guards against attempts that a planner counts as in flight at its data nodes forever.
 #[rstest]
-fn a_failure_of_the_own_policy_ends_the_planners_calls_for_it_too() {
+fn a_failure_of_the_local_policy_ends_attempts_for_the_planner_too() {
     let mut router = Router::new();
-    let answered = router.ask(0, "q");
-    router.call(answered, "q.0");
-    router.hears(Message::Answer { term: answered, query: "q".into(), whole: false });
-    let open = router.ask(1, "r");
-    router.call(open, "r.0");
-    router.forwarder.start_over();
+    let answered = router.assign(0, "q");
+    router.start_attempt(answered, "q.0");
+    router.receive(Message::Answer { term: answered, query: "q".into(), complete: false });
+    let open = router.assign(1, "r");
+    router.start_attempt(open, "r.0");
+    router.forwarder.abort_all_queries();
     let sent = router.sent();
-    let ends: Vec<_> = sent.iter().filter_map(ended).collect();
-    assert_eq!(ends, [("q.0", 0, "s", Ended::Cancelled), ("r.0", 0, "s", Ended::Cancelled)]);
-    assert_eq!(sent.last(), Some(&Message::Left { query: "r".into() }));
+    let ends: Vec<_> = sent.iter().filter_map(attempt_ended).collect();
+    assert_eq!(ends, [("q.0", 0, "s", WireOutcome::Cancelled), ("r.0", 0, "s", WireOutcome::Cancelled)]);
+    assert_eq!(sent.last(), Some(&Message::QueryClosed { query: "r".into() }));
 }
 
-/// Guards against records that stay for ever: the dispatcher starts nothing for a query that is over.
+/// Guards against records of attempts that are never removed: the dispatcher starts no attempt of a query that has
+/// ended.
 #[rstest]
-fn a_call_that_came_as_its_query_was_over_is_forgotten_with_it() {
+fn an_attempt_decided_on_as_its_query_ended_is_removed_with_it() {
     let mut router = Router::new();
-    let term = router.ask(0, "q");
-    router.call(term, "q.0");
-    assert_eq!(router.round(|input| input.client_disconnected("q")), [Message::Left { query: "q".into() }]);
-    router.hears(Message::Cancel { term, part: "q.0".into(), hop: 0 });
-    assert!(router.forwarder.counters.text().contains("cancels_crossed 1"), "nothing is known of it");
+    let term = router.assign(0, "q");
+    router.start_attempt(term, "q.0");
+    assert_eq!(
+        router.round(|input| input.client_disconnected("q")),
+        [Message::QueryClosed { query: "q".into() }]
+    );
+    router.receive(Message::CancelAttempt { term, request: "q.0".into(), attempt: 0 });
+    assert!(
+        router.forwarder.counters.text().contains("cancels_crossed 1"),
+        "the forwarder still records the attempt"
+    );
     assert_eq!(router.sink.0, ["start q.0 s"]);
 }
 
 #[rstest]
-fn the_end_of_a_planners_call_is_told_to_the_planner() {
+fn the_end_of_an_attempt_is_sent_to_its_planner() {
     let mut router = Router::new();
-    let term = router.ask(0, "q");
-    router.call(term, "q.0");
+    let term = router.assign(0, "q");
+    router.start_attempt(term, "q.0");
     let sent = router.round(|input| input.attempt_ended("q.0", 0, "s", AttemptOutcome::Success, 0.1));
-    assert_eq!(sent.iter().filter_map(ended).collect::<Vec<_>>(), [("q.0", 0, "s", Ended::Success)]);
+    assert_eq!(
+        sent.iter().filter_map(attempt_ended).collect::<Vec<_>>(),
+        [("q.0", 0, "s", WireOutcome::Success)]
+    );
 }
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -1,4 +1,7 @@
-//! What forwarders and planners say to each other, in the frames of `alderway_transport`.
+//! The messages between forwarders and planners, sent in the frames of `alderway_transport`. They are encoded by
+//! `postcard`: the order of variants and fields and the types of the fields are the wire format. A term is the number
+//! of one assignment of a query to a planner; a forwarder numbers its assignments in increasing order and ignores
+//! decisions with an earlier term than the query's latest one.
 use alderway::interface::AttemptOutcome;
 use alderway_transport::WireMessage;
 use serde::{Deserialize, Serialize};
@@ -8,127 +11,185 @@
     const VERSION: u16 = 1;
 }
 
-/// A leaf call as a forwarder made it, for a planner that takes a query over.
+/// An attempt that a forwarder has started for a shard request, sent to the planner that takes over the query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tried {
+pub struct PriorAttempt {
+    /// Name of the data node that the attempt was sent to.
     pub node: String,
-    /// Seconds ago.
-    pub age: f64,
-    pub ending: Option<Ended>,
+    /// Seconds since the attempt was started.
+    pub age_s: f64,
+    /// How the attempt ended; `None` while it is in flight.
+    pub outcome: Option<WireOutcome>,
 }
 
-/// How a leaf call ended, as the wire has it.
+/// How an attempt ended, as encoded on the wire. The variants correspond to those of [`AttemptOutcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ended {
+pub enum WireOutcome {
+    /// The data node answered.
     Success,
+    /// The data node failed; the attempt may have had an effect.
     Error,
-    Full,
+    /// The data node rejected the attempt for lack of capacity.
+    Rejected,
+    /// The attempt's timeout passed.
     TimedOut,
+    /// No connection to the data node could be opened.
     Unreachable,
-    Reset,
+    /// The connection broke while the attempt was in flight.
+    ConnectionReset,
+    /// The router cancelled the attempt.
     Cancelled,
+    /// The attempt ended before any byte of it was written.
     NeverSent,
-    Moved,
+    /// The data node answered that it does not hold the shard.
+    ShardMoved,
 }
 
-impl From<AttemptOutcome> for Ended {
-    fn from(ending: AttemptOutcome) -> Self {
-        match ending {
-            AttemptOutcome::Success => Ended::Success,
-            AttemptOutcome::Error => Ended::Error,
-            AttemptOutcome::Rejected => Ended::Full,
-            AttemptOutcome::TimedOut => Ended::TimedOut,
-            AttemptOutcome::Unreachable => Ended::Unreachable,
-            AttemptOutcome::ConnectionReset => Ended::Reset,
-            AttemptOutcome::Cancelled => Ended::Cancelled,
-            AttemptOutcome::NeverSent => Ended::NeverSent,
-            AttemptOutcome::ShardMoved => Ended::Moved,
+impl From<AttemptOutcome> for WireOutcome {
+    fn from(outcome: AttemptOutcome) -> Self {
+        match outcome {
+            AttemptOutcome::Success => WireOutcome::Success,
+            AttemptOutcome::Error => WireOutcome::Error,
+            AttemptOutcome::Rejected => WireOutcome::Rejected,
+            AttemptOutcome::TimedOut => WireOutcome::TimedOut,
+            AttemptOutcome::Unreachable => WireOutcome::Unreachable,
+            AttemptOutcome::ConnectionReset => WireOutcome::ConnectionReset,
+            AttemptOutcome::Cancelled => WireOutcome::Cancelled,
+            AttemptOutcome::NeverSent => WireOutcome::NeverSent,
+            AttemptOutcome::ShardMoved => WireOutcome::ShardMoved,
         }
     }
 }
 
-impl From<Ended> for AttemptOutcome {
-    fn from(ended: Ended) -> Self {
-        match ended {
-            Ended::Success => AttemptOutcome::Success,
-            Ended::Error => AttemptOutcome::Error,
-            Ended::Full => AttemptOutcome::Rejected,
-            Ended::TimedOut => AttemptOutcome::TimedOut,
-            Ended::Unreachable => AttemptOutcome::Unreachable,
-            Ended::Reset => AttemptOutcome::ConnectionReset,
-            Ended::Cancelled => AttemptOutcome::Cancelled,
-            Ended::NeverSent => AttemptOutcome::NeverSent,
-            Ended::Moved => AttemptOutcome::ShardMoved,
+impl From<WireOutcome> for AttemptOutcome {
+    fn from(outcome: WireOutcome) -> Self {
+        match outcome {
+            WireOutcome::Success => AttemptOutcome::Success,
+            WireOutcome::Error => AttemptOutcome::Error,
+            WireOutcome::Rejected => AttemptOutcome::Rejected,
+            WireOutcome::TimedOut => AttemptOutcome::TimedOut,
+            WireOutcome::Unreachable => AttemptOutcome::Unreachable,
+            WireOutcome::ConnectionReset => AttemptOutcome::ConnectionReset,
+            WireOutcome::Cancelled => AttemptOutcome::Cancelled,
+            WireOutcome::NeverSent => AttemptOutcome::NeverSent,
+            WireOutcome::ShardMoved => AttemptOutcome::ShardMoved,
         }
     }
 }
 
-/// What follows a hello. Spans are seconds; no time of a clock is ever told.
+/// A message after the hello on a connection between a forwarder and a planner. The clocks of different machines
+/// differ, so messages contain durations in seconds and never points in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A forwarder asks a planner to decide for a query; `term` counts its askings, `left` is the client's time.
-    Take {
+    /// Forwarder to planner: assigns a query to the planner.
+    AssignQuery {
+        /// Number of this assignment, which the planner repeats in its decisions on the query.
         term: u64,
+        /// Id of the query.
         query: String,
-        vertical: u32,
-        customer: String,
-        left: f64,
-        parts: Vec<(String, u32, f64, Vec<Tried>)>,
+        /// Index of the query's class.
+        query_class: u32,
+        /// Name of the tenant that sent the query.
+        tenant: String,
+        /// Seconds until the query's deadline.
+        time_left_s: f64,
+        /// The query's shard requests: id, shard, weight (the request's fraction of the query's result) and the
+        /// attempts so far.
+        requests: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     },
-    Ended {
-        part: String,
-        hop: u32,
+    /// Forwarder to planner: an attempt has ended that the planner had started or that `AssignQuery` had listed as in
+    /// flight.
+    AttemptEnded {
+        /// Id of the shard request.
+        request: String,
+        /// Number of the attempt among those of the shard request, counted from 0.
+        attempt: u32,
+        /// Name of the data node that the attempt was sent to.
         node: String,
-        ending: Ended,
-        latency: f64,
+        /// How the attempt ended.
+        outcome: WireOutcome,
+        /// Seconds from the attempt's start to its end.
+        latency_s: f64,
     },
-    Left {
+    /// Forwarder to planner: a query has ended without a decision of the planner, for example because the client
+    /// disconnected.
+    QueryClosed {
+        /// Id of the query.
         query: String,
     },
-    /// A planner's decisions, each for the term in which it was asked.
-    Call {
+    /// Planner to forwarder: start an attempt for a shard request.
+    StartAttempt {
+        /// Number of the query's assignment that this decision is for.
         term: u64,
-        part: String,
+        /// Id of the shard request.
+        request: String,
+        /// Name of the data node to send the attempt to.
         node: String,
-        limit: f64,
+        /// Seconds after which the attempt times out.
+        timeout_s: f64,
     },
-    Cancel {
+    /// Planner to forwarder: cancel an attempt.
+    CancelAttempt {
+        /// Number of the query's assignment that this decision is for.
         term: u64,
-        part: String,
-        hop: u32,
+        /// Id of the shard request.
+        request: String,
+        /// Number of the attempt among those of the shard request, counted from 0.
+        attempt: u32,
     },
+    /// Planner to forwarder: answer a query with the replies of data nodes received so far.
     Answer {
+        /// Number of the query's assignment that this decision is for.
         term: u64,
+        /// Id of the query.
         query: String,
-        whole: bool,
+        /// Whether the policy counts the answer as complete.
+        complete: bool,
     },
+    /// Planner to forwarder: reject a query.
     Reject {
+        /// Number of the query's assignment that this decision is for.
         term: u64,
+        /// Id of the query.
         query: String,
-        come_back: Option<f64>,
+        /// Seconds after which the client may retry; `None` if the planner suggests none.
+        retry_after_s: Option<f64>,
     },
-    Abort {
+    /// Planner to forwarder: fail a query.
+    Fail {
+        /// Number of the query's assignment that this decision is for.
         term: u64,
+        /// Id of the query.
         query: String,
     },
-    /// Both: alive, with how far the roster is known, and whether more is taken.
-    Beat {
+    /// In both directions: the sender is alive.
+    Heartbeat {
+        /// Number of the heartbeat on this connection, counted from 1.
         number: u64,
-        roster: u64,
-        able: bool,
+        /// Latest version of the endpoint list that the sender has received.
+        endpoints_version: u64,
+        /// Whether the planner accepts new queries; always true in a forwarder's heartbeat.
+        accepts_queries: bool,
     },
-    /// The answer to a beat.
-    Heard {
+    /// In both directions: acknowledges a heartbeat and all earlier ones on this connection.
+    HeartbeatAck {
+        /// Number of the acknowledged heartbeat.
         number: u64,
     },
-    /// What a planner saw of a data node, which started so many seconds ago, if that is known; the spans count from now.
-    /// The forwarder that gets it to relay passes it on to the other planners.
-    Evidence {
+    /// In both directions: what a planner observed of a data node. The receiver counts the durations from receipt; a
+    /// duration of 0 means that the node is healthy in that respect.
+    Observation {
+        /// Name of the data node.
         node: String,
-        started: Option<f64>,
-        late: f64,
-        far: f64,
-        sick: f64,
+        /// Seconds from the start of the node's process to the sending of the message, if known.
+        started_ago_s: Option<f64>,
+        /// Seconds from receipt for which the node counts as slow.
+        slow_for_s: f64,
+        /// Seconds from receipt for which the node counts as very slow.
+        very_slow_for_s: f64,
+        /// Seconds from receipt for which the node counts as unresponsive.
+        unresponsive_for_s: f64,
+        /// Whether the receiving forwarder forwards the observation to the other planners.
         relay: bool,
     },
 }
