--- a/crates/alderway/tests/layouts.rs
+++ b/crates/alderway/tests/layouts.rs
@@ -8,7 +8,7 @@
 use alderway_lab::shuffle::{self, Run};
 use alderway_lab::{Clock, inventory};
 use alderway_layouts::layout::{Change, Layout, Shard};
-use alderway_layouts::{Key, Range, ShardId};
+use alderway_layouts::{Key, KeyRange, ShardId};
 use common::{Client, logged, until};
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -27,7 +27,7 @@
 
 fn layout(shards: &[(ShardId, Key, Key, &[u32])]) -> Layout {
     let shard = |&(id, from, to, holders): &(ShardId, Key, Key, &[u32])| {
-        (id, Shard { keys: Range::new(from, to), holders: holders.iter().copied().collect() })
+        (id, Shard { keys: KeyRange::new(from, to), holders: holders.iter().copied().collect() })
     };
     Layout::new(1, 100, shards.iter().map(shard).collect()).expect("sound")
 }
@@ -67,7 +67,7 @@
 
     /// The next version, which nobody has heard of yet.
     fn prepare(&mut self, changes: &[Change]) {
-        self.layout = self.layout.after(self.layout.version() + 1, changes).expect("sound");
+        self.layout = self.layout.with_changes(self.layout.version() + 1, changes).expect("sound");
     }
 
     fn router_follows(&self, changes: &[Change]) {
@@ -103,7 +103,7 @@
 fn checked(client: &mut Client, id: &str, from: Key, to: Key) {
     let (status, body) = client.answer();
     assert_eq!(status, 200, "{body}");
-    let (faults, keys) = inventory::check(body.as_bytes(), &[Range::new(from, to)], id);
+    let (faults, keys) = inventory::check(body.as_bytes(), &[KeyRange::new(from, to)], id);
     assert_eq!((faults, keys), (Default::default(), u64::from(to - from)), "{body}");
 }
 
@@ -172,7 +172,7 @@
         return;
     }
     let (status, body) = client.answer();
-    let (faults, _) = inventory::check(body.as_bytes(), &[Range::new(0, 100)], "q");
+    let (faults, _) = inventory::check(body.as_bytes(), &[KeyRange::new(0, 100)], "q");
     assert_eq!((status, faults.double), (200, 40), "{body}");
 }
 
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::agent::Entry;
 use crate::model::{Fault, Job, Make, Node, Verdict};
 use crate::{Clock, inventory, value};
-use alderway_layouts::Range;
+use alderway_layouts::KeyRange;
 use alderway_layouts::layout::Layout;
 use alderway_router::wire::buffer::Buffer;
 use alderway_router::wire::frames;
@@ -161,7 +161,7 @@
 }
 
 /// A part that is taken: where its reply goes, its id, its shard, the keys asked for, and the query's text.
-type Part = (Rc<Line>, Rc<str>, u32, Option<Range>, Rc<str>);
+type Part = (Rc<Line>, Rc<str>, u32, Option<KeyRange>, Rc<str>);
 
 /// The cold rule as the stand-in counts it: from when, how long, parts a second that a warm one bears, and when parts
 /// came within the last second.
@@ -173,7 +173,7 @@
 }
 
 /// What has run on the nodes of a thread, by query's text or part's id, where it was to run once.
-type Ran = Rc<RefCell<HashMap<String, Vec<Range>>>>;
+type Ran = Rc<RefCell<HashMap<String, Vec<KeyRange>>>>;
 
 /// A node and who waits for its replies.
 struct Stand {
@@ -186,9 +186,9 @@
 
 impl Stand {
     /// By which version the node holds none of some keys; none where it holds all of them.
-    fn disowns(&self, keys: Range) -> Option<u64> {
+    fn disowns(&self, keys: KeyRange) -> Option<u64> {
         let (cell, layout) = self.layout.as_ref()?;
-        let mut covering = layout.covering(keys);
+        let mut covering = layout.overlapping(keys);
         (!covering.all(|(_, shard)| shard.holders.contains(cell))).then(|| layout.version())
     }
 
@@ -381,7 +381,7 @@
         met.parts.fetch_add(1, Relaxed);
         met.last_call.store((now * 1e6) as u64, Relaxed);
         let keys = list.split(',').find_map(|word| word.strip_prefix("k=")?.split_once('-'));
-        let keys = keys.and_then(|(from, to)| Some(Range::new(from.parse().ok()?, to.parse().ok()?)));
+        let keys = keys.and_then(|(from, to)| Some(KeyRange::new(from.parse().ok()?, to.parse().ok()?)));
         let load = stand.weigh(now);
         met.cold_load.fetch_max(load, Relaxed);
         if let Some(version) = keys.and_then(|keys| stand.disowns(keys)) {
@@ -392,10 +392,10 @@
         let (job, verdict) = stand.node.call(now);
         if let Some(ran) = ran.as_ref().filter(|_| verdict != Verdict::Full) {
             // By what was asked for, whatever the part is called: a divided part has another name.
-            let (what, keys) = keys.map_or((id, Range::new(0, 1)), |keys| (text, keys));
+            let (what, keys) = keys.map_or((id, KeyRange::new(0, 1)), |keys| (text, keys));
             let mut ran = ran.borrow_mut();
             let before = ran.entry(what.to_string()).or_default();
-            if before.iter().any(|ran| ran.meets(keys)) {
+            if before.iter().any(|ran| ran.overlaps(keys)) {
                 met.again.fetch_add(1, Relaxed);
             }
             before.push(keys);
--- a/crates/lab/src/inventory.rs
+++ b/crates/lab/src/inventory.rs
@@ -1,10 +1,10 @@
 //! What every key is worth, for data nodes and clients alike: an answer is checked against it key by key.
-use alderway_layouts::Range;
+use alderway_layouts::KeyRange;
 use alderway_layouts::layout::{Change, Layout};
 use serde_json::{Value, json};
 
 /// The value of a range of keys for a query's text: how many keys, and the sum of what each is worth.
-pub fn value(text: &str, keys: Range) -> String {
+pub fn value(text: &str, keys: KeyRange) -> String {
     let mut start = crc32fast::Hasher::new();
     start.update(text.as_bytes());
     let worth = |key: u32| {
@@ -13,7 +13,7 @@
         u64::from(sum.finalize())
     };
     let sum: u64 = (keys.from..keys.to).map(worth).sum();
-    format!("{}:{sum:x}", keys.keys())
+    format!("{}:{sum:x}", keys.len())
 }
 
 /// What is at fault in an answer.
@@ -28,7 +28,7 @@
 }
 
 /// Checks a merged answer key by key; gives its faults and how many keys are in.
-pub fn check(body: &[u8], asked: &[Range], text: &str) -> (Faults, u64) {
+pub fn check(body: &[u8], asked: &[KeyRange], text: &str) -> (Faults, u64) {
     let unreadable = (Faults { wrong: 1, ..Faults::default() }, 0);
     let Ok(body) = serde_json::from_slice::<Value>(body) else { return unreadable };
     let (Some(whole), Some(results)) = (body["whole"].as_bool(), body["results"].as_array()) else {
@@ -41,15 +41,15 @@
             faults.wrong += 1;
             continue;
         };
-        let keys = Range::new(from, to);
-        let within = asked.iter().any(|asked| asked.covers(keys));
+        let keys = KeyRange::new(from, to);
+        let within = asked.iter().any(|asked| asked.contains(keys));
         if !within || result["value"].as_str() != Some(&value(text, keys)) {
             faults.wrong += 1;
         }
         (from..to).for_each(|key| *counted.entry(key).or_insert(0) += 1);
     }
     faults.double = counted.values().filter(|count| **count > 1).count() as u64;
-    let all: u64 = asked.iter().map(Range::keys).sum();
+    let all: u64 = asked.iter().map(KeyRange::len).sum();
     if whole {
         faults.missing = all.saturating_sub(counted.len() as u64);
     }
@@ -65,7 +65,7 @@
         json!({"shard": id, "from": shard.keys.from, "to": shard.keys.to, "holders": shard.holders})
     });
     let shards = shards.collect::<Vec<_>>();
-    json!({"version": layout.version(), "keys": layout.keys(), "shards": shards}).to_string()
+    json!({"version": layout.version(), "keys": layout.key_count(), "shards": shards}).to_string()
 }
 
 /// Changes to a version as discovery tells them.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -2,7 +2,7 @@
 //! every answer. In a schedule latency counts from the moment at which a query was due, so that a router that stands
 //! still is not flattered, and a generator that falls behind says by how much.
 use crate::{Clock, draw, inventory, value};
-use alderway_layouts::Range;
+use alderway_layouts::KeyRange;
 use hdrhistogram::Histogram;
 use rand_pcg::Pcg32;
 use std::cell::{Cell, RefCell};
@@ -136,7 +136,7 @@
 /// What a query asks for.
 enum Asked {
     Shards(Vec<u32>),
-    Keys(Vec<Range>),
+    Keys(Vec<KeyRange>),
 }
 
 struct Line {
@@ -262,7 +262,7 @@
     }
 
     /// Ranges that do not meet.
-    fn ranges(&self, keys: u32, most: u32) -> Vec<Range> {
+    fn ranges(&self, keys: u32, most: u32) -> Vec<KeyRange> {
         let mut chance = self.chance.borrow_mut();
         let parts = 1 + (draw(&mut chance) * self.load.parts as f64) as u32;
         let each = keys / parts;
@@ -270,7 +270,7 @@
             .map(|part| {
                 let span = 1 + (draw(&mut chance) * f64::from(most.clamp(1, each) - 1)) as u32;
                 let from = part * each + (draw(&mut chance) * f64::from(each - span + 1)) as u32;
-                Range::new(from, from + span)
+                KeyRange::new(from, from + span)
             })
             .collect()
     }
@@ -330,7 +330,7 @@
                             outcome.wrong += faults.wrong;
                             outcome.double += faults.double;
                             outcome.missing += faults.missing;
-                            let all: u64 = keys.iter().map(Range::keys).sum();
+                            let all: u64 = keys.iter().map(KeyRange::len).sum();
                             outcome.in_part += u64::from(counted < all);
                         }
                     }
--- a/crates/lab/src/shuffle.rs
+++ b/crates/lab/src/shuffle.rs
@@ -7,7 +7,7 @@
 use crate::program::{Build, Program, Setting};
 use crate::{Clock, draw, inventory};
 use alderway_layouts::layout::{Change, Layout, Shard};
-use alderway_layouts::{Range, ShardId};
+use alderway_layouts::{KeyRange, ShardId};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering::Relaxed;
@@ -31,7 +31,7 @@
         let shard = |n: u32| {
             let to = if n + 1 == shards { keys } else { (n + 1) * each };
             let holders = (0..reach).map(|step| (n + step) % cells).collect();
-            (n, Shard { keys: Range::new(n * each, to), holders })
+            (n, Shard { keys: KeyRange::new(n * each, to), holders })
         };
         let all: BTreeMap<ShardId, Shard> = (0..shards).map(shard).collect();
         let layout = Layout::new(1, keys, all).map_err(|why| format!("layout: {why}"))?;
@@ -51,22 +51,22 @@
     }
 
     fn one(&mut self, layout: &Layout, only_moves: bool) -> Option<Change> {
-        let (_, shard) = (self.below(1), self.below(layout.keys()));
-        let shard = layout.of(shard)?;
+        let (_, shard) = (self.below(1), self.below(layout.key_count()));
+        let shard = layout.shard_at(shard)?;
         let Shard { keys, holders } = layout.shard(shard)?.clone();
         match if only_moves { 9 } else { self.below(10) } {
-            0..3 if keys.keys() >= 8 => {
+            0..3 if keys.len() >= 8 => {
                 let count = 2 + self.below(3);
-                let each = keys.keys() as u32 / count;
+                let each = keys.len() as u32 / count;
                 self.next += count;
                 let child = |n: u32| (self.next - count + n, keys.from + n * each);
                 Some(Change::Split { parent: shard, children: (0..count).map(child).collect() })
             }
             3..6 => {
-                let neighbour = layout.of(keys.to)?;
+                let neighbour = layout.shard_at(keys.to)?;
                 let other = &layout.shard(neighbour)?.holders;
                 // Mergers need a cell that has both, and shards that do not grow for ever.
-                let sound = holders.intersection(other).next().is_some() && keys.keys() < 512;
+                let sound = holders.intersection(other).next().is_some() && keys.len() < 512;
                 self.next += 1;
                 sound.then(|| Change::Merge { parents: vec![shard, neighbour], child: self.next - 1 })
             }
@@ -89,13 +89,13 @@
 
     /// A shard is split and each child goes elsewhere, at a stroke: nobody holds all that parts on their way ask for.
     fn scatter(&mut self, chain: &mut Vec<Change>) {
-        let key = self.below(self.layout.keys());
-        let Some(shard) = self.layout.of(key) else { return };
-        let Some(keys) = self.layout.shard(shard).map(|shard| shard.keys).filter(|keys| keys.keys() >= 4)
+        let key = self.below(self.layout.key_count());
+        let Some(shard) = self.layout.shard_at(key) else { return };
+        let Some(keys) = self.layout.shard(shard).map(|shard| shard.keys).filter(|keys| keys.len() >= 4)
         else {
             return;
         };
-        let (first, middle) = (self.next, keys.from + keys.keys() as u32 / 2);
+        let (first, middle) = (self.next, keys.from + keys.len() as u32 / 2);
         self.next += 2;
         chain.push(Change::Split { parent: shard, children: vec![(first, keys.from), (first + 1, middle)] });
         for child in [first, first + 1] {
@@ -110,7 +110,7 @@
         let mut layout = self.layout.clone();
         if !only_moves && self.below(3) == 0 {
             self.scatter(&mut chain);
-            if let Ok(next) = self.layout.after(version, &chain) {
+            if let Ok(next) = self.layout.with_changes(version, &chain) {
                 layout = next;
             }
         }
@@ -119,7 +119,7 @@
             let mut longer = chain.clone();
             longer.push(change);
             // What does not go with the changes before it is drawn again.
-            if let Ok(next) = self.layout.after(version, &longer) {
+            if let Ok(next) = self.layout.with_changes(version, &longer) {
                 (layout, chain) = (next, longer);
             }
         }
@@ -135,7 +135,7 @@
         };
         let chain: Vec<Change> =
             self.layout.shards().enumerate().filter(|(n, _)| n % 2 == 0).map(|(_, s)| share(s)).collect();
-        if let Ok(next) = self.layout.after(self.layout.version() + 1, &chain) {
+        if let Ok(next) = self.layout.with_changes(self.layout.version() + 1, &chain) {
             self.layout = next;
         }
         chain
--- a/crates/layouts/src/coverage.rs
+++ b/crates/layouts/src/coverage.rs
@@ -2,15 +2,15 @@
 //! its successors', one successor's before its parent's. Each covers a range of keys as a whole: its value cannot be
 //! divided. What counts is a set of answers whose ranges do not meet, so no key counts twice; and a larger answer takes
 //! the place of smaller ones that it covers, so none is missed that an answer has brought.
-use crate::Range;
+use crate::KeyRange;
 use std::collections::BTreeMap;
 
 /// The answers that count for one query, by where they begin, with what was asked.
 #[derive(Clone, Debug)]
 pub struct Coverage<V> {
     /// Ranges that the query asks for, each with the weight of one of its keys; they do not meet.
-    asked: Vec<(Range, f64)>,
-    counted: BTreeMap<u32, (Range, V)>,
+    asked: Vec<(KeyRange, f64)>,
+    counted: BTreeMap<u32, (KeyRange, V)>,
 }
 
 /// What became of an answer.
@@ -28,34 +28,36 @@
 
 impl<V> Coverage<V> {
     /// For a query that asks for these ranges with their weights; keys asked for twice are the caller's fault and refused.
-    pub fn new(mut asked: Vec<(Range, f64)>) -> Option<Self> {
+    pub fn new(mut asked: Vec<(KeyRange, f64)>) -> Option<Self> {
         asked.retain(|(range, _)| !range.is_empty());
         asked.sort_by_key(|(range, _)| *range);
         let apart = asked.windows(2).all(|pair| pair[0].0.to <= pair[1].0.from);
         let whole: f64 = asked.iter().map(|a| a.1).sum();
-        let asked = asked.into_iter().map(|(range, weight)| (range, weight / range.keys() as f64));
+        let asked = asked.into_iter().map(|(range, weight)| (range, weight / range.len() as f64));
         (apart && whole > 0.0).then(|| Coverage { asked: asked.collect(), counted: BTreeMap::new() })
     }
 
     /// Asked keys of a range, and their weight.
-    fn weigh(&self, range: Range) -> (u64, f64) {
-        let parts = self.asked.iter().filter_map(|(asked, each)| Some((asked.common(range)?.keys(), each)));
+    fn weigh(&self, range: KeyRange) -> (u64, f64) {
+        let parts =
+            self.asked.iter().filter_map(|(asked, each)| Some((asked.intersection(range)?.len(), each)));
         parts.fold((0, 0.0), |(keys, weight), (count, each)| (keys + count, weight + count as f64 * each))
     }
 
     /// Takes an answer for a range in, if that brings more asked keys than it costs.
-    pub fn take(&mut self, range: Range, value: V) -> Count {
+    pub fn take(&mut self, range: KeyRange, value: V) -> Count {
         let (keys, _) = self.weigh(range);
         if keys == 0 {
             return Count::NotAsked;
         }
-        let meets: Vec<Range> = self.counted.values().map(|c| c.0).filter(|c| c.meets(range)).collect();
-        let known: u64 = meets.iter().filter_map(|c| c.common(range)).map(|c| self.weigh(c).0).sum();
+        let meets: Vec<KeyRange> = self.counted.values().map(|c| c.0).filter(|c| c.overlaps(range)).collect();
+        let known: u64 = meets.iter().filter_map(|c| c.intersection(range)).map(|c| self.weigh(c).0).sum();
         if known == keys {
             return Count::Known;
         }
         // Asked keys that would be lost with answers that reach beyond this one.
-        if meets.iter().any(|c| self.weigh(*c).0 > c.common(range).map_or(0, |both| self.weigh(both).0)) {
+        if meets.iter().any(|c| self.weigh(*c).0 > c.intersection(range).map_or(0, |both| self.weigh(both).0))
+        {
             return Count::Crosses;
         }
         meets.iter().for_each(|c| drop(self.counted.remove(&c.from)));
@@ -71,30 +73,30 @@
     /// Whether every asked key is in.
     pub fn is_whole(&self) -> bool {
         let known: u64 = self.counted.values().map(|c| self.weigh(c.0).0).sum();
-        known == self.asked.iter().map(|a| a.0.keys()).sum::<u64>()
+        known == self.asked.iter().map(|a| a.0.len()).sum::<u64>()
     }
 
     /// What of a range is asked for and not in: what is still to be sent for.
-    pub fn missing(&self, range: Range) -> Vec<Range> {
+    pub fn missing(&self, range: KeyRange) -> Vec<KeyRange> {
         let mut missing = vec![];
         for (asked, _) in &self.asked {
-            let Some(wanted) = asked.common(range) else { continue };
+            let Some(wanted) = asked.intersection(range) else { continue };
             let mut from = wanted.from;
-            for counted in self.counted.values().map(|c| c.0).filter(|c| c.meets(wanted)) {
+            for counted in self.counted.values().map(|c| c.0).filter(|c| c.overlaps(wanted)) {
                 if counted.from > from {
-                    missing.push(Range::new(from, counted.from));
+                    missing.push(KeyRange::new(from, counted.from));
                 }
                 from = from.max(counted.to);
             }
             if from < wanted.to {
-                missing.push(Range::new(from, wanted.to));
+                missing.push(KeyRange::new(from, wanted.to));
             }
         }
         missing
     }
 
     /// The answers that count, in the order of their keys.
-    pub fn answers(&self) -> impl Iterator<Item = (Range, &V)> {
+    pub fn answers(&self) -> impl Iterator<Item = (KeyRange, &V)> {
         self.counted.values().map(|(range, value)| (*range, value))
     }
 }
--- a/crates/layouts/src/history.rs
+++ b/crates/layouts/src/history.rs
@@ -5,8 +5,8 @@
 //! Nobody sends by an old version. A part that is open while its shard goes keeps its keys, and goes on to whoever holds
 //! all of them now; where its keys lie with other cells here and there, it is better divided. A data node that says that it does not hold a shard
 //! (`disown`) is left out for it until this side knows what the node knows, or the node has had time to catch up.
-use crate::layout::{Change, Faulty, Layout, Shard};
-use crate::{Key, Range, ShardId, Version};
+use crate::layout::{Change, Layout, LayoutError, Shard};
+use crate::{Key, KeyRange, ShardId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// News of the layout: the whole of it, or changes to a version that is held.
@@ -17,7 +17,7 @@
 }
 
 struct Gone {
-    keys: Range,
+    keys: KeyRange,
     /// Since when it is gone, by the caller's clock.
     at: f64,
 }
@@ -60,10 +60,10 @@
     }
 
     /// From the first news, which must be whole.
-    pub fn begin(news: News, grace: f64, lag: f64) -> Result<Self, Faulty> {
+    pub fn begin(news: News, grace: f64, lag: f64) -> Result<Self, LayoutError> {
         match news {
             News::Whole { version, keys, shards } => Ok(Self::new(whole(version, keys, shards)?, grace, lag)),
-            News::Changes { after, .. } => Err(Faulty::NotHeld { after }),
+            News::Changes { after, .. } => Err(LayoutError::UnknownBase { base: after }),
         }
     }
 
@@ -72,62 +72,69 @@
     }
 
     /// Takes news in, or refuses them whole; then the old version holds. What is known already changes nothing.
-    pub fn take(&mut self, news: News, now: f64) -> Result<Followed, Faulty> {
+    pub fn take(&mut self, news: News, now: f64) -> Result<Followed, LayoutError> {
         match news {
             News::Whole { version, .. } if version == self.newest.version() => Ok(Followed::default()),
             News::Whole { version, keys, shards } => self.replace(whole(version, keys, shards)?, now),
-            News::Changes { after, .. } if after != self.newest.version() => Err(Faulty::NotHeld { after }),
+            News::Changes { after, .. } if after != self.newest.version() => {
+                Err(LayoutError::UnknownBase { base: after })
+            }
             News::Changes { version, changes, .. } => self.change(version, &changes, now),
         }
     }
 
     /// Takes a chain of changes in as the next version, or refuses it whole.
-    pub fn change(&mut self, version: Version, changes: &[Change], now: f64) -> Result<Followed, Faulty> {
-        self.follow(self.newest.after(version, changes)?, now)
+    pub fn change(
+        &mut self,
+        version: Version,
+        changes: &[Change],
+        now: f64,
+    ) -> Result<Followed, LayoutError> {
+        self.follow(self.newest.with_changes(version, changes)?, now)
     }
 
     /// Takes a whole layout in, as after news that were missed. One that is no newer is refused.
-    pub fn replace(&mut self, layout: Layout, now: f64) -> Result<Followed, Faulty> {
-        let (held, told) = (self.newest.version(), layout.version());
-        if told <= held {
-            return Err(Faulty::Backwards { held, told });
+    pub fn replace(&mut self, layout: Layout, now: f64) -> Result<Followed, LayoutError> {
+        let (current, received) = (self.newest.version(), layout.version());
+        if received <= current {
+            return Err(LayoutError::StaleVersion { current, received });
         }
         self.follow(layout, now)
     }
 
-    fn follow(&mut self, next: Layout, now: f64) -> Result<Followed, Faulty> {
-        let difference = self.newest.to(&next);
+    fn follow(&mut self, next: Layout, now: f64) -> Result<Followed, LayoutError> {
+        let diff = self.newest.diff(&next);
         // Guards against a number that is used again for other keys: old answers would count for them.
         let other = |id: &&ShardId| {
             self.keys(**id).is_some_and(|keys| next.shard(**id).is_some_and(|s| s.keys != keys))
         };
-        if let Some(shard) = difference.new.iter().chain(&difference.changed).find(other) {
-            return Err(Faulty::Used { shard: *shard });
+        if let Some(shard) = diff.added.iter().chain(&diff.changed).find(other) {
+            return Err(LayoutError::ShardIdInUse { shard: *shard });
         }
         let last = std::mem::replace(&mut self.newest, next);
-        for &id in &difference.gone {
+        for &id in &diff.removed {
             if let Some(shard) = last.shard(id) {
                 self.gone.insert(id, Gone { keys: shard.keys, at: now });
             }
         }
         let parents = |id: ShardId| {
-            let keys = self.newest.shard(id).map_or(Range::new(0, 0), |s| s.keys);
-            (id, last.covering(keys).map(|(parent, _)| parent).collect())
+            let keys = self.newest.shard(id).map_or(KeyRange::new(0, 0), |s| s.keys);
+            (id, last.overlapping(keys).map(|(parent, _)| parent).collect())
         };
-        let new = difference.new.iter().map(|&id| parents(id)).collect();
-        for id in &difference.new {
+        let new = diff.added.iter().map(|&id| parents(id)).collect();
+        for id in &diff.added {
             self.gone.remove(id);
         }
         let version = self.newest.version();
         let back = self.forgive(|word| word.version <= version);
         let open = self.open.keys().filter(|id| self.gone.contains_key(id));
         let held: BTreeSet<ShardId> =
-            difference.new.iter().chain(&difference.changed).chain(open).copied().chain(back).collect();
-        Ok(Followed { gone: difference.gone, new, held: held.into_iter().collect() })
+            diff.added.iter().chain(&diff.changed).chain(open).copied().chain(back).collect();
+        Ok(Followed { gone: diff.removed, new, held: held.into_iter().collect() })
     }
 
     /// The keys of a shard, of the newest version or one that still matters.
-    pub fn keys(&self, shard: ShardId) -> Option<Range> {
+    pub fn keys(&self, shard: ShardId) -> Option<KeyRange> {
         self.newest.shard(shard).map(|s| s.keys).or(self.gone.get(&shard).map(|g| g.keys))
     }
 
@@ -136,8 +143,8 @@
     }
 
     /// The shards that cover a range now, each with the keys that they have in common.
-    pub fn cover(&self, range: Range) -> Vec<(ShardId, Range)> {
-        self.newest.covering(range).filter_map(|(id, s)| Some((id, s.keys.common(range)?))).collect()
+    pub fn cover(&self, range: KeyRange) -> Vec<(ShardId, KeyRange)> {
+        self.newest.overlapping(range).filter_map(|(id, s)| Some((id, s.keys.intersection(range)?))).collect()
     }
 
     /// The cells that hold every key of a shard now; for one that is gone, all of its successors.
@@ -146,7 +153,7 @@
             return shard.holders.iter().copied().collect();
         }
         let Some(keys) = self.keys(shard) else { return vec![] };
-        let mut covering = self.newest.covering(keys).map(|(_, s)| &s.holders);
+        let mut covering = self.newest.overlapping(keys).map(|(_, s)| &s.holders);
         let first = covering.next().cloned().unwrap_or_default();
         covering.fold(first, |all, next| all.intersection(next).copied().collect()).into_iter().collect()
     }
@@ -155,7 +162,7 @@
     /// for pieces of it than for all.
     pub fn is_scattered(&self, shard: ShardId) -> bool {
         let Some(gone) = self.gone.get(&shard) else { return false };
-        let mut covering = self.newest.covering(gone.keys).map(|(_, s)| &s.holders);
+        let mut covering = self.newest.overlapping(gone.keys).map(|(_, s)| &s.holders);
         let first = covering.next();
         covering.any(|holders| Some(holders) != first)
     }
@@ -232,11 +239,11 @@
     }
 }
 
-fn whole(version: Version, keys: Key, shards: Vec<(ShardId, Shard)>) -> Result<Layout, Faulty> {
+fn whole(version: Version, keys: Key, shards: Vec<(ShardId, Shard)>) -> Result<Layout, LayoutError> {
     let mut all = BTreeMap::new();
     for (id, shard) in shards {
         if all.insert(id, shard).is_some() {
-            return Err(Faulty::Used { shard: id });
+            return Err(LayoutError::ShardIdInUse { shard: id });
         }
     }
     Layout::new(version, keys, all)
--- a/crates/layouts/src/layout.rs
+++ b/crates/layouts/src/layout.rs
@@ -1,5 +1,5 @@
 //! One version of the layout, and the changes that make the next. A faulty layout or change is refused whole.
-use crate::{Key, Range, ShardId, Version};
+use crate::{Key, KeyRange, ShardId, Version};
 use imbl::OrdMap;
 use imbl::ordmap::DiffItem;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
 /// A shard: its keys, and the cells that hold it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shard {
-    pub keys: Range,
+    pub keys: KeyRange,
     pub holders: BTreeSet<u32>,
 }
 
@@ -26,9 +26,9 @@
 
 /// What one version has that another has not.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Difference {
-    pub gone: Vec<ShardId>,
-    pub new: Vec<ShardId>,
+pub struct LayoutDiff {
+    pub removed: Vec<ShardId>,
+    pub added: Vec<ShardId>,
     /// Other keys or other holders.
     pub changed: Vec<ShardId>,
 }
@@ -46,74 +46,78 @@
 
 /// Why a layout or change is refused, in one line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Faulty {
-    Hole { at: Key },
+pub enum LayoutError {
+    Gap { at: Key },
     Overlap { shard: ShardId, at: Key },
-    Empty { shard: ShardId },
+    EmptyShard { shard: ShardId },
     NoHolder { shard: ShardId },
-    Unknown { shard: ShardId },
-    Used { shard: ShardId },
-    Apart { shard: ShardId },
-    Outside { shard: ShardId, at: Key },
-    Backwards { held: Version, told: Version },
-    Nothing,
-    NotHeld { after: Version },
+    UnknownShard { shard: ShardId },
+    ShardIdInUse { shard: ShardId },
+    NotAdjacent { shard: ShardId },
+    OutOfBounds { shard: ShardId, at: Key },
+    StaleVersion { current: Version, received: Version },
+    TooFewShards,
+    UnknownBase { base: Version },
 }
 
-impl fmt::Display for Faulty {
+impl fmt::Display for LayoutError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Faulty::Hole { at } => write!(out, "no shard covers key {at}"),
-            Faulty::Overlap { shard, at } => write!(out, "shard {shard} covers key {at} beside another"),
-            Faulty::Empty { shard } => write!(out, "shard {shard} covers no key"),
-            Faulty::NoHolder { shard } => write!(out, "shard {shard} has no holder"),
-            Faulty::Unknown { shard } => write!(out, "shard {shard} is not known"),
-            Faulty::Used { shard } => write!(out, "shard number {shard} is taken already"),
-            Faulty::Apart { shard } => write!(out, "shard {shard} does not follow on the one before it"),
-            Faulty::Outside { shard, at } => {
+            LayoutError::Gap { at } => write!(out, "no shard covers key {at}"),
+            LayoutError::Overlap { shard, at } => write!(out, "shard {shard} covers key {at} beside another"),
+            LayoutError::EmptyShard { shard } => write!(out, "shard {shard} covers no key"),
+            LayoutError::NoHolder { shard } => write!(out, "shard {shard} has no holder"),
+            LayoutError::UnknownShard { shard } => write!(out, "shard {shard} is not known"),
+            LayoutError::ShardIdInUse { shard } => write!(out, "shard number {shard} is taken already"),
+            LayoutError::NotAdjacent { shard } => {
+                write!(out, "shard {shard} does not follow on the one before it")
+            }
+            LayoutError::OutOfBounds { shard, at } => {
                 write!(out, "shard {shard} would begin at key {at}, not in order")
             }
-            Faulty::Backwards { held, told } => write!(out, "version {told} does not follow version {held}"),
-            Faulty::Nothing => write!(out, "it names nothing"),
-            Faulty::NotHeld { after } => write!(out, "it changes version {after}, which is not held"),
+            LayoutError::StaleVersion { current, received } => {
+                write!(out, "version {received} does not follow version {current}")
+            }
+            LayoutError::TooFewShards => write!(out, "it names nothing"),
+            LayoutError::UnknownBase { base } => write!(out, "it changes version {base}, which is not held"),
         }
     }
 }
 
-impl std::error::Error for Faulty {}
+impl std::error::Error for LayoutError {}
 
 impl Layout {
     /// A whole layout, once it has proved to cover every key once.
-    pub fn new(version: Version, keys: Key, shards: BTreeMap<ShardId, Shard>) -> Result<Self, Faulty> {
+    pub fn new(version: Version, keys: Key, shards: BTreeMap<ShardId, Shard>) -> Result<Self, LayoutError> {
         let mut starts = OrdMap::new();
         for (&id, shard) in &shards {
             if shard.keys.is_empty() {
-                return Err(Faulty::Empty { shard: id });
+                return Err(LayoutError::EmptyShard { shard: id });
             }
             if shard.holders.is_empty() {
-                return Err(Faulty::NoHolder { shard: id });
+                return Err(LayoutError::NoHolder { shard: id });
             }
             if starts.insert(shard.keys.from, id).is_some() {
-                return Err(Faulty::Overlap { shard: id, at: shard.keys.from });
+                return Err(LayoutError::Overlap { shard: id, at: shard.keys.from });
             }
         }
         let mut next = 0;
         for (&from, &id) in &starts {
             if from > next {
-                return Err(Faulty::Hole { at: next });
+                return Err(LayoutError::Gap { at: next });
             }
             if from < next {
-                return Err(Faulty::Overlap { shard: id, at: from });
+                return Err(LayoutError::Overlap { shard: id, at: from });
             }
             next = shards[&id].keys.to;
         }
         match next.cmp(&keys) {
-            std::cmp::Ordering::Less => Err(Faulty::Hole { at: next }),
+            std::cmp::Ordering::Less => Err(LayoutError::Gap { at: next }),
             std::cmp::Ordering::Greater => {
                 let last = starts.get_max().map(|last| last.1).unwrap_or_default();
-                Err(Faulty::Outside { shard: last, at: keys })
+                Err(LayoutError::OutOfBounds { shard: last, at: keys })
             }
-            std::cmp::Ordering::Equal if shards.is_empty() => Err(Faulty::Nothing),
+            std::cmp::Ordering::Equal if shards.is_empty() => Err(LayoutError::TooFewShards),
             std::cmp::Ordering::Equal => {
                 let shards = shards.into_iter().map(|(id, shard)| (id, Arc::new(shard))).collect();
                 Ok(Layout { version, keys, shards, starts })
@@ -126,7 +130,7 @@
     }
 
     /// Keys are numbered from 0 to below this.
-    pub fn keys(&self) -> Key {
+    pub fn key_count(&self) -> Key {
         self.keys
     }
 
@@ -134,7 +138,7 @@
         self.shards.iter().map(|(id, shard)| (*id, &**shard))
     }
 
-    pub fn count(&self) -> usize {
+    pub fn shard_count(&self) -> usize {
         self.shards.len()
     }
 
@@ -143,37 +147,37 @@
     }
 
     /// What changes from this version to another; costs what differs.
-    pub fn to(&self, other: &Layout) -> Difference {
-        let mut difference = Difference::default();
+    pub fn diff(&self, other: &Layout) -> LayoutDiff {
+        let mut diff = LayoutDiff::default();
         for item in self.shards.diff(&other.shards) {
             match item {
-                DiffItem::Add(id, _) => difference.new.push(*id),
-                DiffItem::Remove(id, _) => difference.gone.push(*id),
-                DiffItem::Update { old: (id, _), .. } => difference.changed.push(*id),
+                DiffItem::Add(id, _) => diff.added.push(*id),
+                DiffItem::Remove(id, _) => diff.removed.push(*id),
+                DiffItem::Update { old: (id, _), .. } => diff.changed.push(*id),
             }
         }
-        difference
+        diff
     }
 
     /// The shard of a key.
-    pub fn of(&self, key: Key) -> Option<ShardId> {
-        self.covering(Range::new(key, key.saturating_add(1))).next().map(|found| found.0)
+    pub fn shard_at(&self, key: Key) -> Option<ShardId> {
+        self.overlapping(KeyRange::new(key, key.saturating_add(1))).next().map(|found| found.0)
     }
 
     /// The shards that cover a range, in the order of their keys.
-    pub fn covering(&self, range: Range) -> impl Iterator<Item = (ShardId, &Shard)> {
+    pub fn overlapping(&self, range: KeyRange) -> impl Iterator<Item = (ShardId, &Shard)> {
         let first = self.starts.get_prev(&range.from).map_or(range.from, |(&from, _)| from);
         let begun = self.starts.range(first..range.to.max(first));
-        begun.map(|(_, &id)| (id, &*self.shards[&id])).filter(move |(_, s)| s.keys.meets(range))
+        begun.map(|(_, &id)| (id, &*self.shards[&id])).filter(move |(_, s)| s.keys.overlaps(range))
     }
 
     /// The next version after a chain of changes; this one stays as it is.
-    pub fn after(&self, version: Version, changes: &[Change]) -> Result<Layout, Faulty> {
+    pub fn with_changes(&self, version: Version, changes: &[Change]) -> Result<Layout, LayoutError> {
         if version <= self.version {
-            return Err(Faulty::Backwards { held: self.version, told: version });
+            return Err(LayoutError::StaleVersion { current: self.version, received: version });
         }
         if changes.is_empty() {
-            return Err(Faulty::Nothing);
+            return Err(LayoutError::TooFewShards);
         }
         let mut next = Layout { version, ..self.clone() };
         for change in changes {
@@ -182,15 +186,15 @@
         Ok(next)
     }
 
-    fn known(&self, id: ShardId) -> Result<&Shard, Faulty> {
-        self.shard(id).ok_or(Faulty::Unknown { shard: id })
+    fn known(&self, id: ShardId) -> Result<&Shard, LayoutError> {
+        self.shard(id).ok_or(LayoutError::UnknownShard { shard: id })
     }
 
-    fn add(&mut self, id: ShardId, shard: Shard) -> Result<(), Faulty> {
+    fn add(&mut self, id: ShardId, shard: Shard) -> Result<(), LayoutError> {
         self.starts.insert(shard.keys.from, id);
         match self.shards.insert(id, Arc::new(shard)) {
             None => Ok(()),
-            Some(_) => Err(Faulty::Used { shard: id }),
+            Some(_) => Err(LayoutError::ShardIdInUse { shard: id }),
         }
     }
 
@@ -202,46 +206,46 @@
 
     /// Each change keeps every key covered once, so that only what it touches has to be looked at. After an error
     /// this is of no use any more.
-    fn apply(&mut self, change: &Change) -> Result<(), Faulty> {
+    fn apply(&mut self, change: &Change) -> Result<(), LayoutError> {
         match change {
             Change::Split { parent, children } => {
                 let old = self.known(*parent)?.clone();
                 if children.len() < 2 {
-                    return Err(Faulty::Nothing);
+                    return Err(LayoutError::TooFewShards);
                 }
                 self.starts.remove(&old.keys.from);
                 let ends = children.iter().skip(1).map(|c| c.1).chain([old.keys.to]);
                 let mut next = old.keys.from;
                 for (&(id, from), to) in children.iter().zip(ends) {
                     if from != next {
-                        return Err(Faulty::Outside { shard: id, at: from });
+                        return Err(LayoutError::OutOfBounds { shard: id, at: from });
                     }
                     if to <= from || to > old.keys.to {
-                        return Err(Faulty::Outside { shard: id, at: to });
+                        return Err(LayoutError::OutOfBounds { shard: id, at: to });
                     }
-                    self.add(id, Shard { keys: Range::new(from, to), holders: old.holders.clone() })?;
+                    self.add(id, Shard { keys: KeyRange::new(from, to), holders: old.holders.clone() })?;
                     next = to;
                 }
                 self.shards.remove(parent);
             }
             Change::Merge { parents, child } => {
                 let (Some(&first), true) = (parents.first(), parents.len() > 1) else {
-                    return Err(Faulty::Nothing);
+                    return Err(LayoutError::TooFewShards);
                 };
                 let mut merged = self.known(first)?.clone();
                 for &parent in &parents[1..] {
                     let next = self.known(parent)?;
                     if next.keys.from != merged.keys.to {
-                        return Err(Faulty::Apart { shard: parent });
+                        return Err(LayoutError::NotAdjacent { shard: parent });
                     }
                     merged.keys.to = next.keys.to;
                     merged.holders = merged.holders.intersection(&next.holders).copied().collect();
                 }
                 if merged.holders.is_empty() {
-                    return Err(Faulty::NoHolder { shard: *child });
+                    return Err(LayoutError::NoHolder { shard: *child });
                 }
                 if self.shards.contains_key(child) {
-                    return Err(Faulty::Used { shard: *child });
+                    return Err(LayoutError::ShardIdInUse { shard: *child });
                 }
                 parents.iter().for_each(|parent| self.remove(*parent));
                 self.add(*child, merged)?;
@@ -249,7 +253,7 @@
             Change::Move { shard, holders } => {
                 let keys = self.known(*shard)?.keys;
                 if holders.is_empty() {
-                    return Err(Faulty::NoHolder { shard: *shard });
+                    return Err(LayoutError::NoHolder { shard: *shard });
                 }
                 self.shards.insert(*shard, Arc::new(Shard { keys, holders: holders.clone() }));
             }
--- a/crates/layouts/src/lib.rs
+++ b/crates/layouts/src/lib.rs
@@ -21,35 +21,35 @@
 
 /// Keys from one to below another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Range {
+pub struct KeyRange {
     pub from: Key,
     pub to: Key,
 }
 
-impl Range {
+impl KeyRange {
     pub fn new(from: Key, to: Key) -> Self {
-        Range { from, to }
+        KeyRange { from, to }
     }
 
     pub fn is_empty(&self) -> bool {
         self.from >= self.to
     }
 
-    pub fn keys(&self) -> u64 {
+    pub fn len(&self) -> u64 {
         u64::from(self.to.saturating_sub(self.from))
     }
 
-    pub fn covers(&self, other: Range) -> bool {
+    pub fn contains(&self, other: KeyRange) -> bool {
         self.from <= other.from && other.to <= self.to
     }
 
-    pub fn meets(&self, other: Range) -> bool {
+    pub fn overlaps(&self, other: KeyRange) -> bool {
         self.from < other.to && other.from < self.to
     }
 
     /// The keys of both.
-    pub fn common(&self, other: Range) -> Option<Range> {
-        let both = Range::new(self.from.max(other.from), self.to.min(other.to));
+    pub fn intersection(&self, other: KeyRange) -> Option<KeyRange> {
+        let both = KeyRange::new(self.from.max(other.from), self.to.min(other.to));
         (!both.is_empty()).then_some(both)
     }
 }
--- a/crates/layouts/tests/stories.rs
+++ b/crates/layouts/tests/stories.rs
@@ -2,8 +2,8 @@
 use alderway_layouts::coverage::{Count, Coverage};
 use alderway_layouts::family::Families;
 use alderway_layouts::history::{History, News};
-use alderway_layouts::layout::{Change, Faulty, Layout, Shard};
-use alderway_layouts::{Key, Range, ShardId};
+use alderway_layouts::layout::{Change, Layout, LayoutError, Shard};
+use alderway_layouts::{Key, KeyRange, ShardId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -15,7 +15,7 @@
 
 fn shards(of: &[(ShardId, Key, Key)]) -> BTreeMap<ShardId, Shard> {
     of.iter()
-        .map(|&(id, from, to)| (id, Shard { keys: Range::new(from, to), holders: holders(&[1, 2]) }))
+        .map(|&(id, from, to)| (id, Shard { keys: KeyRange::new(from, to), holders: holders(&[1, 2]) }))
         .collect()
 }
 
@@ -35,14 +35,14 @@
 }
 
 #[rstest]
-#[case::unknown_parent(2, Change::Split { parent: 9, children: vec![(10, 0), (11, 5)] }, Faulty::Unknown { shard: 9 })]
-#[case::a_child_out_of_order(2, Change::Split { parent: 1, children: vec![(10, 0), (11, 12)] }, Faulty::Outside { shard: 10, at: 12 })]
-#[case::a_child_elsewhere(2, Change::Split { parent: 1, children: vec![(10, 1), (11, 5)] }, Faulty::Outside { shard: 10, at: 1 })]
-#[case::a_number_taken(2, Change::Split { parent: 1, children: vec![(2, 0), (11, 5)] }, Faulty::Used { shard: 2 })]
-#[case::not_neighbours(2, Change::Merge { parents: vec![1, 3], child: 10 }, Faulty::Apart { shard: 3 })]
-#[case::nobody_holds_it(2, Change::Move { shard: 1, holders: BTreeSet::new() }, Faulty::NoHolder { shard: 1 })]
-#[case::backwards(1, Change::Move { shard: 1, holders: BTreeSet::new() }, Faulty::Backwards { held: 1, told: 1 })]
-fn a_faulty_change_is_refused_whole(#[case] version: u64, #[case] change: Change, #[case] why: Faulty) {
+#[case::unknown_parent(2, Change::Split { parent: 9, children: vec![(10, 0), (11, 5)] }, LayoutError::UnknownShard { shard: 9 })]
+#[case::a_child_out_of_order(2, Change::Split { parent: 1, children: vec![(10, 0), (11, 12)] }, LayoutError::OutOfBounds { shard: 10, at: 12 })]
+#[case::a_child_elsewhere(2, Change::Split { parent: 1, children: vec![(10, 1), (11, 5)] }, LayoutError::OutOfBounds { shard: 10, at: 1 })]
+#[case::a_number_taken(2, Change::Split { parent: 1, children: vec![(2, 0), (11, 5)] }, LayoutError::ShardIdInUse { shard: 2 })]
+#[case::not_neighbours(2, Change::Merge { parents: vec![1, 3], child: 10 }, LayoutError::NotAdjacent { shard: 3 })]
+#[case::nobody_holds_it(2, Change::Move { shard: 1, holders: BTreeSet::new() }, LayoutError::NoHolder { shard: 1 })]
+#[case::backwards(1, Change::Move { shard: 1, holders: BTreeSet::new() }, LayoutError::StaleVersion { current: 1, received: 1 })]
+fn a_faulty_change_is_refused_whole(#[case] version: u64, #[case] change: Change, #[case] why: LayoutError) {
     let mut history = History::new(layout(), 2.0, 0.25);
     let good = Change::Split { parent: 2, children: vec![(20, 10), (21, 15)] };
     assert_eq!(history.change(version, &[good, change], 0.0), Err(why));
@@ -65,8 +65,8 @@
     history.change(4, &[to(&[3])], 1.6).expect("sound");
     assert!(history.holders(1).is_empty());
     assert_eq!(
-        history.cover(Range::new(2, 12)),
-        [(10, Range::new(2, 4)), (11, Range::new(4, 10)), (2, Range::new(10, 12))]
+        history.cover(KeyRange::new(2, 12)),
+        [(10, KeyRange::new(2, 4)), (11, KeyRange::new(4, 10)), (2, KeyRange::new(10, 12))]
     );
     assert_eq!(history.retire(100.0), [] as [ShardId; 0]);
     history.closed(1);
@@ -109,10 +109,10 @@
     let mut history = History::new(layout(), 2.0, 0.25);
     let to = Change::Move { shard: 2, holders: holders(&[5]) };
     let news = |after| News::Changes { version: 9, after, changes: vec![to.clone()] };
-    assert_eq!(history.take(news(4), 0.0), Err(Faulty::NotHeld { after: 4 }));
-    let shard = |from, to| (1, Shard { keys: Range::new(from, to), holders: holders(&[1]) });
+    assert_eq!(history.take(news(4), 0.0), Err(LayoutError::UnknownBase { base: 4 }));
+    let shard = |from, to| (1, Shard { keys: KeyRange::new(from, to), holders: holders(&[1]) });
     let twice = News::Whole { version: 9, keys: 30, shards: vec![shard(0, 10), shard(10, 30)] };
-    assert_eq!(history.take(twice, 0.0), Err(Faulty::Used { shard: 1 }));
+    assert_eq!(history.take(twice, 0.0), Err(LayoutError::ShardIdInUse { shard: 1 }));
     assert!(History::begin(news(1), 2.0, 0.25).is_err());
     assert!(history.take(news(1), 0.0).is_ok() && history.newest().version() == 9);
 }
@@ -121,17 +121,23 @@
 #[rstest]
 fn a_thousand_changes_of_ten_thousand_shards_leave_nothing_behind() {
     let all = (0..10_000u32).map(|n| {
-        (n, Shard { keys: Range::new(100 * n, 100 * n + 100), holders: holders(&[n % 400, (n + 1) % 400]) })
+        (
+            n,
+            Shard {
+                keys: KeyRange::new(100 * n, 100 * n + 100),
+                holders: holders(&[n % 400, (n + 1) % 400]),
+            },
+        )
     });
     let layout = Layout::new(1, 1_000_000, all.collect()).expect("sound");
     let (mut history, mut next) = (History::new(layout, 2.0, 0.25), 10_000);
     for n in 0..1000u32 {
         let (at, now) = (f64::from(n) * 0.06, u64::from(n) + 2);
-        let shard = history.newest().of((n * 7919) % 1_000_000).expect("covered");
+        let shard = history.newest().shard_at((n * 7919) % 1_000_000).expect("covered");
         let keys = history.newest().shard(shard).expect("known").keys;
-        let changes = if keys.keys() > 1 && n % 2 == 0 {
+        let changes = if keys.len() > 1 && n % 2 == 0 {
             next += 2;
-            let middle = keys.from + keys.keys() as u32 / 2;
+            let middle = keys.from + keys.len() as u32 / 2;
             vec![Change::Split { parent: shard, children: vec![(next, keys.from), (next + 1, middle)] }]
         } else {
             vec![Change::Move { shard, holders: holders(&[n % 400, 399]) }]
@@ -140,7 +146,7 @@
         history.retire(at);
         assert!(history.kept().0 <= 40, "{:?}", history.kept());
     }
-    assert_eq!(history.newest().count(), 10_500);
+    assert_eq!(history.newest().shard_count(), 10_500);
     history.retire(100.0);
     assert_eq!(history.kept(), (0, 0, 0));
 }
@@ -181,42 +187,42 @@
 fn a_whole_layout_that_uses_a_number_again_is_refused() {
     let mut history = History::new(layout(), 2.0, 0.25);
     let other = Layout::new(7, 30, shards(&[(1, 0, 5), (4, 5, 30)])).expect("sound");
-    assert_eq!(history.replace(other, 0.0), Err(Faulty::Used { shard: 1 }));
+    assert_eq!(history.replace(other, 0.0), Err(LayoutError::ShardIdInUse { shard: 1 }));
     let again = Layout::new(7, 30, shards(&[(1, 0, 10), (4, 10, 30)])).expect("sound");
     assert_eq!(history.replace(again, 0.0).expect("sound").gone, [2, 3]);
 }
 
 #[rstest]
 fn a_parents_late_answer_takes_the_place_of_its_successors_and_never_counts_beside_them() {
-    let mut coverage = Coverage::new(vec![(Range::new(0, 10), 1.0)]).expect("sound");
-    assert_eq!(coverage.take(Range::new(0, 4), "child"), Count::Counts { replaced: 0 });
+    let mut coverage = Coverage::new(vec![(KeyRange::new(0, 10), 1.0)]).expect("sound");
+    assert_eq!(coverage.take(KeyRange::new(0, 4), "child"), Count::Counts { replaced: 0 });
     assert!((coverage.weight() - 0.4).abs() < 1e-9 && !coverage.is_whole());
-    assert_eq!(coverage.take(Range::new(0, 10), "parent"), Count::Counts { replaced: 1 });
-    assert_eq!(coverage.take(Range::new(4, 10), "child"), Count::Known);
+    assert_eq!(coverage.take(KeyRange::new(0, 10), "parent"), Count::Counts { replaced: 1 });
+    assert_eq!(coverage.take(KeyRange::new(4, 10), "child"), Count::Known);
     assert!(coverage.is_whole() && (coverage.weight() - 1.0).abs() < 1e-9);
-    assert_eq!(coverage.answers().collect::<Vec<_>>(), [(Range::new(0, 10), &"parent")]);
+    assert_eq!(coverage.answers().collect::<Vec<_>>(), [(KeyRange::new(0, 10), &"parent")]);
 }
 
 #[rstest]
 fn answers_that_cross_do_not_both_count() {
-    let asked = vec![(Range::new(0, 10), 0.5), (Range::new(20, 30), 0.5)];
+    let asked = vec![(KeyRange::new(0, 10), 0.5), (KeyRange::new(20, 30), 0.5)];
     let mut coverage = Coverage::new(asked).expect("sound");
-    assert_eq!(coverage.take(Range::new(0, 6), ()), Count::Counts { replaced: 0 });
-    assert_eq!(coverage.take(Range::new(3, 10), ()), Count::Crosses);
-    assert_eq!(coverage.take(Range::new(10, 20), ()), Count::NotAsked);
-    assert_eq!(coverage.missing(Range::new(0, 30)), [Range::new(6, 10), Range::new(20, 30)]);
-    assert!(Coverage::<()>::new(vec![(Range::new(0, 10), 0.5), (Range::new(9, 12), 0.5)]).is_none());
+    assert_eq!(coverage.take(KeyRange::new(0, 6), ()), Count::Counts { replaced: 0 });
+    assert_eq!(coverage.take(KeyRange::new(3, 10), ()), Count::Crosses);
+    assert_eq!(coverage.take(KeyRange::new(10, 20), ()), Count::NotAsked);
+    assert_eq!(coverage.missing(KeyRange::new(0, 30)), [KeyRange::new(6, 10), KeyRange::new(20, 30)]);
+    assert!(Coverage::<()>::new(vec![(KeyRange::new(0, 10), 0.5), (KeyRange::new(9, 12), 0.5)]).is_none());
 }
 
 /// A random valid change of a layout, drawn from `choice` and `at`.
 fn draw(layout: &Layout, choice: u8, at: usize, next: &mut ShardId) -> Option<Change> {
-    let all: Vec<(ShardId, Range)> =
-        layout.covering(Range::new(0, layout.keys())).map(|(i, s)| (i, s.keys)).collect();
+    let all: Vec<(ShardId, KeyRange)> =
+        layout.overlapping(KeyRange::new(0, layout.key_count())).map(|(i, s)| (i, s.keys)).collect();
     let (id, keys) = all[at % all.len()];
     *next += 2;
     match choice % 3 {
-        0 if keys.keys() > 1 => {
-            let middle = keys.from + 1 + (at as u32 % (keys.keys() as u32 - 1));
+        0 if keys.len() > 1 => {
+            let middle = keys.from + 1 + (at as u32 % (keys.len() as u32 - 1));
             Some(Change::Split { parent: id, children: vec![(*next, keys.from), (*next + 1, middle)] })
         }
         1 if at % all.len() + 1 < all.len() => {
@@ -247,13 +253,13 @@
                 versions.push(history.newest().clone());
             }
         }
-        let asked = Range::new(from, (from + len).min(30));
+        let asked = KeyRange::new(from, (from + len).min(30));
         prop_assume!(!asked.is_empty());
         let mut coverage = Coverage::new(vec![(asked, 1.0)]).expect("sound");
         let mut best = 0.0;
         for (version, shard) in answers {
             let layout = &versions[version % versions.len()];
-            let all: Vec<Range> = layout.covering(asked).map(|(_, s)| s.keys).collect();
+            let all: Vec<KeyRange> = layout.overlapping(asked).map(|(_, s)| s.keys).collect();
             let range = all[shard % all.len()];
             // The plain inventory: what a data node answers for its keys.
             let value: Vec<Key> = (range.from..range.to).collect();
@@ -268,12 +274,12 @@
                 prop_assert!(seen.insert(*key), "key {} twice", key);
             }
         }
-        let within = seen.iter().filter(|k| asked.covers(Range::new(**k, **k + 1))).count() as f64;
-        prop_assert!((coverage.weight() - within / asked.keys() as f64).abs() < 1e-9);
-        prop_assert_eq!(coverage.is_whole(), within as u64 == asked.keys());
+        let within = seen.iter().filter(|k| asked.contains(KeyRange::new(**k, **k + 1))).count() as f64;
+        prop_assert!((coverage.weight() - within / asked.len() as f64).abs() < 1e-9);
+        prop_assert_eq!(coverage.is_whole(), within as u64 == asked.len());
         // What is missing is just the keys that are not in.
-        let missing: u64 = coverage.missing(asked).iter().map(Range::keys).sum();
-        prop_assert_eq!(missing + within as u64, asked.keys());
+        let missing: u64 = coverage.missing(asked).iter().map(KeyRange::len).sum();
+        prop_assert_eq!(missing + within as u64, asked.len());
     }
 
     /// Whatever changes, every shard that ever was and still matters is found again with just its keys.
@@ -298,7 +304,7 @@
             prop_assert_eq!(from, keys.to);
             // Whoever is said to hold a shard holds every one of its keys.
             for key in keys.from..keys.to {
-                let now = history.newest().of(key).and_then(|s| history.newest().shard(s)).expect("covered");
+                let now = history.newest().shard_at(key).and_then(|s| history.newest().shard(s)).expect("covered");
                 prop_assert!(history.holders(id).iter().all(|cell| now.holders.contains(cell)));
             }
         }
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -5,7 +5,7 @@
 use crate::state::shard_map::ShardMapView;
 use crate::state::shared::SharedState;
 use alderway_layouts::history::News;
-use alderway_layouts::layout::{Faulty, Layout};
+use alderway_layouts::layout::{Layout, LayoutError};
 use alderway_telemetry::clock::Clock;
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
@@ -106,7 +106,7 @@
     fn layout_since(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
-    fn layout(&mut self, news: News) -> Result<(), Faulty> {
+    fn layout(&mut self, news: News) -> Result<(), LayoutError> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
         let taken = shard_map.apply(news, now).map(drop);
--- a/crates/router/src/state/node_protocol.rs
+++ b/crates/router/src/state/node_protocol.rs
@@ -1,6 +1,6 @@
 //! What the dispatcher exchanges with the protocol edge towards data nodes: typed frames out, typed replies in.
 use alderway::interface::AttemptOutcome;
-use alderway_layouts::{Range, Version};
+use alderway_layouts::{KeyRange, Version};
 
 /// Keys that a shard request asks for, by a version of the shard map.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -8,7 +8,7 @@
     /// The version of the shard map that the request was mapped by.
     pub version: Version,
     /// The keys asked for.
-    pub keys: Range,
+    pub keys: KeyRange,
 }
 
 /// One attempt of an outbound frame.
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -4,7 +4,7 @@
 use super::timer_queue::TimerQueue;
 use alderway_cores::ids::Claim;
 use alderway_cores::pool::Taken;
-use alderway_layouts::{Range, ShardId};
+use alderway_layouts::{KeyRange, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display, Formatter};
 use std::rc::Rc;
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestedKeys {
     /// From the first key to below the last.
-    pub range: Range,
+    pub range: KeyRange,
     /// The client asked for a shard and can use nothing but one value for it.
     pub is_whole_shard: bool,
     /// It was split into several requests; its late answer still counts.
@@ -80,7 +80,7 @@
 
 impl RequestedKeys {
     /// Keys that are asked for and unanswered.
-    pub fn new(range: Range, is_whole_shard: bool) -> Self {
+    pub fn new(range: KeyRange, is_whole_shard: bool) -> Self {
         RequestedKeys { range, is_whole_shard, is_split: false, is_answered: false }
     }
 }
@@ -153,7 +153,7 @@
     /// When the client waits no longer.
     pub not_after_s: f64,
     /// The keys asked for, where a shard map is followed.
-    pub keys: Option<Range>,
+    pub keys: Option<KeyRange>,
 }
 
 /// Where a shard request stands.
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -8,8 +8,8 @@
 use alderway_layouts::coverage::Coverage;
 use alderway_layouts::family::Families;
 use alderway_layouts::history::{Followed, History, News};
-use alderway_layouts::layout::{Faulty, Layout};
-use alderway_layouts::{Range, ShardId, Version};
+use alderway_layouts::layout::{Layout, LayoutError};
+use alderway_layouts::{KeyRange, ShardId, Version};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// The news does not fit; nothing is changed by it.
-    pub fn apply(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, Faulty> {
+    pub fn apply(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, LayoutError> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
             Some(history) => {
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     /// It does not follow on the one that is applied; nothing is changed by it.
-    pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, Faulty> {
+    pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, LayoutError> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
             Some(history) if history.newest().version() == layout.version() => Ok(vec![]),
@@ -172,8 +172,8 @@
                     asked.push((range, weight));
                 }
                 (None, Some((from, to))) => {
-                    let range = Range::new(from, to);
-                    if range.is_empty() || to > history.newest().keys() {
+                    let range = KeyRange::new(from, to);
+                    if range.is_empty() || to > history.newest().key_count() {
                         return Err(QueryError::UnknownKeys);
                     }
                     requests.extend(requests_by_keys(history, query_id, range, weight));
@@ -253,7 +253,7 @@
                 }
                 AttemptOutcome::ShardMoved
             }
-            (AttemptOutcome::Success, _, Some((from, to))) if Range::new(from, to) != asked.range => {
+            (AttemptOutcome::Success, _, Some((from, to))) if KeyRange::new(from, to) != asked.range => {
                 AttemptOutcome::Error
             }
             (AttemptOutcome::Success, _, None) if history.keys(request.shard) != Some(asked.range) => {
@@ -320,17 +320,17 @@
 }
 
 /// The keys of a shard, or those that it had while nodes still serve it.
-fn shard_range(history: &History, shard: ShardId) -> Result<Range, QueryError> {
+fn shard_range(history: &History, shard: ShardId) -> Result<KeyRange, QueryError> {
     let is_served = || !history.is_gone(shard) || !history.holders(shard).is_empty();
     history.keys(shard).filter(|_| is_served()).ok_or(QueryError::UnknownShard)
 }
 
 /// Requests for keys by the newest shard map; each key weighs the same.
-fn requests_by_keys(history: &History, query_id: &str, range: Range, weight: f64) -> Vec<ShardRequest> {
-    let weight_per_key = weight / range.keys() as f64;
-    let request = |(shard, keys): (ShardId, Range)| {
+fn requests_by_keys(history: &History, query_id: &str, range: KeyRange, weight: f64) -> Vec<ShardRequest> {
+    let weight_per_key = weight / range.len() as f64;
+    let request = |(shard, keys): (ShardId, KeyRange)| {
         let id = format!("{query_id}.{shard}.{}-{}", keys.from, keys.to).into();
-        let mut request = ShardRequest::new(id, shard, weight_per_key * keys.keys() as f64);
+        let mut request = ShardRequest::new(id, shard, weight_per_key * keys.len() as f64);
         request.keys = Some(RequestedKeys::new(keys, false));
         request
     };
--- a/crates/router/src/wire/layout.rs
+++ b/crates/router/src/wire/layout.rs
@@ -3,7 +3,7 @@
 use super::json::Json;
 use alderway_layouts::history::News;
 use alderway_layouts::layout::{Change, Shard};
-use alderway_layouts::{Range, ShardId};
+use alderway_layouts::{KeyRange, ShardId};
 use std::collections::BTreeSet;
 
 /// What one of discovery's objects says of the layout, if it says anything.
@@ -90,7 +90,7 @@
     let from = from.ok_or("a layout's entry without `from`")?;
     let to = to.ok_or("a layout's entry without `to`")?;
     let holders: BTreeSet<u32> = holders.ok_or("a layout's entry without `holders`")?.into_iter().collect();
-    Ok((id, Shard { keys: Range::new(from, to), holders }))
+    Ok((id, Shard { keys: KeyRange::new(from, to), holders }))
 }
 
 fn change(json: &mut Json) -> Result<Change, Fault> {
--- a/crates/router/tests/shard_map/any_order.rs
+++ b/crates/router/tests/shard_map/any_order.rs
@@ -10,7 +10,7 @@
 use alderway::interface::ShardPlacement;
 use alderway::policy::Policy;
 use alderway_layouts::Key;
-use alderway_layouts::Range;
+use alderway_layouts::KeyRange;
 use alderway_layouts::ShardId;
 use alderway_layouts::layout::Change;
 use alderway_router::state::clients::ClientConnection;
@@ -63,13 +63,13 @@
 }
 
 /// A call whose frame has gone out and that nobody has answered: node, connection, part, keys.
-type Out = (String, u64, String, Range);
+type Out = (String, u64, String, KeyRange);
 
 /// A query as its client asked for it.
 struct Asked {
     client: Rc<ClientConnection>,
     id: String,
-    keys: Range,
+    keys: KeyRange,
     /// The client has closed its connection.
     left: bool,
 }
@@ -85,7 +85,7 @@
     clients: Vec<Asked>,
     next: ShardId,
     /// Keys that were sent for, by query, where each may be had once.
-    ran: Vec<(String, Range)>,
+    ran: Vec<(String, KeyRange)>,
 }
 
 impl World {
@@ -137,7 +137,7 @@
                     let mut words = part.split([' ', ',']);
                     let id = words.next().expect("an id").to_string();
                     let keys = words.find_map(|word| word.strip_prefix("k=")?.split_once('-')).expect("keys");
-                    let keys = Range::new(keys.0.parse().expect("a key"), keys.1.parse().expect("a key"));
+                    let keys = KeyRange::new(keys.0.parse().expect("a key"), keys.1.parse().expect("a key"));
                     self.ran.push((id.split('.').next().expect("a query").to_string(), keys));
                     self.out.push((node.clone(), *line, id, keys));
                 }
@@ -180,20 +180,20 @@
         let layout =
             self.dispatcher.borrow().shard_map.as_ref().and_then(|g| Some(g.history()?.newest().clone()));
         let layout = layout.expect("known");
-        let shard = layout.of(at % 100).expect("covered");
+        let shard = layout.shard_at(at % 100).expect("covered");
         let keys = layout.shard(shard).expect("known").keys;
         let cells = |n: u32| moved(shard, &[n % 6, (n / 6) % 6]).clone();
         self.next += 2;
         let (a, b) = (self.next, self.next + 1);
         let changes = match kind % 4 {
-            0 if keys.keys() > 1 => vec![split(shard, &[(a, keys.from), (b, keys.from + 1)])],
-            1 if keys.keys() > 1 => vec![
+            0 if keys.len() > 1 => vec![split(shard, &[(a, keys.from), (b, keys.from + 1)])],
+            1 if keys.len() > 1 => vec![
                 split(shard, &[(a, keys.from), (b, keys.to - 1)]),
                 moved(a, &[at % 6]),
                 moved(b, &[(at + 1) % 6, (at + 2) % 6]),
             ],
             2 if keys.to < 100 => {
-                let neighbour = layout.of(keys.to).expect("covered");
+                let neighbour = layout.shard_at(keys.to).expect("covered");
                 vec![
                     moved(shard, &[at % 6]),
                     moved(neighbour, &[at % 6]),
@@ -208,7 +208,7 @@
     fn query(&mut self, id: String, from: Key, keys: Key) {
         let to = (from + keys).min(100);
         let client = ask(&mut self.dispatcher.borrow_mut(), &id, &[(None, Some((from, to)), 1.0)]);
-        let (client, keys) = (client.expect("taken"), Range::new(from, to));
+        let (client, keys) = (client.expect("taken"), KeyRange::new(from, to));
         self.clients.push(Asked { client, id, keys, left: false });
     }
 
@@ -254,15 +254,15 @@
                 prop_assert_eq!(result["value"].as_str(), Some(&*format!("{}-{}", ends[0], ends[1])));
                 for key in ends[0]..ends[1] {
                     prop_assert!(
-                        asked.covers(Range::new(key, key + 1)) && counted.insert(key),
+                        asked.contains(KeyRange::new(key, key + 1)) && counted.insert(key),
                         "key {}",
                         key
                     );
                 }
             }
-            let share = counted.len() as f64 / asked.keys() as f64;
+            let share = counted.len() as f64 / asked.len() as f64;
             prop_assert!(share >= 0.4999, "under the floor: {}", share);
-            prop_assert_eq!(body["whole"].as_bool(), Some(counted.len() as u64 == asked.keys()));
+            prop_assert_eq!(body["whole"].as_bool(), Some(counted.len() as u64 == asked.len()));
         }
         let dispatcher = self.dispatcher.borrow();
         prop_assert_eq!(
@@ -345,7 +345,7 @@
         world.check()?;
         if once {
             for (n, (query, keys)) in world.ran.iter().enumerate() {
-                let again = world.ran[..n].iter().any(|(other, ran)| other == query && ran.meets(*keys));
+                let again = world.ran[..n].iter().any(|(other, ran)| other == query && ran.overlaps(*keys));
                 prop_assert!(!again, "{} ran again for {:?}", query, keys);
             }
         }
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -12,7 +12,7 @@
 use alderway::interface::{AttemptOutcome, NodeState};
 use alderway_layouts::history::News;
 use alderway_layouts::layout::{Change, Shard};
-use alderway_layouts::{Key, Range, ShardId};
+use alderway_layouts::{Key, KeyRange, ShardId};
 use alderway_router::io::discovery::Follower;
 use alderway_router::requests;
 use alderway_router::state::clients::ClientConnection;
@@ -33,7 +33,7 @@
 
 fn whole(version: u64, shards: &[(ShardId, Key, Key, &[u32])]) -> News {
     let shard = |&(id, from, to, holders): &(ShardId, Key, Key, &[u32])| {
-        (id, Shard { keys: Range::new(from, to), holders: holders.iter().copied().collect() })
+        (id, Shard { keys: KeyRange::new(from, to), holders: holders.iter().copied().collect() })
     };
     News::Whole { version, keys: 100, shards: shards.iter().map(shard).collect() }
 }
--- a/crates/router/tests/shard_map/news.rs
+++ b/crates/router/tests/shard_map/news.rs
@@ -1,6 +1,6 @@
 //! News of the shard map as discovery writes them.
 use crate::{moved, split};
-use alderway_layouts::Range;
+use alderway_layouts::KeyRange;
 use alderway_layouts::history::News;
 use alderway_layouts::layout::Change;
 use alderway_router::wire::layout;
@@ -22,7 +22,7 @@
     else {
         panic!("not whole")
     };
-    assert_eq!(shards[0].1.keys, Range::new(0, 10));
+    assert_eq!(shards[0].1.keys, KeyRange::new(0, 10));
     assert_eq!(layout::news(br#"{"index":4,"snapshot":false,"endpoints":[]}"#), Ok(None));
 }
 
