--- a/crates/layouts/tests/stories.rs
+++ b/crates/layouts/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Stories of layouts that change: faulty ones refused whole, old shards found again, keys counted once.
 use alderway_layouts::coverage::{Count, Coverage};
 use alderway_layouts::family::Families;
-use alderway_layouts::history::{History, News};
+use alderway_layouts::history::{History, LayoutUpdate};
 use alderway_layouts::layout::{Change, Layout, LayoutError, Shard};
 use alderway_layouts::{Key, KeyRange, ShardId};
 use proptest::prelude::*;
@@ -45,76 +45,76 @@
 fn a_faulty_change_is_refused_whole(#[case] version: u64, #[case] change: Change, #[case] why: LayoutError) {
     let mut history = History::new(layout(), 2.0, 0.25);
     let good = Change::Split { parent: 2, children: vec![(20, 10), (21, 15)] };
-    assert_eq!(history.change(version, &[good, change], 0.0), Err(why));
-    assert_eq!(history.newest(), &layout());
+    assert_eq!(history.apply_changes(version, &[good, change], 0.0), Err(why));
+    assert_eq!(history.latest(), &layout());
 }
 
 #[rstest]
 fn a_part_of_a_shard_that_is_gone_goes_to_whoever_holds_all_its_keys_while_it_matters() {
     let mut history = History::new(layout(), 2.0, 0.25);
-    history.opened(1);
+    history.request_opened(1);
     let split = Change::Split { parent: 1, children: vec![(10, 0), (11, 4)] };
-    let followed = history.change(2, &[split], 1.0).expect("sound");
-    assert_eq!((followed.gone, followed.new), (vec![1], vec![(10, vec![1]), (11, vec![1])]));
-    assert_eq!(followed.held, [1, 10, 11]);
-    assert_eq!((history.holders(1), history.is_scattered(1)), (vec![1, 2], false));
+    let followed = history.apply_changes(2, &[split], 1.0).expect("sound");
+    assert_eq!((followed.retired, followed.added), (vec![1], vec![(10, vec![1]), (11, vec![1])]));
+    assert_eq!(followed.changed_holders, [1, 10, 11]);
+    assert_eq!((history.holders(1), history.has_mixed_holders(1)), (vec![1, 2], false));
     // One child is on its way: only the cell that has both holds all of the old shard, then none does.
     let to = |cells: &[u32]| Change::Move { shard: 11, holders: holders(cells) };
-    assert_eq!(history.change(3, &[to(&[2, 3])], 1.5).expect("sound").held, [1, 11]);
-    assert_eq!((history.holders(1), history.is_scattered(1)), (vec![2], true));
-    history.change(4, &[to(&[3])], 1.6).expect("sound");
+    assert_eq!(history.apply_changes(3, &[to(&[2, 3])], 1.5).expect("sound").changed_holders, [1, 11]);
+    assert_eq!((history.holders(1), history.has_mixed_holders(1)), (vec![2], true));
+    history.apply_changes(4, &[to(&[3])], 1.6).expect("sound");
     assert!(history.holders(1).is_empty());
     assert_eq!(
-        history.cover(KeyRange::new(2, 12)),
+        history.overlapping(KeyRange::new(2, 12)),
         [(10, KeyRange::new(2, 4)), (11, KeyRange::new(4, 10)), (2, KeyRange::new(10, 12))]
     );
-    assert_eq!(history.retire(100.0), [] as [ShardId; 0]);
-    history.closed(1);
-    assert_eq!((history.retire(2.9), history.retire(3.0)), (vec![], vec![1]));
-    assert_eq!((history.keys(1), history.kept()), (None, (0, 0, 0)));
+    assert_eq!(history.expire_retired(100.0), [] as [ShardId; 0]);
+    history.request_closed(1);
+    assert_eq!((history.expire_retired(2.9), history.expire_retired(3.0)), (vec![], vec![1]));
+    assert_eq!((history.keys(1), history.tracked_counts()), (None, (0, 0, 0)));
 }
 
 #[rstest]
 fn a_node_that_disowns_a_shard_is_left_out_until_one_side_has_caught_up() {
     let mut history = History::new(layout(), 2.0, 0.25);
     // One is ahead of this side, the other lags behind; both name the shard at once.
-    assert!(history.disown(2, "ahead", 3, 0.0) && history.disown(2, "behind", 0, 0.0));
-    assert!(!history.disown(2, "ahead", 3, 0.1), "the same word again is no news");
-    let out = |history: &History| history.disowned(2).map(str::to_string).collect::<Vec<_>>();
+    assert!(history.exclude_node(2, "ahead", 3, 0.0) && history.exclude_node(2, "behind", 0, 0.0));
+    assert!(!history.exclude_node(2, "ahead", 3, 0.1), "the same word again is no news");
+    let out = |history: &History| history.excluded_nodes(2).map(str::to_string).collect::<Vec<_>>();
     assert_eq!(out(&history), ["ahead", "behind"]);
-    assert_eq!((history.lapse(0.2), history.lapse(0.3)), (vec![], vec![2]));
+    assert_eq!((history.expire_exclusions(0.2), history.expire_exclusions(0.3)), (vec![], vec![2]));
     assert_eq!(out(&history), ["ahead"]);
     let split = Change::Split { parent: 1, children: vec![(10, 0), (11, 4)] };
-    history.change(2, &[split], 0.4).expect("sound");
+    history.apply_changes(2, &[split], 0.4).expect("sound");
     assert_eq!(out(&history), ["ahead"]);
     let to = Change::Move { shard: 2, holders: holders(&[5]) };
-    assert_eq!(history.change(3, &[to], 0.5).expect("sound").held, [2]);
+    assert_eq!(history.apply_changes(3, &[to], 0.5).expect("sound").changed_holders, [2]);
     assert_eq!(out(&history), [] as [&str; 0]);
     // Nor for ever, where the version that it names never comes.
-    history.disown(2, "ahead", 9, 1.0);
-    assert_eq!((history.lapse(3.4), history.lapse(3.6)), (vec![], vec![2]));
+    history.exclude_node(2, "ahead", 9, 1.0);
+    assert_eq!((history.expire_exclusions(3.4), history.expire_exclusions(3.6)), (vec![], vec![2]));
 }
 
 #[rstest]
 fn a_node_left_out_for_a_shard_comes_back_with_a_version_that_changes_another() {
     let mut history = History::new(layout(), 2.0, 0.25);
-    history.disown(2, "behind", 0, 0.0);
+    history.exclude_node(2, "behind", 0, 0.0);
     let split = Change::Split { parent: 1, children: vec![(10, 0), (11, 4)] };
-    assert_eq!(history.change(2, &[split], 0.1).expect("sound").held, [2, 10, 11]);
-    assert_eq!(history.disowned(2).count(), 0);
+    assert_eq!(history.apply_changes(2, &[split], 0.1).expect("sound").changed_holders, [2, 10, 11]);
+    assert_eq!(history.excluded_nodes(2).count(), 0);
 }
 
 #[rstest]
 fn news_of_another_version_or_that_name_a_shard_twice_are_refused() {
     let mut history = History::new(layout(), 2.0, 0.25);
     let to = Change::Move { shard: 2, holders: holders(&[5]) };
-    let news = |after| News::Changes { version: 9, after, changes: vec![to.clone()] };
-    assert_eq!(history.take(news(4), 0.0), Err(LayoutError::UnknownBase { base: 4 }));
+    let news = |after| LayoutUpdate::Changes { version: 9, base: after, changes: vec![to.clone()] };
+    assert_eq!(history.apply(news(4), 0.0), Err(LayoutError::UnknownBase { base: 4 }));
     let shard = |from, to| (1, Shard { keys: KeyRange::new(from, to), holders: holders(&[1]) });
-    let twice = News::Whole { version: 9, keys: 30, shards: vec![shard(0, 10), shard(10, 30)] };
-    assert_eq!(history.take(twice, 0.0), Err(LayoutError::ShardIdInUse { shard: 1 }));
-    assert!(History::begin(news(1), 2.0, 0.25).is_err());
-    assert!(history.take(news(1), 0.0).is_ok() && history.newest().version() == 9);
+    let twice = LayoutUpdate::Full { version: 9, keys: 30, shards: vec![shard(0, 10), shard(10, 30)] };
+    assert_eq!(history.apply(twice, 0.0), Err(LayoutError::ShardIdInUse { shard: 1 }));
+    assert!(History::from_update(news(1), 2.0, 0.25).is_err());
+    assert!(history.apply(news(1), 0.0).is_ok() && history.latest().version() == 9);
 }
 
 /// What two versions share is not copied: otherwise a thousand changes a minute would cost ten thousand shards each.
@@ -133,8 +133,8 @@
     let (mut history, mut next) = (History::new(layout, 2.0, 0.25), 10_000);
     for n in 0..1000u32 {
         let (at, now) = (f64::from(n) * 0.06, u64::from(n) + 2);
-        let shard = history.newest().shard_at((n * 7919) % 1_000_000).expect("covered");
-        let keys = history.newest().shard(shard).expect("known").keys;
+        let shard = history.latest().shard_at((n * 7919) % 1_000_000).expect("covered");
+        let keys = history.latest().shard(shard).expect("known").keys;
         let changes = if keys.len() > 1 && n % 2 == 0 {
             next += 2;
             let middle = keys.from + keys.len() as u32 / 2;
@@ -142,13 +142,13 @@
         } else {
             vec![Change::Move { shard, holders: holders(&[n % 400, 399]) }]
         };
-        history.change(now, &changes, at).expect("sound");
-        history.retire(at);
-        assert!(history.kept().0 <= 40, "{:?}", history.kept());
+        history.apply_changes(now, &changes, at).expect("sound");
+        history.expire_retired(at);
+        assert!(history.tracked_counts().0 <= 40, "{:?}", history.tracked_counts());
     }
-    assert_eq!(history.newest().shard_count(), 10_500);
-    history.retire(100.0);
-    assert_eq!(history.kept(), (0, 0, 0));
+    assert_eq!(history.latest().shard_count(), 10_500);
+    history.expire_retired(100.0);
+    assert_eq!(history.tracked_counts(), (0, 0, 0));
 }
 
 #[rstest]
@@ -175,11 +175,11 @@
         let whole = if week == 0 { 2 } else { 1000 + week - 1 };
         let (a, b) = (2000 + 2 * week, 2001 + 2 * week);
         let split = Change::Split { parent: whole, children: vec![(a, 10), (b, 15)] };
-        history.change(u64::from(2 * week + 2), &[split], now).expect("sound");
+        history.apply_changes(u64::from(2 * week + 2), &[split], now).expect("sound");
         let merge = Change::Merge { parents: vec![a, b], child: 1000 + week };
-        history.change(u64::from(2 * week + 3), &[merge], now + 60.0).expect("sound");
-        history.retire(now + 120.0);
-        assert_eq!(history.kept(), (0, 0, 0));
+        history.apply_changes(u64::from(2 * week + 3), &[merge], now + 60.0).expect("sound");
+        history.expire_retired(now + 120.0);
+        assert_eq!(history.tracked_counts(), (0, 0, 0));
     }
 }
 
@@ -189,7 +189,7 @@
     let other = Layout::new(7, 30, shards(&[(1, 0, 5), (4, 5, 30)])).expect("sound");
     assert_eq!(history.replace(other, 0.0), Err(LayoutError::ShardIdInUse { shard: 1 }));
     let again = Layout::new(7, 30, shards(&[(1, 0, 10), (4, 10, 30)])).expect("sound");
-    assert_eq!(history.replace(again, 0.0).expect("sound").gone, [2, 3]);
+    assert_eq!(history.replace(again, 0.0).expect("sound").retired, [2, 3]);
 }
 
 #[rstest]
@@ -248,9 +248,9 @@
         let (mut history, mut next) = (History::new(layout(), 1e9, 0.25), 100);
         let mut versions = vec![layout()];
         for (n, (choice, at)) in changes.into_iter().enumerate() {
-            if let Some(change) = draw(history.newest(), choice, at, &mut next) {
-                history.change(n as u64 + 2, &[change], n as f64).expect("a sound change");
-                versions.push(history.newest().clone());
+            if let Some(change) = draw(history.latest(), choice, at, &mut next) {
+                history.apply_changes(n as u64 + 2, &[change], n as f64).expect("a sound change");
+                versions.push(history.latest().clone());
             }
         }
         let asked = KeyRange::new(from, (from + len).min(30));
@@ -289,28 +289,28 @@
     ) {
         let (mut history, mut next, mut ever) = (History::new(layout(), 1e9, 0.25), 100, BTreeMap::new());
         for (n, (choice, at)) in changes.into_iter().enumerate() {
-            ever.extend(history.newest().shards().map(|(id, s)| (id, s.keys)));
-            if let Some(change) = draw(history.newest(), choice, at, &mut next) {
-                history.change(n as u64 + 2, &[change], n as f64).expect("a sound change");
+            ever.extend(history.latest().shards().map(|(id, s)| (id, s.keys)));
+            if let Some(change) = draw(history.latest(), choice, at, &mut next) {
+                history.apply_changes(n as u64 + 2, &[change], n as f64).expect("a sound change");
             }
         }
         for (id, keys) in ever {
             prop_assert_eq!(history.keys(id), Some(keys), "shard {} is lost", id);
             let mut from = keys.from;
-            for (_, part) in history.cover(keys) {
+            for (_, part) in history.overlapping(keys) {
                 prop_assert_eq!(part.from, from);
                 from = part.to;
             }
             prop_assert_eq!(from, keys.to);
             // Whoever is said to hold a shard holds every one of its keys.
             for key in keys.from..keys.to {
-                let now = history.newest().shard_at(key).and_then(|s| history.newest().shard(s)).expect("covered");
+                let now = history.latest().shard_at(key).and_then(|s| history.latest().shard(s)).expect("covered");
                 prop_assert!(history.holders(id).iter().all(|cell| now.holders.contains(cell)));
             }
         }
         // By small steps or as a whole, the same layout comes out.
-        let shards = history.newest().shards().map(|(id, s)| (id, s.clone())).collect();
-        let whole = Layout::new(history.newest().version(), 30, shards).expect("still covers every key once");
-        prop_assert_eq!(&whole, history.newest());
+        let shards = history.latest().shards().map(|(id, s)| (id, s.clone())).collect();
+        let whole = Layout::new(history.latest().version(), 30, shards).expect("still covers every key once");
+        prop_assert_eq!(&whole, history.latest());
     }
 }
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -7,7 +7,7 @@
 use crate::wire::buffer::Buffer;
 use crate::wire::discovery::{self, Watch, Word};
 use crate::wire::layout;
-use alderway_layouts::history::News;
+use alderway_layouts::history::LayoutUpdate;
 use alderway_layouts::layout::LayoutError;
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
@@ -45,7 +45,7 @@
         None
     }
     /// News of the layout, taken in whole or not at all; `changed` follows.
-    fn layout(&mut self, _news: News) -> Result<(), LayoutError> {
+    fn layout(&mut self, _news: LayoutUpdate) -> Result<(), LayoutError> {
         Ok(())
     }
 }
@@ -81,7 +81,7 @@
     fn layout_since(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
-    fn layout(&mut self, news: News) -> Result<(), LayoutError> {
+    fn layout(&mut self, news: LayoutUpdate) -> Result<(), LayoutError> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
         let shards =
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -4,7 +4,7 @@
 use crate::state::endpoints::{Endpoint, EndpointTable};
 use crate::state::shard_map::ShardMapView;
 use crate::state::shared::SharedState;
-use alderway_layouts::history::News;
+use alderway_layouts::history::LayoutUpdate;
 use alderway_layouts::layout::{Layout, LayoutError};
 use alderway_telemetry::clock::Clock;
 use std::sync::Arc;
@@ -60,7 +60,7 @@
         let number = self.shared.fence.publish();
         let entries = Arc::new(self.endpoints.endpoints());
         let layout =
-            self.shard_map.as_ref().and_then(|shard_map| Some(shard_map.history()?.newest().clone()));
+            self.shard_map.as_ref().and_then(|shard_map| Some(shard_map.history()?.latest().clone()));
         self.snapshots.send_modify(|snapshot| {
             (snapshot.number, snapshot.entries, snapshot.layout) = (number, entries, layout);
         });
@@ -106,7 +106,7 @@
     fn layout_since(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
-    fn layout(&mut self, news: News) -> Result<(), LayoutError> {
+    fn layout(&mut self, news: LayoutUpdate) -> Result<(), LayoutError> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
         let taken = shard_map.apply(news, now).map(drop);
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -7,7 +7,7 @@
 use alderway::interface::{AttemptOutcome, PolicyInput, ShardHolders};
 use alderway_layouts::coverage::Coverage;
 use alderway_layouts::family::Families;
-use alderway_layouts::history::{Followed, History, News};
+use alderway_layouts::history::{AppliedUpdate, History, LayoutUpdate};
 use alderway_layouts::layout::{Layout, LayoutError};
 use alderway_layouts::{KeyRange, ShardId, Version};
 use std::collections::BTreeSet;
@@ -87,7 +87,7 @@
 
     /// The newest version, if any is known.
     pub fn version(&self) -> Option<Version> {
-        self.history.as_ref().map(|history| history.newest().version())
+        self.history.as_ref().map(|history| history.latest().version())
     }
 
     /// The shard map with the shards that are retired but still referred to.
@@ -99,15 +99,15 @@
     ///
     /// # Errors
     /// The news does not fit; nothing is changed by it.
-    pub fn apply(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, LayoutError> {
+    pub fn apply(&mut self, news: LayoutUpdate, now: f64) -> Result<Vec<ShardId>, LayoutError> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
             Some(history) => {
-                let followed = history.take(news, now)?;
+                let followed = history.apply(news, now)?;
                 Ok(self.note_changes(followed))
             }
             None => {
-                self.history = Some(History::begin(news, retired_shard_grace_s, lagging_node_grace_s)?);
+                self.history = Some(History::from_update(news, retired_shard_grace_s, lagging_node_grace_s)?);
                 self.mark_all_changed();
                 Ok(vec![])
             }
@@ -121,7 +121,7 @@
     pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, LayoutError> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
-            Some(history) if history.newest().version() == layout.version() => Ok(vec![]),
+            Some(history) if history.latest().version() == layout.version() => Ok(vec![]),
             Some(history) => {
                 let followed = history.replace(layout.clone(), now)?;
                 Ok(self.note_changes(followed))
@@ -135,10 +135,10 @@
         }
     }
 
-    fn note_changes(&mut self, followed: Followed) -> Vec<ShardId> {
-        self.inherited.extend(followed.new);
-        self.changed_shards.extend(followed.held.iter().copied());
-        followed.held
+    fn note_changes(&mut self, followed: AppliedUpdate) -> Vec<ShardId> {
+        self.inherited.extend(followed.added);
+        self.changed_shards.extend(followed.changed_holders.iter().copied());
+        followed.changed_holders
     }
 
     /// The next round tells all shards, as to a policy that starts anew.
@@ -146,8 +146,8 @@
         self.inherited.clear();
         self.splits.clear();
         if let Some(history) = &self.history {
-            self.changed_shards.extend(history.newest().shards().map(|(id, _)| id));
-            self.changed_shards.extend(history.open());
+            self.changed_shards.extend(history.latest().shards().map(|(id, _)| id));
+            self.changed_shards.extend(history.shards_with_open_requests());
         }
     }
 
@@ -173,7 +173,7 @@
                 }
                 (None, Some((from, to))) => {
                     let range = KeyRange::new(from, to);
-                    if range.is_empty() || to > history.newest().key_count() {
+                    if range.is_empty() || to > history.latest().key_count() {
                         return Err(QueryError::UnknownKeys);
                     }
                     requests.extend(requests_by_keys(history, query_id, range, weight));
@@ -201,14 +201,14 @@
         let (Some(history), Some(keys)) = (&self.history, request.keys) else { return false };
         let is_settled = keys.is_whole_shard || keys.is_split || keys.is_answered;
         !is_settled
-            && history.is_gone(request.shard)
-            && (request.attempts == 0 || history.is_scattered(request.shard))
+            && history.is_retired(request.shard)
+            && (request.attempts == 0 || history.has_mixed_holders(request.shard))
     }
 
     /// A shard request is open: its shard is not forgotten before it is closed.
     pub fn request_opened(&mut self, request: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| request.keys.is_some()) {
-            history.opened(request.shard);
+            history.request_opened(request.shard);
         }
     }
 
@@ -216,7 +216,7 @@
     pub fn request_closed(&mut self, request: &ShardRequest) {
         let is_open = request.keys.is_some_and(|keys| !keys.is_split);
         if let Some(history) = self.history.as_mut().filter(|_| is_open) {
-            history.closed(request.shard);
+            history.request_closed(request.shard);
         }
     }
 
@@ -248,7 +248,7 @@
         let (Some(history), Some(asked)) = (&mut self.history, request.keys) else { return outcome };
         match (outcome, report.moved_at_version, report.keys) {
             (AttemptOutcome::Rejected, Some(version), _) => {
-                if history.disown(request.shard, node, version, now) {
+                if history.exclude_node(request.shard, node, version, now) {
                     self.changed_shards.insert(request.shard);
                 }
                 AttemptOutcome::ShardMoved
@@ -266,12 +266,12 @@
     /// Tells the policy which shards changed, before the queries of the round.
     pub fn notify_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(history) = &mut self.history else { return };
-        self.changed_shards.extend(history.lapse(now));
+        self.changed_shards.extend(history.expire_exclusions(now));
         for (shard, parents) in std::mem::take(&mut self.inherited) {
             policy.inherit_shard(shard, &parents);
         }
         for shard in std::mem::take(&mut self.changed_shards) {
-            let excluded_nodes = history.disowned(shard).map(str::to_string).collect();
+            let excluded_nodes = history.excluded_nodes(shard).map(str::to_string).collect();
             let holders = ShardHolders { replica_groups: history.holders(shard), excluded_nodes };
             policy.set_shard_holders(shard, holders);
         }
@@ -290,13 +290,13 @@
     pub fn discard_notifications(&mut self, now: f64) {
         self.inherited.clear();
         self.changed_shards.clear();
-        self.history.iter_mut().for_each(|history| drop(history.retire(now)));
+        self.history.iter_mut().for_each(|history| drop(history.expire_retired(now)));
     }
 
     /// Tells the policy which shards nothing refers to any more, at the end of the round.
     pub fn notify_retired(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         if let Some(history) = &mut self.history {
-            history.retire(now).into_iter().for_each(|shard| policy.shard_retired(shard));
+            history.expire_retired(now).into_iter().for_each(|shard| policy.shard_retired(shard));
         }
     }
 
@@ -321,7 +321,7 @@
 
 /// The keys of a shard, or those that it had while nodes still serve it.
 fn shard_range(history: &History, shard: ShardId) -> Result<KeyRange, QueryError> {
-    let is_served = || !history.is_gone(shard) || !history.holders(shard).is_empty();
+    let is_served = || !history.is_retired(shard) || !history.holders(shard).is_empty();
     history.keys(shard).filter(|_| is_served()).ok_or(QueryError::UnknownShard)
 }
 
@@ -334,5 +334,5 @@
         request.keys = Some(RequestedKeys::new(keys, false));
         request
     };
-    history.cover(range).into_iter().map(request).collect()
+    history.overlapping(range).into_iter().map(request).collect()
 }
--- a/crates/router/src/wire/layout.rs
+++ b/crates/router/src/wire/layout.rs
@@ -1,13 +1,13 @@
 //! The layout in discovery's lines: beside `endpoints` an object may hold `layout`, the whole of it or changes to a version.
 use super::Fault;
 use super::json::Json;
-use alderway_layouts::history::News;
+use alderway_layouts::history::LayoutUpdate;
 use alderway_layouts::layout::{Change, Shard};
 use alderway_layouts::{KeyRange, ShardId};
 use std::collections::BTreeSet;
 
 /// What one of discovery's objects says of the layout, if it says anything.
-pub fn news(bytes: &[u8]) -> Result<Option<News>, Fault> {
+pub fn news(bytes: &[u8]) -> Result<Option<LayoutUpdate>, Fault> {
     let (mut json, mut news) = (Json::new(bytes), None);
     json.object(|json, key| match key {
         "layout" if news.is_some() => Err("`layout` stands twice"),
@@ -21,7 +21,7 @@
     Ok(news)
 }
 
-fn one(json: &mut Json) -> Result<News, Fault> {
+fn one(json: &mut Json) -> Result<LayoutUpdate, Fault> {
     let (mut version, mut after, mut keys, mut shards, mut changes) = (None, None, None, None, None);
     json.object(|json, key| {
         match key {
@@ -51,11 +51,11 @@
     let version = version.ok_or("a layout without `version`")?;
     match (shards, changes) {
         (Some(shards), None) => {
-            Ok(News::Whole { version, keys: keys.ok_or("a layout without `keys`")?, shards })
+            Ok(LayoutUpdate::Full { version, keys: keys.ok_or("a layout without `keys`")?, shards })
         }
         (None, Some(changes)) => {
             let after = after.ok_or("changes of a layout without `after`")?;
-            Ok(News::Changes { version, after, changes })
+            Ok(LayoutUpdate::Changes { version, base: after, changes })
         }
         _ => Err("a layout has either `shards` or `changes`"),
     }
--- a/crates/router/tests/shard_map/any_order.rs
+++ b/crates/router/tests/shard_map/any_order.rs
@@ -178,7 +178,7 @@
 
     fn change(&mut self, kind: u8, at: Key) {
         let layout =
-            self.dispatcher.borrow().shard_map.as_ref().and_then(|g| Some(g.history()?.newest().clone()));
+            self.dispatcher.borrow().shard_map.as_ref().and_then(|g| Some(g.history()?.latest().clone()));
         let layout = layout.expect("known");
         let shard = layout.shard_at(at % 100).expect("covered");
         let keys = layout.shard(shard).expect("known").keys;
@@ -275,7 +275,7 @@
         );
         let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
         prop_assert!(shard_map.families.is_empty());
-        prop_assert_eq!(shard_map.history().expect("known").kept().1, 0);
+        prop_assert_eq!(shard_map.history().expect("known").tracked_counts().1, 0);
         Ok(())
     }
 
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -10,7 +10,7 @@
 mod splits;
 
 use alderway::interface::{AttemptOutcome, NodeState};
-use alderway_layouts::history::News;
+use alderway_layouts::history::LayoutUpdate;
 use alderway_layouts::layout::{Change, Shard};
 use alderway_layouts::{Key, KeyRange, ShardId};
 use alderway_router::io::discovery::Follower;
@@ -31,15 +31,15 @@
 /// What a client asks for: a shard, or keys, and its weight.
 type Target = (Option<u32>, Option<(u32, u32)>, f64);
 
-fn whole(version: u64, shards: &[(ShardId, Key, Key, &[u32])]) -> News {
+fn whole(version: u64, shards: &[(ShardId, Key, Key, &[u32])]) -> LayoutUpdate {
     let shard = |&(id, from, to, holders): &(ShardId, Key, Key, &[u32])| {
         (id, Shard { keys: KeyRange::new(from, to), holders: holders.iter().copied().collect() })
     };
-    News::Whole { version, keys: 100, shards: shards.iter().map(shard).collect() }
+    LayoutUpdate::Full { version, keys: 100, shards: shards.iter().map(shard).collect() }
 }
 
 fn change(dispatcher: &mut Dispatcher, version: u64, changes: Vec<Change>) {
-    dispatcher.layout(News::Changes { version, after: version - 1, changes }).expect("a sound change");
+    dispatcher.layout(LayoutUpdate::Changes { version, base: version - 1, changes }).expect("a sound change");
 }
 
 fn split(parent: ShardId, children: &[(ShardId, Key)]) -> Change {
--- a/crates/router/tests/shard_map/news.rs
+++ b/crates/router/tests/shard_map/news.rs
@@ -1,7 +1,7 @@
 //! News of the shard map as discovery writes them.
 use crate::{moved, split};
 use alderway_layouts::KeyRange;
-use alderway_layouts::history::News;
+use alderway_layouts::history::LayoutUpdate;
 use alderway_layouts::layout::Change;
 use alderway_router::wire::layout;
 use alderway_router::wire::query;
@@ -16,9 +16,10 @@
     let news = layout::news(CHANGES.as_bytes()).expect("readable").expect("there");
     let merge = Change::Merge { parents: vec![7, 8], child: 9 };
     let changes = vec![split(1, &[(7, 0), (8, 32)]), merge, moved(9, &[1, 2])];
-    assert_eq!(news, News::Changes { version: 9, after: 8, changes });
+    assert_eq!(news, LayoutUpdate::Changes { version: 9, base: 8, changes });
     let text = r#"{"layout":{"keys":10,"shards":[{"shard":1,"from":0,"to":10,"holders":[3]}],"version":2}}"#;
-    let Some(News::Whole { version: 2, keys: 10, shards }) = layout::news(text.as_bytes()).expect("readable")
+    let Some(LayoutUpdate::Full { version: 2, keys: 10, shards }) =
+        layout::news(text.as_bytes()).expect("readable")
     else {
         panic!("not whole")
     };
