--- a/crates/layouts/src/coverage.rs
+++ b/crates/layouts/src/coverage.rs
@@ -9,78 +9,85 @@
 #[derive(Clone, Debug)]
 pub struct Coverage<V> {
     /// Ranges that the query asks for, each with the weight of one of its keys; they do not meet.
-    asked: Vec<(KeyRange, f64)>,
+    requested: Vec<(KeyRange, f64)>,
     counted: BTreeMap<u32, (KeyRange, V)>,
 }
 
 /// What became of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Count {
+pub enum AddOutcome {
     /// It counts, in place of so many that it covers.
-    Counts { replaced: usize },
+    Counted { replaced: usize },
     /// All its keys that are asked for are answered already.
-    Known,
+    Redundant,
     /// It meets answers that reach beyond it: counting both would count keys twice.
-    Crosses,
+    Conflicting,
     /// None of its keys is asked for.
-    NotAsked,
+    NotRequested,
 }
 
 impl<V> Coverage<V> {
     /// For a query that asks for these ranges with their weights; keys asked for twice are the caller's fault and refused.
-    pub fn new(mut asked: Vec<(KeyRange, f64)>) -> Option<Self> {
-        asked.retain(|(range, _)| !range.is_empty());
-        asked.sort_by_key(|(range, _)| *range);
-        let apart = asked.windows(2).all(|pair| pair[0].0.to <= pair[1].0.from);
-        let whole: f64 = asked.iter().map(|a| a.1).sum();
-        let asked = asked.into_iter().map(|(range, weight)| (range, weight / range.len() as f64));
-        (apart && whole > 0.0).then(|| Coverage { asked: asked.collect(), counted: BTreeMap::new() })
+    pub fn new(mut requested: Vec<(KeyRange, f64)>) -> Option<Self> {
+        requested.retain(|(range, _)| !range.is_empty());
+        requested.sort_by_key(|(range, _)| *range);
+        let is_disjoint = requested.windows(2).all(|pair| pair[0].0.to <= pair[1].0.from);
+        let total: f64 = requested.iter().map(|r| r.1).sum();
+        let requested = requested.into_iter().map(|(range, weight)| (range, weight / range.len() as f64));
+        (is_disjoint && total > 0.0)
+            .then(|| Coverage { requested: requested.collect(), counted: BTreeMap::new() })
     }
 
     /// Asked keys of a range, and their weight.
-    fn weigh(&self, range: KeyRange) -> (u64, f64) {
-        let parts =
-            self.asked.iter().filter_map(|(asked, each)| Some((asked.intersection(range)?.len(), each)));
-        parts.fold((0, 0.0), |(keys, weight), (count, each)| (keys + count, weight + count as f64 * each))
+    fn requested_in(&self, range: KeyRange) -> (u64, f64) {
+        let parts = self.requested.iter().filter_map(|(requested, weight_per_key)| {
+            Some((requested.intersection(range)?.len(), weight_per_key))
+        });
+        parts.fold((0, 0.0), |(keys, weight), (count, weight_per_key)| {
+            (keys + count, weight + count as f64 * weight_per_key)
+        })
     }
 
     /// Takes an answer for a range in, if that brings more asked keys than it costs.
-    pub fn take(&mut self, range: KeyRange, value: V) -> Count {
-        let (keys, _) = self.weigh(range);
+    pub fn add(&mut self, range: KeyRange, value: V) -> AddOutcome {
+        let (keys, _) = self.requested_in(range);
         if keys == 0 {
-            return Count::NotAsked;
+            return AddOutcome::NotRequested;
         }
-        let meets: Vec<KeyRange> = self.counted.values().map(|c| c.0).filter(|c| c.overlaps(range)).collect();
-        let known: u64 = meets.iter().filter_map(|c| c.intersection(range)).map(|c| self.weigh(c).0).sum();
-        if known == keys {
-            return Count::Known;
+        let overlapping: Vec<KeyRange> =
+            self.counted.values().map(|c| c.0).filter(|c| c.overlaps(range)).collect();
+        let answered: u64 =
+            overlapping.iter().filter_map(|c| c.intersection(range)).map(|c| self.requested_in(c).0).sum();
+        if answered == keys {
+            return AddOutcome::Redundant;
         }
         // Asked keys that would be lost with answers that reach beyond this one.
-        if meets.iter().any(|c| self.weigh(*c).0 > c.intersection(range).map_or(0, |both| self.weigh(both).0))
-        {
-            return Count::Crosses;
+        if overlapping.iter().any(|c| {
+            self.requested_in(*c).0 > c.intersection(range).map_or(0, |both| self.requested_in(both).0)
+        }) {
+            return AddOutcome::Conflicting;
         }
-        meets.iter().for_each(|c| drop(self.counted.remove(&c.from)));
+        overlapping.iter().for_each(|c| drop(self.counted.remove(&c.from)));
         self.counted.insert(range.from, (range, value));
-        Count::Counts { replaced: meets.len() }
+        AddOutcome::Counted { replaced: overlapping.len() }
     }
 
     /// Weight of the asked keys that are in.
-    pub fn weight(&self) -> f64 {
-        self.counted.values().map(|c| self.weigh(c.0).1).sum()
+    pub fn answered_weight(&self) -> f64 {
+        self.counted.values().map(|c| self.requested_in(c.0).1).sum()
     }
 
     /// Whether every asked key is in.
-    pub fn is_whole(&self) -> bool {
-        let known: u64 = self.counted.values().map(|c| self.weigh(c.0).0).sum();
-        known == self.asked.iter().map(|a| a.0.len()).sum::<u64>()
+    pub fn is_complete(&self) -> bool {
+        let answered: u64 = self.counted.values().map(|c| self.requested_in(c.0).0).sum();
+        answered == self.requested.iter().map(|a| a.0.len()).sum::<u64>()
     }
 
     /// What of a range is asked for and not in: what is still to be sent for.
     pub fn missing(&self, range: KeyRange) -> Vec<KeyRange> {
         let mut missing = vec![];
-        for (asked, _) in &self.asked {
-            let Some(wanted) = asked.intersection(range) else { continue };
+        for (requested, _) in &self.requested {
+            let Some(wanted) = requested.intersection(range) else { continue };
             let mut from = wanted.from;
             for counted in self.counted.values().map(|c| c.0).filter(|c| c.overlaps(wanted)) {
                 if counted.from > from {
--- a/crates/layouts/tests/stories.rs
+++ b/crates/layouts/tests/stories.rs
@@ -1,5 +1,5 @@
 //! Stories of layouts that change: faulty ones refused whole, old shards found again, keys counted once.
-use alderway_layouts::coverage::{Count, Coverage};
+use alderway_layouts::coverage::{AddOutcome, Coverage};
 use alderway_layouts::family::Families;
 use alderway_layouts::history::{History, LayoutUpdate};
 use alderway_layouts::layout::{Change, Layout, LayoutError, Shard};
@@ -195,11 +195,11 @@
 #[rstest]
 fn a_parents_late_answer_takes_the_place_of_its_successors_and_never_counts_beside_them() {
     let mut coverage = Coverage::new(vec![(KeyRange::new(0, 10), 1.0)]).expect("sound");
-    assert_eq!(coverage.take(KeyRange::new(0, 4), "child"), Count::Counts { replaced: 0 });
-    assert!((coverage.weight() - 0.4).abs() < 1e-9 && !coverage.is_whole());
-    assert_eq!(coverage.take(KeyRange::new(0, 10), "parent"), Count::Counts { replaced: 1 });
-    assert_eq!(coverage.take(KeyRange::new(4, 10), "child"), Count::Known);
-    assert!(coverage.is_whole() && (coverage.weight() - 1.0).abs() < 1e-9);
+    assert_eq!(coverage.add(KeyRange::new(0, 4), "child"), AddOutcome::Counted { replaced: 0 });
+    assert!((coverage.answered_weight() - 0.4).abs() < 1e-9 && !coverage.is_complete());
+    assert_eq!(coverage.add(KeyRange::new(0, 10), "parent"), AddOutcome::Counted { replaced: 1 });
+    assert_eq!(coverage.add(KeyRange::new(4, 10), "child"), AddOutcome::Redundant);
+    assert!(coverage.is_complete() && (coverage.answered_weight() - 1.0).abs() < 1e-9);
     assert_eq!(coverage.answers().collect::<Vec<_>>(), [(KeyRange::new(0, 10), &"parent")]);
 }
 
@@ -207,9 +207,9 @@
 fn answers_that_cross_do_not_both_count() {
     let asked = vec![(KeyRange::new(0, 10), 0.5), (KeyRange::new(20, 30), 0.5)];
     let mut coverage = Coverage::new(asked).expect("sound");
-    assert_eq!(coverage.take(KeyRange::new(0, 6), ()), Count::Counts { replaced: 0 });
-    assert_eq!(coverage.take(KeyRange::new(3, 10), ()), Count::Crosses);
-    assert_eq!(coverage.take(KeyRange::new(10, 20), ()), Count::NotAsked);
+    assert_eq!(coverage.add(KeyRange::new(0, 6), ()), AddOutcome::Counted { replaced: 0 });
+    assert_eq!(coverage.add(KeyRange::new(3, 10), ()), AddOutcome::Conflicting);
+    assert_eq!(coverage.add(KeyRange::new(10, 20), ()), AddOutcome::NotRequested);
     assert_eq!(coverage.missing(KeyRange::new(0, 30)), [KeyRange::new(6, 10), KeyRange::new(20, 30)]);
     assert!(Coverage::<()>::new(vec![(KeyRange::new(0, 10), 0.5), (KeyRange::new(9, 12), 0.5)]).is_none());
 }
@@ -263,9 +263,9 @@
             let range = all[shard % all.len()];
             // The plain inventory: what a data node answers for its keys.
             let value: Vec<Key> = (range.from..range.to).collect();
-            coverage.take(range, value);
-            prop_assert!(coverage.weight() >= best - 1e-9, "an answer made it less");
-            best = coverage.weight();
+            coverage.add(range, value);
+            prop_assert!(coverage.answered_weight() >= best - 1e-9, "an answer made it less");
+            best = coverage.answered_weight();
         }
         let mut seen = BTreeSet::new();
         for (range, value) in coverage.answers() {
@@ -275,8 +275,8 @@
             }
         }
         let within = seen.iter().filter(|k| asked.contains(KeyRange::new(**k, **k + 1))).count() as f64;
-        prop_assert!((coverage.weight() - within / asked.len() as f64).abs() < 1e-9);
-        prop_assert_eq!(coverage.is_whole(), within as u64 == asked.len());
+        prop_assert!((coverage.answered_weight() - within / asked.len() as f64).abs() < 1e-9);
+        prop_assert_eq!(coverage.is_complete(), within as u64 == asked.len());
         // What is missing is just the keys that are not in.
         let missing: u64 = coverage.missing(asked).iter().map(KeyRange::len).sum();
         prop_assert_eq!(missing + within as u64, asked.len());
--- a/crates/router/src/state/dispatcher/answers.rs
+++ b/crates/router/src/state/dispatcher/answers.rs
@@ -4,7 +4,7 @@
 use crate::state::node_connection::ReplyMatch;
 use crate::state::node_protocol::NodeReply;
 use alderway::interface::AttemptOutcome;
-use alderway_layouts::coverage::Count;
+use alderway_layouts::coverage::AddOutcome;
 use std::rc::Rc;
 
 impl Dispatcher {
@@ -72,8 +72,8 @@
         let split_into = shard_map.map_or(vec![], |shard_map| shard_map.families.heirs(request_id).to_vec());
         let Some((_, query, index)) = self.queries.query_of_request(request_id) else { return };
         if let (Some(coverage), Some(keys)) = (&mut query.coverage, query.requests[index].keys) {
-            let count = coverage.take(keys.range, (query.requests[index].shard, value.to_string()));
-            if let Count::Counts { replaced: 1.. } = count {
+            let count = coverage.add(keys.range, (query.requests[index].shard, value.to_string()));
+            if let AddOutcome::Counted { replaced: 1.. } = count {
                 self.counters.increment("answers_in_place_of_parts");
             }
         }
