--- a/crates/layouts/src/lib.rs
+++ b/crates/layouts/src/lib.rs
@@ -7,11 +7,11 @@
 //! - `layout`: one version, checked whole; changes that make the next.
 //! - `history`: the newest version, what still matters of older ones, and data nodes that disown a shard.
 //! - `coverage`: which keys of a query are in, by answers of whatever versions; no key twice, none forgotten.
-//! - `family`: parts divided while leaf calls for them are out.
+//! - `split_requests`: parts divided while leaf calls for them are out.
 pub mod coverage;
-pub mod family;
 pub mod history;
 pub mod layout;
+pub mod split_requests;
 
 /// A key of a park block.
 pub type Key = u32;
--- a/crates/layouts/tests/stories.rs
+++ b/crates/layouts/tests/stories.rs
@@ -1,8 +1,8 @@
 //! Stories of layouts that change: faulty ones refused whole, old shards found again, keys counted once.
 use alderway_layouts::coverage::{AddOutcome, Coverage};
-use alderway_layouts::family::Families;
 use alderway_layouts::history::{History, LayoutUpdate};
 use alderway_layouts::layout::{Change, Layout, LayoutError, Shard};
+use alderway_layouts::split_requests::SplitRequests;
 use alderway_layouts::{Key, KeyRange, ShardId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -153,18 +153,18 @@
 
 #[rstest]
 fn a_call_serves_all_heirs_and_is_given_up_with_the_last() {
-    let mut families = Families::default();
-    families.divide(&"p", &["a", "b"]);
-    assert!(!families.release(&("p", 0), &"a"));
-    families.divide(&"b", &["c", "d"]);
-    assert_eq!(families.heirs(&"p"), ["a", "c", "d"]);
-    assert_eq!(families.line(&"d").copied().collect::<Vec<_>>(), ["d", "b", "p"]);
-    assert!(families.waits(&("p", 0), &"c") && !families.waits(&("p", 0), &"a"));
-    assert!(families.waits(&("p", 1), &"a"), "another call of it is another matter");
-    assert!(!families.release(&("p", 0), &"c") && families.release(&("p", 0), &"d"));
-    families.forget(|_| true);
-    assert!(families.is_empty() && families.heirs(&"p").is_empty());
-    assert_eq!(families.line(&"d").count(), 1);
+    let mut splits = SplitRequests::default();
+    splits.split(&"p", &["a", "b"]);
+    assert!(!splits.release(&("p", 0), &"a"));
+    splits.split(&"b", &["c", "d"]);
+    assert_eq!(splits.parts(&"p"), ["a", "c", "d"]);
+    assert_eq!(splits.lineage(&"d").copied().collect::<Vec<_>>(), ["d", "b", "p"]);
+    assert!(splits.is_waiting(&("p", 0), &"c") && !splits.is_waiting(&("p", 0), &"a"));
+    assert!(splits.is_waiting(&("p", 1), &"a"), "another call of it is another matter");
+    assert!(!splits.release(&("p", 0), &"c") && splits.release(&("p", 0), &"d"));
+    splits.forget(|_| true);
+    assert!(splits.is_empty() && splits.parts(&"p").is_empty());
+    assert_eq!(splits.lineage(&"d").count(), 1);
 }
 
 #[rstest]
--- a/crates/router/src/state/dispatcher/answers.rs
+++ b/crates/router/src/state/dispatcher/answers.rs
@@ -69,7 +69,7 @@
     /// The value counts for the keys asked for, and so for the requests that this one was split into as well.
     fn record_value_by_keys(&mut self, request_id: &Rc<str>, value: &str) {
         let shard_map = self.shard_map.as_ref();
-        let split_into = shard_map.map_or(vec![], |shard_map| shard_map.families.heirs(request_id).to_vec());
+        let split_into = shard_map.map_or(vec![], |shard_map| shard_map.families.parts(request_id).to_vec());
         let Some((_, query, index)) = self.queries.query_of_request(request_id) else { return };
         if let (Some(coverage), Some(keys)) = (&mut query.coverage, query.requests[index].keys) {
             let count = coverage.add(keys.range, (query.requests[index].shard, value.to_string()));
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -6,9 +6,9 @@
 use super::response::AnswerCoverage;
 use alderway::interface::{AttemptOutcome, PolicyInput, ShardHolders};
 use alderway_layouts::coverage::Coverage;
-use alderway_layouts::family::Families;
 use alderway_layouts::history::{AppliedUpdate, History, LayoutUpdate};
 use alderway_layouts::layout::{Layout, LayoutError};
+use alderway_layouts::split_requests::SplitRequests;
 use alderway_layouts::{KeyRange, ShardId, Version};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -60,7 +60,7 @@
     config: ShardMapConfig,
     history: Option<History>,
     /// Shard requests that were split, and who still waits for their attempts.
-    pub families: Families<Rc<str>>,
+    pub families: SplitRequests<Rc<str>>,
     /// For tests: every answer counts, whatever keys it is for.
     #[cfg(feature = "faults")]
     pub by_answers: bool,
@@ -76,7 +76,7 @@
         ShardMapView {
             config,
             history: None,
-            families: Families::default(),
+            families: SplitRequests::default(),
             #[cfg(feature = "faults")]
             by_answers: false,
             inherited: vec![],
@@ -228,7 +228,7 @@
     /// A shard request was split. Of a query that is `new` to the policy the next round tells it as it is then.
     pub fn request_split(&mut self, split: SplitShardRequest, new: bool) {
         let part_ids: Vec<Rc<str>> = split.parts.iter().map(|part| part.id.clone()).collect();
-        self.families.divide(&split.request_id, &part_ids);
+        self.families.split(&split.request_id, &part_ids);
         if !new {
             self.splits.push(split);
         }
@@ -312,9 +312,10 @@
         if self.families.is_empty() {
             return None;
         }
-        let parts = self.families.heirs(&id.request_id);
+        let parts = self.families.parts(&id.request_id);
         let call = (id.request_id.clone(), id.number);
-        let waits = |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.waits(&call, part);
+        let waits =
+            |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.is_waiting(&call, part);
         (!parts.is_empty()).then(|| parts.iter().filter(waits).cloned().collect())
     }
 }
