--- a/crates/alderway/tests/layouts.rs
+++ b/crates/alderway/tests/layouts.rs
@@ -213,10 +213,10 @@
 #[case::no_holder(r#"{"version":2,"after":1,"changes":[{"move":1,"holders":[]}]}"#, "shard 1 has no holder")]
 #[case::backwards(
     r#"{"version":1,"after":1,"changes":[{"move":1,"holders":[2]}]}"#,
-    "version 1 does not follow version 1"
+    "version 1 is not newer than version 1"
 )]
 #[case::half_of_it(r#"{"version":2,"after":1}"#, "a layout has either `shards` or `changes`")]
-#[case::unknown(r#"{"version":2,"after":1,"changes":[{"move":9,"holders":[2]}]}"#, "shard 9 is not known")]
+#[case::unknown(r#"{"version":2,"after":1,"changes":[{"move":9,"holders":[2]}]}"#, "shard 9 does not exist")]
 fn a_faulty_layout_is_refused_in_one_line_and_the_old_one_holds(#[case] told: &str, #[case] why: &str) {
     let place = place(1, &[(1, 0, 100, &[0])]);
     let mut client = Client::to(&place.program);
@@ -233,7 +233,7 @@
     place.prepare(&[moved(1, &[1])]);
     place.change(&[moved(1, &[2])]);
     place.nodes_follow();
-    place.logged("it changes version 2, which is not held; version 1 holds");
+    place.logged("changes apply to version 2, which is not the current version; version 1 holds");
     place.logged("layout: version 3");
     right(&mut client, "q", 0, 100);
     assert_eq!((place.parts(0), place.parts(1), place.parts(2)), (0, 0, 1));
--- a/crates/layouts/src/coverage.rs
+++ b/crates/layouts/src/coverage.rs
@@ -1,33 +1,35 @@
-//! Which keys of a query are answered. Answers come from shards of whatever version, in any order: an old shard's after
-//! its successors', one successor's before its parent's. Each covers a range of keys as a whole: its value cannot be
-//! divided. What counts is a set of answers whose ranges do not meet, so no key counts twice; and a larger answer takes
-//! the place of smaller ones that it covers, so none is missed that an answer has brought.
+//! Which keys of a query are answered. Answers may be for shards of different versions and arrive in any order: the answer
+//! for a retired shard may arrive before or after those for its successors. An answer has one value for its whole range of
+//! keys, which cannot be divided. The answers that are counted never overlap, so that no key is counted twice, and an
+//! answer replaces smaller ones that it contains, so that no answered key is lost.
 use crate::KeyRange;
 use std::collections::BTreeMap;
 
-/// The answers that count for one query, by where they begin, with what was asked.
+/// The ranges that a query requests, and the answers counted for them.
 #[derive(Clone, Debug)]
 pub struct Coverage<V> {
-    /// Ranges that the query asks for, each with the weight of one of its keys; they do not meet.
+    /// The requested ranges, which do not overlap, each with the weight of one of its keys.
     requested: Vec<(KeyRange, f64)>,
+    /// By the first key of the range.
     counted: BTreeMap<u32, (KeyRange, V)>,
 }
 
-/// What became of an answer.
+/// What adding an answer did.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AddOutcome {
-    /// It counts, in place of so many that it covers.
+    /// The answer is counted, and replaced this many smaller ones.
     Counted { replaced: usize },
-    /// All its keys that are asked for are answered already.
+    /// All of its requested keys were answered before.
     Redundant,
-    /// It meets answers that reach beyond it: counting both would count keys twice.
+    /// It overlaps a counted answer that has requested keys outside of its range: counting both would count keys twice.
     Conflicting,
-    /// None of its keys is asked for.
+    /// None of its keys is requested.
     NotRequested,
 }
 
 impl<V> Coverage<V> {
-    /// For a query that asks for these ranges with their weights; keys asked for twice are the caller's fault and refused.
+    /// Creates the coverage of a query from the ranges it requests and their weights. None if ranges overlap or the total
+    /// weight is not positive.
     pub fn new(mut requested: Vec<(KeyRange, f64)>) -> Option<Self> {
         requested.retain(|(range, _)| !range.is_empty());
         requested.sort_by_key(|(range, _)| *range);
@@ -38,7 +40,7 @@
             .then(|| Coverage { requested: requested.collect(), counted: BTreeMap::new() })
     }
 
-    /// Asked keys of a range, and their weight.
+    /// The number of requested keys in a range, and their weight.
     fn requested_in(&self, range: KeyRange) -> (u64, f64) {
         let parts = self.requested.iter().filter_map(|(requested, weight_per_key)| {
             Some((requested.intersection(range)?.len(), weight_per_key))
@@ -48,7 +50,7 @@
         })
     }
 
-    /// Takes an answer for a range in, if that brings more asked keys than it costs.
+    /// Adds an answer for a range, unless it answers no new key or conflicts with a counted answer.
     pub fn add(&mut self, range: KeyRange, value: V) -> AddOutcome {
         let (keys, _) = self.requested_in(range);
         if keys == 0 {
@@ -61,7 +63,7 @@
         if answered == keys {
             return AddOutcome::Redundant;
         }
-        // Asked keys that would be lost with answers that reach beyond this one.
+        // Replacing an answer with requested keys outside of this range would lose those keys.
         if overlapping.iter().any(|c| {
             self.requested_in(*c).0 > c.intersection(range).map_or(0, |both| self.requested_in(both).0)
         }) {
@@ -72,18 +74,18 @@
         AddOutcome::Counted { replaced: overlapping.len() }
     }
 
-    /// Weight of the asked keys that are in.
+    /// The weight of the requested keys that are answered.
     pub fn answered_weight(&self) -> f64 {
         self.counted.values().map(|c| self.requested_in(c.0).1).sum()
     }
 
-    /// Whether every asked key is in.
+    /// Whether every requested key is answered.
     pub fn is_complete(&self) -> bool {
         let answered: u64 = self.counted.values().map(|c| self.requested_in(c.0).0).sum();
-        answered == self.requested.iter().map(|a| a.0.len()).sum::<u64>()
+        answered == self.requested.iter().map(|r| r.0.len()).sum::<u64>()
     }
 
-    /// What of a range is asked for and not in: what is still to be sent for.
+    /// The requested keys of a range that are not answered yet.
     pub fn missing(&self, range: KeyRange) -> Vec<KeyRange> {
         let mut missing = vec![];
         for (requested, _) in &self.requested {
@@ -102,7 +104,7 @@
         missing
     }
 
-    /// The answers that count, in the order of their keys.
+    /// The counted answers, in the order of their keys.
     pub fn answers(&self) -> impl Iterator<Item = (KeyRange, &V)> {
         self.counted.values().map(|(range, value)| (*range, value))
     }
--- a/crates/layouts/src/history.rs
+++ b/crates/layouts/src/history.rs
@@ -1,15 +1,16 @@
-//! The newest version, and what still matters of older ones: shards that are gone but for which parts are open, or which
-//! a client that has not heard yet may name. What no longer matters is given back, so that years of weekly changes do
-//! not grow memory.
+//! The latest version of the layout, and the retired shards that are still referred to: by open shard requests, or by
+//! clients that have not learned of the new version yet. Retired shards expire, so that memory does not grow with the
+//! number of versions.
 //!
-//! Nobody sends by an old version. A part that is open while its shard goes keeps its keys, and goes on to whoever holds
-//! all of them now; where its keys lie with other cells here and there, it is better divided. A data node that says that it does not hold a shard
-//! (`disown`) is left out for it until this side knows what the node knows, or the node has had time to catch up.
+//! Requests are always sent by the latest version. A shard request that is open when its shard is retired keeps its keys
+//! and is sent to the replica groups that hold all of them now; if its keys are held by different replica groups, the
+//! caller should split it. A data node that reports that it does not hold a shard is excluded for that shard
+//! (`exclude_node`) until the layout here is as new as the node's, or until the node has had time to catch up.
 use crate::layout::{Change, Layout, LayoutError, Shard};
 use crate::{Key, KeyRange, ShardId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// News of the layout: the whole of it, or changes to a version that is held.
+/// An update from discovery: a full layout, or the changes from version `base` to `version`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LayoutUpdate {
     Full { version: Version, keys: Key, shards: Vec<(ShardId, Shard)> },
@@ -18,38 +19,38 @@
 
 struct RetiredShard {
     keys: KeyRange,
-    /// Since when it is gone, by the caller's clock.
+    /// In seconds of the caller's clock.
     retired_at: f64,
 }
 
-/// A data node that does not hold a shard by its own word.
+/// A data node that reported that it does not hold a shard.
 struct Exclusion {
-    /// The version by which it said so.
+    /// The version of the layout that the node reported it by.
     version: Version,
-    /// When it is asked again, where that version is known here.
+    /// When the node may be asked again if that version is not newer than the latest here, in seconds.
     retry_at: f64,
 }
 
+/// The latest layout, retired shards that are still referred to, and the data nodes excluded for each shard.
 pub struct History {
     latest: Layout,
     retired: BTreeMap<ShardId, RetiredShard>,
-    /// Parts open, by the shard that they were made for.
+    /// How many shard requests are open for each shard.
     open_requests: BTreeMap<ShardId, usize>,
     exclusions: BTreeMap<ShardId, BTreeMap<String, Exclusion>>,
-    /// Seconds for which a client may name a shard that is gone.
+    /// How long clients may refer to a retired shard.
     retired_shard_grace_s: f64,
-    /// Seconds that a data node which lags behind has to catch up.
+    /// How long a data node with an older layout is given to catch up.
     lagging_node_grace_s: f64,
 }
 
-/// What a new version has changed.
+/// What a new version changed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppliedUpdate {
     pub retired: Vec<ShardId>,
-    /// New shards, each with those whose keys it has now.
+    /// New shards, each with the shards of the previous version that it overlaps.
     pub added: Vec<(ShardId, Vec<ShardId>)>,
-    /// Shards whose holders are others now, new ones among them, or that a node may be asked for again; and gone ones
-    /// with parts open.
+    /// Shards whose holders or excluded nodes changed, including all new shards, and retired shards with open requests.
     pub changed_holders: Vec<ShardId>,
 }
 
@@ -66,7 +67,7 @@
         }
     }
 
-    /// From the first news, which must be whole.
+    /// Creates a history from the first update, which must be a full layout.
     pub fn from_update(
         update: LayoutUpdate,
         retired_shard_grace_s: f64,
@@ -86,7 +87,8 @@
         &self.latest
     }
 
-    /// Takes news in, or refuses them whole; then the old version holds. What is known already changes nothing.
+    /// Applies an update. After an error the current version stays in effect. A full layout of the current version
+    /// changes nothing.
     pub fn apply(&mut self, update: LayoutUpdate, now: f64) -> Result<AppliedUpdate, LayoutError> {
         match update {
             LayoutUpdate::Full { version, .. } if version == self.latest.version() => {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Takes a chain of changes in as the next version, or refuses it whole.
+    /// Applies changes, in order, as the next version. After an error the current version stays in effect.
     pub fn apply_changes(
         &mut self,
         version: Version,
@@ -112,7 +114,7 @@
         self.advance_to(self.latest.with_changes(version, changes)?, now)
     }
 
-    /// Takes a whole layout in, as after news that were missed. One that is no newer is refused.
+    /// Replaces the layout by a newer one, as after missed updates.
     pub fn replace(&mut self, layout: Layout, now: f64) -> Result<AppliedUpdate, LayoutError> {
         let (current, received) = (self.latest.version(), layout.version());
         if received <= current {
@@ -123,7 +125,7 @@
 
     fn advance_to(&mut self, next: Layout, now: f64) -> Result<AppliedUpdate, LayoutError> {
         let diff = self.latest.diff(&next);
-        // Guards against a number that is used again for other keys: old answers would count for them.
+        // Rejects a shard id that is reused for other keys: late answers for the old keys would count for the new ones.
         let has_other_keys = |id: &&ShardId| {
             self.keys(**id).is_some_and(|keys| next.shard(**id).is_some_and(|s| s.keys != keys))
         };
@@ -156,21 +158,21 @@
         })
     }
 
-    /// The keys of a shard, of the newest version or one that still matters.
+    /// The keys of a shard of the latest version, or of a retired one that has not expired.
     pub fn keys(&self, shard: ShardId) -> Option<KeyRange> {
-        self.latest.shard(shard).map(|s| s.keys).or(self.retired.get(&shard).map(|g| g.keys))
+        self.latest.shard(shard).map(|s| s.keys).or(self.retired.get(&shard).map(|retired| retired.keys))
     }
 
     pub fn is_retired(&self, shard: ShardId) -> bool {
         self.retired.contains_key(&shard)
     }
 
-    /// The shards that cover a range now, each with the keys that they have in common.
+    /// The shards of the latest version that overlap a range, each with the keys that both contain.
     pub fn overlapping(&self, range: KeyRange) -> Vec<(ShardId, KeyRange)> {
         self.latest.overlapping(range).filter_map(|(id, s)| Some((id, s.keys.intersection(range)?))).collect()
     }
 
-    /// The cells that hold every key of a shard now; for one that is gone, all of its successors.
+    /// The replica groups that hold every key of a shard; for a retired shard, those that hold all of its successors.
     pub fn holders(&self, shard: ShardId) -> Vec<u32> {
         if let Some(shard) = self.latest.shard(shard) {
             return shard.holders.iter().copied().collect();
@@ -181,8 +183,8 @@
         overlapping.fold(first, |all, next| all.intersection(next).copied().collect()).into_iter().collect()
     }
 
-    /// Whether the keys of a shard that is gone lie with other cells here and there: then more data nodes can be asked
-    /// for pieces of it than for all.
+    /// Whether the successors of a retired shard have different holders. More data nodes can then serve the successors
+    /// one by one than the whole range.
     pub fn has_mixed_holders(&self, shard: ShardId) -> bool {
         let Some(retired) = self.retired.get(&shard) else { return false };
         let mut overlapping = self.latest.overlapping(retired.keys).map(|(_, s)| &s.holders);
@@ -190,12 +192,11 @@
         overlapping.any(|holders| Some(holders) != first)
     }
 
-    /// A part is made for a shard; `closed` gives it back.
+    /// Counts a shard request as open, until `request_closed`. A shard with open requests does not expire.
     pub fn request_opened(&mut self, shard: ShardId) {
         *self.open_requests.entry(shard).or_insert(0) += 1;
     }
 
-    /// Shards with parts open.
     pub fn shards_with_open_requests(&self) -> impl Iterator<Item = ShardId> {
         self.open_requests.keys().copied()
     }
@@ -209,30 +210,32 @@
         }
     }
 
-    /// A data node says that by its version it does not hold a shard. True where that is news: it is asked no more
-    /// for it until `lapse` says so, or a version at least as new as its own has come. Guards against asking the
-    /// same node again and again while one side lags behind, and against two nodes that each name the other.
+    /// Excludes a data node which reported that it does not hold a shard by `version` of the layout. Returns whether the
+    /// node was not excluded for the shard before. The exclusion ends with `expire_exclusions`, or once a version at least
+    /// as new as the node's is applied. Guards against sending to the same node repeatedly while one side has an older
+    /// layout, and against two nodes that each refer to the other.
     pub fn exclude_node(&mut self, shard: ShardId, node: &str, version: Version, now: f64) -> bool {
         let exclusion = Exclusion { version, retry_at: now + self.lagging_node_grace_s };
         self.exclusions.entry(shard).or_default().insert(node.into(), exclusion).is_none()
     }
 
-    /// Data nodes that are left out for a shard.
+    /// The data nodes that must not be asked for a shard.
     pub fn excluded_nodes(&self, shard: ShardId) -> impl Iterator<Item = &str> {
         self.exclusions.get(&shard).into_iter().flatten().map(|(node, _)| node.as_str())
     }
 
-    /// Shards for which some data node that lagged behind may be asked again.
+    /// Ends the exclusions that have expired, and returns their shards.
     pub fn expire_exclusions(&mut self, now: f64) -> Vec<ShardId> {
-        // A node ahead of this side is waited for ten times as long: it may have dropped out of the news.
+        // A node with a newer layout stays excluded ten times as long, as this side should catch up with it. The time is
+        // limited because that version may never arrive here.
         let (version, grace) = (self.latest.version(), self.lagging_node_grace_s);
         self.drop_exclusions(|exclusion| {
             now >= exclusion.retry_at + if exclusion.version > version { 9.0 * grace } else { 0.0 }
         })
     }
 
-    /// Drops words that are over, and says for which shards: whoever was told of them has to hear of that. Guards
-    /// against a node that is left out for ever of a shard that a new version did not change.
+    /// Removes the exclusions for which `is_over` holds, and returns their shards, so that the caller can update the holders
+    /// it uses for them. Guards against a node that stays excluded for a shard that no new version changes.
     fn drop_exclusions(&mut self, is_over: impl Fn(&Exclusion) -> bool) -> Vec<ShardId> {
         let mut readmitted = vec![];
         self.exclusions.retain(|shard, nodes| {
@@ -246,7 +249,7 @@
         readmitted
     }
 
-    /// Gives back shards that nothing is open for and that nobody names any more; returns them.
+    /// Removes and returns the retired shards that have no open request and whose grace period has passed.
     pub fn expire_retired(&mut self, now: f64) -> Vec<ShardId> {
         let (open, grace) = (&self.open_requests, self.retired_shard_grace_s);
         let is_expired = |(id, shard): &(&ShardId, &RetiredShard)| {
@@ -260,7 +263,7 @@
         expired
     }
 
-    /// Gone shards that are kept, shards with parts open, and shards that some node disowns.
+    /// The numbers of retired shards, shards with open requests, and shards with excluded nodes.
     pub fn tracked_counts(&self) -> (usize, usize, usize) {
         (self.retired.len(), self.open_requests.len(), self.exclusions.len())
     }
--- a/crates/layouts/src/layout.rs
+++ b/crates/layouts/src/layout.rs
@@ -1,4 +1,5 @@
-//! One version of the layout, and the changes that make the next. A faulty layout or change is refused whole.
+//! One version of the layout, and the changes that produce the next. An invalid layout or chain of changes is rejected as
+//! a whole.
 use crate::{Key, KeyRange, ShardId, Version};
 use imbl::OrdMap;
 use imbl::ordmap::DiffItem;
@@ -6,80 +7,117 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A shard: its keys, and the cells that hold it.
+/// The keys of a shard, and the replica groups that hold it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shard {
     pub keys: KeyRange,
     pub holders: BTreeSet<u32>,
 }
 
-/// Shards that cover all keys from 0 to below `keys`, each key once. Versions share what is the same in them, so that
-/// a change costs what it touches and not a copy of ten thousand shards.
+/// Shards that together contain each key from 0 up to but excluding `key_count` exactly once. Versions share their
+/// unchanged shards, so that a change costs time and memory for the shards it affects, and not for a copy of all, which
+/// may be ten thousand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Layout {
     version: Version,
     keys: Key,
     shards: OrdMap<ShardId, Arc<Shard>>,
-    /// Where each shard begins.
+    /// The shards by their first key.
     starts: OrdMap<Key, ShardId>,
 }
 
-/// What one version has that another has not.
+/// How the shards of one version differ from those of another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LayoutDiff {
     pub removed: Vec<ShardId>,
     pub added: Vec<ShardId>,
-    /// Other keys or other holders.
+    /// Shards of both versions with different keys or holders.
     pub changed: Vec<ShardId>,
 }
 
-/// What happens to shards; a chain of these makes one version.
+/// A change of the layout. One version is produced by one or more of them, applied in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// One shard becomes several, in the order of their keys: each new number with where it begins; holders stay.
+    /// Replaces a shard by several with the same holders. Each child has a new id and its first key, in the order of keys.
     Split { parent: ShardId, children: Vec<(ShardId, Key)> },
-    /// Neighbours become one, held by those that hold all of them.
+    /// Replaces adjacent shards by one, which is held by the replica groups that hold all of them.
     Merge { parents: Vec<ShardId>, child: ShardId },
-    /// Other holders: those that are named have the data from here on.
+    /// Replaces the holders of a shard; the new holders have its data from this version on.
     Move { shard: ShardId, holders: BTreeSet<u32> },
 }
 
-/// Why a layout or change is refused, in one line.
+/// Why a layout or a change is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LayoutError {
-    Gap { at: Key },
-    Overlap { shard: ShardId, at: Key },
-    EmptyShard { shard: ShardId },
-    NoHolder { shard: ShardId },
-    UnknownShard { shard: ShardId },
-    ShardIdInUse { shard: ShardId },
-    NotAdjacent { shard: ShardId },
-    OutOfBounds { shard: ShardId, at: Key },
-    StaleVersion { current: Version, received: Version },
+    /// No shard contains the key.
+    Gap {
+        at: Key,
+    },
+    /// The shard begins at a key that another shard contains.
+    Overlap {
+        shard: ShardId,
+        at: Key,
+    },
+    EmptyShard {
+        shard: ShardId,
+    },
+    NoHolder {
+        shard: ShardId,
+    },
+    /// The current version has no such shard.
+    UnknownShard {
+        shard: ShardId,
+    },
+    /// The id belongs to another shard, or to a retired shard with other keys.
+    ShardIdInUse {
+        shard: ShardId,
+    },
+    /// The shard to merge does not begin where the one before it ends.
+    NotAdjacent {
+        shard: ShardId,
+    },
+    /// A boundary of the shard is out of order, or outside of its parent or of the key space.
+    OutOfBounds {
+        shard: ShardId,
+        at: Key,
+    },
+    /// The received version is not newer than the current one.
+    StaleVersion {
+        current: Version,
+        received: Version,
+    },
+    /// A layout without shards, an empty list of changes, or a split or merge of fewer than two shards.
     TooFewShards,
-    UnknownBase { base: Version },
+    /// The changes apply to a version other than the current one.
+    UnknownBase {
+        base: Version,
+    },
 }
 
 impl fmt::Display for LayoutError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             LayoutError::Gap { at } => write!(out, "no shard covers key {at}"),
-            LayoutError::Overlap { shard, at } => write!(out, "shard {shard} covers key {at} beside another"),
-            LayoutError::EmptyShard { shard } => write!(out, "shard {shard} covers no key"),
+            LayoutError::Overlap { shard, at } => {
+                write!(out, "key {at} of shard {shard} belongs to another shard too")
+            }
+            LayoutError::EmptyShard { shard } => write!(out, "shard {shard} has no keys"),
             LayoutError::NoHolder { shard } => write!(out, "shard {shard} has no holder"),
-            LayoutError::UnknownShard { shard } => write!(out, "shard {shard} is not known"),
-            LayoutError::ShardIdInUse { shard } => write!(out, "shard number {shard} is taken already"),
+            LayoutError::UnknownShard { shard } => write!(out, "shard {shard} does not exist"),
+            LayoutError::ShardIdInUse { shard } => write!(out, "shard id {shard} is already in use"),
             LayoutError::NotAdjacent { shard } => {
-                write!(out, "shard {shard} does not follow on the one before it")
+                write!(out, "shard {shard} is not adjacent to the shard before it")
             }
             LayoutError::OutOfBounds { shard, at } => {
-                write!(out, "shard {shard} would begin at key {at}, not in order")
+                write!(out, "shard {shard} has a boundary at key {at}, which is out of order or out of range")
             }
             LayoutError::StaleVersion { current, received } => {
-                write!(out, "version {received} does not follow version {current}")
+                write!(out, "version {received} is not newer than version {current}")
+            }
+            LayoutError::TooFewShards => write!(out, "too few shards or changes"),
+            LayoutError::UnknownBase { base } => {
+                write!(out, "changes apply to version {base}, which is not the current version")
             }
-            LayoutError::TooFewShards => write!(out, "it names nothing"),
-            LayoutError::UnknownBase { base } => write!(out, "it changes version {base}, which is not held"),
         }
     }
 }
@@ -87,7 +125,7 @@
 impl std::error::Error for LayoutError {}
 
 impl Layout {
-    /// A whole layout, once it has proved to cover every key once.
+    /// Creates a layout, if its shards contain every key below `keys` exactly once.
     pub fn new(version: Version, keys: Key, shards: BTreeMap<ShardId, Shard>) -> Result<Self, LayoutError> {
         let mut starts = OrdMap::new();
         for (&id, shard) in &shards {
@@ -129,7 +167,7 @@
         self.version
     }
 
-    /// Keys are numbered from 0 to below this.
+    /// The layout contains the keys from 0 up to but excluding this.
     pub fn key_count(&self) -> Key {
         self.keys
     }
@@ -146,7 +184,7 @@
         self.shards.get(&id).map(|shard| &**shard)
     }
 
-    /// What changes from this version to another; costs what differs.
+    /// How `other` differs from this version. The cost is proportional to the number of differences.
     pub fn diff(&self, other: &Layout) -> LayoutDiff {
         let mut diff = LayoutDiff::default();
         for item in self.shards.diff(&other.shards) {
@@ -159,19 +197,19 @@
         diff
     }
 
-    /// The shard of a key.
+    /// The shard that contains a key.
     pub fn shard_at(&self, key: Key) -> Option<ShardId> {
         self.overlapping(KeyRange::new(key, key.saturating_add(1))).next().map(|found| found.0)
     }
 
-    /// The shards that cover a range, in the order of their keys.
+    /// The shards that overlap a range, in the order of their keys.
     pub fn overlapping(&self, range: KeyRange) -> impl Iterator<Item = (ShardId, &Shard)> {
         let first = self.starts.get_prev(&range.from).map_or(range.from, |(&from, _)| from);
-        let begun = self.starts.range(first..range.to.max(first));
-        begun.map(|(_, &id)| (id, &*self.shards[&id])).filter(move |(_, s)| s.keys.overlaps(range))
+        let from_first = self.starts.range(first..range.to.max(first));
+        from_first.map(|(_, &id)| (id, &*self.shards[&id])).filter(move |(_, s)| s.keys.overlaps(range))
     }
 
-    /// The next version after a chain of changes; this one stays as it is.
+    /// The version that results from applying the changes in order; `self` is left unchanged.
     pub fn with_changes(&self, version: Version, changes: &[Change]) -> Result<Layout, LayoutError> {
         if version <= self.version {
             return Err(LayoutError::StaleVersion { current: self.version, received: version });
@@ -186,7 +224,7 @@
         Ok(next)
     }
 
-    fn known(&self, id: ShardId) -> Result<&Shard, LayoutError> {
+    fn existing_shard(&self, id: ShardId) -> Result<&Shard, LayoutError> {
         self.shard(id).ok_or(LayoutError::UnknownShard { shard: id })
     }
 
@@ -204,12 +242,12 @@
         }
     }
 
-    /// Each change keeps every key covered once, so that only what it touches has to be looked at. After an error
-    /// this is of no use any more.
+    /// Applies one change. Each change preserves that every key belongs to exactly one shard, so that only the affected
+    /// shards are checked. After an error the layout is inconsistent and must be discarded.
     fn apply(&mut self, change: &Change) -> Result<(), LayoutError> {
         match change {
             Change::Split { parent, children } => {
-                let old = self.known(*parent)?.clone();
+                let old = self.existing_shard(*parent)?.clone();
                 if children.len() < 2 {
                     return Err(LayoutError::TooFewShards);
                 }
@@ -232,9 +270,9 @@
                 let (Some(&first), true) = (parents.first(), parents.len() > 1) else {
                     return Err(LayoutError::TooFewShards);
                 };
-                let mut merged = self.known(first)?.clone();
+                let mut merged = self.existing_shard(first)?.clone();
                 for &parent in &parents[1..] {
-                    let next = self.known(parent)?;
+                    let next = self.existing_shard(parent)?;
                     if next.keys.from != merged.keys.to {
                         return Err(LayoutError::NotAdjacent { shard: parent });
                     }
@@ -251,7 +289,7 @@
                 self.add(*child, merged)?;
             }
             Change::Move { shard, holders } => {
-                let keys = self.known(*shard)?.keys;
+                let keys = self.existing_shard(*shard)?.keys;
                 if holders.is_empty() {
                     return Err(LayoutError::NoHolder { shard: *shard });
                 }
--- a/crates/layouts/src/lib.rs
+++ b/crates/layouts/src/lib.rs
@@ -1,25 +1,26 @@
-//! Layouts of shards that change while queries run. A shard is a range of keys with its holders; a change splits,
-//! merges or moves shards and makes the next version. This package says which shards cover a query's keys at a version,
-//! who holds them, what became of an old shard, and which keys of a query are answered. It is free of I/O and clocks:
-//! times are passed in. It never sends anything, and it decides nothing about data nodes: mapping stands beside the
-//! decision module, which knows only holders and parts.
+//! Versioned shard layouts that change while queries run. A shard is a range of keys and the replica groups that hold it;
+//! a change splits, merges or moves shards and produces the next version. This crate determines which shards contain the
+//! keys of a query, which replica groups hold them, which shards replaced a retired one, and which keys of a query have
+//! been answered. It does no I/O and reads no clock: the caller passes the time. It chooses no data nodes either; that is
+//! left to the routing policy, which only knows shard requests and holders.
 //!
-//! - `layout`: one version, checked whole; changes that make the next.
-//! - `history`: the newest version, what still matters of older ones, and data nodes that disown a shard.
-//! - `coverage`: which keys of a query are in, by answers of whatever versions; no key twice, none forgotten.
-//! - `split_requests`: parts divided while leaf calls for them are out.
+//! - `layout`: one validated version, and the changes that produce the next.
+//! - `history`: the latest version, retired shards that are still referred to, and the data nodes excluded for a shard.
+//! - `coverage`: which keys of a query are answered, each counted once, although answers may follow different versions.
+//! - `split_requests`: shard requests that were split while attempts for them were in flight.
 pub mod coverage;
 pub mod history;
 pub mod layout;
 pub mod split_requests;
 
-/// A key of a park block.
+/// A key of the data set; keys are consecutive integers from 0.
 pub type Key = u32;
-/// A shard's number; never used again for other keys.
+/// The id of a shard. An id is never reused for a different range of keys.
 pub type ShardId = u32;
+/// The version number of a layout; a newer layout has a higher number.
 pub type Version = u64;
 
-/// Keys from one to below another.
+/// The keys from `from` up to but excluding `to`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyRange {
     pub from: Key,
@@ -35,6 +36,7 @@
         self.from >= self.to
     }
 
+    /// How many keys the range contains.
     pub fn len(&self) -> u64 {
         u64::from(self.to.saturating_sub(self.from))
     }
@@ -47,7 +49,7 @@
         self.from < other.to && other.from < self.to
     }
 
-    /// The keys of both.
+    /// The keys that both ranges contain, if there are any.
     pub fn intersection(&self, other: KeyRange) -> Option<KeyRange> {
         let both = KeyRange::new(self.from.max(other.from), self.to.min(other.to));
         (!both.is_empty()).then_some(both)
