--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -4,7 +4,7 @@
 use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
 use alderway_control_server::server::{self, ServerConfig};
 use alderway_control_server::subscriptions::Subscriptions;
-use alderway_operator::{Control as ControlConfig, LogForm};
+use alderway_operator::{self as operator, ControlConfig};
 use alderway_router::tier::post;
 use alderway_telemetry::log::{self, LogFormat};
 use clap::Args;
@@ -25,16 +25,16 @@
 
 /// Runs a control machine until SIGTERM or SIGINT.
 pub fn run(args: &Control) -> ExitCode {
-    let (control, log_form) = match read(args) {
+    let (control, log_format) = match read(args) {
         Ok(read) => read,
         Err(message) => {
             eprintln!("alderway: {message}");
             return ExitCode::from(EXIT_INVALID_INPUT);
         }
     };
-    log::init(match log_form {
-        LogForm::Text => LogFormat::Text,
-        LogForm::Json => LogFormat::Json,
+    log::init(match log_format {
+        operator::LogFormat::Text => LogFormat::Text,
+        operator::LogFormat::Json => LogFormat::Json,
     });
     match server::run(server_config(control)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -45,19 +45,19 @@
     }
 }
 
-fn read(args: &Control) -> Result<(ControlConfig, LogForm), String> {
-    let (operator, _) = crate::operator_at(Some(&args.operator))?;
+fn read(args: &Control) -> Result<(ControlConfig, operator::LogFormat), String> {
+    let (config, _) = crate::operator_at(Some(&args.operator))?;
     let missing = || format!("{}: it says nothing of `control`", args.operator.display());
-    Ok((operator.control.ok_or_else(missing)?, operator.log))
+    Ok((config.control.ok_or_else(missing)?, config.log_format))
 }
 
 fn server_config(control: ControlConfig) -> ServerConfig {
-    let (name, router_address) = (control.name.clone(), control.routers);
+    let (name, router_address) = (control.name.clone(), control.router_address);
     ServerConfig {
         name: control.name,
-        replica_addresses: control.members,
-        admin_addresses: control.doors,
-        data_path: control.data.into(),
+        replica_addresses: control.replica_addresses,
+        admin_addresses: control.admin_addresses,
+        data_path: control.data_path.into(),
         settings_check: Box::new(settings::check),
         version_sink: Box::new(move || Box::pin(version_sink(name, router_address))),
     }
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -5,7 +5,7 @@
 mod settings;
 
 use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
-use alderway_operator::{self as operator, Count, KEPT_BACK, LogForm, Operator, Tier};
+use alderway_operator::{self as operator, CoreCount, FORWARDER_QUOTA_FRACTION, OperatorConfig, Tier};
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, settings as control_settings};
 use alderway_router::gossip::{Circle, Members};
@@ -58,11 +58,11 @@
     subscription: Option<Subscription>,
     sharing: MulticoreConfig,
     form: LogFormat,
-    operator: Operator,
+    operator: OperatorConfig,
 }
 
 /// What the operator's file says, and its text.
-fn operator_at(path: Option<&Path>) -> Result<(Operator, String), String> {
+fn operator_at(path: Option<&Path>) -> Result<(OperatorConfig, String), String> {
     let Some(path) = path else { return Ok(Default::default()) };
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|why| format!("{name}: {why}"))?;
@@ -70,7 +70,7 @@
 }
 
 /// At a reload: whether the file now says something else. One that has not changed is not evaluated again.
-fn says_else(path: &Path, held: &Operator, held_text: &str) -> Result<bool, String> {
+fn says_else(path: &Path, held: &OperatorConfig, held_text: &str) -> Result<bool, String> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|why| format!("{name}: {why}"))?;
     if text == held_text {
@@ -92,28 +92,33 @@
 }
 
 /// The routers that this one knows, if the operator's file names any.
-fn circle(operator: &Operator, files: &Files, name: &str) -> Result<Option<Circle>, String> {
+fn circle(operator: &OperatorConfig, files: &Files, name: &str) -> Result<Option<Circle>, String> {
     let Some(peers) = &operator.peers else { return Ok(None) };
     if !peers.members.contains_key(name) {
         return Err(format!("`peers`: `members` does not name this router, `{name}`"));
     }
-    let operator::Peers { beat, pulse, stale, witnesses, verdicts, .. } = *peers;
-    let terms = Terms { beat, pulse, stale, witnesses, ..Terms::default() };
+    let terms = Terms {
+        beat: peers.send_interval_s,
+        pulse: peers.heartbeat_interval_s,
+        stale: peers.max_message_age_s,
+        witnesses: peers.required_witnesses,
+        ..Terms::default()
+    };
     let path = files.operator.clone();
     let again = path.map(|path| Arc::new(move || members(&path)) as Arc<_>);
-    Ok(Some(Circle { members: peers.members.clone(), terms, verdicts, again }))
+    Ok(Some(Circle { members: peers.members.clone(), terms, verdicts: peers.shares_node_health, again }))
 }
 
 /// The control machines that tell this router its settings, if the operator's file names any.
-fn subscription(operator: &Operator) -> Option<Subscription> {
+fn subscription(operator: &OperatorConfig) -> Option<Subscription> {
     let said = operator.subscription.as_ref()?;
-    let (zone, keep) = (said.zone.clone(), said.keep.clone().map(PathBuf::from));
+    let (zone, persist_path) = (said.zone.clone(), said.persist_path.clone().map(PathBuf::from));
     let config = SubscriptionConfig {
-        heartbeat_timeout_s: said.silent,
-        stale_after_s: said.old,
+        heartbeat_timeout_s: said.heartbeat_timeout_s,
+        stale_after_s: said.stale_after_s,
         ..SubscriptionConfig::default()
     };
-    let machines = said.control.iter().map(|(name, (at, zone))| {
+    let machines = said.servers.iter().map(|(name, (at, zone))| {
         let (name, zone) = (name.clone(), zone.clone());
         (ControlEndpoint { name, zone }, *at)
     });
@@ -121,7 +126,7 @@
         machines: machines.collect(),
         zone,
         config,
-        persist_path: keep,
+        persist_path,
         persisted: None,
         startup_error: None,
     })
@@ -150,9 +155,9 @@
     }
     // Shares that all routers hold together: planners have most, forwarders keep some back.
     let router_count = match &operator.tier {
-        Tier::Alone => None,
-        Tier::Forwarder { count, .. } => Some(*count as f64 / KEPT_BACK),
-        Tier::Planner { count } => Some(*count as f64 / (1.0 - KEPT_BACK)),
+        Tier::Standalone => None,
+        Tier::Forwarder { forwarder_count, .. } => Some(*forwarder_count as f64 / FORWARDER_QUOTA_FRACTION),
+        Tier::Planner { planner_count } => Some(*planner_count as f64 / (1.0 - FORWARDER_QUOTA_FRACTION)),
     };
     let router_count = router_count.map(|count| count.ceil() as u64);
     let (mut config, subscription) = startup_config(files, subscription(&operator), router_count, clock)
@@ -163,19 +168,21 @@
     }
     config.gossip = circle(&operator, files, &config.name)?;
     config.shard_map = operator.layouts.map(|l| ShardMapConfig {
-        retired_shard_grace_s: l.late_clients,
-        lagging_node_grace_s: l.lagging_nodes,
+        retired_shard_grace_s: l.retired_shard_grace_s,
+        lagging_node_grace_s: l.lagging_node_grace_s,
     });
     config.role = match operator.tier.clone() {
-        Tier::Alone => Role::Router,
-        Tier::Forwarder { planners, beat, patience, .. } => {
-            Role::Forwarder { planners, heartbeat_interval_s: beat, heartbeat_timeout_s: patience }
+        Tier::Standalone => Role::Router,
+        Tier::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s, .. } => {
+            Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s }
         }
         Tier::Planner { .. } => Role::Planner,
     };
     let cores = match operator.cores.count {
-        Count::Cores(cores) => cores,
-        Count::All => std::thread::available_parallelism().map_or(1, usize::from).min(operator::MOST_CORES),
+        CoreCount::Fixed(cores) => cores,
+        CoreCount::All => {
+            std::thread::available_parallelism().map_or(1, usize::from).min(operator::MAX_CORES)
+        }
     };
     let for_peers = config.gossip.as_ref().map_or(0, Circle::descriptors);
     let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
@@ -184,21 +191,21 @@
         let what = if for_peers > 0 { " and its peers" } else { "" };
         return Err(format!("key `limits.sockets`: {cores} cores{what} need {least} at least"));
     }
-    let (node_connections, evidence) = (operator.cores.node_connections, operator.cores.evidence);
-    if node_connections.is_some_and(|most| most < cores) {
+    let max_connections_per_node = operator.cores.max_connections_per_node;
+    if max_connections_per_node.is_some_and(|most| most < cores) {
         return Err(format!("`cores`: `node_connections` leaves some of {cores} cores without any"));
     }
-    let form = match operator.log {
-        LogForm::Text => LogFormat::Text,
-        LogForm::Json => LogFormat::Json,
+    let form = match operator.log_format {
+        operator::LogFormat::Text => LogFormat::Text,
+        operator::LogFormat::Json => LogFormat::Json,
     };
     Ok(Plan {
         config,
         subscription,
         sharing: MulticoreConfig {
             cores,
-            max_connections_per_node: node_connections,
-            shares_observations: evidence,
+            max_connections_per_node,
+            shares_observations: operator.cores.shares_observations,
         },
         form,
         operator,
@@ -214,21 +221,21 @@
         "each core's own"
     };
     let role = match &operator.tier {
-        Tier::Alone => "a router that decides by itself".to_string(),
-        Tier::Forwarder { planners, count, .. } => {
+        Tier::Standalone => "a router that decides by itself".to_string(),
+        Tier::Forwarder { planners, forwarder_count, .. } => {
             let all: Vec<String> = planners.iter().map(ToString::to_string).collect();
-            format!("one of {count} forwarders; planners at {}", all.join(", "))
+            format!("one of {forwarder_count} forwarders; planners at {}", all.join(", "))
         }
-        Tier::Planner { count } => format!("one of {count} planners"),
+        Tier::Planner { planner_count } => format!("one of {planner_count} planners"),
     };
     let peers = match &operator.peers {
         None => "none".to_string(),
         Some(peers) => format!(
             "{} others; a word is stale after {} s, {} have to say the same; told of data nodes: {}",
             peers.members.len() - 1,
-            peers.stale,
-            peers.witnesses,
-            if peers.verdicts { "sick or late" } else { "nothing" }
+            peers.max_message_age_s,
+            peers.required_witnesses,
+            if peers.shares_node_health { "sick or late" } else { "nothing" }
         ),
     };
     let settings = match (&operator.subscription, subscription) {
@@ -236,17 +243,17 @@
             format!(
                 "version {} as kept, then by {} control machines",
                 persisted.version.number,
-                said.control.len()
+                said.servers.len()
             )
         }
-        (Some(said), _) => format!("the configuration's, then by {} control machines", said.control.len()),
+        (Some(said), _) => format!("the configuration's, then by {} control machines", said.servers.len()),
         (None, _) => "the configuration's".to_string(),
     };
     let shards = match operator.layouts {
         None => "in the configuration's ring".to_string(),
         Some(layouts) => format!(
             "by layouts that discovery tells; {} s for late clients, {} s for lagging data nodes",
-            layouts.late_clients, layouts.lagging_nodes
+            layouts.retired_shard_grace_s, layouts.lagging_node_grace_s
         ),
     };
     [
@@ -265,7 +272,7 @@
         ("role", role),
         ("peers", peers),
         ("settings", settings),
-        ("log", format!("{:?}", operator.log).to_lowercase()),
+        ("log", format!("{:?}", operator.log_format).to_lowercase()),
     ]
     .map(|(what, value)| format!("{what}: {value}\n"))
     .concat()
--- a/crates/operator/src/arguments.rs
+++ b/crates/operator/src/arguments.rs
@@ -9,18 +9,17 @@
 ///
 /// # Errors
 /// Names the subject, the argument and what was found.
-pub fn whole(subject: &str, name: &str, value: Value, least: usize, most: usize) -> anyhow::Result<usize> {
-    let given =
-        value.unpack_i32().and_then(|v| usize::try_from(v).ok()).filter(|v| (least..=most).contains(v));
+pub fn integer(subject: &str, name: &str, value: Value, min: usize, max: usize) -> anyhow::Result<usize> {
+    let given = value.unpack_i32().and_then(|v| usize::try_from(v).ok()).filter(|v| (min..=max).contains(v));
     given.ok_or_else(|| {
         anyhow::anyhow!(
-            "`{subject}`: `{name}` is a whole number from {least} to {most}, found {}",
+            "`{subject}`: `{name}` is a whole number from {min} to {max}, found {}",
             value.to_repr()
         )
     })
 }
 
-/// Seconds from an argument in whole milliseconds, `usual` where it is not given.
+/// Seconds from an argument in whole milliseconds, `default_ms` where it is not given.
 ///
 /// # Errors
 /// Names the subject, the argument and what was found.
@@ -28,11 +27,11 @@
     subject: &str,
     name: &str,
     value: Option<Value>,
-    usual: usize,
+    default_ms: usize,
     bounds: RangeInclusive<usize>,
 ) -> anyhow::Result<f64> {
-    let (least, most) = bounds.into_inner();
-    let value = value.map_or(Ok(usual), |value| whole(subject, name, value, least, most))?;
+    let (min, max) = bounds.into_inner();
+    let value = value.map_or(Ok(default_ms), |value| integer(subject, name, value, min, max))?;
     Ok(value as f64 / 1e3)
 }
 
@@ -49,20 +48,21 @@
 ///
 /// # Errors
 /// Names the subject, the argument and what was found.
-pub fn addresses(subject: &str, what: &str, value: Value) -> anyhow::Result<BTreeMap<String, SocketAddr>> {
-    let wrong = || {
+pub fn addresses(subject: &str, name: &str, value: Value) -> anyhow::Result<BTreeMap<String, SocketAddr>> {
+    let invalid = || {
         let found = value.to_repr();
-        anyhow::anyhow!("`{subject}`: `{what}` gives names, each with its address:port, found {found}")
+        anyhow::anyhow!("`{subject}`: `{name}` gives names, each with its address:port, found {found}")
     };
-    let given = DictRef::from_value(value).ok_or_else(wrong)?;
-    let entry = |(name, at): (Value, Value)| {
-        let name = name.unpack_str().filter(|name| !name.is_empty() && name.len() <= 64)?;
-        Some((name.to_string(), at.unpack_str()?.parse().ok()?))
+    let given = DictRef::from_value(value).ok_or_else(invalid)?;
+    let entry = |(key, address): (Value, Value)| {
+        let key = key.unpack_str().filter(|key| !key.is_empty() && key.len() <= 64)?;
+        Some((key.to_string(), address.unpack_str()?.parse().ok()?))
     };
-    let all = given.iter().map(entry).collect::<Option<BTreeMap<String, SocketAddr>>>().ok_or_else(wrong)?;
-    let apart: BTreeSet<&SocketAddr> = all.values().filter(|at| at.port() > 0).collect();
-    if apart.len() < all.values().filter(|at| at.port() > 0).count() {
-        return Err(anyhow::anyhow!("`{subject}`: `{what}` gives one address twice"));
+    let all =
+        given.iter().map(entry).collect::<Option<BTreeMap<String, SocketAddr>>>().ok_or_else(invalid)?;
+    let distinct: BTreeSet<&SocketAddr> = all.values().filter(|at| at.port() > 0).collect();
+    if distinct.len() < all.values().filter(|at| at.port() > 0).count() {
+        return Err(anyhow::anyhow!("`{subject}`: `{name}` gives one address twice"));
     }
     Ok(all)
 }
--- a/crates/operator/src/statements.rs
+++ b/crates/operator/src/statements.rs
@@ -1,8 +1,8 @@
 //! The calls that an operator's file may make: each subject is said once, by its arguments.
-use crate::arguments::{addresses, flag, seconds, whole};
+use crate::arguments::{addresses, flag, integer, seconds};
 use crate::values::{
-    Control, Cores, Count, Layouts, LogForm, MOST_CONTROL, MOST_CORES, MOST_MEMBERS, MOST_TOLD_OF, Peers,
-    Subscription, Tier,
+    ControlConfig, CoreCount, CoresConfig, LayoutsConfig, LogFormat, MAX_CONTROL_SERVERS, MAX_CORES,
+    MAX_PEERS, MAX_SUBSCRIPTION_SERVERS, PeersConfig, SubscriptionConfig, Tier,
 };
 use starlark::any::ProvidesStaticType;
 use starlark::environment::GlobalsBuilder;
@@ -19,17 +19,17 @@
 
 /// What has been said so far.
 #[derive(Debug, Default, ProvidesStaticType)]
-pub struct Said {
-    pub cores: RefCell<Option<Cores>>,
-    pub log: RefCell<Option<LogForm>>,
-    pub layouts: RefCell<Option<Layouts>>,
+pub struct ParsedSections {
+    pub cores: RefCell<Option<CoresConfig>>,
+    pub log: RefCell<Option<LogFormat>>,
+    pub layouts: RefCell<Option<LayoutsConfig>>,
     pub tier: RefCell<Option<Tier>>,
-    pub peers: RefCell<Option<Peers>>,
-    pub control: RefCell<Option<Control>>,
-    pub subscription: RefCell<Option<Subscription>>,
+    pub peers: RefCell<Option<PeersConfig>>,
+    pub control: RefCell<Option<ControlConfig>>,
+    pub subscription: RefCell<Option<SubscriptionConfig>>,
 }
 
-impl Said {
+impl ParsedSections {
     /// Whether anything was said that is for a router, even if it is the default.
     pub fn concerns_router(&self) -> bool {
         self.cores.borrow().is_some()
@@ -40,14 +40,14 @@
     }
 }
 
-fn said<'a>(eval: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a Said> {
+fn sections<'a>(eval: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a ParsedSections> {
     eval.extra
-        .and_then(|e| e.downcast_ref::<Said>())
+        .and_then(|e| e.downcast_ref::<ParsedSections>())
         .ok_or_else(|| anyhow::anyhow!("not evaluated as a file"))
 }
 
 /// Keeps what a subject says; each is said once, so that no line of the file undoes another unseen.
-fn once<T>(slot: &RefCell<Option<T>>, subject: &str, value: T) -> anyhow::Result<NoneType> {
+fn set_once<T>(slot: &RefCell<Option<T>>, subject: &str, value: T) -> anyhow::Result<NoneType> {
     match slot.borrow_mut().replace(value) {
         None => Ok(NoneType),
         Some(_) => Err(anyhow::anyhow!("`{subject}`: said twice")),
@@ -55,7 +55,7 @@
 }
 
 #[starlark_module]
-pub fn subjects(globals: &mut GlobalsBuilder) {
+pub fn register_functions(globals: &mut GlobalsBuilder) {
     /// How many cores serve and how they share.
     fn cores<'v>(
         #[starlark(require = named)] count: Value<'v>,
@@ -64,16 +64,16 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let count = match count.unpack_str() {
-            Some("all") => Count::All,
+            Some("all") => CoreCount::All,
             Some(word) => {
                 return Err(anyhow::anyhow!("`cores`: `count` is a number or \"all\", found \"{word}\""));
             }
-            None => Count::Cores(whole("cores", "count", count, 1, MOST_CORES)?),
+            None => CoreCount::Fixed(integer("cores", "count", count, 1, MAX_CORES)?),
         };
         let node_connections = node_connections.filter(|v| !v.is_none());
         let node_connections =
-            node_connections.map(|v| whole("cores", "node_connections", v, 1, 65_536)).transpose()?;
-        if let (Count::Cores(cores), Some(most)) = (count, node_connections)
+            node_connections.map(|v| integer("cores", "node_connections", v, 1, 65_536)).transpose()?;
+        if let (CoreCount::Fixed(cores), Some(most)) = (count, node_connections)
             && most < cores
         {
             return Err(anyhow::anyhow!(
@@ -81,7 +81,11 @@
             ));
         }
         let evidence = evidence.map_or(Ok(true), |v| flag("cores", "evidence", v))?;
-        once(&said(eval)?.cores, "cores", Cores { count, node_connections, evidence })
+        set_once(
+            &sections(eval)?.cores,
+            "cores",
+            CoresConfig { count, max_connections_per_node: node_connections, shares_observations: evidence },
+        )
     }
 
     /// That shards lie by layouts which discovery tells, and how much lateness is allowed for.
@@ -90,9 +94,15 @@
         #[starlark(require = named)] lagging_nodes_ms: Option<Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let late_clients = seconds("layouts", "late_clients_ms", late_clients_ms, 2000, 0..=3_600_000)?;
-        let lagging_nodes = seconds("layouts", "lagging_nodes_ms", lagging_nodes_ms, 250, 10..=60_000)?;
-        once(&said(eval)?.layouts, "layouts", Layouts { late_clients, lagging_nodes })
+        let retired_shard_grace_s =
+            seconds("layouts", "late_clients_ms", late_clients_ms, 2000, 0..=3_600_000)?;
+        let lagging_node_grace_s =
+            seconds("layouts", "lagging_nodes_ms", lagging_nodes_ms, 250, 10..=60_000)?;
+        set_once(
+            &sections(eval)?.layouts,
+            "layouts",
+            LayoutsConfig { retired_shard_grace_s, lagging_node_grace_s },
+        )
     }
 
     /// That planners decide for this program.
@@ -103,23 +113,27 @@
         #[starlark(require = named)] patience_ms: Option<Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let wrong = || {
+        let invalid = || {
             anyhow::anyhow!("`forwarder`: `planners` is a list of address:port, found {}", planners.to_repr())
         };
-        let list = ListRef::from_value(planners).filter(|list| !list.is_empty()).ok_or_else(wrong)?;
+        let list = ListRef::from_value(planners).filter(|list| !list.is_empty()).ok_or_else(invalid)?;
         let address = |v: &Value<'v>| v.unpack_str().and_then(|text| text.parse().ok());
         let planners =
-            list.iter().map(|v| address(&v)).collect::<Option<Vec<SocketAddr>>>().ok_or_else(wrong)?;
+            list.iter().map(|v| address(&v)).collect::<Option<Vec<SocketAddr>>>().ok_or_else(invalid)?;
         if (1..planners.len()).any(|n| planners[..n].contains(&planners[n])) {
             return Err(anyhow::anyhow!("`forwarder`: `planners` names one twice"));
         }
-        let count = whole("forwarder", "count", count, 1, 10_000)?;
-        let beat = seconds("forwarder", "beat_ms", beat_ms, 50, 5..=10_000)?;
-        let patience = seconds("forwarder", "patience_ms", patience_ms, 250, 10..=60_000)?;
-        if patience < 2.0 * beat {
+        let forwarder_count = integer("forwarder", "count", count, 1, 10_000)?;
+        let heartbeat_interval_s = seconds("forwarder", "beat_ms", beat_ms, 50, 5..=10_000)?;
+        let heartbeat_timeout_s = seconds("forwarder", "patience_ms", patience_ms, 250, 10..=60_000)?;
+        if heartbeat_timeout_s < 2.0 * heartbeat_interval_s {
             return Err(anyhow::anyhow!("`forwarder`: `patience_ms` is under two beats"));
         }
-        once(&said(eval)?.tier, "forwarder or planner", Tier::Forwarder { planners, count, beat, patience })
+        set_once(
+            &sections(eval)?.tier,
+            "forwarder or planner",
+            Tier::Forwarder { planners, forwarder_count, heartbeat_interval_s, heartbeat_timeout_s },
+        )
     }
 
     /// That this program decides for forwarders.
@@ -127,8 +141,8 @@
         #[starlark(require = named)] count: Value<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let count = whole("planner", "count", count, 1, 1000)?;
-        once(&said(eval)?.tier, "forwarder or planner", Tier::Planner { count })
+        let planner_count = integer("planner", "count", count, 1, 1000)?;
+        set_once(&sections(eval)?.tier, "forwarder or planner", Tier::Planner { planner_count })
     }
 
     /// That this router is one of several that know each other.
@@ -142,38 +156,49 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let members = addresses("peers", "members", members)?;
-        if !(2..=MOST_MEMBERS).contains(&members.len()) {
+        if !(2..=MAX_PEERS).contains(&members.len()) {
             let found = members.len();
-            return Err(anyhow::anyhow!("`peers`: `members` are 2 to {MOST_MEMBERS}, found {found}"));
+            return Err(anyhow::anyhow!("`peers`: `members` are 2 to {MAX_PEERS}, found {found}"));
         }
-        let (beat, pulse) = (
+        let (send_interval_s, heartbeat_interval_s) = (
             seconds("peers", "beat_ms", beat_ms, 100, 5..=60_000)?,
             seconds("peers", "pulse_ms", pulse_ms, 1000, 5..=60_000)?,
         );
-        let stale = seconds("peers", "stale_ms", stale_ms, 2000, 5..=60_000)?;
-        if pulse < beat {
+        let max_message_age_s = seconds("peers", "stale_ms", stale_ms, 2000, 5..=60_000)?;
+        if heartbeat_interval_s < send_interval_s {
             return Err(anyhow::anyhow!("`peers`: `pulse_ms` is under `beat_ms`"));
         }
         // A word goes over as many links as the count of members has digits, and is said again at half its time.
-        let digits = (usize::BITS - (members.len() - 1).leading_zeros()).max(1);
-        if stale < 2.0 * beat * f64::from(digits + 1) {
+        let hops = (usize::BITS - (members.len() - 1).leading_zeros()).max(1);
+        if max_message_age_s < 2.0 * send_interval_s * f64::from(hops + 1) {
             return Err(anyhow::anyhow!(
                 "`peers`: `stale_ms` is too short for {} members and this `beat_ms`: {:.0} at least",
                 members.len(),
-                2e3 * beat * f64::from(digits + 1)
+                2e3 * send_interval_s * f64::from(hops + 1)
             ));
         }
-        let witnesses =
-            witnesses.map_or(Ok(2), |value| whole("peers", "witnesses", value, 1, MOST_MEMBERS))?;
-        if witnesses >= members.len() {
+        let required_witnesses =
+            witnesses.map_or(Ok(2), |value| integer("peers", "witnesses", value, 1, MAX_PEERS))?;
+        if required_witnesses >= members.len() {
             return Err(anyhow::anyhow!(
-                "`peers`: `witnesses` of {witnesses} need {} members at least, found {}",
-                witnesses + 1,
+                "`peers`: `witnesses` of {required_witnesses} need {} members at least, found {}",
+                required_witnesses + 1,
                 members.len()
             ));
         }
-        let verdicts = verdicts.map_or(Ok(true), |value| flag("peers", "verdicts", value))?;
-        once(&said(eval)?.peers, "peers", Peers { members, beat, pulse, stale, witnesses, verdicts })
+        let shares_node_health = verdicts.map_or(Ok(true), |value| flag("peers", "verdicts", value))?;
+        set_once(
+            &sections(eval)?.peers,
+            "peers",
+            PeersConfig {
+                members,
+                send_interval_s,
+                heartbeat_interval_s,
+                max_message_age_s,
+                required_witnesses,
+                shares_node_health,
+            },
+        )
     }
 
     /// That this program is a control machine.
@@ -189,32 +214,36 @@
             let text = value.unpack_str().filter(|text| !text.is_empty()).map(str::to_string);
             text.ok_or_else(|| anyhow::anyhow!("`control`: `{what}` is a text, found {}", value.to_repr()))
         };
-        let (name, data) = (text("name", name)?, text("data", data)?);
-        let members = addresses("control", "members", members)?;
-        let doors = addresses("control", "doors", doors)?;
-        if members.len() > MOST_CONTROL || members.len().is_multiple_of(2) {
-            let found = members.len();
+        let (name, data_path) = (text("name", name)?, text("data", data)?);
+        let replica_addresses = addresses("control", "members", members)?;
+        let admin_addresses = addresses("control", "doors", doors)?;
+        if replica_addresses.len() > MAX_CONTROL_SERVERS || replica_addresses.len().is_multiple_of(2) {
+            let found = replica_addresses.len();
             return Err(anyhow::anyhow!("`control`: `members` are 1, 3, 5 or 7, found {found}"));
         }
-        if !members.contains_key(&name) {
+        if !replica_addresses.contains_key(&name) {
             return Err(anyhow::anyhow!("`control`: `members` does not name this machine, `{name}`"));
         }
-        if !members.keys().eq(doors.keys()) {
+        if !replica_addresses.keys().eq(admin_addresses.keys()) {
             return Err(anyhow::anyhow!("`control`: `doors` does not name the same machines as `members`"));
         }
-        let routers = routers.map(|value| {
+        let router_address = routers.map(|value| {
             let at = value.unpack_str().and_then(|text| text.parse::<SocketAddr>().ok());
             at.ok_or_else(|| {
                 anyhow::anyhow!("`control`: `routers` is address:port, found {}", value.to_repr())
             })
         });
-        let routers = routers.transpose()?;
-        let own = [members.get(&name), doors.get(&name), routers.as_ref()];
+        let router_address = router_address.transpose()?;
+        let own = [replica_addresses.get(&name), admin_addresses.get(&name), router_address.as_ref()];
         let own: Vec<&SocketAddr> = own.into_iter().flatten().filter(|at| at.port() > 0).collect();
         if own.iter().collect::<BTreeSet<_>>().len() < own.len() {
             return Err(anyhow::anyhow!("`control`: this machine has one address for two things"));
         }
-        once(&said(eval)?.control, "control", Control { name, members, doors, data, routers })
+        set_once(
+            &sections(eval)?.control,
+            "control",
+            ControlConfig { name, replica_addresses, admin_addresses, data_path, router_address },
+        )
     }
 
     /// That control machines tell this router its settings.
@@ -226,34 +255,34 @@
         #[starlark(require = named)] old_ms: Option<Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let wrong = || {
+        let invalid = || {
             let found = control.to_repr();
             anyhow::anyhow!(
                 "`subscription`: `control` gives names, each with its address:port or (address:port, zone), found {found}"
             )
         };
-        let word = |value: Value<'v>| {
+        let short_string = |value: Value<'v>| {
             let text = value.unpack_str().filter(|text| !text.is_empty() && text.len() <= 64)?;
             Some(text.to_string())
         };
         let entry = |(name, at): (Value<'v>, Value<'v>)| {
             let (at, zone) = match TupleRef::from_value(at) {
-                Some(pair) if pair.len() == 2 => (pair.content()[0], word(pair.content()[1])?),
+                Some(pair) if pair.len() == 2 => (pair.content()[0], short_string(pair.content()[1])?),
                 Some(_) => return None,
                 None => (at, String::new()),
             };
-            Some((word(name)?, (at.unpack_str()?.parse().ok()?, zone)))
+            Some((short_string(name)?, (at.unpack_str()?.parse().ok()?, zone)))
         };
-        let given = DictRef::from_value(control).ok_or_else(wrong)?;
-        let control = given.iter().map(entry).collect::<Option<BTreeMap<_, _>>>().ok_or_else(wrong)?;
-        if !(1..=MOST_TOLD_OF).contains(&control.len()) {
-            let found = control.len();
+        let given = DictRef::from_value(control).ok_or_else(invalid)?;
+        let servers = given.iter().map(entry).collect::<Option<BTreeMap<_, _>>>().ok_or_else(invalid)?;
+        if !(1..=MAX_SUBSCRIPTION_SERVERS).contains(&servers.len()) {
+            let found = servers.len();
             return Err(anyhow::anyhow!(
-                "`subscription`: `control` names 1 to {MOST_TOLD_OF} machines, found {found}"
+                "`subscription`: `control` names 1 to {MAX_SUBSCRIPTION_SERVERS} machines, found {found}"
             ));
         }
-        let addresses: BTreeSet<SocketAddr> = control.values().map(|(at, _)| *at).collect();
-        if addresses.len() < control.len() {
+        let addresses: BTreeSet<SocketAddr> = servers.values().map(|(at, _)| *at).collect();
+        if addresses.len() < servers.len() {
             return Err(anyhow::anyhow!("`subscription`: `control` gives one address twice"));
         }
         let text = |name, value: Option<Value<'v>>| match value.filter(|value| !value.is_none()) {
@@ -267,18 +296,22 @@
             },
         };
         let zone = text("zone", zone)?.unwrap_or_default();
-        if !zone.is_empty() && !control.values().any(|(_, of)| *of == zone) {
+        if !zone.is_empty() && !servers.values().any(|(_, of)| *of == zone) {
             return Err(anyhow::anyhow!("`subscription`: no machine of `control` is in `zone` \"{zone}\""));
         }
-        let keep = text("keep", keep)?;
+        let persist_path = text("keep", keep)?;
         // A machine answers a pulse a second.
-        let silent = seconds("subscription", "silent_ms", silent_ms, 3000, 2000..=60_000)?;
-        let old = seconds("subscription", "old_ms", old_ms, 10_000, 2000..=86_400_000)?;
-        if old < silent {
+        let heartbeat_timeout_s = seconds("subscription", "silent_ms", silent_ms, 3000, 2000..=60_000)?;
+        let stale_after_s = seconds("subscription", "old_ms", old_ms, 10_000, 2000..=86_400_000)?;
+        if stale_after_s < heartbeat_timeout_s {
             return Err(anyhow::anyhow!("`subscription`: `old_ms` is under `silent_ms`"));
         }
-        let said = said(eval)?;
-        once(&said.subscription, "subscription", Subscription { control, zone, keep, silent, old })
+        let sections = sections(eval)?;
+        set_once(
+            &sections.subscription,
+            "subscription",
+            SubscriptionConfig { servers, zone, persist_path, heartbeat_timeout_s, stale_after_s },
+        )
     }
 
     /// How the log is written.
@@ -287,8 +320,8 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let form = match form.unpack_str() {
-            Some("text") => LogForm::Text,
-            Some("json") => LogForm::Json,
+            Some("text") => LogFormat::Text,
+            Some("json") => LogFormat::Json,
             _ => {
                 return Err(anyhow::anyhow!(
                     "`log`: `form` is \"text\" or \"json\", found {}",
@@ -296,6 +329,6 @@
                 ));
             }
         };
-        once(&said(eval)?.log, "log", form)
+        set_once(&sections(eval)?.log, "log", form)
     }
 }
--- a/crates/operator/tests/reference_file.rs
+++ b/crates/operator/tests/reference_file.rs
@@ -1,6 +1,9 @@
 //! Operators' files with every key that they may hold, read from `data/` and compared field by field. Several files, as some
 //! subjects exclude each other.
-use alderway_operator::{Control, Cores, Count, Layouts, LogForm, Operator, Peers, Subscription, Tier, read};
+use alderway_operator::{
+    ControlConfig, CoreCount, CoresConfig, LayoutsConfig, LogFormat, OperatorConfig, PeersConfig,
+    SubscriptionConfig, Tier, read,
+};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,23 +18,27 @@
 
 #[rstest]
 fn every_key_of_a_router_on_several_cores() {
-    let expected = Operator {
-        cores: Cores { count: Count::Cores(4), node_connections: Some(16), evidence: false },
-        log: LogForm::Json,
-        layouts: Some(Layouts { late_clients: 1.5, lagging_nodes: 0.125 }),
-        tier: Tier::Alone,
+    let expected = OperatorConfig {
+        cores: CoresConfig {
+            count: CoreCount::Fixed(4),
+            max_connections_per_node: Some(16),
+            shares_observations: false,
+        },
+        log_format: LogFormat::Json,
+        layouts: Some(LayoutsConfig { retired_shard_grace_s: 1.5, lagging_node_grace_s: 0.125 }),
+        tier: Tier::Standalone,
         peers: None,
         control: None,
-        subscription: Some(Subscription {
-            control: BTreeMap::from([
+        subscription: Some(SubscriptionConfig {
+            servers: BTreeMap::from([
                 ("c1".to_string(), (address("10.0.0.1:7300"), "z1".to_string())),
                 ("c2".to_string(), (address("[2001:db8::2]:7300"), "z2".to_string())),
                 ("c3".to_string(), (address("10.2.0.1:7300"), String::new())),
             ]),
             zone: "z1".into(),
-            keep: Some("/var/lib/alderway/version".into()),
-            silent: 2.5,
-            old: 9.0,
+            persist_path: Some("/var/lib/alderway/version".into()),
+            heartbeat_timeout_s: 2.5,
+            stale_after_s: 9.0,
         }),
     };
     assert_eq!(read("router.star", include_str!("data/router.star")), Ok(expected));
@@ -39,23 +46,27 @@
 
 #[rstest]
 fn every_key_of_a_router_that_knows_its_peers() {
-    let expected = Operator {
-        cores: Cores { count: Count::Cores(1), node_connections: None, evidence: true },
-        log: LogForm::Text,
+    let expected = OperatorConfig {
+        cores: CoresConfig {
+            count: CoreCount::Fixed(1),
+            max_connections_per_node: None,
+            shares_observations: true,
+        },
+        log_format: LogFormat::Text,
         layouts: None,
-        tier: Tier::Alone,
-        peers: Some(Peers {
+        tier: Tier::Standalone,
+        peers: Some(PeersConfig {
             members: addresses([
                 ("n0", "10.0.0.1:7000"),
                 ("n1", "10.0.0.2:7000"),
                 ("n2", "10.0.0.3:7000"),
                 ("n3", "[::1]:7000"),
             ]),
-            beat: 0.05,
-            pulse: 0.5,
-            stale: 1.5,
-            witnesses: 3,
-            verdicts: false,
+            send_interval_s: 0.05,
+            heartbeat_interval_s: 0.5,
+            max_message_age_s: 1.5,
+            required_witnesses: 3,
+            shares_node_health: false,
         }),
         control: None,
         subscription: None,
@@ -65,15 +76,19 @@
 
 #[rstest]
 fn every_key_of_a_forwarder() {
-    let expected = Operator {
-        cores: Cores { count: Count::Cores(1), node_connections: None, evidence: true },
-        log: LogForm::Text,
+    let expected = OperatorConfig {
+        cores: CoresConfig {
+            count: CoreCount::Fixed(1),
+            max_connections_per_node: None,
+            shares_observations: true,
+        },
+        log_format: LogFormat::Text,
         layouts: None,
         tier: Tier::Forwarder {
             planners: vec![address("10.0.0.5:6000"), address("10.0.0.6:6000")],
-            count: 8,
-            beat: 0.025,
-            patience: 0.125,
+            forwarder_count: 8,
+            heartbeat_interval_s: 0.025,
+            heartbeat_timeout_s: 0.125,
         },
         peers: None,
         control: None,
@@ -84,11 +99,15 @@
 
 #[rstest]
 fn every_key_of_a_planner() {
-    let expected = Operator {
-        cores: Cores { count: Count::Cores(1), node_connections: None, evidence: true },
-        log: LogForm::Text,
+    let expected = OperatorConfig {
+        cores: CoresConfig {
+            count: CoreCount::Fixed(1),
+            max_connections_per_node: None,
+            shares_observations: true,
+        },
+        log_format: LogFormat::Text,
         layouts: None,
-        tier: Tier::Planner { count: 2 },
+        tier: Tier::Planner { planner_count: 2 },
         peers: None,
         control: None,
         subscription: None,
@@ -98,18 +117,30 @@
 
 #[rstest]
 fn every_key_of_a_control_machine() {
-    let expected = Operator {
-        cores: Cores { count: Count::Cores(1), node_connections: None, evidence: true },
-        log: LogForm::Json,
+    let expected = OperatorConfig {
+        cores: CoresConfig {
+            count: CoreCount::Fixed(1),
+            max_connections_per_node: None,
+            shares_observations: true,
+        },
+        log_format: LogFormat::Json,
         layouts: None,
-        tier: Tier::Alone,
+        tier: Tier::Standalone,
         peers: None,
-        control: Some(Control {
+        control: Some(ControlConfig {
             name: "c1".into(),
-            members: addresses([("c1", "10.0.0.1:7100"), ("c2", "10.1.0.1:7100"), ("c3", "10.2.0.1:7100")]),
-            doors: addresses([("c1", "10.0.0.1:7200"), ("c2", "10.1.0.1:7200"), ("c3", "10.2.0.1:7200")]),
-            data: "/var/lib/alderway".into(),
-            routers: Some(address("10.0.0.1:7300")),
+            replica_addresses: addresses([
+                ("c1", "10.0.0.1:7100"),
+                ("c2", "10.1.0.1:7100"),
+                ("c3", "10.2.0.1:7100"),
+            ]),
+            admin_addresses: addresses([
+                ("c1", "10.0.0.1:7200"),
+                ("c2", "10.1.0.1:7200"),
+                ("c3", "10.2.0.1:7200"),
+            ]),
+            data_path: "/var/lib/alderway".into(),
+            router_address: Some(address("10.0.0.1:7300")),
         }),
         subscription: None,
     };
@@ -118,19 +149,23 @@
 
 #[rstest]
 fn defaults_of_a_router() {
-    let expected = Operator {
-        cores: Cores { count: Count::All, node_connections: None, evidence: true },
-        log: LogForm::Text,
-        layouts: Some(Layouts { late_clients: 2.0, lagging_nodes: 0.25 }),
-        tier: Tier::Alone,
+    let expected = OperatorConfig {
+        cores: CoresConfig {
+            count: CoreCount::All,
+            max_connections_per_node: None,
+            shares_observations: true,
+        },
+        log_format: LogFormat::Text,
+        layouts: Some(LayoutsConfig { retired_shard_grace_s: 2.0, lagging_node_grace_s: 0.25 }),
+        tier: Tier::Standalone,
         peers: None,
         control: None,
-        subscription: Some(Subscription {
-            control: BTreeMap::from([("c1".to_string(), (address("10.0.0.1:7300"), String::new()))]),
+        subscription: Some(SubscriptionConfig {
+            servers: BTreeMap::from([("c1".to_string(), (address("10.0.0.1:7300"), String::new()))]),
             zone: String::new(),
-            keep: None,
-            silent: 3.0,
-            old: 10.0,
+            persist_path: None,
+            heartbeat_timeout_s: 3.0,
+            stale_after_s: 10.0,
         }),
     };
     assert_eq!(read("defaults.star", include_str!("data/defaults.star")), Ok(expected));
@@ -138,37 +173,41 @@
 
 #[rstest]
 fn defaults_of_a_router_that_knows_its_peers() {
-    let expected = Some(Peers {
+    let expected = Some(PeersConfig {
         members: addresses([("n0", "10.0.0.1:7000"), ("n1", "10.0.0.2:7000"), ("n2", "10.0.0.3:7000")]),
-        beat: 0.1,
-        pulse: 1.0,
-        stale: 2.0,
-        witnesses: 2,
-        verdicts: true,
+        send_interval_s: 0.1,
+        heartbeat_interval_s: 1.0,
+        max_message_age_s: 2.0,
+        required_witnesses: 2,
+        shares_node_health: true,
     });
     let given = read("gossip_defaults.star", include_str!("data/gossip_defaults.star")).expect("a good file");
-    assert_eq!(given, Operator { peers: expected, ..Operator::default() });
+    assert_eq!(given, OperatorConfig { peers: expected, ..OperatorConfig::default() });
 }
 
 #[rstest]
 fn defaults_of_a_forwarder() {
-    let expected =
-        Tier::Forwarder { planners: vec![address("10.0.0.5:6000")], count: 3, beat: 0.05, patience: 0.25 };
+    let expected = Tier::Forwarder {
+        planners: vec![address("10.0.0.5:6000")],
+        forwarder_count: 3,
+        heartbeat_interval_s: 0.05,
+        heartbeat_timeout_s: 0.25,
+    };
     let given =
         read("forwarder_defaults.star", include_str!("data/forwarder_defaults.star")).expect("a good file");
-    assert_eq!(given, Operator { tier: expected, ..Operator::default() });
+    assert_eq!(given, OperatorConfig { tier: expected, ..OperatorConfig::default() });
 }
 
 #[rstest]
 fn defaults_of_a_control_machine() {
-    let expected = Some(Control {
+    let expected = Some(ControlConfig {
         name: "c1".into(),
-        members: addresses([("c1", "10.0.0.1:7100")]),
-        doors: addresses([("c1", "10.0.0.1:7200")]),
-        data: "/var/lib/alderway".into(),
-        routers: None,
+        replica_addresses: addresses([("c1", "10.0.0.1:7100")]),
+        admin_addresses: addresses([("c1", "10.0.0.1:7200")]),
+        data_path: "/var/lib/alderway".into(),
+        router_address: None,
     });
     let given =
         read("control_defaults.star", include_str!("data/control_defaults.star")).expect("a good file");
-    assert_eq!(given, Operator { control: expected, ..Operator::default() });
+    assert_eq!(given, OperatorConfig { control: expected, ..OperatorConfig::default() });
 }
--- a/crates/operator/tests/stories.rs
+++ b/crates/operator/tests/stories.rs
@@ -1,12 +1,12 @@
 //! Stories of operator's files: what they may say, and what is told of faulty ones.
-use alderway_operator::{Count, LogForm, Operator, Tier, read};
+use alderway_operator::{CoreCount, LogFormat, OperatorConfig, Tier, read};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
 #[rstest]
 fn a_file_that_says_nothing_changes_nothing() {
-    assert_eq!(read("f", "# Nothing yet.\n"), Ok(Operator::default()));
+    assert_eq!(read("f", "# Nothing yet.\n"), Ok(OperatorConfig::default()));
 }
 
 #[rstest]
@@ -15,25 +15,35 @@
         read("f", "per_core = 2\ncores(count = 4, node_connections = 4 * per_core)\nlog(form = \"json\")\n");
     let said = said.expect("a good file");
     let cores = said.cores;
-    assert_eq!((cores.count, cores.node_connections, cores.evidence), (Count::Cores(4), Some(8), true));
-    assert_eq!(said.log, LogForm::Json);
+    assert_eq!(
+        (cores.count, cores.max_connections_per_node, cores.shares_observations),
+        (CoreCount::Fixed(4), Some(8), true)
+    );
+    assert_eq!(said.log_format, LogFormat::Json);
 }
 
 #[rstest]
 fn layouts_have_spans_in_seconds_that_a_file_may_leave_out() {
     let usual = read("f", "layouts()").expect("a good file").layouts.expect("said");
-    assert_eq!((usual.late_clients, usual.lagging_nodes), (2.0, 0.25));
+    assert_eq!((usual.retired_shard_grace_s, usual.lagging_node_grace_s), (2.0, 0.25));
     let said = read("f", "layouts(late_clients_ms = 0, lagging_nodes_ms = 100)").expect("a good file");
-    assert_eq!(said.layouts.map(|l| (l.late_clients, l.lagging_nodes)), Some((0.0, 0.1)));
+    assert_eq!(said.layouts.map(|l| (l.retired_shard_grace_s, l.lagging_node_grace_s)), Some((0.0, 0.1)));
 }
 
 #[rstest]
 fn a_program_is_one_of_the_two_levels_or_neither() {
     let said =
         read("f", "forwarder(planners = [\"10.0.0.5:6000\", \"[::1]:7\"], count = 8)").expect("a good file");
-    let Tier::Forwarder { planners, count: 8, beat, patience } = said.tier else { panic!("{:?}", said.tier) };
-    assert_eq!((planners.len(), beat, patience), (2, 0.05, 0.25));
-    assert_eq!(read("f", "planner(count = 2)").expect("a good file").tier, Tier::Planner { count: 2 });
+    let Tier::Forwarder { planners, forwarder_count: 8, heartbeat_interval_s, heartbeat_timeout_s } =
+        said.tier
+    else {
+        panic!("{:?}", said.tier)
+    };
+    assert_eq!((planners.len(), heartbeat_interval_s, heartbeat_timeout_s), (2, 0.05, 0.25));
+    assert_eq!(
+        read("f", "planner(count = 2)").expect("a good file").tier,
+        Tier::Planner { planner_count: 2 }
+    );
 }
 
 #[rstest]
@@ -127,7 +137,7 @@
     #[test]
     fn any_count_is_taken_or_refused(count in any::<i64>()) {
         match read("f", &format!("cores(count = {count})")) {
-            Ok(said) => prop_assert_eq!(said.cores.count, Count::Cores(count as usize)),
+            Ok(said) => prop_assert_eq!(said.cores.count, CoreCount::Fixed(count as usize)),
             Err(why) => prop_assert!(!(1..=128).contains(&count) && why.contains("`count`"), "{}", why),
         }
     }
@@ -139,8 +149,8 @@
         read("f", "peers(members = {\"a\": \"127.0.0.1:1\", \"b\": \"[::1]:2\", \"c\": \"127.0.0.1:0\"})");
     let peers = said.expect("a good file").peers.expect("said");
     assert_eq!(peers.members.keys().collect::<Vec<_>>(), ["a", "b", "c"]);
-    assert_eq!((peers.beat, peers.pulse, peers.stale), (0.1, 1.0, 2.0));
-    assert_eq!((peers.witnesses, peers.verdicts), (2, true));
+    assert_eq!((peers.send_interval_s, peers.heartbeat_interval_s, peers.max_message_age_s), (0.1, 1.0, 2.0));
+    assert_eq!((peers.required_witnesses, peers.shares_node_health), (2, true));
 }
 
 #[rstest]
@@ -186,9 +196,12 @@
 #[rstest]
 fn a_control_machine_has_its_members_doors_and_folder() {
     let said = read("f", CONTROL).expect("a good file").control.expect("said");
-    assert_eq!((said.name.as_str(), said.members.len(), said.data.as_str()), ("c1", 3, "/var/lib/alderway"));
-    assert_eq!(said.doors.get("c2").map(ToString::to_string), Some("10.0.0.2:7200".into()));
-    assert_eq!(said.routers.map(|at| at.port()), Some(7300));
+    assert_eq!(
+        (said.name.as_str(), said.replica_addresses.len(), said.data_path.as_str()),
+        ("c1", 3, "/var/lib/alderway")
+    );
+    assert_eq!(said.admin_addresses.get("c2").map(ToString::to_string), Some("10.0.0.2:7200".into()));
+    assert_eq!(said.router_address.map(|at| at.port()), Some(7300));
 }
 
 #[rstest]
@@ -222,14 +235,14 @@
 fn a_subscription_names_control_machines_with_their_zones() {
     let said = read("f", "subscription(control = {\"c1\": \"10.0.0.1:7201\", \"c2\": \"[::1]:7201\"})");
     let said = said.expect("a good file").subscription.expect("said");
-    assert_eq!((said.control.len(), said.zone.as_str(), &said.keep), (2, "", &None));
-    assert_eq!((said.silent, said.old), (3.0, 10.0));
+    assert_eq!((said.servers.len(), said.zone.as_str(), &said.persist_path), (2, "", &None));
+    assert_eq!((said.heartbeat_timeout_s, said.stale_after_s), (3.0, 10.0));
     let text = "subscription(control = {\"c1\": (\"10.0.0.1:7201\", \"z1\"), \"c2\": (\"10.0.0.2:7201\", \"z2\")}, \
                 zone = \"z2\", keep = \"/var/lib/version\", silent_ms = 4000, old_ms = 60000)";
     let said = read("f", text).expect("a good file").subscription.expect("said");
-    assert_eq!(said.control["c2"], ("10.0.0.2:7201".parse().expect("an address"), "z2".into()));
-    assert_eq!((said.zone.as_str(), said.keep.as_deref()), ("z2", Some("/var/lib/version")));
-    assert_eq!((said.silent, said.old), (4.0, 60.0));
+    assert_eq!(said.servers["c2"], ("10.0.0.2:7201".parse().expect("an address"), "z2".into()));
+    assert_eq!((said.zone.as_str(), said.persist_path.as_deref()), ("z2", Some("/var/lib/version")));
+    assert_eq!((said.heartbeat_timeout_s, said.stale_after_s), (4.0, 60.0));
     // It goes with several cores.
     assert!(read("f", "cores(count = 2)\nsubscription(control = {\"c\": \"1.1.1.1:1\"})").is_ok());
 }
