--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -385,7 +385,7 @@
 #[case::two(
     "control",
     "control(name = \"a\", data = \"d\", members = {}, doors = {})",
-    "`members` are 1, 3, 5 or 7, found 0"
+    "`members` must have 1, 3, 5 or 7 entries, found 0"
 )]
 #[case::a_routers(
     "check",
--- a/crates/operator/src/arguments.rs
+++ b/crates/operator/src/arguments.rs
@@ -1,57 +1,59 @@
-//! Arguments of the calls in an operator's file, checked one by one.
+//! Checks of the single arguments of the calls in an operator's file.
 use starlark::values::Value;
 use starlark::values::dict::DictRef;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// A whole number from `least` to `most`.
+/// An integer from `min` to `max`.
 ///
 /// # Errors
-/// Names the subject, the argument and what was found.
-pub fn integer(subject: &str, name: &str, value: Value, min: usize, max: usize) -> anyhow::Result<usize> {
+/// Names the section, the argument and the value found.
+pub fn integer(section: &str, name: &str, value: Value, min: usize, max: usize) -> anyhow::Result<usize> {
     let given = value.unpack_i32().and_then(|v| usize::try_from(v).ok()).filter(|v| (min..=max).contains(v));
     given.ok_or_else(|| {
         anyhow::anyhow!(
-            "`{subject}`: `{name}` is a whole number from {min} to {max}, found {}",
+            "`{section}`: `{name}` must be a whole number from {min} to {max}, found {}",
             value.to_repr()
         )
     })
 }
 
-/// Seconds from an argument in whole milliseconds, `default_ms` where it is not given.
+/// Converts an argument in integer milliseconds, or `default_ms` if it is missing, to seconds.
 ///
 /// # Errors
-/// Names the subject, the argument and what was found.
+/// Names the section, the argument and the value found.
 pub fn seconds(
-    subject: &str,
+    section: &str,
     name: &str,
     value: Option<Value>,
     default_ms: usize,
     bounds: RangeInclusive<usize>,
 ) -> anyhow::Result<f64> {
     let (min, max) = bounds.into_inner();
-    let value = value.map_or(Ok(default_ms), |value| integer(subject, name, value, min, max))?;
+    let value = value.map_or(Ok(default_ms), |value| integer(section, name, value, min, max))?;
     Ok(value as f64 / 1e3)
 }
 
 /// True or False.
 ///
 /// # Errors
-/// Names the subject, the argument and what was found.
-pub fn flag(subject: &str, name: &str, value: Value) -> anyhow::Result<bool> {
+/// Names the section, the argument and the value found.
+pub fn flag(section: &str, name: &str, value: Value) -> anyhow::Result<bool> {
     let given = value.unpack_bool();
-    given.ok_or_else(|| anyhow::anyhow!("`{subject}`: `{name}` is True or False, found {}", value.to_repr()))
+    given.ok_or_else(|| {
+        anyhow::anyhow!("`{section}`: `{name}` must be True or False, found {}", value.to_repr())
+    })
 }
 
-/// Names, each with its own address.
+/// A dict from names to distinct addresses; port 0, which stands for any free port, may repeat.
 ///
 /// # Errors
-/// Names the subject, the argument and what was found.
-pub fn addresses(subject: &str, name: &str, value: Value) -> anyhow::Result<BTreeMap<String, SocketAddr>> {
+/// Names the section, the argument and the value found.
+pub fn addresses(section: &str, name: &str, value: Value) -> anyhow::Result<BTreeMap<String, SocketAddr>> {
     let invalid = || {
         let found = value.to_repr();
-        anyhow::anyhow!("`{subject}`: `{name}` gives names, each with its address:port, found {found}")
+        anyhow::anyhow!("`{section}`: `{name}` must map names to address:port, found {found}")
     };
     let given = DictRef::from_value(value).ok_or_else(invalid)?;
     let entry = |(key, address): (Value, Value)| {
@@ -62,7 +64,7 @@
         given.iter().map(entry).collect::<Option<BTreeMap<String, SocketAddr>>>().ok_or_else(invalid)?;
     let distinct: BTreeSet<&SocketAddr> = all.values().filter(|at| at.port() > 0).collect();
     if distinct.len() < all.values().filter(|at| at.port() > 0).count() {
-        return Err(anyhow::anyhow!("`{subject}`: `{name}` gives one address twice"));
+        return Err(anyhow::anyhow!("`{section}`: `{name}` contains a duplicate address"));
     }
     Ok(all)
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operator's file: one Starlark script that says how an installation departs from what the platform runs. It is
-//! evaluated once, with bounded steps, memory and depth, into plain values; it can read nothing, reach nothing and
-//! load no other file. `read` takes its text and gives the values, or one line that names the file, the line and what
-//! is at fault. Whatever the file does not say is as without a file.
+//! The operator's file: a Starlark script with the settings of an installation that differ from the platform's defaults. It
+//! is evaluated once, with limits on steps, memory and call depth, into plain values. The script has no access to files,
+//! the network or other modules. `read` evaluates its text and returns the values, or a one-line error with the file, the
+//! line and the reason. Settings that the file does not contain have their defaults.
 //!
-//! Each subject is a call, made once: `cores(count = 4)`, `log(form = "json")`. A name that is not known, a value of
-//! another type, a subject said twice and statements that contradict each other are refused.
+//! Each section is a function call, which may appear once: `cores(count = 4)`, `log(form = "json")`. Unknown names, values of
+//! the wrong type, repeated sections and contradicting sections are rejected.
 mod arguments;
 mod statements;
 mod values;
@@ -25,40 +25,47 @@
 use std::thread::Builder;
 use std::time::Duration;
 
-/// Bounds of an evaluation: far beyond what any list of values needs, and over within a fraction of a second.
+/// Limits of an evaluation. They exceed what a list of settings needs by far, and are reached within a fraction of a second.
 const MAX_TICKS: u64 = 200_000;
 const MAX_HEAP_BYTES: usize = 16 * 1024 * 1024;
 const MAX_CALL_DEPTH: usize = 32;
 const TIMEOUT: Duration = Duration::from_secs(3);
 const THREAD_NAME: &str = "operator's file";
-/// A longer file is no list of values.
+/// A list of settings is far shorter.
 const MAX_FILE_BYTES: usize = 256 * 1024;
 
-/// Reads a file's text; `name` is how errors call it.
+/// Evaluates the text of an operator's file. `name` is the name of the file in error messages.
 ///
-/// Steps and memory are counted between steps only. Guards against one step that asks for gigabytes, as a text
-/// multiplied by a million times a million does: the script runs on a thread of its own, whose panic is an error and
-/// whose end is not waited for beyond a bound.
+/// The limits on steps and memory are checked between steps only. Guards against a single step that allocates gigabytes,
+/// such as a string multiplied by a million times a million: the script runs on its own thread, whose panic is returned as
+/// an error, and which is not waited for after a timeout.
+///
+/// # Errors
+/// One line with the file, the line if it is known, and the reason.
 pub fn read(name: &str, text: &str) -> Result<OperatorConfig, String> {
     if text.len() > MAX_FILE_BYTES {
         return Err(format!("{name}: longer than {MAX_FILE_BYTES} bytes"));
     }
     silence_panics();
-    let (sender, result) = channel();
+    let (sender, receiver) = channel();
     let (owned_name, owned_text) = (name.to_string(), text.to_string());
     let thread = Builder::new().name(THREAD_NAME.into());
     thread
         .spawn(move || drop(sender.send(evaluate(&owned_name, &owned_text))))
-        .map_err(|why| format!("{name}: no thread to evaluate it on ({why})"))?;
-    result.recv_timeout(TIMEOUT).unwrap_or_else(|why| {
-        Err(match why {
-            RecvTimeoutError::Timeout => format!("{name}: not evaluated within {} s", TIMEOUT.as_secs()),
-            RecvTimeoutError::Disconnected => format!("{name}: asks for more memory than a file may"),
+        .map_err(|error| format!("{name}: cannot start a thread to evaluate the file: {error}"))?;
+    receiver.recv_timeout(TIMEOUT).unwrap_or_else(|error| {
+        Err(match error {
+            RecvTimeoutError::Timeout => {
+                format!("{name}: evaluation timed out after {} s", TIMEOUT.as_secs())
+            }
+            RecvTimeoutError::Disconnected => {
+                format!("{name}: evaluation panicked, probably because it requested too much memory")
+            }
         })
     })
 }
 
-/// A script's panic is told as an error, not as a trace.
+/// Prints no backtrace for a panic of a script, which is returned as an error.
 fn silence_panics() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
@@ -79,13 +86,12 @@
     let sections = ParsedSections::default();
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
-        let bounded = (|| {
+        let limited = (|| {
             eval.set_max_tick_count(MAX_TICKS)?;
             eval.set_max_heap_size(MAX_HEAP_BYTES)?;
             eval.set_max_callstack_size(MAX_CALL_DEPTH)
         })();
-        bounded.map_err(|error| format!("{name}: {error}"))?;
-        // What a file prints is nobody's.
+        limited.map_err(|error| format!("{name}: {error}"))?;
         eval.set_print_handler(&DiscardOutput);
         eval.extra = Some(&sections);
         eval.eval_module(ast, &globals).map(drop).map_err(|error| format_error(name, &error))
@@ -104,27 +110,30 @@
     Ok(config)
 }
 
-/// What may not be said in one file; `concerns_router` is whether anything of it is for a router.
+/// Rejects sections that can't be used together. `concerns_router` says whether any section configures a router.
 fn check_combination(config: &OperatorConfig, concerns_router: bool) -> Result<(), &'static str> {
     let OperatorConfig { cores, layouts, tier, peers, control, subscription, .. } = config;
     let (is_tiered, has_one_core) = (*tier != Tier::Standalone, cores.count == CoreCount::Fixed(1));
     match () {
         _ if control.is_some() && concerns_router => {
-            Err("`control` is of a program of its own: it goes with `log` only")
+            Err("`control` configures a control server and can only be combined with `log`")
         }
         _ if is_tiered && layouts.is_some() => {
-            Err("`layouts` goes with neither `forwarder` nor `planner` yet")
+            Err("`layouts` can't be combined with `forwarder` or `planner` yet")
+        }
+        _ if is_tiered && !has_one_core => Err("`forwarder` and `planner` require one core"),
+        _ if is_tiered && peers.is_some() => {
+            Err("`peers` can't be combined with `forwarder` or `planner` yet")
         }
-        _ if is_tiered && !has_one_core => Err("`forwarder` and `planner` go with one core"),
-        _ if is_tiered && peers.is_some() => Err("`peers` goes with neither `forwarder` nor `planner` yet"),
-        _ if peers.is_some() && !has_one_core => Err("`peers` goes with one core yet"),
+        _ if peers.is_some() && !has_one_core => Err("`peers` supports only one core yet"),
         _ if is_tiered && subscription.is_some() => {
-            Err("`subscription` goes with neither `forwarder` nor `planner` yet")
+            Err("`subscription` can't be combined with `forwarder` or `planner` yet")
         }
         _ => Ok(()),
     }
 }
 
+/// Ignores what a script prints.
 struct DiscardOutput;
 
 impl starlark::PrintHandler for DiscardOutput {
@@ -133,7 +142,7 @@
     }
 }
 
-/// One line: the file, the line where there is one, and what is at fault.
+/// One line with the file, the line if it is known, and the reason.
 fn format_error(name: &str, error: &starlark::Error) -> String {
     let at = error.span().map(|span| format!(":{}", span.resolve_span().begin.line + 1));
     let text = error.without_diagnostic().to_string();
--- a/crates/operator/src/statements.rs
+++ b/crates/operator/src/statements.rs
@@ -1,4 +1,4 @@
-//! The calls that an operator's file may make: each subject is said once, by its arguments.
+//! The functions that an operator's file may call, one for each section of settings.
 use crate::arguments::{addresses, flag, integer, seconds};
 use crate::values::{
     ControlConfig, CoreCount, CoresConfig, LayoutsConfig, LogFormat, MAX_CONTROL_SERVERS, MAX_CORES,
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What has been said so far.
+/// The sections that the script has called so far.
 #[derive(Debug, Default, ProvidesStaticType)]
 pub struct ParsedSections {
     pub cores: RefCell<Option<CoresConfig>>,
@@ -30,7 +30,7 @@
 }
 
 impl ParsedSections {
-    /// Whether anything was said that is for a router, even if it is the default.
+    /// Whether a section that configures a router was called, even if only with default values.
     pub fn concerns_router(&self) -> bool {
         self.cores.borrow().is_some()
             || self.layouts.borrow().is_some()
@@ -43,20 +43,20 @@
 fn sections<'a>(eval: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a ParsedSections> {
     eval.extra
         .and_then(|e| e.downcast_ref::<ParsedSections>())
-        .ok_or_else(|| anyhow::anyhow!("not evaluated as a file"))
+        .ok_or_else(|| anyhow::anyhow!("called outside of an operator's file"))
 }
 
-/// Keeps what a subject says; each is said once, so that no line of the file undoes another unseen.
-fn set_once<T>(slot: &RefCell<Option<T>>, subject: &str, value: T) -> anyhow::Result<NoneType> {
+/// Stores the values of a section. A section may be called only once, so that no line of the file silently overrides another.
+fn set_once<T>(slot: &RefCell<Option<T>>, section: &str, value: T) -> anyhow::Result<NoneType> {
     match slot.borrow_mut().replace(value) {
         None => Ok(NoneType),
-        Some(_) => Err(anyhow::anyhow!("`{subject}`: said twice")),
+        Some(_) => Err(anyhow::anyhow!("`{section}`: called more than once")),
     }
 }
 
 #[starlark_module]
 pub fn register_functions(globals: &mut GlobalsBuilder) {
-    /// How many cores serve and how they share.
+    /// How many cores serve queries, and what they share.
     fn cores<'v>(
         #[starlark(require = named)] count: Value<'v>,
         #[starlark(require = named)] node_connections: Option<Value<'v>>,
@@ -65,19 +65,21 @@
     ) -> anyhow::Result<NoneType> {
         let count = match count.unpack_str() {
             Some("all") => CoreCount::All,
-            Some(word) => {
-                return Err(anyhow::anyhow!("`cores`: `count` is a number or \"all\", found \"{word}\""));
+            Some(text) => {
+                return Err(anyhow::anyhow!(
+                    "`cores`: `count` must be a number or \"all\", found \"{text}\""
+                ));
             }
             None => CoreCount::Fixed(integer("cores", "count", count, 1, MAX_CORES)?),
         };
         let node_connections = node_connections.filter(|v| !v.is_none());
         let node_connections =
             node_connections.map(|v| integer("cores", "node_connections", v, 1, 65_536)).transpose()?;
-        if let (CoreCount::Fixed(cores), Some(most)) = (count, node_connections)
-            && most < cores
+        if let (CoreCount::Fixed(cores), Some(max)) = (count, node_connections)
+            && max < cores
         {
             return Err(anyhow::anyhow!(
-                "`cores`: `node_connections` of {most} leaves some of {cores} cores without any"
+                "`cores`: `node_connections` must be at least one for each of {cores} cores, found {max}"
             ));
         }
         let evidence = evidence.map_or(Ok(true), |v| flag("cores", "evidence", v))?;
@@ -88,7 +90,7 @@
         )
     }
 
-    /// That shards lie by layouts which discovery tells, and how much lateness is allowed for.
+    /// Enables layouts from discovery, and sets how long outdated clients and data nodes are tolerated.
     fn layouts<'v>(
         #[starlark(require = named)] late_clients_ms: Option<Value<'v>>,
         #[starlark(require = named)] lagging_nodes_ms: Option<Value<'v>>,
@@ -105,7 +107,7 @@
         )
     }
 
-    /// That planners decide for this program.
+    /// Makes this process a forwarder, for which planners make the routing decisions.
     fn forwarder<'v>(
         #[starlark(require = named)] planners: Value<'v>,
         #[starlark(require = named)] count: Value<'v>,
@@ -114,20 +116,23 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let invalid = || {
-            anyhow::anyhow!("`forwarder`: `planners` is a list of address:port, found {}", planners.to_repr())
+            anyhow::anyhow!(
+                "`forwarder`: `planners` must be a list of address:port, found {}",
+                planners.to_repr()
+            )
         };
         let list = ListRef::from_value(planners).filter(|list| !list.is_empty()).ok_or_else(invalid)?;
         let address = |v: &Value<'v>| v.unpack_str().and_then(|text| text.parse().ok());
         let planners =
             list.iter().map(|v| address(&v)).collect::<Option<Vec<SocketAddr>>>().ok_or_else(invalid)?;
         if (1..planners.len()).any(|n| planners[..n].contains(&planners[n])) {
-            return Err(anyhow::anyhow!("`forwarder`: `planners` names one twice"));
+            return Err(anyhow::anyhow!("`forwarder`: `planners` contains a duplicate address"));
         }
         let forwarder_count = integer("forwarder", "count", count, 1, 10_000)?;
         let heartbeat_interval_s = seconds("forwarder", "beat_ms", beat_ms, 50, 5..=10_000)?;
         let heartbeat_timeout_s = seconds("forwarder", "patience_ms", patience_ms, 250, 10..=60_000)?;
         if heartbeat_timeout_s < 2.0 * heartbeat_interval_s {
-            return Err(anyhow::anyhow!("`forwarder`: `patience_ms` is under two beats"));
+            return Err(anyhow::anyhow!("`forwarder`: `patience_ms` must be at least twice `beat_ms`"));
         }
         set_once(
             &sections(eval)?.tier,
@@ -136,7 +141,7 @@
         )
     }
 
-    /// That this program decides for forwarders.
+    /// Makes this process a planner, which makes the routing decisions for forwarders.
     fn planner<'v>(
         #[starlark(require = named)] count: Value<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -145,7 +150,7 @@
         set_once(&sections(eval)?.tier, "forwarder or planner", Tier::Planner { planner_count })
     }
 
-    /// That this router is one of several that know each other.
+    /// Makes this router share observations of data nodes with other routers.
     fn peers<'v>(
         #[starlark(require = named)] members: Value<'v>,
         #[starlark(require = named)] beat_ms: Option<Value<'v>>,
@@ -158,7 +163,9 @@
         let members = addresses("peers", "members", members)?;
         if !(2..=MAX_PEERS).contains(&members.len()) {
             let found = members.len();
-            return Err(anyhow::anyhow!("`peers`: `members` are 2 to {MAX_PEERS}, found {found}"));
+            return Err(anyhow::anyhow!(
+                "`peers`: `members` must have 2 to {MAX_PEERS} entries, found {found}"
+            ));
         }
         let (send_interval_s, heartbeat_interval_s) = (
             seconds("peers", "beat_ms", beat_ms, 100, 5..=60_000)?,
@@ -166,22 +173,23 @@
         );
         let max_message_age_s = seconds("peers", "stale_ms", stale_ms, 2000, 5..=60_000)?;
         if heartbeat_interval_s < send_interval_s {
-            return Err(anyhow::anyhow!("`peers`: `pulse_ms` is under `beat_ms`"));
+            return Err(anyhow::anyhow!("`peers`: `pulse_ms` must not be less than `beat_ms`"));
         }
-        // A word goes over as many links as the count of members has digits, and is said again at half its time.
+        // A message crosses at most as many links as the member count has binary digits, and is repeated at half its
+        // maximum age.
         let hops = (usize::BITS - (members.len() - 1).leading_zeros()).max(1);
         if max_message_age_s < 2.0 * send_interval_s * f64::from(hops + 1) {
             return Err(anyhow::anyhow!(
-                "`peers`: `stale_ms` is too short for {} members and this `beat_ms`: {:.0} at least",
-                members.len(),
-                2e3 * send_interval_s * f64::from(hops + 1)
+                "`peers`: `stale_ms` must be at least {:.0} for {} members and this `beat_ms`",
+                2e3 * send_interval_s * f64::from(hops + 1),
+                members.len()
             ));
         }
         let required_witnesses =
             witnesses.map_or(Ok(2), |value| integer("peers", "witnesses", value, 1, MAX_PEERS))?;
         if required_witnesses >= members.len() {
             return Err(anyhow::anyhow!(
-                "`peers`: `witnesses` of {required_witnesses} need {} members at least, found {}",
+                "`peers`: `witnesses = {required_witnesses}` requires at least {} members, found {}",
                 required_witnesses + 1,
                 members.len()
             ));
@@ -201,7 +209,7 @@
         )
     }
 
-    /// That this program is a control machine.
+    /// Configures this process as a control server.
     fn control<'v>(
         #[starlark(require = named)] name: Value<'v>,
         #[starlark(require = named)] members: Value<'v>,
@@ -210,34 +218,40 @@
         #[starlark(require = named)] routers: Option<Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        let text = |what: &str, value: Value<'v>| {
+        let text = |name: &str, value: Value<'v>| {
             let text = value.unpack_str().filter(|text| !text.is_empty()).map(str::to_string);
-            text.ok_or_else(|| anyhow::anyhow!("`control`: `{what}` is a text, found {}", value.to_repr()))
+            text.ok_or_else(|| {
+                anyhow::anyhow!("`control`: `{name}` must be a non-empty string, found {}", value.to_repr())
+            })
         };
         let (name, data_path) = (text("name", name)?, text("data", data)?);
         let replica_addresses = addresses("control", "members", members)?;
         let admin_addresses = addresses("control", "doors", doors)?;
         if replica_addresses.len() > MAX_CONTROL_SERVERS || replica_addresses.len().is_multiple_of(2) {
             let found = replica_addresses.len();
-            return Err(anyhow::anyhow!("`control`: `members` are 1, 3, 5 or 7, found {found}"));
+            return Err(anyhow::anyhow!(
+                "`control`: `members` must have 1, 3, 5 or 7 entries, found {found}"
+            ));
         }
         if !replica_addresses.contains_key(&name) {
-            return Err(anyhow::anyhow!("`control`: `members` does not name this machine, `{name}`"));
+            return Err(anyhow::anyhow!("`control`: `members` has no entry for this server, `{name}`"));
         }
         if !replica_addresses.keys().eq(admin_addresses.keys()) {
-            return Err(anyhow::anyhow!("`control`: `doors` does not name the same machines as `members`"));
+            return Err(anyhow::anyhow!("`control`: `doors` and `members` must have the same names"));
         }
         let router_address = routers.map(|value| {
             let at = value.unpack_str().and_then(|text| text.parse::<SocketAddr>().ok());
             at.ok_or_else(|| {
-                anyhow::anyhow!("`control`: `routers` is address:port, found {}", value.to_repr())
+                anyhow::anyhow!("`control`: `routers` must be address:port, found {}", value.to_repr())
             })
         });
         let router_address = router_address.transpose()?;
         let own = [replica_addresses.get(&name), admin_addresses.get(&name), router_address.as_ref()];
         let own: Vec<&SocketAddr> = own.into_iter().flatten().filter(|at| at.port() > 0).collect();
         if own.iter().collect::<BTreeSet<_>>().len() < own.len() {
-            return Err(anyhow::anyhow!("`control`: this machine has one address for two things"));
+            return Err(anyhow::anyhow!(
+                "`control`: `members`, `doors` and `routers` must give this server different addresses"
+            ));
         }
         set_once(
             &sections(eval)?.control,
@@ -246,7 +260,7 @@
         )
     }
 
-    /// That control machines tell this router its settings.
+    /// Makes this router receive its settings from control servers.
     fn subscription<'v>(
         #[starlark(require = named)] control: Value<'v>,
         #[starlark(require = named)] zone: Option<Value<'v>>,
@@ -258,7 +272,7 @@
         let invalid = || {
             let found = control.to_repr();
             anyhow::anyhow!(
-                "`subscription`: `control` gives names, each with its address:port or (address:port, zone), found {found}"
+                "`subscription`: `control` must map names to address:port or (address:port, zone), found {found}"
             )
         };
         let short_string = |value: Value<'v>| {
@@ -278,33 +292,33 @@
         if !(1..=MAX_SUBSCRIPTION_SERVERS).contains(&servers.len()) {
             let found = servers.len();
             return Err(anyhow::anyhow!(
-                "`subscription`: `control` names 1 to {MAX_SUBSCRIPTION_SERVERS} machines, found {found}"
+                "`subscription`: `control` must have 1 to {MAX_SUBSCRIPTION_SERVERS} entries, found {found}"
             ));
         }
         let addresses: BTreeSet<SocketAddr> = servers.values().map(|(at, _)| *at).collect();
         if addresses.len() < servers.len() {
-            return Err(anyhow::anyhow!("`subscription`: `control` gives one address twice"));
+            return Err(anyhow::anyhow!("`subscription`: `control` contains a duplicate address"));
         }
         let text = |name, value: Option<Value<'v>>| match value.filter(|value| !value.is_none()) {
             None => Ok(None),
             Some(value) => match value.unpack_str().filter(|text| !text.is_empty()) {
                 Some(text) => Ok(Some(text.to_string())),
                 None => Err(anyhow::anyhow!(
-                    "`subscription`: `{name}` is a text that is not empty, found {}",
+                    "`subscription`: `{name}` must be a non-empty string, found {}",
                     value.to_repr()
                 )),
             },
         };
         let zone = text("zone", zone)?.unwrap_or_default();
-        if !zone.is_empty() && !servers.values().any(|(_, of)| *of == zone) {
-            return Err(anyhow::anyhow!("`subscription`: no machine of `control` is in `zone` \"{zone}\""));
+        if !zone.is_empty() && !servers.values().any(|(_, server_zone)| *server_zone == zone) {
+            return Err(anyhow::anyhow!("`subscription`: no server of `control` is in zone \"{zone}\""));
         }
         let persist_path = text("keep", keep)?;
-        // A machine answers a pulse a second.
+        // A control server answers one heartbeat per second.
         let heartbeat_timeout_s = seconds("subscription", "silent_ms", silent_ms, 3000, 2000..=60_000)?;
         let stale_after_s = seconds("subscription", "old_ms", old_ms, 10_000, 2000..=86_400_000)?;
         if stale_after_s < heartbeat_timeout_s {
-            return Err(anyhow::anyhow!("`subscription`: `old_ms` is under `silent_ms`"));
+            return Err(anyhow::anyhow!("`subscription`: `old_ms` must not be less than `silent_ms`"));
         }
         let sections = sections(eval)?;
         set_once(
@@ -314,7 +328,7 @@
         )
     }
 
-    /// How the log is written.
+    /// The format of the log.
     fn log<'v>(
         #[starlark(require = named)] form: Value<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -324,7 +338,7 @@
             Some("json") => LogFormat::Json,
             _ => {
                 return Err(anyhow::anyhow!(
-                    "`log`: `form` is \"text\" or \"json\", found {}",
+                    "`log`: `form` must be \"text\" or \"json\", found {}",
                     form.to_repr()
                 ));
             }
--- a/crates/operator/src/values.rs
+++ b/crates/operator/src/values.rs
@@ -1,28 +1,31 @@
-//! The values that an operator's file is read into, and the bounds of their numbers.
+//! The values that an operator's file is evaluated into, and the limits of their numbers.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A core is told apart by eight bits.
+/// The index of a core takes eight bits.
 pub const MAX_CORES: usize = 128;
+/// Limit of the routers that share observations.
 pub const MAX_PEERS: usize = 1000;
-/// Control machines that decide together, and that a router may be told of.
+/// Limit of the control servers of one cluster.
 pub const MAX_CONTROL_SERVERS: usize = 7;
+/// Limit of the control servers that a router may subscribe to.
 pub const MAX_SUBSCRIPTION_SERVERS: usize = 15;
 
-/// How many cores serve.
+/// How many cores serve queries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CoreCount {
     Fixed(usize),
-    /// As many as the machine gives this program.
+    /// As many as are available to the process.
     All,
 }
 
+/// The cores of a router and what they share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CoresConfig {
     pub count: CoreCount,
-    /// Most connections to one data node, of all cores together; none: as many as their calls need.
+    /// Limit of the connections to one data node over all cores. None: as many as their attempts need.
     pub max_connections_per_node: Option<usize>,
-    /// Whether cores tell each other what they saw of data nodes.
+    /// Whether cores share their observations of data nodes.
     pub shares_observations: bool,
 }
 
@@ -32,6 +35,7 @@
     }
 }
 
+/// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LogFormat {
     #[default]
@@ -39,92 +43,96 @@
     Json,
 }
 
-/// Shards that change while queries run, as discovery tells of them.
+/// Shard layouts from discovery, which change while queries run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LayoutsConfig {
-    /// Seconds for which a client may name a shard that is gone.
+    /// How long clients may refer to a retired shard.
     pub retired_shard_grace_s: f64,
-    /// Seconds that a data node which lags behind the layout has to catch up before it is asked again.
+    /// How long a data node with an older layout is given to catch up before it is asked again.
     pub lagging_node_grace_s: f64,
 }
 
-/// What the program is in an installation of two levels.
+/// The role of the process: a router that decides by itself, or part of a two-tier installation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Tier {
     #[default]
     Standalone,
-    /// It holds clients and data nodes; planners decide, as far as any can be asked.
+    /// Holds the connections to clients and data nodes. Planners make the routing decisions while one is available.
     Forwarder {
         planners: Vec<SocketAddr>,
-        /// How many forwarders the installation has.
+        /// Number of forwarders of the installation.
         forwarder_count: usize,
-        /// In seconds: between two beats, and how long a planner may be silent.
         heartbeat_interval_s: f64,
+        /// How long a planner may send nothing before it is considered lost.
         heartbeat_timeout_s: f64,
     },
-    /// It decides for forwarders; so many planners share what is stated.
+    /// Makes the routing decisions for forwarders. The limits are divided among all planners of the installation.
     Planner { planner_count: usize },
 }
 
-/// Routers that know each other and tell each other what they see of data nodes.
+/// Routers that share their observations of data nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeersConfig {
-    /// All of them by name, this router among them, with where each listens for the others.
+    /// The addresses at which the routers listen for each other, by name; this router is one of them.
     pub members: BTreeMap<String, SocketAddr>,
-    /// In seconds: between two frames on a link, between two words that a router is there, and how old a word may be.
+    /// Time between two frames on a link.
     pub send_interval_s: f64,
+    /// Time between two heartbeats of a router.
     pub heartbeat_interval_s: f64,
+    /// Older messages are ignored.
     pub max_message_age_s: f64,
-    /// So many others have to say the same of a data node before it is believed.
+    /// How many other routers must report the same about a data node before it is acted on.
     pub required_witnesses: usize,
-    /// Whether they tell which data nodes are late for them or sick; if not, only how their queries end.
+    /// Whether routers share which data nodes are slow or unhealthy for them. Otherwise they only share the outcomes of
+    /// their queries.
     pub shares_node_health: bool,
 }
 
-/// One of the machines that decide the order of configurations; a program of its own.
+/// A control server: one replica of the cluster that orders the versions of the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlConfig {
     pub name: String,
-    /// All of them by name, this one among them: where each hears the others, and where it hears operators.
+    /// The addresses at which the servers listen for each other, by name; this server is one of them.
     pub replica_addresses: BTreeMap<String, SocketAddr>,
+    /// The addresses at which the servers listen for operators, by name.
     pub admin_addresses: BTreeMap<String, SocketAddr>,
-    /// The folder of what it keeps.
+    /// The directory of its log.
     pub data_path: String,
-    /// Where it hears routers; none: nobody is told.
+    /// Where it listens for routers. None: no router can subscribe.
     pub router_address: Option<SocketAddr>,
 }
 
-/// Control machines that tell this router its settings, version by version.
+/// Control servers from which a router receives the versions of its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubscriptionConfig {
-    /// By name, with where each listens for routers, and its zone.
+    /// The address at which each server listens for routers, and its zone, by name.
     pub servers: BTreeMap<String, (SocketAddr, String)>,
-    /// Of this router: the machines there are asked first.
+    /// The zone of this router, whose servers are preferred.
     pub zone: String,
-    /// A file for the version to start with; none where no disk lasts.
+    /// The file for the version to start with. None if there is no persistent disk.
     pub persist_path: Option<String>,
-    /// In seconds: without a word for so long a machine is left; and a version not known for so long to be the newest is
-    /// said to be old.
+    /// How long a server may send nothing before the router connects to another.
     pub heartbeat_timeout_s: f64,
+    /// A version that has not been confirmed as the latest for this long is reported as stale.
     pub stale_after_s: f64,
 }
 
-/// What part of each share that all routers hold together forwarders keep for when no planner can be asked; planners have
-/// the rest. Fixed, so that whoever is cut off from whom, the sum holds.
+/// The fraction of each limit that is divided among all routers which forwarders keep for when no planner is available;
+/// planners have the rest. It is fixed, so that the sum is kept whichever processes are disconnected from each other.
 pub const FORWARDER_QUOTA_FRACTION: f64 = 0.25;
 
-/// All that an operator's file may say.
+/// All settings of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
     pub cores: CoresConfig,
     pub log_format: LogFormat,
-    /// None: shards lie in the ring of the configuration, and never change.
+    /// None: shards are placed by the ring of the configuration and do not change.
     pub layouts: Option<LayoutsConfig>,
     pub tier: Tier,
-    /// None: this router knows of no other.
+    /// None: this router does not communicate with others.
     pub peers: Option<PeersConfig>,
-    /// None: this program is no control machine.
+    /// None: this process is not a control server.
     pub control: Option<ControlConfig>,
-    /// None: settings only come with the configuration.
+    /// None: settings only come from the configuration.
     pub subscription: Option<SubscriptionConfig>,
 }
--- a/crates/operator/tests/reference_file.rs
+++ b/crates/operator/tests/reference_file.rs
@@ -1,5 +1,5 @@
-//! Operators' files with every key that they may hold, read from `data/` and compared field by field. Several files, as some
-//! subjects exclude each other.
+//! Operator's files in `data/` that together contain every key, compared field by field. There are several because some
+//! sections exclude each other.
 use alderway_operator::{
     ControlConfig, CoreCount, CoresConfig, LayoutsConfig, LogFormat, OperatorConfig, PeersConfig,
     SubscriptionConfig, Tier, read,
@@ -13,7 +13,7 @@
 }
 
 fn addresses<const COUNT: usize>(all: [(&str, &str); COUNT]) -> BTreeMap<String, SocketAddr> {
-    all.into_iter().map(|(name, at)| (name.to_string(), address(at))).collect()
+    all.into_iter().map(|(name, text)| (name.to_string(), address(text))).collect()
 }
 
 #[rstest]
@@ -45,7 +45,7 @@
 }
 
 #[rstest]
-fn every_key_of_a_router_that_knows_its_peers() {
+fn every_key_of_a_router_with_peers() {
     let expected = OperatorConfig {
         cores: CoresConfig {
             count: CoreCount::Fixed(1),
@@ -116,7 +116,7 @@
 }
 
 #[rstest]
-fn every_key_of_a_control_machine() {
+fn every_key_of_a_control_server() {
     let expected = OperatorConfig {
         cores: CoresConfig {
             count: CoreCount::Fixed(1),
@@ -172,7 +172,7 @@
 }
 
 #[rstest]
-fn defaults_of_a_router_that_knows_its_peers() {
+fn defaults_of_a_router_with_peers() {
     let expected = Some(PeersConfig {
         members: addresses([("n0", "10.0.0.1:7000"), ("n1", "10.0.0.2:7000"), ("n2", "10.0.0.3:7000")]),
         send_interval_s: 0.1,
@@ -181,8 +181,9 @@
         required_witnesses: 2,
         shares_node_health: true,
     });
-    let given = read("gossip_defaults.star", include_str!("data/gossip_defaults.star")).expect("a good file");
-    assert_eq!(given, OperatorConfig { peers: expected, ..OperatorConfig::default() });
+    let config =
+        read("gossip_defaults.star", include_str!("data/gossip_defaults.star")).expect("a valid file");
+    assert_eq!(config, OperatorConfig { peers: expected, ..OperatorConfig::default() });
 }
 
 #[rstest]
@@ -193,13 +194,13 @@
         heartbeat_interval_s: 0.05,
         heartbeat_timeout_s: 0.25,
     };
-    let given =
-        read("forwarder_defaults.star", include_str!("data/forwarder_defaults.star")).expect("a good file");
-    assert_eq!(given, OperatorConfig { tier: expected, ..OperatorConfig::default() });
+    let config =
+        read("forwarder_defaults.star", include_str!("data/forwarder_defaults.star")).expect("a valid file");
+    assert_eq!(config, OperatorConfig { tier: expected, ..OperatorConfig::default() });
 }
 
 #[rstest]
-fn defaults_of_a_control_machine() {
+fn defaults_of_a_control_server() {
     let expected = Some(ControlConfig {
         name: "c1".into(),
         replica_addresses: addresses([("c1", "10.0.0.1:7100")]),
@@ -207,7 +208,7 @@
         data_path: "/var/lib/alderway".into(),
         router_address: None,
     });
-    let given =
-        read("control_defaults.star", include_str!("data/control_defaults.star")).expect("a good file");
-    assert_eq!(given, OperatorConfig { control: expected, ..OperatorConfig::default() });
+    let config =
+        read("control_defaults.star", include_str!("data/control_defaults.star")).expect("a valid file");
+    assert_eq!(config, OperatorConfig { control: expected, ..OperatorConfig::default() });
 }
