--- a/crates/alderway/src/config/error.rs
+++ b/crates/alderway/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what was asked, and the exit code that says so.
+//! Errors of the commands, and their exit codes.
 use super::report::rejection;
 use alderway_control_plane::version::VersionNumber;
 use alderway_control_plane::version_log::ProposalError;
@@ -8,14 +8,14 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The control servers or the checks refused, or the command failed.
+/// The request was rejected by a control server or by the checks, or the command failed.
 const EXIT_FAILED: u8 = 1;
 /// The command line or a file can't be used.
 const EXIT_INVALID_INPUT: u8 = 2;
-/// Nothing is known to have failed: no quorum, no answer in time, or not applied everywhere yet.
+/// The outcome is unknown or incomplete: no quorum, no response in time, or not applied on all routers yet.
 const EXIT_UNDECIDED: u8 = 3;
 
-/// Why a command did not do what was asked. The message is what the operator reads.
+/// Why a command failed. The message is printed for the operator.
 #[derive(Debug, Error)]
 pub(super) enum CommandError {
     #[error("{file}: {source}")]
@@ -24,36 +24,36 @@
     MalformedFile(#[from] crate::settings::MalformedSettings),
     #[error("`--wait` is 0 to {MAX_WAIT_S} seconds")]
     WaitOutOfRange,
-    /// Refused by the checks; the text names file, line and key as far as they are known.
+    /// Rejected by the checks. The text contains the file, line and key if they are known.
     #[error("{0}")]
     InvalidSettings(String),
     #[error("{address}: {reason}")]
     BadRequest { address: SocketAddr, reason: String },
     #[error("{0}")]
     BadProposal(String),
-    #[error("the control machine answered something else than was asked")]
+    #[error("the control server sent a response of another kind than requested")]
     UnexpectedResponse,
     #[error("there is no version yet")]
     NoVersions,
-    #[error("version {number} is not kept: there are {oldest} to {newest}")]
+    #[error("version {number} is not stored: versions {oldest} to {newest} are")]
     VersionNotFound { number: VersionNumber, oldest: VersionNumber, newest: VersionNumber },
-    #[error("the settings are too long: {bytes} bytes, {limit} at most")]
+    #[error("the settings are too large: {bytes} bytes, at most {limit} are allowed")]
     TooLong { bytes: usize, limit: usize },
     #[error("{}", rejection(.0))]
     Rejected(ProposalError),
-    #[error("no control machine answers: {}", join(.0))]
+    #[error("no control server responded: {}", join(.0))]
     NoResponse(Vec<RequestError>),
-    #[error("{name} knows of no majority")]
+    #[error("{name} has no quorum")]
     NoQuorum { name: String },
-    /// The proposal reached a control server that did not tell its outcome.
-    #[error("not known to be in order: it may be yet; ask again with `--id {id}`")]
+    /// A control server may have proposed the version, but its outcome is unknown.
+    #[error(
+        "the outcome is unknown, and the proposal may still become a version; repeat the command with `--id {id}`"
+    )]
     OutcomeUnknown { id: String },
     /// No control server proposed anything.
     #[error("nothing was changed: {last}")]
     NothingProposed { last: String },
-    #[error(
-        "version {number} is in order, and not in force everywhere yet: {missing} without it: {lagging}{more}"
-    )]
+    #[error("version {number} is in order, but not yet in force on {missing} routers: {lagging}{more}")]
     NotAppliedEverywhere { number: VersionNumber, missing: u64, lagging: String, more: String },
 }
 
--- a/crates/alderway/src/config/mod.rs
+++ b/crates/alderway/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! `alderway config`: operators' requests to the control machines. Exit codes: 0 done, 1 refused or failed, 2 input that
-//! can't be used, 3 no quorum, timed out, or not applied everywhere.
+//! `alderway config`: operators' requests to the control servers. Exit codes: 0 done, 1 rejected or failed, 2 invalid
+//! input, 3 no quorum, timed out, or not applied on all routers.
 mod args;
 mod error;
 mod proposal;
@@ -20,23 +20,23 @@
 
 #[derive(Subcommand)]
 pub enum Config {
-    /// Checks settings as a router does at its start, and at the control machines if any are named
+    /// Checks settings as a router does at its start, and at a control server if addresses are given
     Check {
         #[arg(value_name = "FILE")]
         file: PathBuf,
         #[command(flatten)]
         addresses: OptionalAdminAddresses,
     },
-    /// Has settings ordered as the next version, and waits until it is in force everywhere
+    /// Proposes settings as the next version, and waits until it is in force on all routers
     Propose {
         #[arg(value_name = "FILE")]
         file: PathBuf,
         #[command(flatten)]
         proposal: ProposalArgs,
     },
-    /// The newest versions: numbers, authors, reasons and what they changed
+    /// Lists the newest versions with their numbers, authors, reasons and changed keys
     History {
-        /// Versions before this one
+        /// Only versions before this one
         #[arg(long, value_name = "N")]
         before: Option<VersionNumber>,
         #[arg(long, value_name = "COUNT", default_value_t = 20)]
@@ -46,14 +46,14 @@
         #[command(flatten)]
         addresses: AdminAddresses,
     },
-    /// The settings of a version, as `propose` takes them; the newest without a number
+    /// Prints the settings of a version in the form that `propose` reads; defaults to the newest
     Show {
         #[arg(value_name = "N")]
         number: Option<VersionNumber>,
         #[command(flatten)]
         addresses: AdminAddresses,
     },
-    /// The version in force, routers by version, who lags, and whether a majority stands
+    /// Prints the version in force, the routers by version, those that lag, and whether there is a quorum
     Status {
         #[arg(long)]
         json: bool,
@@ -69,7 +69,7 @@
     },
 }
 
-/// Runs the command; what it has to say goes to standard output, an error to standard error.
+/// Runs the command. Results go to standard output, errors to standard error.
 pub fn run(config: &Config) -> ExitCode {
     match execute(config) {
         Ok(()) => ExitCode::SUCCESS,
@@ -102,7 +102,7 @@
     if !addresses.is_empty() {
         request::check(addresses, &file)?;
     }
-    print(&format!("{}: sound", file.name));
+    print(&format!("{}: valid", file.name));
     Ok(())
 }
 
--- a/crates/alderway/src/config/proposal.rs
+++ b/crates/alderway/src/config/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposing a version, and waiting until every router has applied it.
+//! Proposes a version, and waits until every router has applied it.
 use super::args::ProposalArgs;
 use super::error::CommandError;
 use super::report::{print, unix_ms, unresponsive_names};
@@ -15,13 +15,13 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Between two looks at which routers have applied a version.
+/// Time between two requests for the versions of the routers.
 const STATUS_INTERVAL: Duration = Duration::from_millis(300);
-/// A control server tells the outcome within the wait it was given and this.
+/// A control server responds within the wait of the request and this margin.
 const RESPONSE_MARGIN_S: f64 = 2.0;
 
-/// Proposes settings as the next version, waits for the outcome, then until it is applied everywhere. `file` is where they
-/// come from, if they come from a file.
+/// Proposes settings as the next version, waits for the outcome, and then until all routers have applied it. `file` is the
+/// file that the settings were read from, if there is one.
 pub(super) fn propose(
     settings: Value,
     args: &ProposalArgs,
@@ -45,26 +45,26 @@
     wait_until_applied(addresses, number, deadline)
 }
 
-/// An id that no other proposal has: from the system's source of randomness, where that can be read.
+/// A unique id, which includes random bytes of the system if they can be read.
 fn unused_id() -> String {
     let mut bytes = [0; 8];
-    // Time and process id alone do as well for proposals of one operator.
+    // Without random bytes, the time and the process id still differ between the proposals of one operator.
     let _ = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
     format!("{:x}-{:x}-{:016x}", unix_ms(), std::process::id(), u64::from_be_bytes(bytes))
 }
 
-/// What one control server did with a proposal.
+/// The result of sending a proposal to one control server.
 enum Attempt {
     Committed(VersionNumber),
-    /// The next machine is asked; `may_be_proposed` says whether this one may have proposed it.
+    /// The next server is tried. `may_be_proposed` says whether this one may have proposed the version.
     Failed {
         reason: String,
         may_be_proposed: bool,
     },
 }
 
-/// Sends the proposal to one control server after the other until one tells that it was committed or refused. That is safe,
-/// as the same id counts once.
+/// Sends the proposal to one control server after the other until one responds that it was committed or rejected. A repeated
+/// proposal has no effect, because control servers recognize its id.
 fn commit(
     addresses: &[SocketAddr],
     proposal: &Proposal,
@@ -73,7 +73,7 @@
 ) -> Result<VersionNumber, CommandError> {
     let deadline = Instant::now() + Duration::from_secs_f64(wait_s);
     let mut may_be_proposed = false;
-    let mut last = String::new();
+    let mut last_reason = String::new();
     for &address in addresses {
         let remaining_s = deadline.saturating_duration_since(Instant::now()).as_secs_f64().min(wait_s);
         if remaining_s <= 0.0 && may_be_proposed {
@@ -84,14 +84,14 @@
             Attempt::Failed { reason, may_be_proposed: by_this } => {
                 may_be_proposed |= by_this;
                 eprintln!("{reason}");
-                last = reason;
+                last_reason = reason;
             }
         }
     }
     Err(if may_be_proposed {
         CommandError::OutcomeUnknown { id: proposal.id.clone() }
     } else {
-        CommandError::NothingProposed { last }
+        CommandError::NothingProposed { last: last_reason }
     })
 }
 
@@ -128,24 +128,25 @@
         ProposalOutcome::Committed(number) => Attempt::Committed(number),
         ProposalOutcome::Rejected(error) => return Err(CommandError::Rejected(error)),
         ProposalOutcome::TooLong { bytes, limit } => return Err(CommandError::TooLong { bytes, limit }),
-        ProposalOutcome::TooMany { limit } => not_proposed(format!("{limit} proposals wait there already")),
+        ProposalOutcome::TooMany { limit } => not_proposed(format!("{limit} proposals are already pending")),
         ProposalOutcome::Unavailable { reason } => not_proposed(format!("it takes no part: {reason}")),
         ProposalOutcome::NoQuorum { leader, for_s } => {
             let since = for_s.map_or("since its start".into(), |s| format!("for {s:.1} s"));
             let leader = known_leader(leader, admin_addresses);
-            let leader = leader.map(|(name, at)| format!("; its leader was {name} at {at}"));
+            let leader = leader.map(|(name, at)| format!("; the last known leader was {name} at {at}"));
             not_proposed(format!("no majority is known {since}{}", leader.unwrap_or_default()))
         }
         ProposalOutcome::Undecided { leader } => {
             let leader = known_leader(leader, admin_addresses);
-            let leader = leader.map(|(name, at)| format!("; {name} at {at} leads")).unwrap_or_default();
-            let reason = format!("{address}: no answer of a majority in time{leader}");
+            let leader =
+                leader.map(|(name, at)| format!("; the leader is {name} at {at}")).unwrap_or_default();
+            let reason = format!("{address}: no response from a majority in time{leader}");
             Attempt::Failed { reason, may_be_proposed: true }
         }
     })
 }
 
-/// The leader and its admin endpoint, for the operator's next attempt.
+/// The leader and its address for operators, to which the command can be repeated.
 fn known_leader(
     leader: Option<ReplicaName>,
     admin_addresses: &BTreeMap<ReplicaName, SocketAddr>,
@@ -155,7 +156,7 @@
     Some((name, address))
 }
 
-/// Routers that have a version, and those that don't yet.
+/// How many routers have applied a version, and how many have not.
 struct Progress {
     applied: u64,
     missing: u64,
@@ -165,13 +166,13 @@
     fn of(status: &ClusterStatus, number: VersionNumber) -> Progress {
         let mut progress = Progress { applied: 0, missing: 0 };
         for (version, count) in &status.routers.by_version {
-            let side = if *version >= number { &mut progress.applied } else { &mut progress.missing };
-            *side += count;
+            let total = if *version >= number { &mut progress.applied } else { &mut progress.missing };
+            *total += count;
         }
         progress
     }
 
-    fn line(&self, number: VersionNumber) -> String {
+    fn status_line(&self, number: VersionNumber) -> String {
         match self.applied + self.missing {
             0 => format!("version {number}: no routers are known"),
             all => format!("in force: {} of {all} routers have {number}", self.applied),
@@ -179,7 +180,7 @@
     }
 }
 
-/// Waits until every known router has applied the version, with a line whenever that changes.
+/// Waits until every known router has applied the version, and prints a line whenever the number of routers changes.
 fn wait_until_applied(
     addresses: &[SocketAddr],
     number: VersionNumber,
@@ -189,7 +190,7 @@
     loop {
         let status = request::status(addresses)?;
         let progress = Progress::of(&status, number);
-        let line = progress.line(number);
+        let line = progress.status_line(number);
         if line != last_line {
             print(&line);
             last_line = line;
--- a/crates/alderway/src/config/report.rs
+++ b/crates/alderway/src/config/report.rs
@@ -1,15 +1,15 @@
-//! What operators read on standard output.
+//! Formats the results that the commands print on standard output.
 use alderway_control_plane::version_log::{ProposalError, UndoneVersion};
 use alderway_control_server::admin::{ClusterStatus, VersionSummary};
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Writes a line to standard output. Whoever reads it may have gone: that is no error of the command.
+/// Writes a line to standard output. A closed pipe is not an error of the command.
 pub(super) fn print(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// Milliseconds of Unix time.
+/// The current Unix time in milliseconds.
 pub(super) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
@@ -48,7 +48,7 @@
     let versions = status.versions.iter().map(|(name, number)| format!("{name} has {number}"));
     let versions = versions.collect::<Vec<_>>().join(", ");
     let mut lines = vec![
-        format!("version: {}, as {} knew it to be the newest {confirmed}", replica.version, replica.name),
+        format!("version: {}, confirmed as the newest by {} {confirmed}", replica.version, replica.name),
         format!("majority: {quorum}"),
         format!("leader: {leader}, term {}", replica.term),
         format!("control machines: {versions}"),
@@ -60,7 +60,7 @@
     }
     if !status.unresponsive.is_empty() {
         let names = unresponsive_names(status);
-        lines.push(format!("not answering, and their routers not counted: {names}"));
+        lines.push(format!("not responding, their routers not counted: {names}"));
     }
     lines
 }
@@ -69,18 +69,20 @@
     status.unresponsive.iter().map(String::as_str).collect::<Vec<_>>().join(", ")
 }
 
-/// Why a proposal did not become a version.
+/// Why a proposal was rejected.
 pub(super) fn rejection(error: &ProposalError) -> String {
     match error {
         ProposalError::WouldUndo { newest, count, undone } => {
             let undone: String = undone.iter().map(undone_line).collect();
-            format!("refused: version {newest} is the newest, {count} were made since:{undone}")
+            format!(
+                "refused: version {newest} is the newest, and {count} versions since the base would be undone:{undone}"
+            )
         }
         ProposalError::BaseUnknown { base, newest } => {
             format!("refused: there is no version {base} yet, the newest is {newest}")
         }
         ProposalError::IdTaken { number } => {
-            format!("refused: its id was used for version {number}, which is another")
+            format!("refused: its id is already used by version {number}, which was another proposal")
         }
         ProposalError::Unreadable => "refused: it cannot be read".into(),
     }
--- a/crates/alderway/src/config/request.rs
+++ b/crates/alderway/src/config/request.rs
@@ -1,4 +1,4 @@
-//! Requests that change nothing: any control server may answer them.
+//! Read-only requests, which any control server can answer.
 use super::error::CommandError;
 use super::settings_file::SettingsFile;
 use alderway_control_plane::version::{Version, VersionNumber};
@@ -8,7 +8,7 @@
 
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks the control servers in turn; the first response counts.
+/// Sends the request to one control server after the other until one responds.
 fn send(addresses: &[SocketAddr], request: &AdminRequest) -> Result<AdminResponse, CommandError> {
     let mut errors = vec![];
     for &address in addresses {
@@ -23,7 +23,7 @@
     Err(CommandError::NoResponse(errors))
 }
 
-/// Has a control server check the settings of a file.
+/// Lets a control server check the settings of a file.
 pub(super) fn check(addresses: &[SocketAddr], file: &SettingsFile) -> Result<(), CommandError> {
     match send(addresses, &AdminRequest::Check { settings: file.settings.clone() })? {
         AdminResponse::Valid => Ok(()),
@@ -32,7 +32,7 @@
     }
 }
 
-/// A version with its settings; the latest where no number is given.
+/// A version with its settings; the latest if no number is given.
 pub(super) fn version(
     addresses: &[SocketAddr],
     number: Option<VersionNumber>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The number of the latest version, and the versions that a history request asks for.
+/// The number of the latest version, and the versions that the history request selects.
 pub(super) fn history(
     addresses: &[SocketAddr],
     request: AdminRequest,
--- a/crates/alderway/src/config/settings_file.rs
+++ b/crates/alderway/src/config/settings_file.rs
@@ -1,12 +1,12 @@
-//! A file with settings, as operators propose them.
+//! Files with settings that operators propose.
 use super::error::CommandError;
 use crate::settings;
 use serde_json::Value;
 use std::path::Path;
 
-/// Settings and the file that they come from.
+/// Settings and the file that they were read from.
 pub(super) struct SettingsFile {
-    /// The path as it was given.
+    /// The path as given by the operator.
     pub(super) name: String,
     text: String,
     pub(super) settings: Value,
@@ -24,7 +24,7 @@
         Ok(file)
     }
 
-    /// The error of checks that refuse the settings, with the line that they name.
+    /// The error for settings that a check rejected, with the line of the key that `reason` names.
     pub(super) fn invalid(&self, reason: &str) -> CommandError {
         CommandError::InvalidSettings(settings::located(&self.name, &self.text, reason))
     }
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -47,11 +47,18 @@
     assert_exit(
         &cluster.propose(&["c5"], 300, &["--id", "twice", "--base", "1"]),
         1,
-        &["its id was used for version 2"],
+        &["its id is already used by version 2"],
     );
     // The second of two operators is told what it would undo.
     let second = cluster.propose(&any, 300, &["--base", "1"]);
-    assert_exit(&second, 1, &["version 2 is the newest, 1 were made since", "2 by ada: a test [Limits]"]);
+    assert_exit(
+        &second,
+        1,
+        &[
+            "version 2 is the newest, and 1 versions since the base would be undone",
+            "2 by ada: a test [Limits]",
+        ],
+    );
     assert_exit(
         &cluster.propose(&any, 300, &["--base", "7"]),
         1,
@@ -67,7 +74,7 @@
     assert_exit(
         &cluster.config(&any, &["revert", "9", "--why", "back"]),
         1,
-        &["version 9 is not kept: there are 1 to 3"],
+        &["version 9 is not stored: versions 1 to 3 are"],
     );
     let shown = cluster.config(&any, &["show", "3"]);
     assert_exit(&shown, 0, &["version 3 by bea: back"]);
@@ -99,7 +106,11 @@
     let mut long = settings(100);
     long["Note"] = "x".repeat(MAX_SETTINGS_BYTES).into();
     fs::write(&faulty, long.to_string()).expect("written");
-    assert_exit(&cluster.config(&any, &["propose", path, "--why", "w"]), 1, &["settings are larger than"]);
+    assert_exit(
+        &cluster.config(&any, &["propose", path, "--why", "w"]),
+        1,
+        &["the settings are too large for routers"],
+    );
     let Ok(AdminResponse::Invalid { reason }) =
         cluster.request("c3", &AdminRequest::Check { settings: serde_json::json!({}) })
     else {
@@ -109,13 +120,13 @@
     assert_exit(
         &cluster.config(&any, &["check", cluster.file(100).to_str().expect("a path")]),
         0,
-        &["sound"],
+        &["valid"],
     );
     fs::write(&faulty, "{").expect("written");
     assert_exit(&cluster.config(&any, &["propose", path, "--why", "w"]), 2, &["faulty.json:1: not JSON"]);
     let nobody =
         Command::new(ALDERWAY).args(["config", "status", "--at", "127.0.0.1:1"]).output().expect("run");
-    assert_exit(&nobody, 3, &["no control machine answers"]);
+    assert_exit(&nobody, 3, &["no control server responded"]);
     cluster.wait_until_all_have(3);
 }
 
@@ -179,7 +190,7 @@
     assert_exit(
         &cluster.config(&["c4"], &["status"]),
         3,
-        &["not answering, and their routers not counted: c1, c2, c3"],
+        &["not responding, their routers not counted: c1, c2, c3"],
     );
     assert_exit(&cluster.config(&["c5"], &["show", "2"]), 0, &["version 2 by ada"]);
     for name in ["c1", "c2", "c3"] {
