--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -1,5 +1,5 @@
-//! `alderway control`: a control machine as the operator's file describes it.
-use crate::settings;
+//! `alderway control`: runs the control server that the operator's file configures.
+use crate::{EXIT_INVALID_INPUT, settings};
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
 use alderway_control_server::server::{self, ServerConfig};
@@ -13,17 +13,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The operator's file can't be used.
-const EXIT_INVALID_INPUT: u8 = 2;
-
 #[derive(Args)]
 pub struct Control {
-    /// The operator's file; it says `control(...)`
+    /// The operator's file; it must contain `control(...)`
     #[arg(long, value_name = "FILE")]
     operator: PathBuf,
 }
 
-/// Runs a control machine until SIGTERM or SIGINT.
+/// Runs a control server until SIGTERM or SIGINT.
 pub fn run(args: &Control) -> ExitCode {
     let (control, log_format) = match read(args) {
         Ok(read) => read,
@@ -46,8 +43,8 @@
 }
 
 fn read(args: &Control) -> Result<(ControlConfig, operator::LogFormat), String> {
-    let (config, _) = crate::operator_at(Some(&args.operator))?;
-    let missing = || format!("{}: it says nothing of `control`", args.operator.display());
+    let (config, _) = crate::read_operator_file(Some(&args.operator))?;
+    let missing = || format!("{}: `control` is missing", args.operator.display());
     Ok((config.control.ok_or_else(missing)?, config.log_format))
 }
 
@@ -63,7 +60,7 @@
     }
 }
 
-/// Subscriptions of routers, if the file says where routers connect.
+/// The subscriptions of routers. Versions are discarded if the file has no address for routers.
 async fn version_sink(name: String, address: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
     let Some(address) = address else { return Ok(Box::new(DiscardVersions)) };
     let config = PublisherConfig::default();
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -1,5 +1,5 @@
-//! The command line: `alderway serve` runs a query router, `alderway check` reads what it would run by and says so;
-//! `alderway control` runs a control machine, `alderway config` is for operators of these.
+//! The command line. `alderway serve` runs a query router, `alderway check` validates its files and prints the resulting
+//! configuration, `alderway control` runs a control server, and `alderway config` sends requests to control servers.
 mod config;
 mod control;
 mod settings;
@@ -21,29 +21,32 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// Reads many shards for one request.
+/// The command line or a file can't be used.
+const EXIT_INVALID_INPUT: u8 = 2;
+
+/// Query router that reads many shards for one request
 #[derive(Parser)]
 #[command(name = "alderway", version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
-    verb: Verb,
+    verb: Command,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Runs a query router until SIGTERM
-    Serve(Files),
-    /// Reads and checks the files, and prints what would run
-    Check(Files),
-    /// Runs a control machine until SIGTERM
+    Serve(RouterFiles),
+    /// Validates the files, and prints the configuration that would run
+    Check(RouterFiles),
+    /// Runs a control server until SIGTERM
     Control(control::Control),
-    /// Changes, shows and checks what the control machines keep
+    /// Changes, shows and checks the settings stored by the control servers
     #[command(subcommand)]
     Config(config::Config),
 }
 
 #[derive(Args)]
-struct Files {
+struct RouterFiles {
     /// The operator's file; without it the router runs as on the platform
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
@@ -52,50 +55,51 @@
     config: PathBuf,
 }
 
-/// What a router runs by.
-struct Plan {
-    config: StartupConfig,
+/// Everything that a router is started with.
+struct RouterConfig {
+    startup: StartupConfig,
     subscription: Option<Subscription>,
-    sharing: MulticoreConfig,
-    form: LogFormat,
+    multicore: MulticoreConfig,
+    log_format: LogFormat,
     operator: OperatorConfig,
 }
 
-/// What the operator's file says, and its text.
-fn operator_at(path: Option<&Path>) -> Result<(OperatorConfig, String), String> {
+/// The values of the operator's file, and its text. Defaults if there is no file.
+fn read_operator_file(path: Option<&Path>) -> Result<(OperatorConfig, String), String> {
     let Some(path) = path else { return Ok(Default::default()) };
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|why| format!("{name}: {why}"))?;
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{name}: {error}"))?;
     Ok((operator::read(&name, &text)?, text))
 }
 
-/// At a reload: whether the file now says something else. One that has not changed is not evaluated again.
-fn says_else(path: &Path, held: &OperatorConfig, held_text: &str) -> Result<bool, String> {
+/// Whether the file has other values than `current`, except for the list of peers. A file with an unchanged text is not
+/// evaluated again.
+fn operator_file_changed(path: &Path, current: &OperatorConfig, current_text: &str) -> Result<bool, String> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|why| format!("{name}: {why}"))?;
-    if text == held_text {
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{name}: {error}"))?;
+    if text == current_text {
         return Ok(false);
     }
-    let mut said = operator::read(&name, &text)?;
-    // Who the peers are is taken over at once.
-    if let (Some(peers), Some(held)) = (&mut said.peers, &held.peers) {
-        peers.members.clone_from(&held.members);
+    let mut read = operator::read(&name, &text)?;
+    // A reload applies the list of peers, so that it does not count as a change.
+    if let (Some(peers), Some(current)) = (&mut read.peers, &current.peers) {
+        peers.members.clone_from(&current.members);
     }
-    Ok(said != *held)
+    Ok(read != *current)
 }
 
-/// The list of peers as the file gives it now.
-fn members(path: &Path) -> Result<Members, String> {
-    let (operator, _) = operator_at(Some(path))?;
-    let peers = operator.peers.ok_or_else(|| format!("{}: it says nothing of `peers`", path.display()))?;
+/// Reads the current list of peers from the operator's file.
+fn read_members(path: &Path) -> Result<Members, String> {
+    let (operator, _) = read_operator_file(Some(path))?;
+    let peers = operator.peers.ok_or_else(|| format!("{}: `peers` is missing", path.display()))?;
     Ok(peers.members)
 }
 
-/// The routers that this one knows, if the operator's file names any.
-fn circle(operator: &OperatorConfig, files: &Files, name: &str) -> Result<Option<Circle>, String> {
+/// How this router communicates with its peers, if the operator's file has any.
+fn peer_config(operator: &OperatorConfig, files: &RouterFiles, name: &str) -> Result<Option<Circle>, String> {
     let Some(peers) = &operator.peers else { return Ok(None) };
     if !peers.members.contains_key(name) {
-        return Err(format!("`peers`: `members` does not name this router, `{name}`"));
+        return Err(format!("`peers`: `members` has no entry for this router, `{name}`"));
     }
     let terms = Terms {
         beat: peers.send_interval_s,
@@ -105,25 +109,26 @@
         ..Terms::default()
     };
     let path = files.operator.clone();
-    let again = path.map(|path| Arc::new(move || members(&path)) as Arc<_>);
+    let again = path.map(|path| Arc::new(move || read_members(&path)) as Arc<_>);
     Ok(Some(Circle { members: peers.members.clone(), terms, verdicts: peers.shares_node_health, again }))
 }
 
-/// The control machines that tell this router its settings, if the operator's file names any.
+/// The control servers from which this router receives its settings, if the operator's file has any.
 fn subscription(operator: &OperatorConfig) -> Option<Subscription> {
-    let said = operator.subscription.as_ref()?;
-    let (zone, persist_path) = (said.zone.clone(), said.persist_path.clone().map(PathBuf::from));
+    let subscription = operator.subscription.as_ref()?;
+    let zone = subscription.zone.clone();
+    let persist_path = subscription.persist_path.clone().map(PathBuf::from);
     let config = SubscriptionConfig {
-        heartbeat_timeout_s: said.heartbeat_timeout_s,
-        stale_after_s: said.stale_after_s,
+        heartbeat_timeout_s: subscription.heartbeat_timeout_s,
+        stale_after_s: subscription.stale_after_s,
         ..SubscriptionConfig::default()
     };
-    let machines = said.servers.iter().map(|(name, (at, zone))| {
+    let servers = subscription.servers.iter().map(|(name, (at, zone))| {
         let (name, zone) = (name.clone(), zone.clone());
         (ControlEndpoint { name, zone }, *at)
     });
     Some(Subscription {
-        machines: machines.collect(),
+        machines: servers.collect(),
         zone,
         config,
         persist_path,
@@ -132,9 +137,10 @@
     })
 }
 
-/// The configuration to start with: settings as the control plane last gave them, if they were kept, or the file's own.
+/// The configuration to start with. Its settings are those of the persisted version of the control plane, if there is one,
+/// or those of the configuration file.
 fn startup_config(
-    files: &Files,
+    files: &RouterFiles,
     subscription: Option<Subscription>,
     router_count: Option<u64>,
     clock: Clock,
@@ -148,12 +154,14 @@
     Ok((config, Some(subscription)))
 }
 
-fn plan(files: &Files, clock: Clock) -> Result<Plan, String> {
-    let (operator, text) = operator_at(files.operator.as_deref())?;
+/// Reads the files and combines them into the configuration of a router.
+fn router_config(files: &RouterFiles, clock: Clock) -> Result<RouterConfig, String> {
+    let (operator, text) = read_operator_file(files.operator.as_deref())?;
     if operator.control.is_some() {
-        return Err("the operator's file says `control`: it is for `alderway control`".into());
+        return Err("the operator's file contains `control`: it is for `alderway control`".into());
     }
-    // Shares that all routers hold together: planners have most, forwarders keep some back.
+    // Each router takes its part of the limits that are divided among all routers. The number of routers is scaled so that
+    // forwarders together get a fixed fraction of each limit, and planners the rest.
     let router_count = match &operator.tier {
         Tier::Standalone => None,
         Tier::Forwarder { forwarder_count, .. } => Some(*forwarder_count as f64 / FORWARDER_QUOTA_FRACTION),
@@ -163,10 +171,10 @@
     let (mut config, subscription) = startup_config(files, subscription(&operator), router_count, clock)
         .map_err(|error| error.to_string())?;
     if let Some(path) = files.operator.clone() {
-        let held = operator.clone();
-        config.operator_file_check = Some(Arc::new(move || says_else(&path, &held, &text)));
+        let current = operator.clone();
+        config.operator_file_check = Some(Arc::new(move || operator_file_changed(&path, &current, &text)));
     }
-    config.gossip = circle(&operator, files, &config.name)?;
+    config.gossip = peer_config(&operator, files, &config.name)?;
     config.shard_map = operator.layouts.map(|l| ShardMapConfig {
         retired_shard_grace_s: l.retired_shard_grace_s,
         lagging_node_grace_s: l.lagging_node_grace_s,
@@ -186,42 +194,44 @@
     };
     let for_peers = config.gossip.as_ref().map_or(0, Circle::descriptors);
     let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
-    let least = descriptors::minimum(cores) + for_peers + for_control;
-    if config.max_descriptors < least {
-        let what = if for_peers > 0 { " and its peers" } else { "" };
-        return Err(format!("key `limits.sockets`: {cores} cores{what} need {least} at least"));
+    let min_descriptors = descriptors::minimum(cores) + for_peers + for_control;
+    if config.max_descriptors < min_descriptors {
+        let peers = if for_peers > 0 { " and the peers" } else { "" };
+        return Err(format!("key `limits.sockets`: {cores} cores{peers} need at least {min_descriptors}"));
     }
     let max_connections_per_node = operator.cores.max_connections_per_node;
-    if max_connections_per_node.is_some_and(|most| most < cores) {
-        return Err(format!("`cores`: `node_connections` leaves some of {cores} cores without any"));
+    if max_connections_per_node.is_some_and(|max| max < cores) {
+        return Err(format!("`cores`: `node_connections` must be at least one for each of {cores} cores"));
     }
-    let form = match operator.log_format {
+    let log_format = match operator.log_format {
         operator::LogFormat::Text => LogFormat::Text,
         operator::LogFormat::Json => LogFormat::Json,
     };
-    Ok(Plan {
-        config,
+    Ok(RouterConfig {
+        startup: config,
         subscription,
-        sharing: MulticoreConfig {
+        multicore: MulticoreConfig {
             cores,
             max_connections_per_node,
             shares_observations: operator.cores.shares_observations,
         },
-        form,
+        log_format,
         operator,
     })
 }
 
-fn show(plan: &Plan) -> String {
-    let Plan { config, subscription, sharing, operator, .. } = plan;
-    let most = sharing.max_connections_per_node.map_or("as calls need".to_string(), |most| most.to_string());
-    let told = if sharing.cores > 1 && sharing.shares_observations {
-        "told between cores"
+/// The configuration as `alderway check` prints it, one value a line.
+fn describe(config: &RouterConfig) -> String {
+    let RouterConfig { startup, subscription, multicore, operator, .. } = config;
+    let max_connections =
+        multicore.max_connections_per_node.map_or("as attempts need".to_string(), |max| max.to_string());
+    let observations = if multicore.cores > 1 && multicore.shares_observations {
+        "shared between cores"
     } else {
-        "each core's own"
+        "separate for each core"
     };
     let role = match &operator.tier {
-        Tier::Standalone => "a router that decides by itself".to_string(),
+        Tier::Standalone => "a standalone router".to_string(),
         Tier::Forwarder { planners, forwarder_count, .. } => {
             let all: Vec<String> = planners.iter().map(ToString::to_string).collect();
             format!("one of {forwarder_count} forwarders; planners at {}", all.join(", "))
@@ -231,77 +241,79 @@
     let peers = match &operator.peers {
         None => "none".to_string(),
         Some(peers) => format!(
-            "{} others; a word is stale after {} s, {} have to say the same; told of data nodes: {}",
+            "{} others; messages expire after {} s, {} witnesses required; health of data nodes: {}",
             peers.members.len() - 1,
             peers.max_message_age_s,
             peers.required_witnesses,
-            if peers.shares_node_health { "sick or late" } else { "nothing" }
+            if peers.shares_node_health { "shared" } else { "not shared" }
         ),
     };
     let settings = match (&operator.subscription, subscription) {
-        (Some(said), Some(Subscription { persisted: Some(persisted), .. })) => {
+        (Some(control), Some(Subscription { persisted: Some(persisted), .. })) => {
             format!(
-                "version {} as kept, then by {} control machines",
+                "persisted version {}, then from {} control servers",
                 persisted.version.number,
-                said.servers.len()
+                control.servers.len()
             )
         }
-        (Some(said), _) => format!("the configuration's, then by {} control machines", said.servers.len()),
-        (None, _) => "the configuration's".to_string(),
+        (Some(control), _) => {
+            format!("from the configuration, then from {} control servers", control.servers.len())
+        }
+        (None, _) => "from the configuration".to_string(),
     };
     let shards = match operator.layouts {
-        None => "in the configuration's ring".to_string(),
+        None => "by the ring of the configuration".to_string(),
         Some(layouts) => format!(
-            "by layouts that discovery tells; {} s for late clients, {} s for lagging data nodes",
+            "by layouts from discovery; {} s for outdated clients, {} s for outdated data nodes",
             layouts.retired_shard_grace_s, layouts.lagging_node_grace_s
         ),
     };
     [
-        ("name", config.name.clone()),
-        ("listens at", config.listen.to_string()),
-        ("discovery", config.discovery.to_string()),
-        ("data nodes known", config.endpoints.nodes.len().to_string()),
-        ("verticals", config.query_classes.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
-        ("queries and parts held", config.settings.admission.max_open.to_string()),
-        ("descriptors", config.max_descriptors.to_string()),
-        ("memory", format!("{} MiB", config.max_memory_bytes / 1024 / 1024)),
-        ("cores", sharing.cores.to_string()),
-        ("connections to a data node", most),
-        ("evidence of data nodes", told.to_string()),
+        ("name", startup.name.clone()),
+        ("listens at", startup.listen.to_string()),
+        ("discovery", startup.discovery.to_string()),
+        ("data nodes known", startup.endpoints.nodes.len().to_string()),
+        ("verticals", startup.query_classes.iter().map(|v| v.name.as_str()).collect::<Vec<_>>().join(", ")),
+        ("queries and parts held", startup.settings.admission.max_open.to_string()),
+        ("descriptors", startup.max_descriptors.to_string()),
+        ("memory", format!("{} MiB", startup.max_memory_bytes / 1024 / 1024)),
+        ("cores", multicore.cores.to_string()),
+        ("connections to a data node", max_connections),
+        ("evidence of data nodes", observations.to_string()),
         ("shards", shards),
         ("role", role),
         ("peers", peers),
         ("settings", settings),
         ("log", format!("{:?}", operator.log_format).to_lowercase()),
     ]
-    .map(|(what, value)| format!("{what}: {value}\n"))
+    .map(|(name, value)| format!("{name}: {value}\n"))
     .concat()
 }
 
 fn main() -> ExitCode {
     let clock = Clock::default();
-    let verb = Line::parse().verb;
+    let verb = CommandLine::parse().verb;
     let files = match &verb {
-        Verb::Serve(files) | Verb::Check(files) => files,
-        Verb::Control(control) => return control::run(control),
-        Verb::Config(config) => return config::run(config),
+        Command::Serve(files) | Command::Check(files) => files,
+        Command::Control(control) => return control::run(control),
+        Command::Config(config) => return config::run(config),
     };
-    let plan = match plan(files, clock) {
-        Ok(plan) => plan,
-        Err(why) => {
-            eprintln!("alderway: {why}");
-            return ExitCode::from(2);
+    let config = match router_config(files, clock) {
+        Ok(config) => config,
+        Err(message) => {
+            eprintln!("alderway: {message}");
+            return ExitCode::from(EXIT_INVALID_INPUT);
         }
     };
-    if let Verb::Check(_) = verb {
-        print!("{}", show(&plan));
+    if let Command::Check(_) = verb {
+        print!("{}", describe(&config));
         return ExitCode::SUCCESS;
     }
-    log::init(plan.form);
-    match serve(plan.config, plan.subscription, plan.sharing, clock) {
+    log::init(config.log_format);
+    match serve(config.startup, config.subscription, config.multicore, clock) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("alderway: {why}");
+        Err(error) => {
+            eprintln!("alderway: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -392,7 +392,7 @@
 }
 
 #[rstest]
-#[case::no_control("control", "log(form = \"text\")", "it says nothing of `control`")]
+#[case::no_control("control", "log(form = \"text\")", "`control` is missing")]
 #[case::two(
     "control",
     "control(name = \"a\", data = \"d\", members = {}, doors = {})",
