--- a/crates/alderway/tests/common/control_cluster.rs
+++ b/crates/alderway/tests/common/control_cluster.rs
@@ -1,4 +1,4 @@
-//! Five control servers as processes on loopback, with the testbed's fault proxy between any two, and the operators' commands.
+//! Five control servers as processes on loopback, with the lab's fault proxy between any two, and the operators' commands.
 use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_control_server::admin::client;
 use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus};
@@ -20,6 +20,7 @@
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 pub const ALDERWAY: &str = env!("CARGO_BIN_EXE_alderway");
 
+/// A control server process.
 pub struct ControlServer {
     pub child: Child,
     pub log: Receiver<String>,
@@ -38,37 +39,38 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).expect("signalled");
     }
 
-    pub fn wait_for_log(&self, what: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         let end = Instant::now() + TIMEOUT;
         loop {
             let line = self.log.recv_timeout(end.saturating_duration_since(Instant::now()));
-            let line = line.unwrap_or_else(|_| panic!("no line says `{what}`"));
-            if line.contains(what) {
+            let line = line.unwrap_or_else(|_| panic!("no log line contains `{text}`"));
+            if line.contains(text) {
                 return line;
             }
         }
     }
 }
 
+/// The control servers by name, and the links between them.
 pub struct ControlCluster {
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     pub names: Vec<String>,
     pub wires: Wires,
-    pub programs: BTreeMap<String, ControlServer>,
+    pub servers: BTreeMap<String, ControlServer>,
     pub admin_addresses: BTreeMap<String, SocketAddr>,
 }
 
 impl Drop for ControlCluster {
     fn drop(&mut self) {
-        self.programs.clear();
-        let _ = fs::remove_dir_all(&self.folder);
+        self.servers.clear();
+        let _ = fs::remove_dir_all(&self.directory);
     }
 }
 
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(description: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "{what}");
+        assert!(Instant::now() < end, "{description}");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
@@ -77,21 +79,21 @@
     pub fn new() -> ControlCluster {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("alderway-control-{}-{count}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder");
+        let directory = std::env::temp_dir().join(format!("alderway-control-{}-{count}", std::process::id()));
+        fs::create_dir_all(&directory).expect("a directory");
         let names: Vec<String> = (1..=5).map(|n| format!("c{n}")).collect();
         let wires = Wires::between(&names).expect("ports");
-        let (programs, admin_addresses) = Default::default();
-        let mut cluster = ControlCluster { folder, names, wires, programs, admin_addresses };
+        let (servers, admin_addresses) = Default::default();
+        let mut cluster = ControlCluster { directory, names, wires, servers, admin_addresses };
         for name in cluster.names.clone() {
             cluster.start(&name);
         }
-        until("all agree on a leader", || cluster.leader().is_some());
+        wait_until("all servers agree on a leader", || cluster.leader().is_some());
         cluster
     }
 
-    pub fn data(&self, name: &str) -> PathBuf {
-        self.folder.join(name)
+    pub fn data_path(&self, name: &str) -> PathBuf {
+        self.directory.join(name)
     }
 
     pub fn command(&self, name: &str) -> Command {
@@ -111,13 +113,13 @@
             self.names.iter().map(|other| format!("\"{other}\": \"127.0.0.1:0\"")).collect();
         let text = format!(
             "control(name = \"{name}\", data = \"{}\", members = {{{}}}, doors = {{{}}})\n",
-            self.data(name).display(),
+            self.data_path(name).display(),
             members.join(", "),
             admin_addresses.join(", ")
         );
-        let file = self.folder.join(format!("{name}.star"));
+        let file = self.directory.join(format!("{name}.star"));
         fs::write(&file, text).expect("written");
-        // A write past a limit is an error then, as on a full disk, and no signal.
+        // With SIGXFSZ ignored, a write past the file size limit fails with an error, as on a full disk.
         let mut command = Command::new("sh");
         command.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\"", ALDERWAY, "control", "--operator"]).arg(file);
         command.stdin(Stdio::null()).stderr(Stdio::piped());
@@ -129,16 +131,17 @@
         let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().expect("a log")).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        let mut program = ControlServer { child, log, admin_address: ([127, 0, 0, 1], 0).into() };
-        let at = |line: String| line.rsplit(' ').next().and_then(|at| at.parse().ok()).expect("an address");
-        self.wires.lead_to(name, at(program.wait_for_log("listens for replicas at")));
-        program.admin_address = at(program.wait_for_log("listens for operators at"));
-        self.admin_addresses.insert(name.into(), program.admin_address);
-        self.programs.insert(name.into(), program);
+        let mut server = ControlServer { child, log, admin_address: ([127, 0, 0, 1], 0).into() };
+        let address =
+            |line: String| line.rsplit(' ').next().and_then(|at| at.parse().ok()).expect("an address");
+        self.wires.lead_to(name, address(server.wait_for_log("listens for replicas at")));
+        server.admin_address = address(server.wait_for_log("listens for operators at"));
+        self.admin_addresses.insert(name.into(), server.admin_address);
+        self.servers.insert(name.into(), server);
     }
 
     pub fn kill(&mut self, name: &str) {
-        self.programs.remove(name);
+        self.servers.remove(name);
     }
 
     pub fn request(&self, name: &str, request: &AdminRequest) -> Result<AdminResponse, client::RequestError> {
@@ -159,9 +162,9 @@
         }
     }
 
-    /// Whom those that run and know of a majority agree on.
+    /// The leader, if all running servers have a quorum and agree on it.
     pub fn leader(&self) -> Option<String> {
-        let mut leaders = self.programs.keys().map(|name| {
+        let mut leaders = self.servers.keys().map(|name| {
             self.status(name)
                 .filter(|all| all.replica.has_quorum && all.replica.unavailable_reason.is_none())?
                 .replica
@@ -171,41 +174,44 @@
         leaders.all(|leader| leader.as_ref() == Some(&first)).then_some(first)
     }
 
-    /// One that does not lead.
+    /// A server that is not the leader.
     pub fn follower(&self) -> String {
-        let leader = self.leader().expect("led");
-        self.programs.keys().find(|name| **name != leader).expect("of several").clone()
+        let leader = self.leader().expect("a leader");
+        self.servers.keys().find(|name| **name != leader).expect("a follower").clone()
     }
 
     pub fn wait_until_all_have(&self, number: VersionNumber) {
-        for name in self.programs.keys() {
-            until(&format!("{name} has {number}"), || self.latest_version(name) == number);
+        for name in self.servers.keys() {
+            wait_until(&format!("{name} has {number}"), || self.latest_version(name) == number);
         }
     }
 
-    pub fn file(&self, room: usize) -> PathBuf {
-        let path = self.folder.join(format!("settings-{room}.json"));
-        fs::write(&path, settings(room).to_string()).expect("written");
+    /// Writes a file with settings that limit the streams of a connection.
+    pub fn settings_file(&self, streams: usize) -> PathBuf {
+        let path = self.directory.join(format!("settings-{streams}.json"));
+        fs::write(&path, settings(streams).to_string()).expect("written");
         path
     }
 
-    pub fn config(&self, at: &[&str], words: &[&str]) -> Output {
+    /// Runs `alderway config` against the given servers.
+    pub fn config(&self, servers: &[&str], arguments: &[&str]) -> Output {
         let admin_addresses: Vec<String> =
-            at.iter().map(|name| self.admin_addresses[*name].to_string()).collect();
+            servers.iter().map(|name| self.admin_addresses[*name].to_string()).collect();
         let mut command = Command::new(ALDERWAY);
-        command.arg("config").args(words).args(["--at", &admin_addresses.join(",")]);
+        command.arg("config").args(arguments).args(["--at", &admin_addresses.join(",")]);
         command.output().expect("run")
     }
 
-    pub fn propose(&self, at: &[&str], room: usize, words: &[&str]) -> Output {
-        let file = self.file(room);
+    /// Runs `alderway config propose` for settings that limit the streams of a connection.
+    pub fn propose(&self, servers: &[&str], streams: usize, arguments: &[&str]) -> Output {
+        let file = self.settings_file(streams);
         let mut all = vec!["propose", file.to_str().expect("a path"), "--why", "a test", "--author", "ada"];
-        all.extend(words);
-        self.config(at, &all)
+        all.extend(arguments);
+        self.config(servers, &all)
     }
 }
 
-/// Settings that differ in a key which a router takes over while it serves.
+/// Settings with a limit on the streams of a connection, which a router can change while it serves.
 pub fn settings(streams: usize) -> Value {
     let setting = Setting { room: 100, ..Setting::default() };
     let text = setting.configuration(([127, 0, 0, 1], 1).into(), &[]);
@@ -214,17 +220,18 @@
     all["settings"].take()
 }
 
-pub fn proposal(id: &str, base: VersionNumber, room: usize) -> Proposal {
-    let (author, why) = ("ada".into(), "a test".into());
-    Proposal { id: id.into(), base, author, reason: why, at_unix_ms: 1, settings: settings(room) }
+pub fn proposal(id: &str, base: VersionNumber, streams: usize) -> Proposal {
+    let (author, reason) = ("ada".into(), "a test".into());
+    Proposal { id: id.into(), base, author, reason, at_unix_ms: 1, settings: settings(streams) }
 }
 
+/// Checks the exit code of a command and that its output contains each expected text.
 #[track_caller]
-pub fn assert_exit(output: &Output, code: i32, says: &[&str]) {
+pub fn assert_exit(output: &Output, code: i32, expected: &[&str]) {
     let text =
         format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
     assert_eq!(output.status.code(), Some(code), "{text}");
-    for what in says {
-        assert!(text.contains(what), "no `{what}` in: {text}");
+    for part in expected {
+        assert!(text.contains(part), "no `{part}` in: {text}");
     }
 }
--- a/crates/alderway/tests/common/mod.rs
+++ b/crates/alderway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What stories over sockets share: a client of a router, and waiting for what its counters say.
+//! Shared by the tests over sockets: an HTTP client of a router, and waiting for its counters and log lines.
 #![allow(dead_code)]
 pub mod control_cluster;
 
@@ -9,29 +9,31 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Limit of each wait of a test.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-pub fn until(program: &Program, what: &str, holds: impl Fn(&BTreeMap<String, u64>) -> bool) {
-    let end = Instant::now() + PATIENCE;
+/// Waits until a condition on the counters holds.
+pub fn wait_until(program: &Program, what: &str, holds: impl Fn(&BTreeMap<String, u64>) -> bool) {
+    let end = Instant::now() + TIMEOUT;
     while !holds(&program.counters()) {
         assert!(Instant::now() < end, "{what}: {:?}", program.counters());
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Waits for a line of the log. Where a core hangs this is what to wait by: a connection that asks for the counters
-/// could come to that core, and wait until the hang is over.
-pub fn logged(program: &Program, what: &str) {
-    let until = Instant::now() + PATIENCE;
+/// Waits for a log line that contains a text. While a core hangs, tests must wait for log lines and not for counters: the
+/// connection that requests the counters could be assigned to that core, and would wait until the hang is over.
+pub fn wait_for_log(program: &Program, text: &str) {
+    let end = Instant::now() + TIMEOUT;
     loop {
-        let line = program.log.recv_timeout(until.saturating_duration_since(Instant::now()));
-        if line.unwrap_or_else(|_| panic!("no line says `{what}`")).contains(what) {
+        let line = program.log.recv_timeout(end.saturating_duration_since(Instant::now()));
+        if line.unwrap_or_else(|_| panic!("no log line contains `{text}`")).contains(text) {
             return;
         }
     }
 }
 
-/// Queries of three parts, so many a second for so many seconds.
+/// Queries of three shard requests each, `rate` per second for `span` seconds.
 pub fn load(rate: f64, span: f64) -> Load {
     Load {
         pace: Pace::Open(rate),
@@ -47,12 +49,13 @@
     }
 }
 
+/// An HTTP connection to a router.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub fn to(program: &Program) -> Client {
+    pub fn connect(program: &Program) -> Client {
         let stream = TcpStream::connect(program.address).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         Client(BufReader::new(stream))
     }
 
@@ -60,12 +63,13 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("written");
     }
 
-    pub fn query(&mut self, id: &str, left_ms: u64) {
-        self.ask(id, left_ms, r#"{"partition":3,"share":1}"#);
+    /// Sends a query for one shard.
+    pub fn send_query(&mut self, id: &str, left_ms: u64) {
+        self.send_query_for(id, left_ms, r#"{"partition":3,"share":1}"#);
     }
 
-    /// A query for some targets; its text is its id.
-    pub fn ask(&mut self, id: &str, left_ms: u64, targets: &str) {
+    /// Sends a query for the given targets, whose text is its id.
+    pub fn send_query_for(&mut self, id: &str, left_ms: u64, targets: &str) {
         let body = format!(r#"{{"targets":[{targets}],"query":"{id}"}}"#);
         self.send(&format!(
             "POST /api HTTP/1.1\r\nX-Correlation-Id: {id}\r\nX-Service-Class: site-search\r\n\
@@ -74,17 +78,18 @@
         ));
     }
 
-    /// Has the core of this connection hang or fail at its next beat; a plain request carries the word.
-    pub fn fault(&mut self, fault: &str) {
+    /// Makes the core of this connection hang or fail at its next heartbeat, by a header of a readiness request.
+    pub fn inject_fault(&mut self, fault: &str) {
         self.send(&format!("GET /up HTTP/1.1\r\nX-Fault: {fault}\r\n\r\n"));
-        assert_eq!(self.answer().0, 200);
+        assert_eq!(self.read_response().0, 200);
     }
 
-    pub fn answer(&mut self) -> (u16, String) {
+    /// Reads one response: its status and its body.
+    pub fn read_response(&mut self) -> (u16, String) {
         let (mut status, mut length, mut line) = (0, 0, String::new());
         loop {
             line.clear();
-            self.0.read_line(&mut line).expect("an answer");
+            self.0.read_line(&mut line).expect("a response");
             let text = line.trim_end();
             if let Some(rest) = text.strip_prefix("HTTP/1.1 ") {
                 status = rest.split(' ').next().and_then(|s| s.parse().ok()).expect("a status");
@@ -99,22 +104,23 @@
         (status, String::from_utf8(body).expect("text"))
     }
 
-    /// The counters, as the core of this connection gives them.
+    /// The counters, as read by the core of this connection.
     pub fn counters(&mut self) -> BTreeMap<String, u64> {
         self.send("GET /counters HTTP/1.1\r\n\r\n");
-        figures(&self.answer().1)
+        figures(&self.read_response().1)
     }
 
-    /// All that comes until the connection ends.
-    pub fn rest(&mut self) -> String {
+    /// Reads until the connection is closed.
+    pub fn read_to_end(&mut self) -> String {
         let mut bytes = vec![];
-        // A reset is an end as well.
+        // A reset ends the connection too.
         let _ = self.0.read_to_end(&mut bytes);
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    pub fn up(&mut self) -> u16 {
+    /// The status of the readiness endpoint.
+    pub fn readiness_status(&mut self) -> u16 {
         self.send("GET /up HTTP/1.1\r\n\r\n");
-        self.answer().0
+        self.read_response().0
     }
 }
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -1,5 +1,6 @@
-//! Query routers that know each other, as processes on loopback with the lab's relay between any two: parted, cut one way,
-//! stopped, killed and started anew, lied to, told nonsense, and with lists that differ.
+//! Query routers that share observations, as processes on loopback with the lab's relay between any two. They are partitioned,
+//! also in one direction, stopped, killed and restarted, get false reports and malformed frames, and have different peer
+//! lists.
 mod common;
 use alderway_lab::Clock;
 use alderway_lab::agent::{Agent, Entry};
@@ -11,7 +12,7 @@
 use alderway_peers::Frame;
 use alderway_peers::words::{What, Word};
 use alderway_transport::{FrameReader, Hello, Received, encode_hello, encode_message};
-use common::{PATIENCE, until};
+use common::{TIMEOUT, wait_until};
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -21,23 +22,24 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-struct House {
+/// Routers, the data nodes that they share, and the relays between the routers.
+struct Testbed {
     clock: Clock,
     fleet: Fleet,
     agent: Agent,
     entries: Vec<Entry>,
     wires: Wires,
     names: Vec<String>,
-    /// With where each listens for its peers.
+    /// The routers by name, with the address at which each listens for its peers.
     routers: BTreeMap<String, (Program, SocketAddr)>,
 }
 
-/// Words that are stale soon, so that stories are short.
-const SOON: &str = "beat_ms = 25, pulse_ms = 200, stale_ms = 600";
+/// Messages expire soon, so that the tests are short.
+const SHORT_TIMES: &str = "beat_ms = 25, pulse_ms = 200, stale_ms = 600";
 
-impl House {
-    /// So many routers, all of which have heard of each other.
-    fn new(count: usize) -> House {
+impl Testbed {
+    /// Starts routers and waits until all of them consider each other alive.
+    fn new(count: usize) -> Testbed {
         let clock = Clock::default();
         let make = Make { service: 0.002, exponential: false, ..Make::default() };
         let fleet = Fleet::start(6, 1, &make, 7, clock, false).expect("data nodes");
@@ -45,22 +47,22 @@
         let agent = Agent::start(entries.clone()).expect("discovery");
         let names: Vec<String> = (0..count).map(|n| format!("r{n}")).collect();
         let wires = Wires::between(&names).expect("ports");
-        let mut house = House { clock, fleet, agent, entries, wires, names, routers: BTreeMap::new() };
-        for name in house.names.clone() {
-            house.start(&name, &house.names.clone());
+        let mut testbed = Testbed { clock, fleet, agent, entries, wires, names, routers: BTreeMap::new() };
+        for name in testbed.names.clone() {
+            testbed.start(&name, &testbed.names.clone());
         }
-        house.met();
-        house
+        testbed.wait_until_all_alive();
+        testbed
     }
 
-    /// What a router's operator's file says: these are the members.
-    fn operator(&self, own: &str, members: &[String]) -> String {
+    /// The operator's file of a router with the given members.
+    fn operator_file(&self, own: &str, members: &[String]) -> String {
         let entry = |name: &String| match name == own {
             true => format!("\"{name}\": \"127.0.0.1:0\""),
             false => format!("\"{name}\": \"{}\"", self.wires.address(own, name)),
         };
         let all: Vec<String> = members.iter().map(entry).collect();
-        format!("peers(members = {{{}}}, {SOON}, witnesses = 2)\n", all.join(", "))
+        format!("peers(members = {{{}}}, {SHORT_TIMES}, witnesses = 2)\n", all.join(", "))
     }
 
     fn start(&mut self, name: &str, members: &[String]) {
@@ -70,7 +72,7 @@
             .replace("\"n0\"", &format!("\"{name}\""));
         let build = Build {
             path: env!("CARGO_BIN_EXE_alderway").into(),
-            operator: Some(self.operator(name, members)),
+            operator: Some(self.operator_file(name, members)),
         };
         let program = Program::start(&build, &text).unwrap_or_else(|why| panic!("{why}"));
         let at = program.hears_peers_at().unwrap_or_else(|why| panic!("{why}"));
@@ -82,10 +84,10 @@
         &self.routers[&self.names[n]].0
     }
 
-    fn met(&self) {
+    fn wait_until_all_alive(&self) {
         let others = self.names.len() as u64 - 1;
         for (program, _) in self.routers.values() {
-            until(program, "all are there", |c| c.get("peers_alive") == Some(&others));
+            wait_until(program, "all peers are alive", |c| c.get("peers_alive") == Some(&others));
         }
     }
 
@@ -93,19 +95,20 @@
         send(self.router(n).address, self.clock, rate, span)
     }
 
-    /// Parts that have come to the first data node.
-    fn to_first(&self) -> u64 {
+    /// How many shard requests the first data node has received.
+    fn first_node_requests(&self) -> u64 {
         self.fleet.nodes[0].met.parts.load(Relaxed)
     }
 
-    /// Two routers meet the first data node as it falls silent, and say so for as long as they meet it so.
-    fn two_learn(&self) {
+    /// The first data node stops answering, which two routers observe and report.
+    fn two_routers_observe_failure(&self) {
         self.send(0, 100.0, 0.5);
         self.fleet.nodes[0].set(NodeFault::Silent);
-        self.both_send(100.0, 0.8);
+        self.send_to_both(100.0, 0.8);
     }
 
-    fn both_send(&self, rate: f64, span: f64) {
+    /// Sends queries to the first two routers.
+    fn send_to_both(&self, rate: f64, span: f64) {
         let (one, other, clock) = (self.router(0).address, self.router(1).address, self.clock);
         std::thread::scope(|scope| {
             scope.spawn(move || send(one, clock, rate, span));
@@ -114,6 +117,7 @@
     }
 }
 
+/// Sends queries to a router and checks that each is answered once, correctly and in time.
 fn send(to: SocketAddr, clock: Clock, rate: f64, span: f64) -> Outcome {
     let outcome = load::send(to, &common::load(rate, span), clock);
     assert_eq!((outcome.wrong, outcome.lost, outcome.late), (0, 0, 0), "{:?}", outcome.statuses);
@@ -125,119 +129,129 @@
     program.counters().get(name).copied().unwrap_or(0)
 }
 
-/// Guards against every router that learns of a silent data node by losing time on it: two have, the third passes it over
-/// from its first query on.
+/// Guards against each router losing time on an unresponsive data node before it avoids the node: after two routers have
+/// observed it, the others avoid it from their first query on.
 #[rstest]
-fn what_two_routers_saw_of_a_data_node_the_others_need_not_see() {
-    let house = House::new(5);
-    house.two_learn();
-    let (one, other, clock) = (house.router(0).address, house.router(1).address, house.clock);
+fn a_router_avoids_a_data_node_that_two_others_report_as_unresponsive() {
+    let testbed = Testbed::new(5);
+    testbed.two_routers_observe_failure();
+    let (one, other, clock) = (testbed.router(0).address, testbed.router(1).address, testbed.clock);
     std::thread::scope(|scope| {
-        // They go on meeting it: a sick node is tried now and then.
+        // The two routers still observe the node, as unhealthy nodes get a few attempts.
         scope.spawn(move || send(one, clock, 60.0, 1.2));
         scope.spawn(move || send(other, clock, 60.0, 1.2));
-        until(house.router(4), "it hears", |c| c.get("evidence_heard").is_some_and(|n| *n > 0));
-        let before = house.to_first();
-        let outcome = house.send(4, 100.0, 0.5);
-        let to_it = house.to_first() - before;
-        assert!(12 * to_it < 3 * outcome.sent, "{to_it} of {} parts", 3 * outcome.sent);
+        wait_until(testbed.router(4), "observations are received", |c| {
+            c.get("evidence_heard").is_some_and(|n| *n > 0)
+        });
+        let before = testbed.first_node_requests();
+        let outcome = testbed.send(4, 100.0, 0.5);
+        let requests = testbed.first_node_requests() - before;
+        assert!(12 * requests < 3 * outcome.sent, "{requests} of {} shard requests", 3 * outcome.sent);
     });
 }
 
-/// Guards against words that go round by a link that is cut, or stay away once it is mended.
+/// Guards against messages that cross a partition, and against messages that are still missing after it is healed.
 #[rstest]
-fn halves_hear_nothing_of_each_other_and_do_again_when_the_cut_is_over() {
-    let house = House::new(5);
-    house.wires.part(&["r0", "r1"]);
+fn no_messages_cross_a_partition_until_it_is_healed() {
+    let testbed = Testbed::new(5);
+    testbed.wires.part(&["r0", "r1"]);
     for n in 0..5 {
         let (near, far) = if n < 2 { (1, 3) } else { (2, 2) };
-        until(house.router(n), "halves", |c| {
+        wait_until(testbed.router(n), "the partition is detected", |c| {
             c["peers_alive"] == near && c["peers_dead"] + c["peers_missed"] == far
         });
     }
-    let before = counted(house.router(3), "evidence_heard");
-    house.two_learn();
-    assert_eq!(counted(house.router(3), "evidence_heard"), before);
-    house.wires.heal();
-    house.met();
-    house.two_learn();
-    until(house.router(3), "it hears", |c| c.get("evidence_heard").is_some_and(|n| *n > before));
+    let before = counted(testbed.router(3), "evidence_heard");
+    testbed.two_routers_observe_failure();
+    assert_eq!(counted(testbed.router(3), "evidence_heard"), before);
+    testbed.wires.heal();
+    testbed.wait_until_all_alive();
+    testbed.two_routers_observe_failure();
+    wait_until(testbed.router(3), "observations are received", |c| {
+        c.get("evidence_heard").is_some_and(|n| *n > before)
+    });
 }
 
-/// Guards against a router taken for dead, or words taken for lost, because one way to one peer is cut.
+/// Guards against a router that is considered dead, or messages that are lost, because one direction of one link is blocked.
 #[rstest]
-fn a_link_cut_one_way_costs_nobody_a_word() {
-    let house = House::new(5);
-    house.wires.set("r0", "r1", Fault::Held);
+fn a_link_blocked_in_one_direction_loses_no_messages() {
+    let testbed = Testbed::new(5);
+    testbed.wires.set("r0", "r1", Fault::Held);
     sleep(Duration::from_millis(1500));
     for n in 0..5 {
-        assert_eq!(counted(house.router(n), "peers_alive"), 4, "r{n}");
+        assert_eq!(counted(testbed.router(n), "peers_alive"), 4, "r{n}");
     }
-    house.two_learn();
-    until(house.router(4), "it hears", |c| c.get("evidence_heard").is_some_and(|n| *n > 0));
+    testbed.two_routers_observe_failure();
+    wait_until(testbed.router(4), "observations are received", |c| {
+        c.get("evidence_heard").is_some_and(|n| *n > 0)
+    });
 }
 
-/// Guards against words that were under way for longer than they are worth.
+/// Guards against acting on messages that were delayed beyond their maximum age.
 #[rstest]
-fn words_delayed_past_their_time_are_stale() {
-    let house = House::new(5);
+fn messages_delayed_beyond_their_maximum_age_are_ignored() {
+    let testbed = Testbed::new(5);
     for from in 0..4 {
-        house.wires.set(&house.names[from], "r4", Fault::Delayed(0.9));
+        testbed.wires.set(&testbed.names[from], "r4", Fault::Delayed(0.9));
     }
     sleep(Duration::from_millis(1000));
-    let before = counted(house.router(4), "evidence_heard");
-    house.two_learn();
-    until(house.router(4), "they come", |c| c.get("words_stale").is_some_and(|n| *n > 20));
-    assert_eq!(counted(house.router(4), "evidence_heard"), before);
-    // The others hear as ever.
-    until(house.router(3), "it hears", |c| c.get("evidence_heard").is_some_and(|n| *n > 0));
+    let before = counted(testbed.router(4), "evidence_heard");
+    testbed.two_routers_observe_failure();
+    wait_until(testbed.router(4), "delayed messages arrive", |c| {
+        c.get("words_stale").is_some_and(|n| *n > 20)
+    });
+    assert_eq!(counted(testbed.router(4), "evidence_heard"), before);
+    // The other routers still receive messages.
+    wait_until(testbed.router(3), "observations are received", |c| {
+        c.get("evidence_heard").is_some_and(|n| *n > 0)
+    });
 }
 
-/// Guards against a router that is taken for dead for ever after a pause, or spreads what it knew before it.
+/// Guards against a router that is considered dead forever after a pause, or that spreads outdated information after it.
 #[rstest]
-fn a_router_that_was_stopped_is_missed_and_found_again() {
-    let house = House::new(5);
-    house.router(2).signal(Signal::SIGSTOP);
-    until(house.router(0), "it is missed", |c| c["peers_dead"] + c["peers_missed"] == 1);
-    until(house.router(4), "it is dead", |c| c["peers_dead"] == 1);
-    house.router(2).signal(Signal::SIGCONT);
-    house.met();
-    house.send(2, 100.0, 0.3);
+fn a_stopped_router_is_detected_and_alive_again_after_it_resumes() {
+    let testbed = Testbed::new(5);
+    testbed.router(2).signal(Signal::SIGSTOP);
+    wait_until(testbed.router(0), "the router is suspected", |c| c["peers_dead"] + c["peers_missed"] == 1);
+    wait_until(testbed.router(4), "the router is dead", |c| c["peers_dead"] == 1);
+    testbed.router(2).signal(Signal::SIGCONT);
+    testbed.wait_until_all_alive();
+    testbed.send(2, 100.0, 0.3);
 }
 
-/// Guards against a router that nobody takes back after a crash, and one whose planned end looks like a crash.
+/// Guards against a router that is not accepted again after a crash, and against a planned shutdown that looks like a crash.
 #[rstest]
-fn a_killed_router_comes_back_and_one_that_goes_says_so() {
-    let mut house = House::new(5);
-    house.router(3).signal(Signal::SIGKILL);
-    until(house.router(0), "it is missed", |c| c["peers_alive"] == 3);
-    house.routers.remove("r3");
-    let names = house.names.clone();
-    house.start("r3", &names);
-    house.met();
-    let (gone, _) = house.routers.remove("r1").expect("there");
-    drop(gone.stop());
-    until(house.router(0), "it went as planned", |c| c["peers_left"] == 1 && c["peers_alive"] == 3);
+fn a_killed_router_rejoins_and_a_planned_shutdown_is_announced() {
+    let mut testbed = Testbed::new(5);
+    testbed.router(3).signal(Signal::SIGKILL);
+    wait_until(testbed.router(0), "the router is suspected", |c| c["peers_alive"] == 3);
+    testbed.routers.remove("r3");
+    let names = testbed.names.clone();
+    testbed.start("r3", &names);
+    testbed.wait_until_all_alive();
+    let (leaving, _) = testbed.routers.remove("r1").expect("there");
+    drop(leaving.stop());
+    wait_until(testbed.router(0), "the router has left", |c| c["peers_left"] == 1 && c["peers_alive"] == 3);
 }
 
 #[rstest]
-fn half_of_all_started_anew_at_once_are_met_again() {
-    let mut house = House::new(6);
-    let names = house.names.clone();
+fn half_of_the_routers_rejoin_after_a_simultaneous_restart() {
+    let mut testbed = Testbed::new(6);
+    let names = testbed.names.clone();
     for name in &names[..3] {
-        house.routers.remove(name);
+        testbed.routers.remove(name);
     }
     for name in &names[..3] {
-        house.start(name, &names);
+        testbed.start(name, &names);
     }
-    house.met();
+    testbed.wait_until_all_alive();
 }
 
-/// A peer that this story plays: it says hello under a member's name.
-fn play(house: &House, to: usize, name: &str, incarnation: u64) -> (TcpStream, FrameReader<Frame>) {
-    let at = house.routers[&house.names[to]].1;
+/// Connects to a router as a peer with a member's name.
+fn connect_as(testbed: &Testbed, to: usize, name: &str, incarnation: u64) -> (TcpStream, FrameReader<Frame>) {
+    let at = testbed.routers[&testbed.names[to]].1;
     let mut stream = TcpStream::connect(at).expect("dialled");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     let mut bytes = vec![];
     let hello = Hello { version: 1, is_planner: false, incarnation, name: name.into() };
     encode_hello::<Frame>(&mut bytes, &hello);
@@ -245,7 +259,8 @@
     (stream, FrameReader::default())
 }
 
-fn frame(stream: &mut TcpStream, reader: &mut FrameReader<Frame>) -> Option<Frame> {
+/// Reads the next frame; none if the connection ends.
+fn read_frame(stream: &mut TcpStream, reader: &mut FrameReader<Frame>) -> Option<Frame> {
     let mut space = [0; 65536];
     loop {
         match reader.next_frame() {
@@ -260,14 +275,14 @@
     }
 }
 
-/// Guards against one router, broken or bribed, that takes sound data nodes out for all others.
+/// Guards against one faulty or malicious router that makes all others avoid healthy data nodes.
 #[rstest]
-fn a_liar_takes_no_data_node_out() {
-    let house = House::new(5);
-    let (mut stream, mut reader) = play(&house, 0, "r4", u64::MAX - 5);
-    let nodes: Vec<String> = house.fleet.nodes.iter().map(|node| node.name.clone()).collect();
-    let heard = frame(&mut stream, &mut reader).expect("a frame");
-    let lies = nodes.iter().enumerate().map(|(n, node)| Word {
+fn false_reports_of_one_router_exclude_no_data_node() {
+    let testbed = Testbed::new(5);
+    let (mut stream, mut reader) = connect_as(&testbed, 0, "r4", u64::MAX - 5);
+    let nodes: Vec<String> = testbed.fleet.nodes.iter().map(|node| node.name.clone()).collect();
+    let received = read_frame(&mut stream, &mut reader).expect("a frame");
+    let false_reports = nodes.iter().enumerate().map(|(n, node)| Word {
         origin: "r4".into(),
         incarnation: u64::MAX - 5,
         number: n as u64 + 1,
@@ -275,83 +290,85 @@
         what: What::Verdict { node: node.clone(), started: None, ago: 0.0, late: 1e9, far: 1e9, sick: 1e9 },
     });
     let mut bytes = vec![];
-    let words = lies.collect();
-    encode_message(&mut bytes, &Frame { stamp: 1.0, echo: Some((heard.stamp, 0.0)), words })
+    let words = false_reports.collect();
+    encode_message(&mut bytes, &Frame { stamp: 1.0, echo: Some((received.stamp, 0.0)), words })
         .expect("it fits a frame");
     stream.write_all(&bytes).expect("written");
-    let taken = counted(house.router(0), "words_taken");
-    until(house.router(0), "the lies are taken in", |c| c["words_taken"] >= taken + 6);
-    let heard = counted(house.router(0), "evidence_heard");
-    let outcome = house.send(0, 100.0, 0.5);
+    let taken = counted(testbed.router(0), "words_taken");
+    wait_until(testbed.router(0), "the reports are received", |c| c["words_taken"] >= taken + 6);
+    let observations = counted(testbed.router(0), "evidence_heard");
+    let outcome = testbed.send(0, 100.0, 0.5);
     assert_eq!(outcome.merged(), outcome.sent);
-    assert_eq!(heard, 0);
-    // All nodes have their turns as ever.
-    let least = house.fleet.nodes.iter().map(|node| node.met.parts.load(Relaxed)).min();
+    assert_eq!(observations, 0);
+    // All data nodes still receive their share.
+    let least = testbed.fleet.nodes.iter().map(|node| node.met.parts.load(Relaxed)).min();
     assert!(least.is_some_and(|n| n * 12 > outcome.sent * 3), "{least:?} of {}", 3 * outcome.sent);
 }
 
 #[rstest]
 #[case::http(b"GET / HTTP/1.1\r\n\r\n".to_vec())]
 #[case::zeroes(vec![0; 300])]
-#[case::a_length_past_all_memory(vec![255; 64])]
-fn nonsense_ends_its_own_link_and_nothing_else(#[case] bytes: Vec<u8>) {
-    let house = House::new(5);
-    let mut stream = TcpStream::connect(house.routers["r0"].1).expect("dialled");
+#[case::excessive_length(vec![255; 64])]
+fn malformed_input_only_ends_its_own_connection(#[case] bytes: Vec<u8>) {
+    let testbed = Testbed::new(5);
+    let mut stream = TcpStream::connect(testbed.routers["r0"].1).expect("dialled");
     stream.write_all(&bytes).expect("written");
-    until(house.router(0), "it is refused", |c| c.get("peer_links_refused") == Some(&1));
-    assert_eq!(counted(house.router(0), "peers_alive"), 4);
-    house.send(0, 100.0, 0.3);
+    wait_until(testbed.router(0), "the connection is closed", |c| c.get("peer_links_refused") == Some(&1));
+    assert_eq!(counted(testbed.router(0), "peers_alive"), 4);
+    testbed.send(0, 100.0, 0.3);
 }
 
-/// Lists that differ, and a reload that makes them one: r4 is unknown to r0 until its file names it.
+/// The routers have different peer lists until a reload: r4 is unknown to r0 until the file of r0 contains it.
 #[rstest]
-fn a_reload_adds_a_member_that_one_list_lacked() {
-    let mut house = House::new(5);
-    let four = house.names[..4].to_vec();
-    house.routers.remove("r0");
-    house.start("r0", &four);
-    until(house.router(0), "it knows three", |c| c["peers_alive"] == 3);
-    until(house.router(0), "and hears a stranger's words", |c| c["words_strange"] > 0);
-    let file = house.router(0).operator_file().expect("there is one").to_path_buf();
+fn a_reload_adds_a_peer_that_was_missing_in_one_list() {
+    let mut testbed = Testbed::new(5);
+    let four = testbed.names[..4].to_vec();
+    testbed.routers.remove("r0");
+    testbed.start("r0", &four);
+    wait_until(testbed.router(0), "three peers are alive", |c| c["peers_alive"] == 3);
+    wait_until(testbed.router(0), "messages of an unknown router are received", |c| c["words_strange"] > 0);
+    let file = testbed.router(0).operator_file().expect("a file").to_path_buf();
     std::fs::write(&file, "peers(members = 7)\n").expect("written");
-    house.router(0).signal(Signal::SIGHUP);
-    common::logged(house.router(0), "the old list holds");
-    assert_eq!(counted(house.router(0), "peers_alive"), 3);
-    let text = house.operator("r0", &house.names).replace("127.0.0.1:0", &house.routers["r0"].1.to_string());
+    testbed.router(0).signal(Signal::SIGHUP);
+    common::wait_for_log(testbed.router(0), "the old list holds");
+    assert_eq!(counted(testbed.router(0), "peers_alive"), 3);
+    let text = testbed
+        .operator_file("r0", &testbed.names)
+        .replace("127.0.0.1:0", &testbed.routers["r0"].1.to_string());
     std::fs::write(&file, text).expect("written");
-    house.router(0).signal(Signal::SIGHUP);
-    common::logged(house.router(0), "5 members");
-    house.met();
+    testbed.router(0).signal(Signal::SIGHUP);
+    common::wait_for_log(testbed.router(0), "5 members");
+    testbed.wait_until_all_alive();
 }
 
-/// Faults by chance from a seed, under load: every query has its one answer, and in the end all know each other again.
+/// Random faults from a seed, under load: each query is answered once, and in the end all routers are alive to each other.
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn whatever_happens_between_them_each_query_has_one_answer(#[case] seed: u64) {
-    let mut house = House::new(5);
-    let names = house.names.clone();
+fn each_query_is_answered_once_during_random_faults(#[case] seed: u64) {
+    let mut testbed = Testbed::new(5);
+    let names = testbed.names.clone();
     let schedule = Schedule::drawn(seed, &names, 4.0);
-    let began = Instant::now();
+    let start = Instant::now();
     for (at, act) in &schedule.0 {
-        // r0 serves throughout: what happens to the others must not show in its answers.
-        let whom = match act {
-            Act::Stop(whom) | Act::Go(whom) | Act::Kill(whom) | Act::Start(whom) => Some(whom.as_str()),
+        // r0 serves throughout: faults of the other routers must not affect its answers.
+        let router = match act {
+            Act::Stop(name) | Act::Go(name) | Act::Kill(name) | Act::Start(name) => Some(name.as_str()),
             _ => None,
         };
-        let until = Duration::from_secs_f64(*at).saturating_sub(began.elapsed());
-        house.send(0, 80.0, until.as_secs_f64().max(0.01));
-        match (act, whom) {
+        let remaining = Duration::from_secs_f64(*at).saturating_sub(start.elapsed());
+        testbed.send(0, 80.0, remaining.as_secs_f64().max(0.01));
+        match (act, router) {
             (_, Some("r0")) => {}
-            (Act::Stop(_), Some(name)) => house.routers[name].0.signal(Signal::SIGSTOP),
-            (Act::Go(_), Some(name)) => house.routers[name].0.signal(Signal::SIGCONT),
-            (Act::Kill(_), Some(name)) => house.routers[name].0.signal(Signal::SIGKILL),
+            (Act::Stop(_), Some(name)) => testbed.routers[name].0.signal(Signal::SIGSTOP),
+            (Act::Go(_), Some(name)) => testbed.routers[name].0.signal(Signal::SIGCONT),
+            (Act::Kill(_), Some(name)) => testbed.routers[name].0.signal(Signal::SIGKILL),
             (Act::Start(_), Some(name)) => {
-                house.routers.remove(name);
-                house.start(name, &names);
+                testbed.routers.remove(name);
+                testbed.start(name, &names);
             }
-            _ => house.wires.act(act),
+            _ => testbed.wires.act(act),
         }
     }
-    house.met();
+    testbed.wait_until_all_alive();
 }
--- a/crates/alderway/tests/shutdown.rs
+++ b/crates/alderway/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdowns on several cores of a process that stands still in the midst of one: every query that was read is
-//! answered, and the process has ended before the earliest SIGKILL.
+//! Graceful shutdowns on several cores of a process that is stopped for a while during one: every query that was read is
+//! answered, and the process ends before the earliest SIGKILL.
 mod common;
 #[path = "../../router/tests/common/held_shutdown.rs"]
 mod held_shutdown;
@@ -8,7 +8,7 @@
 use alderway_lab::fleet::Fleet;
 use alderway_lab::model::{Fault, Make};
 use alderway_lab::program::{Build, Program, Setting};
-use common::{Client, PATIENCE, until};
+use common::{Client, TIMEOUT, wait_until};
 use held_shutdown::{HELD_UP_S, KILL_AFTER_DEADLINE_S, faults, play_moments};
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -20,13 +20,14 @@
 /// The longest deadline of the settings below, in milliseconds.
 const LONGEST_DEADLINE_MS: u64 = 1000;
 const EARLIEST_KILL_S: f64 = LONGEST_DEADLINE_MS as f64 / 1e3 + KILL_AFTER_DEADLINE_S;
-/// The last part of a shutdown, in seconds before the earliest SIGKILL, in which its moments are tried.
+/// The time before the earliest SIGKILL within which the process is stopped.
 const LAST_PART_S: f64 = 0.4;
+/// The number of moments at which the process is stopped, each in a shutdown of its own.
 const MOMENTS: usize = 20;
-/// Two on each core.
+/// Two for each core.
 const CLIENTS: usize = 2 * CORES as usize;
 
-/// A router on several cores whose data node answers.
+/// A router on several cores, and its data node.
 struct Router {
     fleet: Fleet,
     _discovery: Agent,
@@ -44,53 +45,56 @@
         let setting = Setting { deadline_ms: LONGEST_DEADLINE_MS, ..Setting::default() };
         let program = Program::start(&build, &setting.configuration(discovery.address, &entries));
         let program = program.unwrap_or_else(|why| panic!("{why}"));
-        until(&program, "all cores serve", |c| c.get("cores_serving") == Some(&CORES));
+        wait_until(&program, "all cores serve", |c| c.get("cores_serving") == Some(&CORES));
         Router { fleet, _discovery: discovery, program }
     }
 
     /// Waits until the process has closed its log.
-    fn ended(&self) {
-        let patient_until = Instant::now() + PATIENCE;
+    fn wait_for_end(&self) {
+        let end = Instant::now() + TIMEOUT;
         loop {
-            match self.program.log.recv_timeout(patient_until.saturating_duration_since(Instant::now())) {
+            match self.program.log.recv_timeout(end.saturating_duration_since(Instant::now())) {
                 Ok(_) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
-                Err(RecvTimeoutError::Timeout) => panic!("it does not end"),
+                Err(RecvTimeoutError::Timeout) => panic!("the process does not end"),
             }
         }
     }
 }
 
-/// Stands still at a moment of the shutdown; what went wrong, if anything did.
-fn faults_of_a_shutdown_held_up(held_from_s: f64) -> Vec<String> {
+/// Stops the process at a moment of its shutdown and resumes it; returns the faults found.
+fn faults_of_a_shutdown_stopped_at(held_from_s: f64) -> Vec<String> {
     let router = Router::start();
-    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| Client::to(&router.program)).collect();
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| Client::connect(&router.program)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        client.query(&format!("before{number}"), 900);
-        assert_eq!(client.answer().0, 200);
+        client.send_query(&format!("before{number}"), 900);
+        assert_eq!(client.read_response().0, 200);
     }
-    // It answers nothing from now on, so that queries are open until the end.
+    // The data node no longer answers, so that queries stay open until the end.
     router.fleet.nodes[0].set(Fault::Silent);
     let terminated = Instant::now();
-    let at = |since_s: f64| {
+    let sleep_until = |since_s: f64| {
         sleep((terminated + Duration::from_secs_f64(since_s)).saturating_duration_since(Instant::now()));
     };
     router.program.signal(Signal::SIGTERM);
-    // Read in time to be answered, and with more time left than the shutdown may take.
-    at(0.6);
-    clients.iter_mut().enumerate().for_each(|(number, client)| client.query(&format!("open{number}"), 5000));
-    at(held_from_s);
+    // Sent early enough to be read, with a deadline later than the end of the shutdown.
+    sleep_until(0.6);
+    clients
+        .iter_mut()
+        .enumerate()
+        .for_each(|(number, client)| client.send_query(&format!("open{number}"), 5000));
+    sleep_until(held_from_s);
     router.program.signal(Signal::SIGSTOP);
-    at(held_from_s + HELD_UP_S);
+    sleep_until(held_from_s + HELD_UP_S);
     router.program.signal(Signal::SIGCONT);
 
-    let received: Vec<String> = clients.iter_mut().map(Client::rest).collect();
-    router.ended();
+    let received: Vec<String> = clients.iter_mut().map(Client::read_to_end).collect();
+    router.wait_for_end();
     faults(held_from_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
-/// Guards against queries read and never answered on some core, as the process that stood still ends first.
+/// Guards against queries that a core has read and not answered because the process, stopped for a while, ends first.
 #[rstest]
-fn a_shutdown_on_several_cores_held_up_at_any_moment_of_its_last_part_answers_what_was_read() {
-    play_moments(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_held_up);
+fn a_shutdown_on_several_cores_stopped_at_any_late_moment_answers_all_queries_read() {
+    play_moments(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_stopped_at);
 }
--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! `alderway serve` with a control server in the operator's file: a version is applied, persisted, and started with when
-//! that control server is gone.
+//! A router that subscribes to a control server: a version is applied, persisted, and used at the next start when the
+//! control server is not reachable.
 mod common;
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version::Version;
@@ -7,7 +7,7 @@
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_lab::agent::Agent;
 use alderway_lab::program::{Build, Program, Setting};
-use common::{logged, until};
+use common::{wait_for_log, wait_until};
 use rstest::rstest;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use std::thread::{JoinHandle, spawn};
 use tokio::sync::oneshot;
 
-/// A control server that is given one version by hand.
+/// The subscription endpoint of a control server, with one committed version.
 struct ControlServer {
     address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
@@ -25,7 +25,7 @@
 impl ControlServer {
     fn with(settings: Value) -> ControlServer {
         let (stop, stopped) = oneshot::channel();
-        let (tell, told) = channel();
+        let (address_sender, address_receiver) = channel();
         let thread = spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -37,12 +37,12 @@
                 let version = Version { number: 41, proposal_id, author, reason, at_unix_ms: 0, settings };
                 subscriptions.committed(&version);
                 subscriptions.freshness(0.0, true);
-                tell.send(subscriptions.address()).expect("heard");
+                address_sender.send(subscriptions.address()).expect("sent");
                 let _ = stopped.await;
                 subscriptions.stop();
             });
         });
-        let address = told.recv().expect("it listens");
+        let address = address_receiver.recv().expect("an address");
         ControlServer { address, stop: Some(stop), thread: Some(thread) }
     }
 }
@@ -71,23 +71,29 @@
     );
     let build = Build { path: env!("CARGO_BIN_EXE_alderway").into(), operator: Some(operator) };
     let first = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
-    logged(&first, "version 41 applied");
-    until(&first, "its counters", |counters| counters.get("control_version") == Some(&41));
-    until(&first, "its age", |counters| counters.contains_key("control_version_age_ms"));
+    wait_for_log(&first, "version 41 applied");
+    wait_until(&first, "the version is counted", |counters| counters.get("control_version") == Some(&41));
+    wait_until(&first, "the age of the version is counted", |counters| {
+        counters.contains_key("control_version_age_ms")
+    });
     let persisted = || std::fs::read_to_string(&persist_path).unwrap_or_default();
-    until(&first, "the persisted version", |_| persisted().starts_with("alderway-version 1 41 "));
+    wait_until(&first, "the version is persisted", |_| persisted().starts_with("alderway-version 1 41 "));
     drop(first);
     drop(control);
     let second = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
-    until(&second, "the persisted version", |counters| counters.get("control_version") == Some(&41));
-    until(&second, "dials in vain", |counters| counters.get("control_dials").is_some_and(|n| *n > 1));
+    wait_until(&second, "the persisted version is used", |counters| {
+        counters.get("control_version") == Some(&41)
+    });
+    wait_until(&second, "repeated connection attempts", |counters| {
+        counters.get("control_dials").is_some_and(|n| *n > 1)
+    });
     drop(second);
-    // A torn one is said, and the configuration's own settings hold.
-    let torn = persisted().replace("site-search", "site-saerch");
-    std::fs::write(&persist_path, torn).expect("written");
+    // A corrupted file is logged, and the settings of the configuration are used.
+    let corrupted = persisted().replace("site-search", "site-saerch");
+    std::fs::write(&persist_path, corrupted).expect("written");
     let third = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
-    logged(&third, "torn or not of this program; ignored");
-    until(&third, "no version", |counters| counters.get("control_version") == Some(&0));
+    wait_for_log(&third, "torn or not of this program; ignored");
+    wait_until(&third, "no version is in use", |counters| counters.get("control_version") == Some(&0));
     drop(third);
     let _ = std::fs::remove_file(&persist_path);
 }
