--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -1,10 +1,10 @@
-//! `alderway control`: a control machine as the operator's file describes it.
-use crate::settings;
+//! `alderway control`: runs the control server that the operator's file configures.
+use crate::{EXIT_INVALID_INPUT, settings};
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
 use alderway_control_server::server::{self, ServerConfig};
 use alderway_control_server::subscriptions::Subscriptions;
-use alderway_operator::{Control as ControlConfig, LogForm};
+use alderway_operator::{self as operator, ControlConfig};
 use alderway_router::tier::planner_server;
 use alderway_telemetry::log::{self, LogFormat};
 use clap::Args;
@@ -13,28 +13,25 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The operator's file can't be used.
-const EXIT_INVALID_INPUT: u8 = 2;
-
 #[derive(Args)]
 pub struct Control {
-    /// The operator's file; it says `control(...)`
+    /// The operator's file; it must contain `control(...)`
     #[arg(long, value_name = "FILE")]
     operator: PathBuf,
 }
 
-/// Runs a control machine until SIGTERM or SIGINT.
+/// Runs a control server until SIGTERM or SIGINT.
 pub fn run(args: &Control) -> ExitCode {
-    let (control, log_form) = match read(args) {
+    let (control, log_format) = match read(args) {
         Ok(read) => read,
         Err(message) => {
             eprintln!("alderway: {message}");
             return ExitCode::from(EXIT_INVALID_INPUT);
         }
     };
-    log::init(match log_form {
-        LogForm::Text => LogFormat::Text,
-        LogForm::Json => LogFormat::Json,
+    log::init(match log_format {
+        operator::LogFormat::Text => LogFormat::Text,
+        operator::LogFormat::Json => LogFormat::Json,
     });
     match server::run(server_config(control)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -45,25 +42,25 @@
     }
 }
 
-fn read(args: &Control) -> Result<(ControlConfig, LogForm), String> {
-    let (operator, _) = crate::operator_at(Some(&args.operator))?;
-    let missing = || format!("{}: it says nothing of `control`", args.operator.display());
-    Ok((operator.control.ok_or_else(missing)?, operator.log))
+fn read(args: &Control) -> Result<(ControlConfig, operator::LogFormat), String> {
+    let (config, _) = crate::read_operator_file(Some(&args.operator))?;
+    let missing = || format!("{}: `control` is missing", args.operator.display());
+    Ok((config.control.ok_or_else(missing)?, config.log_format))
 }
 
 fn server_config(control: ControlConfig) -> ServerConfig {
-    let (name, router_address) = (control.name.clone(), control.routers);
+    let (name, router_address) = (control.name.clone(), control.router_address);
     ServerConfig {
         name: control.name,
-        replica_addresses: control.members,
-        admin_addresses: control.doors,
-        data_path: control.data.into(),
+        replica_addresses: control.replica_addresses,
+        admin_addresses: control.admin_addresses,
+        data_path: control.data_path.into(),
         settings_check: Box::new(settings::check),
         version_sink: Box::new(move || Box::pin(version_sink(name, router_address))),
     }
 }
 
-/// Subscriptions of routers, if the file says where routers connect.
+/// The subscriptions of routers. Versions are discarded if the file has no address for routers.
 async fn version_sink(name: String, address: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
     let Some(address) = address else { return Ok(Box::new(DiscardVersions)) };
     let config = PublisherConfig::default();
--- a/crates/layouts/src/layout.rs
+++ b/crates/layouts/src/layout.rs
@@ -1,119 +1,161 @@
-//! One version of the layout, and the changes that make the next. A faulty layout or change is refused whole.
-use crate::{Key, Range, ShardId, Version};
+//! One version of the layout, and the changes that produce the next. An invalid layout or chain of changes is rejected as
+//! a whole.
+use crate::{Key, KeyRange, ShardId, Version};
 use imbl::OrdMap;
 use imbl::ordmap::DiffItem;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::sync::Arc;
 
-/// A shard: its keys, and the cells that hold it.
+/// The keys of a shard, and the replica groups that hold it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shard {
-    pub keys: Range,
+    pub keys: KeyRange,
     pub holders: BTreeSet<u32>,
 }
 
-/// Shards that cover all keys from 0 to below `keys`, each key once. Versions share what is the same in them, so that
-/// a change costs what it touches and not a copy of ten thousand shards.
+/// Shards that together contain each key from 0 up to but excluding `key_count` exactly once. Versions share their
+/// unchanged shards, so that a change costs time and memory for the shards it affects, and not for a copy of all, which
+/// may be ten thousand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Layout {
     version: Version,
     keys: Key,
     shards: OrdMap<ShardId, Arc<Shard>>,
-    /// Where each shard begins.
+    /// The shards by their first key.
     starts: OrdMap<Key, ShardId>,
 }
 
-/// What one version has that another has not.
+/// How the shards of one version differ from those of another.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Difference {
-    pub gone: Vec<ShardId>,
-    pub new: Vec<ShardId>,
-    /// Other keys or other holders.
+pub struct LayoutDiff {
+    pub removed: Vec<ShardId>,
+    pub added: Vec<ShardId>,
+    /// Shards of both versions with different keys or holders.
     pub changed: Vec<ShardId>,
 }
 
-/// What happens to shards; a chain of these makes one version.
+/// A change of the layout. One version is produced by one or more of them, applied in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// One shard becomes several, in the order of their keys: each new number with where it begins; holders stay.
+    /// Replaces a shard by several with the same holders. Each child has a new id and its first key, in the order of keys.
     Split { parent: ShardId, children: Vec<(ShardId, Key)> },
-    /// Neighbours become one, held by those that hold all of them.
+    /// Replaces adjacent shards by one, which is held by the replica groups that hold all of them.
     Merge { parents: Vec<ShardId>, child: ShardId },
-    /// Other holders: those that are named have the data from here on.
+    /// Replaces the holders of a shard; the new holders have its data from this version on.
     Move { shard: ShardId, holders: BTreeSet<u32> },
 }
 
-/// Why a layout or change is refused, in one line.
+/// Why a layout or a change is rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Faulty {
-    Hole { at: Key },
-    Overlap { shard: ShardId, at: Key },
-    Empty { shard: ShardId },
-    NoHolder { shard: ShardId },
-    Unknown { shard: ShardId },
-    Used { shard: ShardId },
-    Apart { shard: ShardId },
-    Outside { shard: ShardId, at: Key },
-    Backwards { held: Version, told: Version },
-    Nothing,
-    NotHeld { after: Version },
+pub enum LayoutError {
+    /// No shard contains the key.
+    Gap {
+        at: Key,
+    },
+    /// The shard begins at a key that another shard contains.
+    Overlap {
+        shard: ShardId,
+        at: Key,
+    },
+    EmptyShard {
+        shard: ShardId,
+    },
+    NoHolder {
+        shard: ShardId,
+    },
+    /// The current version has no such shard.
+    UnknownShard {
+        shard: ShardId,
+    },
+    /// The id belongs to another shard, or to a retired shard with other keys.
+    ShardIdInUse {
+        shard: ShardId,
+    },
+    /// The shard to merge does not begin where the one before it ends.
+    NotAdjacent {
+        shard: ShardId,
+    },
+    /// A boundary of the shard is out of order, or outside of its parent or of the key space.
+    OutOfBounds {
+        shard: ShardId,
+        at: Key,
+    },
+    /// The received version is not newer than the current one.
+    StaleVersion {
+        current: Version,
+        received: Version,
+    },
+    /// A layout without shards, an empty list of changes, or a split or merge of fewer than two shards.
+    TooFewShards,
+    /// The changes apply to a version other than the current one.
+    UnknownBase {
+        base: Version,
+    },
 }
 
-impl fmt::Display for Faulty {
+impl fmt::Display for LayoutError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Faulty::Hole { at } => write!(out, "no shard covers key {at}"),
-            Faulty::Overlap { shard, at } => write!(out, "shard {shard} covers key {at} beside another"),
-            Faulty::Empty { shard } => write!(out, "shard {shard} covers no key"),
-            Faulty::NoHolder { shard } => write!(out, "shard {shard} has no holder"),
-            Faulty::Unknown { shard } => write!(out, "shard {shard} is not known"),
-            Faulty::Used { shard } => write!(out, "shard number {shard} is taken already"),
-            Faulty::Apart { shard } => write!(out, "shard {shard} does not follow on the one before it"),
-            Faulty::Outside { shard, at } => {
-                write!(out, "shard {shard} would begin at key {at}, not in order")
+            LayoutError::Gap { at } => write!(out, "no shard covers key {at}"),
+            LayoutError::Overlap { shard, at } => {
+                write!(out, "key {at} of shard {shard} belongs to another shard too")
+            }
+            LayoutError::EmptyShard { shard } => write!(out, "shard {shard} has no keys"),
+            LayoutError::NoHolder { shard } => write!(out, "shard {shard} has no holder"),
+            LayoutError::UnknownShard { shard } => write!(out, "shard {shard} does not exist"),
+            LayoutError::ShardIdInUse { shard } => write!(out, "shard id {shard} is already in use"),
+            LayoutError::NotAdjacent { shard } => {
+                write!(out, "shard {shard} is not adjacent to the shard before it")
+            }
+            LayoutError::OutOfBounds { shard, at } => {
+                write!(out, "shard {shard} has a boundary at key {at}, which is out of order or out of range")
+            }
+            LayoutError::StaleVersion { current, received } => {
+                write!(out, "version {received} is not newer than version {current}")
+            }
+            LayoutError::TooFewShards => write!(out, "too few shards or changes"),
+            LayoutError::UnknownBase { base } => {
+                write!(out, "changes apply to version {base}, which is not the current version")
             }
-            Faulty::Backwards { held, told } => write!(out, "version {told} does not follow version {held}"),
-            Faulty::Nothing => write!(out, "it names nothing"),
-            Faulty::NotHeld { after } => write!(out, "it changes version {after}, which is not held"),
         }
     }
 }
 
-impl std::error::Error for Faulty {}
+impl std::error::Error for LayoutError {}
 
 impl Layout {
-    /// A whole layout, once it has proved to cover every key once.
-    pub fn new(version: Version, keys: Key, shards: BTreeMap<ShardId, Shard>) -> Result<Self, Faulty> {
+    /// Creates a layout, if its shards contain every key below `keys` exactly once.
+    pub fn new(version: Version, keys: Key, shards: BTreeMap<ShardId, Shard>) -> Result<Self, LayoutError> {
         let mut starts = OrdMap::new();
         for (&id, shard) in &shards {
             if shard.keys.is_empty() {
-                return Err(Faulty::Empty { shard: id });
+                return Err(LayoutError::EmptyShard { shard: id });
             }
             if shard.holders.is_empty() {
-                return Err(Faulty::NoHolder { shard: id });
+                return Err(LayoutError::NoHolder { shard: id });
             }
             if starts.insert(shard.keys.from, id).is_some() {
-                return Err(Faulty::Overlap { shard: id, at: shard.keys.from });
+                return Err(LayoutError::Overlap { shard: id, at: shard.keys.from });
             }
         }
         let mut next = 0;
         for (&from, &id) in &starts {
             if from > next {
-                return Err(Faulty::Hole { at: next });
+                return Err(LayoutError::Gap { at: next });
             }
             if from < next {
-                return Err(Faulty::Overlap { shard: id, at: from });
+                return Err(LayoutError::Overlap { shard: id, at: from });
             }
             next = shards[&id].keys.to;
         }
         match next.cmp(&keys) {
-            std::cmp::Ordering::Less => Err(Faulty::Hole { at: next }),
+            std::cmp::Ordering::Less => Err(LayoutError::Gap { at: next }),
             std::cmp::Ordering::Greater => {
                 let last = starts.get_max().map(|last| last.1).unwrap_or_default();
-                Err(Faulty::Outside { shard: last, at: keys })
+                Err(LayoutError::OutOfBounds { shard: last, at: keys })
             }
-            std::cmp::Ordering::Equal if shards.is_empty() => Err(Faulty::Nothing),
+            std::cmp::Ordering::Equal if shards.is_empty() => Err(LayoutError::TooFewShards),
             std::cmp::Ordering::Equal => {
                 let shards = shards.into_iter().map(|(id, shard)| (id, Arc::new(shard))).collect();
                 Ok(Layout { version, keys, shards, starts })
@@ -125,8 +167,8 @@
         self.version
     }
 
-    /// Keys are numbered from 0 to below this.
-    pub fn keys(&self) -> Key {
+    /// The layout contains the keys from 0 up to but excluding this.
+    pub fn key_count(&self) -> Key {
         self.keys
     }
 
@@ -134,7 +176,7 @@
         self.shards.iter().map(|(id, shard)| (*id, &**shard))
     }
 
-    pub fn count(&self) -> usize {
+    pub fn shard_count(&self) -> usize {
         self.shards.len()
     }
 
@@ -142,38 +184,38 @@
         self.shards.get(&id).map(|shard| &**shard)
     }
 
-    /// What changes from this version to another; costs what differs.
-    pub fn to(&self, other: &Layout) -> Difference {
-        let mut difference = Difference::default();
+    /// How `other` differs from this version. The cost is proportional to the number of differences.
+    pub fn diff(&self, other: &Layout) -> LayoutDiff {
+        let mut diff = LayoutDiff::default();
         for item in self.shards.diff(&other.shards) {
             match item {
-                DiffItem::Add(id, _) => difference.new.push(*id),
-                DiffItem::Remove(id, _) => difference.gone.push(*id),
-                DiffItem::Update { old: (id, _), .. } => difference.changed.push(*id),
+                DiffItem::Add(id, _) => diff.added.push(*id),
+                DiffItem::Remove(id, _) => diff.removed.push(*id),
+                DiffItem::Update { old: (id, _), .. } => diff.changed.push(*id),
             }
         }
-        difference
+        diff
     }
 
-    /// The shard of a key.
-    pub fn of(&self, key: Key) -> Option<ShardId> {
-        self.covering(Range::new(key, key.saturating_add(1))).next().map(|found| found.0)
+    /// The shard that contains a key.
+    pub fn shard_at(&self, key: Key) -> Option<ShardId> {
+        self.overlapping(KeyRange::new(key, key.saturating_add(1))).next().map(|found| found.0)
     }
 
-    /// The shards that cover a range, in the order of their keys.
-    pub fn covering(&self, range: Range) -> impl Iterator<Item = (ShardId, &Shard)> {
+    /// The shards that overlap a range, in the order of their keys.
+    pub fn overlapping(&self, range: KeyRange) -> impl Iterator<Item = (ShardId, &Shard)> {
         let first = self.starts.get_prev(&range.from).map_or(range.from, |(&from, _)| from);
-        let begun = self.starts.range(first..range.to.max(first));
-        begun.map(|(_, &id)| (id, &*self.shards[&id])).filter(move |(_, s)| s.keys.meets(range))
+        let from_first = self.starts.range(first..range.to.max(first));
+        from_first.map(|(_, &id)| (id, &*self.shards[&id])).filter(move |(_, s)| s.keys.overlaps(range))
     }
 
-    /// The next version after a chain of changes; this one stays as it is.
-    pub fn after(&self, version: Version, changes: &[Change]) -> Result<Layout, Faulty> {
+    /// The version that results from applying the changes in order; `self` is left unchanged.
+    pub fn with_changes(&self, version: Version, changes: &[Change]) -> Result<Layout, LayoutError> {
         if version <= self.version {
-            return Err(Faulty::Backwards { held: self.version, told: version });
+            return Err(LayoutError::StaleVersion { current: self.version, received: version });
         }
         if changes.is_empty() {
-            return Err(Faulty::Nothing);
+            return Err(LayoutError::TooFewShards);
         }
         let mut next = Layout { version, ..self.clone() };
         for change in changes {
@@ -182,15 +224,15 @@
         Ok(next)
     }
 
-    fn known(&self, id: ShardId) -> Result<&Shard, Faulty> {
-        self.shard(id).ok_or(Faulty::Unknown { shard: id })
+    fn existing_shard(&self, id: ShardId) -> Result<&Shard, LayoutError> {
+        self.shard(id).ok_or(LayoutError::UnknownShard { shard: id })
     }
 
-    fn add(&mut self, id: ShardId, shard: Shard) -> Result<(), Faulty> {
+    fn add(&mut self, id: ShardId, shard: Shard) -> Result<(), LayoutError> {
         self.starts.insert(shard.keys.from, id);
         match self.shards.insert(id, Arc::new(shard)) {
             None => Ok(()),
-            Some(_) => Err(Faulty::Used { shard: id }),
+            Some(_) => Err(LayoutError::ShardIdInUse { shard: id }),
         }
     }
 
@@ -200,56 +242,56 @@
         }
     }
 
-    /// Each change keeps every key covered once, so that only what it touches has to be looked at. After an error
-    /// this is of no use any more.
-    fn apply(&mut self, change: &Change) -> Result<(), Faulty> {
+    /// Applies one change. Each change preserves that every key belongs to exactly one shard, so that only the affected
+    /// shards are checked. After an error the layout is inconsistent and must be discarded.
+    fn apply(&mut self, change: &Change) -> Result<(), LayoutError> {
         match change {
             Change::Split { parent, children } => {
-                let old = self.known(*parent)?.clone();
+                let old = self.existing_shard(*parent)?.clone();
                 if children.len() < 2 {
-                    return Err(Faulty::Nothing);
+                    return Err(LayoutError::TooFewShards);
                 }
                 self.starts.remove(&old.keys.from);
                 let ends = children.iter().skip(1).map(|c| c.1).chain([old.keys.to]);
                 let mut next = old.keys.from;
                 for (&(id, from), to) in children.iter().zip(ends) {
                     if from != next {
-                        return Err(Faulty::Outside { shard: id, at: from });
+                        return Err(LayoutError::OutOfBounds { shard: id, at: from });
                     }
                     if to <= from || to > old.keys.to {
-                        return Err(Faulty::Outside { shard: id, at: to });
+                        return Err(LayoutError::OutOfBounds { shard: id, at: to });
                     }
-                    self.add(id, Shard { keys: Range::new(from, to), holders: old.holders.clone() })?;
+                    self.add(id, Shard { keys: KeyRange::new(from, to), holders: old.holders.clone() })?;
                     next = to;
                 }
                 self.shards.remove(parent);
             }
             Change::Merge { parents, child } => {
                 let (Some(&first), true) = (parents.first(), parents.len() > 1) else {
-                    return Err(Faulty::Nothing);
+                    return Err(LayoutError::TooFewShards);
                 };
-                let mut merged = self.known(first)?.clone();
+                let mut merged = self.existing_shard(first)?.clone();
                 for &parent in &parents[1..] {
-                    let next = self.known(parent)?;
+                    let next = self.existing_shard(parent)?;
                     if next.keys.from != merged.keys.to {
-                        return Err(Faulty::Apart { shard: parent });
+                        return Err(LayoutError::NotAdjacent { shard: parent });
                     }
                     merged.keys.to = next.keys.to;
                     merged.holders = merged.holders.intersection(&next.holders).copied().collect();
                 }
                 if merged.holders.is_empty() {
-                    return Err(Faulty::NoHolder { shard: *child });
+                    return Err(LayoutError::NoHolder { shard: *child });
                 }
                 if self.shards.contains_key(child) {
-                    return Err(Faulty::Used { shard: *child });
+                    return Err(LayoutError::ShardIdInUse { shard: *child });
                 }
                 parents.iter().for_each(|parent| self.remove(*parent));
                 self.add(*child, merged)?;
             }
             Change::Move { shard, holders } => {
-                let keys = self.known(*shard)?.keys;
+                let keys = self.existing_shard(*shard)?.keys;
                 if holders.is_empty() {
-                    return Err(Faulty::NoHolder { shard: *shard });
+                    return Err(LayoutError::NoHolder { shard: *shard });
                 }
                 self.shards.insert(*shard, Arc::new(Shard { keys, holders: holders.clone() }));
             }
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -6,10 +6,10 @@
 use super::response::AnswerCoverage;
 use alderway::interface::{AttemptOutcome, PolicyInput, ShardHolders};
 use alderway_layouts::coverage::Coverage;
-use alderway_layouts::family::Families;
-use alderway_layouts::history::{Followed, History, News};
-use alderway_layouts::layout::{Faulty, Layout};
-use alderway_layouts::{Range, ShardId, Version};
+use alderway_layouts::history::{AppliedUpdate, History, LayoutUpdate};
+use alderway_layouts::layout::{Layout, LayoutError};
+use alderway_layouts::split_requests::SplitRequests;
+use alderway_layouts::{KeyRange, ShardId, Version};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -60,7 +60,7 @@
     config: ShardMapConfig,
     history: Option<History>,
     /// Shard requests that were split, and who still waits for their attempts.
-    pub families: Families<Rc<str>>,
+    pub families: SplitRequests<Rc<str>>,
     /// For tests: every answer counts, whatever keys it is for.
     #[cfg(feature = "faults")]
     pub by_answers: bool,
@@ -76,7 +76,7 @@
         ShardMapView {
             config,
             history: None,
-            families: Families::default(),
+            families: SplitRequests::default(),
             #[cfg(feature = "faults")]
             by_answers: false,
             inherited: vec![],
@@ -87,7 +87,7 @@
 
     /// The newest version, if any is known.
     pub fn version(&self) -> Option<Version> {
-        self.history.as_ref().map(|history| history.newest().version())
+        self.history.as_ref().map(|history| history.latest().version())
     }
 
     /// The shard map with the shards that are retired but still referred to.
@@ -99,15 +99,15 @@
     ///
     /// # Errors
     /// The news does not fit; nothing is changed by it.
-    pub fn apply(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, Faulty> {
+    pub fn apply(&mut self, news: LayoutUpdate, now: f64) -> Result<Vec<ShardId>, LayoutError> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
             Some(history) => {
-                let followed = history.take(news, now)?;
+                let followed = history.apply(news, now)?;
                 Ok(self.note_changes(followed))
             }
             None => {
-                self.history = Some(History::begin(news, retired_shard_grace_s, lagging_node_grace_s)?);
+                self.history = Some(History::from_update(news, retired_shard_grace_s, lagging_node_grace_s)?);
                 self.mark_all_changed();
                 Ok(vec![])
             }
@@ -118,10 +118,10 @@
     ///
     /// # Errors
     /// It does not follow on the one that is applied; nothing is changed by it.
-    pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, Faulty> {
+    pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, LayoutError> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
-            Some(history) if history.newest().version() == layout.version() => Ok(vec![]),
+            Some(history) if history.latest().version() == layout.version() => Ok(vec![]),
             Some(history) => {
                 let followed = history.replace(layout.clone(), now)?;
                 Ok(self.note_changes(followed))
@@ -135,10 +135,10 @@
         }
     }
 
-    fn note_changes(&mut self, followed: Followed) -> Vec<ShardId> {
-        self.inherited.extend(followed.new);
-        self.changed_shards.extend(followed.held.iter().copied());
-        followed.held
+    fn note_changes(&mut self, followed: AppliedUpdate) -> Vec<ShardId> {
+        self.inherited.extend(followed.added);
+        self.changed_shards.extend(followed.changed_holders.iter().copied());
+        followed.changed_holders
     }
 
     /// The next round tells all shards, as to a policy that starts anew.
@@ -146,8 +146,8 @@
         self.inherited.clear();
         self.splits.clear();
         if let Some(history) = &self.history {
-            self.changed_shards.extend(history.newest().shards().map(|(id, _)| id));
-            self.changed_shards.extend(history.open());
+            self.changed_shards.extend(history.latest().shards().map(|(id, _)| id));
+            self.changed_shards.extend(history.shards_with_open_requests());
         }
     }
 
@@ -172,8 +172,8 @@
                     asked.push((range, weight));
                 }
                 (None, Some((from, to))) => {
-                    let range = Range::new(from, to);
-                    if range.is_empty() || to > history.newest().keys() {
+                    let range = KeyRange::new(from, to);
+                    if range.is_empty() || to > history.latest().key_count() {
                         return Err(QueryError::UnknownKeys);
                     }
                     requests.extend(requests_by_keys(history, query_id, range, weight));
@@ -201,14 +201,14 @@
         let (Some(history), Some(keys)) = (&self.history, request.keys) else { return false };
         let is_settled = keys.is_whole_shard || keys.is_split || keys.is_answered;
         !is_settled
-            && history.is_gone(request.shard)
-            && (request.attempts == 0 || history.is_scattered(request.shard))
+            && history.is_retired(request.shard)
+            && (request.attempts == 0 || history.has_mixed_holders(request.shard))
     }
 
     /// A shard request is open: its shard is not forgotten before it is closed.
     pub fn request_opened(&mut self, request: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| request.keys.is_some()) {
-            history.opened(request.shard);
+            history.request_opened(request.shard);
         }
     }
 
@@ -216,7 +216,7 @@
     pub fn request_closed(&mut self, request: &ShardRequest) {
         let is_open = request.keys.is_some_and(|keys| !keys.is_split);
         if let Some(history) = self.history.as_mut().filter(|_| is_open) {
-            history.closed(request.shard);
+            history.request_closed(request.shard);
         }
     }
 
@@ -228,7 +228,7 @@
     /// A shard request was split. Of a query that is `new` to the policy the next round tells it as it is then.
     pub fn request_split(&mut self, split: SplitShardRequest, new: bool) {
         let part_ids: Vec<Rc<str>> = split.parts.iter().map(|part| part.id.clone()).collect();
-        self.families.divide(&split.request_id, &part_ids);
+        self.families.split(&split.request_id, &part_ids);
         if !new {
             self.splits.push(split);
         }
@@ -248,12 +248,12 @@
         let (Some(history), Some(asked)) = (&mut self.history, request.keys) else { return outcome };
         match (outcome, report.moved_at_version, report.keys) {
             (AttemptOutcome::Rejected, Some(version), _) => {
-                if history.disown(request.shard, node, version, now) {
+                if history.exclude_node(request.shard, node, version, now) {
                     self.changed_shards.insert(request.shard);
                 }
                 AttemptOutcome::ShardMoved
             }
-            (AttemptOutcome::Success, _, Some((from, to))) if Range::new(from, to) != asked.range => {
+            (AttemptOutcome::Success, _, Some((from, to))) if KeyRange::new(from, to) != asked.range => {
                 AttemptOutcome::Error
             }
             (AttemptOutcome::Success, _, None) if history.keys(request.shard) != Some(asked.range) => {
@@ -266,12 +266,12 @@
     /// Tells the policy which shards changed, before the queries of the round.
     pub fn notify_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(history) = &mut self.history else { return };
-        self.changed_shards.extend(history.lapse(now));
+        self.changed_shards.extend(history.expire_exclusions(now));
         for (shard, parents) in std::mem::take(&mut self.inherited) {
             policy.inherit_shard(shard, &parents);
         }
         for shard in std::mem::take(&mut self.changed_shards) {
-            let excluded_nodes = history.disowned(shard).map(str::to_string).collect();
+            let excluded_nodes = history.excluded_nodes(shard).map(str::to_string).collect();
             let holders = ShardHolders { replica_groups: history.holders(shard), excluded_nodes };
             policy.set_shard_holders(shard, holders);
         }
@@ -290,13 +290,13 @@
     pub fn discard_notifications(&mut self, now: f64) {
         self.inherited.clear();
         self.changed_shards.clear();
-        self.history.iter_mut().for_each(|history| drop(history.retire(now)));
+        self.history.iter_mut().for_each(|history| drop(history.expire_retired(now)));
     }
 
     /// Tells the policy which shards nothing refers to any more, at the end of the round.
     pub fn notify_retired(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         if let Some(history) = &mut self.history {
-            history.retire(now).into_iter().for_each(|shard| policy.shard_retired(shard));
+            history.expire_retired(now).into_iter().for_each(|shard| policy.shard_retired(shard));
         }
     }
 
@@ -312,27 +312,28 @@
         if self.families.is_empty() {
             return None;
         }
-        let parts = self.families.heirs(&id.request_id);
+        let parts = self.families.parts(&id.request_id);
         let call = (id.request_id.clone(), id.number);
-        let waits = |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.waits(&call, part);
+        let waits =
+            |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.is_waiting(&call, part);
         (!parts.is_empty()).then(|| parts.iter().filter(waits).cloned().collect())
     }
 }
 
 /// The keys of a shard, or those that it had while nodes still serve it.
-fn shard_range(history: &History, shard: ShardId) -> Result<Range, QueryError> {
-    let is_served = || !history.is_gone(shard) || !history.holders(shard).is_empty();
+fn shard_range(history: &History, shard: ShardId) -> Result<KeyRange, QueryError> {
+    let is_served = || !history.is_retired(shard) || !history.holders(shard).is_empty();
     history.keys(shard).filter(|_| is_served()).ok_or(QueryError::UnknownShard)
 }
 
 /// Requests for keys by the newest shard map; each key weighs the same.
-fn requests_by_keys(history: &History, query_id: &str, range: Range, weight: f64) -> Vec<ShardRequest> {
-    let weight_per_key = weight / range.keys() as f64;
-    let request = |(shard, keys): (ShardId, Range)| {
+fn requests_by_keys(history: &History, query_id: &str, range: KeyRange, weight: f64) -> Vec<ShardRequest> {
+    let weight_per_key = weight / range.len() as f64;
+    let request = |(shard, keys): (ShardId, KeyRange)| {
         let id = format!("{query_id}.{shard}.{}-{}", keys.from, keys.to).into();
-        let mut request = ShardRequest::new(id, shard, weight_per_key * keys.keys() as f64);
+        let mut request = ShardRequest::new(id, shard, weight_per_key * keys.len() as f64);
         request.keys = Some(RequestedKeys::new(keys, false));
         request
     };
-    history.cover(range).into_iter().map(request).collect()
+    history.overlapping(range).into_iter().map(request).collect()
 }
