--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::{Clock, inventory, value};
 use alderway_layouts::Range;
 use alderway_layouts::layout::Layout;
-use alderway_router::wire::buffer::Buffer;
+use alderway_router::wire::buffer::ReadBuffer;
 use alderway_router::wire::frames;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -295,7 +295,7 @@
 }
 
 async fn speak(stand: &Rc<RefCell<Stand>>, met: &Met, stream: TcpStream, clock: Clock, ran: &Option<Ran>) {
-    let (line, mut buffer, mut written) = (Rc::new(Line::default()), Buffer::new(1 << 20), 0);
+    let (line, mut buffer, mut written) = (Rc::new(Line::default()), ReadBuffer::new(1 << 20), 0);
     loop {
         {
             let mut out = line.out.borrow_mut();
@@ -317,9 +317,9 @@
             _ = stream.writable(), if writing => continue,
             () = line.wake.notified() => continue,
         }
-        match stream.try_read(buffer.space()) {
+        match stream.try_read(buffer.unfilled()) {
             Ok(0) => break,
-            Ok(count) => buffer.filled(count),
+            Ok(count) => buffer.add_filled(count),
             Err(why) if why.kind() == ErrorKind::WouldBlock => continue,
             Err(_) => break,
         }
@@ -336,7 +336,7 @@
                     break;
                 }
             };
-            buffer.used(used);
+            buffer.consume(used);
         }
         if reset {
             let _ = stream.set_zero_linger();
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,7 +1,7 @@
 //! The machine's limit: a bare relay between the same clients and data nodes. It parses what a query router must parse,
 //! sends each part to the next data node in a fixed order and answers when all are in. It decides, checks, times and
 //! repeats nothing, so what a router reaches beside it shows what its work costs.
-use alderway_router::wire::buffer::Buffer;
+use alderway_router::wire::buffer::ReadBuffer;
 use alderway_router::wire::http::Messages;
 use alderway_router::wire::{answer, frames, query};
 use std::cell::RefCell;
@@ -79,7 +79,7 @@
 async fn carry(node: SocketAddr, trunk: Rc<Trunk>, parts: Parts) {
     let Ok(mut stream) = TcpStream::connect(node).await else { return };
     let _ = stream.set_nodelay(true);
-    let mut buffer = Buffer::new(1 << 20);
+    let mut buffer = ReadBuffer::new(1 << 20);
     loop {
         let out = trunk.out.take();
         if !out.is_empty() && stream.write_all(&out).await.is_err() {
@@ -89,9 +89,9 @@
             ready = stream.readable() => if ready.is_err() { return },
             () = trunk.wake.notified() => continue,
         }
-        match stream.try_read(buffer.space()) {
+        match stream.try_read(buffer.unfilled()) {
             Ok(0) => return,
-            Ok(count) => buffer.filled(count),
+            Ok(count) => buffer.add_filled(count),
             Err(_) => continue,
         }
         while let Ok(Some((_, rest, used))) = frames::next(buffer.data()) {
@@ -103,13 +103,13 @@
                     open.done.notify_one();
                 }
             }
-            buffer.used(used);
+            buffer.consume(used);
         }
     }
 }
 
 async fn client(mut stream: TcpStream, trunks: Rc<Vec<Rc<Trunk>>>, parts: Parts, turn: Rc<RefCell<usize>>) {
-    let (mut buffer, mut messages) = (Buffer::new(1 << 17), Messages::default());
+    let (mut buffer, mut messages) = (ReadBuffer::new(1 << 17), Messages::default());
     loop {
         match messages.find(&mut buffer) {
             Ok(true) => {}
@@ -117,9 +117,9 @@
                 if stream.readable().await.is_err() {
                     return;
                 }
-                match stream.try_read(buffer.space()) {
+                match stream.try_read(buffer.unfilled()) {
                     Ok(0) => return,
-                    Ok(count) => buffer.filled(count),
+                    Ok(count) => buffer.add_filled(count),
                     Err(_) => {}
                 }
                 continue;
--- a/crates/lab/src/soak/links.rs
+++ b/crates/lab/src/soak/links.rs
@@ -4,7 +4,7 @@
 use super::nodes;
 use super::scenario::{LinkTrouble, NodeTrouble};
 use super::world::World;
-use alderway_router::wire::buffer::Buffer;
+use alderway_router::wire::buffer::ReadBuffer;
 use alderway_router::wire::frames;
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -108,14 +108,14 @@
     stream: &TcpStream,
     there: UnboundedSender<Arrived>,
 ) {
-    let mut buffer = Buffer::new(1 << 20);
+    let mut buffer = ReadBuffer::new(1 << 20);
     let mut begun = None;
     loop {
         if stream.readable().await.is_err() {
             return;
         }
-        match stream.try_read(buffer.space()) {
-            Ok(count @ 1..) => buffer.filled(count),
+        match stream.try_read(buffer.unfilled()) {
+            Ok(count @ 1..) => buffer.add_filled(count),
             Err(why) if why.kind() == ErrorKind::WouldBlock => continue,
             _ => return,
         }
@@ -133,7 +133,7 @@
                 Some(frame) => drop(there.send(frame)),
                 None => world.ledger.borrow_mut().count("frames that no data node could read"),
             }
-            buffer.used(used);
+            buffer.consume(used);
             begun = (!buffer.is_empty()).then_some(now);
         }
     }
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -9,7 +9,7 @@
 use crate::state::shared::{CoreCommand, TransferredConnection};
 use crate::state::shutdown_phase::ShutdownPhase;
 use crate::wire::answer;
-use crate::wire::buffer::Buffer;
+use crate::wire::buffer::ReadBuffer;
 use crate::wire::http::{MESSAGE, Messages, Refusal};
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
@@ -184,7 +184,7 @@
     client: &'a Rc<ClientConnection>,
     stream: &'a TcpStream,
     clock: Clock,
-    buffer: Buffer,
+    buffer: ReadBuffer,
     messages: Messages,
     sender: Sender,
     /// Bytes of the present answer that are out.
@@ -220,7 +220,7 @@
             client,
             stream,
             clock,
-            buffer: Buffer::new(MESSAGE),
+            buffer: ReadBuffer::new(MESSAGE),
             messages: Messages::default(),
             sender: Sender::default(),
             written_bytes: 0,
@@ -250,7 +250,7 @@
             }
             let now = clock.now();
             let waiting = self.waiting(now);
-            let has_room = !self.buffer.space().is_empty();
+            let has_room = !self.buffer.unfilled().is_empty();
             let is_overdue = waiting.deadline <= now && !waiting.is_half_sent;
             let should_close = waiting.is_idle && (client.should_close() || is_overdue);
             tokio::select! {
@@ -376,8 +376,8 @@
     /// more than is kept and goes, whose end stands behind it: past a full buffer what comes is read and dropped.
     fn read(&mut self) -> bool {
         let mut discarded = [0; DISCARD_BYTES];
-        self.has_overrun |= self.buffer.space().is_empty();
-        let space = if self.has_overrun { &mut discarded[..] } else { self.buffer.space() };
+        self.has_overrun |= self.buffer.unfilled().is_empty();
+        let space = if self.has_overrun { &mut discarded[..] } else { self.buffer.unfilled() };
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.stall_detector.check(self.clock.now());
         let estimator = &mut dispatcher.arrival_times;
@@ -386,7 +386,7 @@
             Ok(Some((count, at))) => {
                 if !self.has_overrun {
                     self.client.has_bytes_behind.set(self.client.open_query.get().is_some());
-                    self.buffer.filled(count);
+                    self.buffer.add_filled(count);
                     self.read_at = at;
                 }
                 dispatcher.counters.add("bytes_from_clients", count);
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -4,7 +4,7 @@
 use crate::state::dispatcher::Dispatcher;
 use crate::state::endpoints::EndpointTable;
 use crate::state::watch_state::{WatchPhase, WatchState};
-use crate::wire::buffer::Buffer;
+use crate::wire::buffer::ReadBuffer;
 use crate::wire::discovery::{self, Watch, Word};
 use crate::wire::layout;
 use alderway_layouts::history::News;
@@ -175,7 +175,7 @@
     let mut out = Vec::new();
     discovery::follow(&mut out, &address.to_string(), since, layout);
     let (mut sender, mut written) = (Sender::default(), 0);
-    let (mut buffer, mut watch) = (Buffer::new(discovery::LONGEST), Watch::default());
+    let (mut buffer, mut watch) = (ReadBuffer::new(discovery::LONGEST), Watch::default());
     loop {
         if written < out.len() {
             match sender.write(&stream, &out[written..]) {
@@ -197,9 +197,9 @@
                 continue;
             }
         }
-        match alderway_sockets::read(&stream, buffer.space()) {
+        match alderway_sockets::read(&stream, buffer.unfilled()) {
             Ok(Some(0)) => return "it ended".into(),
-            Ok(Some(count)) => buffer.filled(count),
+            Ok(Some(count)) => buffer.add_filled(count),
             Ok(None) => continue,
             Err(why) => return format!("not read ({why})"),
         }
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -6,7 +6,7 @@
 use crate::state::node_connection::Dial;
 use crate::state::node_connection::NodeConnection;
 use crate::state::node_protocol::NodeReply;
-use crate::wire::buffer::Buffer;
+use crate::wire::buffer::ReadBuffer;
 use crate::wire::{Fault, frames};
 use alderway::interface::AttemptOutcome;
 use alderway_sockets::Sender;
@@ -154,7 +154,7 @@
     idle_timeout_s: f64,
     /// An answer that has begun to come has to be complete within so many seconds.
     answer_timeout_s: f64,
-    incoming: Buffer,
+    incoming: ReadBuffer,
     outgoing: Outgoing,
     /// By when the present frame has to get further; infinite where none is blocked.
     write_by: f64,
@@ -208,7 +208,7 @@
             wake,
             idle_timeout_s,
             answer_timeout_s: config.dial_timeout_s,
-            incoming: Buffer::new(frames::LONGEST + LENGTH_BYTES),
+            incoming: ReadBuffer::new(frames::LONGEST + LENGTH_BYTES),
             outgoing: Outgoing::default(),
             write_by: f64::INFINITY,
             read_by: f64::INFINITY,
@@ -373,10 +373,10 @@
     /// Reads once what has come and says how many frames that made. Whoever has more to say waits for its next turn, so
     /// that no data node can keep the core to itself.
     fn read(&mut self) -> Result<usize, CloseReason> {
-        match alderway_sockets::read(self.stream, self.incoming.space()) {
+        match alderway_sockets::read(self.stream, self.incoming.unfilled()) {
             Ok(Some(0)) | Err(_) => return Err(CloseReason::EndedByNode),
             Ok(Some(count)) => {
-                self.incoming.filled(count);
+                self.incoming.add_filled(count);
                 self.dispatcher.borrow_mut().counters.add("bytes_from_nodes", count);
             }
             Ok(None) => return Ok(0),
@@ -387,7 +387,7 @@
             let next = next.map_err(|problem| CloseReason::Corrupted(CorruptedFrame::unnamed(problem)))?;
             let Some((letter, body, used_bytes)) = next else { return Ok(frames_read) };
             self.receive(letter, body)?;
-            self.incoming.used(used_bytes);
+            self.incoming.consume(used_bytes);
             frames_read += 1;
         }
     }
--- a/crates/router/src/wire/buffer.rs
+++ b/crates/router/src/wire/buffer.rs
@@ -1,75 +1,81 @@
-//! The read buffer: bytes that have come and are not yet used.
+//! The read buffer of a connection: bytes that have been received and not yet consumed.
 
-/// Grows by need up to `most`; used bytes make room at the front.
-pub struct Buffer {
+/// A buffer that grows on demand up to a maximum length. Room is made by moving unconsumed bytes to the front.
+pub struct ReadBuffer {
     bytes: Vec<u8>,
-    from: usize,
-    to: usize,
-    most: usize,
+    start: usize,
+    end: usize,
+    max_bytes: usize,
 }
 
-const FIRST: usize = 4096;
+/// Length of the first allocation. A longer one is freed when the buffer is empty.
+const INITIAL_BYTES: usize = 4096;
 
-impl Buffer {
-    pub fn new(most: usize) -> Self {
-        Buffer { bytes: Vec::new(), from: 0, to: 0, most }
+impl ReadBuffer {
+    /// An empty buffer that holds at most `max_bytes`; nothing is allocated yet.
+    pub fn new(max_bytes: usize) -> Self {
+        ReadBuffer { bytes: Vec::new(), start: 0, end: 0, max_bytes }
     }
 
+    /// The received bytes that are not yet consumed.
     pub fn data(&self) -> &[u8] {
-        &self.bytes[self.from..self.to]
+        &self.bytes[self.start..self.end]
     }
 
+    /// The received bytes that are not yet consumed, to be changed in place.
     pub fn data_mut(&mut self) -> &mut [u8] {
-        &mut self.bytes[self.from..self.to]
+        &mut self.bytes[self.start..self.end]
     }
 
+    /// Whether every received byte is consumed.
     pub fn is_empty(&self) -> bool {
-        self.from == self.to
+        self.start == self.end
     }
 
-    /// Where the next bytes may be read to; empty when `most` bytes wait to be used.
-    pub fn space(&mut self) -> &mut [u8] {
-        if self.from > 0 && (self.is_empty() || self.to == self.bytes.len()) {
-            self.bytes.copy_within(self.from..self.to, 0);
-            (self.from, self.to) = (0, self.to - self.from);
+    /// The free space to read the next bytes into; empty when `max_bytes` are not yet consumed.
+    pub fn unfilled(&mut self) -> &mut [u8] {
+        if self.start > 0 && (self.is_empty() || self.end == self.bytes.len()) {
+            self.bytes.copy_within(self.start..self.end, 0);
+            (self.start, self.end) = (0, self.end - self.start);
         }
-        if self.to == self.bytes.len() && self.to < self.most {
-            self.bytes.resize((self.to * 2).clamp(FIRST.min(self.most), self.most), 0);
+        if self.end == self.bytes.len() && self.end < self.max_bytes {
+            let new_len = (self.end * 2).clamp(INITIAL_BYTES.min(self.max_bytes), self.max_bytes);
+            self.bytes.resize(new_len, 0);
         }
-        &mut self.bytes[self.to..]
+        &mut self.bytes[self.end..]
     }
 
-    /// `count` bytes of `space` have been written.
-    pub fn filled(&mut self, count: usize) {
-        self.to = (self.to + count).min(self.bytes.len());
+    /// Adds the first `count` bytes of [`unfilled`](Self::unfilled), which now hold received data.
+    pub fn add_filled(&mut self, count: usize) {
+        self.end = (self.end + count).min(self.bytes.len());
     }
 
-    /// Copies in what fits of `bytes` and says how many that were.
-    pub fn feed(&mut self, bytes: &[u8]) -> usize {
-        let space = self.space();
-        let count = space.len().min(bytes.len());
-        space[..count].copy_from_slice(&bytes[..count]);
-        self.filled(count);
+    /// Copies as many of `bytes` as fit; returns how many.
+    pub fn append(&mut self, bytes: &[u8]) -> usize {
+        let unfilled = self.unfilled();
+        let count = unfilled.len().min(bytes.len());
+        unfilled[..count].copy_from_slice(&bytes[..count]);
+        self.add_filled(count);
         count
     }
 
-    /// The first `count` bytes are done with. An emptied buffer that had grown gives its memory back.
-    pub fn used(&mut self, count: usize) {
-        self.from = (self.from + count).min(self.to);
+    /// Drops the first `count` bytes. When the buffer becomes empty, memory beyond the first allocation is freed.
+    pub fn consume(&mut self, count: usize) {
+        self.start = (self.start + count).min(self.end);
         if self.is_empty() {
-            (self.from, self.to) = (0, 0);
-            if self.bytes.len() > FIRST {
+            (self.start, self.end) = (0, 0);
+            if self.bytes.len() > INITIAL_BYTES {
                 self.bytes = Vec::new();
             }
         }
     }
 
-    /// Takes out the bytes of `range`, closing the gap.
-    pub fn cut(&mut self, range: std::ops::Range<usize>) {
-        let (start, end) = (self.from + range.start, (self.from + range.end).min(self.to));
+    /// Removes the bytes of `range`, counted from the first unconsumed byte, and closes the gap.
+    pub fn remove(&mut self, range: std::ops::Range<usize>) {
+        let (start, end) = (self.start + range.start, (self.start + range.end).min(self.end));
         if start < end {
-            self.bytes.copy_within(end..self.to, start);
-            self.to -= end - start;
+            self.bytes.copy_within(end..self.end, start);
+            self.end -= end - start;
         }
     }
 }
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's lines: what is asked of it, and the lists and changes it writes.
 use super::Fault;
-use super::buffer::Buffer;
+use super::buffer::ReadBuffer;
 use super::http::{Chunks, Messages};
 use super::json::Json;
 use alderway::interface::NodeState;
@@ -138,7 +138,7 @@
 
 impl Watch {
     /// The next word that stands whole in the buffer; an object stays there until the next call.
-    pub fn word(&mut self, buffer: &mut Buffer) -> Result<Option<Word>, Fault> {
+    pub fn word(&mut self, buffer: &mut ReadBuffer) -> Result<Option<Word>, Fault> {
         if !self.headed {
             if !self.head.find_head(buffer).map_err(|refusal| refusal.1)? {
                 return Ok(None);
@@ -155,7 +155,7 @@
             return Ok(Some(Word::Head));
         }
         if self.told > 0 {
-            buffer.used(self.told);
+            buffer.consume(self.told);
             self.decoded -= self.told;
             self.seen -= self.told;
             self.told = 0;
--- a/crates/router/src/wire/http.rs
+++ b/crates/router/src/wire/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 both ways: finds the messages in a buffer, wherever the bytes are cut.
 use super::Fault;
-use super::buffer::Buffer;
+use super::buffer::ReadBuffer;
 use crate::state::descriptors::CLIENT_BUFFER_BYTES;
 
 /// The largest body, and the largest head and chunk line that go with it.
@@ -123,7 +123,7 @@
 
     /// Decodes what stands from `from` on in the buffer; the decoded bytes stay, their framing goes. Returns
     /// where the decoded bytes end; what follows is not decoded yet.
-    pub fn decode(&mut self, buffer: &mut Buffer, from: usize) -> Result<usize, Refusal> {
+    pub fn decode(&mut self, buffer: &mut ReadBuffer, from: usize) -> Result<usize, Refusal> {
         let (mut to, mut at) = (from, from);
         let data = buffer.data_mut();
         loop {
@@ -167,7 +167,7 @@
                 }
             }
         }
-        buffer.cut(to..at);
+        buffer.remove(to..at);
         Ok(to)
     }
 }
@@ -196,7 +196,7 @@
 
 impl Messages {
     /// Looks for a whole message at the start of the buffer; true once it stands there.
-    pub fn find(&mut self, buffer: &mut Buffer) -> Result<bool, Refusal> {
+    pub fn find(&mut self, buffer: &mut ReadBuffer) -> Result<bool, Refusal> {
         if !self.find_head(buffer)? {
             return Ok(false);
         }
@@ -213,13 +213,13 @@
     }
 
     /// Looks only for the head; true once it stands there and its framing is known.
-    pub fn find_head(&mut self, buffer: &mut Buffer) -> Result<bool, Refusal> {
+    pub fn find_head(&mut self, buffer: &mut ReadBuffer) -> Result<bool, Refusal> {
         if self.head.is_some() {
             return Ok(true);
         }
         // Empty lines before a first line are passed over, as HTTP asks.
         while buffer.data().starts_with(b"\r\n") {
-            buffer.used(2);
+            buffer.consume(2);
             self.seen = 0;
         }
         let Some(end) = head_end(buffer.data(), self.seen) else {
@@ -239,7 +239,7 @@
     }
 
     /// The message that `find` has found, or the head that `find_head` has.
-    pub fn message<'b>(&self, buffer: &'b Buffer) -> (Head<'b>, &'b [u8]) {
+    pub fn message<'b>(&self, buffer: &'b ReadBuffer) -> (Head<'b>, &'b [u8]) {
         let (data, end) = (buffer.data(), self.head.unwrap_or_default());
         let lines = std::str::from_utf8(&data[..end]).unwrap_or_default();
         (Head { lines }, data.get(end..self.body).unwrap_or_default())
@@ -251,14 +251,14 @@
     }
 
     /// Whether the client waits for a word before it sends the body.
-    pub fn awaits_go_ahead(&self, buffer: &Buffer) -> bool {
+    pub fn awaits_go_ahead(&self, buffer: &ReadBuffer) -> bool {
         let bare = self.head == Some(buffer.data().len());
         bare && self.message(buffer).0.lists("expect", "100-continue")
     }
 
     /// The message is done with; the next one may be looked for.
-    pub fn done(&mut self, buffer: &mut Buffer) {
-        buffer.used(self.body);
+    pub fn done(&mut self, buffer: &mut ReadBuffer) {
+        buffer.consume(self.body);
         *self = Messages::default();
     }
 }
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's state machines on good bytes cut at every place, and on bytes that are none of theirs.
 use alderway::interface::NodeState;
-use alderway_router::wire::buffer::Buffer;
+use alderway_router::wire::buffer::ReadBuffer;
 use alderway_router::wire::discovery::{self, Node, Watch, Word};
 use alderway_router::wire::http::{MESSAGE, Messages};
 use alderway_router::wire::json::Json;
@@ -9,11 +9,11 @@
 
 /// Reads requests from `bytes`, fed in pieces that end at `cuts`; each as its first line and its body.
 fn requests(bytes: &[u8], cuts: &[usize]) -> Result<Vec<(String, String)>, u16> {
-    let (mut buffer, mut messages, mut found) = (Buffer::new(MESSAGE), Messages::default(), vec![]);
+    let (mut buffer, mut messages, mut found) = (ReadBuffer::new(MESSAGE), Messages::default(), vec![]);
     let mut from = 0;
     for &cut in cuts.iter().chain(&[bytes.len()]) {
         while from < cut {
-            from += buffer.feed(&bytes[from..cut]);
+            from += buffer.append(&bytes[from..cut]);
             while messages.find(&mut buffer).map_err(|refusal| refusal.0)? {
                 let (head, body) = messages.message(&buffer);
                 found.push((head.first().to_string(), String::from_utf8_lossy(body).to_string()));
@@ -137,12 +137,12 @@
     let first = b"Sq.3 3 d=240 9\nsome\ntextq.4 4 d=240 0\n";
     assert_eq!(&bytes[..4 + first.len()], [&(first.len() as u32).to_be_bytes()[..], first].concat());
     for cut in 0..bytes.len() {
-        let (mut buffer, mut letters) = (Buffer::new(frames::LONGEST + 4), vec![]);
+        let (mut buffer, mut letters) = (ReadBuffer::new(frames::LONGEST + 4), vec![]);
         for piece in [&bytes[..cut], &bytes[cut..]] {
-            buffer.feed(piece);
+            buffer.append(piece);
             while let Some((letter, rest, used)) = frames::next(buffer.data()).expect("readable") {
                 letters.push((letter, rest.len()));
-                buffer.used(used);
+                buffer.consume(used);
             }
         }
         assert_eq!(letters, [(b'S', first.len() - 1), (b'C', 3)], "cut at {cut}");
@@ -174,9 +174,9 @@
 
 /// What a watch makes of `bytes` fed in pieces of `size`: its objects and, empty, its blank lines; or why it ended.
 fn words(bytes: &[u8], size: usize) -> (Vec<String>, Option<&'static str>) {
-    let (mut buffer, mut watch, mut found) = (Buffer::new(discovery::LONGEST), Watch::default(), vec![]);
+    let (mut buffer, mut watch, mut found) = (ReadBuffer::new(discovery::LONGEST), Watch::default(), vec![]);
     for piece in bytes.chunks(size) {
-        buffer.feed(piece);
+        buffer.append(piece);
         loop {
             match watch.word(&mut buffer) {
                 Ok(Some(Word::Head)) => {}
