--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -2,7 +2,7 @@
 //! sends each part to the next data node in a fixed order and answers when all are in. It decides, checks, times and
 //! repeats nothing, so what a router reaches beside it shows what its work costs.
 use alderway_router::wire::buffer::ReadBuffer;
-use alderway_router::wire::http::Messages;
+use alderway_router::wire::http::MessageReader;
 use alderway_router::wire::{answer, frames, query};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -109,9 +109,9 @@
 }
 
 async fn client(mut stream: TcpStream, trunks: Rc<Vec<Rc<Trunk>>>, parts: Parts, turn: Rc<RefCell<usize>>) {
-    let (mut buffer, mut messages) = (ReadBuffer::new(1 << 17), Messages::default());
+    let (mut buffer, mut messages) = (ReadBuffer::new(1 << 17), MessageReader::default());
     loop {
-        match messages.find(&mut buffer) {
+        match messages.find_message(&mut buffer) {
             Ok(true) => {}
             Ok(false) => {
                 if stream.readable().await.is_err() {
@@ -150,7 +150,7 @@
                 trunk.wake.notify_one();
             }
         }
-        messages.done(&mut buffer);
+        messages.consume_message(&mut buffer);
         open.done.notified().await;
         let mut out = vec![];
         let values = open.values.take();
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -10,7 +10,7 @@
 use crate::state::shutdown_phase::ShutdownPhase;
 use crate::wire::answer;
 use crate::wire::buffer::ReadBuffer;
-use crate::wire::http::{MESSAGE, Messages, Refusal};
+use crate::wire::http::{HttpError, MAX_MESSAGE_BYTES, MessageReader};
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
 use std::future::ready;
@@ -143,7 +143,7 @@
     if stream.shutdown().await.is_err() {
         return;
     }
-    let (mut discarded, mut left_bytes) = ([0; DISCARD_BYTES], MESSAGE);
+    let (mut discarded, mut left_bytes) = ([0; DISCARD_BYTES], MAX_MESSAGE_BYTES);
     let discard = async {
         while left_bytes > 0 && stream.readable().await.is_ok() {
             match alderway_sockets::read(stream, &mut discarded) {
@@ -185,7 +185,7 @@
     stream: &'a TcpStream,
     clock: Clock,
     buffer: ReadBuffer,
-    messages: Messages,
+    messages: MessageReader,
     sender: Sender,
     /// Bytes of the present answer that are out.
     written_bytes: usize,
@@ -220,8 +220,8 @@
             client,
             stream,
             clock,
-            buffer: ReadBuffer::new(MESSAGE),
-            messages: Messages::default(),
+            buffer: ReadBuffer::new(MAX_MESSAGE_BYTES),
+            messages: MessageReader::default(),
             sender: Sender::default(),
             written_bytes: 0,
             is_unreadable: false,
@@ -298,7 +298,7 @@
     /// Takes the requests that have come, one at a time: the next waits unread until the answer is out.
     fn take_requests(&mut self) {
         while !self.is_unreadable && self.client.open_query.get().is_none() && !self.has_output() {
-            match self.messages.find(&mut self.buffer) {
+            match self.messages.find_message(&mut self.buffer) {
                 Ok(true) => self.take_request(),
                 Ok(false) => {
                     self.send_continue_if_awaited();
@@ -321,23 +321,23 @@
 
     fn take_request(&mut self) {
         let (head, body) = self.messages.message(&self.buffer);
-        let has_bytes_behind = self.buffer.data().len() > self.messages.end();
+        let has_bytes_behind = self.buffer.data().len() > self.messages.message_end();
         self.client.has_bytes_behind.set(has_bytes_behind);
         requests::take(self.dispatcher, self.client, head, body, self.read_at);
-        self.messages.done(&mut self.buffer);
+        self.messages.consume_message(&mut self.buffer);
         self.client.has_sent_request.set(true);
         self.has_sent_continue = false;
     }
 
     fn send_continue_if_awaited(&mut self) {
-        if !self.has_sent_continue && self.messages.awaits_go_ahead(&self.buffer) {
+        if !self.has_sent_continue && self.messages.expects_continue(&self.buffer) {
             self.has_sent_continue = true;
             self.client.output.borrow_mut().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
     }
 
     /// Writes the last answer on this connection, as nothing more can be made out on it.
-    fn reject_unreadable(&mut self, counter: &str, refusal: Refusal) {
+    fn reject_unreadable(&mut self, counter: &str, refusal: HttpError) {
         self.dispatcher.borrow_mut().counters.increment(counter);
         answer::unreadable(&mut self.client.output.borrow_mut(), refusal);
         self.is_unreadable = true;
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -5,7 +5,7 @@
 use crate::state::response::AnswerCoverage;
 use crate::state::shard_map::{QueryTarget, ShardMapView};
 use crate::wire::frames::LONGEST_ID;
-use crate::wire::http::{Head, Refusal};
+use crate::wire::http::{Head, HttpError};
 use crate::wire::{answer, query};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -13,11 +13,11 @@
 /// Takes a whole request whose last byte came at `at`; it is answered now, or it is an open query then.
 pub fn take(dispatcher: &DispatcherHandle, client: &Rc<ClientConnection>, head: Head, body: &[u8], at: f64) {
     // The answers here have a body, which an answer to HEAD must not: no further message could be told apart.
-    let closes = head.closes() || head.first().starts_with("HEAD ");
+    let closes = head.closes_connection() || head.first_line().starts_with("HEAD ");
     client
         .close_after_answer
         .set(client.close_after_answer.get() || closes || dispatcher.borrow().closes_connection(client));
-    let mut words = head.first().split(' ');
+    let mut words = head.first_line().split(' ');
     let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
     let plain = |status, text: &str| {
@@ -58,7 +58,7 @@
     head: Head,
     body: &[u8],
     at: f64,
-) -> Result<(), Refusal> {
+) -> Result<(), HttpError> {
     let field = |name, lacking| head.field(name)?.filter(|v| !v.is_empty()).ok_or((400, lacking));
     let id = field("X-Correlation-Id", "X-Correlation-Id is missing")?;
     if id.len() > LONGEST_ID || !id.bytes().all(|b| b.is_ascii_graphic()) {
@@ -98,7 +98,7 @@
     shard_map: &ShardMapView,
     query_id: &str,
     body: &[u8],
-) -> Result<ShardRequests, Refusal> {
+) -> Result<ShardRequests, HttpError> {
     let mut targets = Vec::new();
     let text = query::targets(body, true, |shard, keys, weight| {
         targets.push(QueryTarget { shard, keys, weight });
@@ -112,7 +112,7 @@
     Ok(ShardRequests { text, requests, coverage: Some(coverage) })
 }
 
-fn requests_by_ring(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, Refusal> {
+fn requests_by_ring(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, HttpError> {
     let (mut requests, mut asked) = (Vec::new(), BTreeSet::new());
     let text = query::read(body, |shard, weight| {
         if shard >= shard_count {
@@ -129,7 +129,7 @@
 }
 
 /// Status and text for a query that cannot be opened.
-pub fn refusal(error: QueryError) -> Refusal {
+pub fn refusal(error: QueryError) -> HttpError {
     match error {
         QueryError::IdInUse => (400, "a query with this X-Correlation-Id is open"),
         QueryError::NoShardMap => (503, "no layout is known yet"),
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery's lines: what is asked of it, and the lists and changes it writes.
 use super::Fault;
 use super::buffer::ReadBuffer;
-use super::http::{Chunks, Messages};
+use super::http::{ChunkDecoder, MessageReader};
 use super::json::Json;
 use alderway::interface::NodeState;
 use std::io::Write;
@@ -124,9 +124,9 @@
 /// several lines.
 #[derive(Default)]
 pub struct Watch {
-    head: Messages,
+    head: MessageReader,
     headed: bool,
-    chunks: Chunks,
+    chunks: ChunkDecoder,
     /// How much of the buffer is decoded, how much of that is looked at, and how much is of a word told already.
     decoded: usize,
     seen: usize,
@@ -140,17 +140,17 @@
     /// The next word that stands whole in the buffer; an object stays there until the next call.
     pub fn word(&mut self, buffer: &mut ReadBuffer) -> Result<Option<Word>, Fault> {
         if !self.headed {
-            if !self.head.find_head(buffer).map_err(|refusal| refusal.1)? {
+            if !self.head.find_head(buffer).map_err(|error| error.1)? {
                 return Ok(None);
             }
             let (head, _) = self.head.message(buffer);
-            if head.first().split(' ').nth(1) != Some("200") {
+            if head.first_line().split(' ').nth(1) != Some("200") {
                 return Err("the answer is not 200");
             }
             if !self.head.is_chunked() {
                 return Err("the answer is not chunked");
             }
-            self.head.done(buffer);
+            self.head.consume_message(buffer);
             self.headed = true;
             return Ok(Some(Word::Head));
         }
@@ -160,7 +160,7 @@
             self.seen -= self.told;
             self.told = 0;
         }
-        self.decoded = self.chunks.decode(buffer, self.decoded).map_err(|refusal| refusal.1)?;
+        self.decoded = self.chunks.decode(buffer, self.decoded).map_err(|error| error.1)?;
         while self.seen < self.decoded {
             let byte = buffer.data()[self.seen];
             self.seen += 1;
@@ -170,7 +170,7 @@
             }
         }
         match () {
-            () if self.chunks.done() => Err("the watch has ended"),
+            () if self.chunks.is_done() => Err("the watch has ended"),
             () if self.decoded >= LONGEST => Err("an object is too long"),
             () => Ok(None),
         }
--- a/crates/router/src/wire/http.rs
+++ b/crates/router/src/wire/http.rs
@@ -1,32 +1,35 @@
-//! HTTP/1.1 both ways: finds the messages in a buffer, wherever the bytes are cut.
+//! Finds HTTP/1.1 requests and responses in a read buffer, however the bytes were split into reads.
 use super::Fault;
 use super::buffer::ReadBuffer;
 use crate::state::descriptors::CLIENT_BUFFER_BYTES;
 
-/// The largest body, and the largest head and chunk line that go with it.
-pub const BODY: usize = 64 * 1024;
-const HEAD: usize = 16 * 1024;
-const LINE: usize = 1024;
-const _: () = assert!(MESSAGE == CLIENT_BUFFER_BYTES);
-/// What a buffer must hold for the largest message, with room for the framing of its chunks.
-pub const MESSAGE: usize = HEAD + BODY + 4 * LINE;
+/// The largest body.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The largest head, with the empty line that ends it.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The longest line with a chunk's size, and the largest trailer.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
+const _: () = assert!(MAX_MESSAGE_BYTES == CLIENT_BUFFER_BYTES);
+/// The buffer size that the largest message needs, with space for the framing of its chunks.
+pub const MAX_MESSAGE_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + 4 * MAX_CHUNK_LINE_BYTES;
 
-/// What is wrong with a message, with the status that tells a client so.
-pub type Refusal = (u16, Fault);
+/// Why a message is rejected: the status of the error response and its text.
+pub type HttpError = (u16, Fault);
 
-/// The head of a message: its first line and its fields.
+/// The head of a message: its first line and its header fields.
 #[derive(Clone, Copy)]
 pub struct Head<'b> {
     lines: &'b str,
 }
 
 impl<'b> Head<'b> {
-    pub fn first(&self) -> &'b str {
+    /// The request line or status line.
+    pub fn first_line(&self) -> &'b str {
         self.lines.lines().next().unwrap_or_default()
     }
 
-    /// The value of the only field of that name; an error where there are several.
-    pub fn field(&self, name: &str) -> Result<Option<&'b str>, Refusal> {
+    /// The value of a header field, if it is present; an error if the head has several fields of that name.
+    pub fn field(&self, name: &str) -> Result<Option<&'b str>, HttpError> {
         let mut found = None;
         for line in self.lines.lines().skip(1) {
             let (field, value) = line.split_once(':').unwrap_or((line, ""));
@@ -40,21 +43,23 @@
         Ok(found)
     }
 
-    /// Whether a comma-separated field holds a word.
-    fn lists(&self, name: &str, word: &str) -> bool {
+    /// Whether a field with a comma-separated list contains a token, in any letter case.
+    fn list_contains(&self, name: &str, token: &str) -> bool {
         let fields = self.lines.lines().skip(1).filter_map(|line| line.split_once(':'));
         let mut values = fields.filter(|f| f.0.eq_ignore_ascii_case(name)).flat_map(|f| f.1.split(','));
-        values.any(|v| v.trim().eq_ignore_ascii_case(word))
+        values.any(|v| v.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Whether the connection ends after this message.
-    pub fn closes(&self) -> bool {
-        let old = self.first().ends_with("HTTP/1.0") || self.first().starts_with("HTTP/1.0");
-        self.lists("connection", "close") || (old && !self.lists("connection", "keep-alive"))
+    /// Whether the sender closes the connection after this message.
+    pub fn closes_connection(&self) -> bool {
+        let is_http_1_0 =
+            self.first_line().ends_with("HTTP/1.0") || self.first_line().starts_with("HTTP/1.0");
+        self.list_contains("connection", "close")
+            || (is_http_1_0 && !self.list_contains("connection", "keep-alive"))
     }
 
-    /// How the body is framed: its length, or `None` for chunks.
-    fn length(&self) -> Result<Option<usize>, Refusal> {
+    /// The length of the body in bytes, or `None` if the body is sent in chunks.
+    fn body_length(&self) -> Result<Option<usize>, HttpError> {
         let length = self.field("content-length")?;
         if let Some(coding) = self.field("transfer-encoding")? {
             return match (coding.eq_ignore_ascii_case("chunked"), length) {
@@ -68,20 +73,20 @@
             return Err((400, "the length is not a number"));
         }
         match text.parse() {
-            Ok(length) if length <= BODY => Ok(Some(length)),
+            Ok(length) if length <= MAX_BODY_BYTES => Ok(Some(length)),
             _ => Err((413, "the body is larger than 64 KiB")),
         }
     }
 }
 
-/// Where the head ends, with the blank line; looks only at what `seen` had not covered.
-fn head_end(data: &[u8], seen: usize) -> Option<usize> {
-    let from = seen.saturating_sub(3);
+/// The end of the head with its empty line. The first `searched` bytes, which do not contain it, are not searched again.
+fn find_head_end(data: &[u8], searched: usize) -> Option<usize> {
+    let from = searched.saturating_sub(3);
     let at = data[from..].windows(4).position(|w| w == b"\r\n\r\n")?;
     Some(from + at + 4)
 }
 
-fn head(data: &[u8]) -> Result<Head<'_>, Refusal> {
+fn parse_head(data: &[u8]) -> Result<Head<'_>, HttpError> {
     let lines = std::str::from_utf8(data).map_err(|_| (400, "the head is not text"))?;
     let unprintable = |b: u8| (b < 0x20 && !matches!(b, b'\r' | b'\n' | b'\t')) || b == 0x7f;
     if lines.bytes().any(unprintable) || lines.replace("\r\n", "").contains(['\r', '\n']) {
@@ -97,17 +102,17 @@
     Ok(Head { lines })
 }
 
-/// Takes the framing of chunks out of a body, in place.
+/// Decodes a chunked body in place: removes the framing of the chunks from the buffer.
 #[derive(Default)]
-pub struct Chunks {
-    /// Bytes of the present chunk that are still to come.
-    left: usize,
-    step: ChunkStep,
-    trailer: usize,
+pub struct ChunkDecoder {
+    /// Bytes of the current chunk that are not yet decoded.
+    remaining_bytes: usize,
+    state: ChunkState,
+    trailer_bytes: usize,
 }
 
 #[derive(Default, PartialEq)]
-enum ChunkStep {
+enum ChunkState {
     #[default]
     Size,
     Data,
@@ -116,52 +121,54 @@
     Done,
 }
 
-impl Chunks {
-    pub fn done(&self) -> bool {
-        self.step == ChunkStep::Done
+impl ChunkDecoder {
+    /// Whether the last chunk and the trailer are decoded.
+    pub fn is_done(&self) -> bool {
+        self.state == ChunkState::Done
     }
 
-    /// Decodes what stands from `from` on in the buffer; the decoded bytes stay, their framing goes. Returns
-    /// where the decoded bytes end; what follows is not decoded yet.
-    pub fn decode(&mut self, buffer: &mut ReadBuffer, from: usize) -> Result<usize, Refusal> {
+    /// Decodes the bytes of the buffer from `from` on: removes the framing and leaves the decoded bytes. Returns the
+    /// end of the decoded bytes; the bytes behind it are not decoded yet.
+    pub fn decode(&mut self, buffer: &mut ReadBuffer, from: usize) -> Result<usize, HttpError> {
         let (mut to, mut at) = (from, from);
         let data = buffer.data_mut();
         loop {
             let rest = &data[at..];
             let line = rest.iter().position(|&b| b == b'\n');
-            match self.step {
-                ChunkStep::Data if rest.is_empty() => break,
-                ChunkStep::Data => {
-                    let count = rest.len().min(self.left);
+            match self.state {
+                ChunkState::Data if rest.is_empty() => break,
+                ChunkState::Data => {
+                    let count = rest.len().min(self.remaining_bytes);
                     data.copy_within(at..at + count, to);
-                    (to, at, self.left) = (to + count, at + count, self.left - count);
-                    if self.left == 0 {
-                        self.step = ChunkStep::AfterData;
+                    (to, at, self.remaining_bytes) = (to + count, at + count, self.remaining_bytes - count);
+                    if self.remaining_bytes == 0 {
+                        self.state = ChunkState::AfterData;
                     }
                 }
-                ChunkStep::AfterData => match rest {
-                    [b'\r', b'\n', ..] => (at, self.step) = (at + 2, ChunkStep::Size),
+                ChunkState::AfterData => match rest {
+                    [b'\r', b'\n', ..] => (at, self.state) = (at + 2, ChunkState::Size),
                     [] | [b'\r'] => break,
                     _ => return Err((400, "a chunk is longer than its size")),
                 },
-                ChunkStep::Done => break,
-                ChunkStep::Size | ChunkStep::Trailer => {
+                ChunkState::Done => break,
+                ChunkState::Size | ChunkState::Trailer => {
                     let Some(end) = line else {
-                        if rest.len() > LINE {
+                        if rest.len() > MAX_CHUNK_LINE_BYTES {
                             return Err((400, "a chunk's line is too long"));
                         }
                         break;
                     };
                     let text = rest[..end].strip_suffix(b"\r").ok_or((400, "a chunk's line without CR"))?;
-                    if self.step == ChunkStep::Trailer {
-                        self.trailer += end;
-                        if self.trailer > LINE {
+                    if self.state == ChunkState::Trailer {
+                        self.trailer_bytes += end;
+                        if self.trailer_bytes > MAX_CHUNK_LINE_BYTES {
                             return Err((400, "the trailer is too long"));
                         }
-                        self.step = if text.is_empty() { ChunkStep::Done } else { ChunkStep::Trailer };
+                        self.state = if text.is_empty() { ChunkState::Done } else { ChunkState::Trailer };
                     } else {
-                        self.left = chunk_size(text)?;
-                        self.step = if self.left == 0 { ChunkStep::Trailer } else { ChunkStep::Data };
+                        self.remaining_bytes = parse_chunk_size(text)?;
+                        self.state =
+                            if self.remaining_bytes == 0 { ChunkState::Trailer } else { ChunkState::Data };
                     }
                     at += end + 1;
                 }
@@ -172,7 +179,7 @@
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<usize, Refusal> {
+fn parse_chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let digits = line.split(|&b| b == b';').next().unwrap_or_default().trim_ascii_end();
     let text = std::str::from_utf8(digits).unwrap_or_default();
     if text.is_empty() || text.len() > 8 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
@@ -181,84 +188,90 @@
     usize::from_str_radix(text, 16).map_err(|_| (400, "a chunk's size is not a number"))
 }
 
-/// Finds one message after the other in a buffer.
+/// Finds the messages in a read buffer, one after the other.
 #[derive(Default)]
-pub struct Messages {
+pub struct MessageReader {
     /// Bytes already searched for the end of the head.
-    seen: usize,
-    /// Where the head of the present message ends, once known.
-    head: Option<usize>,
-    /// Where its body ends as far as it is decoded.
-    body: usize,
-    length: Option<usize>,
-    chunks: Chunks,
+    searched: usize,
+    /// The end of the current message's head, once it is received.
+    head_end: Option<usize>,
+    /// The end of the body; of a chunked one, the end of the bytes decoded so far.
+    body_end: usize,
+    /// The length of the body, or `None` if it is chunked.
+    body_length: Option<usize>,
+    chunks: ChunkDecoder,
 }
 
-impl Messages {
-    /// Looks for a whole message at the start of the buffer; true once it stands there.
-    pub fn find(&mut self, buffer: &mut ReadBuffer) -> Result<bool, Refusal> {
+impl MessageReader {
+    /// Whether the buffer starts with a complete message, whose chunks are then decoded.
+    pub fn find_message(&mut self, buffer: &mut ReadBuffer) -> Result<bool, HttpError> {
         if !self.find_head(buffer)? {
             return Ok(false);
         }
-        let start = self.head.unwrap_or_default();
-        let Some(length) = self.length else {
-            self.body = self.chunks.decode(buffer, self.body)?;
-            if self.body - start > BODY {
+        let start = self.head_end.unwrap_or_default();
+        let Some(length) = self.body_length else {
+            self.body_end = self.chunks.decode(buffer, self.body_end)?;
+            if self.body_end - start > MAX_BODY_BYTES {
                 return Err((413, "the body is larger than 64 KiB"));
             }
-            return Ok(self.chunks.done());
+            return Ok(self.chunks.is_done());
         };
-        self.body = start + length;
-        Ok(buffer.data().len() >= self.body)
+        self.body_end = start + length;
+        Ok(buffer.data().len() >= self.body_end)
     }
 
-    /// Looks only for the head; true once it stands there and its framing is known.
-    pub fn find_head(&mut self, buffer: &mut ReadBuffer) -> Result<bool, Refusal> {
-        if self.head.is_some() {
+    /// Whether the buffer starts with a complete head; the framing of the body is then known.
+    pub fn find_head(&mut self, buffer: &mut ReadBuffer) -> Result<bool, HttpError> {
+        if self.head_end.is_some() {
             return Ok(true);
         }
-        // Empty lines before a first line are passed over, as HTTP asks.
+        // RFC 9112, section 2.2: empty lines before the first line are ignored.
         while buffer.data().starts_with(b"\r\n") {
             buffer.consume(2);
-            self.seen = 0;
+            self.searched = 0;
         }
-        let Some(end) = head_end(buffer.data(), self.seen) else {
-            self.seen = buffer.data().len();
-            return if self.seen > HEAD { Err((431, "the head is too long")) } else { Ok(false) };
+        let Some(end) = find_head_end(buffer.data(), self.searched) else {
+            self.searched = buffer.data().len();
+            return if self.searched > MAX_HEAD_BYTES {
+                Err((431, "the head is too long"))
+            } else {
+                Ok(false)
+            };
         };
-        if end > HEAD {
+        if end > MAX_HEAD_BYTES {
             return Err((431, "the head is too long"));
         }
-        self.length = head(&buffer.data()[..end])?.length()?;
-        (self.head, self.body) = (Some(end), end);
+        self.body_length = parse_head(&buffer.data()[..end])?.body_length()?;
+        (self.head_end, self.body_end) = (Some(end), end);
         Ok(true)
     }
 
+    /// Whether the head is received and the body is sent in chunks.
     pub fn is_chunked(&self) -> bool {
-        self.head.is_some() && self.length.is_none()
+        self.head_end.is_some() && self.body_length.is_none()
     }
 
-    /// The message that `find` has found, or the head that `find_head` has.
+    /// The head and body found by `find_message`; after `find_head` alone, the head and an empty body.
     pub fn message<'b>(&self, buffer: &'b ReadBuffer) -> (Head<'b>, &'b [u8]) {
-        let (data, end) = (buffer.data(), self.head.unwrap_or_default());
+        let (data, end) = (buffer.data(), self.head_end.unwrap_or_default());
         let lines = std::str::from_utf8(&data[..end]).unwrap_or_default();
-        (Head { lines }, data.get(end..self.body).unwrap_or_default())
+        (Head { lines }, data.get(end..self.body_end).unwrap_or_default())
     }
 
-    /// Where the message that `find` has found ends.
-    pub fn end(&self) -> usize {
-        self.body
+    /// The end of the message found by `find_message`.
+    pub fn message_end(&self) -> usize {
+        self.body_end
     }
 
-    /// Whether the client waits for a word before it sends the body.
-    pub fn awaits_go_ahead(&self, buffer: &ReadBuffer) -> bool {
-        let bare = self.head == Some(buffer.data().len());
-        bare && self.message(buffer).0.lists("expect", "100-continue")
+    /// Whether the client waits for `100 Continue` before it sends the body.
+    pub fn expects_continue(&self, buffer: &ReadBuffer) -> bool {
+        let has_only_head = self.head_end == Some(buffer.data().len());
+        has_only_head && self.message(buffer).0.list_contains("expect", "100-continue")
     }
 
-    /// The message is done with; the next one may be looked for.
-    pub fn done(&mut self, buffer: &mut ReadBuffer) {
-        buffer.consume(self.body);
-        *self = Messages::default();
+    /// Removes the message from the buffer. The next call of `find_message` looks for the following one.
+    pub fn consume_message(&mut self, buffer: &mut ReadBuffer) {
+        buffer.consume(self.body_end);
+        *self = MessageReader::default();
     }
 }
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -2,22 +2,23 @@
 use alderway::interface::NodeState;
 use alderway_router::wire::buffer::ReadBuffer;
 use alderway_router::wire::discovery::{self, Node, Watch, Word};
-use alderway_router::wire::http::{MESSAGE, Messages};
+use alderway_router::wire::http::{MAX_MESSAGE_BYTES, MessageReader};
 use alderway_router::wire::json::Json;
 use alderway_router::wire::{answer, frames, query};
 use rstest::rstest;
 
 /// Reads requests from `bytes`, fed in pieces that end at `cuts`; each as its first line and its body.
 fn requests(bytes: &[u8], cuts: &[usize]) -> Result<Vec<(String, String)>, u16> {
-    let (mut buffer, mut messages, mut found) = (ReadBuffer::new(MESSAGE), Messages::default(), vec![]);
+    let (mut buffer, mut messages, mut found) =
+        (ReadBuffer::new(MAX_MESSAGE_BYTES), MessageReader::default(), vec![]);
     let mut from = 0;
     for &cut in cuts.iter().chain(&[bytes.len()]) {
         while from < cut {
             from += buffer.append(&bytes[from..cut]);
-            while messages.find(&mut buffer).map_err(|refusal| refusal.0)? {
+            while messages.find_message(&mut buffer).map_err(|error| error.0)? {
                 let (head, body) = messages.message(&buffer);
-                found.push((head.first().to_string(), String::from_utf8_lossy(body).to_string()));
-                messages.done(&mut buffer);
+                found.push((head.first_line().to_string(), String::from_utf8_lossy(body).to_string()));
+                messages.consume_message(&mut buffer);
             }
         }
     }
