--- a/crates/router/src/wire/query.rs
+++ b/crates/router/src/wire/query.rs
@@ -1,35 +1,40 @@
-//! The body of a query.
+//! The JSON body of a client's query.
 use super::ParseError;
 use super::json::JsonReader;
 use std::borrow::Cow;
 
-/// By how much the shares of a query may miss 1 together: twenty of them, rounded to three decimals, do by this.
-const ROUNDED: f64 = 0.01;
+/// How far the sum of a query's weights may differ from 1: twenty weights, each rounded to three decimals, differ by 0.01.
+const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// Reads a body: every target goes straight into `part` with its shard and weight; returns the text that
-/// each part has to carry.
-pub fn read(
+/// Reads a body whose targets are shards. `add_target` gets the shard and weight of each target as it is read. Returns
+/// the text that every shard request carries.
+pub fn read_shard_targets(
     body: &[u8],
-    mut part: impl FnMut(u32, f64) -> Result<(), ParseError>,
+    mut add_target: impl FnMut(u32, f64) -> Result<(), ParseError>,
 ) -> Result<Cow<'_, str>, ParseError> {
-    targets(body, false, |shard, _, weight| part(shard.ok_or("a target without `partition`")?, weight))
+    read_targets(body, false, |shard, _, weight| {
+        add_target(shard.ok_or("a target without `partition`")?, weight)
+    })
 }
 
-/// The same where a target may name `keys`, from one to below another, in the place of a shard.
-pub fn targets(
+/// Reads a body. `add_target` gets the shard, keys and weight of each target as it is read; the keys are a range from the
+/// first to below the second. If `accepts_keys` is false, `keys` is ignored like any unknown field. Returns the text that
+/// every shard request carries.
+pub fn read_targets(
     body: &[u8],
-    by_keys: bool,
-    mut part: impl FnMut(Option<u32>, Option<(u32, u32)>, f64) -> Result<(), ParseError>,
+    accepts_keys: bool,
+    mut add_target: impl FnMut(Option<u32>, Option<(u32, u32)>, f64) -> Result<(), ParseError>,
 ) -> Result<Cow<'_, str>, ParseError> {
-    let (mut json, mut text, mut targets, mut whole) = (JsonReader::new(body), None, false, 0.0);
+    let (mut json, mut text) = (JsonReader::new(body), None);
+    let (mut has_targets, mut weight_sum) = (false, 0.0);
     json.read_object(|json, key| match key {
-        "targets" if targets => Err("`targets` stands twice"),
+        "targets" if has_targets => Err("`targets` stands twice"),
         "targets" => {
-            targets = true;
+            has_targets = true;
             json.read_array(|json| {
-                let (shard, keys, weight) = target(json, by_keys)?;
-                whole += weight;
-                part(shard, keys, weight)
+                let (shard, keys, weight) = read_target(json, accepts_keys)?;
+                weight_sum += weight;
+                add_target(shard, keys, weight)
             })
         }
         "query" => {
@@ -39,32 +44,33 @@
         _ => json.skip_value(),
     })?;
     json.expect_end()?;
-    if !targets {
+    if !has_targets {
         return Err("`targets` is missing");
     }
-    if (whole - 1.0f64).abs() > ROUNDED {
+    if (weight_sum - 1.0f64).abs() > WEIGHT_SUM_TOLERANCE {
         return Err("the shares do not add up to 1");
     }
     text.ok_or("`query` is missing")
 }
 
+/// Shard, keys and weight of a target.
 type Target = (Option<u32>, Option<(u32, u32)>, f64);
 
-fn target(json: &mut JsonReader, by_keys: bool) -> Result<Target, ParseError> {
+fn read_target(json: &mut JsonReader, accepts_keys: bool) -> Result<Target, ParseError> {
     let (mut shard, mut keys, mut weight) = (None, None, None);
     json.read_object(|json, key| {
         match key {
             "partition" => {
                 shard = Some(json.read_integer().map_err(|_| "`partition` is not a whole number")?)
             }
-            "keys" if by_keys => {
-                let mut ends = vec![];
+            "keys" if accepts_keys => {
+                let mut bounds = vec![];
                 json.read_array(|json| {
-                    ends.push(json.read_integer().map_err(|_| "`keys` are not two whole numbers")?);
+                    bounds.push(json.read_integer().map_err(|_| "`keys` are not two whole numbers")?);
                     Ok(())
                 })?;
-                let [from, to] = ends[..] else { return Err("`keys` are not two whole numbers") };
-                let key = |end| u32::try_from(end).map_err(|_| "`keys` are too large");
+                let [from, to] = bounds[..] else { return Err("`keys` are not two whole numbers") };
+                let key = |bound| u32::try_from(bound).map_err(|_| "`keys` are too large");
                 keys = Some((key(from)?, key(to)?));
             }
             "share" => weight = Some(json.read_number().map_err(|_| "`share` is not a number")?),
--- a/crates/router/tests/shard_map/news.rs
+++ b/crates/router/tests/shard_map/news.rs
@@ -66,8 +66,8 @@
 #[case::words(r#"["a","b"]"#)]
 fn keys_that_are_no_range_are_refused(#[case] keys: &str) {
     let body = format!(r#"{{"targets":[{{"keys":{keys},"share":1}}],"query":"x"}}"#);
-    assert!(query::targets(body.as_bytes(), true, |_, _, _| Ok(())).is_err());
+    assert!(query::read_targets(body.as_bytes(), true, |_, _, _| Ok(())).is_err());
     // Where the ring is in force the word means nothing, as any that is not known.
     let body = body.replace("\"share\"", "\"partition\":1,\"share\"");
-    assert!(query::targets(body.as_bytes(), false, |_, _, _| Ok(())).is_ok());
+    assert!(query::read_targets(body.as_bytes(), false, |_, _, _| Ok(())).is_ok());
 }
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -86,7 +86,7 @@
 
 fn read_query(body: &str) -> Result<(Parts, String), &'static str> {
     let mut parts = vec![];
-    let text = query::read(body.as_bytes(), |shard, weight| {
+    let text = query::read_shard_targets(body.as_bytes(), |shard, weight| {
         parts.push((shard, weight));
         Ok(())
     })?;
@@ -363,7 +363,7 @@
         let _ = requests(&bytes, &[size.min(bytes.len())]);
         let _ = words(&bytes, size);
         let _ = discovery::version(&bytes);
-        let _ = query::read(&bytes, |_, _| Ok(()));
+        let _ = query::read_shard_targets(&bytes, |_, _| Ok(()));
         let mut left = &bytes[..];
         while let Ok(Some((_, rest, used))) = frames::next(left) {
             let _ = frames::reply(rest);
