--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -5,7 +5,7 @@
 use crate::state::endpoints::EndpointTable;
 use crate::state::watch_state::{WatchPhase, WatchState};
 use crate::wire::buffer::ReadBuffer;
-use crate::wire::discovery::{self, Watch, Word};
+use crate::wire::discovery::{self, WatchEvent, WatchReader};
 use crate::wire::layout;
 use alderway_layouts::history::News;
 use alderway_layouts::layout::Faulty;
@@ -173,9 +173,9 @@
     let _ = stream.set_nodelay(true);
     let leads = list.borrow().leads();
     let mut out = Vec::new();
-    discovery::follow(&mut out, &address.to_string(), since, layout);
+    discovery::write_watch_request(&mut out, &address.to_string(), since, layout);
     let (mut sender, mut written) = (Sender::default(), 0);
-    let (mut buffer, mut watch) = (ReadBuffer::new(discovery::LONGEST), Watch::default());
+    let (mut buffer, mut watch) = (ReadBuffer::new(discovery::MAX_OBJECT_BYTES), WatchReader::default());
     loop {
         if written < out.len() {
             match sender.write(&stream, &out[written..]) {
@@ -204,18 +204,18 @@
             Err(why) => return format!("not read ({why})"),
         }
         loop {
-            match watch.word(&mut buffer) {
+            match watch.next_event(&mut buffer) {
                 Err(why) => return why.into(),
                 Ok(None) => break,
                 Ok(Some(word)) => {
                     let now = clock.now();
-                    if word == Word::Head {
+                    if word == WatchEvent::ResponseHead {
                         state.response_started();
                         continue;
                     }
                     state.update_received(now);
                     list.borrow_mut().quiet(now - std::mem::replace(heard, now));
-                    if let Word::Object(end) = word
+                    if let WatchEvent::Object(end) = word
                         && let Err(why) = take(list, &buffer.data()[..end], whole)
                     {
                         return why.into();
@@ -233,7 +233,7 @@
 
 /// One object of the watch: a list or a change.
 fn take(list: &SharedFollower, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
-    let (index, whole) = discovery::version(line)?;
+    let (index, whole) = discovery::read_version(line)?;
     let mut list = list.borrow_mut();
     let (clock, endpoints) = (list.clock(), list.endpoints());
     let now = clock.now();
@@ -244,11 +244,11 @@
     }
     endpoints.begin_update(index, whole);
     let (mut entries, mut unusable, mut wrong) = (0, 0, None);
-    discovery::entries(line, |name, told| match told {
+    discovery::read_entries(line, |name, told| match told {
         Ok(node) => {
             entries += 1;
-            let started = clock.from_unix_ms(node.since);
-            endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
+            let started = clock.from_unix_ms(node.started_at_unix_ms);
+            endpoints.update_from_discovery(name, node.address, node.replica_group, node.state, started, now);
         }
         Err((state, why)) => {
             unusable += 1;
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -239,14 +239,14 @@
 
 fn parse_endpoints(list: &Value, clock: Clock) -> Result<EndpointTable, String> {
     let text = list.to_string();
-    let (index, _) = discovery::version(text.as_bytes())?;
+    let (index, _) = discovery::read_version(text.as_bytes())?;
     let mut endpoints = EndpointTable::default();
     endpoints.begin_update(index, true);
     let mut first_error = None;
-    discovery::entries(text.as_bytes(), |name, entry| match entry {
+    discovery::read_entries(text.as_bytes(), |name, entry| match entry {
         Ok(node) => {
-            let (started, now) = (clock.from_unix_ms(node.since), clock.now());
-            endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
+            let (started, now) = (clock.from_unix_ms(node.started_at_unix_ms), clock.now());
+            endpoints.update_from_discovery(name, node.address, node.replica_group, node.state, started, now);
         }
         Err((_, error)) => first_error = first_error.or(Some(error)),
     })?;
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's lines: what is asked of it, and the lists and changes it writes.
+//! Discovery's watch: the request that opens it, and the endpoint lists and changes that it streams.
 use super::ParseError;
 use super::buffer::ReadBuffer;
 use super::http::{ChunkDecoder, MessageReader};
@@ -7,186 +7,205 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Longest object that is read: a whole list of some ten thousand data nodes.
-pub const LONGEST: usize = 2 * 1024 * 1024;
+/// The largest object that is read: a full list of about ten thousand data nodes.
+pub const MAX_OBJECT_BYTES: usize = 2 * 1024 * 1024;
 
-/// Asks to follow the changes since a version, or from the whole list on where none is held; and, where layouts are
-/// followed, those since a version of the layout, 0 for the whole of it.
-pub fn follow(out: &mut Vec<u8>, host: &str, since: Option<u64>, layout: Option<u64>) {
-    let since = since.map_or(String::new(), |index| format!("&since={index}"));
-    let layout = layout.map_or(String::new(), |version| format!("&layout={version}"));
-    let _ = write!(out, "GET /discovery/hosts?follow=1{since}{layout} HTTP/1.1\r\nHost: {host}\r\n\r\n");
+/// Writes the request that opens a watch. The watch streams the changes since version `since` of the endpoint list, or the
+/// full list and its changes if there is none. If the shard map is followed, the watch also streams its changes since
+/// version `shard_map`; 0 asks for the full map.
+pub fn write_watch_request(out: &mut Vec<u8>, host: &str, since: Option<u64>, shard_map: Option<u64>) {
+    let since = since.map_or(String::new(), |version| format!("&since={version}"));
+    let shard_map = shard_map.map_or(String::new(), |version| format!("&layout={version}"));
+    let _ = write!(out, "GET /discovery/hosts?follow=1{since}{shard_map} HTTP/1.1\r\nHost: {host}\r\n\r\n");
 }
 
-/// The version of one object and whether it is the whole list, once all of it has proved readable.
-pub fn version(bytes: &[u8]) -> Result<(u64, bool), ParseError> {
-    walk(bytes, &mut |_, _| ())
+/// The version of an object, and whether the object is a full list. Fails if any part of the object cannot be read.
+pub fn read_version(bytes: &[u8]) -> Result<(u64, bool), ParseError> {
+    read_object(bytes, &mut |_, _| ())
 }
 
-/// A data node as a list names it. `since` is the Unix time in milliseconds of its last start, 0 for long ago.
+/// A data node in an endpoint list.
 #[derive(Debug, PartialEq)]
-pub struct Node {
+pub struct NodeEntry {
     pub address: SocketAddr,
-    pub cell: u32,
+    pub replica_group: u32,
     pub state: NodeState,
-    pub since: u64,
+    /// Unix time in milliseconds of the last start of its process; 0 if that is unknown or long ago.
+    pub started_at_unix_ms: u64,
 }
 
-/// An entry of which something cannot be used: its state, where that can be read, and what is wrong.
-pub type Wrong = (Option<NodeState>, ParseError);
+/// Why an entry cannot be used, with its state if that can be read.
+pub type EntryError = (Option<NodeState>, ParseError);
 
-/// Every entry of a readable object goes straight into `entry`, by its name; one without a name by none.
-pub fn entries(bytes: &[u8], mut entry: impl FnMut(&str, Result<Node, Wrong>)) -> Result<(), ParseError> {
-    walk(bytes, &mut entry).map(drop)
+/// Reads an object and calls `on_entry` for each of its entries, with the entry's name, or an empty string if it has none.
+pub fn read_entries(
+    bytes: &[u8],
+    mut on_entry: impl FnMut(&str, Result<NodeEntry, EntryError>),
+) -> Result<(), ParseError> {
+    read_object(bytes, &mut on_entry).map(drop)
 }
 
-type Entry<'a> = &'a mut dyn FnMut(&str, Result<Node, Wrong>);
+type EntryHandler<'a> = &'a mut dyn FnMut(&str, Result<NodeEntry, EntryError>);
 
-/// Where a deleted data node, which needs no address any more, is said to be if discovery does not say.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+/// Address of a deleted data node whose entry has none.
+const UNSPECIFIED_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-fn walk(bytes: &[u8], entry: Entry) -> Result<(u64, bool), ParseError> {
-    let (mut json, mut index, mut whole, mut listed) = (JsonReader::new(bytes), None, None, false);
+fn read_object(bytes: &[u8], on_entry: EntryHandler) -> Result<(u64, bool), ParseError> {
+    let (mut json, mut version, mut is_full_list) = (JsonReader::new(bytes), None, None);
+    let mut has_endpoints = false;
     json.read_object(|json, key| {
         match key {
-            "index" => index = Some(json.read_integer()?),
-            "snapshot" => whole = Some(json.read_bool()?),
+            "index" => version = Some(json.read_integer()?),
+            "snapshot" => is_full_list = Some(json.read_bool()?),
             "endpoints" => {
-                listed = true;
-                json.read_array(|json| one(json, entry))?;
+                has_endpoints = true;
+                json.read_array(|json| read_entry(json, on_entry))?;
             }
             _ => json.skip_value()?,
         }
         Ok(())
     })?;
     json.expect_end()?;
-    if !listed {
-        return Err("no `endpoints`");
+    if !has_endpoints {
+        return Err("`endpoints` is missing");
     }
-    Ok((index.ok_or("no `index`")?, whole.ok_or("no `snapshot`")?))
+    Ok((version.ok_or("`index` is missing")?, is_full_list.ok_or("`snapshot` is missing")?))
 }
 
-fn state(json: &mut JsonReader) -> Result<NodeState, ParseError> {
+fn read_state(json: &mut JsonReader) -> Result<NodeState, ParseError> {
     match json.read_string()?.as_ref() {
         "SERVING" => Ok(NodeState::Serving),
         "DRAINING" => Ok(NodeState::Draining),
         "DELETED" => Ok(NodeState::Removed),
-        _ => Err("an unknown `status`"),
+        _ => Err("`status` has an unknown value"),
     }
 }
 
-/// One entry. Guards against one that is wrong hiding all others of its list: it alone is told as wrong.
-fn one(json: &mut JsonReader, entry: Entry) -> Result<(), ParseError> {
-    let (mut name, mut address, mut cell) = (None, None, None);
-    let (mut status, mut since) = (Err("an entry without `status`"), Ok(0));
+/// Reads one entry. Guards against one unusable entry hiding all others of its list: only that entry is reported as an
+/// error.
+fn read_entry(json: &mut JsonReader, on_entry: EntryHandler) -> Result<(), ParseError> {
+    let (mut name, mut address, mut replica_group) = (None, None, None);
+    let (mut state, mut started_at_unix_ms) = (Err("an entry has no `status`"), Ok(0));
     json.read_object(|json, key| {
         match key {
             "name" => name = json.read_or_skip(JsonReader::read_string)?.ok(),
             "address" => {
-                let found = json.read_or_skip(JsonReader::read_string)?;
-                address = Some(found.and_then(|a| a.parse().map_err(|_| "`address` is not address:port")));
+                let text = json.read_or_skip(JsonReader::read_string)?;
+                let parsed = text.and_then(|text| text.parse().map_err(|_| "`address` is not address:port"));
+                address = Some(parsed);
             }
             "group" => {
-                let found =
-                    json.read_or_skip(JsonReader::read_integer)?.map_err(|_| "`group` is not a whole number");
-                cell = Some(found.and_then(|cell| u32::try_from(cell).map_err(|_| "`group` is too large")));
+                let number = json.read_or_skip(JsonReader::read_integer)?;
+                let number = number.map_err(|_| "`group` is not a whole number");
+                replica_group =
+                    Some(number.and_then(|number| u32::try_from(number).map_err(|_| "`group` is too large")));
             }
             "since_ms" => {
-                since = json
-                    .read_or_skip(JsonReader::read_integer)?
-                    .map_err(|_| "`since_ms` is not a whole number")
+                let number = json.read_or_skip(JsonReader::read_integer)?;
+                started_at_unix_ms = number.map_err(|_| "`since_ms` is not a whole number");
             }
-            "status" => status = json.read_or_skip(state)?,
+            "status" => state = json.read_or_skip(read_state)?,
             _ => json.skip_value()?,
         }
         Ok(())
     })?;
-    let gone = status == Ok(NodeState::Removed);
-    let (address, cell) = (address.or(gone.then_some(Ok(NOWHERE))), cell.or(gone.then_some(Ok(0))));
-    let read = || {
-        let (address, cell) =
-            (address.ok_or("an entry without `address`"), cell.ok_or("an entry without `group`"));
-        name.as_ref().ok_or("an entry without `name`")?;
-        Ok(Node { address: address??, cell: cell??, state: status?, since: since? })
+    let is_removed = state == Ok(NodeState::Removed);
+    let address = address.or(is_removed.then_some(Ok(UNSPECIFIED_ADDRESS)));
+    let replica_group = replica_group.or(is_removed.then_some(Ok(0)));
+    let entry = || {
+        let address = address.ok_or("an entry has no `address`");
+        let replica_group = replica_group.ok_or("an entry has no `group`");
+        name.as_ref().ok_or("an entry has no `name`")?;
+        Ok(NodeEntry {
+            address: address??,
+            replica_group: replica_group??,
+            state: state?,
+            started_at_unix_ms: started_at_unix_ms?,
+        })
     };
-    let told = read().map_err(|why| (status.ok(), why));
-    entry(name.as_deref().unwrap_or_default(), told);
+    let result = entry().map_err(|error| (state.ok(), error));
+    on_entry(name.as_deref().unwrap_or_default(), result);
     Ok(())
 }
 
-/// What has come whole on a watch.
+/// What a watch has received completely.
 #[derive(Debug, PartialEq)]
-pub enum Word {
-    /// The answer has begun.
-    Head,
-    /// A line with nothing on it: nothing has changed.
-    Blank,
-    /// An object, which ends so many bytes from the start of the buffer.
+pub enum WatchEvent {
+    /// The head of the response.
+    ResponseHead,
+    /// An empty line, which discovery sends while nothing changes.
+    EmptyLine,
+    /// An object. It ends so many bytes from the start of the buffer.
     Object(usize),
 }
 
-/// The stream of a watch: a head, then chunks, which hold objects and blank lines. An object may be written over
-/// several lines.
+/// Reads the stream of a watch: the head of the response, then chunks, which contain objects and empty lines. An object may
+/// span several lines.
 #[derive(Default)]
-pub struct Watch {
+pub struct WatchReader {
     head: MessageReader,
-    headed: bool,
+    has_head: bool,
     chunks: ChunkDecoder,
-    /// How much of the buffer is decoded, how much of that is looked at, and how much is of a word told already.
-    decoded: usize,
-    seen: usize,
-    told: usize,
+    /// Bytes at the start of the buffer whose chunk framing is removed.
+    decoded_bytes: usize,
+    /// Those of them that were searched for the end of an event.
+    scanned_bytes: usize,
+    /// Those of them that belong to the event returned last.
+    returned_bytes: usize,
+    /// How deep the braces are nested.
     depth: usize,
-    in_text: bool,
-    escaped: bool,
+    in_string: bool,
+    is_escaped: bool,
 }
 
-impl Watch {
-    /// The next word that stands whole in the buffer; an object stays there until the next call.
-    pub fn word(&mut self, buffer: &mut ReadBuffer) -> Result<Option<Word>, ParseError> {
-        if !self.headed {
+impl WatchReader {
+    /// The next event that is completely received. An object stays in the buffer until the next call.
+    pub fn next_event(&mut self, buffer: &mut ReadBuffer) -> Result<Option<WatchEvent>, ParseError> {
+        if !self.has_head {
             if !self.head.find_head(buffer).map_err(|error| error.1)? {
                 return Ok(None);
             }
             let (head, _) = self.head.message(buffer);
             if head.first_line().split(' ').nth(1) != Some("200") {
-                return Err("the answer is not 200");
+                return Err("the response status is not 200");
             }
             if !self.head.is_chunked() {
-                return Err("the answer is not chunked");
+                return Err("the response is not chunked");
             }
             self.head.consume_message(buffer);
-            self.headed = true;
-            return Ok(Some(Word::Head));
+            self.has_head = true;
+            return Ok(Some(WatchEvent::ResponseHead));
         }
-        if self.told > 0 {
-            buffer.consume(self.told);
-            self.decoded -= self.told;
-            self.seen -= self.told;
-            self.told = 0;
+        if self.returned_bytes > 0 {
+            buffer.consume(self.returned_bytes);
+            self.decoded_bytes -= self.returned_bytes;
+            self.scanned_bytes -= self.returned_bytes;
+            self.returned_bytes = 0;
         }
-        self.decoded = self.chunks.decode(buffer, self.decoded).map_err(|error| error.1)?;
-        while self.seen < self.decoded {
-            let byte = buffer.data()[self.seen];
-            self.seen += 1;
-            if let Some(word) = self.take(byte)? {
-                self.told = self.seen;
-                return Ok(Some(word));
+        self.decoded_bytes = self.chunks.decode(buffer, self.decoded_bytes).map_err(|error| error.1)?;
+        while self.scanned_bytes < self.decoded_bytes {
+            let byte = buffer.data()[self.scanned_bytes];
+            self.scanned_bytes += 1;
+            if let Some(event) = self.scan_byte(byte)? {
+                self.returned_bytes = self.scanned_bytes;
+                return Ok(Some(event));
             }
         }
         match () {
-            () if self.chunks.is_done() => Err("the watch has ended"),
-            () if self.decoded >= LONGEST => Err("an object is too long"),
+            () if self.chunks.is_done() => Err("discovery ended the watch"),
+            () if self.decoded_bytes >= MAX_OBJECT_BYTES => Err("an object is too long"),
             () => Ok(None),
         }
     }
 
-    fn take(&mut self, byte: u8) -> Result<Option<Word>, ParseError> {
-        if self.in_text {
+    /// Scans one byte; returns the event that ends with it, if any.
+    fn scan_byte(&mut self, byte: u8) -> Result<Option<WatchEvent>, ParseError> {
+        if self.in_string {
             match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' => self.escaped = true,
-                b'"' => self.in_text = false,
+                _ if self.is_escaped => self.is_escaped = false,
+                b'\\' => self.is_escaped = true,
+                b'"' => self.in_string = false,
                 0..0x20 => return Err("a control character in a string"),
                 _ => {}
             }
@@ -196,13 +215,13 @@
             b'{' => self.depth += 1,
             b'}' if self.depth == 1 => {
                 self.depth = 0;
-                return Ok(Some(Word::Object(self.seen)));
+                return Ok(Some(WatchEvent::Object(self.scanned_bytes)));
             }
             b'}' if self.depth > 0 => self.depth -= 1,
-            b'"' if self.depth > 0 => self.in_text = true,
-            b'\n' if self.depth == 0 => return Ok(Some(Word::Blank)),
+            b'"' if self.depth > 0 => self.in_string = true,
+            b'\n' if self.depth == 0 => return Ok(Some(WatchEvent::EmptyLine)),
             b' ' | b'\t' | b'\r' => {}
-            _ if self.depth == 0 => return Err("something that is no object"),
+            _ if self.depth == 0 => return Err("a byte outside of any object"),
             _ => {}
         }
         Ok(None)
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's state machines on good bytes cut at every place, and on bytes that are none of theirs.
 use alderway::interface::NodeState;
 use alderway_router::wire::buffer::ReadBuffer;
-use alderway_router::wire::discovery::{self, Node, Watch, Word};
+use alderway_router::wire::discovery::{self, NodeEntry, WatchEvent, WatchReader};
 use alderway_router::wire::http::{MAX_MESSAGE_BYTES, MessageReader};
 use alderway_router::wire::json::JsonReader;
 use alderway_router::wire::{answer, frames, query};
@@ -178,14 +178,15 @@
 
 /// What a watch makes of `bytes` fed in pieces of `size`: its objects and, empty, its blank lines; or why it ended.
 fn words(bytes: &[u8], size: usize) -> (Vec<String>, Option<&'static str>) {
-    let (mut buffer, mut watch, mut found) = (ReadBuffer::new(discovery::LONGEST), Watch::default(), vec![]);
+    let (mut buffer, mut watch, mut found) =
+        (ReadBuffer::new(discovery::MAX_OBJECT_BYTES), WatchReader::default(), vec![]);
     for piece in bytes.chunks(size) {
         buffer.append(piece);
         loop {
-            match watch.word(&mut buffer) {
-                Ok(Some(Word::Head)) => {}
-                Ok(Some(Word::Blank)) => found.push(String::new()),
-                Ok(Some(Word::Object(end))) => {
+            match watch.next_event(&mut buffer) {
+                Ok(Some(WatchEvent::ResponseHead)) => {}
+                Ok(Some(WatchEvent::EmptyLine)) => found.push(String::new()),
+                Ok(Some(WatchEvent::Object(end))) => {
                     found.push(String::from_utf8_lossy(&buffer.data()[..end]).trim().to_string());
                 }
                 Ok(None) => break,
@@ -207,7 +208,7 @@
         assert_eq!(words(stream.as_bytes(), size), (all, None), "pieces of {size}");
     }
     let ended = words((stream + "0\r\n\r\n").as_bytes(), 7);
-    assert_eq!((ended.0.len(), ended.1), (5, Some("the watch has ended")));
+    assert_eq!((ended.0.len(), ended.1), (5, Some("discovery ended the watch")));
 }
 
 /// `text` as one chunk.
@@ -226,7 +227,7 @@
             ([&*indented, "", GONE, ""].map(str::to_string).as_slice(), None)
         );
     }
-    let read = discovery::version(indented.as_bytes());
+    let read = discovery::read_version(indented.as_bytes());
     assert_eq!(read, Ok((41, true)));
 }
 
@@ -234,8 +235,8 @@
 #[case::half_an_object(&chunk(&LIST[..LIST.len() - 1]), None)]
 #[case::blanks_without_an_end(&chunk("  \t"), None)]
 #[case::braces_in_a_name(&chunk(r#"{"name":"}\"}""#), None)]
-#[case::no_object(&chunk("nothing"), Some("something that is no object"))]
-#[case::an_end_without_a_begin(&chunk("}"), Some("something that is no object"))]
+#[case::no_object(&chunk("nothing"), Some("a byte outside of any object"))]
+#[case::an_end_without_a_begin(&chunk("}"), Some("a byte outside of any object"))]
 #[case::a_line_break_in_a_name(&chunk("{\"na\nme\":1}"), Some("a control character in a string"))]
 fn what_is_not_whole_is_no_word_of_a_watch(#[case] body: &str, #[case] why: Option<&str>) {
     let stream = format!("{WATCH}{body}");
@@ -245,8 +246,8 @@
 }
 
 #[rstest]
-#[case::not_200("HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n", "the answer is not 200")]
-#[case::not_chunked("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", "the answer is not chunked")]
+#[case::not_200("HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n", "the response status is not 200")]
+#[case::not_chunked("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", "the response is not chunked")]
 #[case::bad_chunk(&(WATCH.to_string() + "zz\r\n"), "a chunk's size is not a number")]
 fn a_watch_that_is_none_ends(#[case] bytes: &str, #[case] why: &str) {
     assert_eq!(words(bytes.as_bytes(), 5), (vec![], Some(why)));
@@ -256,15 +257,15 @@
 fn entries_of_a_list_are_told_one_by_one() {
     let mut told = vec![];
     for line in [LIST, GONE] {
-        discovery::entries(line.as_bytes(), |name, node| told.push((name.to_string(), node)))
+        discovery::read_entries(line.as_bytes(), |name, node| told.push((name.to_string(), node)))
             .expect("readable");
     }
-    let node = |port, cell, state, since| {
+    let node = |port, replica_group, state, started_at_unix_ms| {
         let address = if port > 0 { ([127, 0, 0, 1], port) } else { ([0; 4], 0) }.into();
-        ("s-1".to_string(), Ok(Node { address, cell, state, since }))
+        ("s-1".to_string(), Ok(NodeEntry { address, replica_group, state, started_at_unix_ms }))
     };
     assert_eq!(told, [node(50, 3, NodeState::Serving, 7), node(0, 0, NodeState::Removed, 0)]);
-    assert_eq!(discovery::version(GONE.as_bytes()), Ok((43, false)));
+    assert_eq!(discovery::read_version(GONE.as_bytes()), Ok((43, false)));
 }
 
 #[rstest]
@@ -274,7 +275,7 @@
 #[case::value_that_is_none(r#"{"index":1,"snapshot":true,"endpoints":[{"name":"a","status":SERVING}]}"#)]
 #[case::cut_short(r#"{"index":1,"snapshot":true,"endpoints":[{"name":"a""#)]
 fn an_object_that_cannot_be_read_tells_nothing(#[case] line: &str) {
-    assert!(discovery::version(line.as_bytes()).is_err());
+    assert!(discovery::read_version(line.as_bytes()).is_err());
 }
 
 #[rstest]
@@ -318,7 +319,8 @@
     let good = r#"{"name":"b","address":"127.0.0.1:6","group":1,"status":"SERVING"}"#;
     let line = format!(r#"{{"index":1,"snapshot":true,"endpoints":[{{{fields}}},{good}]}}"#);
     let mut told = vec![];
-    discovery::entries(line.as_bytes(), |name, node| told.push((name.to_string(), node))).expect("readable");
+    discovery::read_entries(line.as_bytes(), |name, node| told.push((name.to_string(), node)))
+        .expect("readable");
     let Some(((wrong, Err((read, said))), (other, Ok(_)))) = told
         .first()
         .zip(told.get(1))
@@ -365,7 +367,7 @@
         let size = 1 + draw() % 40;
         let _ = requests(&bytes, &[size.min(bytes.len())]);
         let _ = words(&bytes, size);
-        let _ = discovery::version(&bytes);
+        let _ = discovery::read_version(&bytes);
         let _ = query::read_shard_targets(&bytes, |_, _| Ok(()));
         let mut left = &bytes[..];
         while let Ok(Some((_, rest, used))) = frames::read_frame(left) {
