--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -6,7 +6,7 @@
 use crate::state::watch_state::{WatchPhase, WatchState};
 use crate::wire::buffer::ReadBuffer;
 use crate::wire::discovery::{self, WatchEvent, WatchReader};
-use crate::wire::layout;
+use crate::wire::shard_map;
 use alderway_layouts::history::News;
 use alderway_layouts::layout::Faulty;
 use alderway_sockets::Sender;
@@ -259,7 +259,7 @@
     if let Some(first) = wrong {
         tracing::warn!(target: "roster", "list {index}: {unusable} entries cannot be used, first {first}");
     }
-    let told = if list.layout_since().is_some() { layout::news(line) } else { Ok(None) };
+    let told = if list.layout_since().is_some() { shard_map::read_update(line) } else { Ok(None) };
     let (mut refused, held) = (None, list.layout_since());
     match told {
         Ok(Some(news)) => {
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -134,7 +134,7 @@
 pub enum WatchEvent {
     /// The head of the response.
     ResponseHead,
-    /// An empty line, which discovery sends while nothing changes.
+    /// A line break outside of objects: the end of an object's line, or an empty line while nothing changes.
     EmptyLine,
     /// An object. It ends so many bytes from the start of the buffer.
     Object(usize),
--- a/crates/router/src/wire/mod.rs
+++ b/crates/router/src/wire/mod.rs
@@ -6,8 +6,8 @@
 pub mod frames;
 pub mod http;
 pub mod json;
-pub mod layout;
 pub mod query;
+pub mod shard_map;
 
 /// Why received bytes cannot be used: a short text for a log line or a response body.
 pub type ParseError = &'static str;
--- a/crates/router/src/wire/layout.rs
+++ b/crates/router/src/wire/shard_map.rs
@@ -1,4 +1,5 @@
-//! The layout in discovery's lines: beside `endpoints` an object may hold `layout`, the whole of it or changes to a version.
+//! The shard map in discovery's objects: beside `endpoints`, an object may have a `layout`, which is the full shard map or a
+//! list of changes to one of its versions.
 use super::ParseError;
 use super::json::JsonReader;
 use alderway_layouts::history::News;
@@ -6,32 +7,32 @@
 use alderway_layouts::{Range, ShardId};
 use std::collections::BTreeSet;
 
-/// What one of discovery's objects says of the layout, if it says anything.
-pub fn news(bytes: &[u8]) -> Result<Option<News>, ParseError> {
-    let (mut json, mut news) = (JsonReader::new(bytes), None);
+/// The shard map, or the changes to it, in an object from discovery; `None` if the object has no `layout`.
+pub fn read_update(bytes: &[u8]) -> Result<Option<News>, ParseError> {
+    let (mut json, mut update) = (JsonReader::new(bytes), None);
     json.read_object(|json, key| match key {
-        "layout" if news.is_some() => Err("`layout` stands twice"),
+        "layout" if update.is_some() => Err("`layout` is given twice"),
         "layout" => {
-            news = Some(one(json)?);
+            update = Some(read_layout(json)?);
             Ok(())
         }
         _ => json.skip_value(),
     })?;
     json.expect_end()?;
-    Ok(news)
+    Ok(update)
 }
 
-fn one(json: &mut JsonReader) -> Result<News, ParseError> {
+fn read_layout(json: &mut JsonReader) -> Result<News, ParseError> {
     let (mut version, mut after, mut keys, mut shards, mut changes) = (None, None, None, None, None);
     json.read_object(|json, key| {
         match key {
             "version" => version = Some(json.read_integer()?),
             "after" => after = Some(json.read_integer()?),
-            "keys" => keys = Some(number(json)?),
+            "keys" => keys = Some(read_u32(json)?),
             "shards" => {
                 let mut all = vec![];
                 json.read_array(|json| {
-                    all.push(shard(json)?);
+                    all.push(read_shard(json)?);
                     Ok(())
                 })?;
                 shards = Some(all);
@@ -39,7 +40,7 @@
             "changes" => {
                 let mut all = vec![];
                 json.read_array(|json| {
-                    all.push(change(json)?);
+                    all.push(read_change(json)?);
                     Ok(())
                 })?;
                 changes = Some(all);
@@ -48,74 +49,78 @@
         }
         Ok(())
     })?;
-    let version = version.ok_or("a layout without `version`")?;
+    let version = version.ok_or("`layout` has no `version`")?;
     match (shards, changes) {
         (Some(shards), None) => {
-            Ok(News::Whole { version, keys: keys.ok_or("a layout without `keys`")?, shards })
+            Ok(News::Whole { version, keys: keys.ok_or("`layout` has no `keys`")?, shards })
         }
         (None, Some(changes)) => {
-            let after = after.ok_or("changes of a layout without `after`")?;
+            let after = after.ok_or("`layout` has `changes` but no `after`")?;
             Ok(News::Changes { version, after, changes })
         }
         _ => Err("a layout has either `shards` or `changes`"),
     }
 }
 
-fn number(json: &mut JsonReader) -> Result<u32, ParseError> {
-    u32::try_from(json.read_integer()?).map_err(|_| "a number in a layout is too large")
+fn read_u32(json: &mut JsonReader) -> Result<u32, ParseError> {
+    u32::try_from(json.read_integer()?).map_err(|_| "a number in `layout` is too large")
 }
 
-fn numbers(json: &mut JsonReader) -> Result<Vec<u32>, ParseError> {
+fn read_u32_array(json: &mut JsonReader) -> Result<Vec<u32>, ParseError> {
     let mut all = vec![];
     json.read_array(|json| {
-        all.push(number(json)?);
+        all.push(read_u32(json)?);
         Ok(())
     })?;
     Ok(all)
 }
 
-fn shard(json: &mut JsonReader) -> Result<(ShardId, Shard), ParseError> {
+fn read_shard(json: &mut JsonReader) -> Result<(ShardId, Shard), ParseError> {
     let (mut id, mut from, mut to, mut holders) = (None, None, None, None);
     json.read_object(|json, key| {
         match key {
-            "shard" => id = Some(number(json)?),
-            "from" => from = Some(number(json)?),
-            "to" => to = Some(number(json)?),
-            "holders" => holders = Some(numbers(json)?),
+            "shard" => id = Some(read_u32(json)?),
+            "from" => from = Some(read_u32(json)?),
+            "to" => to = Some(read_u32(json)?),
+            "holders" => holders = Some(read_u32_array(json)?),
             _ => json.skip_value()?,
         }
         Ok(())
     })?;
-    let id = id.ok_or("a layout's entry without `shard`")?;
-    let from = from.ok_or("a layout's entry without `from`")?;
-    let to = to.ok_or("a layout's entry without `to`")?;
-    let holders: BTreeSet<u32> = holders.ok_or("a layout's entry without `holders`")?.into_iter().collect();
+    let id = id.ok_or("an entry of `shards` has no `shard`")?;
+    let from = from.ok_or("an entry of `shards` has no `from`")?;
+    let to = to.ok_or("an entry of `shards` has no `to`")?;
+    let holders: BTreeSet<u32> =
+        holders.ok_or("an entry of `shards` has no `holders`")?.into_iter().collect();
     Ok((id, Shard { keys: Range::new(from, to), holders }))
 }
 
-fn change(json: &mut JsonReader) -> Result<Change, ParseError> {
+fn read_change(json: &mut JsonReader) -> Result<Change, ParseError> {
     let (mut split, mut merge, mut moved, mut into, mut child, mut holders) =
         (None, None, None, vec![], None, None);
     json.read_object(|json, key| {
         match key {
-            "split" => split = Some(number(json)?),
-            "merge" => merge = Some(numbers(json)?),
-            "move" => moved = Some(number(json)?),
+            "split" => split = Some(read_u32(json)?),
+            "merge" => merge = Some(read_u32_array(json)?),
+            "move" => moved = Some(read_u32(json)?),
             "into" => json.read_array(|json| {
                 let (mut id, mut from) = (None, None);
                 json.read_object(|json, key| {
                     match key {
-                        "shard" => id = Some(number(json)?),
-                        "from" => from = Some(number(json)?),
+                        "shard" => id = Some(read_u32(json)?),
+                        "from" => from = Some(read_u32(json)?),
                         _ => json.skip_value()?,
                     }
                     Ok(())
                 })?;
-                into.push((id.ok_or("a split without `shard`")?, from.ok_or("a split without `from`")?));
+                into.push((
+                    id.ok_or("an entry of `into` has no `shard`")?,
+                    from.ok_or("an entry of `into` has no `from`")?,
+                ));
                 Ok(())
             })?,
-            "as" => child = Some(number(json)?),
-            "holders" => holders = Some(numbers(json)?),
+            "as" => child = Some(read_u32(json)?),
+            "holders" => holders = Some(read_u32_array(json)?),
             _ => json.skip_value()?,
         }
         Ok(())
@@ -123,12 +128,12 @@
     match (split, merge, moved) {
         (Some(parent), None, None) => Ok(Change::Split { parent, children: into }),
         (None, Some(parents), None) => {
-            Ok(Change::Merge { parents, child: child.ok_or("a merge without `as`")? })
+            Ok(Change::Merge { parents, child: child.ok_or("a merge has no `as`")? })
         }
         (None, None, Some(shard)) => {
-            let holders = holders.ok_or("a move without `holders`")?.into_iter().collect();
+            let holders = holders.ok_or("a move has no `holders`")?.into_iter().collect();
             Ok(Change::Move { shard, holders })
         }
-        _ => Err("a change is one of `split`, `merge` and `move`"),
+        _ => Err("a change must be exactly one of `split`, `merge` and `move`"),
     }
 }
--- a/crates/router/tests/shard_map/news.rs
+++ b/crates/router/tests/shard_map/news.rs
@@ -3,8 +3,8 @@
 use alderway_layouts::Range;
 use alderway_layouts::history::News;
 use alderway_layouts::layout::Change;
-use alderway_router::wire::layout;
 use alderway_router::wire::query;
+use alderway_router::wire::shard_map;
 use rstest::rstest;
 
 const CHANGES: &str = r#"{"index":4,"snapshot":false,"endpoints":[],"layout":{"version":9,"after":8,"changes":[
@@ -13,48 +13,49 @@
 
 #[rstest]
 fn news_of_the_layout_are_read_in_any_order() {
-    let news = layout::news(CHANGES.as_bytes()).expect("readable").expect("there");
+    let news = shard_map::read_update(CHANGES.as_bytes()).expect("readable").expect("there");
     let merge = Change::Merge { parents: vec![7, 8], child: 9 };
     let changes = vec![split(1, &[(7, 0), (8, 32)]), merge, moved(9, &[1, 2])];
     assert_eq!(news, News::Changes { version: 9, after: 8, changes });
     let text = r#"{"layout":{"keys":10,"shards":[{"shard":1,"from":0,"to":10,"holders":[3]}],"version":2}}"#;
-    let Some(News::Whole { version: 2, keys: 10, shards }) = layout::news(text.as_bytes()).expect("readable")
+    let Some(News::Whole { version: 2, keys: 10, shards }) =
+        shard_map::read_update(text.as_bytes()).expect("readable")
     else {
         panic!("not whole")
     };
     assert_eq!(shards[0].1.keys, Range::new(0, 10));
-    assert_eq!(layout::news(br#"{"index":4,"snapshot":false,"endpoints":[]}"#), Ok(None));
+    assert_eq!(shard_map::read_update(br#"{"index":4,"snapshot":false,"endpoints":[]}"#), Ok(None));
 }
 
 #[rstest]
-#[case::no_version(r#"{"layout":{"after":1,"changes":[]}}"#, "a layout without `version`")]
+#[case::no_version(r#"{"layout":{"after":1,"changes":[]}}"#, "`layout` has no `version`")]
 #[case::neither(r#"{"layout":{"version":1}}"#, "a layout has either `shards` or `changes`")]
-#[case::no_keys(r#"{"layout":{"version":1,"shards":[]}}"#, "a layout without `keys`")]
+#[case::no_keys(r#"{"layout":{"version":1,"shards":[]}}"#, "`layout` has no `keys`")]
 #[case::no_end(
     r#"{"layout":{"version":1,"keys":9,"shards":[{"shard":1,"from":0,"holders":[1]}]}}"#,
-    "a layout's entry without `to`"
+    "an entry of `shards` has no `to`"
 )]
 #[case::two_in_one(
     r#"{"layout":{"version":2,"after":1,"changes":[{"split":1,"move":2}]}}"#,
-    "a change is one of `split`, `merge` and `move`"
+    "a change must be exactly one of `split`, `merge` and `move`"
 )]
 #[case::too_large(
     r#"{"layout":{"version":2,"after":1,"changes":[{"move":4294967296,"holders":[1]}]}}"#,
-    "a number in a layout is too large"
+    "a number in `layout` is too large"
 )]
 #[case::twice(
     r#"{"layout":{"version":1,"keys":1,"shards":[]},"layout":{"version":1,"keys":1,"shards":[]}}"#,
-    "`layout` stands twice"
+    "`layout` is given twice"
 )]
 fn news_that_are_not_in_form_are_refused(#[case] text: &str, #[case] why: &str) {
-    assert_eq!(layout::news(text.as_bytes()), Err(why));
+    assert_eq!(shard_map::read_update(text.as_bytes()), Err(why));
 }
 
 /// Half a file, and any other piece of one, is an error and never a panic or half of the news.
 #[rstest]
 fn news_cut_anywhere_are_refused() {
     for cut in 0..CHANGES.len() {
-        assert!(layout::news(&CHANGES.as_bytes()[..cut]).is_err(), "cut at {cut}");
+        assert!(shard_map::read_update(&CHANGES.as_bytes()[..cut]).is_err(), "cut at {cut}");
     }
 }
 
