--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -3,7 +3,7 @@
 //! repeats nothing, so what a router reaches beside it shows what its work costs.
 use alderway_router::wire::buffer::ReadBuffer;
 use alderway_router::wire::http::MessageReader;
-use alderway_router::wire::{answer, frames, query};
+use alderway_router::wire::{frames, query, response};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener as Listener};
@@ -154,7 +154,12 @@
         open.done.notified().await;
         let mut out = vec![];
         let values = open.values.take();
-        answer::merged(&mut out, true, values.iter().filter_map(|v| Some((v.0, v.1.as_deref()?))), false);
+        response::write_results(
+            &mut out,
+            true,
+            values.iter().filter_map(|v| Some((v.0, v.1.as_deref()?))),
+            false,
+        );
         if stream.write_all(&out).await.is_err() {
             return;
         }
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -8,9 +8,9 @@
 use crate::state::dispatcher::Handover;
 use crate::state::shared::{CoreCommand, TransferredConnection};
 use crate::state::shutdown_phase::ShutdownPhase;
-use crate::wire::answer;
 use crate::wire::buffer::ReadBuffer;
 use crate::wire::http::{HttpError, MAX_MESSAGE_BYTES, MessageReader};
+use crate::wire::response;
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
 use std::future::ready;
@@ -315,7 +315,7 @@
 
     /// Whether bytes wait to be written, those of a response that has just come among them.
     fn has_output(&self) -> bool {
-        answer::encode_pending(self.client);
+        response::encode_pending(self.client);
         !self.client.output.borrow().is_empty()
     }
 
@@ -339,7 +339,7 @@
     /// Writes the last answer on this connection, as nothing more can be made out on it.
     fn reject_unreadable(&mut self, counter: &str, refusal: HttpError) {
         self.dispatcher.borrow_mut().counters.increment(counter);
-        answer::unreadable(&mut self.client.output.borrow_mut(), refusal);
+        response::write_http_error(&mut self.client.output.borrow_mut(), refusal);
         self.is_unreadable = true;
         self.client.close_after_answer.set(true);
     }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -6,7 +6,7 @@
 use crate::state::shard_map::{QueryTarget, ShardMapView};
 use crate::wire::frames::MAX_QUERY_ID_BYTES;
 use crate::wire::http::{Head, HttpError};
-use crate::wire::{answer, query};
+use crate::wire::{query, response};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -21,7 +21,13 @@
     let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
     let plain = |status, text: &str| {
-        answer::plain(&mut client.output.borrow_mut(), status, text, None, client.close_after_answer.get());
+        response::write_text(
+            &mut client.output.borrow_mut(),
+            status,
+            text,
+            None,
+            client.close_after_answer.get(),
+        );
     };
     if !words.next().unwrap_or_default().starts_with("HTTP/1.") || words.next().is_some() {
         client.close_after_answer.set(true);
--- a/crates/router/tests/common/dispatcher.rs
+++ b/crates/router/tests/common/dispatcher.rs
@@ -9,7 +9,7 @@
 use alderway_router::state::node_connection::Dial;
 use alderway_router::state::queries::{Query, QueryError, ShardRequest};
 use alderway_router::state::response::AnswerCoverage;
-use alderway_router::wire::answer;
+use alderway_router::wire::response;
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -189,7 +189,7 @@
 
 /// What a client would read, of all responses that were left for it.
 pub fn response_text(client: &ClientConnection) -> String {
-    answer::encode_pending(client);
+    response::encode_pending(client);
     String::from_utf8_lossy(&client.output.borrow()).to_string()
 }
 
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -4,7 +4,7 @@
 use alderway_router::wire::discovery::{self, NodeEntry, WatchEvent, WatchReader};
 use alderway_router::wire::http::{MAX_MESSAGE_BYTES, MessageReader};
 use alderway_router::wire::json::JsonReader;
-use alderway_router::wire::{answer, frames, query};
+use alderway_router::wire::{frames, query, response};
 use rstest::rstest;
 
 /// Reads requests from `bytes`, fed in pieces that end at `cuts`; each as its first line and its body.
@@ -335,7 +335,7 @@
 #[rstest]
 fn answers_are_framed_and_their_values_escaped() {
     let mut out = vec![];
-    answer::merged(&mut out, true, [(3, "a\"b\\\n"), (9, "")].into_iter(), true);
+    response::write_results(&mut out, true, [(3, "a\"b\\\n"), (9, "")].into_iter(), true);
     let body =
         r#"{"whole":true,"results":[{"partition":3,"value":"a\"b\\\u000a"},{"partition":9,"value":""}]}"#;
     let text = String::from_utf8(out).expect("text");
@@ -343,7 +343,7 @@
     assert_eq!(found, body);
     assert!(head.contains(&format!("Content-Length: {}", body.len())) && head.contains("Connection: close"));
     let mut out = vec![];
-    answer::plain(&mut out, 503, "later", Some(0.25), false);
+    response::write_text(&mut out, 503, "later", Some(0.25), false);
     assert!(String::from_utf8(out).expect("text").contains("\r\nRetry-After: 0.250\r\n"));
 }
 
