--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -288,7 +288,7 @@
     /// Whether the client of half a request is owed an answer, as the program or its core ends before the rest can come.
     /// Guards against a rest that comes in the last moment, with nobody to read it.
     fn must_reject_half_sent(&self) -> bool {
-        self.client.is_half_sent.get() && self.client.close_request.get() == CloseRequest::AtProgramEnd
+        self.client.has_partial_request.get() && self.client.close_request.get() == CloseRequest::AtShutdown
     }
 
     fn closed_while_idle(&self) -> CloseReason {
@@ -322,7 +322,7 @@
     fn take_request(&mut self) {
         let (head, body) = self.messages.message(&self.buffer);
         let has_bytes_behind = self.buffer.data().len() > self.messages.message_end();
-        self.client.has_bytes_behind.set(has_bytes_behind);
+        self.client.has_pipelined_bytes.set(has_bytes_behind);
         requests::take(self.dispatcher, self.client, head, body, self.read_at);
         self.messages.consume_message(&mut self.buffer);
         self.client.has_sent_request.set(true);
@@ -341,7 +341,7 @@
         self.dispatcher.borrow_mut().counters.increment(counter);
         response::write_http_error(&mut self.client.output.borrow_mut(), refusal);
         self.is_unreadable = true;
-        self.client.close_after_answer.set(true);
+        self.client.close_after_response.set(true);
     }
 
     /// Writes what the socket takes of the answer, if there is one.
@@ -366,7 +366,7 @@
         }
         output.clear();
         self.written_bytes = 0;
-        if self.client.close_after_answer.get() && self.client.open_query.get().is_none() {
+        if self.client.close_after_response.get() && self.client.open_query.get().is_none() {
             return ControlFlow::Break(CloseReason::AfterAnswer);
         }
         ControlFlow::Continue(Progress::Complete)
@@ -385,7 +385,7 @@
             Ok(Some((0, _))) | Err(_) => return false,
             Ok(Some((count, at))) => {
                 if !self.has_overrun {
-                    self.client.has_bytes_behind.set(self.client.open_query.get().is_some());
+                    self.client.has_pipelined_bytes.set(self.client.open_query.get().is_some());
                     self.buffer.add_filled(count);
                     self.read_at = at;
                 }
@@ -428,7 +428,7 @@
         times.half_sent_since = since(times.half_sent_since, is_half_sent, now);
         times.write_stalled_since = since(times.write_stalled_since, is_writing, now);
         self.client.idle_since.set(times.idle_since);
-        self.client.is_half_sent.set(is_half_sent);
+        self.client.has_partial_request.set(is_half_sent);
         Waiting { has_open_query, is_writing, is_half_sent, is_idle, deadline: self.deadline() }
     }
 
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -108,7 +108,7 @@
     let open_queries = dispatcher.queries.len();
     dispatcher.shutdown_phase = ShutdownPhase::Ending;
     dispatcher.fail_all_queries();
-    dispatcher.clients.close_at_program_end();
+    dispatcher.clients.close_for_shutdown();
     open_queries
 }
 
@@ -137,6 +137,6 @@
 pub async fn end_late_connections(dispatcher: DispatcherHandle) {
     // Their tasks have yet to run for the first time.
     sleep(POLL_INTERVAL).await;
-    dispatcher.borrow().clients.close_at_program_end();
+    dispatcher.borrow().clients.close_for_shutdown();
     last_answers_written(&dispatcher).await;
 }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -15,8 +15,8 @@
     // The answers here have a body, which an answer to HEAD must not: no further message could be told apart.
     let closes = head.closes_connection() || head.first_line().starts_with("HEAD ");
     client
-        .close_after_answer
-        .set(client.close_after_answer.get() || closes || dispatcher.borrow().closes_connection(client));
+        .close_after_response
+        .set(client.close_after_response.get() || closes || dispatcher.borrow().closes_connection(client));
     let mut words = head.first_line().split(' ');
     let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
@@ -26,11 +26,11 @@
             status,
             text,
             None,
-            client.close_after_answer.get(),
+            client.close_after_response.get(),
         );
     };
     if !words.next().unwrap_or_default().starts_with("HTTP/1.") || words.next().is_some() {
-        client.close_after_answer.set(true);
+        client.close_after_response.set(true);
         return plain(505, "expected METHOD PATH HTTP/1.1");
     }
     #[cfg(feature = "faults")]
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -28,7 +28,7 @@
             self.count_query("turned_away", class);
             let reason = permit.err().map_or("", Denial::label);
             self.counters.increment(&format!("queries_denied{{{reason}}}"));
-            client.respond(QueryResponse::NoCapacity, client.close_after_answer.get());
+            client.respond(QueryResponse::NoCapacity, client.close_after_response.get());
             return Ok(());
         };
         self.abort_attempts_of_earlier_query(&query);
@@ -61,7 +61,7 @@
     /// Ends a query whose client waits no longer.
     pub(super) fn expire_query(&mut self, number: u64) {
         let Some(client) = self.queries.get(number).map(|query| query.client.clone()) else { return };
-        client.respond(QueryResponse::DeadlineExceeded, client.close_after_answer.get());
+        client.respond(QueryResponse::DeadlineExceeded, client.close_after_response.get());
         client.wake.notify_one();
         self.abandon_query(number, "overdue");
     }
@@ -86,7 +86,7 @@
         let Some(query) = self.close_query(query_id, what) else { return };
         self.check_answer(&query, complete);
         let client = query.client.clone();
-        client.respond(self.results(query, complete), client.close_after_answer.get());
+        client.respond(self.results(query, complete), client.close_after_response.get());
     }
 
     fn results(&self, query: Query, complete: bool) -> QueryResponse {
@@ -113,13 +113,13 @@
         self.check_rejection(&query);
         query
             .client
-            .respond(QueryResponse::Rejected { retry_after_s }, query.client.close_after_answer.get());
+            .respond(QueryResponse::Rejected { retry_after_s }, query.client.close_after_response.get());
     }
 
     /// Fails a query that may have had an effect.
     pub(super) fn fail_query(&mut self, query_id: &str) {
         let Some(query) = self.close_query(query_id, "aborted") else { return };
-        query.client.respond(QueryResponse::Failed, query.client.close_after_answer.get());
+        query.client.respond(QueryResponse::Failed, query.client.close_after_response.get());
     }
 
     /// Fails every open query.
@@ -137,8 +137,8 @@
         for request in &query.requests {
             self.recall_unsent(&request.id, AttemptOutcome::NeverSent);
         }
-        let closes = query.client.close_after_answer.get() || self.closes_connection(&query.client);
-        query.client.close_after_answer.set(closes);
+        let closes = query.client.close_after_response.get() || self.closes_connection(&query.client);
+        query.client.close_after_response.set(closes);
         query.client.wake.notify_one();
         Some(query)
     }
@@ -149,7 +149,7 @@
         let closing = permits::ConnectionClose {
             query_open: false,
             unwritten: false,
-            unread: client.has_bytes_behind.get(),
+            unread: client.has_pipelined_bytes.get(),
         };
         self.shutdown_phase >= ShutdownPhase::Closing && permits::may_close_connection(&closing).is_ok()
     }
--- a/crates/router/tests/dispatcher/client_connections.rs
+++ b/crates/router/tests/dispatcher/client_connections.rs
@@ -117,7 +117,7 @@
     let [kept, silent, half, busy] = [0.0, 1.0, 0.5, 0.0].map(|at| all.add(at).1);
     kept.has_sent_request.set(true);
     busy.idle_since.set(None);
-    half.is_half_sent.set(true);
+    half.has_partial_request.set(true);
     for goes in [&silent, &half, &kept] {
         assert!(!goes.should_close());
         all.close_longest_idle(2.0, 0.25);
