--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -195,7 +195,7 @@
         let mut state = dispatcher.borrow_mut();
         let (clock, config) = (state.clock, state.connection_config);
         let node_connection = state.endpoints.connection(node, connection)?;
-        node_connection.is_up = true;
+        node_connection.is_open = true;
         let wake = node_connection.wake.clone();
         // Idle connections close a dial's length before the node's machine would.
         let idle_timeout_s = (config.idle_timeout_s - config.dial_timeout_s).max(0.5 * config.idle_timeout_s);
--- a/crates/router/src/state/dispatcher/answers.rs
+++ b/crates/router/src/state/dispatcher/answers.rs
@@ -42,11 +42,11 @@
         let Some(connection) = self.endpoints.connection(node, connection) else { return true };
         let attempt = match connection.reply_received(request_id, now) {
             ReplyMatch::InFlight { attempt } => attempt,
-            ReplyMatch::AlreadyOver => {
+            ReplyMatch::AlreadyEnded => {
                 self.counters.increment("replies_for_parts_over");
                 return true;
             }
-            ReplyMatch::NotAsked => return false,
+            ReplyMatch::NotRequested => return false,
         };
         let id = AttemptId::new(request_id, attempt);
         self.end_attempt(&id, outcome);
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -2,7 +2,9 @@
 //! connection proves about the attempts on it.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
-use crate::state::node_connection::{AttemptPosition, Dial, NodeConnection, OutboundFrame, Unfinished};
+use crate::state::node_connection::{
+    AttemptPosition, Dial, NodeConnection, OutboundFrame, UnfinishedAttempts,
+};
 use crate::state::node_protocol::{AttemptRequest, KeysAtVersion, NodeFrameWriter};
 use crate::state::shard_map::ShardMapView;
 use alderway::interface::{AttemptOutcome, NodeState};
@@ -16,7 +18,7 @@
         let record = self.endpoints.nodes.get(node)?;
         let least_used = |streams| {
             let usable = record.connections.iter().filter(|(_, c)| c.can_take(batch, streams));
-            usable.min_by_key(|(_, c)| (!c.is_up, c.used_streams())).map(|(number, _)| *number)
+            usable.min_by_key(|(_, c)| (!c.is_open, c.used_streams())).map(|(number, _)| *number)
         };
         if let Some(number) = least_used(streams) {
             return Some(number);
@@ -49,7 +51,7 @@
     pub fn connection_corrupted(&mut self, node: &str, number: u64, request_id: Option<&str>) {
         self.counters.increment("answers_spoilt");
         let Some(connection) = self.remove_connection(node, number) else { return };
-        let Unfinished { unsent, mut in_flight } = connection.into_unfinished();
+        let UnfinishedAttempts { unsent, mut in_flight } = connection.into_unfinished();
         unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::NeverSent));
         let started_at_s =
             |id: &AttemptId| self.attempts.get(id).map_or(f64::INFINITY, |attempt| attempt.started_at_s);
@@ -65,7 +67,7 @@
     /// A connection has ended, or could not be opened. What was not written whole was never executed.
     pub fn connection_lost(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
-        let Unfinished { unsent, in_flight } = connection.into_unfinished();
+        let UnfinishedAttempts { unsent, in_flight } = connection.into_unfinished();
         unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::Unreachable));
         in_flight.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::ConnectionReset));
     }
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -269,7 +269,7 @@
     /// Retires the connection that has been idle longest, to make room for a dial; false if none is idle.
     pub fn retire_longest_idle(&mut self) -> bool {
         let connections = self.nodes.values_mut().flat_map(|record| record.connections.values_mut());
-        let usable = connections.filter(|connection| connection.is_up && !connection.is_retired);
+        let usable = connections.filter(|connection| connection.is_open && !connection.is_retired);
         let idle = usable.filter_map(|connection| Some((connection.idle_since()?, connection)));
         let Some((_, connection)) = idle.min_by(|a, b| a.0.total_cmp(&b.0)) else { return false };
         connection.is_retired = true;
--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -1,12 +1,12 @@
-//! A connection to a data node: frames that are queued, the one that is being written, and attempts in flight. The task of
-//! the connection owns its socket.
+//! The state of a connection to a data node: queued frames, the frame that is being written, and attempts in flight. The
+//! connection's task owns its socket.
 use super::attempts::AttemptId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A connection that has to be opened.
+/// A connection that is to be opened.
 pub struct Dial {
     /// The data node's name.
     pub node: String,
@@ -18,43 +18,43 @@
 
 /// A frame to a data node.
 pub enum OutboundFrame {
-    /// Attempts that go out together.
+    /// Attempts that start with one frame.
     Attempts(Vec<AttemptId>),
-    /// Nobody waits for this shard request any more.
+    /// Cancels this shard request.
     Cancel(Rc<str>),
 }
 
-/// Where an attempt stands on its connection.
+/// How far an attempt has got on its connection.
 pub enum AttemptPosition {
-    /// No byte of its frame is written.
+    /// No byte of its frame has been written.
     Queued,
-    /// Its frame has begun and is not out whole.
+    /// Part of its frame may have been written, but not all of it.
     Writing,
-    /// Its frame is out whole, and it is unanswered.
+    /// Its frame has been written completely, and no reply has been received.
     InFlight,
     /// It is not on this connection.
     Absent,
 }
 
-/// What a reply belongs to.
+/// Which attempt a reply belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplyMatch {
-    /// To the attempt of this number.
+    /// The attempt with this number.
     InFlight {
         /// Its number among its shard request's attempts.
         attempt: usize,
     },
-    /// To an attempt that was cancelled, or answered just before.
-    AlreadyOver,
-    /// To nothing that was asked here.
-    NotAsked,
+    /// An attempt that has ended: it was cancelled, or this is a second reply to the request answered last.
+    AlreadyEnded,
+    /// None: the shard request was not sent on this connection.
+    NotRequested,
 }
 
-/// The attempts on a connection that has ended.
-pub struct Unfinished {
-    /// Those whose frame was not written whole: they were never executed.
+/// The attempts that were left on a connection when it closed.
+pub struct UnfinishedAttempts {
+    /// Those whose frame was not written completely: the data node has not executed them.
     pub unsent: Vec<AttemptId>,
-    /// Those whose frame was.
+    /// Those whose frame was written completely: the data node may have executed them.
     pub in_flight: Vec<AttemptId>,
 }
 
@@ -63,25 +63,25 @@
 pub struct NodeConnection {
     /// Wakes the task of the connection.
     pub wake: Rc<Notify>,
-    /// Whether it is open.
-    pub is_up: bool,
+    /// Whether the connection is established.
+    pub is_open: bool,
     /// When its dial began.
     pub opened_at_s: f64,
-    /// Takes no new attempt, and closes once it is idle.
+    /// Whether it accepts no new attempts and closes when it is idle.
     pub is_retired: bool,
-    /// Closes at once.
+    /// Whether it is to close at once.
     pub is_aborted: bool,
     queued: VecDeque<OutboundFrame>,
     writing: Option<OutboundFrame>,
-    /// Unanswered shard requests whose frame is out whole, with the attempt's number.
+    /// Unanswered shard requests whose frame has been written completely, with the attempt's number.
     in_flight: BTreeMap<Rc<str>, usize>,
     has_received: bool,
-    /// Since when attempts are in flight and nothing has come.
+    /// When the first frame with attempts after the last reply was written; `None` if there is no such frame.
     silent_since_s: Option<f64>,
-    /// Cancelled requests whose reply may still come, with the time after which none can. Guards against reading it as
-    /// the reply to a later attempt, or as one for a request that was not asked.
+    /// Cancelled shard requests that may still be answered, with the time after which they cannot. Guards against taking a
+    /// late reply for the reply to a later attempt, or for one to a request that was never sent.
     cancelled: BTreeMap<Rc<str>, f64>,
-    /// Some data nodes answer a request twice.
+    /// The request answered last. Some data nodes answer a request twice.
     last_answered: Option<Rc<str>>,
     idle_since_s: f64,
 }
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Streams in use: each attempt has one from the moment it is queued until it is answered or cancelled.
+    /// Streams in use: an attempt uses one from when it is queued until it is answered or cancelled.
     pub fn used_streams(&self) -> usize {
         self.in_flight.len() + self.unwritten_attempts().count()
     }
@@ -108,17 +108,17 @@
         self.in_flight.is_empty() && self.queued.is_empty() && self.writing.is_none()
     }
 
-    /// Since when it is idle, if it is.
+    /// Since when the connection is idle, if it is.
     pub fn idle_since(&self) -> Option<f64> {
         self.is_idle().then_some(self.idle_since_s)
     }
 
-    /// Whether attempts are next on a connection that has served before and has none in flight.
+    /// Whether attempts are to be written next on a connection that has received a reply before and has none in flight.
     pub fn is_reuse_after_idle(&self) -> bool {
         self.has_received && self.in_flight.is_empty() && !self.next_attempts().is_empty()
     }
 
-    /// Whether these attempts may go on this connection, with `streams` in use at most.
+    /// Whether these attempts may be queued here so that at most `streams` are in use.
     pub fn can_take(&self, attempts: &[AttemptId], streams: usize) -> bool {
         let is_known = |id: &AttemptId| {
             self.in_flight.contains_key(&id.request_id) || self.cancelled.contains_key(&id.request_id)
@@ -135,7 +135,7 @@
         self.wake.notify_one();
     }
 
-    /// Takes all attempts of which no byte is written.
+    /// Takes all attempts of which no byte has been written.
     pub fn take_queued(&mut self) -> Vec<AttemptId> {
         let attempts = self.queued.drain(..).filter_map(|frame| match frame {
             OutboundFrame::Attempts(attempts) => Some(attempts),
@@ -144,7 +144,7 @@
         attempts.flatten().collect()
     }
 
-    /// Takes one attempt out of its queued frame.
+    /// Removes an attempt from its queued frame, and the frame if it is then empty.
     pub fn remove_queued(&mut self, id: &AttemptId) {
         for frame in &mut self.queued {
             if let OutboundFrame::Attempts(attempts) = frame {
@@ -155,7 +155,7 @@
             .retain(|frame| !matches!(frame, OutboundFrame::Attempts(attempts) if attempts.is_empty()));
     }
 
-    /// The attempts of the next frame, where that has not begun and starts some.
+    /// The attempts of the next frame. Empty if a frame is being written or the next one starts no attempts.
     pub fn next_attempts(&self) -> &[AttemptId] {
         match (&self.writing, self.queued.front()) {
             (None, Some(OutboundFrame::Attempts(attempts))) => attempts,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Whether the next frame starts attempts.
+    /// Whether no frame is being written and the next one starts attempts.
     pub fn next_starts_attempts(&self) -> bool {
         self.writing.is_none() && matches!(self.queued.front(), Some(OutboundFrame::Attempts(_)))
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Begins the next frame, or returns the one that has begun.
+    /// Begins the next frame, or returns the one that is being written.
     pub fn begin_frame(&mut self) -> Option<&OutboundFrame> {
         if self.writing.is_none() {
             self.writing = self.queued.pop_front();
@@ -184,14 +184,14 @@
         self.writing.as_ref()
     }
 
-    /// The socket took no byte of the frame that had begun: it is the next one again.
+    /// Puts the frame that had begun back in front of the queue: the socket accepted no byte of it.
     pub fn return_frame(&mut self) {
         if let Some(frame) = self.writing.take() {
             self.queued.push_front(frame);
         }
     }
 
-    /// The last byte of the frame that had begun is written.
+    /// The last byte of the frame that had begun has been written.
     pub fn frame_written(&mut self, now: f64) {
         if let Some(OutboundFrame::Attempts(attempts)) = self.writing.take() {
             self.in_flight.extend(attempts.into_iter().map(|id| (id.request_id, id.number)));
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Where an attempt stands.
+    /// How far an attempt has got on this connection.
     pub fn position(&self, id: &AttemptId) -> AttemptPosition {
         let holds = |frame: &OutboundFrame| matches!(frame, OutboundFrame::Attempts(ids) if ids.contains(id));
         if self.in_flight.get(&id.request_id) == Some(&id.number) {
@@ -213,23 +213,23 @@
         }
     }
 
-    /// Cancels an attempt in flight; its reply may still come until `reply_until_s`. After `patience_s` of silence the
-    /// connection is retired as well. Guards against a connection that is dead while its data node serves: it has
-    /// the most streams free, and attempts that took them would make the node look unresponsive. A node that only
-    /// paused costs one more dial.
-    pub fn cancel(&mut self, id: &AttemptId, now: f64, reply_until_s: f64, patience_s: f64) {
+    /// Cancels an attempt in flight. Its reply may still come until `reply_until_s`. If no reply has come for
+    /// `silence_timeout_s` while attempts were in flight, the connection is retired too. Guards against a dead connection to
+    /// a data node that serves: the connection has the most free streams, so it would get more attempts, and their
+    /// time-outs would make the node look unresponsive. If the node had only paused, this costs one more dial.
+    pub fn cancel(&mut self, id: &AttemptId, now: f64, reply_until_s: f64, silence_timeout_s: f64) {
         if self.in_flight.remove(&id.request_id).is_none() {
             return;
         }
-        self.is_retired |= self.silent_since_s.is_some_and(|since| since + patience_s <= now);
+        self.is_retired |= self.silent_since_s.is_some_and(|since| since + silence_timeout_s <= now);
         self.cancelled.retain(|_, until_s| *until_s > now);
         self.cancelled.insert(id.request_id.clone(), reply_until_s);
         self.idle_since_s = now;
         self.enqueue(OutboundFrame::Cancel(id.request_id.clone()));
     }
 
-    /// Closes the connection over an attempt that was aborted in the midst of its frame. Guards against the attempt
-    /// being ended a second time with the connection, as one that was never executed.
+    /// Closes the connection because an attempt was aborted while its frame was being written. Guards against the attempt
+    /// ending a second time when the connection closes, as one that was never executed.
     pub fn abort_for(&mut self, id: &AttemptId) {
         if let Some(OutboundFrame::Attempts(attempts)) = &mut self.writing {
             attempts.retain(|writing| writing != id);
@@ -238,7 +238,7 @@
         self.wake.notify_one();
     }
 
-    /// Matches a reply with the attempt that it ends.
+    /// Finds the attempt that a reply ends.
     pub fn reply_received(&mut self, request_id: &str, now: f64) -> ReplyMatch {
         (self.idle_since_s, self.silent_since_s, self.has_received) = (now, None, true);
         if let Some((request_id, attempt)) = self.in_flight.remove_entry(request_id) {
@@ -247,16 +247,16 @@
         }
         let was_cancelled = self.cancelled.remove(request_id).is_some();
         if was_cancelled || self.last_answered.as_deref() == Some(request_id) {
-            return ReplyMatch::AlreadyOver;
+            return ReplyMatch::AlreadyEnded;
         }
-        ReplyMatch::NotAsked
+        ReplyMatch::NotRequested
     }
 
-    /// The attempts that are left as the connection ends.
-    pub fn into_unfinished(self) -> Unfinished {
+    /// The attempts that are left when the connection closes.
+    pub fn into_unfinished(self) -> UnfinishedAttempts {
         let unsent = self.unwritten_attempts().cloned().collect();
         let in_flight = self.in_flight.into_iter();
         let in_flight = in_flight.map(|(request_id, number)| AttemptId { request_id, number }).collect();
-        Unfinished { unsent, in_flight }
+        UnfinishedAttempts { unsent, in_flight }
     }
 }
--- a/crates/router/tests/dispatcher/any_order.rs
+++ b/crates/router/tests/dispatcher/any_order.rs
@@ -154,7 +154,7 @@
                     .endpoints
                     .connection(&node, line)
                     .into_iter()
-                    .for_each(|line| line.is_up = true);
+                    .for_each(|line| line.is_open = true);
             }
             Event::Begin(line) => self.begin(line),
             Event::Written(line) => {
--- a/crates/router/tests/dispatcher/main.rs
+++ b/crates/router/tests/dispatcher/main.rs
@@ -61,5 +61,5 @@
 
 /// The connection of a dial is open.
 fn up(dispatcher: &mut Dispatcher, dial: &Dial) {
-    dispatcher.endpoints.connection(&dial.node, dial.connection).expect("a connection").is_up = true;
+    dispatcher.endpoints.connection(&dial.node, dial.connection).expect("a connection").is_open = true;
 }
--- a/crates/router/tests/shard_map/any_order.rs
+++ b/crates/router/tests/shard_map/any_order.rs
@@ -125,7 +125,7 @@
             while self.dispatcher.borrow_mut().next_frame(node, *line, &mut frame) {
                 let now = self.dispatcher.borrow().clock.now();
                 if let Some(line) = self.dispatcher.borrow_mut().endpoints.connection(node, *line) {
-                    (line.is_up, _) = (true, line.frame_written(now));
+                    (line.is_open, _) = (true, line.frame_written(now));
                 }
                 let text = String::from_utf8(frame.split_off(4)).expect("text");
                 frame.clear();
