--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -306,7 +306,7 @@
 fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
     match order {
         CoreCommand::Serve(connection) => acceptor::take_over(dispatcher, connection),
-        CoreCommand::GiveAway { to, connections } => {
+        CoreCommand::HandOver { to, connections } => {
             dispatcher.borrow_mut().handover = Some(Handover { to, connections })
         }
         CoreCommand::CloseLongestIdle => dispatcher.make_room(),
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -139,7 +139,7 @@
                 loads[from].busy,
                 loads[to].busy
             );
-            let _ = self.shared.send_command(from, CoreCommand::GiveAway { to, connections });
+            let _ = self.shared.send_command(from, CoreCommand::HandOver { to, connections });
         }
     }
 }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -37,7 +37,7 @@
     if let Ok(Some(fault)) = head.field("X-Fault") {
         let mut dispatcher = dispatcher.borrow_mut();
         match &mut dispatcher.shard_map {
-            Some(shard_map) if fault == "count-by-answers" => shard_map.by_answers = true,
+            Some(shard_map) if fault == "count-by-answers" => shard_map.counts_all_answers = true,
             _ => dispatcher.injected_fault = Some(fault.to_string()),
         }
     }
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -130,7 +130,7 @@
 
     /// What a frame says of an attempt; none where its query is over.
     fn attempt_request<'a>(&'a self, id: &'a AttemptId, now: f64) -> Option<AttemptRequest<'a>> {
-        let requested = self.queries.requested(&id.request_id)?;
+        let requested = self.queries.requested_work(&id.request_id)?;
         let timeout_at_s =
             self.attempts.get(id).map_or(requested.not_after_s, |attempt| attempt.timeout_at_s);
         let version = self.shard_map.as_ref().and_then(ShardMapView::version).unwrap_or(0);
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -3,13 +3,12 @@
 //!
 //! - `queries`: opens and ends queries, and leaves their responses with the clients' connections
 //! - `attempts`: starts, cancels and ends attempts
-//! - `answers`: takes in what data nodes reply
+//! - `replies`: matches the replies of data nodes with attempts, and records their values
 //! - `connections`: which connection carries an attempt, what is written on it, and what its end means
 //! - `shard_changes`: attempts and shard requests when the shard map changes
 //! - `config`: a configuration that changes while queries are open
 //! - `observations`: what other cores and routers observed
 //! - `invariants`: checks each act at the moment it happens
-mod answers;
 mod attempts;
 mod config;
 mod connections;
@@ -17,6 +16,7 @@
 mod metrics;
 mod observations;
 mod queries;
+mod replies;
 mod shard_changes;
 
 use super::arrival_time::ArrivalEstimator;
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -91,7 +91,7 @@
 
     fn results(&self, query: Query, complete: bool) -> QueryResponse {
         #[cfg(feature = "faults")]
-        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.by_answers) {
+        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.counts_all_answers) {
             let results = query.requests.into_iter().filter_map(|request| {
                 let keys = request.keys.map(|keys| (keys.range.from, keys.range.to));
                 Some(ShardResult { shard: request.shard, keys, value: request.value? })
--- a/crates/router/src/state/dispatcher/answers.rs
+++ b/crates/router/src/state/dispatcher/replies.rs
@@ -78,7 +78,7 @@
             }
         }
         #[cfg(feature = "faults")]
-        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.by_answers) {
+        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.counts_all_answers) {
             query.requests[index].value = Some(value.to_string());
         }
         for id in split_into.iter().chain([request_id]) {
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -276,7 +276,7 @@
     }
 
     /// What a frame has to say of an open shard request.
-    pub fn requested(&self, request_id: &str) -> Option<RequestedWork<'_>> {
+    pub fn requested_work(&self, request_id: &str) -> Option<RequestedWork<'_>> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
         let request = query.requests.get(index)?;
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -63,7 +63,7 @@
     pub families: Families<Rc<str>>,
     /// For tests: every answer counts, whatever keys it is for.
     #[cfg(feature = "faults")]
-    pub by_answers: bool,
+    pub counts_all_answers: bool,
     /// New shards with those that they came of.
     inherited: Vec<(ShardId, Vec<ShardId>)>,
     changed_shards: BTreeSet<ShardId>,
@@ -78,7 +78,7 @@
             history: None,
             families: Families::default(),
             #[cfg(feature = "faults")]
-            by_answers: false,
+            counts_all_answers: false,
             inherited: vec![],
             changed_shards: BTreeSet::new(),
             splits: vec![],
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -31,7 +31,7 @@
     /// To serve a connection.
     Serve(TransferredConnection),
     /// To hand connections over to another core as they fall idle.
-    GiveAway {
+    HandOver {
         /// The core that takes them over.
         to: usize,
         /// How many.
