--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from the policy's decision to their outcome. Each ends exactly once.
+//! Attempts, from the policy's decision to their outcome. Each attempt ends exactly once.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::{AttemptPosition, Dial, OutboundFrame};
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Starts the next attempt of a shard request; it goes out when the round ends.
+    /// Starts the next attempt of a shard request. It is put into a frame at the end of the round.
     pub(super) fn start_attempt_at(&mut self, request_id: &str, node: &str, timeout_s: f64) {
         let is_hedge = self.has_attempt_in_flight(request_id);
         let now = self.clock.now();
@@ -22,13 +22,13 @@
         });
         let is_duplicate = self.is_in_flight_at(request_id, node);
         self.attempts.start(id.clone(), node, now, now + timeout_s);
-        // Guards against two attempts of a request at one node, whose replies could not be told apart.
+        // Guards against two attempts of a request at one node, whose replies could not be distinguished.
         if is_duplicate {
             self.counters.increment("calls_twice_at_a_node");
             return self.end_attempt(&id, AttemptOutcome::NeverSent);
         }
         match self.endpoints.nodes.get_mut(node) {
-            // Guards against a planner that has not heard of a drain.
+            // Guards against a planner that has not yet received that the node drains.
             Some(record) if record.state == NodeState::Serving => {
                 if record.unsent_attempts.is_empty() {
                     self.nodes_to_flush.insert(node.to_string());
@@ -56,7 +56,7 @@
         attempts.iter().any(|id| self.attempts.get(id).is_some_and(|attempt| attempt.node == node))
     }
 
-    /// Attempts in flight for a shard request, those of the requests that it was split from among them.
+    /// Attempts in flight for a shard request, including those of the requests that it was split from.
     pub(super) fn attempts_of_family(&self, request_id: &Rc<str>) -> Vec<AttemptId> {
         match &self.shard_map {
             Some(shard_map) => {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Cancels an attempt for one shard request. An attempt of a request that was split goes on until none of the
-    /// requests that came of it waits for it.
+    /// Cancels an attempt for one shard request. An attempt that a split request had started goes on until none of the
+    /// requests that it was split into waits for the attempt.
     pub(super) fn cancel_attempt_of(&mut self, request_id: &str, attempt: usize) {
         self.counters.increment("leaf_calls_cancelled");
         let id = AttemptId::new(request_id, attempt);
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Records the outcome of an attempt. One without an effect no longer stands against a repeat of its request.
+    /// Ends an attempt with an outcome. If the outcome proves that the attempt had no effect, it no longer counts as possibly
+    /// executed, so that its request may be repeated.
     pub(super) fn end_attempt(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         if outcome.had_no_effect()
             && let Some(request) = self.queries.request_mut(&id.request_id)
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Ends an attempt from this side. A frame that has not begun is taken back; one that is out is followed by a
-    /// cancellation; in the midst of one, only closing the connection helps.
+    /// Ends an attempt from this side. If its frame has not begun, it is removed from the frame; if the frame is written, a
+    /// cancellation is queued; if the frame is partly written, the connection is closed.
     pub(super) fn abort_attempt(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let (node, connection) = (attempt.node.clone(), attempt.connection);
@@ -132,7 +133,7 @@
         self.end_attempt(id, outcome);
     }
 
-    /// Takes back the attempts of a request that is over, as far as they are not out whole.
+    /// Ends those attempts of a shard request whose frame is not completely written.
     pub(super) fn recall_unsent(&mut self, request_id: &str, outcome: AttemptOutcome) {
         for id in self.attempts.of_request(request_id) {
             if !matches!(self.position_of(&id), Some(AttemptPosition::InFlight)) {
@@ -141,15 +142,15 @@
         }
     }
 
-    /// Where an attempt stands on its connection; none where it has no connection.
+    /// How far an attempt has got on its connection; `None` if it has no connection.
     pub(super) fn position_of(&self, id: &AttemptId) -> Option<AttemptPosition> {
         let attempt = self.attempts.get(id)?;
         let connections = &self.endpoints.nodes.get(&attempt.node)?.connections;
         Some(connections.get(&attempt.connection?)?.position(id))
     }
 
-    /// Puts the attempts of this round into frames, as many to a frame as the settings allow, and each frame on a
-    /// connection. Returns the connections to open.
+    /// Puts the attempts of this round into frames, with as many attempts per frame as the settings allow, and queues each
+    /// frame on a connection. Returns the connections to open.
     pub fn flush_attempts(&mut self, now: f64) -> Vec<Dial> {
         let max_batch = self.connection_config.max_batch.min(self.connection_config.streams_per_connection);
         for node in std::mem::take(&mut self.nodes_to_flush) {
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Tells the policy the attempts that ended since the last round: for a request that was split, in the name of
-    /// those that came of it.
+    /// Passes the attempts that ended since the last round to the policy. For a split request, the policy gets the end for the
+    /// requests that it was split into.
     pub(super) fn notify_ended_attempts(&mut self, policy: &mut dyn PolicyInput) {
         for ended in self.attempts.take_ended() {
             let AttemptId { request_id, number } = &ended.id;
--- a/crates/router/src/state/dispatcher/config.rs
+++ b/crates/router/src/state/dispatcher/config.rs
@@ -1,4 +1,4 @@
-//! A configuration that changes while queries are open.
+//! Changes of the configuration while queries are open.
 use super::Dispatcher;
 use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use alderway::interface::PolicyInput;
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 impl Dispatcher {
-    /// Follows a stream of configurations from its newest on.
+    /// Subscribes to a stream of configurations, and applies the newest.
     pub fn subscribe_config(&mut self, updates: watch::Receiver<Arc<ConfigGeneration>>) {
         let generation = self.class_table.subscribe(updates);
         self.connection_config = generation.settings.connections;
@@ -15,21 +15,22 @@
         self.query_classes = ClassRules::all(&generation.settings);
     }
 
-    /// Capacity, the number of shards and how discovery is followed stay as they were at the start.
+    /// The admission settings of a configuration, except that the capacity, the number of shards and the way in which
+    /// discovery is followed stay as they were at the start.
     fn admission_for(&self, generation: &ConfigGeneration) -> AdmissionConfig {
         let AdmissionConfig { max_open, shard_count, polls_endpoints, .. } = self.admission;
         AdmissionConfig { max_open, shard_count, polls_endpoints, ..generation.settings.admission }
     }
 
-    /// Applies the newest configuration, if it is not applied yet. To be called before a request is read and before a
-    /// round: neither may go by what is no longer in force, however long this core stood still.
+    /// Applies the newest configuration, if it is not yet applied. Must be called before a request is read and before a round:
+    /// neither may use an outdated configuration, no matter how long this core was stalled.
     pub fn refresh_config(&mut self) {
         if let Some(generation) = self.class_table.take_update() {
             self.apply_config(generation);
         }
     }
 
-    /// Applies a configuration; open queries keep the rules of their class.
+    /// Applies a configuration. Open queries keep the rules of their class.
     pub fn apply_config(&mut self, generation: Arc<ConfigGeneration>) {
         let now = self.clock.now();
         let longest_deadline_s = self.longest_deadline_s(now);
@@ -44,25 +45,25 @@
         self.class_table.longest_deadline_s(self.admission.max_deadline_s, now)
     }
 
-    /// The slot of a class for a query that comes now.
+    /// The slot for new queries of a class.
     pub fn class_slot(&self, name: &str) -> Option<usize> {
         self.class_table.slot_of(&self.query_classes, name)
     }
 
-    /// Tells the policy what it goes by from this round on.
+    /// Passes the newest configuration to the policy, which applies it from this round on.
     pub(super) fn notify_config(&mut self, policy: &mut dyn PolicyInput) {
         self.refresh_config();
         self.class_table.notify_changes(policy);
         self.publish_config_serial();
     }
 
-    /// Tells the policy which slots no query is open in any more, after it was told who left.
+    /// Reports the retired slots without open queries to the policy, after it has got the queries that ended.
     pub(super) fn notify_retired_classes(&mut self, policy: &mut dyn PolicyInput) {
         let queries = &self.queries;
         self.class_table.notify_retired(|slot| queries.open_in_class(slot), policy);
     }
 
-    /// The policy starts anew, with the newest configuration and nothing open.
+    /// Resets the classes for a restarted policy, which has the newest configuration and no open query.
     pub(super) fn reset_classes(&mut self) {
         if let Some(generation) = self.class_table.current().cloned() {
             self.query_classes = ClassRules::all(&generation.settings);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Slots in use, retiring or free.
+    /// Number of slots: in use, retiring or free.
     pub fn class_slot_count(&self) -> usize {
         self.query_classes.len()
     }
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to data nodes: which one carries an attempt, what may begin to be written, and what the end of a
-//! connection proves about the attempts on it.
+//! Connections to data nodes: which one carries an attempt, which frames may begin to be written, and how the attempts on a
+//! connection end when it closes.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::{
@@ -12,7 +12,7 @@
 use alderway_cores::fence;
 
 impl Dispatcher {
-    /// A connection with capacity for a batch: one that is up, else one that is being opened, else a new one.
+    /// Chooses a connection with free streams for a batch: an open one, else one that is being opened, else a new one.
     pub(super) fn choose_connection(&mut self, node: &str, batch: &[AttemptId], now: f64) -> Option<u64> {
         let streams = self.connection_config.streams_per_connection;
         let record = self.endpoints.nodes.get(node)?;
@@ -23,8 +23,8 @@
         if let Some(number) = least_used(streams) {
             return Some(number);
         }
-        // Guards against cores that together open more connections than a data node accepts: past the stated number,
-        // attempts wait on a full connection until one of its streams is free.
+        // Guards against the cores together opening more connections than a data node accepts: at the maximum, attempts
+        // are queued on a connection without free streams.
         let open = record.connections.values().filter(|c| !c.is_retired && !c.is_aborted).count();
         if open >= self.shared.max_connections_per_node
             && let Some(number) = least_used(usize::MAX)
@@ -44,10 +44,10 @@
         self.endpoints.nodes.get_mut(node)?.connections.remove(&number)
     }
 
-    /// A reply could not be read, so nothing more can be made out on its connection, which this side closes. One
-    /// attempt has failed: that of the request which the reply names, else the one in flight longest. The others are
-    /// cancelled, which closing the connection is by the protocol. Guards against an unreadable reply being taken for
-    /// a reset of every attempt beside it, which would show a sound data node as one that is down.
+    /// A reply could not be read, so the rest of the stream cannot be decoded and this side closes the connection. One
+    /// attempt fails: that of the request which the reply names, else the one in flight longest. The others are cancelled,
+    /// as closing the connection cancels them by the protocol. Guards against one unreadable reply counting as a reset of
+    /// every other attempt on the connection, which would make a healthy data node look down.
     pub fn connection_corrupted(&mut self, node: &str, number: u64, request_id: Option<&str>) {
         self.counters.increment("answers_spoilt");
         let Some(connection) = self.remove_connection(node, number) else { return };
@@ -64,7 +64,8 @@
         in_flight.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::Cancelled));
     }
 
-    /// A connection has ended, or could not be opened. What was not written whole was never executed.
+    /// A connection was closed by the data node or broken, or could not be opened. Attempts whose frame was not completely
+    /// written were never executed.
     pub fn connection_lost(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let UnfinishedAttempts { unsent, in_flight } = connection.into_unfinished();
@@ -72,16 +73,16 @@
         in_flight.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::ConnectionReset));
     }
 
-    /// A connection could not be opened for lack of resources on this side: its attempts were never sent, which says
-    /// nothing about the data node.
+    /// A connection could not be opened because this process lacks resources. Its attempts end as never sent, which is no
+    /// evidence about the data node.
     pub fn connection_not_opened(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let unsent = connection.into_unfinished().unsent;
         unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::NeverSent));
     }
 
-    /// A data node has closed a connection that was idle. What is queued there goes out on another one. This ends:
-    /// each such connection has served before.
+    /// A data node has closed a connection that was idle. The attempts queued there move to another connection. This cannot
+    /// repeat forever, because each such connection has received a reply before.
     pub fn requeue_unsent(&mut self, node: &str, number: u64) {
         let Some(mut connection) = self.remove_connection(node, number) else { return };
         let queued = connection.take_queued();
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Writes the next frame of a connection; false when there is none that may begin.
+    /// Encodes the next frame of a connection; false if no frame may begin.
     pub fn next_frame(&mut self, node: &str, number: u64, writer: &mut impl NodeFrameWriter) -> bool {
         self.drop_denied_attempts(node, number);
         let now = self.clock.now();
@@ -128,7 +129,7 @@
         true
     }
 
-    /// What a frame says of an attempt; none where its query is over.
+    /// The content of a frame for an attempt; `None` if its query has ended.
     fn attempt_request<'a>(&'a self, id: &'a AttemptId, now: f64) -> Option<AttemptRequest<'a>> {
         let requested = self.queries.requested_work(&id.request_id)?;
         let timeout_at_s =
@@ -143,8 +144,8 @@
         })
     }
 
-    /// Whether the next frame would start attempts that the fence holds back. Guards against a core that stood still
-    /// while its endpoint list changed: what it decided by the old list waits until it has caught up.
+    /// Whether the next frame would start attempts that the fence holds back. Guards against a core that was stalled while
+    /// the endpoint list changed: attempts decided by the old list wait until the core has applied the new one.
     fn is_held_by_fence(&mut self, node: &str, number: u64, now: f64) -> bool {
         let Err(reason) = self.shared.fence.passes(self.endpoints_generation, now) else { return false };
         let connection = self.endpoints.connection(node, number);
@@ -160,8 +161,8 @@
         true
     }
 
-    /// The socket took no byte of the frame that was to begin. Guards against a frame that goes out long after it was
-    /// encoded: its attempts are checked, and it is encoded, anew.
+    /// The socket accepted no byte of the frame that was to begin. Guards against a frame being written long after it was
+    /// encoded: the frame is queued again, and its attempts are checked and encoded again later.
     pub fn frame_not_started(&mut self, node: &str, number: u64) {
         let Some(connection) = self.endpoints.connection(node, number) else { return };
         let attempts = connection.writing_attempts().to_vec();
@@ -174,8 +175,8 @@
         self.counters.increment("frames_not_taken");
     }
 
-    /// Why an attempt of the next frame may not begin, if it may not. It may have waited for a dial or a stream past its
-    /// time, or past the window in which its data node drops repeats.
+    /// Why an attempt of the next frame may not begin; `None` if it may. It may have waited for a dial or a stream beyond its
+    /// time-out, or beyond the window in which data nodes drop duplicates.
     fn denial(&self, id: &AttemptId, node: NodeState, now: f64) -> Option<Denial> {
         let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
             return Some(Denial::QueryEnded);
@@ -190,7 +191,7 @@
         permits::may_start_attempt(&start).err()
     }
 
-    /// Ends the attempts of the next frame that may not begin any more, as ones that were never sent.
+    /// Ends the attempts of the next frame that may no longer begin, as never sent.
     fn drop_denied_attempts(&mut self, node: &str, number: u64) {
         let now = self.clock.now();
         loop {
@@ -203,20 +204,20 @@
             for (id, denial) in &denied {
                 self.counters.increment(&format!("calls_denied{{{}}}", denial.label()));
                 self.abort_attempt(id, AttemptOutcome::NeverSent);
-                // Guards against an attempt that has ended and is queued still: aborting it changes nothing.
+                // Guards against an attempt that has ended but is still queued: aborting it does not remove it.
                 if let Some(connection) = self.endpoints.connection(node, number) {
                     connection.remove_queued(id);
                 }
             }
-            // A frame with no attempt left is gone, and the one behind it is next.
+            // If no attempt is left, the frame was removed and the frame behind it has to be checked.
             if denied.is_empty() || denied.len() < next.len() {
                 return;
             }
         }
     }
 
-    /// After a change of the endpoint list: no attempt that has not begun goes to a node that drains or is gone, and
-    /// connections of removed nodes close as they fall idle.
+    /// Applies a change of the endpoint list to attempts and connections: attempts to a node that drains or is removed end if
+    /// their frame has not begun, and connections to removed nodes close when they are idle.
     pub fn endpoints_changed(&mut self) {
         for name in self.endpoints.retire_unserving() {
             for id in self.attempts.on_node(&name) {
@@ -231,13 +232,13 @@
         self.work_ready.notify_one();
     }
 
-    /// Polling the endpoint list failed; the last one holds.
+    /// Records that polling the endpoint list failed. The last list stays in use.
     pub fn endpoint_poll_failed(&mut self) {
         self.endpoints.has_poll_failed = true;
         self.work_ready.notify_one();
     }
 
-    /// Lets attempts go on that the fence held back, once it lets them pass.
+    /// Resumes the attempts that the fence held back, once it lets them pass.
     pub fn recheck_fence(&mut self) {
         if self.is_fenced && self.shared.fence.passes(self.endpoints_generation, self.clock.now()).is_ok() {
             self.is_fenced = false;
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -1,23 +1,23 @@
-//! Checks each act at the moment it happens and by the facts of that moment, whatever decided it. A violation is counted as
-//! `rule_violations{...}` and logged with the id concerned; it changes nothing.
+//! Checks each action when it happens, by the state at that moment and independently of what decided it. A violation is
+//! counted as `rule_violations{...}` and logged with the id concerned; it does not change behavior.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::queries::Query;
 use alderway::interface::NodeState;
 use alderway::permits;
 
-/// The weights of a query may fall short of their sum by so much.
+/// Allowed rounding error of the answered fraction of a query.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
-/// A response that comes later than this after the query's deadline is lost.
+/// A response that is sent later than this after the query's deadline counts as lost.
 const LATE_RESPONSE_S: f64 = 0.5;
 
 impl Dispatcher {
-    fn report_violation(&mut self, rule: &str, id: &str, what: &str) {
+    fn report_violation(&mut self, rule: &str, id: &str, details: &str) {
         self.counters.increment(&format!("rule_violations{{{rule}}}"));
-        tracing::error!(target: "rules", "{rule}: {id}: {what}");
+        tracing::error!(target: "rules", "{rule}: {id}: {details}");
     }
 
-    /// The first byte of a frame has been written.
+    /// Checks the attempts of a frame whose first byte has been written.
     pub fn check_frame_started(&mut self, node: &str, connection: u64) {
         let now = self.clock.now();
         let Some(record) = self.endpoints.nodes.get(node) else { return };
@@ -30,13 +30,13 @@
 
     fn check_attempt_started(&mut self, id: &AttemptId, node: &str, state: NodeState, now: f64) {
         let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
-            return self.report_violation("call_after_answer", &id.request_id, "its query is over");
+            return self.report_violation("call_after_answer", &id.request_id, "its query has ended");
         };
         let first_effect_at_s = request.first_possible_execution(Some(id.number));
         let idempotency = self.query_classes[class].idempotency;
         let not_after_s =
             self.queries.requested_work(&id.request_id).map_or(now, |requested| requested.not_after_s);
-        // The frame was allowed to begin a moment ago: time that passed since is the system's.
+        // The frame was allowed to begin a moment ago. The tolerance covers the time that the write itself took.
         let start = permits::AttemptStart {
             now_s: now,
             deadline_s: not_after_s + LATE_RESPONSE_S,
@@ -49,11 +49,15 @@
         }
     }
 
-    /// A query is answered with what has come in.
+    /// Checks a query that is answered: its time, and the fraction of its weight that is answered.
     pub(super) fn check_answer(&mut self, query: &Query, complete: bool) {
         let late_by_s = self.clock.now() - query.not_after_s;
         if late_by_s > LATE_RESPONSE_S {
-            self.report_violation("late_answer", &query.id, &format!("{late_by_s:.3} s after its time"));
+            self.report_violation(
+                "late_answer",
+                &query.id,
+                &format!("sent {late_by_s:.3} s after its deadline"),
+            );
         }
         if query.coverage.is_some() {
             return;
@@ -65,22 +69,26 @@
         let fraction = answered / if total > 0.0 { total } else { 1.0 };
         let least = if complete { class.complete_fraction } else { class.minimum_fraction };
         if fraction < least - WEIGHT_TOLERANCE {
-            self.report_violation("answer_under_floor", &query.id, &format!("{fraction:.4} of {least:.4}"));
+            self.report_violation(
+                "answer_under_floor",
+                &query.id,
+                &format!("answered fraction {fraction:.4}, required {least:.4}"),
+            );
         }
     }
 
-    /// A query is rejected, which promises that trying again is harmless.
+    /// Checks a query that is rejected, which promises the client that a retry has no side effects.
     pub(super) fn check_rejection(&mut self, query: &Query) {
         let effect = self.query_classes[query.class].idempotency;
         let may_have_executed = query.requests.iter().any(|request| request.may_have_executed());
         if permits::may_reject(effect, may_have_executed).is_err() {
-            self.report_violation("reject", &query.id, "a call of it may have run");
+            self.report_violation("reject", &query.id, "an attempt may have been executed");
         }
     }
 
-    /// This side has ended a client's connection with a query open on it.
+    /// Reports that this side has closed a client's connection with an open query.
     pub fn check_closed_connection(&mut self, number: u64) {
         let id = self.queries.get(number).map(|query| query.id.to_string()).unwrap_or_default();
-        self.report_violation("closed_unanswered", &id, "its connection was ended from this side");
+        self.report_violation("closed_unanswered", &id, "the router closed its connection");
     }
 }
--- a/crates/router/src/state/dispatcher/metrics.rs
+++ b/crates/router/src/state/dispatcher/metrics.rs
@@ -1,10 +1,10 @@
-//! Counters and gauges of this core.
+//! The counters and gauges of one core.
 use super::Dispatcher;
 use crate::state::metrics::MetricsSnapshot;
 use std::sync::Arc;
 
 impl Dispatcher {
-    /// What this core has counted, and what is open on it now.
+    /// The current counters and gauges of this core.
     pub fn core_metrics(&self) -> MetricsSnapshot {
         let connections: usize = self.endpoints.nodes.values().map(|record| record.connections.len()).sum();
         let gauges = vec![
@@ -25,15 +25,15 @@
         metrics
     }
 
-    /// Tells the other cores what `core_metrics` says now.
+    /// Publishes the current metrics of this core to the other cores.
     pub fn publish_metrics(&self) -> Arc<MetricsSnapshot> {
         let metrics = Arc::new(self.core_metrics());
         self.shared.cores[self.core].metrics.send_replace(metrics.clone());
         metrics
     }
 
-    /// All counters and gauges, of all cores. Published first: guards against counters that go back when the next
-    /// request for them is answered by another core.
+    /// The counters and gauges of all cores. This core publishes its own first. Guards against counters that decrease when
+    /// another core answers the next request for them.
     pub fn metrics_text(&self) -> String {
         let mut metrics = MetricsSnapshot::clone(&self.publish_metrics());
         self.shared.add_other_cores(Some(self.core), &mut metrics);
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -1,14 +1,14 @@
-//! The dispatcher of one core joins what protocol edges bring in with the state and with the policy's decisions. The
-//! state stands in tables of its own; this module only leads each event to the part that it concerns:
+//! The dispatcher of one core applies events from connections and decisions of the policy to the state. The state is kept
+//! in separate tables; the submodules handle the events:
 //!
-//! - `queries`: opens and ends queries, and leaves their responses with the clients' connections
+//! - `queries`: opens and ends queries, and stores their responses for the clients' connections
 //! - `attempts`: starts, cancels and ends attempts
 //! - `replies`: matches the replies of data nodes with attempts, and records their values
-//! - `connections`: which connection carries an attempt, what is written on it, and what its end means
-//! - `shard_changes`: attempts and shard requests when the shard map changes
-//! - `config`: a configuration that changes while queries are open
-//! - `observations`: what other cores and routers observed
-//! - `invariants`: checks each act at the moment it happens
+//! - `connections`: chooses connections for attempts, encodes frames, and ends attempts when a connection closes
+//! - `shard_changes`: applies changes of the shard map to attempts and shard requests
+//! - `config`: applies changes of the configuration while queries are open
+//! - `observations`: exchanges observations of data nodes with other cores and routers
+//! - `invariants`: checks each action when it happens
 mod attempts;
 mod config;
 mod connections;
@@ -44,29 +44,29 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// The dispatcher as the tasks of its core share it.
+/// A handle of the dispatcher, shared by the tasks of its core.
 pub type DispatcherHandle = Rc<RefCell<Dispatcher>>;
 
-/// Connections of clients that go to another core as they fall idle.
+/// A request to hand over client connections to another core when they are idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Handover {
-    /// The core that takes them over.
+    /// The core that gets the connections.
     pub to: usize,
-    /// How many are still to go.
+    /// How many connections are still to be handed over.
     pub connections: usize,
 }
 
-/// The state of one core. Times are seconds of `clock`.
+/// The state of one core. All times are in seconds of `clock`.
 pub struct Dispatcher {
     /// The monotonic clock that all cores share.
     pub clock: Clock,
-    /// How connections to data nodes are used.
+    /// Settings for connections to data nodes.
     pub connection_config: ConnectionConfig,
-    /// What may be taken in.
+    /// Settings for the admission of queries.
     pub admission: AdmissionConfig,
-    /// Rules of the query classes by slot; `class_table` says which class has which slot.
+    /// Rules of the query classes by slot; `class_table` assigns the slots.
     pub query_classes: Vec<ClassRules>,
-    /// Slots of the query classes, and the configuration in force.
+    /// Slots of the query classes, and the configuration in use.
     pub class_table: ClassTable,
     /// Open queries.
     pub queries: QueryTable,
@@ -76,48 +76,48 @@
     pub endpoints: EndpointTable,
     /// Connections of clients.
     pub clients: ClientTable,
-    /// What this core has counted.
+    /// Counters of this core.
     pub counters: Counters,
-    /// What all cores of the process share.
+    /// The state that all cores of the process share.
     pub shared: Arc<SharedState>,
-    /// This core's index there.
+    /// Index of this core in `shared.cores`.
     pub core: usize,
     /// The generation of the endpoint list that this core has applied.
     pub endpoints_generation: u64,
-    /// Attempts wait until this core has caught up with the endpoint list.
+    /// Whether the fence holds attempts back until this core has applied the newest endpoint list.
     pub is_fenced: bool,
-    /// Observations of other cores that still hold, for a policy that starts anew.
+    /// Observations of other cores and routers that are still valid, for a restarted policy.
     pub observations: Board,
-    /// The shard map, where one is followed; otherwise shards lie in the platform's ring.
+    /// The shard map, if one is followed; otherwise shards are placed by the platform's ring.
     pub shard_map: Option<ShardMapView>,
-    /// The way to other routers, where there is one.
+    /// The link to other routers, if there is one.
     pub gossip: Option<Rc<dyn GossipLink>>,
-    /// Other components of this core that count.
+    /// Other components of this core that have metrics.
     pub metrics_sources: Vec<Rc<dyn MetricsSource>>,
-    /// A fault that a test asks for, played at the next heartbeat.
+    /// A fault that a test requested; it is injected at the next heartbeat.
     #[cfg(feature = "faults")]
     pub injected_fault: Option<String>,
-    /// Connections to hand over to another core.
+    /// Client connections to hand over to another core, if any.
     pub handover: Option<Handover>,
-    /// Wakes the round: there is something to tell the policy.
+    /// Notified when there is input for the policy, to start a round.
     pub work_ready: Rc<Notify>,
-    /// The policy asks for a poll of the endpoint list.
+    /// Notified when the policy requests a poll of the endpoint list.
     pub poll_requested: Arc<Notify>,
-    /// How far a graceful shutdown has got.
+    /// The phase of a graceful shutdown.
     pub shutdown_phase: ShutdownPhase,
-    /// Finds out that this thread stood still.
+    /// Detects stalls of this thread.
     pub stall_detector: StallDetector,
-    /// When bytes of clients arrived.
+    /// Estimates when bytes of clients arrived.
     pub arrival_times: ArrivalEstimator,
     is_readiness_logged: bool,
     pending: PendingInput,
     pending_dials: Vec<Dial>,
-    /// Data nodes that were given attempts in this round.
+    /// Data nodes with attempts that are not yet put into frames.
     nodes_to_flush: BTreeSet<String>,
 }
 
 impl Dispatcher {
-    /// A dispatcher of a process with one core.
+    /// The dispatcher of a process with one core.
     pub fn new(
         clock: Clock,
         connection_config: ConnectionConfig,
@@ -171,19 +171,23 @@
         }
     }
 
-    /// Whether queries can be served: data nodes and, where one is followed, the shard map are known.
+    /// Whether queries can be served: data nodes and, if one is followed, the shard map are known, the endpoint list is
+    /// current, and no shutdown has begun.
     pub fn is_ready(&self) -> bool {
-        let is_led = self.shared.fence.passes(u64::MAX, self.clock.now()).is_ok();
-        let is_mapped = self.shard_map.as_ref().is_none_or(|shard_map| shard_map.version().is_some());
-        self.endpoints.has_nodes() && self.shutdown_phase == ShutdownPhase::Serving && is_led && is_mapped
+        let is_list_current = self.shared.fence.passes(u64::MAX, self.clock.now()).is_ok();
+        let has_shard_map = self.shard_map.as_ref().is_none_or(|shard_map| shard_map.version().is_some());
+        self.endpoints.has_nodes()
+            && self.shutdown_phase == ShutdownPhase::Serving
+            && is_list_current
+            && has_shard_map
     }
 
-    /// When the next round is due though nothing comes in.
+    /// When the next round is due even if there is no input.
     pub fn next_timer_s(&self) -> f64 {
         self.pending.next_timer_s().min(self.attempts.next_timeout_s())
     }
 
-    /// Ends what the clock ends: attempts past their time-out, and queries whose client waits no longer.
+    /// Ends attempts that have timed out and queries whose deadline has passed.
     pub fn expire_due(&mut self, now: f64) {
         for id in self.attempts.overdue(now) {
             self.abort_attempt(&id, AttemptOutcome::TimedOut);
@@ -193,7 +197,7 @@
         }
     }
 
-    /// Tells the policy all that came in since the last round.
+    /// Passes the input since the last round to the policy.
     pub fn notify_policy(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         self.log_readiness();
         self.notify_config(policy);
@@ -205,7 +209,8 @@
         if let Some(shard_map) = &mut self.shard_map {
             shard_map.notify_splits(policy);
         }
-        // Ends before begins: guards against a new query with the id of one that is over, which would get the other's.
+        // Ended queries and attempts come before new ones. Guards against a new query with the id of an ended one, to which
+        // the policy would apply the end.
         self.notify_ended_attempts(policy);
         self.pending.notify_disconnected(policy);
         self.notify_new_queries(policy);
@@ -224,7 +229,8 @@
         }
     }
 
-    /// After a failure of the policy: fails what is open, and tells the next round everything from the start.
+    /// Prepares the state for a restarted policy after a failure: fails all open queries, ends all attempts, and makes the
+    /// next round pass the full state.
     pub fn restart_policy(&mut self) {
         self.counters.increment("module_failures");
         self.fail_all_queries();
@@ -240,7 +246,7 @@
     }
 }
 
-/// The policy's decisions, carried out as they are written.
+/// Applies each decision of the policy at once.
 impl DecisionSink for Dispatcher {
     fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64) {
         self.start_attempt_at(request, node, timeout_s);
--- a/crates/router/src/state/dispatcher/observations.rs
+++ b/crates/router/src/state/dispatcher/observations.rs
@@ -1,10 +1,10 @@
-//! Observations of data nodes that cores and routers share.
+//! Observations of data nodes that cores and routers share with each other.
 use super::Dispatcher;
 use crate::state::shared::ObservationMessage;
 use alderway::interface::NodeObservation;
 
 impl Dispatcher {
-    /// Takes in what another core or router observed, for the next round.
+    /// Adds an observation of another core or router, which the policy gets in the next round.
     pub fn remote_observation(&mut self, message: ObservationMessage) {
         self.counters.increment("evidence_heard");
         self.observations.note(&message.node, message.observation);
@@ -12,7 +12,7 @@
         self.work_ready.notify_one();
     }
 
-    /// Takes in how many queries of other routers ended late and in time.
+    /// Adds the numbers of queries of other routers that ended late and in time.
     pub fn remote_fleet_counts(&mut self, late: u32, in_time: u32) {
         self.pending.add_fleet_counts(late, in_time);
         self.counters.add("fleet_late", late as usize);
@@ -20,14 +20,13 @@
         self.work_ready.notify_one();
     }
 
-    /// Tells the next round everything that others observed and that still holds, as a policy that starts anew knows
-    /// nothing.
+    /// Passes all observations of others that are still valid to the next round, for a restarted policy.
     pub fn replay_observations(&mut self) {
         self.pending.set_observations(self.observations.tell(self.clock.now()));
         self.work_ready.notify_one();
     }
 
-    /// Shares an observation of this core's policy with other routers and cores.
+    /// Sends an observation of this core's policy to other routers and cores.
     pub(super) fn publish_observation(&mut self, node: &str, observation: NodeObservation) {
         if let Some(gossip) = &self.gossip {
             gossip.share_observation(node, observation);
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -1,4 +1,4 @@
-//! Queries from their last byte to their final response: each gets exactly one.
+//! Queries, from their last byte to their final response. Each query gets exactly one response.
 use super::Dispatcher;
 use crate::state::clients::ClientConnection;
 use crate::state::queries::{Query, QueryError, QueryReservation};
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Opens a query, or rejects it where no capacity is left; either way it gets its one response.
+    /// Opens a query, or responds at once if there is no capacity or the router shuts down.
     ///
     /// # Errors
-    /// [`QueryError::IdInUse`] if a query with its id is open on some core.
+    /// [`QueryError::IdInUse`] if a query with the same id is open on any core.
     pub fn open_query(&mut self, client: &Rc<ClientConnection>, query: Query) -> Result<(), QueryError> {
         let class = query.class;
         let capacity = self.shared.capacity.take(1 + query.requests.len());
@@ -43,8 +43,8 @@
         Ok(())
     }
 
-    /// Guards against an answer to an attempt of an earlier query with the same id, in flight still where nothing is
-    /// cancelled: it would be taken for one of this query.
+    /// Guards against a reply to an attempt of an earlier query with the same id, which is still in flight where attempts are
+    /// not cancelled: the reply would be taken for one to the new query.
     fn abort_attempts_of_earlier_query(&mut self, query: &Query) {
         for request in &query.requests {
             for id in self.attempts.of_request(&request.id) {
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Ends a query whose client has closed its connection.
+    /// Ends a query whose client has closed the connection.
     pub fn client_disconnected(&mut self, number: u64) {
         self.abandon_query(number, "left");
     }
 
-    /// Ends a query whose client waits no longer.
+    /// Ends a query whose deadline has passed.
     pub(super) fn expire_query(&mut self, number: u64) {
         let Some(client) = self.queries.get(number).map(|query| query.client.clone()) else { return };
         client.respond(QueryResponse::DeadlineExceeded, client.close_after_response.get());
@@ -66,10 +66,10 @@
         self.abandon_query(number, "overdue");
     }
 
-    /// Ends a query without the policy, which is told in the next round.
-    fn abandon_query(&mut self, number: u64, what: &str) {
+    /// Ends a query without a decision of the policy, which gets its id in the next round. Counted as `queries_{counter}`.
+    fn abandon_query(&mut self, number: u64, counter: &str) {
         let Some(query) = self.queries.remove(number) else { return };
-        self.count_query(what, query.class);
+        self.count_query(counter, query.class);
         self.close_shard_requests(&query);
         for request in &query.requests {
             for id in self.attempts.of_request(&request.id) {
@@ -80,10 +80,10 @@
         self.work_ready.notify_one();
     }
 
-    /// Answers a query with what has come in.
+    /// Answers a query with the values received so far.
     pub(super) fn answer_query(&mut self, query_id: &str, complete: bool) {
-        let what = if complete { "merged" } else { "merged_in_part" };
-        let Some(query) = self.close_query(query_id, what) else { return };
+        let counter = if complete { "merged" } else { "merged_in_part" };
+        let Some(query) = self.close_query(query_id, counter) else { return };
         self.check_answer(&query, complete);
         let client = query.client.clone();
         client.respond(self.results(query, complete), client.close_after_response.get());
@@ -107,7 +107,7 @@
         QueryResponse::Results { complete, results: results.collect() }
     }
 
-    /// Rejects a query: a retry by its client is harmless.
+    /// Rejects a query. Its client may retry it without side effects.
     pub(super) fn reject_query(&mut self, query_id: &str, retry_after_s: Option<f64>) {
         let Some(query) = self.close_query(query_id, "rejected") else { return };
         self.check_rejection(&query);
@@ -129,10 +129,11 @@
         }
     }
 
-    /// Takes a query out of the table for its response, and settles whether its connection closes after that.
-    fn close_query(&mut self, query_id: &str, what: &str) -> Option<Query> {
+    /// Removes a query for its response, and decides whether its connection closes after the response. Counted as
+    /// `queries_{counter}`.
+    fn close_query(&mut self, query_id: &str, counter: &str) -> Option<Query> {
         let query = self.queries.number(query_id).and_then(|number| self.queries.remove(number))?;
-        self.count_query(what, query.class);
+        self.count_query(counter, query.class);
         self.close_shard_requests(&query);
         for request in &query.requests {
             self.recall_unsent(&request.id, AttemptOutcome::NeverSent);
@@ -143,8 +144,8 @@
         Some(query)
     }
 
-    /// Whether this side ends a connection with its present response. Guards against dropping what has been read behind
-    /// the request: it is owed a response as well.
+    /// Whether this side closes a connection after its current response because of a shutdown. Guards against dropping a
+    /// pipelined request that has been read: it has to be answered too.
     pub fn closes_connection(&self, client: &ClientConnection) -> bool {
         let closing = permits::ConnectionClose {
             query_open: false,
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Tells the policy the queries opened since the last round.
+    /// Passes the queries opened since the last round to the policy.
     pub(super) fn notify_new_queries(&mut self, policy: &mut dyn PolicyInput) {
         for number in std::mem::take(&mut self.pending.new_queries) {
             let Some(query) = self.queries.get(number) else { continue };
--- a/crates/router/src/state/dispatcher/replies.rs
+++ b/crates/router/src/state/dispatcher/replies.rs
@@ -1,4 +1,4 @@
-//! What data nodes reply: which attempt a reply ends, with what outcome, and what of it counts for the query.
+//! Replies of data nodes: which attempt a reply ends, with which outcome, and for which keys its value counts.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::ReplyMatch;
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Takes in a reply that came on a connection, after judging its outcome by the shard map. False for a shard
-    /// request that was not asked there.
+    /// Records a reply received on a connection, with its outcome corrected by the shard map. False if the shard request was
+    /// not sent on that connection.
     pub fn reply_received(&mut self, node: &str, connection: u64, reply: &NodeReply) -> bool {
         let outcome = self.classify_reply(node, reply);
         self.record_reply(node, connection, reply.request_id, outcome, reply.value)
@@ -28,8 +28,8 @@
         outcome
     }
 
-    /// Records a reply whose outcome is settled. One for a request that is over is passed over; false for a request
-    /// that was not asked there.
+    /// Records a reply with its final outcome. A reply to a request that has ended is counted and dropped. False if the shard
+    /// request was not sent on that connection.
     pub fn record_reply(
         &mut self,
         node: &str,
@@ -66,7 +66,7 @@
         self.recall_unsent(request_id, AttemptOutcome::Cancelled);
     }
 
-    /// The value counts for the keys asked for, and so for the requests that this one was split into as well.
+    /// Records the value for the requested keys. It also answers the requests that this one was split into.
     fn record_value_by_keys(&mut self, request_id: &Rc<str>, value: &str) {
         let shard_map = self.shard_map.as_ref();
         let split_into = shard_map.map_or(vec![], |shard_map| shard_map.families.heirs(request_id).to_vec());
--- a/crates/router/src/state/dispatcher/shard_changes.rs
+++ b/crates/router/src/state/dispatcher/shard_changes.rs
@@ -1,5 +1,5 @@
-//! What a change of the shard map does to open queries: attempts that have not begun are taken back from nodes that lost
-//! the shard, and shard requests that no node holds whole any more are split.
+//! Applies a change of the shard map to open queries: attempts whose frame has not begun end if their node no longer holds
+//! the shard, and shard requests whose shard no longer exists are split where necessary.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::AttemptPosition;
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// These shards have other holders now, or are gone.
+    /// Applies a change of the shard map by which these shards have other holders or no longer exist.
     pub fn shard_map_changed(&mut self, shards: &[ShardId]) {
         self.counters.increment("layout_changes");
-        // A change is rare, a query is not: open requests are searched here rather than indexed by shard.
+        // Open requests are searched here rather than indexed by shard, because changes are much rarer than queries.
         let open = self.queries.unsplit_requests_of(shards);
         for &shard in shards {
             let Some(shard_map) = &self.shard_map else { return };
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Splits an open shard request by the newest shard map, if it must be.
+    /// Splits an open shard request by the newest shard map, if that is necessary.
     fn split_request(&mut self, request_id: &Rc<str>) {
         let Some((number, query, index)) = self.queries.query_of_request(request_id) else { return };
         let request = &query.requests[index];
@@ -47,7 +47,7 @@
             return;
         };
         let split_into = shard_map.split_requests(&query.id, request);
-        // Guards against many queries that grow past the memory limit by one change of the shard map.
+        // Guards against one change of the shard map making many queries exceed the memory limit.
         let Some(capacity) = self.shared.capacity.take(split_into.len()) else {
             return self.counters.increment("divisions_without_room");
         };
@@ -63,7 +63,7 @@
         self.counters.increment("parts_divided");
     }
 
-    /// Tells the policy the shards that nothing refers to any more, and forgets splits of requests that are over.
+    /// Reports the shards that are no longer in use to the policy, and drops the splits of requests that have ended.
     pub(super) fn notify_retired_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(shard_map) = &mut self.shard_map else { return };
         shard_map.notify_retired(now, policy);
