--- a/crates/router/src/state/arrival_time.rs
+++ b/crates/router/src/state/arrival_time.rs
@@ -1,31 +1,31 @@
-//! When bytes arrived, from the system's timestamps and without trusting the wall clock.
+//! Estimates when bytes arrived, in time of the monotonic clock, from the kernel's wall-clock timestamps.
 //!
-//! The system stamps bytes by its wall clock, which may step at any time. Timestamps are therefore compared with each
-//! other alone: a timestamp is never later than the moment at which its bytes are read, and most bytes are read at once,
-//! so the largest difference between a timestamp and the time of its reading is the offset of the wall clock to the
-//! monotonic clock.
+//! The wall clock may step at any time, so timestamps are only compared with each other. A timestamp is never later than
+//! the moment at which its bytes are read, and most bytes are read at once. The largest difference between a timestamp
+//! and the monotonic time of its read is therefore the offset of the wall clock to the monotonic clock.
 
-/// Offsets kept. After a step back of the wall clock a request may seem older than it is until as many have been read.
+/// Number of offsets kept. After the wall clock steps back, a request may seem older than it is until as many offsets have
+/// been recorded.
 const MAX_OFFSETS: usize = 64;
-/// What a timestamp may be off by because of rounding.
+/// Largest rounding error of a timestamp.
 const ROUNDING_S: f64 = 0.001;
 
-/// Estimates arrival times from the timestamps of one thread's connections.
+/// Estimates arrival times from the timestamps of the connections of one thread.
 #[derive(Debug)]
 pub struct ArrivalEstimator {
-    /// Timestamps less the times at which their bytes were read, as a ring.
+    /// Ring buffer of offsets: timestamps minus the monotonic times at which their bytes were read.
     offsets_s: Vec<f64>,
     next: usize,
 }
 
 impl ArrivalEstimator {
-    /// Begins with what the wall clock shows, which may be wrong.
+    /// Starts with the offset of the wall clock's current time, which may be wrong.
     pub fn new(now: f64, unix_now: f64) -> Self {
         ArrivalEstimator { offsets_s: vec![unix_now - now], next: 0 }
     }
 
-    /// When bytes arrived that are read now, in seconds of the monotonic clock: not before `since`, when nothing of the
-    /// connection was unread.
+    /// When the bytes that are read now arrived, in seconds of the monotonic clock. They cannot have arrived before `since`,
+    /// when the connection had no unread bytes.
     pub fn arrival_time(&mut self, now: f64, since: f64, timestamp: f64) -> f64 {
         let offset = timestamp - now;
         if self.offsets_s.len() < MAX_OFFSETS {
@@ -39,7 +39,7 @@
         if arrived_at >= since - ROUNDING_S {
             return arrived_at.min(now);
         }
-        // The wall clock has stepped back, or what was kept was wrong from the start.
+        // The wall clock has stepped back, or the first offset was wrong.
         self.offsets_s = vec![offset];
         self.next = 0;
         now
--- a/crates/router/src/state/attempts.rs
+++ b/crates/router/src/state/attempts.rs
@@ -1,15 +1,15 @@
-//! Attempts that have not ended, and outcomes that the next round tells the policy.
+//! Attempts in flight, and the outcomes of ended attempts until the next round passes them to the policy.
 use super::timer_queue::TimerQueue;
 use alderway::interface::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// Id of its shard request.
+    /// Id of the shard request.
     pub request_id: Rc<str>,
-    /// Its number among that request's attempts, from 0.
+    /// Index of the attempt among that request's attempts, from 0.
     pub number: usize,
 }
 
@@ -22,29 +22,29 @@
 
 /// An attempt in flight.
 pub struct Attempt {
-    /// The data node that was chosen.
+    /// The data node that the attempt goes to.
     pub node: String,
-    /// The connection that carries it, once one is chosen.
+    /// Number of the connection that carries the attempt, once a connection is chosen.
     pub connection: Option<u64>,
     /// When the policy started it.
     pub started_at_s: f64,
-    /// When its time-out passes.
+    /// When the attempt times out.
     pub timeout_at_s: f64,
 }
 
-/// An attempt that has ended, for the policy.
+/// An ended attempt, as the policy gets it.
 pub struct EndedAttempt {
     /// Which attempt.
     pub id: AttemptId,
-    /// The data node that it went to.
+    /// The data node that the attempt went to.
     pub node: String,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Seconds from its start to its end.
+    /// Seconds from the start of the attempt to its end.
     pub latency_s: f64,
 }
 
-/// Attempts from `start` to `end`.
+/// The attempts of one core, each from `start` to `end`.
 #[derive(Default)]
 pub struct AttemptTable {
     in_flight: BTreeMap<AttemptId, Attempt>,
@@ -53,24 +53,24 @@
 }
 
 impl AttemptTable {
-    /// Records an attempt that starts now.
+    /// Records that an attempt starts now.
     pub fn start(&mut self, id: AttemptId, node: &str, now: f64, timeout_at_s: f64) {
         self.timeouts.insert(timeout_at_s, id.clone());
         let attempt = Attempt { node: node.into(), connection: None, started_at_s: now, timeout_at_s };
         self.in_flight.insert(id, attempt);
     }
 
-    /// An attempt in flight.
+    /// An attempt in flight; `None` if it has ended.
     pub fn get_mut(&mut self, id: &AttemptId) -> Option<&mut Attempt> {
         self.in_flight.get_mut(id)
     }
 
-    /// An attempt in flight.
+    /// An attempt in flight; `None` if it has ended.
     pub fn get(&self, id: &AttemptId) -> Option<&Attempt> {
         self.in_flight.get(id)
     }
 
-    /// Ends an attempt. The first outcome counts: one that has ended is unknown from there on.
+    /// Ends an attempt and queues its outcome for the policy. Does nothing if the attempt has ended: the first outcome counts.
     pub fn end(&mut self, id: &AttemptId, outcome: AttemptOutcome, now: f64) -> Option<Attempt> {
         let attempt = self.in_flight.remove(id)?;
         self.timeouts.remove(attempt.timeout_at_s, id);
@@ -78,45 +78,46 @@
         Some(attempt)
     }
 
-    /// Reports an outcome to the policy, as for a shard request that shares its attempt with others.
+    /// Queues an outcome for the policy without ending an attempt in flight: one shard request stops waiting for an attempt
+    /// that it shares with others.
     pub fn report_end(&mut self, id: AttemptId, node: &str, outcome: AttemptOutcome, latency_s: f64) {
         self.ended.push(EndedAttempt { id, node: node.into(), outcome, latency_s });
     }
 
-    /// Outcomes since this was last called, in their order.
+    /// Takes the outcomes queued since the last call, oldest first.
     pub fn take_ended(&mut self) -> Vec<EndedAttempt> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// All attempts in flight.
+    /// Ids of all attempts in flight.
     pub fn ids(&self) -> Vec<AttemptId> {
         self.in_flight.keys().cloned().collect()
     }
 
-    /// Attempts in flight of one shard request.
+    /// Ids of the attempts in flight of one shard request.
     pub fn of_request(&self, request_id: &str) -> Vec<AttemptId> {
         let first = AttemptId::new(request_id, 0);
-        let here = self.in_flight.range(first..).take_while(|(id, _)| &*id.request_id == request_id);
-        here.map(|(id, _)| id.clone()).collect()
+        let attempts = self.in_flight.range(first..).take_while(|(id, _)| &*id.request_id == request_id);
+        attempts.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Attempts in flight at one data node.
+    /// Ids of the attempts in flight at one data node.
     pub fn on_node(&self, node: &str) -> Vec<AttemptId> {
-        let here = self.in_flight.iter().filter(|(_, attempt)| attempt.node == node);
-        here.map(|(id, _)| id.clone()).collect()
+        let attempts = self.in_flight.iter().filter(|(_, attempt)| attempt.node == node);
+        attempts.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Attempts past their time-out, the earliest first.
+    /// Ids of the attempts that have timed out, the earliest time-out first.
     pub fn overdue(&self, now: f64) -> Vec<AttemptId> {
         self.timeouts.due(now).cloned().collect()
     }
 
-    /// When the next time-out passes; infinite where none is set.
+    /// When the next attempt times out; infinite if none is in flight.
     pub fn next_timeout_s(&self) -> f64 {
         self.timeouts.next_due()
     }
--- a/crates/router/src/state/counters.rs
+++ b/crates/router/src/state/counters.rs
@@ -1,9 +1,9 @@
-//! Counters, printed on request and at exit.
+//! Counters, which are printed on request and at exit.
 use alderway::interface::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// One figure for each name; a name may end in a label, as in `queries_taken{search}`.
+/// Sums and maxima by name. A name may end with a label, as in `queries_taken{search}`.
 #[derive(Clone, Default)]
 pub struct Counters {
     sums: BTreeMap<String, u64>,
@@ -11,7 +11,7 @@
 }
 
 impl Counters {
-    /// Adds to a sum.
+    /// Adds `count` to a sum.
     pub fn add(&mut self, name: &str, count: usize) {
         match self.sums.get_mut(name) {
             Some(sum) => *sum += count as u64,
@@ -24,13 +24,13 @@
         self.add(name, 1);
     }
 
-    /// Keeps the largest value.
+    /// Raises a maximum to `value` if that is larger.
     pub fn record_max(&mut self, name: &str, value: u64) {
         let largest = self.maxima.entry(name.to_string()).or_default();
         *largest = value.max(*largest);
     }
 
-    /// Adds what another core counted.
+    /// Adds the sums of another core, and takes its maxima where they are larger.
     pub fn merge(&mut self, other: &Counters) {
         other.sums.iter().for_each(|(name, sum)| self.add(name, *sum as usize));
         other.maxima.iter().for_each(|(name, value)| self.record_max(name, *value));
@@ -51,7 +51,7 @@
         });
     }
 
-    /// One line for each name, as `rounds 17`.
+    /// One line for each name, like `rounds 17`.
     pub fn text(&self) -> String {
         self.sums.iter().chain(&self.maxima).fold(String::new(), |mut text, (name, value)| {
             let _ = writeln!(text, "{name} {value}");
--- a/crates/router/src/state/descriptors.rs
+++ b/crates/router/src/state/descriptors.rs
@@ -1,32 +1,33 @@
-//! The file descriptors of the process, split into two pools so that neither clients nor data nodes can take the other's,
-//! nor those of the listener and discovery.
+//! The file descriptors of the process, split into a pool for clients and one for data nodes. Neither can use up the
+//! descriptors of the other, or those of the listener and the connection to discovery.
 use alderway_cores::pool::{Pool, Taken};
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// What the buffer of one client's connection may grow to: the largest request.
+/// The largest size of a client connection's read buffer: that of the largest request.
 pub const CLIENT_BUFFER_BYTES: usize = 84 * 1024;
 
-/// Kept apart: standard streams, those of the acceptor's runtime, the listener, discovery's connection and one in passing.
+/// Reserved: standard streams, the acceptor's runtime, the listener, the connection to discovery, and one for a file that
+/// is open briefly.
 const RESERVED_BASE: usize = 16;
-/// Kept apart for the runtime of each core, where there are several.
+/// Reserved for the runtime of each core if there are several cores.
 const RESERVED_PER_CORE: usize = 4;
-/// The fewest descriptors for clients and data nodes of a core.
+/// The least number of descriptors for the clients and data nodes of each core.
 const MINIMUM_PER_CORE: usize = 4;
-/// Clients get one of so many parts of the descriptors.
+/// Clients get this fraction, as a divisor, of all descriptors.
 const CLIENT_DIVISOR: usize = 3;
-/// Half-sent requests of all clients may take one of so many parts of the memory.
+/// The read buffers of all clients may take this fraction, as a divisor, of the memory.
 const CLIENT_MEMORY_DIVISOR: usize = 4;
 
-/// One pool, shared by all cores.
+/// A pool of descriptors that all cores share.
 pub struct DescriptorPool {
-    /// The descriptors that are free.
+    /// Counts the free descriptors.
     pub pool: Arc<Pool>,
-    /// Woken when one is given back.
+    /// Notified when a descriptor is released.
     pub released: Notify,
 }
 
-/// The right to hold one descriptor, given back on drop.
+/// The right to use one descriptor, released on drop.
 pub struct DescriptorPermit {
     taken: Option<Taken>,
     pool: Arc<DescriptorPool>,
@@ -37,7 +38,7 @@
         Arc::new(DescriptorPool { pool: Pool::new(count), released: Notify::new() })
     }
 
-    /// Takes one, if any is free.
+    /// Acquires a descriptor, if one is free.
     pub fn acquire(self: &Arc<Self>) -> Option<DescriptorPermit> {
         Some(DescriptorPermit { taken: Some(self.pool.take(1)?), pool: self.clone() })
     }
@@ -50,17 +51,17 @@
     }
 }
 
-/// Descriptors kept apart from both pools. A single core is its own acceptor.
+/// Number of descriptors in neither pool. A single core runs in the acceptor's runtime and needs no further descriptors.
 pub fn reserved(cores: usize) -> usize {
     RESERVED_BASE + if cores > 1 { RESERVED_PER_CORE * cores } else { 0 }
 }
 
-/// The fewest descriptors that so many cores can run with.
+/// The least number of descriptors with which `cores` cores can run.
 pub fn minimum(cores: usize) -> usize {
     reserved(cores) + MINIMUM_PER_CORE * cores.max(1)
 }
 
-/// The pools of clients and of data nodes, out of `limit` descriptors and `memory` bytes.
+/// The pool for clients and the pool for data nodes, from a limit of `limit` descriptors and `memory` bytes.
 pub fn split(limit: usize, memory: usize, cores: usize) -> (Arc<DescriptorPool>, Arc<DescriptorPool>) {
     let available = limit.saturating_sub(reserved(cores)).max(2);
     let clients = (limit / CLIENT_DIVISOR).min(available - available / 2);
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the data nodes as discovery names them, each with the connections to it.
+//! The endpoint list: the data nodes that discovery reports, each with the connections to it.
 use super::attempts::AttemptId;
 use super::node_connection::NodeConnection;
 use alderway::interface::{NodeState, PolicyInput};
@@ -8,67 +8,68 @@
 
 /// A data node with the connections to it.
 pub struct NodeRecord {
-    /// Where it listens.
+    /// The address on which the node listens.
     pub address: SocketAddr,
-    /// The replica group that it belongs to.
+    /// The replica group that the node belongs to.
     pub replica_group: u32,
-    /// Its state in the list.
+    /// The state of the node in the list.
     pub state: NodeState,
-    /// Its state before the list that is being applied.
+    /// The state of the node before the list that is being applied.
     previous_state: NodeState,
-    /// When its process is taken to have started.
+    /// The estimated start of the node's process.
     pub started_at_s: Option<f64>,
-    /// The start as discovery reported it, which tells one process from the next.
+    /// The start of the process as discovery reported it. It changes when the process restarts.
     reported_start_s: Option<f64>,
     /// Connections by number.
     pub connections: BTreeMap<u64, NodeConnection>,
-    /// Attempts of this round, not yet put into frames.
+    /// Attempts of this round that are not yet put into frames.
     pub unsent_attempts: Vec<AttemptId>,
 }
 
-/// A data node as the acceptor core tells it to the others.
+/// A data node in the list that the acceptor core passes to the other cores.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the node listens.
     pub address: SocketAddr,
-    /// The replica group that it belongs to.
+    /// The replica group that the node belongs to.
     pub replica_group: u32,
-    /// Its state in the list.
+    /// The state of the node in the list.
     pub state: NodeState,
-    /// When its process is taken to have started.
+    /// The estimated start of the node's process.
     pub started_at_s: Option<f64>,
 }
 
-/// All data nodes, and what of them the policy has not been told yet.
+/// All data nodes, and the changes to them since the last round.
 #[derive(Default)]
 pub struct EndpointTable {
-    /// The nodes by name.
+    /// Data nodes by name.
     pub nodes: BTreeMap<String, NodeRecord>,
     /// The version of the list that is applied.
     pub version: Option<u64>,
-    /// A whole list came since the last round.
+    /// Whether a full list was applied since the last round.
     pub is_replaced: bool,
-    /// A poll failed since the last round.
+    /// Whether a poll failed since the last round.
     pub has_poll_failed: bool,
     /// Nodes that changed since the last round.
     pub changed: BTreeSet<String>,
     /// Number of the newest connection.
     pub last_connection: u64,
-    /// When discovery was last heard.
+    /// When discovery last sent something.
     pub last_contact_s: Option<f64>,
-    /// Whether some node may be removed: otherwise none is looked for.
+    /// Whether some node may be removed. Otherwise the search for removed nodes is skipped.
     has_removed: bool,
-    /// Whether the list that is being applied is a whole one.
+    /// Whether the list that is being applied is a full list.
     is_full_list: bool,
-    /// Whether it is older than one that was applied before.
+    /// Whether the list that is being applied is older than one applied before.
     is_older_list: bool,
+    /// The highest version applied so far.
     newest_version: u64,
 }
 
 impl EndpointTable {
-    /// Begins a list or a change of one; with a whole list, nodes that it does not name are removed.
+    /// Begins to apply a full list or a change. Nodes that a full list does not name are removed.
     pub fn begin_update(&mut self, version: u64, is_full_list: bool) {
         self.version = Some(version);
         (self.is_full_list, self.is_older_list) = (is_full_list, version < self.newest_version);
@@ -87,8 +88,8 @@
         if self.is_full_list { record.previous_state } else { record.state }
     }
 
-    /// An entry cannot be used: its node stays as it was, or drains or goes as far as its state could be read. A node
-    /// of which nothing else is known stays unknown.
+    /// Applies an entry that cannot be used. If its state could be read and is draining or removed, the node gets that state;
+    /// otherwise it stays as it was. An unknown node stays unknown.
     pub fn mark_unreadable(&mut self, name: &str, state: Option<NodeState>) {
         let Some(before) = self.nodes.get(name).map(|record| self.state_before(record)) else { return };
         let state = state.filter(|state| *state != NodeState::Serving).unwrap_or(before);
@@ -99,7 +100,8 @@
         self.changed.insert(name.to_string());
     }
 
-    /// Applies an entry of discovery, whose start is by the wall clock as it was when this program began.
+    /// Applies an entry from discovery. `reported_start_s` is converted from wall-clock time with the clock offset that was
+    /// measured when this program started.
     pub fn update_from_discovery(
         &mut self,
         name: &str,
@@ -122,8 +124,8 @@
         }
     }
 
-    /// Applies one entry. Connections to an address that is no longer the node's are retired, and those to a process
-    /// that has been restarted since are aborted: nobody there will answer.
+    /// Applies one entry. If the node's address has changed, the connections to the old address are retired. If its process
+    /// has restarted, the connections opened before are aborted: nothing will answer on them.
     pub fn update(
         &mut self,
         name: &str,
@@ -154,8 +156,8 @@
             return;
         }
         let (has_moved, has_restarted) = (record.address != address, record.started_at_s != started_at_s);
-        // Guards against a list older than one applied before, as another agent may have it: a process that drains or
-        // is gone does not come back.
+        // Guards against a list older than one applied before, which another discovery agent may send: a process that
+        // drains or is removed does not serve again.
         let is_revival = self.is_older_list && !has_restarted && state == NodeState::Serving;
         for connection in record.connections.values_mut() {
             connection.is_retired |= has_moved;
@@ -171,7 +173,7 @@
         record.started_at_s = started_at_s;
     }
 
-    /// All that serve or drain.
+    /// All data nodes that serve or drain.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         let present = self.nodes.iter().filter(|(_, record)| record.state != NodeState::Removed);
         let endpoint = |(name, record): (&String, &NodeRecord)| Endpoint {
@@ -184,7 +186,7 @@
         present.map(endpoint).collect()
     }
 
-    /// Applies the whole list of another core; what is the same stays untouched.
+    /// Applies the full list of another core. Nodes that did not change are not reported to the policy.
     pub fn adopt(&mut self, list: &[Endpoint]) {
         let named: BTreeSet<&str> = list.iter().map(|endpoint| endpoint.name.as_str()).collect();
         for (name, record) in &mut self.nodes {
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Tells the policy what changed since it was last told.
+    /// Passes the changes since the last round to the policy.
     pub fn notify_policy(&mut self, policy: &mut dyn PolicyInput) {
         if std::mem::take(&mut self.has_poll_failed) {
             policy.endpoint_poll_failed();
@@ -221,7 +223,7 @@
         }
     }
 
-    /// The next round tells the whole list, as to a policy that starts anew.
+    /// Marks all nodes as changed, so that a restarted policy gets the full list in the next round.
     pub fn mark_all_changed(&mut self) {
         self.is_replaced = true;
         self.changed = self.nodes.keys().cloned().collect();
@@ -232,7 +234,7 @@
         self.nodes.get_mut(node)?.connections.get_mut(&number)
     }
 
-    /// Retires the connections of removed nodes. Returns the nodes that do not serve and may have attempts that have
+    /// Retires the connections of removed nodes. Returns the nodes that do not serve and may have attempts whose frame has
     /// not begun.
     pub fn retire_unserving(&mut self) -> Vec<String> {
         let mut unserving = Vec::new();
@@ -251,7 +253,7 @@
         unserving
     }
 
-    /// Forgets removed nodes that have no connection left.
+    /// Drops the removed nodes that have no connection left.
     pub fn drop_removed(&mut self) {
         if self.has_removed {
             let is_kept =
@@ -266,7 +268,7 @@
         !self.nodes.is_empty()
     }
 
-    /// Retires the connection that has been idle longest, to make room for a dial; false if none is idle.
+    /// Retires the connection that has been idle longest, to free its descriptor for a dial; false if none is idle.
     pub fn retire_longest_idle(&mut self) -> bool {
         let connections = self.nodes.values_mut().flat_map(|record| record.connections.values_mut());
         let usable = connections.filter(|connection| connection.is_open && !connection.is_retired);
--- a/crates/router/src/state/gossip_link.rs
+++ b/crates/router/src/state/gossip_link.rs
@@ -1,11 +1,11 @@
-//! The dispatcher's way to the other routers.
+//! The dispatcher's interface to the exchange of observations with other routers.
 use super::metrics::MetricsSource;
 use alderway::interface::NodeObservation;
 
-/// Shares what this router learns with the other routers of the fleet.
+/// Sends what this router observes to the other routers of the fleet.
 pub trait GossipLink: MetricsSource {
-    /// Shares an observation of a data node.
+    /// Sends an observation of a data node.
     fn share_observation(&self, node: &str, observation: NodeObservation);
-    /// Counts a query that had attempts and has ended; `late` is whether it counts as overload.
+    /// Counts a query that has ended after at least one attempt. `late` says whether it is evidence of overload.
     fn query_ended(&self, late: bool);
 }
--- a/crates/router/src/state/metrics.rs
+++ b/crates/router/src/state/metrics.rs
@@ -2,26 +2,26 @@
 use super::counters::Counters;
 use std::fmt::Write;
 
-/// Known to all cores alike: the sum over cores would count each data node several times.
+/// Every core knows the same data nodes, so this gauge is not summed over cores: it would count each node several times.
 const NODES_KNOWN: &str = "nodes_known";
 
-/// A component beside the dispatcher that counts.
+/// A component other than the dispatcher that has metrics.
 pub trait MetricsSource {
-    /// Its counters and gauges now.
+    /// The current counters and gauges of the component.
     fn metrics(&self) -> MetricsSnapshot;
 }
 
-/// What a core has counted, and what is open on it now.
+/// The counters and gauges of a core at one moment.
 #[derive(Clone, Default)]
 pub struct MetricsSnapshot {
-    /// Sums and maxima since the start.
+    /// Sums and maxima since the core started.
     pub counters: Counters,
-    /// Name and present value.
+    /// Gauges, each with its name and current value.
     pub gauges: Vec<(&'static str, u64)>,
 }
 
 impl MetricsSnapshot {
-    /// Adds those of another core.
+    /// Adds the counters and gauges of another core.
     pub fn merge(&mut self, other: &MetricsSnapshot) {
         self.counters.merge(&other.counters);
         for &(name, value) in &other.gauges {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// One line for each name, as `queries_open 3`.
+    /// One line for each name, like `queries_open 3`.
     pub fn text(&self) -> String {
         self.gauges.iter().fold(self.counters.text(), |mut text, (name, value)| {
             let _ = writeln!(text, "{name} {value}");
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -1,19 +1,20 @@
-//! The state of one core, and what the cores of a process share. Nothing here reads or writes a socket or knows a
-//! protocol: edges hand decoded values to the [`Dispatcher`](dispatcher::Dispatcher) and encode what it gives them.
-//! Each core has a dispatcher of its own, used by that core's thread alone; no borrow of it outlasts a call.
+//! The state of one core, and the state that the cores of a process share. Nothing here reads or writes a socket or knows
+//! a protocol: the tasks of connections pass decoded values to the [`Dispatcher`](dispatcher::Dispatcher) and encode the
+//! values that it returns. Each core has its own dispatcher, which only that core's thread uses; no borrow of it outlives
+//! a call.
 //!
-//! | state | owner | taken by | given back by |
+//! | state | owner | acquired by | released by |
 //! | --- | --- | --- | --- |
 //! | open queries, their shard requests, capacity and id claims | [`queries::QueryTable`] | `dispatcher/queries.rs` | the query's final response |
 //! | attempts in flight, their time-outs and outcomes | [`attempts::AttemptTable`] | `dispatcher/attempts.rs` | `end_attempt` |
 //! | data nodes of the endpoint list | [`endpoints::EndpointTable`] | discovery, the acceptor core | removal with its last connection |
-//! | connections to data nodes, frames queued and in flight | [`node_connection::NodeConnection`] in its node's record | `choose_connection` | `connection_lost` and its like |
+//! | connections to data nodes, frames queued and in flight | [`node_connection::NodeConnection`] in its node's record | `choose_connection` | `connection_lost`, `connection_corrupted`, `connection_not_opened`, `requeue_unsent` |
 //! | connections of clients and their responses | [`clients::ClientTable`] | the connection's task | the same task |
 //! | the shard map and splits of open shard requests | [`shard_map::ShardMapView`] | `dispatcher/shard_changes.rs` | retirement of the shard |
 //! | query classes and the configuration in force | [`query_classes::ClassTable`] | `dispatcher/config.rs` | the last open query of the class |
-//! | what the policy has not been told yet | [`pending_input::PendingInput`] | the dispatcher | the next round |
-//! | file descriptors | [`descriptors::DescriptorPool`] | whoever opens a socket | drop of its permit |
-//! | capacity, id claims, fence, commands and figures of all cores | [`shared::SharedState`] | each core | each core |
+//! | input that the policy has not received yet | [`pending_input::PendingInput`] | the dispatcher | the next round |
+//! | file descriptors | [`descriptors::DescriptorPool`] | the task that opens a socket | drop of its permit |
+//! | capacity, id claims, fence, commands and metrics of all cores | [`shared::SharedState`] | each core | each core |
 #![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod arrival_time;
--- a/crates/router/src/state/pending_input.rs
+++ b/crates/router/src/state/pending_input.rs
@@ -1,4 +1,4 @@
-//! What came in since the last round and is not yet told to the policy, apart from what the tables keep themselves.
+//! Input that the policy gets in the next round, except for input that the tables of the state keep themselves.
 use alderway::interface::{NodeObservation, PolicyInput};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,19 +9,19 @@
     tag: u64,
 }
 
-/// How queries of other routers ended.
+/// Numbers of queries of other routers that ended late and in time.
 #[derive(Clone, Copy, Default)]
 struct FleetLatencyCounts {
     late: u32,
     in_time: u32,
 }
 
-/// Input of the policy that waits for the next round.
+/// Input for the policy since the last round.
 #[derive(Default)]
 pub struct PendingInput {
     /// Numbers of queries opened since the last round.
     pub new_queries: Vec<u64>,
-    /// Ids of queries that ended without the policy.
+    /// Ids of queries that ended without a decision of the policy.
     pub disconnected_queries: Vec<Rc<str>>,
     observations: BTreeMap<String, NodeObservation>,
     fleet_counts: Option<FleetLatencyCounts>,
@@ -29,17 +29,17 @@
 }
 
 impl PendingInput {
-    /// The newest observation of a data node takes the place of an earlier one.
+    /// Adds an observation of a data node; it replaces an earlier one of that node.
     pub fn add_observation(&mut self, node: String, observation: NodeObservation) {
         self.observations.insert(node, observation);
     }
 
-    /// Replaces all observations that wait.
+    /// Replaces all pending observations.
     pub fn set_observations(&mut self, observations: impl IntoIterator<Item = (String, NodeObservation)>) {
         self.observations = observations.into_iter().collect();
     }
 
-    /// Adds queries of other routers that ended late and in time.
+    /// Adds the numbers of queries of other routers that ended late and in time.
     pub fn add_fleet_counts(&mut self, late: u32, in_time: u32) {
         let counts = self.fleet_counts.get_or_insert_default();
         counts.late = counts.late.saturating_add(late);
@@ -51,12 +51,12 @@
         self.timers.push(PolicyTimer { due_at_s, tag });
     }
 
-    /// When the next timer is due; infinite where none is set.
+    /// When the next timer is due; infinite if none is set.
     pub fn next_timer_s(&self) -> f64 {
         self.timers.iter().map(|timer| timer.due_at_s).fold(f64::INFINITY, f64::min)
     }
 
-    /// Tells what other decision points observed.
+    /// Passes the observations and latency counts of other cores and routers to the policy.
     pub fn notify_observations(&mut self, policy: &mut dyn PolicyInput) {
         if let Some(FleetLatencyCounts { late, in_time }) = self.fleet_counts.take() {
             policy.fleet_latency_counts(late, in_time);
@@ -66,21 +66,21 @@
         }
     }
 
-    /// Tells which queries ended without the policy.
+    /// Passes the ids of queries that ended without a decision of the policy.
     pub fn notify_disconnected(&mut self, policy: &mut dyn PolicyInput) {
         for query_id in std::mem::take(&mut self.disconnected_queries) {
             policy.client_disconnected(&query_id);
         }
     }
 
-    /// Fires the timers that are due.
+    /// Fires and removes the timers that are due.
     pub fn notify_timers(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let due: Vec<u64> =
             self.timers.extract_if(.., |timer| timer.due_at_s <= now).map(|timer| timer.tag).collect();
         due.into_iter().for_each(|tag| policy.timer_fired(tag));
     }
 
-    /// Drops what concerns queries that a policy which starts anew never heard of.
+    /// Drops input about queries and timers that a restarted policy does not know.
     pub fn clear_for_restart(&mut self) {
         self.new_queries.clear();
         self.disconnected_queries.clear();
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -12,15 +12,15 @@
 /// Why a query cannot be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryError {
-    /// A query with its id is open.
+    /// A query with the same id is open.
     IdInUse,
-    /// No shard map has come yet.
+    /// No shard map has been received yet.
     NoShardMap,
-    /// It names a shard that does not exist.
+    /// A target names a shard that does not exist.
     UnknownShard,
-    /// It names keys that do not exist.
+    /// A target names keys that do not exist.
     UnknownKeys,
-    /// It names some keys twice.
+    /// Targets overlap.
     DuplicateKeys,
     /// A target names both a shard and keys, or neither.
     AmbiguousTarget,
@@ -31,9 +31,9 @@
         formatter.write_str(match self {
             QueryError::IdInUse => "a query with this id is open",
             QueryError::NoShardMap => "no shard map is known yet",
-            QueryError::UnknownShard => "a shard that does not exist",
-            QueryError::UnknownKeys => "keys that do not exist",
-            QueryError::DuplicateKeys => "some keys are asked for twice",
+            QueryError::UnknownShard => "a target names a shard that does not exist",
+            QueryError::UnknownKeys => "a target names keys that do not exist",
+            QueryError::DuplicateKeys => "targets overlap",
             QueryError::AmbiguousTarget => "a target must name either a shard or keys",
         })
     }
@@ -41,73 +41,73 @@
 
 impl std::error::Error for QueryError {}
 
-/// An attempt that may have been executed.
+/// An attempt that a data node may have executed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PossibleExecution {
     attempt: usize,
     begun_at_s: f64,
 }
 
-/// A query's request to one shard.
+/// The part of a query that goes to one shard.
 pub struct ShardRequest {
-    /// Its id, unique among open queries.
+    /// Id of the request, unique among open queries.
     pub id: Rc<str>,
-    /// The shard asked.
+    /// The requested shard.
     pub shard: u32,
     /// Its fraction of the query.
     pub weight: f64,
-    /// As the data node gave it.
+    /// The value, as the data node sent it.
     pub value: Option<String>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: usize,
-    /// The keys asked for, where a shard map is followed.
+    /// The requested keys, if a shard map is followed.
     pub keys: Option<RequestedKeys>,
     possible_executions: Vec<PossibleExecution>,
 }
 
-/// The keys that a shard request asks for.
+/// The keys of a shard request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestedKeys {
-    /// From the first key to below the last.
+    /// The requested range of keys.
     pub range: Range,
-    /// The client asked for a shard and can use nothing but one value for it.
+    /// Whether the client asked for a shard rather than for keys, and so needs one value for all of it.
     pub is_whole_shard: bool,
-    /// It was split into several requests; its late answer still counts.
+    /// Whether the request was split into several. Its late answer still counts.
     pub is_split: bool,
-    /// All its keys are answered.
+    /// Whether all keys are answered.
     pub is_answered: bool,
 }
 
 impl RequestedKeys {
-    /// Keys that are asked for and unanswered.
+    /// Keys without an answer.
     pub fn new(range: Range, is_whole_shard: bool) -> Self {
         RequestedKeys { range, is_whole_shard, is_split: false, is_answered: false }
     }
 }
 
 impl ShardRequest {
-    /// A request without an attempt.
+    /// A request without attempts.
     pub fn new(id: Rc<str>, shard: u32, weight: f64) -> Self {
         ShardRequest { id, shard, weight, value: None, attempts: 0, keys: None, possible_executions: vec![] }
     }
 
-    /// When the first of its attempts that may have been executed began, `except` left out.
+    /// When the frame of the first attempt that may have been executed began. Ignores the attempt `except`.
     pub fn first_possible_execution(&self, except: Option<usize>) -> Option<f64> {
         let others = self.possible_executions.iter().filter(|execution| Some(execution.attempt) != except);
         others.map(|execution| execution.begun_at_s).reduce(f64::min)
     }
 
-    /// Whether any attempt may have been executed.
+    /// Whether a data node may have executed any attempt.
     pub fn may_have_executed(&self) -> bool {
         !self.possible_executions.is_empty()
     }
 
-    /// The frame of an attempt begins to be written.
+    /// Records that the frame of an attempt begins to be written: from now on it may be executed.
     pub fn note_execution(&mut self, attempt: usize, now: f64) {
         self.possible_executions.push(PossibleExecution { attempt, begun_at_s: now });
     }
 
-    /// An attempt is known not to have been executed.
+    /// Records that an attempt was certainly not executed.
     pub fn forget_execution(&mut self, attempt: usize) {
         self.possible_executions.retain(|execution| execution.attempt != attempt);
     }
@@ -118,52 +118,52 @@
     }
 }
 
-/// A query that is open, or about to be.
+/// A query that is open or is about to be opened.
 pub struct Query {
-    /// Its id, as the client gave it.
+    /// The id that the client gave the query.
     pub id: Rc<str>,
-    /// Slot of its query class.
+    /// Slot of the query class.
     pub class: usize,
-    /// When its client waits no longer.
+    /// The deadline: when the client stops waiting.
     pub not_after_s: f64,
-    /// What every shard request has to carry.
+    /// The text that every shard request carries.
     pub text: String,
-    /// Its shard requests; those that came of a split stand behind the others.
+    /// The shard requests. Those created by a split are at the end.
     pub requests: Vec<ShardRequest>,
-    /// The connection that waits for its response.
+    /// The connection that gets the response.
     pub client: Rc<ClientConnection>,
-    /// What is answered by keys, where a shard map is followed.
+    /// The answered keys and their values, if a shard map is followed.
     pub coverage: Option<AnswerCoverage>,
 }
 
-/// What an open query takes of what all cores share; given back on drop.
+/// The resources shared by all cores that an open query holds, released on drop.
 pub struct QueryReservation {
-    /// Its id, which no other query may have.
+    /// The claim on the query's id, which no other open query may have.
     pub id_claim: Claim,
-    /// Capacity for itself and its shard requests.
+    /// Capacity for the query and its shard requests.
     pub capacity: Vec<Taken>,
 }
 
-/// What a frame says of an open shard request.
+/// The content of a frame for an open shard request.
 pub struct RequestedWork<'a> {
-    /// The shard asked.
+    /// The requested shard.
     pub shard: u32,
-    /// The query's text.
+    /// The text of the query.
     pub text: &'a str,
-    /// When the client waits no longer.
+    /// The deadline: when the client stops waiting.
     pub not_after_s: f64,
-    /// The keys asked for, where a shard map is followed.
+    /// The requested keys, if a shard map is followed.
     pub keys: Option<Range>,
 }
 
-/// Where a shard request stands.
+/// The position of a shard request: the number of its query and its index there.
 #[derive(Clone, Copy)]
 struct RequestIndex {
     query: u64,
     index: usize,
 }
 
-/// Queries from `insert` to `remove`, by a number that is never used again.
+/// The open queries, each from `insert` to `remove`. A query's number is never reused.
 #[derive(Default)]
 pub struct QueryTable {
     open: BTreeMap<u64, Query>,
@@ -176,7 +176,7 @@
 }
 
 impl QueryTable {
-    /// Queries and shard requests that count against the capacity.
+    /// Number of queries and shard requests that use capacity.
     pub fn reserved_count(&self) -> usize {
         self.open.len() + self.requests.len()
     }
@@ -186,12 +186,12 @@
         self.open.is_empty()
     }
 
-    /// Open queries.
+    /// Number of open queries.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Open queries of the class in a slot.
+    /// Number of open queries of the class in a slot.
     pub fn open_in_class(&self, class: usize) -> usize {
         self.open_by_class.get(&class).copied().unwrap_or(0)
     }
@@ -221,7 +221,7 @@
         number
     }
 
-    /// Removes a query for its final response, and gives back what it reserved.
+    /// Removes a query, and releases its reservation.
     pub fn remove(&mut self, number: u64) -> Option<Query> {
         let query = self.open.remove(&number)?;
         self.numbers.remove(&query.id);
@@ -237,17 +237,17 @@
         Some(query)
     }
 
-    /// An open query.
+    /// An open query by number.
     pub fn get(&self, number: u64) -> Option<&Query> {
         self.open.get(&number)
     }
 
-    /// Queries whose client waits no longer, the earliest first.
+    /// Numbers of the queries whose deadline has passed, the earliest deadline first.
     pub fn overdue(&self, now: f64) -> Vec<u64> {
         self.deadlines.due(now).copied().collect()
     }
 
-    /// Open requests of these shards that were not split.
+    /// Ids of the open requests to these shards that were not split, by shard.
     pub fn unsplit_requests_of(&self, shards: &[ShardId]) -> BTreeMap<ShardId, Vec<Rc<str>>> {
         let wanted: BTreeSet<ShardId> = shards.iter().copied().collect();
         let mut found: BTreeMap<ShardId, Vec<Rc<str>>> = BTreeMap::new();
@@ -259,12 +259,12 @@
         found
     }
 
-    /// Whether a shard request is one of an open query.
+    /// Whether a shard request belongs to an open query.
     pub fn has_request(&self, request_id: &str) -> bool {
         self.requests.contains_key(request_id)
     }
 
-    /// The number of an open query.
+    /// The number of an open query, by id.
     pub fn number(&self, id: &str) -> Option<u64> {
         self.numbers.get(id).copied()
     }
@@ -275,7 +275,7 @@
         self.open.get_mut(&query)?.requests.get_mut(index)
     }
 
-    /// What a frame has to say of an open shard request.
+    /// The content of a frame for an open shard request.
     pub fn requested_work(&self, request_id: &str) -> Option<RequestedWork<'_>> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
@@ -284,20 +284,21 @@
         Some(RequestedWork { shard: request.shard, text: &query.text, not_after_s: query.not_after_s, keys })
     }
 
-    /// An open shard request and the class of its query.
+    /// An open shard request, and the slot of its query's class.
     pub fn class_and_request(&self, request_id: &str) -> Option<(usize, &ShardRequest)> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
         Some((query.class, query.requests.get(index)?))
     }
 
-    /// The query of an open shard request: its number, itself, and the request's index in it.
+    /// The query of an open shard request: the query's number, the query, and the request's index in it.
     pub fn query_of_request(&mut self, request_id: &str) -> Option<(u64, &mut Query, usize)> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         Some((query, self.open.get_mut(&query)?, index))
     }
 
-    /// Replaces a shard request by several; it stays for a late answer.
+    /// Adds the requests that a shard request is split into. The split request stays in the query, as a late answer to it
+    /// still counts.
     pub fn split_request(&mut self, request_id: &str, into: Vec<ShardRequest>, capacity: Taken) {
         let Some(&RequestIndex { query: number, index }) = self.requests.get(request_id) else { return };
         let Some(query) = self.open.get_mut(&number) else { return };
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -1,35 +1,35 @@
-//! Query classes while the configuration changes: each has a slot, so that an open query goes on by the rules that it was
-//! opened with and a new one goes by the newest.
+//! Query classes across changes of the configuration. Each version of a class has a slot, so that an open query keeps the
+//! rules that it was opened with while new queries use the newest.
 use alderway::interface::{ClassSlot, Idempotency, PolicyConfig, PolicyInput, QueryClass};
 use alderway_deployment::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// A configuration that every core is to apply.
+/// One version of the configuration, which every core applies.
 #[derive(Debug)]
 pub struct ConfigGeneration {
-    /// Larger for a later one.
+    /// Number of the version; later versions have larger numbers.
     pub serial: u64,
-    /// What it says.
+    /// The settings of this version.
     pub settings: Settings,
 }
 
-/// The rules of a query class that the dispatcher itself goes by.
+/// The settings of a query class that the dispatcher itself uses.
 #[derive(Clone, Debug)]
 pub struct ClassRules {
-    /// The name by which clients ask for it.
+    /// The name of the class in clients' requests.
     pub name: String,
-    /// Whether its shard requests may be repeated.
+    /// Whether shard requests may be repeated.
     pub idempotency: Idempotency,
-    /// Fraction of the weight that makes an answer complete.
+    /// Fraction of the weight from which on an answer is complete.
     pub complete_fraction: f64,
-    /// Least fraction of the weight that may be answered.
+    /// Least fraction of the weight with which an answer may be sent.
     pub minimum_fraction: f64,
 }
 
 impl ClassRules {
-    /// All query classes of some settings, in their order.
+    /// The rules of all query classes, in the order of the settings.
     pub fn all(settings: &Settings) -> Vec<ClassRules> {
         let classes = settings.class_names.iter().zip(&settings.policy.query_classes);
         let rules = |(name, class): (&String, &QueryClass)| ClassRules {
@@ -43,7 +43,7 @@
 }
 
 impl From<&str> for ClassRules {
-    /// An idempotent class whose queries may be answered with nothing.
+    /// An idempotent class whose queries may be answered without any result.
     fn from(name: &str) -> Self {
         ClassRules {
             name: name.into(),
@@ -54,26 +54,26 @@
     }
 }
 
-/// The longest deadline before the last change, while queries with it may be open.
+/// The longest deadline before the last change. Queries with that deadline may be open until `until_s`.
 #[derive(Clone, Copy, Default)]
 struct PreviousDeadline {
     deadline_s: f64,
     until_s: f64,
 }
 
-/// A change that the policy has not been told yet.
+/// A change that the policy gets in the next round.
 struct PendingChange {
     generation: Arc<ConfigGeneration>,
     slots: Vec<ClassSlot>,
 }
 
-/// Which class has which slot. A slot is the newest one of its class, or retiring while queries with its rules are open,
-/// or free; so there are never more slots than classes that some query goes by.
+/// Assigns slots to query classes. A slot holds the newest rules of a class, or is retiring because open queries still use
+/// its rules, or is free for reuse. So the number of slots is bounded by the number of rules in use.
 #[derive(Default)]
 pub struct ClassTable {
     updates: Option<watch::Receiver<Arc<ConfigGeneration>>>,
     current: Option<Arc<ConfigGeneration>>,
-    /// Slots of the newest classes, in their order; none while there has been no change.
+    /// Slots of the newest classes, in the order of the settings; `None` before the first change.
     newest_slots: Option<Vec<usize>>,
     classes_by_slot: BTreeMap<usize, QueryClass>,
     retiring_slots: BTreeSet<usize>,
@@ -83,7 +83,7 @@
 }
 
 impl ClassTable {
-    /// What a policy that starts now is started with.
+    /// The configuration with which the policy starts.
     pub fn policy_config(&self) -> Option<&PolicyConfig> {
         Some(&self.current.as_ref()?.settings.policy)
     }
@@ -93,7 +93,7 @@
         self.current.as_ref()
     }
 
-    /// The slot of a class for queries that come now.
+    /// The slot for new queries of a class.
     pub fn slot_of(&self, rules: &[ClassRules], name: &str) -> Option<usize> {
         match &self.newest_slots {
             None => rules.iter().position(|class| class.name == name),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Follows a stream of configurations; returns the newest.
+    /// Subscribes to a stream of configurations; returns the newest.
     pub fn subscribe(
         &mut self,
         mut updates: watch::Receiver<Arc<ConfigGeneration>>,
@@ -112,13 +112,13 @@
         generation
     }
 
-    /// The newest configuration, if it has not been taken yet.
+    /// The newest configuration, if it has not been returned before.
     pub fn take_update(&mut self) -> Option<Arc<ConfigGeneration>> {
         let updates = self.updates.as_mut().filter(|updates| updates.has_changed().unwrap_or(false))?;
         Some(updates.borrow_and_update().clone())
     }
 
-    /// Gives each class the slot of its order, as at the start.
+    /// Resets the slots: the class at each index of the settings gets the slot of that index.
     pub fn reset(&mut self, generation: Arc<ConfigGeneration>) {
         self.classes_by_slot = generation.settings.policy.query_classes.iter().cloned().enumerate().collect();
         self.newest_slots = None;
@@ -128,8 +128,8 @@
         self.current = Some(generation);
     }
 
-    /// Applies a configuration: each class keeps its slot where nothing of it changed, and else gets one of its own.
-    /// Queries opened until now may have had `longest_deadline_s`.
+    /// Applies a configuration. A class that did not change keeps its slot; a new or changed class gets another slot. Open
+    /// queries may have deadlines of up to `longest_deadline_s`.
     pub fn apply(
         &mut self,
         generation: Arc<ConfigGeneration>,
@@ -145,12 +145,12 @@
     }
 
     fn assign_slots(&mut self, generation: &ConfigGeneration, rules: &mut Vec<ClassRules>) -> Vec<ClassSlot> {
-        let mut former = self.newest_slots.take().unwrap_or_else(|| (0..rules.len()).collect());
+        let mut previous_slots = self.newest_slots.take().unwrap_or_else(|| (0..rules.len()).collect());
         let (mut assigned, mut superseded) = (vec![], vec![]);
         let classes = &generation.settings.policy.query_classes;
         for (new_rules, class) in ClassRules::all(&generation.settings).into_iter().zip(classes) {
-            let previous_slot = former.iter().position(|&slot| rules[slot].name == new_rules.name);
-            let previous_slot = previous_slot.map(|index| former.remove(index));
+            let previous_slot = previous_slots.iter().position(|&slot| rules[slot].name == new_rules.name);
+            let previous_slot = previous_slot.map(|index| previous_slots.remove(index));
             let unchanged = previous_slot.filter(|slot| self.classes_by_slot.get(slot) == Some(class));
             let slot = unchanged.or_else(|| self.free_slots.pop_first()).unwrap_or(rules.len());
             match rules.get_mut(slot) {
@@ -161,25 +161,26 @@
             self.classes_by_slot.insert(slot, class.clone());
             assigned.push(ClassSlot { slot, previous_slot });
         }
-        self.retiring_slots.extend(former.into_iter().chain(superseded));
+        self.retiring_slots.extend(previous_slots.into_iter().chain(superseded));
         self.newest_slots = Some(assigned.iter().map(|assigned| assigned.slot).collect());
         assigned
     }
 
-    /// The longest deadline of any open query, in seconds: `max_deadline_s` now, or what it was before the last change.
+    /// The longest deadline that an open query may have, in seconds: `max_deadline_s`, or the longest deadline before the last
+    /// change while queries opened before it may be open.
     pub fn longest_deadline_s(&self, max_deadline_s: f64, now: f64) -> f64 {
         let PreviousDeadline { deadline_s, until_s } = self.previous_deadline;
         if now < until_s { max_deadline_s.max(deadline_s) } else { max_deadline_s }
     }
 
-    /// Tells the policy the configurations that it goes by from this round on.
+    /// Passes the new configurations to the policy, which applies them from this round on.
     pub fn notify_changes(&mut self, policy: &mut dyn PolicyInput) {
         for PendingChange { generation, slots } in std::mem::take(&mut self.pending_changes) {
             policy.change_config(&generation.settings.policy, &slots);
         }
     }
 
-    /// Frees the retiring slots in which no query is open any more, and tells the policy.
+    /// Frees the retiring slots without open queries, and reports them to the policy.
     pub fn notify_retired(&mut self, open_in: impl Fn(usize) -> usize, policy: &mut dyn PolicyInput) {
         for slot in self.retiring_slots.extract_if(.., |slot| open_in(*slot) == 0) {
             policy.class_retired(slot);
--- a/crates/router/src/state/response.rs
+++ b/crates/router/src/state/response.rs
@@ -1,9 +1,9 @@
-//! The final response to a query, as the dispatcher leaves it with the client's connection. The protocol edge that owns
-//! the connection encodes it.
+//! The final response to a query, as the dispatcher stores it in the state of the client's connection. The connection's
+//! task encodes it.
 use alderway_layouts::ShardId;
 use alderway_layouts::coverage::Coverage;
 
-/// What was answered of a query by keys: from which shard, and the value.
+/// The answered keys of a query, each range with the shard that answered and the value.
 pub type AnswerCoverage = Coverage<(ShardId, String)>;
 
 /// The value of one shard request.
@@ -11,45 +11,45 @@
 pub struct ShardResult {
     /// The shard that answered.
     pub shard: u32,
-    /// The keys that the value is for, from the first to below the second, where the query was for keys.
+    /// The keys that the value is for, from the first to below the second, if they are known.
     pub keys: Option<(u32, u32)>,
-    /// The value as the data node gave it.
+    /// The value, as the data node sent it.
     pub value: String,
 }
 
 /// The one final response to a query.
 pub enum QueryResponse {
-    /// The values by shard.
+    /// The query is answered with values by shard.
     Results {
         /// Whether enough was answered for the query's class to call it complete.
         complete: bool,
         /// One entry for each shard request that was answered.
         results: Vec<ShardResult>,
     },
-    /// The values by keys, where a shard map is followed.
+    /// The query is answered with values by keys, as a shard map is followed.
     ResultsByKeys {
         /// Whether enough was answered for the query's class to call it complete.
         complete: bool,
-        /// What was answered, with its keys.
+        /// The answered keys and their values.
         coverage: AnswerCoverage,
     },
-    /// No capacity was left for the query, or none is admitted any more.
+    /// There is no capacity for the query, or the router shuts down.
     NoCapacity,
-    /// The policy rejected it: a retry by its client is harmless.
+    /// The policy rejected the query. Its client may retry it without side effects.
     Rejected {
-        /// Advice to the client when to try again, in seconds.
+        /// How long the client should wait before it retries, in seconds.
         retry_after_s: Option<f64>,
     },
-    /// The policy gave it up; it may have had an effect.
+    /// The policy failed the query, which may have had an effect.
     Failed,
-    /// Its client's time ran out first.
+    /// The deadline of the query passed first.
     DeadlineExceeded,
 }
 
-/// A response that is not encoded yet.
+/// A response that is not yet encoded.
 pub struct PendingResponse {
-    /// What to tell the client.
+    /// The response.
     pub response: QueryResponse,
-    /// Whether the connection ends after it.
+    /// Whether the connection closes after the response.
     pub closes_connection: bool,
 }
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -1,5 +1,5 @@
-//! The shard map as one core follows it: its history, how requests are mapped to shards, and what the next round has to tell
-//! the policy of it. A core whose shards lie in the platform's ring has none.
+//! One core's view of the shard map: its history, the mapping of queries to shard requests, and the changes that the policy
+//! gets in the next round. A core whose shards are placed by the platform's ring has no shard map.
 use super::attempts::AttemptId;
 use super::node_protocol::ShardReport;
 use super::queries::{QueryError, RequestedKeys, ShardRequest};
@@ -13,21 +13,21 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// How a shard map is followed.
+/// Settings for following a shard map.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardMapConfig {
-    /// Seconds for which a client may name a shard that is gone.
+    /// How long a client may still name a shard that no longer exists, in seconds.
     pub retired_shard_grace_s: f64,
-    /// Seconds that a data node which lags behind has to catch up.
+    /// How long a data node that lags behind has to catch up before it is asked for the shard again, in seconds.
     pub lagging_node_grace_s: f64,
 }
 
-/// What a client asks for.
+/// A target of a query: a shard or keys.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryTarget {
-    /// A shard by its id.
+    /// The id of the shard.
     pub shard: Option<ShardId>,
-    /// Keys from the first to below the second.
+    /// The keys, from the first to below the second.
     pub keys: Option<(u32, u32)>,
     /// Its fraction of the query.
     pub weight: f64,
@@ -36,9 +36,9 @@
 /// One of the requests that a shard request was split into.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitPart {
-    /// Its id.
+    /// Id of the new request.
     pub id: Rc<str>,
-    /// The shard asked.
+    /// The requested shard.
     pub shard: ShardId,
     /// Its fraction of the query.
     pub weight: f64,
@@ -47,31 +47,31 @@
 /// A shard request that was split into several.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitShardRequest {
-    /// Number of its query.
+    /// Number of the query.
     pub query: u64,
-    /// Its id.
+    /// Id of the split request.
     pub request_id: Rc<str>,
-    /// What it was split into.
+    /// The requests that it was split into.
     pub parts: Vec<SplitPart>,
 }
 
-/// The shard map, and what the policy has not been told of it.
+/// The shard map, and the changes to it since the last round.
 pub struct ShardMapView {
     config: ShardMapConfig,
     history: Option<History>,
-    /// Shard requests that were split, and who still waits for their attempts.
+    /// The split shard requests, and which of their parts still wait for which attempts.
     pub families: Families<Rc<str>>,
     /// For tests: every answer counts, whatever keys it is for.
     #[cfg(feature = "faults")]
     pub counts_all_answers: bool,
-    /// New shards with those that they came of.
+    /// New shards, each with the shards whose keys it took over.
     inherited: Vec<(ShardId, Vec<ShardId>)>,
     changed_shards: BTreeSet<ShardId>,
     splits: Vec<SplitShardRequest>,
 }
 
 impl ShardMapView {
-    /// A view that knows no shard map yet.
+    /// A view without a shard map.
     pub fn new(config: ShardMapConfig) -> Self {
         ShardMapView {
             config,
@@ -85,20 +85,20 @@
         }
     }
 
-    /// The newest version, if any is known.
+    /// The newest version, if there is a shard map.
     pub fn version(&self) -> Option<Version> {
         self.history.as_ref().map(|history| history.newest().version())
     }
 
-    /// The shard map with the shards that are retired but still referred to.
+    /// The shard map, with the shards that no longer exist but are still in use.
     pub fn history(&self) -> Option<&History> {
         self.history.as_ref()
     }
 
-    /// Applies news of discovery. Returns the shards whose open requests have to be looked at.
+    /// Applies a shard map or changes from discovery. Returns the shards whose open requests have to be checked.
     ///
     /// # Errors
-    /// The news does not fit; nothing is changed by it.
+    /// The shard map or the changes are invalid or do not follow the current version. Nothing is changed then.
     pub fn apply(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, Faulty> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
@@ -114,10 +114,10 @@
         }
     }
 
-    /// Applies a shard map that another core has checked. Returns the shards whose open requests have to be looked at.
+    /// Applies a shard map that another core has validated. Returns the shards whose open requests have to be checked.
     ///
     /// # Errors
-    /// It does not follow on the one that is applied; nothing is changed by it.
+    /// The shard map does not follow the current version. Nothing is changed then.
     pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, Faulty> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
@@ -141,7 +141,7 @@
         followed.held
     }
 
-    /// The next round tells all shards, as to a policy that starts anew.
+    /// Marks all shards as changed, so that a restarted policy gets all of them in the next round.
     pub fn mark_all_changed(&mut self) {
         self.inherited.clear();
         self.splits.clear();
@@ -151,10 +151,10 @@
         }
     }
 
-    /// The shard requests of a query for these targets, by the newest shard map.
+    /// The shard requests for the targets of a query by the newest shard map, and the coverage that records their answers.
     ///
     /// # Errors
-    /// [`QueryError`] if the targets do not exist or overlap, or no shard map is known.
+    /// [`QueryError`] if a target does not exist, targets overlap, or there is no shard map.
     pub fn requests_for(
         &self,
         query_id: &str,
@@ -186,7 +186,7 @@
         Ok((requests, coverage))
     }
 
-    /// What a shard request is split into by the newest shard map.
+    /// The requests that a shard request is split into by the newest shard map.
     pub fn split_requests(&self, query_id: &str, request: &ShardRequest) -> Vec<ShardRequest> {
         let (Some(history), Some(keys)) = (&self.history, request.keys) else { return vec![] };
         let mut split_into = requests_by_keys(history, query_id, keys.range, request.weight);
@@ -194,9 +194,9 @@
         split_into
     }
 
-    /// Whether an open shard request has to be split: its shard is gone, and either its keys lie with several replica
-    /// groups, or nothing was sent for it yet, so that it may as well go by the newest shard map. Guards against a
-    /// request whose one common holder hangs while each of its parts has another holder.
+    /// Whether an open shard request has to be split. That is so if its shard no longer exists, and either the shards that now
+    /// cover its keys have different holders, or the request has had no attempt and can follow the newest shard map.
+    /// Guards against a request whose only common holder hangs while other nodes hold each of its parts.
     pub fn must_split(&self, request: &ShardRequest) -> bool {
         let (Some(history), Some(keys)) = (&self.history, request.keys) else { return false };
         let is_settled = keys.is_whole_shard || keys.is_split || keys.is_answered;
@@ -205,14 +205,14 @@
             && (request.attempts == 0 || history.is_scattered(request.shard))
     }
 
-    /// A shard request is open: its shard is not forgotten before it is closed.
+    /// Records that a shard request is open. Its shard is kept until the request is closed.
     pub fn request_opened(&mut self, request: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| request.keys.is_some()) {
             history.opened(request.shard);
         }
     }
 
-    /// A shard request is over. One that was split has been closed by that.
+    /// Records that a shard request is closed. A split request is closed by its split and is ignored here.
     pub fn request_closed(&mut self, request: &ShardRequest) {
         let is_open = request.keys.is_some_and(|keys| !keys.is_split);
         if let Some(history) = self.history.as_mut().filter(|_| is_open) {
@@ -225,18 +225,19 @@
         self.history.as_ref().map_or(vec![], |history| history.holders(shard))
     }
 
-    /// A shard request was split. Of a query that is `new` to the policy the next round tells it as it is then.
-    pub fn request_split(&mut self, split: SplitShardRequest, new: bool) {
+    /// Records that a shard request was split. If its query is `is_new` to the policy, the next round passes the query with
+    /// the parts in the first place, so the split itself is not reported.
+    pub fn request_split(&mut self, split: SplitShardRequest, is_new: bool) {
         let part_ids: Vec<Rc<str>> = split.parts.iter().map(|part| part.id.clone()).collect();
         self.families.divide(&split.request_id, &part_ids);
-        if !new {
+        if !is_new {
             self.splits.push(split);
         }
     }
 
-    /// The outcome of an attempt by what the data node reports of the shard map. An answer counts for just the keys that
-    /// were asked for. Guards against a node that answers by another shard map, and against one that knows of none and
-    /// is asked for part of what it calls a shard.
+    /// The outcome of an attempt, corrected by what the data node reports about the shard map. An answer succeeds only if it
+    /// is for exactly the requested keys. Guards against a node that answers by another version of the shard map, and
+    /// against one that knows no shard map and is asked for a part of what it takes for the shard.
     pub fn classify_outcome(
         &mut self,
         node: &str,
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Tells the policy which shards changed, before the queries of the round.
+    /// Passes the changed shards to the policy. It must get them before the queries of the round.
     pub fn notify_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(history) = &mut self.history else { return };
         self.changed_shards.extend(history.lapse(now));
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Tells the policy which shard requests were split, of the queries that it knows.
+    /// Passes the splits of shard requests to the policy, for queries that it knows.
     pub fn notify_splits(&mut self, policy: &mut dyn PolicyInput) {
         for split in std::mem::take(&mut self.splits) {
             let parts: Vec<(&str, u32, f64)> =
@@ -286,46 +287,47 @@
         }
     }
 
-    /// For a holder of the list that has no policy to tell.
+    /// Drops the pending changes, for an owner of the shard map that has no policy.
     pub fn discard_notifications(&mut self, now: f64) {
         self.inherited.clear();
         self.changed_shards.clear();
         self.history.iter_mut().for_each(|history| drop(history.retire(now)));
     }
 
-    /// Tells the policy which shards nothing refers to any more, at the end of the round.
+    /// Drops the shards that are no longer in use, and reports them to the policy. Called at the end of the round.
     pub fn notify_retired(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         if let Some(history) = &mut self.history {
             history.retire(now).into_iter().for_each(|shard| policy.shard_retired(shard));
         }
     }
 
-    /// A shard request no longer waits for an attempt that it shares with others of its split; returns whether it was the
-    /// last.
+    /// Records that a shard request no longer waits for an attempt that it shares with the other parts of its split. Returns
+    /// whether none of them waits any more.
     pub fn release_attempt(&mut self, id: &AttemptId, request_id: &Rc<str>) -> bool {
         self.families.release(&(id.request_id.clone(), id.number), request_id)
     }
 
-    /// The shard requests for which the end of an attempt is told in place of a request that was split: those that still
-    /// wait for it, or all of them where it brought an answer. None where the request was not split.
+    /// The shard requests for which the policy gets the end of an attempt whose request was split: all parts of the split if
+    /// the attempt succeeded, otherwise those that still wait for it. `None` if the request was not split.
     pub fn outcome_recipients(&self, id: &AttemptId, outcome: AttemptOutcome) -> Option<Vec<Rc<str>>> {
         if self.families.is_empty() {
             return None;
         }
         let parts = self.families.heirs(&id.request_id);
-        let call = (id.request_id.clone(), id.number);
-        let waits = |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.waits(&call, part);
+        let attempt = (id.request_id.clone(), id.number);
+        let waits =
+            |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.waits(&attempt, part);
         (!parts.is_empty()).then(|| parts.iter().filter(waits).cloned().collect())
     }
 }
 
-/// The keys of a shard, or those that it had while nodes still serve it.
+/// The keys of a shard. A shard that no longer exists still has its keys while some replica group holds all of them.
 fn shard_range(history: &History, shard: ShardId) -> Result<Range, QueryError> {
     let is_served = || !history.is_gone(shard) || !history.holders(shard).is_empty();
     history.keys(shard).filter(|_| is_served()).ok_or(QueryError::UnknownShard)
 }
 
-/// Requests for keys by the newest shard map; each key weighs the same.
+/// One shard request for each shard that covers part of `range` by the newest shard map. Every key has the same weight.
 fn requests_by_keys(history: &History, query_id: &str, range: Range, weight: f64) -> Vec<ShardRequest> {
     let weight_per_key = weight / range.keys() as f64;
     let request = |(shard, keys): (ShardId, Range)| {
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -1,5 +1,5 @@
-//! What the cores of a process share, and how they reach each other: atomics, pools and messages. A process on one core has a
-//! shared state of its own with nobody else in it.
+//! The state that the cores of a process share, and the channels between them. A process with one core has a shared state
+//! too, without channels.
 use super::descriptors::DescriptorPermit;
 use super::metrics::MetricsSnapshot;
 use alderway::interface::{NodeObservation, SharedLimits};
@@ -10,61 +10,61 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use tokio::sync::{Notify, broadcast, mpsc, watch};
 
-/// Observations on their way between cores. A core that is further behind loses the oldest; the endpoint list and its own
-/// attempts make up for them.
+/// Capacity of the channel for observations. A core that falls further behind loses the oldest ones; it learns the same
+/// from the endpoint list and its own attempts.
 const OBSERVATION_QUEUE: usize = 4096;
-/// Commands on their way to one core.
+/// Capacity of the channel for commands to one core.
 const COMMAND_QUEUE: usize = 1024;
 
-/// A connection of a client on its way to a core. Nothing of it is read that is not answered.
+/// A client connection that is passed to a core. Every byte read from it so far belongs to an answered request.
 pub struct TransferredConnection {
     /// The socket.
     pub stream: std::net::TcpStream,
-    /// The right to its descriptor.
+    /// The permit for the socket's descriptor.
     pub permit: DescriptorPermit,
-    /// Whether it has sent a request before, on another core.
+    /// Whether the client has sent a complete request, to another core.
     pub has_sent_request: bool,
 }
 
-/// What a core is told to do.
+/// A command to a core.
 pub enum CoreCommand {
-    /// To serve a connection.
+    /// Serve a connection.
     Serve(TransferredConnection),
-    /// To hand connections over to another core as they fall idle.
+    /// Hand over connections to another core when they are idle.
     HandOver {
-        /// The core that takes them over.
+        /// The core that gets the connections.
         to: usize,
-        /// How many.
+        /// Number of connections.
         connections: usize,
     },
-    /// To close the connection of a client that is idle longest.
+    /// Close the client connection that has been idle longest.
     CloseLongestIdle,
 }
 
-/// What one core observed of a data node, for the others.
+/// An observation of a data node that a core passes to the other cores.
 #[derive(Clone, Debug)]
 pub struct ObservationMessage {
-    /// The core that observed it, or that heard it from another router.
+    /// The core that made the observation, or received it from another router.
     pub core: usize,
     /// The data node's name.
     pub node: String,
-    /// What was observed.
+    /// The observation.
     pub observation: NodeObservation,
 }
 
-/// What a core last said of itself.
+/// The status that a core last published.
 pub struct CoreState {
-    /// When, in milliseconds of the common clock.
+    /// Time of the last heartbeat, in milliseconds of the clock that all cores share.
     pub heartbeat_ms: AtomicU64,
-    /// Connections of clients.
+    /// Number of client connections.
     pub client_count: AtomicUsize,
-    /// Clients that had a response between the last two heartbeats.
+    /// Number of clients that got bytes of a response between the last two heartbeats.
     pub active_clients: AtomicUsize,
-    /// How much of its time it worked lately, in thousandths.
+    /// Recent utilization of the core, in thousandths.
     pub busy_permille: AtomicU64,
-    /// What it counts.
+    /// Counters and gauges of the core.
     pub metrics: watch::Sender<Arc<MetricsSnapshot>>,
-    /// The serial of the configuration that its policy goes by.
+    /// The serial of the configuration that the core's policy uses.
     pub config_serial: watch::Sender<u64>,
     commands: Option<mpsc::Sender<CoreCommand>>,
 }
@@ -83,43 +83,43 @@
     }
 }
 
-/// What all cores share.
+/// The state that all cores share.
 pub struct SharedState {
     /// Ids of open queries.
     pub ids: Arc<Ids>,
     /// Capacity for queries and shard requests.
     pub capacity: Arc<Pool>,
-    /// Keeps a core that has fallen behind from starting attempts.
+    /// Keeps a core that lacks the newest endpoint list from starting attempts.
     pub fence: Arc<Fence>,
-    /// Limits of the policy that hold for all cores together.
+    /// Limits of the policy that apply to all cores together.
     pub limits: SharedLimits,
     /// One entry for each core.
     pub cores: Vec<CoreState>,
-    /// The policy of some core asks for a poll of the endpoint list.
+    /// Notified when the policy of a core requests a poll of the endpoint list.
     pub poll_requested: Arc<Notify>,
-    /// Most connections of one core to one data node.
+    /// Maximum number of connections from one core to one data node.
     pub max_connections_per_node: usize,
     observations: Option<broadcast::Sender<ObservationMessage>>,
-    /// Cores that serve, as the acceptor core sees them.
+    /// Number of cores that serve, set by the acceptor core.
     pub cores_serving: AtomicUsize,
-    /// Cores that hang.
+    /// Number of cores that hang.
     pub cores_hung: AtomicUsize,
-    /// Cores that are lost.
+    /// Number of cores that have failed or are lost.
     pub cores_lost: AtomicUsize,
-    /// What the acceptor core itself counts.
+    /// Counters and gauges of the acceptor core.
     pub acceptor_metrics: watch::Sender<Arc<MetricsSnapshot>>,
-    /// The version of the configuration in force, or 0 if it came with none.
+    /// The version of the configuration in use, or 0 if it has none.
     pub config_version: AtomicU64,
-    /// What the subscription to the control plane counts, where there is one.
+    /// Counters and gauges of the subscription to the control plane, if there is one.
     pub control_metrics: watch::Sender<Arc<MetricsSnapshot>>,
 }
 
-/// How several cores share.
+/// How the cores share resources and observations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MulticoreConfig {
-    /// How many cores there are.
+    /// Number of cores.
     pub cores: usize,
-    /// Most connections to one data node, of all cores together; each core may have one at least.
+    /// Maximum number of connections to one data node from all cores together. Each core may have at least one.
     pub max_connections_per_node: Option<usize>,
     /// Whether cores share what they observe of data nodes.
     pub shares_observations: bool,
@@ -132,12 +132,12 @@
 }
 
 impl SharedState {
-    /// A shared state with the commands of each core, for `capacity` queries and shard requests. A core that is not led
-    /// for `patience_s` starts no attempt.
+    /// A shared state for `capacity` queries and shard requests, and the receiver of each core's commands. No core starts
+    /// attempts when the acceptor core has last confirmed more than `fence_timeout_s` ago that its endpoint list is current.
     pub fn new(
         capacity: usize,
         config: MulticoreConfig,
-        patience_s: f64,
+        fence_timeout_s: f64,
     ) -> (Arc<Self>, Vec<mpsc::Receiver<CoreCommand>>) {
         let MulticoreConfig { cores, max_connections_per_node, shares_observations } = config;
         let has_several = cores > 1;
@@ -154,7 +154,7 @@
         let shared = SharedState {
             ids: Ids::new(capacity),
             capacity: Pool::new(capacity),
-            fence: Fence::new(if has_several { patience_s } else { f64::INFINITY }),
+            fence: Fence::new(if has_several { fence_timeout_s } else { f64::INFINITY }),
             limits: SharedLimits::new(cores),
             cores: core_states,
             poll_requested: Arc::default(),
@@ -172,7 +172,7 @@
         (Arc::new(shared), receivers)
     }
 
-    /// The shared state of a process on one core.
+    /// The shared state of a process with one core.
     pub fn single_core(capacity: usize) -> Arc<Self> {
         SharedState::new(capacity, MulticoreConfig::default(), f64::INFINITY).0
     }
@@ -185,7 +185,7 @@
     /// Sends a core a command.
     ///
     /// # Errors
-    /// The command itself, if the core has too many waiting or is gone.
+    /// Returns the command if the core's queue is full or the core has ended.
     pub fn send_command(&self, core: usize, command: CoreCommand) -> Result<(), CoreCommand> {
         let Some(commands) = self.cores.get(core).and_then(|state| state.commands.as_ref()) else {
             return Err(command);
@@ -195,18 +195,18 @@
         })
     }
 
-    /// Shares an observation with the other cores; false where cores don't share.
+    /// Sends an observation to the other cores; false if cores do not share observations.
     pub fn broadcast_observation(&self, message: ObservationMessage) -> bool {
-        // An error says that nobody listens.
+        // Sending fails only if no core has subscribed.
         self.observations.as_ref().map(|observations| observations.send(message)).is_some()
     }
 
-    /// What other cores observe from now on, where cores share.
+    /// Subscribes to the observations of other cores, if cores share observations.
     pub fn subscribe_observations(&self) -> Option<broadcast::Receiver<ObservationMessage>> {
         self.observations.as_ref().map(broadcast::Sender::subscribe)
     }
 
-    /// Adds to the metrics of one core what the others last said, and how the cores are.
+    /// Adds the metrics that the other cores last published, and the metrics of the process, to those of one core.
     pub fn add_other_cores(&self, core: Option<usize>, metrics: &mut MetricsSnapshot) {
         let version = self.config_version.load(Relaxed);
         if version > 0 {
--- a/crates/router/src/state/shutdown_phase.rs
+++ b/crates/router/src/state/shutdown_phase.rs
@@ -1,15 +1,15 @@
-//! How far a graceful shutdown has got.
+//! The phase of a graceful shutdown.
 
 /// The phases of a graceful shutdown, in their order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub enum ShutdownPhase {
-    /// No shutdown was asked for.
+    /// No shutdown was requested.
     #[default]
     Serving,
-    /// No new connection is wanted; open ones go on.
+    /// The router reports that it is not ready, so that it gets no new connections; open ones are served.
     Draining,
-    /// Every connection closes with its present response.
+    /// Every connection closes after its current response.
     Closing,
-    /// Open queries have been failed; a new one would find no time for a response and is rejected at once.
+    /// Open queries have been failed. There is no time left to answer a new one, which is rejected at once.
     Ending,
 }
--- a/crates/router/src/state/stall_detector.rs
+++ b/crates/router/src/state/stall_detector.rs
@@ -1,10 +1,10 @@
-//! Finds out that this thread stood still, as when its process was stopped or kept off its core. What came meanwhile is
-//! unread, and nothing known from before may be acted on until it has been read.
+//! Detects that this thread did not run for a while, for example because its process was stopped or not scheduled. Events
+//! of that time are unread, and older knowledge must not be acted on before they are read.
 
-/// A gap between two checks that is no stall. A disconnect or a drain may wait unread for so long.
+/// The longest gap between two checks that is not a stall. A disconnect or a drain may stay unread for so long.
 const MAX_GAP_S: f64 = 0.02;
 
-/// Counts the stalls of one thread. A thread that had nothing to do looks like one that stood still.
+/// Counts the stalls of one thread. An idle thread cannot be told from a stalled one and is counted as stalled.
 #[derive(Debug, Default)]
 pub struct StallDetector {
     last_check_s: f64,
@@ -12,7 +12,7 @@
 }
 
 impl StallDetector {
-    /// To be called by everything that runs on the thread; returns the number of the latest stall.
+    /// Checks for a stall since the last call; returns the number of stalls so far. Every task of the thread must call this.
     pub fn check(&mut self, now: f64) -> u64 {
         self.count += u64::from(now - self.last_check_s > MAX_GAP_S);
         self.last_check_s = now;
--- a/crates/router/src/state/timer_queue.rs
+++ b/crates/router/src/state/timer_queue.rs
@@ -1,4 +1,4 @@
-//! Keys in the order in which they fall due, so that a round looks at what is due and not at all that is open.
+//! Keys ordered by due time, so that a round visits only the keys that are due.
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// A queue of keys by the time at which each is due.
+/// A queue of keys, ordered by the time at which each is due.
 pub struct TimerQueue<K>(BTreeSet<(DueAt, K)>);
 
 impl<K> Default for TimerQueue<K> {
@@ -35,17 +35,17 @@
         self.0.insert((DueAt(due_at_s), key));
     }
 
-    /// Removes a key by the time that it was added with.
+    /// Removes a key that was added with `due_at_s`.
     pub fn remove(&mut self, due_at_s: f64, key: &K) {
         self.0.remove(&(DueAt(due_at_s), key.clone()));
     }
 
-    /// Keys that are due by now, the earliest first.
+    /// The keys that are due, the earliest first.
     pub fn due(&self, now: f64) -> impl Iterator<Item = &K> {
         self.0.iter().take_while(move |(at, _)| at.0 <= now).map(|(_, key)| key)
     }
 
-    /// When the next key is due; infinite for an empty queue.
+    /// When the next key is due; infinite if the queue is empty.
     pub fn next_due(&self) -> f64 {
         self.0.first().map_or(f64::INFINITY, |(at, _)| at.0)
     }
