--- a/crates/router/tests/common/dispatcher.rs
+++ b/crates/router/tests/common/dispatcher.rs
@@ -1,4 +1,5 @@
-//! A dispatcher that a test drives by hand: queries opened, attempts started, frames written, the policy's input recorded.
+//! Helpers for tests that drive a dispatcher step by step: open queries, start attempts, write frames and record the
+//! policy's input.
 use alderway::interface::{
     AttemptOutcome, DecisionSink, NodeState, PolicyInput, ShardHolders, StateTransfer,
 };
@@ -13,16 +14,16 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Which input of the policy a test looks at.
+/// Which input of the policy is recorded.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Recorded {
     /// The endpoint list, queries with their numbers, timers.
     Endpoints,
-    /// Shards and what becomes of shard requests.
+    /// Shards, queries, shard requests and their splits.
     Shards,
 }
 
-/// Writes down what the policy is told.
+/// A policy that records its input as one line of text per call and decides nothing.
 pub struct RecordingPolicy {
     pub events: Vec<String>,
     recorded: Recorded,
@@ -42,21 +43,21 @@
 
 impl PolicyInput for RecordingPolicy {
     fn endpoint_list_replaced(&mut self) {
-        self.record(Recorded::Endpoints, "whole".into());
+        self.record(Recorded::Endpoints, "full list".into());
     }
     fn endpoint_updated(&mut self, node: &str, group: u32, state: NodeState, _started_at_s: Option<f64>) {
         self.record(Recorded::Endpoints, format!("{node} {group} {state:?}"));
     }
     fn endpoint_poll_failed(&mut self) {
-        self.record(Recorded::Endpoints, "failed".into());
+        self.record(Recorded::Endpoints, "poll failed".into());
     }
     fn query_arrived(&mut self, number: u64, id: &str, class: usize, _tenant: &str, _not_after_s: f64) {
         self.record(Recorded::Endpoints, format!("query {number} {id} {class}"));
         self.record(Recorded::Shards, format!("query {id}"));
     }
     fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
-        self.record(Recorded::Endpoints, format!("part {number} {id} {shard} {weight}"));
-        self.record(Recorded::Shards, format!("part {id} {shard} {weight:.2}"));
+        self.record(Recorded::Endpoints, format!("request {number} {id} {shard} {weight}"));
+        self.record(Recorded::Shards, format!("request {id} {shard} {weight:.2}"));
     }
     fn attempt_ended(
         &mut self,
@@ -69,26 +70,26 @@
         self.events.push(format!("{request} {attempt} {node} {outcome:?}"));
     }
     fn client_disconnected(&mut self, query: &str) {
-        self.events.push(format!("left {query}"));
+        self.events.push(format!("disconnected {query}"));
     }
     fn timer_fired(&mut self, tag: u64) {
-        self.record(Recorded::Endpoints, format!("alarm {tag}"));
+        self.record(Recorded::Endpoints, format!("timer {tag}"));
     }
 }
 
 impl StateTransfer for RecordingPolicy {
     fn set_shard_holders(&mut self, shard: u32, holders: ShardHolders) {
         let (groups, excluded) = (holders.replica_groups, holders.excluded_nodes);
-        self.record(Recorded::Shards, format!("shard {shard} {groups:?} without {excluded:?}"));
+        self.record(Recorded::Shards, format!("shard {shard} held by {groups:?} except {excluded:?}"));
     }
     fn inherit_shard(&mut self, shard: u32, parents: &[u32]) {
-        self.record(Recorded::Shards, format!("shard {shard} follows {parents:?}"));
+        self.record(Recorded::Shards, format!("shard {shard} inherits from {parents:?}"));
     }
     fn shard_retired(&mut self, shard: u32) {
-        self.record(Recorded::Shards, format!("shard {shard} over"));
+        self.record(Recorded::Shards, format!("shard {shard} retired"));
     }
     fn shard_request_split(&mut self, _query: u64, request: &str, into: &[(&str, u32, f64)]) {
-        self.record(Recorded::Shards, format!("{request} into {into:?}"));
+        self.record(Recorded::Shards, format!("{request} split into {into:?}"));
     }
 }
 
@@ -97,11 +98,11 @@
     let settings = r#"{"Extra":{"Cells":1,"Reach":1},"Discovery":"automatic","Obligations":{},"ReplicasOfMe":1,
         "Limits":{"MayCancel":true,"ParallelTries":true,"MaxAttempts":3},"Services":[{"Name":"v","Worth":1,
         "PromiseUs":1000000,"DeadlineUs":5000000,"Effect":"idempotent","LateShare":0.3}]}"#;
-    let settings = deployment::parse(settings).expect("readable");
-    deployment::policy(7, &settings).expect("sound").0
+    let settings = deployment::parse(settings).expect("valid settings");
+    deployment::policy(7, &settings).expect("a valid policy").0
 }
 
-/// Carries a policy's decisions out as they are written.
+/// Applies each decision of a policy to a dispatcher at once.
 pub struct DispatcherSink<'a>(pub &'a RefCell<Dispatcher>);
 
 impl DecisionSink for DispatcherSink<'_> {
@@ -142,7 +143,7 @@
     }
 }
 
-/// Opens a query whose text is `text`.
+/// Opens a query with the text `text`; returns its client's connection.
 pub fn open_query(
     dispatcher: &mut Dispatcher,
     id: &str,
@@ -165,39 +166,39 @@
     Ok(client)
 }
 
-/// One shard request for each shard.
+/// One shard request for each shard, each with the same weight.
 pub fn shard_requests(query_id: &str, shards: &[u32], weight: f64) -> Vec<ShardRequest> {
     let request = |shard: &u32| ShardRequest::new(format!("{query_id}.{shard}").into(), *shard, weight);
     shards.iter().map(request).collect()
 }
 
-/// Starts attempts at a node as one round would; returns the dials that this takes.
-pub fn send(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Vec<Dial> {
+/// Starts attempts at a node and puts them into frames, as one round does; returns the connections to open.
+pub fn start_attempts(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Vec<Dial> {
     requests.iter().for_each(|request| dispatcher.start_attempt(request, node, 5.0));
     let now = dispatcher.clock.now();
     dispatcher.flush_attempts(now)
 }
 
-/// Writes the next frame of a connection to its last byte; its text, if one waits.
-pub fn write(dispatcher: &mut Dispatcher, dial: &Dial) -> Option<String> {
+/// Writes the next frame of a connection completely; returns its type byte and body as text, if there is a frame.
+pub fn write_next_frame(dispatcher: &mut Dispatcher, dial: &Dial) -> Option<String> {
     let mut out = vec![];
-    let begun = dispatcher.next_frame(&dial.node, dial.connection, &mut out);
+    let has_frame = dispatcher.next_frame(&dial.node, dial.connection, &mut out);
     let now = dispatcher.clock.now();
     dispatcher.endpoints.connection(&dial.node, dial.connection)?.frame_written(now);
-    begun.then(|| String::from_utf8_lossy(&out[4..]).to_string())
+    has_frame.then(|| String::from_utf8_lossy(&out[4..]).to_string())
 }
 
-/// What a client would read, of all responses that were left for it.
+/// All responses that a client has been sent, as text.
 pub fn response_text(client: &ClientConnection) -> String {
     response::encode_pending(client);
     String::from_utf8_lossy(&client.output.borrow()).to_string()
 }
 
-/// Plays a test in a runtime of its own, where nothing runs between two of its steps that do not wait.
-pub fn played(story: impl Future<Output = ()>) {
+/// Runs a test in its own single-threaded runtime: no other task runs between two of its steps unless it awaits.
+pub fn run_in_local_runtime(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let ended = tokio::time::timeout(std::time::Duration::from_secs(20), story).await;
-        ended.expect("the story comes to its end");
+        let result = tokio::time::timeout(std::time::Duration::from_secs(20), test).await;
+        result.expect("the test ends within 20 s");
     });
 }
--- a/crates/router/tests/dispatcher/any_order.rs
+++ b/crates/router/tests/dispatcher/any_order.rs
@@ -1,5 +1,5 @@
-//! Events in any order beside a model of the rules that attempts keep.
-use crate::{dispatcher, endpoints, told};
+//! Random events, checked against a model of the invariants of attempts.
+use crate::{dispatcher, policy_events, update_endpoint};
 use alderway::interface::AttemptOutcome;
 use alderway::interface::DecisionSink;
 use alderway::interface::Idempotency;
@@ -17,66 +17,71 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// One thing that can happen; numbers pick one of what is there.
+/// A random event. Each number selects one of the existing requests, connections, clients or outcomes.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Take(bool),
-    Call(usize, bool),
-    Post,
-    Up(usize),
-    Begin(usize),
-    Written(usize),
-    Replied(usize, usize, usize),
-    Spoilt(usize),
+    OpenQuery(bool),
+    StartAttempt(usize, bool),
+    Flush,
+    Opened(usize),
+    BeginFrame(usize),
+    FrameWritten(usize),
+    Reply(usize, usize, usize),
+    Corrupted(usize),
     Lost(usize),
-    PutBack(usize),
-    Cancel(usize, usize),
-    Left(usize),
+    Requeue(usize),
+    CancelAttempt(usize, usize),
+    Disconnect(usize),
     Reject(usize),
-    State(bool, usize),
-    Tell,
+    SetNodeState(bool, usize),
+    Round,
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let n = 0..64usize;
     prop_oneof![
-        2 => any::<bool>().prop_map(Event::Take),
-        6 => (n.clone(), any::<bool>()).prop_map(|(part, s)| Event::Call(part, s)),
-        4 => Just(Event::Post),
-        2 => n.clone().prop_map(Event::Up),
-        5 => n.clone().prop_map(Event::Begin),
-        5 => n.clone().prop_map(Event::Written),
-        4 => (n.clone(), n.clone(), 0..3usize).prop_map(|(line, part, end)| Event::Replied(line, part, end)),
-        1 => n.clone().prop_map(Event::Spoilt),
+        2 => any::<bool>().prop_map(Event::OpenQuery),
+        6 => (n.clone(), any::<bool>()).prop_map(|(request, at_s)| Event::StartAttempt(request, at_s)),
+        4 => Just(Event::Flush),
+        2 => n.clone().prop_map(Event::Opened),
+        5 => n.clone().prop_map(Event::BeginFrame),
+        5 => n.clone().prop_map(Event::FrameWritten),
+        4 => (n.clone(), n.clone(), 0..3usize).prop_map(|(connection, request, outcome)| Event::Reply(connection, request, outcome)),
+        1 => n.clone().prop_map(Event::Corrupted),
         2 => n.clone().prop_map(Event::Lost),
-        1 => n.clone().prop_map(Event::PutBack),
-        2 => (n.clone(), 0..3usize).prop_map(|(part, hop)| Event::Cancel(part, hop)),
-        1 => n.clone().prop_map(Event::Left),
+        1 => n.clone().prop_map(Event::Requeue),
+        2 => (n.clone(), 0..3usize).prop_map(|(request, attempt)| Event::CancelAttempt(request, attempt)),
+        1 => n.clone().prop_map(Event::Disconnect),
         1 => n.clone().prop_map(Event::Reject),
-        2 => (any::<bool>(), 0..3usize).prop_map(|(s, state)| Event::State(s, state)),
-        4 => Just(Event::Tell),
+        2 => (any::<bool>(), 0..3usize).prop_map(|(is_s, state)| Event::SetNodeState(is_s, state)),
+        4 => Just(Event::Round),
     ]
 }
 
-/// What must hold of calls, whatever the order: a model beside the dispatcher.
+/// A dispatcher with a model of its attempts, which checks the invariants.
 struct Model {
     dispatcher: Dispatcher,
     clients: Vec<Rc<ClientConnection>>,
-    lines: Vec<(String, u64)>,
-    /// Frames that have begun, by connection, and calls whose frame is out whole.
-    begun: BTreeMap<u64, Vec<String>>,
+    /// Node and number of each connection.
+    connections: Vec<(String, u64)>,
+    /// Attempts whose frame is being written, by connection.
+    writing: BTreeMap<u64, Vec<String>>,
+    /// Attempts whose frame has been written completely.
     written: BTreeSet<String>,
-    /// Calls that have not ended, and for each part those that have begun and may have run.
+    /// Attempts that have not ended.
     open: BTreeSet<String>,
-    ran: BTreeMap<String, BTreeSet<String>>,
-    calls: BTreeMap<String, usize>,
-    deduplicated: BTreeSet<String>,
+    /// By request, the attempts that may have been executed.
+    executed: BTreeMap<String, BTreeSet<String>>,
+    /// By request, the number of attempts so far.
+    attempts: BTreeMap<String, usize>,
+    /// Requests that may be executed only once.
+    execute_once: BTreeSet<String>,
 }
 
 impl Model {
     fn new() -> Self {
         let mut dispatcher = dispatcher();
-        // Nothing is dropped a second time: one call that may have run is the last that may begin.
+        // The deduplication window is empty: after an attempt that may have been executed, no other attempt may begin.
         dispatcher.query_classes.push(ClassRules {
             idempotency: Idempotency::IdempotentWithKey { window_s: 0.0 },
             ..ClassRules::from("once")
@@ -84,123 +89,121 @@
         Model {
             dispatcher,
             clients: vec![],
-            lines: vec![],
-            begun: BTreeMap::new(),
+            connections: vec![],
+            writing: BTreeMap::new(),
             written: BTreeSet::new(),
             open: BTreeSet::new(),
-            ran: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            deduplicated: BTreeSet::new(),
+            executed: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            execute_once: BTreeSet::new(),
         }
     }
 
-    fn pick<T: Clone>(all: &[T], at: usize) -> Option<T> {
-        all.get(at % all.len().max(1)).cloned()
+    fn pick<T: Clone>(all: &[T], index: usize) -> Option<T> {
+        all.get(index % all.len().max(1)).cloned()
     }
 
-    fn part(&self, at: usize) -> Option<String> {
-        Self::pick(&self.calls.keys().cloned().collect::<Vec<_>>(), at)
+    fn request(&self, index: usize) -> Option<String> {
+        Self::pick(&self.attempts.keys().cloned().collect::<Vec<_>>(), index)
     }
 
-    fn line(&self, at: usize) -> Option<(String, u64)> {
-        Self::pick(&self.lines, at)
+    fn connection(&self, index: usize) -> Option<(String, u64)> {
+        Self::pick(&self.connections, index)
     }
 
-    fn play(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
-            Event::Take(once) => {
+            Event::OpenQuery(once) => {
                 let id = format!("q{}", self.clients.len());
                 let client = Rc::new(ClientConnection::default());
-                let parts: Vec<ShardRequest> =
-                    (0..2).map(|s| ShardRequest::new(format!("{id}.{s}").into(), s, 0.5)).collect();
-                for part in &parts {
-                    self.calls.insert(part.id.to_string(), 0);
+                let requests: Vec<ShardRequest> = (0..2)
+                    .map(|shard| ShardRequest::new(format!("{id}.{shard}").into(), shard, 0.5))
+                    .collect();
+                for request in &requests {
+                    self.attempts.insert(request.id.to_string(), 0);
                     if once {
-                        self.deduplicated.insert(part.id.to_string());
+                        self.execute_once.insert(request.id.to_string());
                     }
                 }
-                let (not_after, text) = (self.dispatcher.clock.now() + 60.0, "text".to_string());
-                let (id, vertical, of, coverage) = (id.into(), usize::from(once), client.clone(), None);
                 let query = Query {
-                    id,
-                    class: vertical,
-                    not_after_s: not_after,
-                    text,
-                    requests: parts,
-                    client: of,
-                    coverage,
+                    id: id.into(),
+                    class: usize::from(once),
+                    not_after_s: self.dispatcher.clock.now() + 60.0,
+                    text: "text".to_string(),
+                    requests,
+                    client: client.clone(),
+                    coverage: None,
                 };
-                self.dispatcher.open_query(&client, query).expect("taken");
+                self.dispatcher.open_query(&client, query).expect("the query opens");
                 self.clients.push(client);
             }
-            Event::Call(part, s) => {
-                let Some(part) = self.part(part) else { return };
-                if !self.dispatcher.queries.has_request(&part) {
+            Event::StartAttempt(request, at_s) => {
+                let Some(request) = self.request(request) else { return };
+                if !self.dispatcher.queries.has_request(&request) {
                     return;
                 }
-                let hop = self.calls.get_mut(&part).expect("a part");
-                self.open.insert(format!("{part} {hop}"));
-                *hop += 1;
-                self.dispatcher.start_attempt(&part, if s { "s" } else { "t" }, 60.0);
+                let attempt = self.attempts.get_mut(&request).expect("a request");
+                self.open.insert(format!("{request} {attempt}"));
+                *attempt += 1;
+                self.dispatcher.start_attempt(&request, if at_s { "s" } else { "t" }, 60.0);
             }
-            Event::Post => {
+            Event::Flush => {
                 let now = self.dispatcher.clock.now();
                 let dials = self.dispatcher.flush_attempts(now);
-                self.lines.extend(dials.into_iter().map(|dial| (dial.node, dial.connection)));
+                self.connections.extend(dials.into_iter().map(|dial| (dial.node, dial.connection)));
             }
-            Event::Up(line) => {
-                let Some((node, line)) = self.line(line) else { return };
+            Event::Opened(connection) => {
+                let Some((node, connection)) = self.connection(connection) else { return };
                 self.dispatcher
                     .endpoints
-                    .connection(&node, line)
+                    .connection(&node, connection)
                     .into_iter()
-                    .for_each(|line| line.is_open = true);
+                    .for_each(|connection| connection.is_open = true);
             }
-            Event::Begin(line) => self.begin(line),
-            Event::Written(line) => {
-                let Some((node, line)) = self.line(line) else { return };
+            Event::BeginFrame(connection) => self.begin_frame(connection),
+            Event::FrameWritten(number) => {
+                let Some((node, number)) = self.connection(number) else { return };
                 let now = self.dispatcher.clock.now();
-                // A driver that finds its connection cut writes nothing more.
-                if let Some(there) =
-                    self.dispatcher.endpoints.connection(&node, line).filter(|there| !there.is_aborted)
-                {
-                    there.frame_written(now);
-                    self.written.extend(self.begun.remove(&line).unwrap_or_default());
+                // The task of an aborted connection writes nothing more.
+                let connection = self.dispatcher.endpoints.connection(&node, number);
+                if let Some(connection) = connection.filter(|connection| !connection.is_aborted) {
+                    connection.frame_written(now);
+                    self.written.extend(self.writing.remove(&number).unwrap_or_default());
                 }
             }
-            Event::Replied(line, part, ending) => {
-                let (Some((node, line)), Some(part)) = (self.line(line), self.part(part)) else { return };
-                let ending =
-                    [AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected][ending];
-                self.dispatcher.record_reply(&node, line, &part, ending, "value");
+            Event::Reply(connection, request, outcome) => {
+                let (Some((node, connection)), Some(request)) =
+                    (self.connection(connection), self.request(request))
+                else {
+                    return;
+                };
+                let outcome =
+                    [AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected][outcome];
+                self.dispatcher.record_reply(&node, connection, &request, outcome, "value");
             }
-            Event::Spoilt(line) => {
-                let Some((node, line)) = self.line(line) else { return };
-                self.dispatcher.connection_corrupted(&node, line, None);
-                self.begun.remove(&line);
+            Event::Corrupted(connection) => {
+                let Some((node, connection)) = self.connection(connection) else { return };
+                self.dispatcher.connection_corrupted(&node, connection, None);
+                self.writing.remove(&connection);
             }
-            Event::Lost(line) => {
-                let Some((node, line)) = self.line(line) else { return };
-                self.dispatcher.connection_lost(&node, line);
-                self.begun.remove(&line);
+            Event::Lost(connection) => {
+                let Some((node, connection)) = self.connection(connection) else { return };
+                self.dispatcher.connection_lost(&node, connection);
+                self.writing.remove(&connection);
             }
-            Event::PutBack(line) => {
-                let Some((node, line)) = self.line(line) else { return };
-                // As its driver does: with a call next, nothing out, and something heard before.
-                if self
-                    .dispatcher
-                    .endpoints
-                    .connection(&node, line)
-                    .is_some_and(|line| line.is_reuse_after_idle())
-                {
-                    self.dispatcher.requeue_unsent(&node, line);
+            Event::Requeue(number) => {
+                let Some((node, number)) = self.connection(number) else { return };
+                // The task of a connection does this only if attempts are next, none is in flight, and a reply was received.
+                let connection = self.dispatcher.endpoints.connection(&node, number);
+                if connection.is_some_and(|connection| connection.is_reuse_after_idle()) {
+                    self.dispatcher.requeue_unsent(&node, number);
                 }
             }
-            Event::Cancel(part, hop) => {
-                let Some(part) = self.part(part) else { return };
-                self.dispatcher.cancel_attempt(&part, hop);
+            Event::CancelAttempt(request, attempt) => {
+                let Some(request) = self.request(request) else { return };
+                self.dispatcher.cancel_attempt(&request, attempt);
             }
-            Event::Left(query) => {
+            Event::Disconnect(query) => {
                 let number =
                     self.dispatcher.queries.number(&format!("q{}", query % self.clients.len().max(1)));
                 number.into_iter().for_each(|number| self.dispatcher.client_disconnected(number));
@@ -208,118 +211,117 @@
             Event::Reject(query) => {
                 self.dispatcher.reject(&format!("q{}", query % self.clients.len().max(1)), None)
             }
-            Event::State(s, state) => {
-                let (name, port) = if s { ("s", 1) } else { ("t", 2) };
+            Event::SetNodeState(is_s, state) => {
+                let (name, port) = if is_s { ("s", 1) } else { ("t", 2) };
                 let state = [NodeState::Serving, NodeState::Draining, NodeState::Removed][state];
-                endpoints(&mut self.dispatcher, name, port, state, None);
+                update_endpoint(&mut self.dispatcher, name, port, state, None);
             }
-            Event::Tell => self.tell(),
+            Event::Round => self.run_round(),
         }
     }
 
-    /// A frame begins: only what may still go out, and only where it may go.
-    fn begin(&mut self, line: usize) {
-        let Some((node, line)) = self.line(line) else { return };
-        // What is known of calls that have ended counts.
-        self.tell();
+    /// Begins the next frame of a connection, and checks that each of its attempts may begin.
+    fn begin_frame(&mut self, connection: usize) {
+        let Some((node, number)) = self.connection(connection) else { return };
+        // Attempts that have ended are taken into account.
+        self.run_round();
         let mut out = vec![];
-        if self.dispatcher.endpoints.connection(&node, line).is_none_or(|line| line.is_aborted) {
+        let Some(connection) = self.dispatcher.endpoints.connection(&node, number) else { return };
+        if connection.is_aborted {
             return;
         }
-        let fresh = self
-            .dispatcher
-            .endpoints
-            .connection(&node, line)
-            .is_some_and(|line| !line.next_attempts().is_empty());
-        if !self.dispatcher.next_frame(&node, line, &mut out) || !fresh || out[4] != b'S' {
+        let starts_attempts = !connection.next_attempts().is_empty();
+        if !self.dispatcher.next_frame(&node, number, &mut out) || !starts_attempts || out[4] != b'S' {
             return;
         }
         assert_eq!(
             self.dispatcher.endpoints.nodes[&node].state,
             NodeState::Serving,
-            "a drain is looked at as it begins"
+            "no frame begins at a node that does not serve"
         );
         let frame = String::from_utf8(out[5..].to_vec()).expect("text");
-        for id in frame.split("text").filter_map(|part| Some(part.split_once(' ')?.0.to_string())) {
-            assert!(self.dispatcher.queries.has_request(&id), "{id}: nothing of a query that is over");
-            let ran = self.ran.entry(id.clone()).or_default();
+        for id in frame.split("text").filter_map(|item| Some(item.split_once(' ')?.0.to_string())) {
+            assert!(self.dispatcher.queries.has_request(&id), "{id}: its query has ended");
+            let executed = self.executed.entry(id.clone()).or_default();
             assert!(
-                !self.deduplicated.contains(&id) || ran.is_empty(),
-                "{id}: past its window, {ran:?} may have run"
+                !self.execute_once.contains(&id) || executed.is_empty(),
+                "{id}: after the window, {executed:?} may have been executed"
             );
-            let hops: Vec<usize> = (0..self.calls[&id])
-                .filter(|hop| {
+            let attempts: Vec<usize> = (0..self.attempts[&id])
+                .filter(|attempt| {
                     self.dispatcher
                         .attempts
-                        .get(&AttemptId::new(id.as_str(), *hop))
-                        .is_some_and(|c| c.connection == Some(line))
+                        .get(&AttemptId::new(id.as_str(), *attempt))
+                        .is_some_and(|attempt| attempt.connection == Some(number))
                 })
                 .collect();
-            assert_eq!(hops.len(), 1, "{id}: one call of a part on a connection at a time");
-            let call = format!("{id} {}", hops[0]);
-            ran.insert(call.clone());
-            self.begun.entry(line).or_default().push(call);
+            assert_eq!(attempts.len(), 1, "{id}: a connection carries one attempt of a request at a time");
+            let attempt = format!("{id} {}", attempts[0]);
+            executed.insert(attempt.clone());
+            self.writing.entry(number).or_default().push(attempt);
         }
     }
 
-    /// Every call ends once, by what is known of whether it ran.
-    fn tell(&mut self) {
-        for told in told(&mut self.dispatcher) {
-            let words: Vec<&str> = told.split(' ').collect();
-            let [part, hop, _, ending] = words[..] else { continue };
-            if part == "query" || part == "part" {
+    /// Runs one round, and checks that every attempt ends once and with an outcome that fits what was written of it.
+    fn run_round(&mut self) {
+        for event in policy_events(&mut self.dispatcher) {
+            let words: Vec<&str> = event.split(' ').collect();
+            let [request, number, _, outcome] = words[..] else { continue };
+            if request == "query" || request == "request" {
                 continue;
             }
-            let call = format!("{part} {hop}");
-            assert!(self.open.remove(&call), "{told}: it has ended once");
-            match ending {
+            let attempt = format!("{request} {number}");
+            assert!(self.open.remove(&attempt), "{event}: the attempt ends once");
+            match outcome {
                 "NeverSent" | "Unreachable" => {
-                    assert!(!self.written.contains(&call), "{told}: it was written whole")
+                    assert!(!self.written.contains(&attempt), "{event}: its frame was written completely")
                 }
                 "ConnectionReset" => {
-                    assert!(self.written.contains(&call), "{told}: its last byte was never written")
+                    assert!(self.written.contains(&attempt), "{event}: its frame was not written completely")
                 }
                 _ => {}
             }
-            if matches!(ending, "NeverSent" | "Unreachable" | "Rejected") {
-                self.ran.get_mut(part).into_iter().for_each(|ran| ran.retain(|held| *held != call));
+            if matches!(outcome, "NeverSent" | "Unreachable" | "Rejected") {
+                let executed = self.executed.get_mut(request);
+                executed.into_iter().for_each(|executed| executed.retain(|other| *other != attempt));
             }
         }
     }
 }
 
-/// Plays events in order; in the end every connection is lost, and every call has ended.
-fn play_out(events: impl IntoIterator<Item = Event>) {
+/// Applies events in order. Then every connection is lost, and every attempt must have ended.
+fn run_events(events: impl IntoIterator<Item = Event>) {
     let mut model = Model::new();
-    events.into_iter().for_each(|event| model.play(event));
-    model.play(Event::Post);
-    for (node, line) in model.lines.clone() {
-        model.dispatcher.connection_lost(&node, line);
+    events.into_iter().for_each(|event| model.apply(event));
+    model.apply(Event::Flush);
+    for (node, connection) in model.connections.clone() {
+        model.dispatcher.connection_lost(&node, connection);
     }
-    model.tell();
-    assert_eq!(model.open.len(), 0, "calls without an end: {:?}", model.open);
+    model.run_round();
+    assert_eq!(model.open.len(), 0, "attempts that have not ended: {:?}", model.open);
     assert_eq!(model.dispatcher.attempts.in_flight_count(), 0);
 }
 
-/// Found by the property below: what was said of a call as it ended stands, whatever its connection comes to.
+/// A failing case of the property below. The outcome of an attempt that was ended while its frame was being written stands,
+/// whatever happens to its connection.
 #[rstest]
-fn a_part_given_up_in_the_midst_of_its_frame_counts_as_begun_after_its_connection_is_gone() {
+fn an_attempt_ended_while_its_frame_is_written_counts_as_begun_after_its_connection_closes() {
     use Event::*;
-    play_out([
-        Take(false),
-        Take(true),
-        Call(51, false),
-        Post,
-        Begin(0),
-        Cancel(3, 0),
-        Call(0, true),
-        Take(false),
-        Take(false),
-        Take(false),
-        Call(53, false),
-        Spoilt(0),
-        Post,
-        Begin(2),
+    run_events([
+        OpenQuery(false),
+        OpenQuery(true),
+        StartAttempt(51, false),
+        Flush,
+        BeginFrame(0),
+        CancelAttempt(3, 0),
+        StartAttempt(0, true),
+        OpenQuery(false),
+        OpenQuery(false),
+        OpenQuery(false),
+        StartAttempt(53, false),
+        Corrupted(0),
+        Flush,
+        BeginFrame(2),
     ]);
 }
 
@@ -328,9 +330,9 @@
         cases: 400, rng_seed: RngSeed::Fixed(6), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Calls, frames, answers, breaks, drains and leaving clients in any order.
+    /// Attempts, frames, replies, lost connections, drains and disconnects in any order.
     #[test]
-    fn calls_keep_their_rules_in_any_order(events in prop::collection::vec(event(), 1..160)) {
-        play_out(events);
+    fn attempts_keep_their_invariants_in_any_order(events in prop::collection::vec(event(), 1..160)) {
+        run_events(events);
     }
 }
--- a/crates/router/tests/dispatcher/main.rs
+++ b/crates/router/tests/dispatcher/main.rs
@@ -1,4 +1,5 @@
-//! The dispatcher by concern. Two data nodes, `s` and `t`, serve every shard; connections carry four attempts, frames two.
+//! Tests of the dispatcher. Two data nodes, `s` and `t`, serve every shard. A connection carries at most four attempts, a
+//! frame at most two.
 #[path = "../common/mod.rs"]
 mod common;
 
@@ -21,7 +22,7 @@
 };
 use std::rc::Rc;
 
-/// A dispatcher that knows `s` and `t`.
+/// A dispatcher whose endpoint list has `s` and `t`.
 fn dispatcher() -> Dispatcher {
     let mut dispatcher = Dispatcher::new(
         Clock::default(),
@@ -31,35 +32,41 @@
     );
     dispatcher.endpoints.begin_update(1, true);
     for (name, port) in [("s", 1), ("t", 2)] {
-        endpoints(&mut dispatcher, name, port, NodeState::Serving, None);
+        update_endpoint(&mut dispatcher, name, port, NodeState::Serving, None);
     }
-    told(&mut dispatcher);
+    policy_events(&mut dispatcher);
     dispatcher
 }
 
 /// Changes one entry of the endpoint list.
-fn endpoints(dispatcher: &mut Dispatcher, name: &str, port: u16, state: NodeState, started: Option<f64>) {
-    dispatcher.endpoints.update(name, ([127, 0, 0, 1], port).into(), 0, state, started);
+fn update_endpoint(
+    dispatcher: &mut Dispatcher,
+    name: &str,
+    port: u16,
+    state: NodeState,
+    started_at_s: Option<f64>,
+) {
+    dispatcher.endpoints.update(name, ([127, 0, 0, 1], port).into(), 0, state, started_at_s);
     dispatcher.endpoints_changed();
 }
 
-/// Ends what is due, and returns what the policy is told.
-fn told(dispatcher: &mut Dispatcher) -> Vec<String> {
+/// Expires what is due, and returns the events that the policy gets in a round.
+fn policy_events(dispatcher: &mut Dispatcher) -> Vec<String> {
     let (mut policy, now) = (RecordingPolicy::new(Recorded::Endpoints), dispatcher.clock.now());
     dispatcher.expire_due(now);
     dispatcher.notify_policy(now, &mut policy);
     policy.events
 }
 
-/// Opens query `id` with one request for each shard, and tells the policy.
-fn take(dispatcher: &mut Dispatcher, id: &str, shards: &[u32]) -> Rc<ClientConnection> {
+/// Opens query `id` with one request for each shard, and passes it to the policy.
+fn open(dispatcher: &mut Dispatcher, id: &str, shards: &[u32]) -> Rc<ClientConnection> {
     let requests = shard_requests(id, shards, 1.0);
-    let client = open_query(dispatcher, id, 0, 5.0, requests, None).expect("taken");
-    told(dispatcher);
+    let client = open_query(dispatcher, id, 0, 5.0, requests, None).expect("the query opens");
+    policy_events(dispatcher);
     client
 }
 
-/// The connection of a dial is open.
-fn up(dispatcher: &mut Dispatcher, dial: &Dial) {
+/// Marks the connection of a dial as established.
+fn mark_open(dispatcher: &mut Dispatcher, dial: &Dial) {
     dispatcher.endpoints.connection(&dial.node, dial.connection).expect("a connection").is_open = true;
 }
--- a/crates/router/tests/dispatcher/queries.rs
+++ b/crates/router/tests/dispatcher/queries.rs
@@ -1,6 +1,6 @@
-//! Queries at the end of a shutdown and after a failure of the policy.
-use crate::common::dispatcher::{one_class_policy, played, response_text};
-use crate::{dispatcher, told};
+//! Queries in the last phase of a shutdown and after a failure of the policy.
+use crate::common::dispatcher::{one_class_policy, response_text, run_in_local_runtime};
+use crate::{dispatcher, policy_events};
 use alderway_router::io::rounds;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::descriptors;
@@ -12,50 +12,53 @@
 use std::rc::Rc;
 
 #[rstest]
-fn a_query_that_comes_as_the_program_ends_is_turned_away_at_once() {
+fn a_query_in_the_last_shutdown_phase_is_rejected_at_once() {
     let mut dispatcher = dispatcher();
     dispatcher.shutdown_phase = ShutdownPhase::Ending;
     let client = Rc::new(ClientConnection::default());
-    let (id, part) = ("q".into(), ShardRequest::new("q.1".into(), 1, 1.0));
-    let (not_after, text, parts) = (dispatcher.clock.now() + 5.0, String::new(), vec![part]);
-    let (of, coverage) = (client.clone(), None);
-    let query = Query { id, class: 0, not_after_s: not_after, text, requests: parts, client: of, coverage };
-    dispatcher.open_query(&client, query).expect("answered");
+    let query = Query {
+        id: "q".into(),
+        class: 0,
+        not_after_s: dispatcher.clock.now() + 5.0,
+        text: String::new(),
+        requests: vec![ShardRequest::new("q.1".into(), 1, 1.0)],
+        client: client.clone(),
+        coverage: None,
+    };
+    dispatcher.open_query(&client, query).expect("a response");
     assert!(response_text(&client).starts_with("HTTP/1.1 503 "));
-    assert!(told(&mut dispatcher).is_empty() && dispatcher.queries.is_empty());
+    assert!(policy_events(&mut dispatcher).is_empty() && dispatcher.queries.is_empty());
 }
 
 #[rstest]
-fn a_failure_of_the_module_aborts_what_is_open_and_the_router_goes_on() {
-    // The module knows one vertical, the dispatcher two: a query of the second makes it panic.
-    let module = || Ok::<_, Infallible>(one_class_policy());
+fn a_panic_of_the_policy_fails_open_queries_and_the_router_continues() {
+    // The policy has one query class, the dispatcher two: a query of the second class makes the policy panic.
+    let new_policy = || Ok::<_, Infallible>(one_class_policy());
     let dispatcher = Rc::new(std::cell::RefCell::new(dispatcher()));
     dispatcher.borrow_mut().query_classes.push("w".into());
-    let taken = |id: &str, vertical| {
+    let open = |id: &str, class| {
         let client = Rc::new(ClientConnection::default());
-        let part = ShardRequest::new(format!("{id}.1").into(), 1, 1.0);
-        let (not_after, text, parts) = (dispatcher.borrow().clock.now() + 5.0, String::new(), vec![part]);
-        let (of, coverage) = (client.clone(), None);
         let query = Query {
             id: id.into(),
-            class: vertical,
-            not_after_s: not_after,
-            text,
-            requests: parts,
-            client: of,
-            coverage,
+            class,
+            not_after_s: dispatcher.borrow().clock.now() + 5.0,
+            text: String::new(),
+            requests: vec![ShardRequest::new(format!("{id}.1").into(), 1, 1.0)],
+            client: client.clone(),
+            coverage: None,
         };
-        dispatcher.borrow_mut().open_query(&client, query).expect("taken");
+        dispatcher.borrow_mut().open_query(&client, query).expect("the query opens");
         client
     };
-    played(async {
-        let share = descriptors::split(64, usize::MAX, 1).1;
-        tokio::task::spawn_local(rounds::run(dispatcher.clone(), None, module, share));
-        let bad = taken("bad", 1);
+    run_in_local_runtime(async {
+        let descriptors = descriptors::split(64, usize::MAX, 1).1;
+        tokio::task::spawn_local(rounds::run(dispatcher.clone(), None, new_policy, descriptors));
+        let bad = open("bad", 1);
         bad.wake.notified().await;
         assert!(response_text(&bad).starts_with("HTTP/1.1 504 "));
-        // Both nodes refuse connections here: a decision all the same, and by the endpoint list told again.
-        let good = taken("good", 0);
+        // Both nodes refuse connections. The restarted policy has got the endpoint list again: it starts an attempt before it
+        // rejects the query.
+        let good = open("good", 0);
         good.wake.notified().await;
         assert!(response_text(&good).starts_with("HTTP/1.1 503 "));
         assert!(dispatcher.borrow().metrics_text().contains("leaf_calls_sent{first} 1"));
--- a/crates/router/tests/dispatcher/replies.rs
+++ b/crates/router/tests/dispatcher/replies.rs
@@ -1,6 +1,6 @@
-//! Replies, cancellations and broken connections: which attempt each ends, and what it proves.
-use crate::common::dispatcher::{send, write};
-use crate::{dispatcher, take, told, up};
+//! Replies, cancellations and broken connections: which attempts each ends, and with which outcome.
+use crate::common::dispatcher::{start_attempts, write_next_frame};
+use crate::{dispatcher, mark_open, open, policy_events};
 use alderway::interface::AttemptOutcome;
 use alderway::interface::DecisionSink;
 use alderway_router::state::attempts::AttemptId;
@@ -10,118 +10,129 @@
 
 #[rstest]
 #[case::named(Some("q.2"), ["q.2 0 s Error", "q.1 0 s Cancelled"])]
-#[case::of_nobody(Some("z.2"), ["q.1 0 s Error", "q.2 0 s Cancelled"])]
-#[case::nameless(None, ["q.1 0 s Error", "q.2 0 s Cancelled"])]
-fn a_spoilt_answer_is_one_failed_call_and_those_beside_it_are_given_up(
-    #[case] part: Option<&str>,
-    #[case] out: [&str; 2],
+#[case::unknown(Some("z.2"), ["q.1 0 s Error", "q.2 0 s Cancelled"])]
+#[case::unnamed(None, ["q.1 0 s Error", "q.2 0 s Cancelled"])]
+fn an_unreadable_reply_fails_one_attempt_and_cancels_the_others(
+    #[case] named_request: Option<&str>,
+    #[case] in_flight: [&str; 2],
 ) {
     let mut dispatcher = dispatcher();
-    take(&mut dispatcher, "q", &[1, 2, 3]);
-    let dial = send(&mut dispatcher, "s", &["q.1", "q.2", "q.3"]).remove(0);
-    write(&mut dispatcher, &dial);
-    dispatcher.connection_corrupted("s", dial.connection, part);
+    open(&mut dispatcher, "q", &[1, 2, 3]);
+    let dial = start_attempts(&mut dispatcher, "s", &["q.1", "q.2", "q.3"]).remove(0);
+    write_next_frame(&mut dispatcher, &dial);
+    dispatcher.connection_corrupted("s", dial.connection, named_request);
     dispatcher.connection_lost("s", dial.connection);
-    let mut told = told(&mut dispatcher);
-    told.sort();
-    let mut all = [out[0], out[1], "q.3 0 s NeverSent"];
-    all.sort();
-    assert_eq!(told, all);
+    let mut events = policy_events(&mut dispatcher);
+    events.sort();
+    let mut expected = [in_flight[0], in_flight[1], "q.3 0 s NeverSent"];
+    expected.sort();
+    assert_eq!(events, expected);
 }
 
 #[rstest]
-fn a_part_given_up_in_the_midst_of_its_frame_ends_the_connection() {
+fn an_attempt_ended_while_its_frame_is_written_closes_the_connection() {
     let mut dispatcher = dispatcher();
-    take(&mut dispatcher, "q", &[1]);
-    let dial = send(&mut dispatcher, "s", &["q.1"]).remove(0);
+    open(&mut dispatcher, "q", &[1]);
+    let dial = start_attempts(&mut dispatcher, "s", &["q.1"]).remove(0);
     assert!(dispatcher.next_frame("s", dial.connection, &mut vec![]));
     dispatcher.reject("q", None);
     assert!(dispatcher.endpoints.connection("s", dial.connection).expect("a connection").is_aborted);
 }
 
 #[rstest]
-#[case::broken(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.connection_lost("s", dial.connection))]
-#[case::spoilt(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.connection_corrupted("s", dial.connection, None))]
-fn a_connection_cut_over_a_part_says_nothing_of_a_later_call_by_the_same_id(
-    #[case] ends: impl FnOnce(&mut Dispatcher, &Dial),
+#[case::lost(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.connection_lost("s", dial.connection))]
+#[case::corrupted(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.connection_corrupted("s", dial.connection, None))]
+fn the_end_of_an_aborted_connection_does_not_end_a_later_attempt_with_the_same_id(
+    #[case] end_connection: impl FnOnce(&mut Dispatcher, &Dial),
 ) {
     let mut dispatcher = dispatcher();
-    take(&mut dispatcher, "q", &[1]);
-    let cut = send(&mut dispatcher, "s", &["q.1"]).remove(0);
-    assert!(dispatcher.next_frame("s", cut.connection, &mut vec![]));
+    open(&mut dispatcher, "q", &[1]);
+    let aborted = start_attempts(&mut dispatcher, "s", &["q.1"]).remove(0);
+    assert!(dispatcher.next_frame("s", aborted.connection, &mut vec![]));
     dispatcher.reject("q", None);
-    // The client asks again by the same id before the driver has left the connection.
-    take(&mut dispatcher, "q", &[1]);
-    let dial = send(&mut dispatcher, "t", &["q.1"]).remove(0);
-    assert!(write(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.1 ")));
-    told(&mut dispatcher);
-    ends(&mut dispatcher, &cut);
-    assert!(told(&mut dispatcher).is_empty(), "the later call is out, and may have run");
+    // The client sends a query with the same id before the connection's task has closed the connection.
+    open(&mut dispatcher, "q", &[1]);
+    let dial = start_attempts(&mut dispatcher, "t", &["q.1"]).remove(0);
+    assert!(write_next_frame(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.1 ")));
+    policy_events(&mut dispatcher);
+    end_connection(&mut dispatcher, &aborted);
+    assert!(
+        policy_events(&mut dispatcher).is_empty(),
+        "the later attempt is in flight and may have been executed"
+    );
     assert_eq!(dispatcher.attempts.in_flight_count(), 1);
 }
 
 #[rstest]
-fn a_late_reply_is_not_taken_for_that_of_a_later_query_by_the_same_id() {
+fn a_late_reply_does_not_end_an_attempt_of_a_later_query_with_the_same_id() {
     let mut dispatcher = dispatcher();
-    take(&mut dispatcher, "q", &[1]);
-    let old = send(&mut dispatcher, "s", &["q.1"]).remove(0);
-    write(&mut dispatcher, &old);
-    // Where nothing may be cancelled, the call stays out after its query's answer.
+    open(&mut dispatcher, "q", &[1]);
+    let old = start_attempts(&mut dispatcher, "s", &["q.1"]).remove(0);
+    write_next_frame(&mut dispatcher, &old);
+    // Without cancellation, the attempt stays in flight after its query has ended.
     dispatcher.reject("q", None);
-    take(&mut dispatcher, "q", &[1]);
-    let dial = send(&mut dispatcher, "t", &["q.1"]).remove(0);
-    told(&mut dispatcher);
+    open(&mut dispatcher, "q", &[1]);
+    let dial = start_attempts(&mut dispatcher, "t", &["q.1"]).remove(0);
+    policy_events(&mut dispatcher);
     dispatcher.record_reply("s", old.connection, "q.1", AttemptOutcome::Rejected, "");
-    assert!(told(&mut dispatcher).is_empty(), "the later call waits to go out");
-    assert!(write(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.1 ")));
-    assert!(told(&mut dispatcher).is_empty());
+    assert!(policy_events(&mut dispatcher).is_empty(), "the frame of the later attempt is queued");
+    assert!(write_next_frame(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.1 ")));
+    assert!(policy_events(&mut dispatcher).is_empty());
 }
 
 #[rstest]
-fn a_call_that_ended_while_its_frame_waited_does_not_begin() {
+fn an_attempt_that_ended_while_its_frame_was_queued_is_not_sent() {
     let mut dispatcher = dispatcher();
-    take(&mut dispatcher, "q", &[1, 2]);
-    let dial = send(&mut dispatcher, "s", &["q.1", "q.2"]).remove(0);
+    open(&mut dispatcher, "q", &[1, 2]);
+    let dial = start_attempts(&mut dispatcher, "s", &["q.1", "q.2"]).remove(0);
     let now = dispatcher.clock.now();
     dispatcher.attempts.end(&AttemptId::new("q.1", 0), AttemptOutcome::Cancelled, now);
-    assert!(write(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.2 ")));
-    assert_eq!(write(&mut dispatcher, &dial), None);
+    assert!(write_next_frame(&mut dispatcher, &dial).is_some_and(|text| text.starts_with("Sq.2 ")));
+    assert_eq!(write_next_frame(&mut dispatcher, &dial), None);
 }
 
 #[rstest]
-fn a_late_reply_is_not_taken_for_that_of_a_later_call_to_the_same_node() {
+fn a_late_reply_does_not_end_a_later_attempt_at_the_same_node() {
     let mut dispatcher = dispatcher();
-    take(&mut dispatcher, "q", &[1]);
-    let first = send(&mut dispatcher, "s", &["q.1"]).remove(0);
-    up(&mut dispatcher, &first);
-    write(&mut dispatcher, &first);
+    open(&mut dispatcher, "q", &[1]);
+    let first = start_attempts(&mut dispatcher, "s", &["q.1"]).remove(0);
+    mark_open(&mut dispatcher, &first);
+    write_next_frame(&mut dispatcher, &first);
     dispatcher.cancel_attempt("q.1", 0);
-    let second = send(&mut dispatcher, "s", &["q.1"]);
+    let second = start_attempts(&mut dispatcher, "s", &["q.1"]);
     assert_eq!(second.len(), 1, "another connection");
-    assert_eq!(write(&mut dispatcher, &first).as_deref(), Some("Cq.1"));
-    write(&mut dispatcher, &second[0]);
+    assert_eq!(write_next_frame(&mut dispatcher, &first).as_deref(), Some("Cq.1"));
+    write_next_frame(&mut dispatcher, &second[0]);
     dispatcher.record_reply("s", first.connection, "q.1", AttemptOutcome::Rejected, "");
-    assert_eq!(told(&mut dispatcher), ["q.1 0 s Cancelled"], "the second call is still out");
+    assert_eq!(
+        policy_events(&mut dispatcher),
+        ["q.1 0 s Cancelled"],
+        "the second attempt is still in flight"
+    );
 }
 
 #[rstest]
-fn a_connection_that_fell_silent_gets_no_further_call() {
+fn a_silent_connection_gets_no_further_attempts() {
     let mut dispatcher = dispatcher();
     dispatcher.connection_config.dial_timeout_s = 0.05;
-    take(&mut dispatcher, "q", &[1, 2, 3, 4]);
-    let silent = send(&mut dispatcher, "s", &["q.1", "q.2"]).remove(0);
-    up(&mut dispatcher, &silent);
-    write(&mut dispatcher, &silent);
+    open(&mut dispatcher, "q", &[1, 2, 3, 4]);
+    let silent = start_attempts(&mut dispatcher, "s", &["q.1", "q.2"]).remove(0);
+    mark_open(&mut dispatcher, &silent);
+    write_next_frame(&mut dispatcher, &silent);
     let pause = || std::thread::sleep(std::time::Duration::from_millis(60));
     pause();
     dispatcher.record_reply("s", silent.connection, "q.1", AttemptOutcome::Success, "v");
     dispatcher.cancel_attempt("q.2", 0);
     assert!(
-        send(&mut dispatcher, "s", &["q.3"]).is_empty(),
-        "heard since `q.2` went out: a slow part, no more"
+        start_attempts(&mut dispatcher, "s", &["q.3"]).is_empty(),
+        "a reply came after `q.2` was sent, so the connection is not silent"
     );
-    while write(&mut dispatcher, &silent).is_some() {}
+    while write_next_frame(&mut dispatcher, &silent).is_some() {}
     pause();
     dispatcher.cancel_attempt("q.3", 0);
-    assert_eq!(send(&mut dispatcher, "s", &["q.4"]).len(), 1, "nothing heard since: another connection");
+    assert_eq!(
+        start_attempts(&mut dispatcher, "s", &["q.4"]).len(),
+        1,
+        "no reply came since: another connection is opened"
+    );
 }
--- a/crates/router/tests/dispatcher/reused_ids.rs
+++ b/crates/router/tests/dispatcher/reused_ids.rs
@@ -1,4 +1,4 @@
-//! A client that leaves and asks again by the same id, before the policy has heard that it left.
+//! A client that disconnects and sends a query with the same id before the policy has been notified of the disconnect.
 use crate::common::dispatcher::{
     DispatcherSink, one_class_policy, open_query, response_text, shard_requests,
 };
@@ -25,26 +25,26 @@
         Router { dispatcher: RefCell::new(dispatcher), policy: one_class_policy() }
     }
 
-    /// A client asks for shard 1.
-    fn ask(&self, id: &str) -> Rc<ClientConnection> {
+    /// Opens a query for shard 1.
+    fn open(&self, id: &str) -> Rc<ClientConnection> {
         let requests = shard_requests(id, &[1], 1.0);
-        open_query(&mut self.dispatcher.borrow_mut(), id, 0, 5.0, requests, None).expect("taken")
+        open_query(&mut self.dispatcher.borrow_mut(), id, 0, 5.0, requests, None).expect("the query opens")
     }
 
-    fn leave(&self, client: &ClientConnection) {
+    fn disconnect(&self, client: &ClientConnection) {
         let query = client.open_query.get().expect("an open query");
         self.dispatcher.borrow_mut().client_disconnected(query);
     }
 
-    /// One round, after which all frames are written.
+    /// Runs one round and writes all frames.
     fn round(&mut self) {
         let dispatcher = &self.dispatcher;
         let now = dispatcher.borrow().clock.now();
-        let tell = |input: &mut dyn PolicyInput| {
+        let add_input = |input: &mut dyn PolicyInput| {
             dispatcher.borrow_mut().notify_policy(now, input);
             Ok::<(), ()>(())
         };
-        self.policy.round(now, tell, &mut DispatcherSink(dispatcher)).expect("a round");
+        self.policy.round(now, add_input, &mut DispatcherSink(dispatcher)).expect("a round");
         let mut dispatcher = dispatcher.borrow_mut();
         dispatcher.flush_attempts(now);
         let connections: Vec<(String, u64)> = dispatcher
@@ -55,41 +55,44 @@
             .collect();
         for (node, connection) in connections {
             while dispatcher.next_frame(&node, connection, &mut vec![]) {
-                dispatcher.endpoints.connection(&node, connection).expect("it is there").frame_written(now);
+                dispatcher.endpoints.connection(&node, connection).expect("a connection").frame_written(now);
             }
         }
     }
 
-    /// A data node answers the first attempt for shard 1; false where there is none.
-    fn answer(&self, id: &str, value: &str) -> bool {
+    /// Delivers a reply to the first attempt for shard 1; false if there is no such attempt.
+    fn reply(&self, id: &str, value: &str) -> bool {
         let mut dispatcher = self.dispatcher.borrow_mut();
         let attempt = AttemptId::new(format!("{id}.1"), 0);
         let Some(attempt) = dispatcher.attempts.get(&attempt) else { return false };
-        let (node, connection) = (attempt.node.clone(), attempt.connection.expect("it is out"));
+        let (node, connection) = (attempt.node.clone(), attempt.connection.expect("a connection"));
         dispatcher.record_reply(&node, connection, &format!("{id}.1"), AttemptOutcome::Success, value);
         true
     }
 }
 
-/// Guards against the end of an earlier query, and an answer to it, being taken for those of the query that has its id now.
+/// Guards against the end of an earlier query, or a reply to it, being applied to a later query with the same id.
 #[rstest]
-#[case::before_it_was_known(false, false)]
-#[case::with_an_attempt_out(true, false)]
-#[case::with_an_answer_in(true, true)]
-fn a_query_by_the_id_of_one_just_left_gets_an_answer_of_its_own(#[case] known: bool, #[case] answered: bool) {
+#[case::before_the_first_round(false, false)]
+#[case::with_an_attempt_in_flight(true, false)]
+#[case::with_a_reply(true, true)]
+fn a_query_with_the_id_of_a_disconnected_one_gets_its_own_answer(
+    #[case] is_known: bool,
+    #[case] is_answered: bool,
+) {
     let mut router = Router::new();
-    let former = router.ask("q");
-    if known {
+    let earlier = router.open("q");
+    if is_known {
         router.round();
     }
-    if answered {
-        assert!(router.answer("q", "\"earlier\""));
+    if is_answered {
+        assert!(router.reply("q", "\"earlier\""));
     }
-    router.leave(&former);
-    let client = router.ask("q");
+    router.disconnect(&earlier);
+    let client = router.open("q");
     router.round();
-    assert_eq!(response_text(&client), "", "nothing is known yet");
-    assert!(router.answer("q", "\"its own\""), "an attempt is out for it");
+    assert_eq!(response_text(&client), "", "there is no reply yet");
+    assert!(router.reply("q", "\"its own\""), "an attempt is in flight");
     router.round();
     let response = response_text(&client);
     assert!(response.starts_with("HTTP/1.1 200 ") && response.contains("its own"), "{response}");
--- a/crates/router/tests/shard_map/any_order.rs
+++ b/crates/router/tests/shard_map/any_order.rs
@@ -1,6 +1,8 @@
-//! Changes, answers and failures in any order: each query gets one right answer.
+//! Random changes of the shard map, replies and failures: each query gets one correct answer.
 use crate::common::dispatcher::{DispatcherSink, response_text};
-use crate::{ask, body, change, dispatcher, moved, reply_received, split};
+use crate::{
+    apply_changes, dispatcher, move_shard, open_query_for, reply_received, response_body, split_shard,
+};
 use alderway::interface::AttemptOutcome;
 use alderway::interface::Idempotency;
 use alderway::interface::PolicyConfig;
@@ -23,11 +25,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-fn module(effect: Idempotency) -> Policy {
-    let vertical = QueryClass {
+/// A policy with one query class of this idempotency.
+fn policy(idempotency: Idempotency) -> Policy {
+    let query_class = QueryClass {
         latency_objective_s: 2.0,
         deadline_s: 6.0,
-        idempotency: effect,
+        idempotency,
         priority_weight: 1.0,
         late_weight_fraction: 0.3,
         complete_fraction: 1.0,
@@ -41,7 +44,7 @@
         attempt_overhead_s: 0.0,
         explicit_holders: None,
     };
-    let allowance = RouterCapabilities {
+    let capabilities = RouterCapabilities {
         can_cancel: true,
         can_hedge: true,
         max_attempts: 4,
@@ -49,117 +52,119 @@
         polls_endpoints: false,
         over_quota_weight_fraction: 0.1,
     };
-    let verticals = vec![vertical];
     Policy::new(
         7,
         PolicyConfig {
             router_count: 1,
-            query_classes: verticals,
+            query_classes: vec![query_class],
             placement,
-            capabilities: allowance,
+            capabilities,
             ..PolicyConfig::default()
         },
     )
 }
 
-/// A call whose frame has gone out and that nobody has answered: node, connection, part, keys.
-type Out = (String, u64, String, Range);
+/// An attempt whose frame is written and that has no reply: node, connection, shard request, keys.
+type InFlight = (String, u64, String, Range);
 
-/// A query as its client asked for it.
-struct Asked {
+/// A query, as its client sent it.
+struct ClientQuery {
     client: Rc<ClientConnection>,
     id: String,
     keys: Range,
-    /// The client has closed its connection.
-    left: bool,
+    /// Whether the client has closed its connection.
+    is_disconnected: bool,
 }
 
-/// One core with its module and data nodes that a test plays.
-struct World {
+/// One core with its policy, and simulated data nodes and clients.
+struct Simulation {
     dispatcher: RefCell<Dispatcher>,
-    router: Policy,
-    /// How far the module's time is ahead of the clock.
-    ahead: f64,
-    out: Vec<Out>,
-    lines: Vec<(String, u64)>,
-    clients: Vec<Asked>,
-    next: ShardId,
-    /// Keys that were sent for, by query, where each may be had once.
-    ran: Vec<(String, Range)>,
+    policy: Policy,
+    /// How far the policy's time is ahead of the clock, in seconds.
+    clock_offset_s: f64,
+    in_flight: Vec<InFlight>,
+    connections: Vec<(String, u64)>,
+    queries: Vec<ClientQuery>,
+    last_shard: ShardId,
+    /// Keys whose attempts may have been executed, by query.
+    executed: Vec<(String, Range)>,
 }
 
-impl World {
-    fn new(effect: Idempotency) -> World {
+impl Simulation {
+    fn new(idempotency: Idempotency) -> Simulation {
         let mut dispatcher = dispatcher(10_000);
-        // Nothing is told yet.
+        // The policy has got no input yet.
         dispatcher.restart_policy();
-        World {
+        Simulation {
             dispatcher: RefCell::new(dispatcher),
-            router: module(effect),
-            ahead: 0.0,
-            out: vec![],
-            lines: vec![],
-            clients: vec![],
-            next: 10,
-            ran: vec![],
+            policy: policy(idempotency),
+            clock_offset_s: 0.0,
+            in_flight: vec![],
+            connections: vec![],
+            queries: vec![],
+            last_shard: 10,
+            executed: vec![],
         }
     }
 
+    /// Runs one round, and writes all frames.
     fn round(&mut self) {
-        let now = self.dispatcher.borrow().clock.now() + self.ahead;
+        let now = self.dispatcher.borrow().clock.now() + self.clock_offset_s;
         let dispatcher = &self.dispatcher;
-        let tell = |intake: &mut dyn PolicyInput| {
-            dispatcher.borrow_mut().notify_policy(now, intake);
+        let add_input = |input: &mut dyn PolicyInput| {
+            dispatcher.borrow_mut().notify_policy(now, input);
             Ok::<(), ()>(())
         };
-        self.router.round(now, tell, &mut DispatcherSink(dispatcher)).expect("a round");
-        self.lines.extend(
+        self.policy.round(now, add_input, &mut DispatcherSink(dispatcher)).expect("a round");
+        self.connections.extend(
             self.dispatcher
                 .borrow_mut()
                 .flush_attempts(now)
                 .into_iter()
                 .map(|dial| (dial.node, dial.connection)),
         );
-        for (node, line) in &self.lines {
+        for (node, number) in &self.connections {
             let mut frame = vec![];
-            while self.dispatcher.borrow_mut().next_frame(node, *line, &mut frame) {
+            while self.dispatcher.borrow_mut().next_frame(node, *number, &mut frame) {
                 let now = self.dispatcher.borrow().clock.now();
-                if let Some(line) = self.dispatcher.borrow_mut().endpoints.connection(node, *line) {
-                    (line.is_open, _) = (true, line.frame_written(now));
+                if let Some(connection) = self.dispatcher.borrow_mut().endpoints.connection(node, *number) {
+                    connection.is_open = true;
+                    connection.frame_written(now);
                 }
                 let text = String::from_utf8(frame.split_off(4)).expect("text");
                 frame.clear();
-                let Some(rest) = text.strip_prefix('S') else {
-                    self.out.retain(|out| text[1..] != out.2 || out.1 != *line);
+                let Some(items) = text.strip_prefix('S') else {
+                    self.in_flight.retain(|attempt| text[1..] != attempt.2 || attempt.1 != *number);
                     continue;
                 };
-                for part in rest.split("text").filter(|part| !part.is_empty()) {
-                    let mut words = part.split([' ', ',']);
+                for item in items.split("text").filter(|item| !item.is_empty()) {
+                    let mut words = item.split([' ', ',']);
                     let id = words.next().expect("an id").to_string();
                     let keys = words.find_map(|word| word.strip_prefix("k=")?.split_once('-')).expect("keys");
                     let keys = Range::new(keys.0.parse().expect("a key"), keys.1.parse().expect("a key"));
-                    self.ran.push((id.split('.').next().expect("a query").to_string(), keys));
-                    self.out.push((node.clone(), *line, id, keys));
+                    self.executed.push((id.split('.').next().expect("a query").to_string(), keys));
+                    self.in_flight.push((node.clone(), *number, id, keys));
                 }
             }
         }
     }
 
-    /// A call that is out ends, in one way or another; false where its answer was not asked for.
-    fn reply(&mut self, which: usize, how: u8) -> bool {
-        if self.out.is_empty() {
+    /// Ends one of the attempts in flight by a reply or a lost connection; false if the dispatcher does not know the reply's
+    /// request.
+    fn reply(&mut self, which: usize, kind: u8) -> bool {
+        if self.in_flight.is_empty() {
             return true;
         }
-        let (node, line, part, keys) = self.out.swap_remove(which % self.out.len());
+        let (node, connection, request, keys) = self.in_flight.swap_remove(which % self.in_flight.len());
         let mut dispatcher = self.dispatcher.borrow_mut();
-        let (ending, report, value) = match how % 8 {
+        let (outcome, report, value) = match kind % 8 {
             0 => (AttemptOutcome::Rejected, "moved=99".to_string(), String::new()),
             1 => (AttemptOutcome::Rejected, "moved=1".to_string(), String::new()),
             2 => (AttemptOutcome::Error, "-".to_string(), String::new()),
             3 => {
                 drop(dispatcher);
-                self.out.retain(|out| out.1 != line);
-                self.dispatcher.borrow_mut().connection_lost(&node, line);
+                self.in_flight.retain(|attempt| attempt.1 != connection);
+                self.dispatcher.borrow_mut().connection_lost(&node, connection);
                 return true;
             }
             _ => {
@@ -167,102 +172,115 @@
                 (AttemptOutcome::Success, format!("keys={value}"), value)
             }
         };
-        if ending == AttemptOutcome::Rejected {
-            let query = part.split('.').next().expect("a query");
-            if let Some(at) = self.ran.iter().rposition(|ran| *ran == (query.to_string(), keys)) {
-                self.ran.remove(at);
+        if outcome == AttemptOutcome::Rejected {
+            let query = request.split('.').next().expect("a query");
+            if let Some(index) =
+                self.executed.iter().rposition(|executed| *executed == (query.to_string(), keys))
+            {
+                self.executed.remove(index);
             }
         }
-        reply_received(&mut dispatcher, &node, line, &part, ending, &report, &value)
+        reply_received(&mut dispatcher, &node, connection, &request, outcome, &report, &value)
     }
 
-    fn change(&mut self, kind: u8, at: Key) {
-        let layout =
-            self.dispatcher.borrow().shard_map.as_ref().and_then(|g| Some(g.history()?.newest().clone()));
+    /// Changes the shard that covers the key `at`: splits it, merges it with its neighbour or moves it.
+    fn change_shard_map(&mut self, kind: u8, at: Key) {
+        let layout = self
+            .dispatcher
+            .borrow()
+            .shard_map
+            .as_ref()
+            .and_then(|shard_map| Some(shard_map.history()?.newest().clone()));
         let layout = layout.expect("known");
         let shard = layout.of(at % 100).expect("covered");
         let keys = layout.shard(shard).expect("known").keys;
-        let cells = |n: u32| moved(shard, &[n % 6, (n / 6) % 6]).clone();
-        self.next += 2;
-        let (a, b) = (self.next, self.next + 1);
+        self.last_shard += 2;
+        let (a, b) = (self.last_shard, self.last_shard + 1);
         let changes = match kind % 4 {
-            0 if keys.keys() > 1 => vec![split(shard, &[(a, keys.from), (b, keys.from + 1)])],
+            0 if keys.keys() > 1 => vec![split_shard(shard, &[(a, keys.from), (b, keys.from + 1)])],
             1 if keys.keys() > 1 => vec![
-                split(shard, &[(a, keys.from), (b, keys.to - 1)]),
-                moved(a, &[at % 6]),
-                moved(b, &[(at + 1) % 6, (at + 2) % 6]),
+                split_shard(shard, &[(a, keys.from), (b, keys.to - 1)]),
+                move_shard(a, &[at % 6]),
+                move_shard(b, &[(at + 1) % 6, (at + 2) % 6]),
             ],
             2 if keys.to < 100 => {
                 let neighbour = layout.of(keys.to).expect("covered");
                 vec![
-                    moved(shard, &[at % 6]),
-                    moved(neighbour, &[at % 6]),
+                    move_shard(shard, &[at % 6]),
+                    move_shard(neighbour, &[at % 6]),
                     Change::Merge { parents: vec![shard, neighbour], child: a },
                 ]
             }
-            _ => vec![cells(at)],
+            _ => vec![move_shard(shard, &[at % 6, (at / 6) % 6])],
         };
-        change(&mut self.dispatcher.borrow_mut(), layout.version() + 1, changes);
+        apply_changes(&mut self.dispatcher.borrow_mut(), layout.version() + 1, changes);
     }
 
-    fn query(&mut self, id: String, from: Key, keys: Key) {
+    fn open_query(&mut self, id: String, from: Key, keys: Key) {
         let to = (from + keys).min(100);
-        let client = ask(&mut self.dispatcher.borrow_mut(), &id, &[(None, Some((from, to)), 1.0)]);
-        let (client, keys) = (client.expect("taken"), Range::new(from, to));
-        self.clients.push(Asked { client, id, keys, left: false });
+        let client = open_query_for(&mut self.dispatcher.borrow_mut(), &id, &[(None, Some((from, to)), 1.0)]);
+        let (client, keys) = (client.expect("the query opens"), Range::new(from, to));
+        self.queries.push(ClientQuery { client, id, keys, is_disconnected: false });
     }
 
-    /// A client with an open query closes its connection; the id of its query.
-    fn leave(&mut self, which: usize) -> Option<String> {
-        let is_open = |asked: &&mut Asked| asked.client.open_query.get().is_some();
-        let asked = self.clients.iter_mut().filter(is_open).nth(which)?;
-        asked.left = true;
-        let number = asked.client.open_query.get().expect("open");
+    /// Closes the connection of a client with an open query; returns the id of the query.
+    fn disconnect(&mut self, which: usize) -> Option<String> {
+        let is_open = |query: &&mut ClientQuery| query.client.open_query.get().is_some();
+        let query = self.queries.iter_mut().filter(is_open).nth(which)?;
+        query.is_disconnected = true;
+        let number = query.client.open_query.get().expect("open");
         self.dispatcher.borrow_mut().client_disconnected(number);
-        Some(asked.id.clone())
+        Some(query.id.clone())
     }
 
-    /// A client leaves, and its query is asked again by the same id, for other keys.
-    fn ask_again(&mut self, which: usize, from: Key, keys: Key) {
-        let Some(id) = self.leave(which) else { return };
-        // Another query as far as effects go.
-        self.ran.retain(|(ran, _)| *ran != id);
-        self.query(id, from, keys);
+    /// Closes the connection of a client with an open query, and opens a query with the same id for other keys.
+    fn reopen_query(&mut self, which: usize, from: Key, keys: Key) {
+        let Some(id) = self.disconnect(which) else { return };
+        // The new query may have effects of its own.
+        self.executed.retain(|(executed, _)| *executed != id);
+        self.open_query(id, from, keys);
     }
 
-    /// Lets everything that is open come to its end.
-    fn end(&mut self) {
+    /// Lets all open queries end.
+    fn finish(&mut self) {
         for _ in 0..40 {
-            self.ahead += 0.3;
+            self.clock_offset_s += 0.3;
             self.reply(0, 4);
             self.round();
         }
     }
 
-    /// One answer for each query, in which every key counts once and with its own value, and nothing held.
+    /// Checks that each query got one answer, in which every key counts once and with its own value, and that no capacity,
+    /// attempt or split is left.
     fn check(&self) -> Result<(), TestCaseError> {
-        for Asked { client, id, keys: asked, left } in &self.clients {
+        for ClientQuery { client, id, keys: requested, is_disconnected } in &self.queries {
             let text = response_text(client);
-            prop_assert_eq!(text.matches("HTTP/1.1 ").count(), usize::from(!left), "{}: {}", id, text);
+            prop_assert_eq!(
+                text.matches("HTTP/1.1 ").count(),
+                usize::from(!is_disconnected),
+                "{}: {}",
+                id,
+                text
+            );
             if !text.starts_with("HTTP/1.1 200") {
                 continue;
             }
-            let body: serde_json::Value = serde_json::from_str(&body(client)).expect("readable");
+            let body: serde_json::Value = serde_json::from_str(&response_body(client)).expect("readable");
             let mut counted = std::collections::BTreeSet::new();
             for result in body["results"].as_array().expect("results") {
-                let ends = [0, 1].map(|at| result["keys"][at].as_u64().expect("a key") as Key);
-                prop_assert_eq!(result["value"].as_str(), Some(&*format!("{}-{}", ends[0], ends[1])));
-                for key in ends[0]..ends[1] {
+                let bounds = [0, 1].map(|index| result["keys"][index].as_u64().expect("a key") as Key);
+                prop_assert_eq!(result["value"].as_str(), Some(&*format!("{}-{}", bounds[0], bounds[1])));
+                for key in bounds[0]..bounds[1] {
                     prop_assert!(
-                        asked.covers(Range::new(key, key + 1)) && counted.insert(key),
+                        requested.covers(Range::new(key, key + 1)) && counted.insert(key),
                         "key {}",
                         key
                     );
                 }
             }
-            let share = counted.len() as f64 / asked.keys() as f64;
-            prop_assert!(share >= 0.4999, "under the floor: {}", share);
-            prop_assert_eq!(body["whole"].as_bool(), Some(counted.len() as u64 == asked.keys()));
+            let fraction = counted.len() as f64 / requested.keys() as f64;
+            prop_assert!(fraction >= 0.4999, "below the minimum fraction: {}", fraction);
+            prop_assert_eq!(body["whole"].as_bool(), Some(counted.len() as u64 == requested.keys()));
         }
         let dispatcher = self.dispatcher.borrow();
         prop_assert_eq!(
@@ -273,22 +291,22 @@
             ),
             (0, 0, 10_000)
         );
-        let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
+        let shard_map = dispatcher.shard_map.as_ref().expect("a shard map");
         prop_assert!(shard_map.families.is_empty());
         prop_assert_eq!(shard_map.history().expect("known").kept().1, 0);
         Ok(())
     }
 
-    /// Adds what was counted.
-    fn count(&self, totals: &[Cell<u64>], names: &[&str]) {
-        let counted = program_figures(&self.dispatcher.borrow());
+    /// Adds the values of the named counters to `totals`.
+    fn add_counters(&self, totals: &[Cell<u64>], names: &[&str]) {
+        let values = counter_values(&self.dispatcher.borrow());
         for (total, name) in totals.iter().zip(names) {
-            total.set(total.get() + counted.get(*name).copied().unwrap_or(0));
+            total.set(total.get() + values.get(*name).copied().unwrap_or(0));
         }
     }
 }
 
-/// Cases drawn from a seed.
+/// A configuration of 400 cases drawn from a seed.
 fn cases(seed: u64) -> ProptestConfig {
     contextualize_config(ProptestConfig {
         cases: 400,
@@ -298,16 +316,16 @@
     })
 }
 
-/// Each of these happened in the cases, or they have shown nothing.
-fn all_happened(totals: &[Cell<u64>], names: &[&str]) {
+/// Checks that each counter reached at least 10 over all cases; otherwise the cases do not cover what they should.
+fn assert_all_counted(totals: &[Cell<u64>], names: &[&str]) {
     for (total, name) in totals.iter().zip(names) {
         eprintln!("{name} {}", total.get());
-        assert!(total.get() >= 10, "{name} {} times: the cases show too little", total.get());
+        assert!(total.get() >= 10, "{name} is {}: the cases cover too little", total.get());
     }
 }
 
-/// What must have happened over all cases, or they have shown nothing.
-const NAMES: [&str; 5] = [
+/// Counters that the cases must have reached, for them to cover what they should.
+const COUNTERS: [&str; 5] = [
     "queries_merged{v}",
     "queries_merged_in_part{v}",
     "parts_divided",
@@ -315,75 +333,80 @@
     "leaf_calls_sent{copy}",
 ];
 
-fn program_figures(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
+/// Counters and gauges by name.
+fn counter_values(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
     let text = dispatcher.metrics_text();
     let lines = text.lines().filter_map(|line| line.split_once(' '));
-    lines.filter_map(|(name, figure)| Some((name.to_string(), figure.parse().ok()?))).collect()
+    lines.filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?))).collect()
 }
 
-/// Whatever order queries, changes, answers, failures and time come in: each query has one answer, in which every key
-/// counts once and with its own value; what may have had an effect is not asked for again; and in the end nothing is
-/// held.
+/// Queries, changes of the shard map, replies, failures and time steps in any order: each query gets one answer, in which
+/// every key counts once and with its own value. Keys whose attempt may have had an effect are not requested again. At the
+/// end no capacity, attempt or split is left.
 #[rstest]
-fn any_order_of_changes_and_answers_ends_in_one_right_answer_for_each_query() {
+fn each_query_gets_one_correct_answer_for_any_order_of_changes_and_replies() {
     let steps = prop::collection::vec((0..10u8, any::<u8>(), 0..100u32, 1..60u32), 20..120);
-    let totals: [Cell<u64>; NAMES.len()] = Default::default();
-    let played = TestRunner::new(cases(20)).run(&(steps, any::<bool>()), |(steps, once)| {
-        let mut world = World::new(if once { Idempotency::NonIdempotent } else { Idempotency::Idempotent });
+    let totals: [Cell<u64>; COUNTERS.len()] = Default::default();
+    let result = TestRunner::new(cases(20)).run(&(steps, any::<bool>()), |(steps, once)| {
+        let mut simulation =
+            Simulation::new(if once { Idempotency::NonIdempotent } else { Idempotency::Idempotent });
         for (n, (step, kind, at, keys)) in steps.into_iter().enumerate() {
             match step {
-                0..2 => world.query(format!("q{n}"), at, keys),
-                2..4 => world.change(kind, at),
-                4..7 => prop_assert!(world.reply(at as usize, kind), "an answer that was not asked for"),
-                7..9 => world.ahead += f64::from(kind) / 350.0,
-                _ if kind % 4 == 0 => drop(world.leave(at as usize % 8)),
+                0..2 => simulation.open_query(format!("q{n}"), at, keys),
+                2..4 => simulation.change_shard_map(kind, at),
+                4..7 => {
+                    prop_assert!(simulation.reply(at as usize, kind), "the reply is for an unknown request")
+                }
+                7..9 => simulation.clock_offset_s += f64::from(kind) / 350.0,
+                _ if kind % 4 == 0 => drop(simulation.disconnect(at as usize % 8)),
                 _ => {}
             }
-            world.round();
+            simulation.round();
         }
-        world.end();
-        world.check()?;
+        simulation.finish();
+        simulation.check()?;
         if once {
-            for (n, (query, keys)) in world.ran.iter().enumerate() {
-                let again = world.ran[..n].iter().any(|(other, ran)| other == query && ran.meets(*keys));
-                prop_assert!(!again, "{} ran again for {:?}", query, keys);
+            for (index, (query, keys)) in simulation.executed.iter().enumerate() {
+                let mut earlier = simulation.executed[..index].iter();
+                let is_repeated = earlier.any(|(other, executed)| other == query && executed.meets(*keys));
+                prop_assert!(!is_repeated, "{} was executed again for {:?}", query, keys);
             }
         }
-        world.count(&totals, &NAMES);
+        simulation.add_counters(&totals, &COUNTERS);
         Ok(())
     });
-    played.unwrap_or_else(|why| panic!("{why}"));
-    all_happened(&totals, &NAMES);
+    result.unwrap_or_else(|error| panic!("{error}"));
+    assert_all_counted(&totals, &COUNTERS);
 }
 
-/// As above where several events fall between two rounds, and clients leave and ask again by the same id. Guards against
-/// what belongs to an earlier query being taken for that of a later one.
+/// Like the test above, with several events between two rounds and with clients that disconnect and reuse the id of their
+/// query. Guards against replies and ends of an earlier query being applied to a later one.
 #[rstest]
-fn any_order_with_ids_asked_again_ends_in_one_right_answer_for_each_query() {
-    const NAMES: [&str; 4] =
+fn each_query_gets_one_correct_answer_for_any_order_with_reused_ids() {
+    const COUNTERS: [&str; 4] =
         ["queries_merged{v}", "queries_left{v}", "parts_divided", "leaf_calls_sent{copy}"];
     let steps = prop::collection::vec((0..12u8, any::<u8>(), 0..100u32, 1..60u32), 20..120);
-    let totals: [Cell<u64>; NAMES.len()] = Default::default();
-    let played = TestRunner::new(cases(21)).run(&steps, |steps| {
-        let mut world = World::new(Idempotency::Idempotent);
+    let totals: [Cell<u64>; COUNTERS.len()] = Default::default();
+    let result = TestRunner::new(cases(21)).run(&steps, |steps| {
+        let mut simulation = Simulation::new(Idempotency::Idempotent);
         for (n, (step, kind, at, keys)) in steps.into_iter().enumerate() {
             match step {
-                0..2 => world.query(format!("q{n}"), at, keys),
-                2 => world.change(kind, at),
-                // Some of these were cancelled already, by a frame that is still to be written.
-                3..6 => drop(world.reply(at as usize, kind)),
-                6 => world.ahead += f64::from(kind) / 350.0,
-                7..9 => world.ask_again(kind as usize % 8, at, keys),
-                9 => drop(world.leave(at as usize % 8)),
-                _ => world.round(),
+                0..2 => simulation.open_query(format!("q{n}"), at, keys),
+                2 => simulation.change_shard_map(kind, at),
+                // Some of these attempts are cancelled, but the frame of the cancellation is not yet written.
+                3..6 => drop(simulation.reply(at as usize, kind)),
+                6 => simulation.clock_offset_s += f64::from(kind) / 350.0,
+                7..9 => simulation.reopen_query(kind as usize % 8, at, keys),
+                9 => drop(simulation.disconnect(at as usize % 8)),
+                _ => simulation.round(),
             }
         }
-        world.round();
-        world.end();
-        world.check()?;
-        world.count(&totals, &NAMES);
+        simulation.round();
+        simulation.finish();
+        simulation.check()?;
+        simulation.add_counters(&totals, &COUNTERS);
         Ok(())
     });
-    played.unwrap_or_else(|why| panic!("{why}"));
-    all_happened(&totals, &NAMES);
+    result.unwrap_or_else(|error| panic!("{error}"));
+    assert_all_counted(&totals, &COUNTERS);
 }
--- a/crates/router/tests/shard_map/changes.rs
+++ b/crates/router/tests/shard_map/changes.rs
@@ -1,39 +1,44 @@
-//! Changes of the shard map that reach attempts and the policy.
-use crate::{change, dispatcher, moved, send, take, told, whole};
+//! Effects of a changed shard map on queued attempts and on the policy.
+use crate::{
+    apply_changes, dispatcher, full_map, move_shard, open_query_for_keys, policy_events, start_attempts,
+};
 use alderway_layouts::history::News;
 use alderway_router::io::discovery::Follower;
 use rstest::rstest;
 
 #[rstest]
-fn a_call_that_has_not_begun_is_taken_back_from_a_node_that_lost_the_shard() {
+fn a_queued_attempt_ends_if_its_node_no_longer_holds_the_shard() {
     let mut dispatcher = dispatcher(100);
-    take(&mut dispatcher, 0, 50);
-    let dial = send(&mut dispatcher, "n0", &["q.1.0-50"]);
-    told(&mut dispatcher);
-    change(&mut dispatcher, 2, vec![moved(1, &[1, 2])]);
-    assert_eq!(told(&mut dispatcher), ["shard 1 [1, 2] without {}", "q.1.0-50 0 n0 NeverSent"]);
+    open_query_for_keys(&mut dispatcher, 0, 50);
+    let dial = start_attempts(&mut dispatcher, "n0", &["q.1.0-50"]);
+    policy_events(&mut dispatcher);
+    apply_changes(&mut dispatcher, 2, vec![move_shard(1, &[1, 2])]);
+    assert_eq!(
+        policy_events(&mut dispatcher),
+        ["shard 1 held by [1, 2] except {}", "q.1.0-50 0 n0 NeverSent"]
+    );
     assert!(!dispatcher.next_frame("n0", dial.connection, &mut vec![]));
 }
 
 #[rstest]
-fn a_module_that_starts_anew_is_told_every_shard() {
+fn a_restarted_policy_gets_every_shard() {
     let mut dispatcher = dispatcher(100);
-    take(&mut dispatcher, 0, 50);
+    open_query_for_keys(&mut dispatcher, 0, 50);
     dispatcher.restart_policy();
-    let told = told(&mut dispatcher);
+    let events = policy_events(&mut dispatcher);
     assert!(
-        told.contains(&"shard 1 [0, 1] without {}".into())
-            && told.contains(&"shard 2 [0, 1] without {}".into())
+        events.contains(&"shard 1 held by [0, 1] except {}".into())
+            && events.contains(&"shard 2 held by [0, 1] except {}".into())
     );
 }
 
 #[rstest]
-fn faulty_news_change_nothing() {
+fn invalid_updates_change_nothing() {
     let mut dispatcher = dispatcher(100);
-    let hole = whole(2, &[(1, 0, 50, &[0, 1])]);
-    assert_eq!(dispatcher.layout(hole).expect_err("a hole").to_string(), "no shard covers key 50");
-    let unknown = News::Changes { version: 3, after: 2, changes: vec![moved(1, &[4])] };
-    assert!(dispatcher.layout(unknown).is_err());
+    let gap = full_map(2, &[(1, 0, 50, &[0, 1])]);
+    assert_eq!(dispatcher.layout(gap).expect_err("a gap").to_string(), "no shard covers key 50");
+    let unknown_base = News::Changes { version: 3, after: 2, changes: vec![move_shard(1, &[4])] };
+    assert!(dispatcher.layout(unknown_base).is_err());
     assert_eq!(dispatcher.layout_since(), Some(1));
-    assert!(told(&mut dispatcher).is_empty());
+    assert!(policy_events(&mut dispatcher).is_empty());
 }
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -1,13 +1,13 @@
-//! A core whose shards split, merge and move while attempts are in flight: what its dispatcher sends, what it tells the
-//! policy, and what it answers.
+//! Changes of the shard map while attempts are in flight: the frames that the dispatcher sends, the input that it passes to
+//! the policy, and the responses.
 #[path = "../common/mod.rs"]
 mod common;
 
 mod any_order;
 mod changes;
-mod news;
 mod queries_by_keys;
 mod splits;
+mod updates;
 
 use alderway::interface::{AttemptOutcome, NodeState};
 use alderway_layouts::history::News;
@@ -28,28 +28,31 @@
 };
 use std::rc::Rc;
 
-/// What a client asks for: a shard, or keys, and its weight.
+/// A target of a query: a shard or keys, and the weight.
 type Target = (Option<u32>, Option<(u32, u32)>, f64);
 
-fn whole(version: u64, shards: &[(ShardId, Key, Key, &[u32])]) -> News {
+/// A full shard map of keys 0 to 100; each shard has an id, its keys from the first to below the second, and its holders.
+fn full_map(version: u64, shards: &[(ShardId, Key, Key, &[u32])]) -> News {
     let shard = |&(id, from, to, holders): &(ShardId, Key, Key, &[u32])| {
         (id, Shard { keys: Range::new(from, to), holders: holders.iter().copied().collect() })
     };
     News::Whole { version, keys: 100, shards: shards.iter().map(shard).collect() }
 }
 
-fn change(dispatcher: &mut Dispatcher, version: u64, changes: Vec<Change>) {
-    dispatcher.layout(News::Changes { version, after: version - 1, changes }).expect("a sound change");
+/// Applies changes to the previous version of the shard map.
+fn apply_changes(dispatcher: &mut Dispatcher, version: u64, changes: Vec<Change>) {
+    dispatcher.layout(News::Changes { version, after: version - 1, changes }).expect("a valid change");
 }
 
-fn split(parent: ShardId, children: &[(ShardId, Key)]) -> Change {
+fn split_shard(parent: ShardId, children: &[(ShardId, Key)]) -> Change {
     Change::Split { parent, children: children.to_vec() }
 }
 
-fn moved(shard: ShardId, holders: &[u32]) -> Change {
+fn move_shard(shard: ShardId, holders: &[u32]) -> Change {
     Change::Move { shard, holders: holders.iter().copied().collect() }
 }
-/// Nodes `n0` to `n5`, one a replica group; shards 1 (keys 0 to 50) and 2 (50 to 100), both held by groups 0 and 1.
+
+/// A dispatcher with nodes `n0` to `n5`, each in its own replica group, and shards 1 (keys 0 to 50) and 2 (50 to 100), both held by groups 0 and 1.
 fn dispatcher(max_open: usize) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(
         Clock::default(),
@@ -61,24 +64,24 @@
         Some(ShardMapView::new(ShardMapConfig { retired_shard_grace_s: 2.0, lagging_node_grace_s: 0.25 }));
     dispatcher.endpoints.begin_update(1, true);
     for group in 0..6u32 {
-        let at = ([127, 0, 0, 1], 1 + group as u16).into();
-        dispatcher.endpoints.update(&format!("n{group}"), at, group, NodeState::Serving, None);
+        let address = ([127, 0, 0, 1], 1 + group as u16).into();
+        dispatcher.endpoints.update(&format!("n{group}"), address, group, NodeState::Serving, None);
     }
-    assert!(!dispatcher.is_ready(), "no layout is known yet");
-    dispatcher.layout(whole(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])])).expect("sound");
+    assert!(!dispatcher.is_ready(), "there is no shard map yet");
+    dispatcher.layout(full_map(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])])).expect("a valid shard map");
     assert!(dispatcher.is_ready());
-    told(&mut dispatcher);
+    policy_events(&mut dispatcher);
     dispatcher
 }
 
-/// What the policy is told.
-fn told(dispatcher: &mut Dispatcher) -> Vec<String> {
+/// The events that the policy gets in a round.
+fn policy_events(dispatcher: &mut Dispatcher) -> Vec<String> {
     let (mut policy, now) = (RecordingPolicy::new(Recorded::Shards), dispatcher.clock.now());
     dispatcher.notify_policy(now, &mut policy);
     policy.events
 }
 
-/// A reply with a node's report as it stands on the wire.
+/// Delivers a reply with a node's report in its encoded form.
 fn reply_received(
     dispatcher: &mut Dispatcher,
     node: &str,
@@ -92,8 +95,8 @@
     dispatcher.reply_received(node, connection, &NodeReply { request_id, outcome, report, value })
 }
 
-/// Opens a query; the text for its client if it is refused.
-fn ask(
+/// Opens a query for some targets, or returns the error text that its client gets.
+fn open_query_for(
     dispatcher: &mut Dispatcher,
     id: &str,
     targets: &[Target],
@@ -101,29 +104,29 @@
     let target = |&(shard, keys, weight): &Target| QueryTarget { shard, keys, weight };
     let targets: Vec<QueryTarget> = targets.iter().map(target).collect();
     let text = |error: QueryError| requests::refusal(error).1;
-    let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
+    let shard_map = dispatcher.shard_map.as_ref().expect("a shard map");
     let (requests, coverage) = shard_map.requests_for(id, &targets).map_err(text)?;
     open_query(dispatcher, id, 0, 5.0, requests, Some(coverage)).map_err(text)
 }
 
 /// Opens query `q` for some keys.
-fn take(dispatcher: &mut Dispatcher, from: Key, to: Key) -> Rc<ClientConnection> {
-    ask(dispatcher, "q", &[(None, Some((from, to)), 1.0)]).expect("taken")
+fn open_query_for_keys(dispatcher: &mut Dispatcher, from: Key, to: Key) -> Rc<ClientConnection> {
+    open_query_for(dispatcher, "q", &[(None, Some((from, to)), 1.0)]).expect("the query opens")
 }
 
-/// Sends attempts to a node to which no connection is open.
-fn send(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Dial {
-    common::dispatcher::send(dispatcher, node, requests).remove(0)
+/// Starts attempts at a node without an open connection; returns the connection to open.
+fn start_attempts(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Dial {
+    common::dispatcher::start_attempts(dispatcher, node, requests).remove(0)
 }
 
-/// Writes the next frame of a connection, which is there.
-fn write(dispatcher: &mut Dispatcher, dial: &Dial) -> String {
-    let frame = common::dispatcher::write(dispatcher, dial);
-    assert!(frame.is_some(), "a frame waits");
+/// Writes the next frame of a connection, which must have one; returns its type byte and body as text.
+fn write_next_frame(dispatcher: &mut Dispatcher, dial: &Dial) -> String {
+    let frame = common::dispatcher::write_next_frame(dispatcher, dial);
+    assert!(frame.is_some(), "a frame is queued");
     frame.unwrap_or_default()
 }
 
 /// The body of a response.
-fn body(client: &ClientConnection) -> String {
+fn response_body(client: &ClientConnection) -> String {
     response_text(client).split("\r\n\r\n").nth(1).unwrap_or_default().to_string()
 }
