--- a/crates/router/tests/watch_state.rs
+++ b/crates/router/tests/watch_state.rs
@@ -1,63 +1,70 @@
-//! The longest time to be told of a change: every order of what can go wrong with watches, played without a socket
-//! or a clock against the spans by which the router follows discovery.
+//! The longest delay until a change in discovery is received: all orders of failing watches, simulated without a socket or a
+//! clock, with the router's time-outs and pauses.
 use alderway_router::state::watch_state::{
     RECONNECT_PAUSE_S, RESPONSE_TIMEOUT_S, SILENCE_TIMEOUT_S, WatchPhase, WatchState,
 };
 use rstest::rstest;
 
-/// What becomes of a watch that opens before discovery can be reached again, and of those right after.
+/// How a watch fails that opens before discovery is reachable again, or soon after.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    /// Ends so soon: refused, reset, or unreadable.
+enum Outcome {
+    /// Ends after this time in seconds: refused, reset or unreadable.
     Ends(f64),
-    /// Accepts and says nothing.
-    Mute,
-    /// Answers so late, and says nothing after that.
-    Head(f64),
+    /// The connection is accepted, but nothing is sent.
+    Silent,
+    /// The head of the response is sent after this time in seconds, but nothing after it.
+    ResponseHead(f64),
 }
 
-const FATES: [Fate; 6] =
-    [Fate::Ends(0.0), Fate::Ends(0.9), Fate::Mute, Fate::Head(0.0), Fate::Head(0.5), Fate::Head(0.99)];
+const OUTCOMES: [Outcome; 6] = [
+    Outcome::Ends(0.0),
+    Outcome::Ends(0.9),
+    Outcome::Silent,
+    Outcome::ResponseHead(0.0),
+    Outcome::ResponseHead(0.5),
+    Outcome::ResponseHead(0.99),
+];
 
-/// The module asks again so long after it hears that the watch is lost: its second, and its next look.
-const ASKS: f64 = 1.0 + 0.02;
+/// Delay in seconds from the loss of a watch until the policy requests the next poll: its interval of 1 s and the time to the
+/// next round.
+const POLL_DELAY_S: f64 = 1.0 + 0.02;
 
-/// Plays one watch that was open and fell silent at 0, and further ones by `fates` in turn for as long as discovery
-/// cannot be reached, which is until `back`; then `failing` more watches that end or stay mute. Returns how long after
-/// `back` the router is told.
-fn told_after(asks: bool, back: f64, fates: &[Fate], failing: &[Fate]) -> f64 {
-    let mut following = WatchState::new(asks);
-    let (mut now, mut opened, mut after) = (0.0, 0, 0);
-    following.open(now);
-    following.update_received(now);
+/// Simulates a watch that is open and silent from time 0 on. Until `returns_at_s`, discovery is not reachable and further
+/// watches fail with `outcomes` in turn; then watches fail with each of `failing`. Returns the time in seconds from
+/// `returns_at_s` until the router receives something.
+fn delay_after_return(on_request: bool, returns_at_s: f64, outcomes: &[Outcome], failing: &[Outcome]) -> f64 {
+    let mut watch = WatchState::new(on_request);
+    let (mut now, mut opened, mut failed_after) = (0.0, 0, 0);
+    watch.open(now);
+    watch.update_received(now);
     loop {
-        now = match following.phase {
-            WatchPhase::NotRequested => now + ASKS,
-            _ => following.deadline().max(now),
+        now = match watch.phase {
+            WatchPhase::NotRequested => now + POLL_DELAY_S,
+            _ => watch.deadline().max(now),
         };
-        if matches!(following.phase, WatchPhase::Open { .. } | WatchPhase::Opening { .. }) {
-            following.lost(now);
+        if matches!(watch.phase, WatchPhase::Open { .. } | WatchPhase::Opening { .. }) {
+            watch.lost(now);
             continue;
         }
-        following.open(now);
-        let fate = if now < back {
+        watch.open(now);
+        let outcome = if now < returns_at_s {
             opened += 1;
-            fates[(opened - 1) % fates.len()]
-        } else if let Some(fate) = failing.get(after) {
-            after += 1;
-            *fate
+            outcomes[(opened - 1) % outcomes.len()]
+        } else if let Some(outcome) = failing.get(failed_after) {
+            failed_after += 1;
+            *outcome
         } else {
-            return now - back;
+            return now - returns_at_s;
         };
-        match fate {
-            Fate::Ends(span) => {
-                now += span;
-                following.lost(now);
+        match outcome {
+            Outcome::Ends(span_s) => {
+                now += span_s;
+                watch.lost(now);
             }
-            Fate::Mute => {}
-            Fate::Head(span) => {
-                now += span;
-                following.response_started();
+            Outcome::Silent => {}
+            Outcome::ResponseHead(span_s) => {
+                now += span_s;
+                watch.response_started();
             }
         }
     }
@@ -65,43 +72,48 @@
 
 #[rstest]
 #[case::pushed(false, 2)]
-#[case::asked_for(true, 1)]
-fn a_change_is_told_six_seconds_after_discovery_can_be_reached(#[case] asks: bool, #[case] failures: usize) {
+#[case::on_request(true, 1)]
+fn a_change_is_received_within_six_seconds_of_discovery_being_reachable(
+    #[case] on_request: bool,
+    #[case] failures: usize,
+) {
     let mut longest = (0.0, 0.0, vec![], vec![]);
-    let pairs = FATES.iter().flat_map(|a| FATES.iter().map(move |b| vec![*a, *b]));
-    for fates in pairs {
+    let pairs = OUTCOMES.iter().flat_map(|a| OUTCOMES.iter().map(move |b| vec![*a, *b]));
+    for outcomes in pairs {
         for tenths in 0..150 {
-            let back = f64::from(tenths) / 10.0 + 0.01;
-            // What ends or stays mute before it has answered; a head without more is silence, which counts anew.
-            for failing in [Fate::Ends(0.0), Fate::Ends(0.9), Fate::Mute] {
-                let failing = if failing == Fate::Mute { vec![failing; 1] } else { vec![failing; failures] };
-                let span = told_after(asks, back, &fates, &failing);
-                if span > longest.0 {
-                    longest = (span, back, fates.clone(), failing);
+            let returns_at_s = f64::from(tenths) / 10.0 + 0.01;
+            // Only watches without a response: silence after the head of a response is a new silence of its own.
+            for failing in [Outcome::Ends(0.0), Outcome::Ends(0.9), Outcome::Silent] {
+                let failing =
+                    if failing == Outcome::Silent { vec![failing; 1] } else { vec![failing; failures] };
+                let delay_s = delay_after_return(on_request, returns_at_s, &outcomes, &failing);
+                if delay_s > longest.0 {
+                    longest = (delay_s, returns_at_s, outcomes.clone(), failing);
                 }
             }
         }
     }
     assert!(longest.0 < 6.0, "{longest:?}");
     // The sum that docs/configuration.md states.
-    let asked = if asks { ASKS } else { RECONNECT_PAUSE_S };
-    let ends = failures as f64 * (0.9 + RECONNECT_PAUSE_S);
+    let pause_s = if on_request { POLL_DELAY_S } else { RECONNECT_PAUSE_S };
+    let failures_s = failures as f64 * (0.9 + RECONNECT_PAUSE_S);
     assert!(
-        longest.0 <= SILENCE_TIMEOUT_S + asked + ends.max(RESPONSE_TIMEOUT_S + RECONNECT_PAUSE_S) + 0.01,
+        longest.0
+            <= SILENCE_TIMEOUT_S + pause_s + failures_s.max(RESPONSE_TIMEOUT_S + RECONNECT_PAUSE_S) + 0.01,
         "{longest:?}"
     );
 }
 
 #[rstest]
-fn what_the_module_asked_for_is_still_asked_for_until_a_watch_has_answered() {
-    let mut following = WatchState::new(true);
-    assert_eq!(following.phase, WatchPhase::NotRequested);
-    following.open(1.0);
-    assert!(!following.lost(2.0), "nothing had answered, so the module hears of no failure");
-    assert_eq!(following.phase, WatchPhase::Waiting { until: 2.0 + RECONNECT_PAUSE_S });
-    following.open(2.0 + RECONNECT_PAUSE_S);
-    following.response_started();
-    following.update_received(3.0);
-    assert!(following.lost(6.0));
-    assert_eq!(following.phase, WatchPhase::NotRequested);
+fn a_requested_poll_stays_requested_until_a_watch_has_a_response() {
+    let mut watch = WatchState::new(true);
+    assert_eq!(watch.phase, WatchPhase::NotRequested);
+    watch.open(1.0);
+    assert!(!watch.lost(2.0), "there was no response, so no failed poll is reported");
+    assert_eq!(watch.phase, WatchPhase::Waiting { until: 2.0 + RECONNECT_PAUSE_S });
+    watch.open(2.0 + RECONNECT_PAUSE_S);
+    watch.response_started();
+    watch.update_received(3.0);
+    assert!(watch.lost(6.0));
+    assert_eq!(watch.phase, WatchPhase::NotRequested);
 }
