--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -11,7 +11,7 @@
 //! | connections to data nodes, frames queued and in flight | [`node_connection::NodeConnection`] in its node's record | `choose_connection` | `connection_lost`, `connection_corrupted`, `connection_not_opened`, `requeue_unsent` |
 //! | connections of clients and their responses | [`clients::ClientTable`] | the connection's task | the same task |
 //! | the shard map and splits of open shard requests | [`shard_map::ShardMapView`] | `dispatcher/shard_changes.rs` | retirement of the shard |
-//! | query classes and the configuration in force | [`query_classes::ClassTable`] | `dispatcher/config.rs` | the last open query of the class |
+//! | query classes and the configuration in use | [`query_classes::ClassTable`] | `dispatcher/config.rs` | the last open query of the class |
 //! | input that the policy has not received yet | [`pending_input::PendingInput`] | the dispatcher | the next round |
 //! | file descriptors | [`descriptors::DescriptorPool`] | the task that opens a socket | drop of its permit |
 //! | capacity, id claims, fence, commands and metrics of all cores | [`shared::SharedState`] | each core | each core |
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -88,7 +88,7 @@
         Some(&self.current.as_ref()?.settings.policy)
     }
 
-    /// The configuration in force.
+    /// The configuration in use.
     pub fn current(&self) -> Option<&Arc<ConfigGeneration>> {
         self.current.as_ref()
     }
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -121,7 +121,7 @@
     pub cores: usize,
     /// Maximum number of connections to one data node from all cores together. Each core may have at least one.
     pub max_connections_per_node: Option<usize>,
-    /// Whether cores share what they observe of data nodes.
+    /// Whether cores share their observations of data nodes.
     pub shares_observations: bool,
 }
 
--- a/crates/router/src/state/stall_detector.rs
+++ b/crates/router/src/state/stall_detector.rs
@@ -1,7 +1,7 @@
 //! Detects that this thread did not run for a while, for example because its process was stopped or not scheduled. Events
 //! of that time are unread, and older knowledge must not be acted on before they are read.
 
-/// The longest gap between two checks that is not a stall. A disconnect or a drain may stay unread for so long.
+/// The longest gap between two checks that is not a stall. A disconnect or a drain may stay unread for this long.
 const MAX_GAP_S: f64 = 0.02;
 
 /// Counts the stalls of one thread. An idle thread cannot be told from a stalled one and is counted as stalled.
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -136,7 +136,7 @@
     ResponseHead,
     /// A line break outside of objects: the end of an object's line, or an empty line while nothing changes.
     EmptyLine,
-    /// An object. It ends so many bytes from the start of the buffer.
+    /// An object. The number is the position of its end in the buffer, in bytes.
     Object(usize),
 }
 
