--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -102,7 +102,7 @@
         if outcome.had_no_effect()
             && let Some(request) = self.queries.request_mut(&id.request_id)
         {
-            request.forget_execution(id.number);
+            request.rule_out_execution(id.number);
         }
         if self.attempts.end(id, outcome, self.clock.now()).is_some() {
             self.counters.attempt_ended(outcome);
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -121,7 +121,7 @@
                 self.counters.increment("frames_sent{call}");
                 for id in attempts {
                     if let Some(request) = self.queries.request_mut(&id.request_id) {
-                        request.note_execution(id.number, now);
+                        request.record_possible_execution(id.number, now);
                     }
                 }
             }
@@ -131,7 +131,7 @@
 
     /// The content of a frame for an attempt; `None` if its query has ended.
     fn attempt_request<'a>(&'a self, id: &'a AttemptId, now: f64) -> Option<AttemptRequest<'a>> {
-        let requested = self.queries.requested_work(&id.request_id)?;
+        let requested = self.queries.request_content(&id.request_id)?;
         let timeout_at_s =
             self.attempts.get(id).map_or(requested.not_after_s, |attempt| attempt.timeout_at_s);
         let version = self.shard_map.as_ref().and_then(ShardMapView::version).unwrap_or(0);
@@ -169,7 +169,7 @@
         connection.return_frame();
         for id in attempts {
             if let Some(request) = self.queries.request_mut(&id.request_id) {
-                request.forget_execution(id.number);
+                request.rule_out_execution(id.number);
             }
         }
         self.counters.increment("frames_not_taken");
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -35,7 +35,7 @@
         let first_effect_at_s = request.first_possible_execution(Some(id.number));
         let idempotency = self.query_classes[class].idempotency;
         let not_after_s =
-            self.queries.requested_work(&id.request_id).map_or(now, |requested| requested.not_after_s);
+            self.queries.request_content(&id.request_id).map_or(now, |requested| requested.not_after_s);
         // The frame was allowed to begin a moment ago. The tolerance covers the time that the write itself took.
         let start = permits::AttemptStart {
             now_s: now,
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -1,7 +1,7 @@
 //! Queries, from their last byte to their final response. Each query gets exactly one response.
 use super::Dispatcher;
 use crate::state::clients::ClientConnection;
-use crate::state::queries::{Query, QueryError, QueryReservation};
+use crate::state::queries::{Query, QueryError, QueryResources};
 use crate::state::response::{QueryResponse, ShardResult};
 use crate::state::shutdown_phase::ShutdownPhase;
 use alderway::interface::{AttemptOutcome, PolicyInput};
@@ -35,8 +35,8 @@
         if let Some(shard_map) = &mut self.shard_map {
             query.requests.iter().for_each(|request| shard_map.request_opened(request));
         }
-        let reservation = QueryReservation { id_claim, capacity: vec![capacity] };
-        let number = self.queries.insert(query, reservation);
+        let resources = QueryResources { id_claim, capacity: vec![capacity] };
+        let number = self.queries.insert(query, resources);
         client.open_query.set(Some(number));
         self.pending.new_queries.push(number);
         self.work_ready.notify_one();
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -103,12 +103,12 @@
     }
 
     /// Records that the frame of an attempt begins to be written: from now on it may be executed.
-    pub fn note_execution(&mut self, attempt: usize, now: f64) {
+    pub fn record_possible_execution(&mut self, attempt: usize, now: f64) {
         self.possible_executions.push(PossibleExecution { attempt, begun_at_s: now });
     }
 
     /// Records that an attempt was certainly not executed.
-    pub fn forget_execution(&mut self, attempt: usize) {
+    pub fn rule_out_execution(&mut self, attempt: usize) {
         self.possible_executions.retain(|execution| execution.attempt != attempt);
     }
 
@@ -137,7 +137,7 @@
 }
 
 /// The resources shared by all cores that an open query holds, released on drop.
-pub struct QueryReservation {
+pub struct QueryResources {
     /// The claim on the query's id, which no other open query may have.
     pub id_claim: Claim,
     /// Capacity for the query and its shard requests.
@@ -145,7 +145,7 @@
 }
 
 /// The content of a frame for an open shard request.
-pub struct RequestedWork<'a> {
+pub struct ShardRequestContent<'a> {
     /// The requested shard.
     pub shard: u32,
     /// The text of the query.
@@ -167,7 +167,7 @@
 #[derive(Default)]
 pub struct QueryTable {
     open: BTreeMap<u64, Query>,
-    reservations: BTreeMap<u64, QueryReservation>,
+    resources: BTreeMap<u64, QueryResources>,
     deadlines: TimerQueue<u64>,
     numbers: BTreeMap<Rc<str>, u64>,
     requests: BTreeMap<Rc<str>, RequestIndex>,
@@ -207,10 +207,10 @@
     }
 
     /// Adds a query; returns its number.
-    pub fn insert(&mut self, query: Query, reservation: QueryReservation) -> u64 {
+    pub fn insert(&mut self, query: Query, resources: QueryResources) -> u64 {
         self.last_number += 1;
         let number = self.last_number;
-        self.reservations.insert(number, reservation);
+        self.resources.insert(number, resources);
         self.deadlines.insert(query.not_after_s, number);
         self.numbers.insert(query.id.clone(), number);
         for (index, request) in query.requests.iter().enumerate() {
@@ -221,11 +221,11 @@
         number
     }
 
-    /// Removes a query, and releases its reservation.
+    /// Removes a query, and releases its resources.
     pub fn remove(&mut self, number: u64) -> Option<Query> {
         let query = self.open.remove(&number)?;
         self.numbers.remove(&query.id);
-        self.reservations.remove(&number);
+        self.resources.remove(&number);
         self.deadlines.remove(query.not_after_s, &number);
         if let Some(open) = self.open_by_class.get_mut(&query.class) {
             *open -= 1;
@@ -276,12 +276,12 @@
     }
 
     /// The content of a frame for an open shard request.
-    pub fn requested_work(&self, request_id: &str) -> Option<RequestedWork<'_>> {
+    pub fn request_content(&self, request_id: &str) -> Option<ShardRequestContent<'_>> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
         let request = query.requests.get(index)?;
         let keys = request.keys.map(|keys| keys.range);
-        Some(RequestedWork { shard: request.shard, text: &query.text, not_after_s: query.not_after_s, keys })
+        Some(ShardRequestContent { shard: request.shard, text: &query.text, not_after_s: query.not_after_s, keys })
     }
 
     /// An open shard request, and the slot of its query's class.
@@ -310,8 +310,8 @@
             self.requests.insert(request.id.clone(), index);
             query.requests.push(request);
         }
-        if let Some(reservation) = self.reservations.get_mut(&number) {
-            reservation.capacity.push(capacity);
+        if let Some(resources) = self.resources.get_mut(&number) {
+            resources.capacity.push(capacity);
         }
     }
 }
