--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -288,12 +288,12 @@
 fn adopt(dispatcher: &DispatcherHandle, told: &EndpointSnapshot) {
     let mut dispatcher = dispatcher.borrow_mut();
     if told.number > dispatcher.endpoints_generation {
-        dispatcher.endpoints.adopt(&told.entries);
+        dispatcher.endpoints.replace_from_core(&told.entries);
         dispatcher.endpoints_generation = told.number;
         dispatcher.endpoints_changed();
         let now = dispatcher.clock.now();
         if let (Some(shard_map), Some(layout)) = (&mut dispatcher.shard_map, &told.layout) {
-            match shard_map.adopt(layout, now) {
+            match shard_map.replace_from_core(layout, now) {
                 Ok(shards) if !shards.is_empty() => dispatcher.shard_map_changed(&shards),
                 Ok(_) => {}
                 Err(why) => tracing::error!(target: "layout", "not taken over from the lead: {why}"),
--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -85,7 +85,7 @@
         let (Some(shared_id), Some(shard_map)) = (shared, &mut self.shard_map) else {
             return self.abort_attempt(&id, AttemptOutcome::Cancelled);
         };
-        let is_last = shard_map.release_attempt(&shared_id, &id.request_id);
+        let is_last = shard_map.remove_waiting_request(&shared_id, &id.request_id);
         if let Some(attempt) = self.attempts.get(&shared_id) {
             let (node, latency_s) = (attempt.node.clone(), self.clock.now() - attempt.started_at_s);
             self.attempts.report_end(id, &node, AttemptOutcome::Cancelled, latency_s);
--- a/crates/router/src/state/dispatcher/config.rs
+++ b/crates/router/src/state/dispatcher/config.rs
@@ -60,7 +60,7 @@
     /// Reports the retired slots without open queries to the policy, after it has got the queries that ended.
     pub(super) fn notify_retired_classes(&mut self, policy: &mut dyn PolicyInput) {
         let queries = &self.queries;
-        self.class_table.notify_retired(|slot| queries.open_in_class(slot), policy);
+        self.class_table.notify_retired_slots(|slot| queries.open_in_class(slot), policy);
     }
 
     /// Resets the classes for a restarted policy, which has the newest configuration and no open query.
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -218,7 +218,7 @@
             self.notify_retired_classes(policy);
         }
         self.pending.notify_timers(now, policy);
-        self.notify_retired_shards(now, policy);
+        self.retire_shards(now, policy);
         self.endpoints.drop_removed();
     }
 
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -33,7 +33,7 @@
         };
         self.abort_attempts_of_earlier_query(&query);
         if let Some(shard_map) = &mut self.shard_map {
-            query.requests.iter().for_each(|request| shard_map.request_opened(request));
+            query.requests.iter().for_each(|request| shard_map.record_request_opened(request));
         }
         let resources = QueryResources { id_claim, capacity: vec![capacity] };
         let number = self.queries.insert(query, resources);
@@ -157,7 +157,7 @@
 
     fn close_shard_requests(&mut self, query: &Query) {
         if let Some(shard_map) = &mut self.shard_map {
-            query.requests.iter().for_each(|request| shard_map.request_closed(request));
+            query.requests.iter().for_each(|request| shard_map.record_request_closed(request));
         }
     }
 
--- a/crates/router/src/state/dispatcher/shard_changes.rs
+++ b/crates/router/src/state/dispatcher/shard_changes.rs
@@ -16,7 +16,7 @@
         let open = self.queries.unsplit_requests_of(shards);
         for &shard in shards {
             let Some(shard_map) = &self.shard_map else { return };
-            let holders = shard_map.holders(shard);
+            let holders = shard_map.replica_groups_of(shard);
             for request_id in open.get(&shard).into_iter().flatten() {
                 for id in self.attempts_of_family(request_id) {
                     self.recall_from_former_holder(&id, &holders);
@@ -51,22 +51,22 @@
         let Some(capacity) = self.shared.capacity.take(split_into.len()) else {
             return self.counters.increment("divisions_without_room");
         };
-        shard_map.request_closed(request);
-        split_into.iter().for_each(|request| shard_map.request_opened(request));
+        shard_map.record_request_closed(request);
+        split_into.iter().for_each(|request| shard_map.record_request_opened(request));
         let parts = split_into
             .iter()
             .map(|part| SplitPart { id: part.id.clone(), shard: part.shard, weight: part.weight })
             .collect();
         let split = SplitShardRequest { query: number, request_id: request_id.clone(), parts };
-        shard_map.request_split(split, self.pending.new_queries.contains(&number));
+        shard_map.record_split(split, self.pending.new_queries.contains(&number));
         self.queries.split_request(request_id, split_into, capacity);
         self.counters.increment("parts_divided");
     }
 
     /// Reports the shards that are no longer in use to the policy, and drops the splits of requests that have ended.
-    pub(super) fn notify_retired_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
+    pub(super) fn retire_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(shard_map) = &mut self.shard_map else { return };
-        shard_map.notify_retired(now, policy);
+        shard_map.notify_retired_shards(now, policy);
         if !shard_map.families.is_empty() {
             let (queries, attempts) = (&self.queries, &self.attempts);
             shard_map
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -187,7 +187,7 @@
     }
 
     /// Applies the full list of another core. Nodes that did not change are not reported to the policy.
-    pub fn adopt(&mut self, list: &[Endpoint]) {
+    pub fn replace_from_core(&mut self, list: &[Endpoint]) {
         let named: BTreeSet<&str> = list.iter().map(|endpoint| endpoint.name.as_str()).collect();
         for (name, record) in &mut self.nodes {
             if record.state != NodeState::Removed && !named.contains(name.as_str()) {
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -181,7 +181,7 @@
     }
 
     /// Frees the retiring slots without open queries, and reports them to the policy.
-    pub fn notify_retired(&mut self, open_in: impl Fn(usize) -> usize, policy: &mut dyn PolicyInput) {
+    pub fn notify_retired_slots(&mut self, open_in: impl Fn(usize) -> usize, policy: &mut dyn PolicyInput) {
         for slot in self.retiring_slots.extract_if(.., |slot| open_in(*slot) == 0) {
             policy.class_retired(slot);
             self.free_slots.insert(slot);
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     /// The shard map does not follow the current version. Nothing is changed then.
-    pub fn adopt(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, Faulty> {
+    pub fn replace_from_core(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, Faulty> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
             Some(history) if history.newest().version() == layout.version() => Ok(vec![]),
@@ -206,14 +206,14 @@
     }
 
     /// Records that a shard request is open. Its shard is kept until the request is closed.
-    pub fn request_opened(&mut self, request: &ShardRequest) {
+    pub fn record_request_opened(&mut self, request: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| request.keys.is_some()) {
             history.opened(request.shard);
         }
     }
 
     /// Records that a shard request is closed. A split request is closed by its split and is ignored here.
-    pub fn request_closed(&mut self, request: &ShardRequest) {
+    pub fn record_request_closed(&mut self, request: &ShardRequest) {
         let is_open = request.keys.is_some_and(|keys| !keys.is_split);
         if let Some(history) = self.history.as_mut().filter(|_| is_open) {
             history.closed(request.shard);
@@ -221,13 +221,13 @@
     }
 
     /// The replica groups that hold a shard.
-    pub fn holders(&self, shard: ShardId) -> Vec<u32> {
+    pub fn replica_groups_of(&self, shard: ShardId) -> Vec<u32> {
         self.history.as_ref().map_or(vec![], |history| history.holders(shard))
     }
 
     /// Records that a shard request was split. If its query is `is_new` to the policy, the next round passes the query with
     /// the parts in the first place, so the split itself is not reported.
-    pub fn request_split(&mut self, split: SplitShardRequest, is_new: bool) {
+    pub fn record_split(&mut self, split: SplitShardRequest, is_new: bool) {
         let part_ids: Vec<Rc<str>> = split.parts.iter().map(|part| part.id.clone()).collect();
         self.families.divide(&split.request_id, &part_ids);
         if !is_new {
@@ -295,7 +295,7 @@
     }
 
     /// Drops the shards that are no longer in use, and reports them to the policy. Called at the end of the round.
-    pub fn notify_retired(&mut self, now: f64, policy: &mut dyn PolicyInput) {
+    pub fn notify_retired_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         if let Some(history) = &mut self.history {
             history.retire(now).into_iter().for_each(|shard| policy.shard_retired(shard));
         }
@@ -303,7 +303,7 @@
 
     /// Records that a shard request no longer waits for an attempt that it shares with the other parts of its split. Returns
     /// whether none of them waits any more.
-    pub fn release_attempt(&mut self, id: &AttemptId, request_id: &Rc<str>) -> bool {
+    pub fn remove_waiting_request(&mut self, id: &AttemptId, request_id: &Rc<str>) -> bool {
         self.families.release(&(id.request_id.clone(), id.number), request_id)
     }
 
--- a/crates/router/tests/dispatcher/endpoints.rs
+++ b/crates/router/tests/dispatcher/endpoints.rs
@@ -73,7 +73,7 @@
     let mut out = vec![];
     assert!(!dispatcher.next_frame("s", connection, &mut out) && out.is_empty());
     let address = "127.0.0.1:1".parse().expect("an address");
-    dispatcher.endpoints.adopt(&[Endpoint {
+    dispatcher.endpoints.replace_from_core(&[Endpoint {
         name: "s".to_string(),
         address,
         replica_group: 0,
@@ -87,12 +87,12 @@
 }
 
 #[rstest]
-fn only_changes_of_an_adopted_list_reach_the_policy() {
+fn only_changes_in_a_list_from_another_core_reach_the_policy() {
     let mut dispatcher = dispatcher();
     let list = dispatcher.endpoints.endpoints();
-    dispatcher.endpoints.adopt(&list);
+    dispatcher.endpoints.replace_from_core(&list);
     assert!(policy_events(&mut dispatcher).is_empty());
-    dispatcher.endpoints.adopt(&list[1..]);
+    dispatcher.endpoints.replace_from_core(&list[1..]);
     assert_eq!(policy_events(&mut dispatcher), ["s 0 Removed"]);
     assert_eq!(dispatcher.endpoints.nodes.len(), 1);
 }
