--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -3,7 +3,7 @@
 use super::{arrival, rounds, until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
-use crate::state::node_connection::Dial;
+use crate::state::node_connection::DialRequest;
 use crate::state::node_connection::NodeConnection;
 use crate::state::node_protocol::NodeReply;
 use crate::wire::buffer::ReadBuffer;
@@ -76,8 +76,8 @@
 }
 
 /// Dials a data node, serves the connection until it ends, and gives everything back.
-pub async fn run(dispatcher: DispatcherHandle, dial: Dial, descriptors: Arc<DescriptorPool>) {
-    let Dial { node, connection, address } = dial;
+pub async fn run(dispatcher: DispatcherHandle, dial: DialRequest, descriptors: Arc<DescriptorPool>) {
+    let DialRequest { node, connection, address } = dial;
     let dial_timeout = Duration::from_secs_f64(dispatcher.borrow().connection_config.dial_timeout_s);
     let is_short_of_resources = Cell::new(false);
     let dialled = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
@@ -281,7 +281,7 @@
     /// Guards against an attempt written to a connection that its node has closed as idle, which would count as one that
     /// may have run.
     fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
-        let is_reuse = self.with_state(|state| state.is_reuse_after_idle()).unwrap_or(false);
+        let is_reuse = self.with_state(|state| state.will_reuse_after_idle()).unwrap_or(false);
         if is_reuse && arrival::ended(self.stream) {
             self.dispatcher.borrow_mut().requeue_unsent(self.node, self.connection);
             return Err(CloseReason::EndedWhileIdle);
--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts, from the policy's decision to their outcome. Each attempt ends exactly once.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
-use crate::state::node_connection::{AttemptPosition, Dial, OutboundFrame};
+use crate::state::node_connection::{SendProgress, DialRequest, OutboundFrame};
 use alderway::interface::{AttemptOutcome, NodeState, PolicyInput};
 use std::rc::Rc;
 
@@ -121,13 +121,13 @@
         let (now, dial_timeout_s) = (self.clock.now(), self.connection_config.dial_timeout_s);
         let longest_deadline_s = self.longest_deadline_s(now);
         if let Some(connection) = connection.and_then(|number| self.endpoints.connection(&node, number)) {
-            match connection.position(id) {
-                AttemptPosition::Queued => connection.remove_queued(id),
-                AttemptPosition::InFlight => {
+            match connection.send_progress(id) {
+                SendProgress::Queued => connection.remove_queued(id),
+                SendProgress::InFlight => {
                     connection.cancel(id, now, now + longest_deadline_s, dial_timeout_s);
                 }
-                AttemptPosition::Writing => connection.abort_for(id),
-                AttemptPosition::Absent => {}
+                SendProgress::Writing => connection.abort_for(id),
+                SendProgress::NotOnConnection => {}
             }
         }
         self.end_attempt(id, outcome);
@@ -136,22 +136,22 @@
     /// Ends those attempts of a shard request whose frame is not completely written.
     pub(super) fn recall_unsent(&mut self, request_id: &str, outcome: AttemptOutcome) {
         for id in self.attempts.of_request(request_id) {
-            if !matches!(self.position_of(&id), Some(AttemptPosition::InFlight)) {
+            if !matches!(self.send_progress_of(&id), Some(SendProgress::InFlight)) {
                 self.abort_attempt(&id, outcome);
             }
         }
     }
 
     /// How far an attempt has got on its connection; `None` if it has no connection.
-    pub(super) fn position_of(&self, id: &AttemptId) -> Option<AttemptPosition> {
+    pub(super) fn send_progress_of(&self, id: &AttemptId) -> Option<SendProgress> {
         let attempt = self.attempts.get(id)?;
         let connections = &self.endpoints.nodes.get(&attempt.node)?.connections;
-        Some(connections.get(&attempt.connection?)?.position(id))
+        Some(connections.get(&attempt.connection?)?.send_progress(id))
     }
 
     /// Puts the attempts of this round into frames, with as many attempts per frame as the settings allow, and queues each
     /// frame on a connection. Returns the connections to open.
-    pub fn flush_attempts(&mut self, now: f64) -> Vec<Dial> {
+    pub fn flush_attempts(&mut self, now: f64) -> Vec<DialRequest> {
         let max_batch = self.connection_config.max_batch.min(self.connection_config.streams_per_connection);
         for node in std::mem::take(&mut self.nodes_to_flush) {
             let Some(record) = self.endpoints.nodes.get_mut(&node) else { continue };
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -3,7 +3,7 @@
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::{
-    AttemptPosition, Dial, NodeConnection, OutboundFrame, UnfinishedAttempts,
+    SendProgress, DialRequest, NodeConnection, OutboundFrame, UnfinishedAttempts,
 };
 use crate::state::node_protocol::{AttemptRequest, KeysAtVersion, NodeFrameWriter};
 use crate::state::shard_map::ShardMapView;
@@ -36,7 +36,7 @@
         let number = self.endpoints.last_connection;
         let record = self.endpoints.nodes.get_mut(node)?;
         record.connections.insert(number, NodeConnection::new(now));
-        self.pending_dials.push(Dial { node: node.into(), connection: number, address: record.address });
+        self.pending_dials.push(DialRequest { node: node.into(), connection: number, address: record.address });
         Some(number)
     }
 
@@ -223,7 +223,7 @@
             for id in self.attempts.on_node(&name) {
                 let has_connection =
                     self.attempts.get(&id).is_some_and(|attempt| attempt.connection.is_some());
-                if !has_connection || matches!(self.position_of(&id), Some(AttemptPosition::Queued)) {
+                if !has_connection || matches!(self.send_progress_of(&id), Some(SendProgress::Queued)) {
                     self.abort_attempt(&id, AttemptOutcome::NeverSent);
                 }
             }
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -26,7 +26,7 @@
 use super::endpoints::EndpointTable;
 use super::gossip_link::GossipLink;
 use super::metrics::MetricsSource;
-use super::node_connection::Dial;
+use super::node_connection::DialRequest;
 use super::pending_input::PendingInput;
 use super::queries::QueryTable;
 use super::query_classes::{ClassRules, ClassTable};
@@ -111,7 +111,7 @@
     pub arrival_times: ArrivalEstimator,
     is_readiness_logged: bool,
     pending: PendingInput,
-    pending_dials: Vec<Dial>,
+    pending_dials: Vec<DialRequest>,
     /// Data nodes with attempts that are not yet put into frames.
     nodes_to_flush: BTreeSet<String>,
 }
--- a/crates/router/src/state/dispatcher/shard_changes.rs
+++ b/crates/router/src/state/dispatcher/shard_changes.rs
@@ -2,7 +2,7 @@
 //! the shard, and shard requests whose shard no longer exists are split where necessary.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
-use crate::state::node_connection::AttemptPosition;
+use crate::state::node_connection::SendProgress;
 use crate::state::shard_map::{SplitPart, SplitShardRequest};
 use alderway::interface::{AttemptOutcome, PolicyInput};
 use alderway_layouts::ShardId;
@@ -31,7 +31,7 @@
         let Some(attempt) = self.attempts.get(id) else { return };
         let Some(record) = self.endpoints.nodes.get(&attempt.node) else { return };
         if !holders.contains(&record.replica_group)
-            && matches!(self.position_of(id), Some(AttemptPosition::Queued))
+            && matches!(self.send_progress_of(id), Some(SendProgress::Queued))
         {
             self.counters.increment("calls_taken_back{moved}");
             self.abort_attempt(id, AttemptOutcome::NeverSent);
--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 
 /// A connection that is to be opened.
-pub struct Dial {
+pub struct DialRequest {
     /// The data node's name.
     pub node: String,
     /// The connection's number.
@@ -25,7 +25,7 @@
 }
 
 /// How far an attempt has got on its connection.
-pub enum AttemptPosition {
+pub enum SendProgress {
     /// No byte of its frame has been written.
     Queued,
     /// Part of its frame may have been written, but not all of it.
@@ -33,7 +33,7 @@
     /// Its frame has been written completely, and no reply has been received.
     InFlight,
     /// It is not on this connection.
-    Absent,
+    NotOnConnection,
 }
 
 /// Which attempt a reply belongs to.
@@ -114,7 +114,7 @@
     }
 
     /// Whether attempts are to be written next on a connection that has received a reply before and has none in flight.
-    pub fn is_reuse_after_idle(&self) -> bool {
+    pub fn will_reuse_after_idle(&self) -> bool {
         self.has_received && self.in_flight.is_empty() && !self.next_attempts().is_empty()
     }
 
@@ -200,16 +200,16 @@
     }
 
     /// How far an attempt has got on this connection.
-    pub fn position(&self, id: &AttemptId) -> AttemptPosition {
+    pub fn send_progress(&self, id: &AttemptId) -> SendProgress {
         let holds = |frame: &OutboundFrame| matches!(frame, OutboundFrame::Attempts(ids) if ids.contains(id));
         if self.in_flight.get(&id.request_id) == Some(&id.number) {
-            AttemptPosition::InFlight
+            SendProgress::InFlight
         } else if self.writing.as_ref().is_some_and(holds) {
-            AttemptPosition::Writing
+            SendProgress::Writing
         } else if self.queued.iter().any(holds) {
-            AttemptPosition::Queued
+            SendProgress::Queued
         } else {
-            AttemptPosition::Absent
+            SendProgress::NotOnConnection
         }
     }
 
--- a/crates/router/tests/common/dispatcher.rs
+++ b/crates/router/tests/common/dispatcher.rs
@@ -7,7 +7,7 @@
 use alderway_deployment::{self as deployment, AdmissionConfig, ConnectionConfig};
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
-use alderway_router::state::node_connection::Dial;
+use alderway_router::state::node_connection::DialRequest;
 use alderway_router::state::queries::{Query, QueryError, ShardRequest};
 use alderway_router::state::response::AnswerCoverage;
 use alderway_router::wire::response;
@@ -173,14 +173,14 @@
 }
 
 /// Starts attempts at a node and puts them into frames, as one round does; returns the connections to open.
-pub fn start_attempts(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Vec<Dial> {
+pub fn start_attempts(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Vec<DialRequest> {
     requests.iter().for_each(|request| dispatcher.start_attempt(request, node, 5.0));
     let now = dispatcher.clock.now();
     dispatcher.flush_attempts(now)
 }
 
 /// Writes the next frame of a connection completely; returns its type byte and body as text, if there is a frame.
-pub fn write_next_frame(dispatcher: &mut Dispatcher, dial: &Dial) -> Option<String> {
+pub fn write_next_frame(dispatcher: &mut Dispatcher, dial: &DialRequest) -> Option<String> {
     let mut out = vec![];
     let has_frame = dispatcher.next_frame(&dial.node, dial.connection, &mut out);
     let now = dispatcher.clock.now();
--- a/crates/router/tests/dispatcher/any_order.rs
+++ b/crates/router/tests/dispatcher/any_order.rs
@@ -195,7 +195,7 @@
                 let Some((node, number)) = self.connection(number) else { return };
                 // The task of a connection does this only if attempts are next, none is in flight, and a reply was received.
                 let connection = self.dispatcher.endpoints.connection(&node, number);
-                if connection.is_some_and(|connection| connection.is_reuse_after_idle()) {
+                if connection.is_some_and(|connection| connection.will_reuse_after_idle()) {
                     self.dispatcher.requeue_unsent(&node, number);
                 }
             }
--- a/crates/router/tests/dispatcher/main.rs
+++ b/crates/router/tests/dispatcher/main.rs
@@ -15,7 +15,7 @@
 use alderway::interface::NodeState;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
-use alderway_router::state::node_connection::Dial;
+use alderway_router::state::node_connection::DialRequest;
 use alderway_telemetry::clock::Clock;
 use common::dispatcher::{
     Recorded, RecordingPolicy, admission_config, connection_config, open_query, shard_requests,
@@ -67,6 +67,6 @@
 }
 
 /// Marks the connection of a dial as established.
-fn mark_open(dispatcher: &mut Dispatcher, dial: &Dial) {
+fn mark_open(dispatcher: &mut Dispatcher, dial: &DialRequest) {
     dispatcher.endpoints.connection(&dial.node, dial.connection).expect("a connection").is_open = true;
 }
--- a/crates/router/tests/dispatcher/replies.rs
+++ b/crates/router/tests/dispatcher/replies.rs
@@ -5,7 +5,7 @@
 use alderway::interface::DecisionSink;
 use alderway_router::state::attempts::AttemptId;
 use alderway_router::state::dispatcher::Dispatcher;
-use alderway_router::state::node_connection::Dial;
+use alderway_router::state::node_connection::DialRequest;
 use rstest::rstest;
 
 #[rstest]
@@ -40,10 +40,10 @@
 }
 
 #[rstest]
-#[case::lost(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.connection_lost("s", dial.connection))]
-#[case::corrupted(|dispatcher: &mut Dispatcher, dial: &Dial| dispatcher.connection_corrupted("s", dial.connection, None))]
+#[case::lost(|dispatcher: &mut Dispatcher, dial: &DialRequest| dispatcher.connection_lost("s", dial.connection))]
+#[case::corrupted(|dispatcher: &mut Dispatcher, dial: &DialRequest| dispatcher.connection_corrupted("s", dial.connection, None))]
 fn the_end_of_an_aborted_connection_does_not_end_a_later_attempt_with_the_same_id(
-    #[case] end_connection: impl FnOnce(&mut Dispatcher, &Dial),
+    #[case] end_connection: impl FnOnce(&mut Dispatcher, &DialRequest),
 ) {
     let mut dispatcher = dispatcher();
     open(&mut dispatcher, "q", &[1]);
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -17,7 +17,7 @@
 use alderway_router::requests;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
-use alderway_router::state::node_connection::Dial;
+use alderway_router::state::node_connection::DialRequest;
 use alderway_router::state::node_protocol::NodeReply;
 use alderway_router::state::queries::QueryError;
 use alderway_router::state::shard_map::{QueryTarget, ShardMapConfig, ShardMapView};
@@ -115,12 +115,12 @@
 }
 
 /// Starts attempts at a node without an open connection; returns the connection to open.
-fn start_attempts(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Dial {
+fn start_attempts(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> DialRequest {
     common::dispatcher::start_attempts(dispatcher, node, requests).remove(0)
 }
 
 /// Writes the next frame of a connection, which must have one; returns its type byte and body as text.
-fn write_next_frame(dispatcher: &mut Dispatcher, dial: &Dial) -> String {
+fn write_next_frame(dispatcher: &mut Dispatcher, dial: &DialRequest) -> String {
     let frame = common::dispatcher::write_next_frame(dispatcher, dial);
     assert!(frame.is_some(), "a frame is queued");
     frame.unwrap_or_default()
