--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -132,7 +132,7 @@
     let Some(query) = client.open_query.get() else { return };
     let mut dispatcher = dispatcher.borrow_mut();
     if reason != CloseReason::ClientLeft {
-        dispatcher.check_closed_connection(query);
+        dispatcher.report_unanswered_close(query);
     }
     dispatcher.client_disconnected(query);
 }
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -348,7 +348,7 @@
             return Ok(0);
         }
         if is_start {
-            dispatcher.check_frame_started(node, connection);
+            dispatcher.check_started_attempts(node, connection);
         }
         *written_bytes += count;
         *total_bytes += count as u64;
--- a/crates/router/src/state/attempts.rs
+++ b/crates/router/src/state/attempts.rs
@@ -74,13 +74,13 @@
     pub fn end(&mut self, id: &AttemptId, outcome: AttemptOutcome, now: f64) -> Option<Attempt> {
         let attempt = self.in_flight.remove(id)?;
         self.timeouts.remove(attempt.timeout_at_s, id);
-        self.report_end(id.clone(), &attempt.node, outcome, now - attempt.started_at_s);
+        self.queue_outcome(id.clone(), &attempt.node, outcome, now - attempt.started_at_s);
         Some(attempt)
     }
 
     /// Queues an outcome for the policy without ending an attempt in flight: one shard request stops waiting for an attempt
     /// that it shares with others.
-    pub fn report_end(&mut self, id: AttemptId, node: &str, outcome: AttemptOutcome, latency_s: f64) {
+    pub fn queue_outcome(&mut self, id: AttemptId, node: &str, outcome: AttemptOutcome, latency_s: f64) {
         self.ended.push(EndedAttempt { id, node: node.into(), outcome, latency_s });
     }
 
--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -7,7 +7,7 @@
 
 impl Dispatcher {
     /// Starts the next attempt of a shard request. It is put into a frame at the end of the round.
-    pub(super) fn start_attempt_at(&mut self, request_id: &str, node: &str, timeout_s: f64) {
+    pub(super) fn start_attempt_on_node(&mut self, request_id: &str, node: &str, timeout_s: f64) {
         let is_hedge = self.has_attempt_in_flight(request_id);
         let now = self.clock.now();
         let Some(request) = self.queries.request_mut(request_id) else {
@@ -25,7 +25,7 @@
         // Guards against two attempts of a request at one node, whose replies could not be distinguished.
         if is_duplicate {
             self.counters.increment("calls_twice_at_a_node");
-            return self.end_attempt(&id, AttemptOutcome::NeverSent);
+            return self.record_attempt_end(&id, AttemptOutcome::NeverSent);
         }
         match self.endpoints.nodes.get_mut(node) {
             // Guards against a planner that has not yet received that the node drains.
@@ -37,7 +37,7 @@
             }
             _ => {
                 self.counters.increment("calls_of_nodes_not_serving");
-                self.end_attempt(&id, AttemptOutcome::NeverSent);
+                self.record_attempt_end(&id, AttemptOutcome::NeverSent);
             }
         }
     }
@@ -88,7 +88,7 @@
         let is_last = shard_map.remove_waiting_request(&shared_id, &id.request_id);
         if let Some(attempt) = self.attempts.get(&shared_id) {
             let (node, latency_s) = (attempt.node.clone(), self.clock.now() - attempt.started_at_s);
-            self.attempts.report_end(id, &node, AttemptOutcome::Cancelled, latency_s);
+            self.attempts.queue_outcome(id, &node, AttemptOutcome::Cancelled, latency_s);
             self.work_ready.notify_one();
         }
         if is_last {
@@ -98,7 +98,7 @@
 
     /// Ends an attempt with an outcome. If the outcome proves that the attempt had no effect, it no longer counts as possibly
     /// executed, so that its request may be repeated.
-    pub(super) fn end_attempt(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
+    pub(super) fn record_attempt_end(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         if outcome.had_no_effect()
             && let Some(request) = self.queries.request_mut(&id.request_id)
         {
@@ -130,7 +130,7 @@
                 SendProgress::NotOnConnection => {}
             }
         }
-        self.end_attempt(id, outcome);
+        self.record_attempt_end(id, outcome);
     }
 
     /// Ends those attempts of a shard request whose frame is not completely written.
@@ -159,7 +159,7 @@
             for batch in attempts.chunks(max_batch) {
                 match self.choose_connection(&node, batch, now) {
                     Some(connection) => self.enqueue_batch(&node, connection, batch),
-                    None => batch.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::Unreachable)),
+                    None => batch.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Unreachable)),
                 }
             }
         }
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -52,16 +52,16 @@
         self.counters.increment("answers_spoilt");
         let Some(connection) = self.remove_connection(node, number) else { return };
         let UnfinishedAttempts { unsent, mut in_flight } = connection.into_unfinished();
-        unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::NeverSent));
+        unsent.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::NeverSent));
         let started_at_s =
             |id: &AttemptId| self.attempts.get(id).map_or(f64::INFINITY, |attempt| attempt.started_at_s);
         let named = in_flight.iter().position(|id| Some(&*id.request_id) == request_id);
         let longest = (0..in_flight.len())
             .min_by(|&a, &b| started_at_s(&in_flight[a]).total_cmp(&started_at_s(&in_flight[b])));
         if let Some(failed) = named.or(longest) {
-            self.end_attempt(&in_flight.swap_remove(failed), AttemptOutcome::Error);
+            self.record_attempt_end(&in_flight.swap_remove(failed), AttemptOutcome::Error);
         }
-        in_flight.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::Cancelled));
+        in_flight.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Cancelled));
     }
 
     /// A connection was closed by the data node or broken, or could not be opened. Attempts whose frame was not completely
@@ -69,8 +69,8 @@
     pub fn connection_lost(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let UnfinishedAttempts { unsent, in_flight } = connection.into_unfinished();
-        unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::Unreachable));
-        in_flight.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::ConnectionReset));
+        unsent.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Unreachable));
+        in_flight.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::ConnectionReset));
     }
 
     /// A connection could not be opened because this process lacks resources. Its attempts end as never sent, which is no
@@ -78,7 +78,7 @@
     pub fn connection_not_opened(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let unsent = connection.into_unfinished().unsent;
-        unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::NeverSent));
+        unsent.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::NeverSent));
     }
 
     /// A data node has closed a connection that was idle. The attempts queued there move to another connection. This cannot
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -18,7 +18,7 @@
     }
 
     /// Checks the attempts of a frame whose first byte has been written.
-    pub fn check_frame_started(&mut self, node: &str, connection: u64) {
+    pub fn check_started_attempts(&mut self, node: &str, connection: u64) {
         let now = self.clock.now();
         let Some(record) = self.endpoints.nodes.get(node) else { return };
         let state = record.state;
@@ -87,7 +87,7 @@
     }
 
     /// Reports that this side has closed a client's connection with an open query.
-    pub fn check_closed_connection(&mut self, number: u64) {
+    pub fn report_unanswered_close(&mut self, number: u64) {
         let id = self.queries.get(number).map(|query| query.id.to_string()).unwrap_or_default();
         self.report_violation("closed_unanswered", &id, "the router closed its connection");
     }
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -249,7 +249,7 @@
 /// Applies each decision of the policy at once.
 impl DecisionSink for Dispatcher {
     fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64) {
-        self.start_attempt_at(request, node, timeout_s);
+        self.start_attempt_on_node(request, node, timeout_s);
     }
 
     fn cancel_attempt(&mut self, request: &str, attempt: usize) {
--- a/crates/router/src/state/dispatcher/replies.rs
+++ b/crates/router/src/state/dispatcher/replies.rs
@@ -49,7 +49,7 @@
             ReplyMatch::NotRequested => return false,
         };
         let id = AttemptId::new(request_id, attempt);
-        self.end_attempt(&id, outcome);
+        self.record_attempt_end(&id, outcome);
         if outcome == AttemptOutcome::Success {
             self.record_value(&id.request_id, value);
         }
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -6,7 +6,7 @@
 //! | state | owner | acquired by | released by |
 //! | --- | --- | --- | --- |
 //! | open queries, their shard requests, capacity and id claims | [`queries::QueryTable`] | `dispatcher/queries.rs` | the query's final response |
-//! | attempts in flight, their time-outs and outcomes | [`attempts::AttemptTable`] | `dispatcher/attempts.rs` | `end_attempt` |
+//! | attempts in flight, their time-outs and outcomes | [`attempts::AttemptTable`] | `dispatcher/attempts.rs` | `record_attempt_end` |
 //! | data nodes of the endpoint list | [`endpoints::EndpointTable`] | discovery, the acceptor core | removal with its last connection |
 //! | connections to data nodes, frames queued and in flight | [`node_connection::NodeConnection`] in its node's record | `choose_connection` | `connection_lost`, `connection_corrupted`, `connection_not_opened`, `requeue_unsent` |
 //! | connections of clients and their responses | [`clients::ClientTable`] | the connection's task | the same task |
