--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -258,7 +258,7 @@
         Ends::say(ends.peers.borrow_mut().view.tick(now));
         let over = ends.peers.borrow_mut().view.fleet();
         if let Some((late, in_time)) = over {
-            ends.dispatcher.borrow_mut().remote_fleet_counts(late, in_time);
+            ends.dispatcher.borrow_mut().receive_fleet_latency_counts(late, in_time);
         }
     }
 }
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -5,7 +5,7 @@
 use crate::state::DispatcherHandle;
 use crate::state::clients::{ClientConnection, CloseRequest};
 use crate::state::descriptors::DescriptorPermit;
-use crate::state::dispatcher::Handover;
+use crate::state::dispatcher::ClientHandover;
 use crate::state::shared::{CoreCommand, TransferredConnection};
 use crate::state::shutdown_phase::ShutdownPhase;
 use crate::wire::buffer::ReadBuffer;
@@ -412,8 +412,8 @@
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
-        let Handover { to, connections } = dispatcher.handover.filter(|handover| handover.connections > 0)?;
-        dispatcher.handover = Some(Handover { to, connections: connections - 1 });
+        let ClientHandover { to, connections } = dispatcher.handover.filter(|handover| handover.connections > 0)?;
+        dispatcher.handover = Some(ClientHandover { to, connections: connections - 1 });
         Some(to)
     }
 
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -7,7 +7,7 @@
 use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
-use crate::state::dispatcher::{Dispatcher, Handover};
+use crate::state::dispatcher::{Dispatcher, ClientHandover};
 use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use crate::state::shard_map::{ShardMapConfig, ShardMapView};
 use crate::state::shared::{CoreCommand, ObservationMessage, SharedState};
@@ -239,7 +239,7 @@
             }
             _ = beats.tick() => {
                 let mut held = dispatcher.borrow_mut();
-                held.recheck_fence();
+                held.resume_held_attempts();
                 let now = slot.clock.now();
                 let Dispatcher { observations: board, endpoints, .. } = &mut *held;
                 board.sweep(now, |node| endpoints.nodes.contains_key(node));
@@ -299,7 +299,7 @@
                 Err(why) => tracing::error!(target: "layout", "not taken over from the lead: {why}"),
             }
         }
-        dispatcher.recheck_fence();
+        dispatcher.resume_held_attempts();
     }
 }
 
@@ -307,7 +307,7 @@
     match order {
         CoreCommand::Serve(connection) => acceptor::take_over(dispatcher, connection),
         CoreCommand::HandOver { to, connections } => {
-            dispatcher.borrow_mut().handover = Some(Handover { to, connections })
+            dispatcher.borrow_mut().handover = Some(ClientHandover { to, connections })
         }
         CoreCommand::CloseLongestIdle => dispatcher.make_room(),
     }
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -329,7 +329,7 @@
             frame.clear();
             *written_bytes = 0;
         }
-        dispatcher.next_frame(self.node, self.connection, frame)
+        dispatcher.encode_next_frame(self.node, self.connection, frame)
     }
 
     /// Writes what the socket takes of the present frame: how many bytes.
--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -117,7 +117,7 @@
             yield_now().await;
         }
         let now = clock.now();
-        dispatcher.borrow_mut().expire_due(now);
+        dispatcher.borrow_mut().expire_attempts_and_queries(now);
         let tell = |intake: &mut dyn PolicyInput| {
             match &tier {
                 None => dispatcher.borrow_mut().notify_policy(now, intake),
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -16,7 +16,7 @@
     let closes = head.closes_connection() || head.first_line().starts_with("HEAD ");
     client
         .close_after_response
-        .set(client.close_after_response.get() || closes || dispatcher.borrow().closes_connection(client));
+        .set(client.close_after_response.get() || closes || dispatcher.borrow().closes_for_shutdown(client));
     let mut words = head.first_line().split(' ');
     let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
@@ -76,7 +76,7 @@
     let left =
         left.parse::<u32>().ok().filter(|_| digits).ok_or((400, "X-Time-Left-Ms is not a whole number"))?;
     let mut dispatcher = dispatcher.borrow_mut();
-    dispatcher.refresh_config();
+    dispatcher.apply_newest_config();
     let class = dispatcher.class_slot(class).ok_or((400, "an unknown vertical"))?;
     if dispatcher.queries.is_open(id) {
         return Err(refusal(QueryError::IdInUse));
--- a/crates/router/src/state/dispatcher/config.rs
+++ b/crates/router/src/state/dispatcher/config.rs
@@ -24,7 +24,7 @@
 
     /// Applies the newest configuration, if it is not yet applied. Must be called before a request is read and before a round:
     /// neither may use an outdated configuration, no matter how long this core was stalled.
-    pub fn refresh_config(&mut self) {
+    pub fn apply_newest_config(&mut self) {
         if let Some(generation) = self.class_table.take_update() {
             self.apply_config(generation);
         }
@@ -52,7 +52,7 @@
 
     /// Passes the newest configuration to the policy, which applies it from this round on.
     pub(super) fn notify_config(&mut self, policy: &mut dyn PolicyInput) {
-        self.refresh_config();
+        self.apply_newest_config();
         self.class_table.notify_changes(policy);
         self.publish_config_serial();
     }
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -102,7 +102,7 @@
     }
 
     /// Encodes the next frame of a connection; false if no frame may begin.
-    pub fn next_frame(&mut self, node: &str, number: u64, writer: &mut impl NodeFrameWriter) -> bool {
+    pub fn encode_next_frame(&mut self, node: &str, number: u64, writer: &mut impl NodeFrameWriter) -> bool {
         self.drop_denied_attempts(node, number);
         let now = self.clock.now();
         if self.is_held_by_fence(node, number, now) {
@@ -152,7 +152,7 @@
         if !connection.is_some_and(|connection| connection.next_starts_attempts()) {
             return false;
         }
-        if !std::mem::replace(&mut self.is_fenced, true) {
+        if !std::mem::replace(&mut self.has_held_attempts, true) {
             self.counters.increment(match reason {
                 fence::Held::Behind => "sends_held_back{roster_behind}",
                 fence::Held::Unled => "sends_held_back{lead_late}",
@@ -239,9 +239,9 @@
     }
 
     /// Resumes the attempts that the fence held back, once it lets them pass.
-    pub fn recheck_fence(&mut self) {
-        if self.is_fenced && self.shared.fence.passes(self.endpoints_generation, self.clock.now()).is_ok() {
-            self.is_fenced = false;
+    pub fn resume_held_attempts(&mut self) {
+        if self.has_held_attempts && self.shared.fence.passes(self.endpoints_generation, self.clock.now()).is_ok() {
+            self.has_held_attempts = false;
             let connections = self.endpoints.nodes.values().flat_map(|record| record.connections.values());
             connections.for_each(|connection| connection.wake.notify_one());
         }
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -49,7 +49,7 @@
 
 /// A request to hand over client connections to another core when they are idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Handover {
+pub struct ClientHandover {
     /// The core that gets the connections.
     pub to: usize,
     /// How many connections are still to be handed over.
@@ -85,7 +85,7 @@
     /// The generation of the endpoint list that this core has applied.
     pub endpoints_generation: u64,
     /// Whether the fence holds attempts back until this core has applied the newest endpoint list.
-    pub is_fenced: bool,
+    pub has_held_attempts: bool,
     /// Observations of other cores and routers that are still valid, for a restarted policy.
     pub observations: Board,
     /// The shard map, if one is followed; otherwise shards are placed by the platform's ring.
@@ -98,7 +98,7 @@
     #[cfg(feature = "faults")]
     pub injected_fault: Option<String>,
     /// Client connections to hand over to another core, if any.
-    pub handover: Option<Handover>,
+    pub handover: Option<ClientHandover>,
     /// Notified when there is input for the policy, to start a round.
     pub work_ready: Rc<Notify>,
     /// Notified when the policy requests a poll of the endpoint list.
@@ -142,7 +142,7 @@
             shared,
             core,
             endpoints_generation: 0,
-            is_fenced: false,
+            has_held_attempts: false,
             observations: Board::default(),
             shard_map: None,
             gossip: None,
@@ -188,7 +188,7 @@
     }
 
     /// Ends attempts that have timed out and queries whose deadline has passed.
-    pub fn expire_due(&mut self, now: f64) {
+    pub fn expire_attempts_and_queries(&mut self, now: f64) {
         for id in self.attempts.overdue(now) {
             self.abort_attempt(&id, AttemptOutcome::TimedOut);
         }
@@ -238,7 +238,7 @@
             self.abort_attempt(&id, AttemptOutcome::Cancelled);
         }
         self.attempts.take_ended();
-        self.pending.clear_for_restart();
+        self.pending.clear_for_policy_restart();
         self.reset_classes();
         self.endpoints.mark_all_changed();
         self.shard_map.iter_mut().for_each(ShardMapView::mark_all_changed);
--- a/crates/router/src/state/dispatcher/observations.rs
+++ b/crates/router/src/state/dispatcher/observations.rs
@@ -13,8 +13,8 @@
     }
 
     /// Adds the numbers of queries of other routers that ended late and in time.
-    pub fn remote_fleet_counts(&mut self, late: u32, in_time: u32) {
-        self.pending.add_fleet_counts(late, in_time);
+    pub fn receive_fleet_latency_counts(&mut self, late: u32, in_time: u32) {
+        self.pending.add_fleet_latency_counts(late, in_time);
         self.counters.add("fleet_late", late as usize);
         self.counters.add("fleet_in_time", in_time as usize);
         self.work_ready.notify_one();
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -138,7 +138,7 @@
         for request in &query.requests {
             self.recall_unsent(&request.id, AttemptOutcome::NeverSent);
         }
-        let closes = query.client.close_after_response.get() || self.closes_connection(&query.client);
+        let closes = query.client.close_after_response.get() || self.closes_for_shutdown(&query.client);
         query.client.close_after_response.set(closes);
         query.client.wake.notify_one();
         Some(query)
@@ -146,7 +146,7 @@
 
     /// Whether this side closes a connection after its current response because of a shutdown. Guards against dropping a
     /// pipelined request that has been read: it has to be answered too.
-    pub fn closes_connection(&self, client: &ClientConnection) -> bool {
+    pub fn closes_for_shutdown(&self, client: &ClientConnection) -> bool {
         let closing = permits::ConnectionClose {
             query_open: false,
             unwritten: false,
--- a/crates/router/src/state/pending_input.rs
+++ b/crates/router/src/state/pending_input.rs
@@ -40,7 +40,7 @@
     }
 
     /// Adds the numbers of queries of other routers that ended late and in time.
-    pub fn add_fleet_counts(&mut self, late: u32, in_time: u32) {
+    pub fn add_fleet_latency_counts(&mut self, late: u32, in_time: u32) {
         let counts = self.fleet_counts.get_or_insert_default();
         counts.late = counts.late.saturating_add(late);
         counts.in_time = counts.in_time.saturating_add(in_time);
@@ -81,7 +81,7 @@
     }
 
     /// Drops input about queries and timers that a restarted policy does not know.
-    pub fn clear_for_restart(&mut self) {
+    pub fn clear_for_policy_restart(&mut self) {
         self.new_queries.clear();
         self.disconnected_queries.clear();
         self.timers.clear();
--- a/crates/router/tests/common/dispatcher.rs
+++ b/crates/router/tests/common/dispatcher.rs
@@ -182,7 +182,7 @@
 /// Writes the next frame of a connection completely; returns its type byte and body as text, if there is a frame.
 pub fn write_next_frame(dispatcher: &mut Dispatcher, dial: &DialRequest) -> Option<String> {
     let mut out = vec![];
-    let has_frame = dispatcher.next_frame(&dial.node, dial.connection, &mut out);
+    let has_frame = dispatcher.encode_next_frame(&dial.node, dial.connection, &mut out);
     let now = dispatcher.clock.now();
     dispatcher.endpoints.connection(&dial.node, dial.connection)?.frame_written(now);
     has_frame.then(|| String::from_utf8_lossy(&out[4..]).to_string())
--- a/crates/router/tests/dispatcher/any_order.rs
+++ b/crates/router/tests/dispatcher/any_order.rs
@@ -231,7 +231,7 @@
             return;
         }
         let starts_attempts = !connection.next_attempts().is_empty();
-        if !self.dispatcher.next_frame(&node, number, &mut out) || !starts_attempts || out[4] != b'S' {
+        if !self.dispatcher.encode_next_frame(&node, number, &mut out) || !starts_attempts || out[4] != b'S' {
             return;
         }
         assert_eq!(
--- a/crates/router/tests/dispatcher/attempts.rs
+++ b/crates/router/tests/dispatcher/attempts.rs
@@ -81,7 +81,7 @@
     let dial = start_attempts(&mut dispatcher, "s", &["q.1", "q.2", "q.3", "q.4"]).remove(0);
     write_next_frame(&mut dispatcher, &dial);
     // The second frame has begun, but its last byte is not written.
-    assert!(dispatcher.next_frame("s", dial.connection, &mut vec![]));
+    assert!(dispatcher.encode_next_frame("s", dial.connection, &mut vec![]));
     dispatcher.connection_lost("s", dial.connection);
     let events = policy_events(&mut dispatcher);
     for outcome in
--- a/crates/router/tests/dispatcher/endpoints.rs
+++ b/crates/router/tests/dispatcher/endpoints.rs
@@ -71,7 +71,7 @@
     // The acceptor core has a list in which `s` drains; this core has not applied it yet.
     let generation = shared.fence.publish();
     let mut out = vec![];
-    assert!(!dispatcher.next_frame("s", connection, &mut out) && out.is_empty());
+    assert!(!dispatcher.encode_next_frame("s", connection, &mut out) && out.is_empty());
     let address = "127.0.0.1:1".parse().expect("an address");
     dispatcher.endpoints.replace_from_core(&[Endpoint {
         name: "s".to_string(),
@@ -82,7 +82,7 @@
     }]);
     dispatcher.endpoints_generation = generation;
     dispatcher.endpoints_changed();
-    assert!(!dispatcher.next_frame("s", connection, &mut out), "the attempt was ended unsent");
+    assert!(!dispatcher.encode_next_frame("s", connection, &mut out), "the attempt was ended unsent");
     assert!(policy_events(&mut dispatcher).contains(&"q.0 0 s NeverSent".to_string()));
 }
 
--- a/crates/router/tests/dispatcher/main.rs
+++ b/crates/router/tests/dispatcher/main.rs
@@ -53,7 +53,7 @@
 /// Expires what is due, and returns the events that the policy gets in a round.
 fn policy_events(dispatcher: &mut Dispatcher) -> Vec<String> {
     let (mut policy, now) = (RecordingPolicy::new(Recorded::Endpoints), dispatcher.clock.now());
-    dispatcher.expire_due(now);
+    dispatcher.expire_attempts_and_queries(now);
     dispatcher.notify_policy(now, &mut policy);
     policy.events
 }
--- a/crates/router/tests/dispatcher/replies.rs
+++ b/crates/router/tests/dispatcher/replies.rs
@@ -34,7 +34,7 @@
     let mut dispatcher = dispatcher();
     open(&mut dispatcher, "q", &[1]);
     let dial = start_attempts(&mut dispatcher, "s", &["q.1"]).remove(0);
-    assert!(dispatcher.next_frame("s", dial.connection, &mut vec![]));
+    assert!(dispatcher.encode_next_frame("s", dial.connection, &mut vec![]));
     dispatcher.reject("q", None);
     assert!(dispatcher.endpoints.connection("s", dial.connection).expect("a connection").is_aborted);
 }
@@ -48,7 +48,7 @@
     let mut dispatcher = dispatcher();
     open(&mut dispatcher, "q", &[1]);
     let aborted = start_attempts(&mut dispatcher, "s", &["q.1"]).remove(0);
-    assert!(dispatcher.next_frame("s", aborted.connection, &mut vec![]));
+    assert!(dispatcher.encode_next_frame("s", aborted.connection, &mut vec![]));
     dispatcher.reject("q", None);
     // The client sends a query with the same id before the connection's task has closed the connection.
     open(&mut dispatcher, "q", &[1]);
--- a/crates/router/tests/dispatcher/reused_ids.rs
+++ b/crates/router/tests/dispatcher/reused_ids.rs
@@ -54,7 +54,7 @@
             .flat_map(|(node, record)| record.connections.keys().map(|number| (node.clone(), *number)))
             .collect();
         for (node, connection) in connections {
-            while dispatcher.next_frame(&node, connection, &mut vec![]) {
+            while dispatcher.encode_next_frame(&node, connection, &mut vec![]) {
                 dispatcher.endpoints.connection(&node, connection).expect("a connection").frame_written(now);
             }
         }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -174,7 +174,7 @@
 
     /// As a request is taken in; the vertical's place, or none.
     fn take(&mut self, id: &str, name: &str) -> Option<(usize, Rc<ClientConnection>)> {
-        self.dispatcher.refresh_config();
+        self.dispatcher.apply_newest_config();
         let class = self.dispatcher.class_slot(name)?;
         let (time_left_s, requests) =
             (self.dispatcher.admission.max_deadline_s, shard_requests(id, &[1], 1.0));
@@ -238,7 +238,7 @@
         if n % 3 > 0 {
             all.round();
         } else {
-            all.dispatcher.refresh_config();
+            all.dispatcher.apply_newest_config();
         }
     }
     all.round();
--- a/crates/router/tests/shard_map/any_order.rs
+++ b/crates/router/tests/shard_map/any_order.rs
@@ -125,7 +125,7 @@
         );
         for (node, number) in &self.connections {
             let mut frame = vec![];
-            while self.dispatcher.borrow_mut().next_frame(node, *number, &mut frame) {
+            while self.dispatcher.borrow_mut().encode_next_frame(node, *number, &mut frame) {
                 let now = self.dispatcher.borrow().clock.now();
                 if let Some(connection) = self.dispatcher.borrow_mut().endpoints.connection(node, *number) {
                     connection.is_open = true;
--- a/crates/router/tests/shard_map/changes.rs
+++ b/crates/router/tests/shard_map/changes.rs
@@ -17,7 +17,7 @@
         policy_events(&mut dispatcher),
         ["shard 1 held by [1, 2] except {}", "q.1.0-50 0 n0 NeverSent"]
     );
-    assert!(!dispatcher.next_frame("n0", dial.connection, &mut vec![]));
+    assert!(!dispatcher.encode_next_frame("n0", dial.connection, &mut vec![]));
 }
 
 #[rstest]
