--- a/crates/router/src/io/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -53,7 +53,7 @@
         return Ok(None);
     };
     let now = clock.now();
-    Ok(Some((count, stamp.map_or(now, |stamp| stamps.arrival_time(now, *since, stamp)))))
+    Ok(Some((count, stamp.map_or(now, |stamp| stamps.estimate_arrival_s(now, *since, stamp)))))
 }
 
 fn read_stamped(stream: &TcpStream, space: &mut [u8]) -> io::Result<Stamped> {
--- a/crates/router/src/state/arrival_time.rs
+++ b/crates/router/src/state/arrival_time.rs
@@ -26,8 +26,8 @@
 
     /// When the bytes that are read now arrived, in seconds of the monotonic clock. They cannot have arrived before `since`,
     /// when the connection had no unread bytes.
-    pub fn arrival_time(&mut self, now: f64, since: f64, timestamp: f64) -> f64 {
-        let offset = timestamp - now;
+    pub fn estimate_arrival_s(&mut self, read_at_s: f64, not_before_s: f64, unix_timestamp_s: f64) -> f64 {
+        let offset = unix_timestamp_s - read_at_s;
         if self.offsets_s.len() < MAX_OFFSETS {
             self.offsets_s.push(offset);
         } else {
@@ -35,13 +35,13 @@
         }
         self.next = (self.next + 1) % MAX_OFFSETS;
         let largest = self.offsets_s.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        let arrived_at = timestamp - largest;
-        if arrived_at >= since - ROUNDING_S {
-            return arrived_at.min(now);
+        let arrived_at = unix_timestamp_s - largest;
+        if arrived_at >= not_before_s - ROUNDING_S {
+            return arrived_at.min(read_at_s);
         }
         // The wall clock has stepped back, or the first offset was wrong.
         self.offsets_s = vec![offset];
         self.next = 0;
-        now
+        read_at_s
     }
 }
