--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -137,7 +137,7 @@
             why = watch(&list, address, &mut state, &mut whole, &mut heard) => why,
             Ok(()) = agent.changed() => {
                 list.borrow_mut().moved();
-                state.phase = WatchPhase::Waiting { until: clock.now() };
+                state.phase = WatchPhase::Waiting { opens_at_s: clock.now() };
                 continue;
             }
         };
--- a/crates/router/src/state/watch_state.rs
+++ b/crates/router/src/state/watch_state.rs
@@ -17,17 +17,17 @@
     /// No watch is open.
     Waiting {
         /// When the next watch opens.
-        until: f64,
+        opens_at_s: f64,
     },
     /// The connection is being opened, or its response has not begun.
     Opening {
         /// When the watch is lost.
-        by: f64,
+        lost_at_s: f64,
     },
     /// The response has begun.
     Open {
         /// When the watch is lost, unless a complete line or object is received before.
-        by: f64,
+        lost_at_s: f64,
     },
 }
 
@@ -42,26 +42,26 @@
 impl WatchState {
     /// A state without an open watch. `on_request` says whether changes come only when the policy polls for them.
     pub fn new(on_request: bool) -> Self {
-        let phase = if on_request { WatchPhase::NotRequested } else { WatchPhase::Waiting { until: 0.0 } };
+        let phase = if on_request { WatchPhase::NotRequested } else { WatchPhase::Waiting { opens_at_s: 0.0 } };
         WatchState { on_request, phase }
     }
 
     /// The next watch opens now: the pause is over, the policy requested a poll, or the address of discovery changed.
     pub fn open(&mut self, now: f64) {
-        self.phase = WatchPhase::Opening { by: now + RESPONSE_TIMEOUT_S };
+        self.phase = WatchPhase::Opening { lost_at_s: now + RESPONSE_TIMEOUT_S };
     }
 
     /// The head of the response was received. The first object has yet to come.
     pub fn response_started(&mut self) {
-        if let WatchPhase::Opening { by } = self.phase {
-            self.phase = WatchPhase::Open { by: by - RESPONSE_TIMEOUT_S + SILENCE_TIMEOUT_S };
+        if let WatchPhase::Opening { lost_at_s } = self.phase {
+            self.phase = WatchPhase::Open { lost_at_s: lost_at_s - RESPONSE_TIMEOUT_S + SILENCE_TIMEOUT_S };
         }
     }
 
     /// A complete line or object was received. Guards against a watch that keeps sending single bytes but never completes
     /// anything: such bytes do not postpone the time-out.
     pub fn update_received(&mut self, now: f64) {
-        self.phase = WatchPhase::Open { by: now + SILENCE_TIMEOUT_S };
+        self.phase = WatchPhase::Open { lost_at_s: now + SILENCE_TIMEOUT_S };
     }
 
     /// The watch is lost; returns whether its response had begun. If it had not, the request for a poll stays in force.
@@ -71,7 +71,7 @@
         self.phase = if awaits_poll {
             WatchPhase::NotRequested
         } else {
-            WatchPhase::Waiting { until: now + RECONNECT_PAUSE_S }
+            WatchPhase::Waiting { opens_at_s: now + RECONNECT_PAUSE_S }
         };
         had_response
     }
@@ -80,8 +80,8 @@
     pub fn deadline(&self) -> f64 {
         match self.phase {
             WatchPhase::NotRequested => f64::INFINITY,
-            WatchPhase::Waiting { until } => until,
-            WatchPhase::Opening { by } | WatchPhase::Open { by } => by,
+            WatchPhase::Waiting { opens_at_s } => opens_at_s,
+            WatchPhase::Opening { lost_at_s } | WatchPhase::Open { lost_at_s } => lost_at_s,
         }
     }
 }
--- a/crates/router/tests/watch_state.rs
+++ b/crates/router/tests/watch_state.rs
@@ -110,7 +110,7 @@
     assert_eq!(watch.phase, WatchPhase::NotRequested);
     watch.open(1.0);
     assert!(!watch.lost(2.0), "there was no response, so no failed poll is reported");
-    assert_eq!(watch.phase, WatchPhase::Waiting { until: 2.0 + RECONNECT_PAUSE_S });
+    assert_eq!(watch.phase, WatchPhase::Waiting { opens_at_s: 2.0 + RECONNECT_PAUSE_S });
     watch.open(2.0 + RECONNECT_PAUSE_S);
     watch.response_started();
     watch.update_received(3.0);
