--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -131,7 +131,7 @@
             let (head, body) = messages.message(&buffer);
             let id = head.field("X-Correlation-Id").ok().flatten().unwrap_or_default().to_string();
             let mut asked = vec![];
-            let text = query::read_shard_targets(body, |shard, _| {
+            let text = query::read_query_by_shards(body, |shard, _| {
                 asked.push(shard);
                 Ok(())
             });
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -106,7 +106,7 @@
     body: &[u8],
 ) -> Result<ShardRequests, HttpError> {
     let mut targets = Vec::new();
-    let text = query::read_targets(body, true, |shard, keys, weight| {
+    let text = query::read_query(body, true, |shard, keys, weight| {
         targets.push(QueryTarget { shard, keys, weight });
         Ok(())
     });
@@ -120,7 +120,7 @@
 
 fn requests_by_ring(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, HttpError> {
     let (mut requests, mut asked) = (Vec::new(), BTreeSet::new());
-    let text = query::read_shard_targets(body, |shard, weight| {
+    let text = query::read_query_by_shards(body, |shard, weight| {
         if shard >= shard_count {
             return Err("`partition` is no shard here");
         }
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -183,7 +183,7 @@
             self.scanned_bytes -= self.returned_bytes;
             self.returned_bytes = 0;
         }
-        self.decoded_bytes = self.chunks.decode(buffer, self.decoded_bytes).map_err(|error| error.1)?;
+        self.decoded_bytes = self.chunks.decode_chunks(buffer, self.decoded_bytes).map_err(|error| error.1)?;
         while self.scanned_bytes < self.decoded_bytes {
             let byte = buffer.data()[self.scanned_bytes];
             self.scanned_bytes += 1;
@@ -193,7 +193,7 @@
             }
         }
         match () {
-            () if self.chunks.is_done() => Err("discovery ended the watch"),
+            () if self.chunks.is_complete() => Err("discovery ended the watch"),
             () if self.decoded_bytes >= MAX_OBJECT_BYTES => Err("an object is too long"),
             () => Ok(None),
         }
--- a/crates/router/src/wire/http.rs
+++ b/crates/router/src/wire/http.rs
@@ -123,14 +123,14 @@
 
 impl ChunkDecoder {
     /// Whether the last chunk and the trailer are decoded.
-    pub fn is_done(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.state == ChunkState::Done
     }
 
     /// Decodes the bytes of the buffer from `from` on: removes the framing and leaves the decoded bytes. Returns the
     /// end of the decoded bytes; the bytes behind it are not decoded yet.
-    pub fn decode(&mut self, buffer: &mut ReadBuffer, from: usize) -> Result<usize, HttpError> {
-        let (mut to, mut at) = (from, from);
+    pub fn decode_chunks(&mut self, buffer: &mut ReadBuffer, decoded_end: usize) -> Result<usize, HttpError> {
+        let (mut to, mut at) = (decoded_end, decoded_end);
         let data = buffer.data_mut();
         loop {
             let rest = &data[at..];
@@ -210,11 +210,11 @@
         }
         let start = self.head_end.unwrap_or_default();
         let Some(length) = self.body_length else {
-            self.body_end = self.chunks.decode(buffer, self.body_end)?;
+            self.body_end = self.chunks.decode_chunks(buffer, self.body_end)?;
             if self.body_end - start > MAX_BODY_BYTES {
                 return Err((413, "the body is larger than 64 KiB"));
             }
-            return Ok(self.chunks.is_done());
+            return Ok(self.chunks.is_complete());
         };
         self.body_end = start + length;
         Ok(buffer.data().len() >= self.body_end)
--- a/crates/router/src/wire/query.rs
+++ b/crates/router/src/wire/query.rs
@@ -8,11 +8,11 @@
 
 /// Reads a body whose targets are shards. `add_target` gets the shard and weight of each target as it is read. Returns
 /// the text that every shard request carries.
-pub fn read_shard_targets(
+pub fn read_query_by_shards(
     body: &[u8],
     mut add_target: impl FnMut(u32, f64) -> Result<(), ParseError>,
 ) -> Result<Cow<'_, str>, ParseError> {
-    read_targets(body, false, |shard, _, weight| {
+    read_query(body, false, |shard, _, weight| {
         add_target(shard.ok_or("a target without `partition`")?, weight)
     })
 }
@@ -20,7 +20,7 @@
 /// Reads a body. `add_target` gets the shard, keys and weight of each target as it is read; the keys are a range from the
 /// first to below the second. If `accepts_keys` is false, `keys` is ignored like any unknown field. Returns the text that
 /// every shard request carries.
-pub fn read_targets(
+pub fn read_query(
     body: &[u8],
     accepts_keys: bool,
     mut add_target: impl FnMut(Option<u32>, Option<(u32, u32)>, f64) -> Result<(), ParseError>,
--- a/crates/router/tests/shard_map/updates.rs
+++ b/crates/router/tests/shard_map/updates.rs
@@ -67,8 +67,8 @@
 #[case::strings(r#"["a","b"]"#)]
 fn keys_that_are_not_a_range_are_rejected(#[case] keys: &str) {
     let body = format!(r#"{{"targets":[{{"keys":{keys},"share":1}}],"query":"x"}}"#);
-    assert!(query::read_targets(body.as_bytes(), true, |_, _, _| Ok(())).is_err());
+    assert!(query::read_query(body.as_bytes(), true, |_, _, _| Ok(())).is_err());
     // Without a shard map `keys` is ignored, like any unknown field.
     let body = body.replace("\"share\"", "\"partition\":1,\"share\"");
-    assert!(query::read_targets(body.as_bytes(), false, |_, _, _| Ok(())).is_ok());
+    assert!(query::read_query(body.as_bytes(), false, |_, _, _| Ok(())).is_ok());
 }
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -91,7 +91,7 @@
 
 fn read_query(body: &str) -> Result<(Targets, String), &'static str> {
     let mut targets = vec![];
-    let text = query::read_shard_targets(body.as_bytes(), |shard, weight| {
+    let text = query::read_query_by_shards(body.as_bytes(), |shard, weight| {
         targets.push((shard, weight));
         Ok(())
     })?;
@@ -377,7 +377,7 @@
         let _ = requests(&bytes, &[size.min(bytes.len())]);
         let _ = read_watch(&bytes, size);
         let _ = discovery::read_version(&bytes);
-        let _ = query::read_shard_targets(&bytes, |_, _| Ok(()));
+        let _ = query::read_query_by_shards(&bytes, |_, _| Ok(()));
         let mut remaining = &bytes[..];
         while let Ok(Some((_, body, used))) = frames::read_frame(remaining) {
             let _ = frames::parse_reply(body);
