--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -412,7 +412,8 @@
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
-        let ClientHandover { to, connections } = dispatcher.handover.filter(|handover| handover.connections > 0)?;
+        let ClientHandover { to, connections } =
+            dispatcher.handover.filter(|handover| handover.connections > 0)?;
         dispatcher.handover = Some(ClientHandover { to, connections: connections - 1 });
         Some(to)
     }
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -7,7 +7,7 @@
 use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
-use crate::state::dispatcher::{Dispatcher, ClientHandover};
+use crate::state::dispatcher::{ClientHandover, Dispatcher};
 use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use crate::state::shard_map::{ShardMapConfig, ShardMapView};
 use crate::state::shared::{CoreCommand, ObservationMessage, SharedState};
