--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -1,12 +1,14 @@
-//! Attempts, from the policy's decision to their outcome. Each attempt ends exactly once.
+//! Attempts, from the policy's decision to start them to their outcome. Each attempt ends exactly once. When a shard
+//! request is split, the new requests (its parts) share the attempts that the split request has in flight.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
-use crate::state::node_connection::{SendProgress, DialRequest, OutboundFrame};
+use crate::state::node_connection::{DialRequest, OutboundFrame, SendProgress};
 use alderway::interface::{AttemptOutcome, NodeState, PolicyInput};
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Starts the next attempt of a shard request. It is put into a frame at the end of the round.
+    /// Starts an attempt of a shard request on data node `node`. `flush_attempts` puts it into a frame after the policy
+    /// has run.
     pub(super) fn start_attempt_on_node(&mut self, request_id: &str, node: &str, timeout_s: f64) {
         let is_hedge = self.has_attempt_in_flight(request_id);
         let now = self.clock.now();
@@ -22,13 +24,14 @@
         });
         let is_duplicate = self.is_in_flight_at(request_id, node);
         self.attempts.start(id.clone(), node, now, now + timeout_s);
-        // Guards against two attempts of a request at one node, whose replies could not be distinguished.
+        // Guards against two attempts of a shard request in flight at one data node, whose replies could not be
+        // distinguished.
         if is_duplicate {
             self.counters.increment("calls_twice_at_a_node");
             return self.record_attempt_end(&id, AttemptOutcome::NeverSent);
         }
         match self.endpoints.nodes.get_mut(node) {
-            // Guards against a planner that has not yet received that the node drains.
+            // Guards against a planner whose endpoint list does not yet show that the data node drains or is removed.
             Some(record) if record.state == NodeState::Serving => {
                 if record.unsent_attempts.is_empty() {
                     self.nodes_to_flush.insert(node.to_string());
@@ -56,7 +59,7 @@
         attempts.iter().any(|id| self.attempts.get(id).is_some_and(|attempt| attempt.node == node))
     }
 
-    /// Attempts in flight for a shard request, including those of the requests that it was split from.
+    /// Attempts in flight for a shard request, including the attempts of the requests that it was split from.
     pub(super) fn attempts_of_family(&self, request_id: &Rc<str>) -> Vec<AttemptId> {
         match &self.shard_map {
             Some(shard_map) => {
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Cancels an attempt for one shard request. An attempt that a split request had started goes on until none of the
-    /// requests that it was split into waits for the attempt.
+    /// Cancels an attempt for one shard request. If the request is a part of a split request and shares the attempt
+    /// with other parts, the attempt itself is cancelled only when no part waits for it.
     pub(super) fn cancel_attempt_of(&mut self, request_id: &str, attempt: usize) {
         self.counters.increment("leaf_calls_cancelled");
         let id = AttemptId::new(request_id, attempt);
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Ends an attempt with an outcome. If the outcome proves that the attempt had no effect, it no longer counts as possibly
-    /// executed, so that its request may be repeated.
+    /// Records the outcome of an attempt. If the outcome proves that the data node did not execute the attempt, the
+    /// attempt no longer counts as possibly executed, so that its shard request may be repeated.
     pub(super) fn record_attempt_end(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         if outcome.had_no_effect()
             && let Some(request) = self.queries.request_mut(&id.request_id)
@@ -110,8 +113,9 @@
         }
     }
 
-    /// Ends an attempt from this side. If its frame has not begun, it is removed from the frame; if the frame is written, a
-    /// cancellation is queued; if the frame is partly written, the connection is closed.
+    /// Ends an attempt that has no reply. If no byte of its frame has been written, the attempt is removed from the
+    /// frame; if the frame is partly written, the connection is closed; if it is completely written, a cancellation is
+    /// queued.
     pub(super) fn abort_attempt(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let (node, connection) = (attempt.node.clone(), attempt.connection);
@@ -133,7 +137,7 @@
         self.record_attempt_end(id, outcome);
     }
 
-    /// Ends those attempts of a shard request whose frame is not completely written.
+    /// Ends the attempts of a shard request whose frame is not completely written.
     pub(super) fn recall_unsent(&mut self, request_id: &str, outcome: AttemptOutcome) {
         for id in self.attempts.of_request(request_id) {
             if !matches!(self.send_progress_of(&id), Some(SendProgress::InFlight)) {
@@ -142,15 +146,15 @@
         }
     }
 
-    /// How far an attempt has got on its connection; `None` if it has no connection.
+    /// How much of the frame of an attempt has been sent; `None` if no connection is chosen for the attempt.
     pub(super) fn send_progress_of(&self, id: &AttemptId) -> Option<SendProgress> {
         let attempt = self.attempts.get(id)?;
         let connections = &self.endpoints.nodes.get(&attempt.node)?.connections;
         Some(connections.get(&attempt.connection?)?.send_progress(id))
     }
 
-    /// Puts the attempts of this round into frames, with as many attempts per frame as the settings allow, and queues each
-    /// frame on a connection. Returns the connections to open.
+    /// Puts the attempts that are not yet in a frame into frames, with as many attempts per frame as the settings
+    /// allow, and queues each frame on a connection. Returns the connections to open.
     pub fn flush_attempts(&mut self, now: f64) -> Vec<DialRequest> {
         let max_batch = self.connection_config.max_batch.min(self.connection_config.streams_per_connection);
         for node in std::mem::take(&mut self.nodes_to_flush) {
@@ -159,7 +163,9 @@
             for batch in attempts.chunks(max_batch) {
                 match self.choose_connection(&node, batch, now) {
                     Some(connection) => self.enqueue_batch(&node, connection, batch),
-                    None => batch.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Unreachable)),
+                    None => {
+                        batch.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Unreachable))
+                    }
                 }
             }
         }
@@ -177,8 +183,8 @@
         }
     }
 
-    /// Passes the attempts that ended since the last round to the policy. For a split request, the policy gets the end for the
-    /// requests that it was split into.
+    /// Passes the attempts that have ended since the policy's last run to the policy. The end of an attempt of a split
+    /// request is passed for the parts of the split instead.
     pub(super) fn notify_ended_attempts(&mut self, policy: &mut dyn PolicyInput) {
         for ended in self.attempts.take_ended() {
             let AttemptId { request_id, number } = &ended.id;
--- a/crates/router/src/state/dispatcher/config.rs
+++ b/crates/router/src/state/dispatcher/config.rs
@@ -1,4 +1,5 @@
-//! Changes of the configuration while queries are open.
+//! Changes of the configuration while queries are open. Each version of a query class has a slot, an index into
+//! `Dispatcher::query_classes`, so that open queries keep the rules that they were opened with.
 use super::Dispatcher;
 use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use alderway::interface::PolicyInput;
@@ -7,7 +8,7 @@
 use tokio::sync::watch;
 
 impl Dispatcher {
-    /// Subscribes to a stream of configurations, and applies the newest.
+    /// Subscribes to the channel of configurations, and applies the newest one.
     pub fn subscribe_config(&mut self, updates: watch::Receiver<Arc<ConfigGeneration>>) {
         let generation = self.class_table.subscribe(updates);
         self.connection_config = generation.settings.connections;
@@ -15,22 +16,22 @@
         self.query_classes = ClassRules::all(&generation.settings);
     }
 
-    /// The admission settings of a configuration, except that the capacity, the number of shards and the way in which
-    /// discovery is followed stay as they were at the start.
+    /// The admission settings of a configuration, except for three that never change after the start: the capacity, the
+    /// number of shards, and whether changes of the endpoint list are polled.
     fn admission_for(&self, generation: &ConfigGeneration) -> AdmissionConfig {
         let AdmissionConfig { max_open, shard_count, polls_endpoints, .. } = self.admission;
         AdmissionConfig { max_open, shard_count, polls_endpoints, ..generation.settings.admission }
     }
 
-    /// Applies the newest configuration, if it is not yet applied. Must be called before a request is read and before a round:
-    /// neither may use an outdated configuration, no matter how long this core was stalled.
+    /// Applies the newest configuration if this core has not applied it yet. Must be called before a request is read
+    /// and before the policy runs, so that neither uses an outdated configuration, however long this core was stalled.
     pub fn apply_newest_config(&mut self) {
         if let Some(generation) = self.class_table.take_update() {
             self.apply_config(generation);
         }
     }
 
-    /// Applies a configuration. Open queries keep the rules of their class.
+    /// Applies a configuration. Open queries keep the rules that they were opened with.
     pub fn apply_config(&mut self, generation: Arc<ConfigGeneration>) {
         let now = self.clock.now();
         let longest_deadline_s = self.longest_deadline_s(now);
@@ -40,30 +41,32 @@
         self.work_ready.notify_one();
     }
 
-    /// The longest deadline that an open query may have, in seconds.
+    /// The longest time, in seconds, that an open query may have had from its arrival to its deadline.
     pub fn longest_deadline_s(&self, now: f64) -> f64 {
         self.class_table.longest_deadline_s(self.admission.max_deadline_s, now)
     }
 
-    /// The slot for new queries of a class.
+    /// The index into `query_classes` for new queries of the class `name`; `None` if there is no such class.
     pub fn class_slot(&self, name: &str) -> Option<usize> {
         self.class_table.slot_of(&self.query_classes, name)
     }
 
-    /// Passes the newest configuration to the policy, which applies it from this round on.
+    /// Applies the newest configuration, and passes the configurations that the policy has not received to the policy.
     pub(super) fn notify_config(&mut self, policy: &mut dyn PolicyInput) {
         self.apply_newest_config();
         self.class_table.notify_changes(policy);
         self.publish_config_serial();
     }
 
-    /// Reports the retired slots without open queries to the policy, after it has got the queries that ended.
+    /// Reports class slots that are retiring and have no open query to the policy. Must be called after the policy has
+    /// received the ended queries.
     pub(super) fn notify_retired_classes(&mut self, policy: &mut dyn PolicyInput) {
         let queries = &self.queries;
         self.class_table.notify_retired_slots(|slot| queries.open_in_class(slot), policy);
     }
 
-    /// Resets the classes for a restarted policy, which has the newest configuration and no open query.
+    /// Resets the class slots for a restarted policy, which starts with the configuration in use and without open
+    /// queries.
     pub(super) fn reset_classes(&mut self) {
         if let Some(generation) = self.class_table.current().cloned() {
             self.query_classes = ClassRules::all(&generation.settings);
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Number of slots: in use, retiring or free.
+    /// Number of class slots, including retiring and free ones.
     pub fn class_slot_count(&self) -> usize {
         self.query_classes.len()
     }
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -1,9 +1,10 @@
-//! Connections to data nodes: which one carries an attempt, which frames may begin to be written, and how the attempts on a
-//! connection end when it closes.
+//! Connections to data nodes: which connection carries an attempt, which frames may be written, and how the attempts on
+//! a connection end when the connection closes. A fence, shared by all cores, keeps this core from starting attempts
+//! while its endpoint list may be outdated.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::{
-    SendProgress, DialRequest, NodeConnection, OutboundFrame, UnfinishedAttempts,
+    DialRequest, NodeConnection, OutboundFrame, SendProgress, UnfinishedAttempts,
 };
 use crate::state::node_protocol::{AttemptRequest, KeysAtVersion, NodeFrameWriter};
 use crate::state::shard_map::ShardMapView;
@@ -12,7 +13,8 @@
 use alderway_cores::fence;
 
 impl Dispatcher {
-    /// Chooses a connection with free streams for a batch: an open one, else one that is being opened, else a new one.
+    /// Chooses a connection to a data node with a free stream for each attempt of a batch: an open connection, else a
+    /// connection that is being opened, else a new one. Returns its number; `None` if the data node is unknown.
     pub(super) fn choose_connection(&mut self, node: &str, batch: &[AttemptId], now: f64) -> Option<u64> {
         let streams = self.connection_config.streams_per_connection;
         let record = self.endpoints.nodes.get(node)?;
@@ -23,8 +25,8 @@
         if let Some(number) = least_used(streams) {
             return Some(number);
         }
-        // Guards against the cores together opening more connections than a data node accepts: at the maximum, attempts
-        // are queued on a connection without free streams.
+        // Guards against the cores together opening more connections than a data node accepts: at the maximum number of
+        // connections, attempts are queued on a connection without free streams.
         let open = record.connections.values().filter(|c| !c.is_retired && !c.is_aborted).count();
         if open >= self.shared.max_connections_per_node
             && let Some(number) = least_used(usize::MAX)
@@ -36,7 +38,11 @@
         let number = self.endpoints.last_connection;
         let record = self.endpoints.nodes.get_mut(node)?;
         record.connections.insert(number, NodeConnection::new(now));
-        self.pending_dials.push(DialRequest { node: node.into(), connection: number, address: record.address });
+        self.pending_dials.push(DialRequest {
+            node: node.into(),
+            connection: number,
+            address: record.address,
+        });
         Some(number)
     }
 
@@ -44,10 +50,11 @@
         self.endpoints.nodes.get_mut(node)?.connections.remove(&number)
     }
 
-    /// A reply could not be read, so the rest of the stream cannot be decoded and this side closes the connection. One
-    /// attempt fails: that of the request which the reply names, else the one in flight longest. The others are cancelled,
-    /// as closing the connection cancels them by the protocol. Guards against one unreadable reply counting as a reset of
-    /// every other attempt on the connection, which would make a healthy data node look down.
+    /// Removes a connection on which an unreadable reply was received; the router closes it, because the rest of the
+    /// stream cannot be decoded. One attempt fails: the attempt of `request_id` if the reply names a shard request,
+    /// else the one that was started first. The other attempts in flight are cancelled; by the protocol, closing the
+    /// connection cancels them at the data node. Guards against counting one unreadable reply as a reset of all these
+    /// attempts, which would make a healthy data node look unreachable.
     pub fn connection_corrupted(&mut self, node: &str, number: u64, request_id: Option<&str>) {
         self.counters.increment("answers_spoilt");
         let Some(connection) = self.remove_connection(node, number) else { return };
@@ -64,8 +71,9 @@
         in_flight.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Cancelled));
     }
 
-    /// A connection was closed by the data node or broken, or could not be opened. Attempts whose frame was not completely
-    /// written were never executed.
+    /// Removes a connection that the data node closed, that broke, or that could not be opened. Attempts whose frame
+    /// was not completely written end as unreachable, as the data node cannot have executed them; the others end as
+    /// reset.
     pub fn connection_lost(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let UnfinishedAttempts { unsent, in_flight } = connection.into_unfinished();
@@ -73,16 +81,16 @@
         in_flight.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::ConnectionReset));
     }
 
-    /// A connection could not be opened because this process lacks resources. Its attempts end as never sent, which is no
-    /// evidence about the data node.
+    /// Removes a connection that could not be opened because this process lacks resources. The attempts queued on it
+    /// end as never sent, so that the policy does not blame the data node.
     pub fn connection_not_opened(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let unsent = connection.into_unfinished().unsent;
         unsent.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::NeverSent));
     }
 
-    /// A data node has closed a connection that was idle. The attempts queued there move to another connection. This cannot
-    /// repeat forever, because each such connection has received a reply before.
+    /// Removes an idle connection that the data node has closed, and queues its unsent attempts for another connection.
+    /// An attempt cannot be moved forever, because this is done only for connections that have received a reply before.
     pub fn requeue_unsent(&mut self, node: &str, number: u64) {
         let Some(mut connection) = self.remove_connection(node, number) else { return };
         let queued = connection.take_queued();
@@ -101,7 +109,8 @@
         }
     }
 
-    /// Encodes the next frame of a connection; false if no frame may begin.
+    /// Writes the next queued frame of a connection, or the frame that is being written, to `writer`. False if no frame
+    /// is queued or the fence forbids the frame.
     pub fn encode_next_frame(&mut self, node: &str, number: u64, writer: &mut impl NodeFrameWriter) -> bool {
         self.drop_denied_attempts(node, number);
         let now = self.clock.now();
@@ -129,7 +138,7 @@
         true
     }
 
-    /// The content of a frame for an attempt; `None` if its query has ended.
+    /// The content of an attempt in a frame; `None` if the query of the attempt has ended.
     fn attempt_request<'a>(&'a self, id: &'a AttemptId, now: f64) -> Option<AttemptRequest<'a>> {
         let requested = self.queries.request_content(&id.request_id)?;
         let timeout_at_s =
@@ -144,8 +153,9 @@
         })
     }
 
-    /// Whether the next frame would start attempts that the fence holds back. Guards against a core that was stalled while
-    /// the endpoint list changed: attempts decided by the old list wait until the core has applied the new one.
+    /// Whether the next frame starts attempts while the fence forbids that. Guards against a core that was stalled
+    /// while the endpoint list changed: attempts that its policy started by the old list wait until the core has
+    /// applied the new list.
     fn is_held_by_fence(&mut self, node: &str, number: u64, now: f64) -> bool {
         let Err(reason) = self.shared.fence.passes(self.endpoints_generation, now) else { return false };
         let connection = self.endpoints.connection(node, number);
@@ -161,8 +171,8 @@
         true
     }
 
-    /// The socket accepted no byte of the frame that was to begin. Guards against a frame being written long after it was
-    /// encoded: the frame is queued again, and its attempts are checked and encoded again later.
+    /// Puts an encoded frame back into the queue, because the socket accepted no byte of it. Guards against writing a
+    /// frame long after it was encoded: its attempts are checked and encoded again before the next write.
     pub fn frame_not_started(&mut self, node: &str, number: u64) {
         let Some(connection) = self.endpoints.connection(node, number) else { return };
         let attempts = connection.writing_attempts().to_vec();
@@ -175,8 +185,8 @@
         self.counters.increment("frames_not_taken");
     }
 
-    /// Why an attempt of the next frame may not begin; `None` if it may. It may have waited for a dial or a stream beyond its
-    /// time-out, or beyond the window in which data nodes drop duplicates.
+    /// Why an attempt of the next frame may not be sent; `None` if it may. For example, the attempt has waited for a
+    /// connection or a stream until after its time-out or after the time in which data nodes drop duplicates.
     fn denial(&self, id: &AttemptId, node: NodeState, now: f64) -> Option<Denial> {
         let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
             return Some(Denial::QueryEnded);
@@ -191,7 +201,8 @@
         permits::may_start_attempt(&start).err()
     }
 
-    /// Ends the attempts of the next frame that may no longer begin, as never sent.
+    /// Removes the attempts that may no longer be sent (see [`denial`](Self::denial)) from the next frame, and ends
+    /// them as never sent.
     fn drop_denied_attempts(&mut self, node: &str, number: u64) {
         let now = self.clock.now();
         loop {
@@ -204,20 +215,22 @@
             for (id, denial) in &denied {
                 self.counters.increment(&format!("calls_denied{{{}}}", denial.label()));
                 self.abort_attempt(id, AttemptOutcome::NeverSent);
-                // Guards against an attempt that has ended but is still queued: aborting it does not remove it.
+                // Guards against an attempt that has ended but is still in the queued frame: `abort_attempt` ignores
+                // ended attempts.
                 if let Some(connection) = self.endpoints.connection(node, number) {
                     connection.remove_queued(id);
                 }
             }
-            // If no attempt is left, the frame was removed and the frame behind it has to be checked.
+            // If all attempts of the frame were denied, the frame was removed and the following frame has to be
+            // checked.
             if denied.is_empty() || denied.len() < next.len() {
                 return;
             }
         }
     }
 
-    /// Applies a change of the endpoint list to attempts and connections: attempts to a node that drains or is removed end if
-    /// their frame has not begun, and connections to removed nodes close when they are idle.
+    /// Applies a change of the endpoint list to attempts and connections: attempts to a draining or removed data node
+    /// end if no byte of their frame has been written, and connections to removed data nodes close when they are idle.
     pub fn endpoints_changed(&mut self) {
         for name in self.endpoints.retire_unserving() {
             for id in self.attempts.on_node(&name) {
@@ -232,15 +245,18 @@
         self.work_ready.notify_one();
     }
 
-    /// Records that polling the endpoint list failed. The last list stays in use.
+    /// Records that a poll of the endpoint list failed. The last received list stays in use.
     pub fn endpoint_poll_failed(&mut self) {
         self.endpoints.has_poll_failed = true;
         self.work_ready.notify_one();
     }
 
-    /// Resumes the attempts that the fence held back, once it lets them pass.
+    /// Wakes the connections whose frames with attempts were held back, if the fence now allows this core to start
+    /// attempts.
     pub fn resume_held_attempts(&mut self) {
-        if self.has_held_attempts && self.shared.fence.passes(self.endpoints_generation, self.clock.now()).is_ok() {
+        if self.has_held_attempts
+            && self.shared.fence.passes(self.endpoints_generation, self.clock.now()).is_ok()
+        {
             self.has_held_attempts = false;
             let connections = self.endpoints.nodes.values().flat_map(|record| record.connections.values());
             connections.for_each(|connection| connection.wake.notify_one());
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -1,23 +1,25 @@
-//! Checks each action when it happens, by the state at that moment and independently of what decided it. A violation is
-//! counted as `rule_violations{...}` and logged with the id concerned; it does not change behavior.
+//! Checks each attempt that starts, each response and each closed client connection against the rules, independently of
+//! the code that decided the action. A violation is counted as `rule_violations{RULE}` and logged with the id of the
+//! query or shard request; it does not change the router's behavior.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::queries::Query;
 use alderway::interface::NodeState;
 use alderway::permits;
 
-/// Allowed rounding error of the answered fraction of a query.
+/// Allowed rounding error of the answered fraction of a query's weight.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
-/// A response that is sent later than this after the query's deadline counts as lost.
+/// A response that is sent more than this time, in seconds, after the query's deadline violates the rules.
 const LATE_RESPONSE_S: f64 = 0.5;
 
 impl Dispatcher {
     fn report_violation(&mut self, rule: &str, id: &str, details: &str) {
         self.counters.increment(&format!("rule_violations{{{rule}}}"));
-        tracing::error!(target: "rules", "{rule}: {id}: {details}");
+        tracing::error!(target: "rules", "rule {rule} violated by query or shard request {id}: {details}");
     }
 
-    /// Checks the attempts of a frame whose first byte has been written.
+    /// Checks the attempts of the frame that is being written. Called when the first byte of the frame has been
+    /// written.
     pub fn check_started_attempts(&mut self, node: &str, connection: u64) {
         let now = self.clock.now();
         let Some(record) = self.endpoints.nodes.get(node) else { return };
@@ -30,13 +32,18 @@
 
     fn check_attempt_started(&mut self, id: &AttemptId, node: &str, state: NodeState, now: f64) {
         let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
-            return self.report_violation("call_after_answer", &id.request_id, "its query has ended");
+            return self.report_violation(
+                "call_after_answer",
+                &id.request_id,
+                "an attempt was started after the query had ended",
+            );
         };
         let first_effect_at_s = request.first_possible_execution(Some(id.number));
         let idempotency = self.query_classes[class].idempotency;
         let not_after_s =
             self.queries.request_content(&id.request_id).map_or(now, |requested| requested.not_after_s);
-        // The frame was allowed to begin a moment ago. The tolerance covers the time that the write itself took.
+        // The same check allowed the frame before its first write. `LATE_RESPONSE_S` covers the time that the write
+        // took.
         let start = permits::AttemptStart {
             now_s: now,
             deadline_s: not_after_s + LATE_RESPONSE_S,
@@ -45,18 +52,23 @@
             node_state: state,
         };
         if let Err(denial) = permits::may_start_attempt(&start) {
-            self.report_violation("call", &id.request_id, &format!("{} at {node}", denial.label()));
+            self.report_violation(
+                "call",
+                &id.request_id,
+                &format!("an attempt was started at node {node} though denied: {}", denial.label()),
+            );
         }
     }
 
-    /// Checks a query that is answered: its time, and the fraction of its weight that is answered.
+    /// Checks that the answer to a query is not too late and that the answered shard requests have the required
+    /// fraction of the query's weight.
     pub(super) fn check_answer(&mut self, query: &Query, complete: bool) {
         let late_by_s = self.clock.now() - query.not_after_s;
         if late_by_s > LATE_RESPONSE_S {
             self.report_violation(
                 "late_answer",
                 &query.id,
-                &format!("sent {late_by_s:.3} s after its deadline"),
+                &format!("the answer was sent {late_by_s:.3} s after the deadline of the query"),
             );
         }
         if query.coverage.is_some() {
@@ -67,28 +79,39 @@
         let answered = query.requests.iter().filter(|request| request.value.is_some());
         let answered: f64 = answered.map(|request| request.weight).sum();
         let fraction = answered / if total > 0.0 { total } else { 1.0 };
-        let least = if complete { class.complete_fraction } else { class.minimum_fraction };
-        if fraction < least - WEIGHT_TOLERANCE {
+        let required = if complete { class.complete_fraction } else { class.minimum_fraction };
+        if fraction < required - WEIGHT_TOLERANCE {
             self.report_violation(
                 "answer_under_floor",
                 &query.id,
-                &format!("answered fraction {fraction:.4}, required {least:.4}"),
+                &format!(
+                    "an answer was sent with fraction {fraction:.4} of the query, required is {required:.4}"
+                ),
             );
         }
     }
 
-    /// Checks a query that is rejected, which promises the client that a retry has no side effects.
+    /// Checks that a rejected query may be retried: a rejection promises the client that a retry has no side effects.
     pub(super) fn check_rejection(&mut self, query: &Query) {
         let effect = self.query_classes[query.class].idempotency;
         let may_have_executed = query.requests.iter().any(|request| request.may_have_executed());
         if permits::may_reject(effect, may_have_executed).is_err() {
-            self.report_violation("reject", &query.id, "an attempt may have been executed");
+            self.report_violation(
+                "reject",
+                &query.id,
+                "the query was rejected though an attempt may have been executed",
+            );
         }
     }
 
-    /// Reports that this side has closed a client's connection with an open query.
+    /// Reports as a violation that the router has closed a client connection with an open query. `number` is the number
+    /// of the query.
     pub fn report_unanswered_close(&mut self, number: u64) {
         let id = self.queries.get(number).map(|query| query.id.to_string()).unwrap_or_default();
-        self.report_violation("closed_unanswered", &id, "the router closed its connection");
+        self.report_violation(
+            "closed_unanswered",
+            &id,
+            "the router closed the client's connection before it answered the query",
+        );
     }
 }
--- a/crates/router/src/state/dispatcher/metrics.rs
+++ b/crates/router/src/state/dispatcher/metrics.rs
@@ -1,10 +1,10 @@
-//! The counters and gauges of one core.
+//! Collects the counters and gauges of one core, and those of all cores.
 use super::Dispatcher;
 use crate::state::metrics::MetricsSnapshot;
 use std::sync::Arc;
 
 impl Dispatcher {
-    /// The current counters and gauges of this core.
+    /// The current counters and gauges of this core, with those of its gossip link and its other metrics sources.
     pub fn core_metrics(&self) -> MetricsSnapshot {
         let connections: usize = self.endpoints.nodes.values().map(|record| record.connections.len()).sum();
         let gauges = vec![
@@ -32,8 +32,8 @@
         metrics
     }
 
-    /// The counters and gauges of all cores. This core publishes its own first. Guards against counters that decrease when
-    /// another core answers the next request for them.
+    /// The counters and gauges of all cores as text. Publishes the current values of this core first. Guards against
+    /// counters that seem to decrease when another core answers the next request for metrics.
     pub fn metrics_text(&self) -> String {
         let mut metrics = MetricsSnapshot::clone(&self.publish_metrics());
         self.shared.add_other_cores(Some(self.core), &mut metrics);
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -1,14 +1,19 @@
-//! The dispatcher of one core applies events from connections and decisions of the policy to the state. The state is kept
-//! in separate tables; the submodules handle the events:
+//! The dispatcher of one core applies events from connections and decisions of the policy to the state, which is kept
+//! in separate tables. The policy runs in rounds: in each run, the dispatcher first passes the input that has arrived
+//! since the last run to the policy, then applies the policy's decisions.
 //!
-//! - `queries`: opens and ends queries, and stores their responses for the clients' connections
+//! A fence, shared by all cores, keeps a core from starting attempts while the acceptor core has published a newer
+//! endpoint list than the core has applied, or has not confirmed in time that its list is current. A class slot is an
+//! index into `Dispatcher::query_classes`. The submodules handle the events:
+//!
+//! - `queries`: opens and ends queries, and stores their responses in the state of the clients' connections
 //! - `attempts`: starts, cancels and ends attempts
-//! - `replies`: matches the replies of data nodes with attempts, and records their values
+//! - `replies`: matches the replies of data nodes with attempts, and records the values of the replies
 //! - `connections`: chooses connections for attempts, encodes frames, and ends attempts when a connection closes
 //! - `shard_changes`: applies changes of the shard map to attempts and shard requests
 //! - `config`: applies changes of the configuration while queries are open
 //! - `observations`: exchanges observations of data nodes with other cores and routers
-//! - `invariants`: checks each action when it happens
+//! - `invariants`: checks that each attempt that starts and each response is allowed when it happens
 mod attempts;
 mod config;
 mod connections;
@@ -44,19 +49,19 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// A handle of the dispatcher, shared by the tasks of its core.
+/// The dispatcher of a core, shared by the tasks of that core.
 pub type DispatcherHandle = Rc<RefCell<Dispatcher>>;
 
-/// A request to hand over client connections to another core when they are idle.
+/// A request to move client connections of this core to another core, each when it is idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientHandover {
-    /// The core that gets the connections.
+    /// Index of the core that gets the client connections.
     pub to: usize,
-    /// How many connections are still to be handed over.
+    /// Number of client connections that are still to be moved.
     pub connections: usize,
 }
 
-/// The state of one core. All times are in seconds of `clock`.
+/// The dispatcher and the state of one core. All times are in seconds of `clock`.
 pub struct Dispatcher {
     /// The monotonic clock that all cores share.
     pub clock: Clock,
@@ -64,9 +69,9 @@
     pub connection_config: ConnectionConfig,
     /// Settings for the admission of queries.
     pub admission: AdmissionConfig,
-    /// Rules of the query classes by slot; `class_table` assigns the slots.
+    /// Rules of the query classes. The index of a class here is its slot, which `class_table` assigns.
     pub query_classes: Vec<ClassRules>,
-    /// Slots of the query classes, and the configuration in use.
+    /// Assigns slots to the query classes; also has the configuration in use.
     pub class_table: ClassTable,
     /// Open queries.
     pub queries: QueryTable,
@@ -74,7 +79,7 @@
     pub attempts: AttemptTable,
     /// Data nodes and the connections to them.
     pub endpoints: EndpointTable,
-    /// Connections of clients.
+    /// Client connections.
     pub clients: ClientTable,
     /// Counters of this core.
     pub counters: Counters,
@@ -82,42 +87,43 @@
     pub shared: Arc<SharedState>,
     /// Index of this core in `shared.cores`.
     pub core: usize,
-    /// The generation of the endpoint list that this core has applied.
+    /// Number of the newest endpoint list of the acceptor core that this core has applied; 0 if none.
     pub endpoints_generation: u64,
-    /// Whether the fence holds attempts back until this core has applied the newest endpoint list.
+    /// Whether frames with attempts wait because the fence does not allow this core to start attempts.
     pub has_held_attempts: bool,
-    /// Observations of other cores and routers that are still valid, for a restarted policy.
+    /// Observations of data nodes made by other cores and routers, until each expires. A restarted policy gets all of
+    /// them.
     pub observations: Board,
-    /// The shard map, if one is followed; otherwise shards are placed by the platform's ring.
+    /// The shard map; `None` if shards are placed by the platform's hash ring instead of a shard map.
     pub shard_map: Option<ShardMapView>,
-    /// The link to other routers, if there is one.
+    /// The gossip link to other routers; `None` if gossip is off.
     pub gossip: Option<Rc<dyn GossipLink>>,
-    /// Other components of this core that have metrics.
+    /// Other components of this core whose metrics are added to those of the dispatcher.
     pub metrics_sources: Vec<Rc<dyn MetricsSource>>,
-    /// A fault that a test requested; it is injected at the next heartbeat.
+    /// A fault that a test requested and that is injected at the next heartbeat of this core.
     #[cfg(feature = "faults")]
     pub injected_fault: Option<String>,
-    /// Client connections to hand over to another core, if any.
+    /// The request to move client connections to another core, if there is one.
     pub handover: Option<ClientHandover>,
-    /// Notified when there is input for the policy, to start a round.
+    /// Notified when there is input for the policy, so that the policy runs.
     pub work_ready: Rc<Notify>,
     /// Notified when the policy requests a poll of the endpoint list.
     pub poll_requested: Arc<Notify>,
     /// The phase of a graceful shutdown.
     pub shutdown_phase: ShutdownPhase,
-    /// Detects stalls of this thread.
+    /// Detects times at which the thread of this core did not run.
     pub stall_detector: StallDetector,
-    /// Estimates when bytes of clients arrived.
+    /// Estimates when the bytes received from clients arrived at the kernel.
     pub arrival_times: ArrivalEstimator,
     is_readiness_logged: bool,
     pending: PendingInput,
     pending_dials: Vec<DialRequest>,
-    /// Data nodes with attempts that are not yet put into frames.
+    /// Names of the data nodes with attempts that are not yet in a frame.
     nodes_to_flush: BTreeSet<String>,
 }
 
 impl Dispatcher {
-    /// The dispatcher of a process with one core.
+    /// Creates the dispatcher of a process with one core.
     pub fn new(
         clock: Clock,
         connection_config: ConnectionConfig,
@@ -128,7 +134,7 @@
         Dispatcher::for_core(shared, 0, clock, connection_config, admission, query_classes)
     }
 
-    /// The dispatcher of core number `core`.
+    /// Creates the dispatcher of one of several cores. `core` is its index in `shared.cores`.
     pub fn for_core(
         shared: Arc<SharedState>,
         core: usize,
@@ -171,8 +177,9 @@
         }
     }
 
-    /// Whether queries can be served: data nodes and, if one is followed, the shard map are known, the endpoint list is
-    /// current, and no shutdown has begun.
+    /// Whether this core can serve queries: it has data nodes and, unless shards are placed by the platform's hash
+    /// ring, a shard map; the acceptor core has recently confirmed that the endpoint list is current; and no shutdown
+    /// has begun.
     pub fn is_ready(&self) -> bool {
         let is_list_current = self.shared.fence.passes(u64::MAX, self.clock.now()).is_ok();
         let has_shard_map = self.shard_map.as_ref().is_none_or(|shard_map| shard_map.version().is_some());
@@ -182,12 +189,12 @@
             && has_shard_map
     }
 
-    /// When the next round is due even if there is no input.
+    /// When the policy has to run next even if no input arrives, in seconds of the monotonic clock.
     pub fn next_timer_s(&self) -> f64 {
         self.pending.next_timer_s().min(self.attempts.next_timeout_s())
     }
 
-    /// Ends attempts that have timed out and queries whose deadline has passed.
+    /// Ends attempts that have timed out at `now`, and queries whose deadline has passed.
     pub fn expire_attempts_and_queries(&mut self, now: f64) {
         for id in self.attempts.overdue(now) {
             self.abort_attempt(&id, AttemptOutcome::TimedOut);
@@ -197,7 +204,7 @@
         }
     }
 
-    /// Passes the input since the last round to the policy.
+    /// Passes all input that has arrived since the policy's last run to the policy.
     pub fn notify_policy(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         self.log_readiness();
         self.notify_config(policy);
@@ -209,8 +216,8 @@
         if let Some(shard_map) = &mut self.shard_map {
             shard_map.notify_splits(policy);
         }
-        // Ended queries and attempts come before new ones. Guards against a new query with the id of an ended one, to which
-        // the policy would apply the end.
+        // Ended queries and attempts are passed before new queries. Guards against the policy applying the end of a
+        // query to a new query with the same id.
         self.notify_ended_attempts(policy);
         self.pending.notify_disconnected(policy);
         self.notify_new_queries(policy);
@@ -229,8 +236,8 @@
         }
     }
 
-    /// Prepares the state for a restarted policy after a failure: fails all open queries, ends all attempts, and makes the
-    /// next round pass the full state.
+    /// Prepares the state for a policy that is restarted after a failure: fails all open queries, ends all attempts,
+    /// and marks everything as changed so that the new policy gets the full state in its first run.
     pub fn restart_policy(&mut self) {
         self.counters.increment("module_failures");
         self.fail_all_queries();
@@ -246,7 +253,7 @@
     }
 }
 
-/// Applies each decision of the policy at once.
+/// Applies each decision of the policy immediately.
 impl DecisionSink for Dispatcher {
     fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64) {
         self.start_attempt_on_node(request, node, timeout_s);
--- a/crates/router/src/state/dispatcher/observations.rs
+++ b/crates/router/src/state/dispatcher/observations.rs
@@ -1,10 +1,11 @@
-//! Observations of data nodes that cores and routers share with each other.
+//! Observations of data nodes and counts of late queries that cores and routers share with each other.
 use super::Dispatcher;
 use crate::state::shared::ObservationMessage;
 use alderway::interface::NodeObservation;
 
 impl Dispatcher {
-    /// Adds an observation of another core or router, which the policy gets in the next round.
+    /// Adds an observation of a data node made by another core or router. The policy gets the observation in its next
+    /// run.
     pub fn remote_observation(&mut self, message: ObservationMessage) {
         self.counters.increment("evidence_heard");
         self.observations.note(&message.node, message.observation);
@@ -12,7 +13,8 @@
         self.work_ready.notify_one();
     }
 
-    /// Adds the numbers of queries of other routers that ended late and in time.
+    /// Adds the numbers of queries of other routers that ended late and in time. The policy gets the sums in its next
+    /// run.
     pub fn receive_fleet_latency_counts(&mut self, late: u32, in_time: u32) {
         self.pending.add_fleet_latency_counts(late, in_time);
         self.counters.add("fleet_late", late as usize);
@@ -20,13 +22,13 @@
         self.work_ready.notify_one();
     }
 
-    /// Passes all observations of others that are still valid to the next round, for a restarted policy.
+    /// Queues all observations of other cores and routers that have not expired, for a restarted policy.
     pub fn replay_observations(&mut self) {
         self.pending.set_observations(self.observations.tell(self.clock.now()));
         self.work_ready.notify_one();
     }
 
-    /// Sends an observation of this core's policy to other routers and cores.
+    /// Sends an observation of a data node made by this core's policy to other routers and to the other cores.
     pub(super) fn publish_observation(&mut self, node: &str, observation: NodeObservation) {
         if let Some(gossip) = &self.gossip {
             gossip.share_observation(node, observation);
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -1,4 +1,4 @@
-//! Queries, from their last byte to their final response. Each query gets exactly one response.
+//! Queries, from the receipt of their last byte to their final response. Each query gets exactly one final response.
 use super::Dispatcher;
 use crate::state::clients::ClientConnection;
 use crate::state::queries::{Query, QueryError, QueryResources};
@@ -10,7 +10,8 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Opens a query, or responds at once if there is no capacity or the router shuts down.
+    /// Opens a query, or stores an error response if there is no capacity or the router is in the last phase of a
+    /// shutdown.
     ///
     /// # Errors
     /// [`QueryError::IdInUse`] if a query with the same id is open on any core.
@@ -43,8 +44,8 @@
         Ok(())
     }
 
-    /// Guards against a reply to an attempt of an earlier query with the same id, which is still in flight where attempts are
-    /// not cancelled: the reply would be taken for one to the new query.
+    /// Aborts attempts of an earlier query with the same id that are still in flight, because ended queries do not
+    /// always cancel their attempts. Guards against a reply to the earlier query being recorded for the new one.
     fn abort_attempts_of_earlier_query(&mut self, query: &Query) {
         for request in &query.requests {
             for id in self.attempts.of_request(&request.id) {
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Ends a query whose client has closed the connection.
+    /// Ends a query whose client has closed its connection.
     pub fn client_disconnected(&mut self, number: u64) {
         self.abandon_query(number, "left");
     }
 
-    /// Ends a query whose deadline has passed.
+    /// Ends a query whose deadline has passed, with an error response.
     pub(super) fn expire_query(&mut self, number: u64) {
         let Some(client) = self.queries.get(number).map(|query| query.client.clone()) else { return };
         client.respond(QueryResponse::DeadlineExceeded, client.close_after_response.get());
@@ -66,7 +67,8 @@
         self.abandon_query(number, "overdue");
     }
 
-    /// Ends a query without a decision of the policy, which gets its id in the next round. Counted as `queries_{counter}`.
+    /// Ends a query without a decision of the policy. The policy gets the query's id in its next run. Counted as
+    /// `queries_{counter}`.
     fn abandon_query(&mut self, number: u64, counter: &str) {
         let Some(query) = self.queries.remove(number) else { return };
         self.count_query(counter, query.class);
@@ -80,7 +82,8 @@
         self.work_ready.notify_one();
     }
 
-    /// Answers a query with the values received so far.
+    /// Answers a query with the values that data nodes have sent so far. `complete` says whether the response is marked
+    /// as complete.
     pub(super) fn answer_query(&mut self, query_id: &str, complete: bool) {
         let counter = if complete { "merged" } else { "merged_in_part" };
         let Some(query) = self.close_query(query_id, counter) else { return };
@@ -107,7 +110,7 @@
         QueryResponse::Results { complete, results: results.collect() }
     }
 
-    /// Rejects a query. Its client may retry it without side effects.
+    /// Rejects a query. The client may retry the query without side effects.
     pub(super) fn reject_query(&mut self, query_id: &str, retry_after_s: Option<f64>) {
         let Some(query) = self.close_query(query_id, "rejected") else { return };
         self.check_rejection(&query);
@@ -116,7 +119,8 @@
             .respond(QueryResponse::Rejected { retry_after_s }, query.client.close_after_response.get());
     }
 
-    /// Fails a query that may have had an effect.
+    /// Fails a query. Data nodes may have executed parts of the query, so the client must not expect a retry to be free
+    /// of side effects.
     pub(super) fn fail_query(&mut self, query_id: &str) {
         let Some(query) = self.close_query(query_id, "aborted") else { return };
         query.client.respond(QueryResponse::Failed, query.client.close_after_response.get());
@@ -129,8 +133,8 @@
         }
     }
 
-    /// Removes a query for its response, and decides whether its connection closes after the response. Counted as
-    /// `queries_{counter}`.
+    /// Removes a query that gets its final response, and decides whether its client's connection closes after the
+    /// response. Counted as `queries_{counter}`.
     fn close_query(&mut self, query_id: &str, counter: &str) -> Option<Query> {
         let query = self.queries.number(query_id).and_then(|number| self.queries.remove(number))?;
         self.count_query(counter, query.class);
@@ -144,8 +148,9 @@
         Some(query)
     }
 
-    /// Whether this side closes a connection after its current response because of a shutdown. Guards against dropping a
-    /// pipelined request that has been read: it has to be answered too.
+    /// Whether the router closes a client connection after its current response because of a shutdown. Guards against
+    /// dropping a pipelined request whose bytes have been read: the connection stays open until that request is
+    /// answered.
     pub fn closes_for_shutdown(&self, client: &ClientConnection) -> bool {
         let closing = permits::ConnectionClose {
             query_open: false,
@@ -161,7 +166,7 @@
         }
     }
 
-    /// Passes the queries opened since the last round to the policy.
+    /// Passes the queries that have been opened since the policy's last run to the policy.
     pub(super) fn notify_new_queries(&mut self, policy: &mut dyn PolicyInput) {
         for number in std::mem::take(&mut self.pending.new_queries) {
             let Some(query) = self.queries.get(number) else { continue };
--- a/crates/router/src/state/dispatcher/shard_changes.rs
+++ b/crates/router/src/state/dispatcher/shard_changes.rs
@@ -1,5 +1,5 @@
-//! Applies a change of the shard map to open queries: attempts whose frame has not begun end if their node no longer holds
-//! the shard, and shard requests whose shard no longer exists are split where necessary.
+//! Applies a change of the shard map to open queries. Attempts of which no byte has been sent end if their data node no
+//! longer holds the shard. Shard requests whose shard no longer exists are split by the new shard map if necessary.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::SendProgress;
@@ -9,10 +9,12 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Applies a change of the shard map by which these shards have other holders or no longer exist.
+    /// Applies a change of the shard map. `shards` are the shards that are held by other replica groups than before or
+    /// no longer exist.
     pub fn shard_map_changed(&mut self, shards: &[ShardId]) {
         self.counters.increment("layout_changes");
-        // Open requests are searched here rather than indexed by shard, because changes are much rarer than queries.
+        // Searches all open shard requests. An index by shard would cost more, because changes are much rarer than
+        // queries.
         let open = self.queries.unsplit_requests_of(shards);
         for &shard in shards {
             let Some(shard_map) = &self.shard_map else { return };
@@ -38,7 +40,8 @@
         }
     }
 
-    /// Splits an open shard request by the newest shard map, if that is necessary.
+    /// Splits an open shard request by the newest shard map, if
+    /// [`must_split`](crate::state::shard_map::ShardMapView::must_split) requires it.
     fn split_request(&mut self, request_id: &Rc<str>) {
         let Some((number, query, index)) = self.queries.query_of_request(request_id) else { return };
         let request = &query.requests[index];
@@ -47,7 +50,8 @@
             return;
         };
         let split_into = shard_map.split_requests(&query.id, request);
-        // Guards against one change of the shard map making many queries exceed the memory limit.
+        // Each new shard request needs capacity; without it, the request stays unsplit. Guards against one change of
+        // the shard map splitting so many queries that the process exceeds its memory limit.
         let Some(capacity) = self.shared.capacity.take(split_into.len()) else {
             return self.counters.increment("divisions_without_room");
         };
@@ -63,7 +67,8 @@
         self.counters.increment("parts_divided");
     }
 
-    /// Reports the shards that are no longer in use to the policy, and drops the splits of requests that have ended.
+    /// Drops the shards that are no longer in use and reports them to the policy. Also drops the records of splits
+    /// whose requests and attempts have all ended.
     pub(super) fn retire_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(shard_map) = &mut self.shard_map else { return };
         shard_map.notify_retired_shards(now, policy);
