--- a/crates/router/src/state/attempts.rs
+++ b/crates/router/src/state/attempts.rs
@@ -1,20 +1,20 @@
-//! Attempts in flight, and the outcomes of ended attempts until the next round passes them to the policy.
+//! Attempts in flight, and the outcomes of ended attempts until the policy gets them in its next run.
 use super::timer_queue::TimerQueue;
 use alderway::interface::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Identifies an attempt.
+/// Identifies an attempt among all attempts of this core.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// Id of the shard request.
     pub request_id: Rc<str>,
-    /// Index of the attempt among that request's attempts, from 0.
+    /// Index of the attempt among the attempts of its shard request, from 0.
     pub number: usize,
 }
 
 impl AttemptId {
-    /// Attempt number `number` of a shard request.
+    /// The id of attempt `number`, counted from 0, of a shard request.
     pub fn new(request_id: impl Into<Rc<str>>, number: usize) -> Self {
         AttemptId { request_id: request_id.into(), number }
     }
@@ -22,29 +22,30 @@
 
 /// An attempt in flight.
 pub struct Attempt {
-    /// The data node that the attempt goes to.
+    /// Name of the data node that the attempt is sent to.
     pub node: String,
-    /// Number of the connection that carries the attempt, once a connection is chosen.
+    /// Number of the connection that carries the attempt; `None` until a connection is chosen.
     pub connection: Option<u64>,
-    /// When the policy started it.
+    /// When the policy started the attempt, in seconds of the monotonic clock.
     pub started_at_s: f64,
-    /// When the attempt times out.
+    /// When the attempt times out, in seconds of the monotonic clock.
     pub timeout_at_s: f64,
 }
 
-/// An ended attempt, as the policy gets it.
+/// An ended attempt whose outcome the policy has not received yet.
 pub struct EndedAttempt {
-    /// Which attempt.
+    /// Id of the attempt.
     pub id: AttemptId,
-    /// The data node that the attempt went to.
+    /// Name of the data node that the attempt was sent to.
     pub node: String,
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
     /// Seconds from the start of the attempt to its end.
     pub latency_s: f64,
 }
 
-/// The attempts of one core, each from `start` to `end`.
+/// The attempts of one core. An attempt is in flight from [`start`](Self::start) to [`end`](Self::end), even before its
+/// frame is sent.
 #[derive(Default)]
 pub struct AttemptTable {
     in_flight: BTreeMap<AttemptId, Attempt>,
@@ -53,24 +54,25 @@
 }
 
 impl AttemptTable {
-    /// Records that an attempt starts now.
+    /// Adds an attempt that starts at `now` and times out at `timeout_at_s`, in seconds of the monotonic clock.
     pub fn start(&mut self, id: AttemptId, node: &str, now: f64, timeout_at_s: f64) {
         self.timeouts.insert(timeout_at_s, id.clone());
         let attempt = Attempt { node: node.into(), connection: None, started_at_s: now, timeout_at_s };
         self.in_flight.insert(id, attempt);
     }
 
-    /// An attempt in flight; `None` if it has ended.
+    /// The attempt with this id; `None` if the attempt has ended.
     pub fn get_mut(&mut self, id: &AttemptId) -> Option<&mut Attempt> {
         self.in_flight.get_mut(id)
     }
 
-    /// An attempt in flight; `None` if it has ended.
+    /// The attempt with this id; `None` if the attempt has ended.
     pub fn get(&self, id: &AttemptId) -> Option<&Attempt> {
         self.in_flight.get(id)
     }
 
-    /// Ends an attempt and queues its outcome for the policy. Does nothing if the attempt has ended: the first outcome counts.
+    /// Removes an attempt and queues its outcome for the policy. Does nothing and returns `None` if the attempt has
+    /// ended already: the first outcome counts.
     pub fn end(&mut self, id: &AttemptId, outcome: AttemptOutcome, now: f64) -> Option<Attempt> {
         let attempt = self.in_flight.remove(id)?;
         self.timeouts.remove(attempt.timeout_at_s, id);
@@ -78,8 +80,8 @@
         Some(attempt)
     }
 
-    /// Queues an outcome for the policy without ending an attempt in flight: one shard request stops waiting for an attempt
-    /// that it shares with others.
+    /// Queues an outcome for the policy without removing an attempt. Called when one of the shard requests that share
+    /// an attempt stops waiting for that attempt.
     pub fn queue_outcome(&mut self, id: AttemptId, node: &str, outcome: AttemptOutcome, latency_s: f64) {
         self.ended.push(EndedAttempt { id, node: node.into(), outcome, latency_s });
     }
@@ -112,12 +114,12 @@
         attempts.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Ids of the attempts that have timed out, the earliest time-out first.
+    /// Ids of the attempts in flight whose time-out has passed at `now`, the earliest time-out first.
     pub fn overdue(&self, now: f64) -> Vec<AttemptId> {
         self.timeouts.due(now).cloned().collect()
     }
 
-    /// When the next attempt times out; infinite if none is in flight.
+    /// When the next attempt times out, in seconds of the monotonic clock; infinite if no attempt is in flight.
     pub fn next_timeout_s(&self) -> f64 {
         self.timeouts.next_due()
     }
--- a/crates/router/src/state/clients.rs
+++ b/crates/router/src/state/clients.rs
@@ -1,56 +1,57 @@
-//! The state of the connections to clients. The task of a connection owns its socket.
+//! The state of the connections to clients. Each connection has a task, which owns the connection's socket and reads
+//! and writes it.
 use super::response::{PendingResponse, QueryResponse};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Whether, and when, a connection is to be closed by this side.
+/// Whether, and when, the router is to close a client connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum CloseRequest {
-    /// It stays open.
+    /// Keep the connection open.
     #[default]
     KeepOpen,
-    /// Close it unless part of a request has been received; that request is then served first.
+    /// Close the connection once no request is partly received. A partly received request is served first.
     WhenIdle,
-    /// Close it even if part of a request has been received: the rest has not come in time.
+    /// Close the connection even if a request is partly received, because the rest of the request has not come in time.
     EvenIfPartial,
-    /// Close it because the program or its core shuts down. If part of a request has been received, the client first
-    /// gets an error response.
+    /// Close the connection because the process or its core shuts down. If a request is partly received, the client
+    /// first gets an error response.
     AtShutdown,
 }
 
-/// One connection of a client.
+/// The state of one client connection.
 #[derive(Default)]
 pub struct ClientConnection {
-    /// Final responses that are not yet encoded: at most one, as one query is open at a time. A second one would be sent
-    /// too, so that tests and clients notice the fault.
+    /// Final responses that are not yet encoded: at most one, because a connection has at most one open query. A second
+    /// response would be sent too, so that tests and clients notice the fault.
     pub pending_responses: RefCell<Vec<PendingResponse>>,
-    /// Encoded bytes that are not yet written.
+    /// Encoded response bytes that are not yet written to the socket.
     pub output: RefCell<Vec<u8>>,
-    /// Wakes the task of the connection.
+    /// Wakes the task of the connection when it has something to write or is to close.
     pub wake: Notify,
-    /// Number of the open query, if there is one.
+    /// Number of the connection's open query; `None` if no query is open.
     pub open_query: Cell<Option<u64>>,
-    /// Whether the connection closes after the current response.
+    /// Whether the router closes the connection after the current response.
     pub close_after_response: Cell<bool>,
-    /// Whether, and when, the connection is to be closed by this side.
+    /// Whether, and when, the router is to close the connection.
     pub close_request: Cell<CloseRequest>,
     /// Whether the client has sent a complete request on this connection, to this core or to another one.
     pub has_sent_request: Cell<bool>,
-    /// Since when the connection is idle or the rest of a request is missing; `None` from the end of a request to the last
-    /// byte of its response.
+    /// Since when the connection is idle, in seconds of the monotonic clock. An idle connection has no open query and
+    /// no response bytes to write; a request may be partly received. `None` if the connection is not idle.
     pub idle_since: Cell<Option<f64>>,
-    /// Whether part of a request has been received, but not all of it.
+    /// Whether a request is partly received.
     pub has_partial_request: Cell<bool>,
-    /// Whether more bytes have been received behind the current request.
+    /// Whether bytes have been received that follow the current request.
     pub has_pipelined_bytes: Cell<bool>,
-    /// Whether bytes of a response were written since [`ClientTable::take_active_count`] last reset this.
+    /// Whether response bytes were written to the socket since the last call of [`ClientTable::take_active_count`].
     pub was_served: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// Stores the final response of the query, which the connection's task then encodes.
+    /// Stores the final response to the open query. The connection's task encodes and sends the response.
     pub fn respond(&self, response: QueryResponse, closes_connection: bool) {
         self.pending_responses.borrow_mut().push(PendingResponse { response, closes_connection });
     }
@@ -62,7 +63,7 @@
         self.wake.notify_one();
     }
 
-    /// Whether the connection is to close now, provided that no query is open on it.
+    /// Whether the connection is to close now. Must be called only while the connection has no open query.
     pub fn should_close(&self) -> bool {
         match self.close_request.get() {
             CloseRequest::KeepOpen => false,
@@ -72,7 +73,7 @@
     }
 }
 
-/// Which connections close first to free a descriptor for a new one.
+/// The order in which idle connections are closed to free a file descriptor: `NeverUsed` first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum CloseRank {
     NeverUsed,
@@ -80,7 +81,7 @@
     Used,
 }
 
-/// All connections to clients.
+/// All client connections of one core, by id.
 #[derive(Default)]
 pub struct ClientTable {
     all: BTreeMap<u64, Rc<ClientConnection>>,
@@ -88,7 +89,7 @@
 }
 
 impl ClientTable {
-    /// Adds a connection that has just been accepted; returns its id.
+    /// Adds a connection that is idle since `now`; returns its id and its state.
     pub fn add(&mut self, now: f64) -> (u64, Rc<ClientConnection>) {
         let client = Rc::new(ClientConnection::default());
         client.idle_since.set(Some(now));
@@ -97,29 +98,29 @@
         (self.last_id, client)
     }
 
-    /// Removes a connection that has closed.
+    /// Removes a connection whose socket is closed.
     pub fn remove(&mut self, id: u64) {
         self.all.remove(&id);
     }
 
-    /// Whether there is no connection.
+    /// Whether this core has no client connection.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// How many connections there are.
+    /// Number of client connections of this core.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// How many connections had bytes of a response written since the last call.
+    /// Number of connections on which response bytes were written since the last call.
     pub fn take_active_count(&self) -> usize {
         self.all.values().filter(|client| client.was_served.take()).count()
     }
 
-    /// Closes one connection to free its descriptor for a new one. The choice is the connection that has been idle longest
-    /// among those without any request so far; else among those with a partial request for `partial_request_timeout_s` or
-    /// longer; else among the others.
+    /// Closes one idle connection to free a file descriptor for a new connection: the longest idle one that has never
+    /// sent a complete request; else the longest idle one with a partly received request, if it is idle for at least
+    /// `partial_request_timeout_s` seconds; else the longest idle one of the others.
     pub fn close_longest_idle(&self, now: f64, partial_request_timeout_s: f64) {
         let candidates = self.all.values().filter_map(|client| {
             let idle_since = client.idle_since.get().filter(|_| !client.should_close())?;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Closes all connections without an open query, as the program shuts down.
+    /// Closes all idle connections, even with a partly received request, because the process or this core shuts down.
     pub fn close_for_shutdown(&self) {
         for client in self.all.values().filter(|client| client.idle_since.get().is_some()) {
             client.close_request.set(CloseRequest::AtShutdown);
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Closes all idle connections.
+    /// Closes all idle connections without a partly received request.
     pub fn close_idle(&self) {
         let idle = self
             .all
--- a/crates/router/src/state/counters.rs
+++ b/crates/router/src/state/counters.rs
@@ -1,9 +1,10 @@
-//! Counters, which are printed on request and at exit.
+//! Counters of a core. They are printed for the `/counters` endpoint and in the log at exit.
 use alderway::interface::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Sums and maxima by name. A name may end with a label, as in `queries_taken{search}`.
+/// Counters by name: sums of events, and maxima of measured values. A name may end with a label, as in
+/// `queries_taken{search}`.
 #[derive(Clone, Default)]
 pub struct Counters {
     sums: BTreeMap<String, u64>,
@@ -11,7 +12,7 @@
 }
 
 impl Counters {
-    /// Adds `count` to a sum.
+    /// Adds `count` to the sum `name`.
     pub fn add(&mut self, name: &str, count: usize) {
         match self.sums.get_mut(name) {
             Some(sum) => *sum += count as u64,
@@ -19,24 +20,24 @@
         }
     }
 
-    /// Adds one to a sum.
+    /// Adds one to the sum `name`.
     pub fn increment(&mut self, name: &str) {
         self.add(name, 1);
     }
 
-    /// Raises a maximum to `value` if that is larger.
+    /// Raises the maximum `name` to `value` if `value` is larger.
     pub fn record_max(&mut self, name: &str, value: u64) {
         let largest = self.maxima.entry(name.to_string()).or_default();
         *largest = value.max(*largest);
     }
 
-    /// Adds the sums of another core, and takes its maxima where they are larger.
+    /// Adds the sums of another core to those of this core, and keeps the larger of the two values of each maximum.
     pub fn merge(&mut self, other: &Counters) {
         other.sums.iter().for_each(|(name, sum)| self.add(name, *sum as usize));
         other.maxima.iter().for_each(|(name, value)| self.record_max(name, *value));
     }
 
-    /// Counts an attempt by its outcome.
+    /// Counts one ended attempt under the label of its outcome.
     pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
         self.increment(match outcome {
             AttemptOutcome::Success => "leaf_calls_ended{success}",
@@ -51,7 +52,7 @@
         });
     }
 
-    /// One line for each name, like `rounds 17`.
+    /// All counters as text: one line `NAME VALUE` for each, like `rounds 17`.
     pub fn text(&self) -> String {
         self.sums.iter().chain(&self.maxima).fold(String::new(), |mut text, (name, value)| {
             let _ = writeln!(text, "{name} {value}");
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: the data nodes that discovery reports, each with the connections to it.
+//! The endpoint list: the data nodes that discovery reports, each with its connections from this core. Changes are
+//! collected until the policy's next run. Times ending in `_s` are seconds of the monotonic clock.
 use super::attempts::AttemptId;
 use super::node_connection::NodeConnection;
 use alderway::interface::{NodeState, PolicyInput};
@@ -6,59 +7,59 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A data node with the connections to it.
+/// A data node and the connections of this core to it.
 pub struct NodeRecord {
-    /// The address on which the node listens.
+    /// The address on which the data node listens.
     pub address: SocketAddr,
-    /// The replica group that the node belongs to.
+    /// Id of the replica group that the data node belongs to.
     pub replica_group: u32,
-    /// The state of the node in the list.
+    /// The state of the data node by the endpoint list.
     pub state: NodeState,
-    /// The state of the node before the list that is being applied.
+    /// The state of the data node before the list that is being applied.
     previous_state: NodeState,
-    /// The estimated start of the node's process.
+    /// When the data node's process started, as estimated from the endpoint list; `None` if unknown.
     pub started_at_s: Option<f64>,
-    /// The start of the process as discovery reported it. It changes when the process restarts.
+    /// When the data node's process started according to discovery. The value changes when the process restarts.
     reported_start_s: Option<f64>,
-    /// Connections by number.
+    /// The connections to the data node, by number.
     pub connections: BTreeMap<u64, NodeConnection>,
-    /// Attempts of this round that are not yet put into frames.
+    /// Attempts that are not yet in a frame.
     pub unsent_attempts: Vec<AttemptId>,
 }
 
-/// A data node in the list that the acceptor core passes to the other cores.
+/// A data node in the endpoint list that the acceptor core passes to the other cores.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The node's name.
+    /// The data node's name, unique in the endpoint list.
     pub name: String,
-    /// The address on which the node listens.
+    /// The address on which the data node listens.
     pub address: SocketAddr,
-    /// The replica group that the node belongs to.
+    /// Id of the replica group that the data node belongs to.
     pub replica_group: u32,
-    /// The state of the node in the list.
+    /// The state of the data node by the endpoint list.
     pub state: NodeState,
-    /// The estimated start of the node's process.
+    /// When the data node's process started, as estimated from the endpoint list; `None` if unknown.
     pub started_at_s: Option<f64>,
 }
 
-/// All data nodes, and the changes to them since the last round.
+/// All data nodes, and the changes to them that the policy has not received yet.
 #[derive(Default)]
 pub struct EndpointTable {
     /// Data nodes by name.
     pub nodes: BTreeMap<String, NodeRecord>,
-    /// The version of the list that is applied.
+    /// The version of the list that was applied last; `None` before the first list.
     pub version: Option<u64>,
-    /// Whether a full list was applied since the last round.
+    /// Whether a full list was applied since the policy's last run.
     pub is_replaced: bool,
-    /// Whether a poll failed since the last round.
+    /// Whether a poll of discovery failed since the policy's last run.
     pub has_poll_failed: bool,
-    /// Nodes that changed since the last round.
+    /// Names of the data nodes that changed since the policy's last run.
     pub changed: BTreeSet<String>,
-    /// Number of the newest connection.
+    /// Number of the newest connection to any data node; numbers are never reused.
     pub last_connection: u64,
-    /// When discovery last sent something.
+    /// When a complete message from discovery was last received; `None` before the first one.
     pub last_contact_s: Option<f64>,
-    /// Whether some node may be removed. Otherwise the search for removed nodes is skipped.
+    /// False if no removed data node is left in `nodes`, so that `drop_removed` need not search for one.
     has_removed: bool,
     /// Whether the list that is being applied is a full list.
     is_full_list: bool,
@@ -69,7 +70,9 @@
 }
 
 impl EndpointTable {
-    /// Begins to apply a full list or a change. Nodes that a full list does not name are removed.
+    /// Begins to apply a full list or a change with this version; calls of `update_from_discovery` and
+    /// `mark_unreadable` with its entries follow. A full list first marks all data nodes as removed, so that those
+    /// without an entry stay removed.
     pub fn begin_update(&mut self, version: u64, is_full_list: bool) {
         self.version = Some(version);
         (self.is_full_list, self.is_older_list) = (is_full_list, version < self.newest_version);
@@ -83,13 +86,14 @@
         }
     }
 
-    /// The state of a node before the list or change that is being applied.
+    /// The state of a data node before the list or change that is being applied.
     fn state_before(&self, record: &NodeRecord) -> NodeState {
         if self.is_full_list { record.previous_state } else { record.state }
     }
 
-    /// Applies an entry that cannot be used. If its state could be read and is draining or removed, the node gets that state;
-    /// otherwise it stays as it was. An unknown node stays unknown.
+    /// Applies an entry that has an unreadable field. If the state of the entry is readable and is draining or removed,
+    /// the data node gets that state; otherwise the data node stays unchanged. A data node that is not in the table is
+    /// not added.
     pub fn mark_unreadable(&mut self, name: &str, state: Option<NodeState>) {
         let Some(before) = self.nodes.get(name).map(|record| self.state_before(record)) else { return };
         let state = state.filter(|state| *state != NodeState::Serving).unwrap_or(before);
@@ -100,8 +104,8 @@
         self.changed.insert(name.to_string());
     }
 
-    /// Applies an entry from discovery. `reported_start_s` is converted from wall-clock time with the clock offset that was
-    /// measured when this program started.
+    /// Applies an entry from discovery that was received at `now`. `reported_start_s` is the start of the data node's
+    /// process, converted from wall-clock time with the clock offset that was measured when the router started.
     pub fn update_from_discovery(
         &mut self,
         name: &str,
@@ -124,8 +128,9 @@
         }
     }
 
-    /// Applies one entry. If the node's address has changed, the connections to the old address are retired. If its process
-    /// has restarted, the connections opened before are aborted: nothing will answer on them.
+    /// Applies one entry of the endpoint list. If the address of the data node has changed, connections to the old
+    /// address are retired: they take no new attempts and close when they are idle. If its process has restarted,
+    /// connections opened before the restart close immediately, because no reply can arrive on them.
     pub fn update(
         &mut self,
         name: &str,
@@ -156,8 +161,8 @@
             return;
         }
         let (has_moved, has_restarted) = (record.address != address, record.started_at_s != started_at_s);
-        // Guards against a list older than one applied before, which another discovery agent may send: a process that
-        // drains or is removed does not serve again.
+        // Guards against a list older than one applied before, as another discovery agent may send: a process that is
+        // draining or removed never serves again.
         let is_revival = self.is_older_list && !has_restarted && state == NodeState::Serving;
         for connection in record.connections.values_mut() {
             connection.is_retired |= has_moved;
@@ -173,7 +178,7 @@
         record.started_at_s = started_at_s;
     }
 
-    /// All data nodes that serve or drain.
+    /// All data nodes that are serving or draining.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         let present = self.nodes.iter().filter(|(_, record)| record.state != NodeState::Removed);
         let endpoint = |(name, record): (&String, &NodeRecord)| Endpoint {
@@ -186,7 +191,8 @@
         present.map(endpoint).collect()
     }
 
-    /// Applies the full list of another core. Nodes that did not change are not reported to the policy.
+    /// Replaces the endpoint list by the full list of the acceptor core. Data nodes that did not change are not
+    /// reported to the policy.
     pub fn replace_from_core(&mut self, list: &[Endpoint]) {
         let named: BTreeSet<&str> = list.iter().map(|endpoint| endpoint.name.as_str()).collect();
         for (name, record) in &mut self.nodes {
@@ -208,7 +214,7 @@
         }
     }
 
-    /// Passes the changes since the last round to the policy.
+    /// Passes the changes since the policy's last run to the policy.
     pub fn notify_policy(&mut self, policy: &mut dyn PolicyInput) {
         if std::mem::take(&mut self.has_poll_failed) {
             policy.endpoint_poll_failed();
@@ -223,19 +229,19 @@
         }
     }
 
-    /// Marks all nodes as changed, so that a restarted policy gets the full list in the next round.
+    /// Marks all data nodes as changed, so that a restarted policy gets the full list in its first run.
     pub fn mark_all_changed(&mut self) {
         self.is_replaced = true;
         self.changed = self.nodes.keys().cloned().collect();
     }
 
-    /// A connection by its node's name and its number.
+    /// The connection `number` to the data node `node`; `None` if it is not in the table.
     pub fn connection(&mut self, node: &str, number: u64) -> Option<&mut NodeConnection> {
         self.nodes.get_mut(node)?.connections.get_mut(&number)
     }
 
-    /// Retires the connections of removed nodes. Returns the nodes that do not serve and may have attempts whose frame has
-    /// not begun.
+    /// Retires the connections to removed data nodes. Returns the names of all draining or removed data nodes that have
+    /// a connection or an attempt that is not yet in a frame.
     pub fn retire_unserving(&mut self) -> Vec<String> {
         let mut unserving = Vec::new();
         for (name, record) in &mut self.nodes {
@@ -253,7 +259,7 @@
         unserving
     }
 
-    /// Drops the removed nodes that have no connection left.
+    /// Drops the removed data nodes that have no connection left.
     pub fn drop_removed(&mut self) {
         if self.has_removed {
             let is_kept =
@@ -263,12 +269,13 @@
         }
     }
 
-    /// Whether any node is known.
+    /// Whether the table has any data node.
     pub fn has_nodes(&self) -> bool {
         !self.nodes.is_empty()
     }
 
-    /// Retires the connection that has been idle longest, to free its descriptor for a dial; false if none is idle.
+    /// Retires the connection to any data node that has been idle longest, to free its file descriptor for a new
+    /// connection; false if no connection is idle.
     pub fn retire_longest_idle(&mut self) -> bool {
         let connections = self.nodes.values_mut().flat_map(|record| record.connections.values_mut());
         let usable = connections.filter(|connection| connection.is_open && !connection.is_retired);
--- a/crates/router/src/state/gossip_link.rs
+++ b/crates/router/src/state/gossip_link.rs
@@ -1,11 +1,13 @@
-//! The dispatcher's interface to the exchange of observations with other routers.
+//! The dispatcher's interface to the gossip protocol, which shares observations of data nodes and latency counts with
+//! the other routers of the fleet.
 use super::metrics::MetricsSource;
 use alderway::interface::NodeObservation;
 
-/// Sends what this router observes to the other routers of the fleet.
+/// Sends observations and latency counts of this router to the other routers of the fleet.
 pub trait GossipLink: MetricsSource {
-    /// Sends an observation of a data node.
+    /// Sends an observation of the data node `node` to the other routers.
     fn share_observation(&self, node: &str, observation: NodeObservation);
-    /// Counts a query that has ended after at least one attempt. `late` says whether it is evidence of overload.
+    /// Counts a query that has ended after at least one attempt. `late` says whether the query counts as late in the
+    /// fleet's estimate of overload.
     fn query_ended(&self, late: bool);
 }
--- a/crates/router/src/state/metrics.rs
+++ b/crates/router/src/state/metrics.rs
@@ -1,11 +1,12 @@
-//! Counters and gauges of one core, for the counters endpoint and the log at exit.
+//! Counters and gauges of one core, for the `/counters` endpoint and the log at exit.
 use super::counters::Counters;
 use std::fmt::Write;
 
-/// Every core knows the same data nodes, so this gauge is not summed over cores: it would count each node several times.
+/// Gauge for the number of data nodes. Every core has the same data nodes, so the value for the process is the maximum
+/// over its cores, not the sum.
 const NODES_KNOWN: &str = "nodes_known";
 
-/// A component other than the dispatcher that has metrics.
+/// A component of a core, other than the dispatcher, that has metrics.
 pub trait MetricsSource {
     /// The current counters and gauges of the component.
     fn metrics(&self) -> MetricsSnapshot;
@@ -21,7 +22,7 @@
 }
 
 impl MetricsSnapshot {
-    /// Adds the counters and gauges of another core.
+    /// Adds the counters and gauges of another core or component to this snapshot.
     pub fn merge(&mut self, other: &MetricsSnapshot) {
         self.counters.merge(&other.counters);
         for &(name, value) in &other.gauges {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// One line for each name, like `queries_open 3`.
+    /// All counters and gauges as text: one line `NAME VALUE` for each, like `queries_open 3`.
     pub fn text(&self) -> String {
         self.gauges.iter().fold(self.counters.text(), |mut text, (name, value)| {
             let _ = writeln!(text, "{name} {value}");
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! The state of one core, and the state that the cores of a process share. Nothing here reads or writes a socket or knows
-//! a protocol: the tasks of connections pass decoded values to the [`Dispatcher`](dispatcher::Dispatcher) and encode the
-//! values that it returns. Each core has its own dispatcher, which only that core's thread uses; no borrow of it outlives
-//! a call.
+//! The state of one core, and the state that the cores of a process share. This module reads and writes no socket and
+//! decodes no protocol: the tasks of connections pass decoded values to the [`Dispatcher`](dispatcher::Dispatcher) and
+//! encode the values that the dispatcher returns. Each core has its own dispatcher, which only that core's thread uses,
+//! and no borrow of the dispatcher outlives a call.
 //!
 //! | state | owner | acquired by | released by |
 //! | --- | --- | --- | --- |
@@ -11,8 +11,10 @@
 //! | connections to data nodes, frames queued and in flight | [`node_connection::NodeConnection`] in its node's record | `choose_connection` | `connection_lost`, `connection_corrupted`, `connection_not_opened`, `requeue_unsent` |
 //! | connections of clients and their responses | [`clients::ClientTable`] | the connection's task | the same task |
 //! | the shard map and splits of open shard requests | [`shard_map::ShardMapView`] | `dispatcher/shard_changes.rs` | retirement of the shard |
-//! | query classes and the configuration in use | [`query_classes::ClassTable`] | `dispatcher/config.rs` | the last open query of the class |
-//! | input that the policy has not received yet | [`pending_input::PendingInput`] | the dispatcher | the next round |
+//! | query classes and the configuration in use | [`query_classes::ClassTable`] | `dispatcher/config.rs` | the last
+//! open query of the class |
+//! | input that the policy has not received yet | [`pending_input::PendingInput`] | the dispatcher | the policy's next
+//! run |
 //! | file descriptors | [`descriptors::DescriptorPool`] | the task that opens a socket | drop of its permit |
 //! | capacity, id claims, fence, commands and metrics of all cores | [`shared::SharedState`] | each core | each core |
 #![warn(missing_docs, clippy::missing_errors_doc)]
--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -1,30 +1,31 @@
-//! The state of a connection to a data node: queued frames, the frame that is being written, and attempts in flight. The
-//! connection's task owns its socket.
+//! The state of a connection to a data node: queued frames, the frame that is being written, and attempts in flight.
+//! Each connection has a task, which owns the connection's socket. Times ending in `_s` are seconds of the monotonic
+//! clock.
 use super::attempts::AttemptId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A connection that is to be opened.
+/// A request to open a connection to a data node.
 pub struct DialRequest {
     /// The data node's name.
     pub node: String,
-    /// The connection's number.
+    /// The number of the connection.
     pub connection: u64,
-    /// Where the node listens.
+    /// The address on which the data node listens.
     pub address: SocketAddr,
 }
 
 /// A frame to a data node.
 pub enum OutboundFrame {
-    /// Attempts that start with one frame.
+    /// Sends these attempts.
     Attempts(Vec<AttemptId>),
     /// Cancels this shard request.
     Cancel(Rc<str>),
 }
 
-/// How far an attempt has got on its connection.
+/// How much of the frame of an attempt has been sent.
 pub enum SendProgress {
     /// No byte of its frame has been written.
     Queued,
@@ -32,62 +33,66 @@
     Writing,
     /// Its frame has been written completely, and no reply has been received.
     InFlight,
-    /// It is not on this connection.
+    /// The attempt is not on this connection: it has ended or is on another connection.
     NotOnConnection,
 }
 
-/// Which attempt a reply belongs to.
+/// The result of matching a reply with the attempts of its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplyMatch {
-    /// The attempt with this number.
+    /// The reply ends an attempt in flight.
     InFlight {
-        /// Its number among its shard request's attempts.
+        /// Index of the attempt among the attempts of its shard request, from 0.
         attempt: usize,
     },
-    /// An attempt that has ended: it was cancelled, or this is a second reply to the request answered last.
+    /// The attempt has ended: it was cancelled, or the reply is a second one to the shard request that was answered
+    /// last on this connection.
     AlreadyEnded,
-    /// None: the shard request was not sent on this connection.
+    /// The shard request was not sent on this connection.
     NotRequested,
 }
 
-/// The attempts that were left on a connection when it closed.
+/// The attempts without a reply on a connection that has closed.
 pub struct UnfinishedAttempts {
-    /// Those whose frame was not written completely: the data node has not executed them.
+    /// Attempts whose frame was not completely written: the data node cannot have executed them.
     pub unsent: Vec<AttemptId>,
-    /// Those whose frame was written completely: the data node may have executed them.
+    /// Attempts whose frame was completely written: the data node may have executed them.
     pub in_flight: Vec<AttemptId>,
 }
 
 /// One connection to a data node.
 #[derive(Default)]
 pub struct NodeConnection {
-    /// Wakes the task of the connection.
+    /// Wakes the task of the connection when it has a frame to write or is to close.
     pub wake: Rc<Notify>,
     /// Whether the connection is established.
     pub is_open: bool,
-    /// When its dial began.
+    /// When the router began to open the connection.
     pub opened_at_s: f64,
-    /// Whether it accepts no new attempts and closes when it is idle.
+    /// Whether the connection takes no new attempts and closes when it is idle.
     pub is_retired: bool,
-    /// Whether it is to close at once.
+    /// Whether the connection is to close immediately.
     pub is_aborted: bool,
     queued: VecDeque<OutboundFrame>,
     writing: Option<OutboundFrame>,
-    /// Unanswered shard requests whose frame has been written completely, with the attempt's number.
+    /// Shard requests whose frame has been completely written and that have no reply, each with the number of its
+    /// attempt.
     in_flight: BTreeMap<Rc<str>, usize>,
     has_received: bool,
-    /// When the first frame with attempts after the last reply was written; `None` if there is no such frame.
+    /// When the first frame with attempts since the last reply was completely written; `None` if no such frame was
+    /// written since the last reply.
     silent_since_s: Option<f64>,
-    /// Cancelled shard requests that may still be answered, with the time after which they cannot. Guards against taking a
-    /// late reply for the reply to a later attempt, or for one to a request that was never sent.
+    /// Cancelled shard requests, each with the time until which a reply may still arrive. Guards against matching a
+    /// late reply with a later attempt of the same request, and against treating it as a reply to a request that was
+    /// never sent.
     cancelled: BTreeMap<Rc<str>, f64>,
-    /// The request answered last. Some data nodes answer a request twice.
+    /// The shard request that was answered last on this connection. Some data nodes answer a request twice.
     last_answered: Option<Rc<str>>,
     idle_since_s: f64,
 }
 
 impl NodeConnection {
-    /// A connection whose dial begins now.
+    /// The state of a connection that the router begins to open at `now`.
     pub fn new(now: f64) -> Self {
         NodeConnection { opened_at_s: now, idle_since_s: now, ..NodeConnection::default() }
     }
@@ -99,7 +104,7 @@
         })
     }
 
-    /// Streams in use: an attempt uses one from when it is queued until it is answered or cancelled.
+    /// Number of streams in use. An attempt uses one stream from when it is queued until it is answered or cancelled.
     pub fn used_streams(&self) -> usize {
         self.in_flight.len() + self.unwritten_attempts().count()
     }
@@ -108,17 +113,18 @@
         self.in_flight.is_empty() && self.queued.is_empty() && self.writing.is_none()
     }
 
-    /// Since when the connection is idle, if it is.
+    /// Since when the connection is idle, that is, without attempts and frames; `None` if it is not idle.
     pub fn idle_since(&self) -> Option<f64> {
         self.is_idle().then_some(self.idle_since_s)
     }
 
-    /// Whether attempts are to be written next on a connection that has received a reply before and has none in flight.
+    /// Whether the next frame has attempts, on a connection that has received a reply before and has no attempt in
+    /// flight.
     pub fn will_reuse_after_idle(&self) -> bool {
         self.has_received && self.in_flight.is_empty() && !self.next_attempts().is_empty()
     }
 
-    /// Whether these attempts may be queued here so that at most `streams` are in use.
+    /// Whether these attempts may be queued on this connection with at most `streams` streams in use afterwards.
     pub fn can_take(&self, attempts: &[AttemptId], streams: usize) -> bool {
         let is_known = |id: &AttemptId| {
             self.in_flight.contains_key(&id.request_id) || self.cancelled.contains_key(&id.request_id)
@@ -135,7 +141,7 @@
         self.wake.notify_one();
     }
 
-    /// Takes all attempts of which no byte has been written.
+    /// Empties the queue; returns the attempts of the queued frames, of which no byte has been written.
     pub fn take_queued(&mut self) -> Vec<AttemptId> {
         let attempts = self.queued.drain(..).filter_map(|frame| match frame {
             OutboundFrame::Attempts(attempts) => Some(attempts),
@@ -144,7 +150,7 @@
         attempts.flatten().collect()
     }
 
-    /// Removes an attempt from its queued frame, and the frame if it is then empty.
+    /// Removes an attempt from its queued frame, and removes the frame if no attempt is left in it.
     pub fn remove_queued(&mut self, id: &AttemptId) {
         for frame in &mut self.queued {
             if let OutboundFrame::Attempts(attempts) = frame {
@@ -155,7 +161,8 @@
             .retain(|frame| !matches!(frame, OutboundFrame::Attempts(attempts) if attempts.is_empty()));
     }
 
-    /// The attempts of the next frame. Empty if a frame is being written or the next one starts no attempts.
+    /// The attempts of the next queued frame. Empty if another frame is being written or the next frame has no
+    /// attempts.
     pub fn next_attempts(&self) -> &[AttemptId] {
         match (&self.writing, self.queued.front()) {
             (None, Some(OutboundFrame::Attempts(attempts))) => attempts,
@@ -163,7 +170,7 @@
         }
     }
 
-    /// Whether no frame is being written and the next one starts attempts.
+    /// Whether no frame is being written and the next queued frame has attempts.
     pub fn next_starts_attempts(&self) -> bool {
         self.writing.is_none() && matches!(self.queued.front(), Some(OutboundFrame::Attempts(_)))
     }
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Begins the next frame, or returns the one that is being written.
+    /// The frame that is being written. If there is none, takes the next frame from the queue.
     pub fn begin_frame(&mut self) -> Option<&OutboundFrame> {
         if self.writing.is_none() {
             self.writing = self.queued.pop_front();
@@ -184,14 +191,14 @@
         self.writing.as_ref()
     }
 
-    /// Puts the frame that had begun back in front of the queue: the socket accepted no byte of it.
+    /// Puts the frame that was to be written back to the front of the queue, because the socket accepted no byte of it.
     pub fn return_frame(&mut self) {
         if let Some(frame) = self.writing.take() {
             self.queued.push_front(frame);
         }
     }
 
-    /// The last byte of the frame that had begun has been written.
+    /// Records that the last byte of the frame that is being written was written at `now`: its attempts are in flight.
     pub fn frame_written(&mut self, now: f64) {
         if let Some(OutboundFrame::Attempts(attempts)) = self.writing.take() {
             self.in_flight.extend(attempts.into_iter().map(|id| (id.request_id, id.number)));
@@ -199,7 +206,7 @@
         }
     }
 
-    /// How far an attempt has got on this connection.
+    /// How much of the frame of an attempt has been sent on this connection.
     pub fn send_progress(&self, id: &AttemptId) -> SendProgress {
         let holds = |frame: &OutboundFrame| matches!(frame, OutboundFrame::Attempts(ids) if ids.contains(id));
         if self.in_flight.get(&id.request_id) == Some(&id.number) {
@@ -213,10 +220,13 @@
         }
     }
 
-    /// Cancels an attempt in flight. Its reply may still come until `reply_until_s`. If no reply has come for
-    /// `silence_timeout_s` while attempts were in flight, the connection is retired too. Guards against a dead connection to
-    /// a data node that serves: the connection has the most free streams, so it would get more attempts, and their
-    /// time-outs would make the node look unresponsive. If the node had only paused, this costs one more dial.
+    ///
+    /// Cancels an attempt in flight. A reply to the attempt that arrives until `reply_until_s` is dropped.
+    ///
+    /// If no reply has been received for `silence_timeout_s` seconds while attempts were in flight, the connection also
+    /// takes no new attempts. Guards against a dead connection to a healthy data node: with the most free streams it
+    /// would get more attempts, and their time-outs would make the data node look unresponsive. If the data node had
+    /// only paused, one more connection is opened.
     pub fn cancel(&mut self, id: &AttemptId, now: f64, reply_until_s: f64, silence_timeout_s: f64) {
         if self.in_flight.remove(&id.request_id).is_none() {
             return;
@@ -228,8 +238,9 @@
         self.enqueue(OutboundFrame::Cancel(id.request_id.clone()));
     }
 
-    /// Closes the connection because an attempt was aborted while its frame was being written. Guards against the attempt
-    /// ending a second time when the connection closes, as one that was never executed.
+    /// Closes the connection because an attempt was aborted while its frame was being written. Also removes the attempt
+    /// from the frame. Guards against the attempt ending a second time, as one that was never executed, when the
+    /// connection closes.
     pub fn abort_for(&mut self, id: &AttemptId) {
         if let Some(OutboundFrame::Attempts(attempts)) = &mut self.writing {
             attempts.retain(|writing| writing != id);
@@ -238,7 +249,7 @@
         self.wake.notify_one();
     }
 
-    /// Finds the attempt that a reply ends.
+    /// Matches a reply that is received at `now` with an attempt, and removes the attempt from those in flight.
     pub fn reply_received(&mut self, request_id: &str, now: f64) -> ReplyMatch {
         (self.idle_since_s, self.silent_since_s, self.has_received) = (now, None, true);
         if let Some((request_id, attempt)) = self.in_flight.remove_entry(request_id) {
@@ -252,7 +263,7 @@
         ReplyMatch::NotRequested
     }
 
-    /// The attempts that are left when the connection closes.
+    /// The attempts without a reply when the connection closes.
     pub fn into_unfinished(self) -> UnfinishedAttempts {
         let unsent = self.unwritten_attempts().cloned().collect();
         let in_flight = self.in_flight.into_iter();
--- a/crates/router/src/state/node_protocol.rs
+++ b/crates/router/src/state/node_protocol.rs
@@ -1,11 +1,12 @@
-//! The types that the dispatcher exchanges with the encoder and decoder of the data node protocol.
+//! The types that the dispatcher exchanges with the encoder and decoder of the data node protocol. If the router has a
+//! shard map, a shard request also names the keys that it asks for.
 use alderway::interface::AttemptOutcome;
 use alderway_layouts::{Range, Version};
 
-/// The keys of a shard request, by a version of the shard map.
+/// The keys of a shard request, and the version of the shard map by which the router chose the shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeysAtVersion {
-    /// The version of the shard map that the router follows when the frame is written.
+    /// The router's version of the shard map when the frame is encoded.
     pub version: Version,
     /// The requested keys.
     pub keys: Range,
@@ -18,28 +19,29 @@
     pub request_id: &'a str,
     /// The requested shard.
     pub shard: u32,
-    /// How long the router waits for a reply, in milliseconds.
+    /// How long the router waits for a reply from now on, in milliseconds.
     pub timeout_ms: u64,
-    /// The text of the query.
+    /// The text that the client sent as its query.
     pub text: &'a str,
-    /// The requested keys, if a shard map is followed.
+    /// The requested keys; `None` if the router has no shard map.
     pub keys: Option<KeysAtVersion>,
 }
 
 /// Encodes frames to a data node.
 pub trait NodeFrameWriter {
-    /// Writes one frame with all of these attempts.
+    /// Encodes one frame with all of these attempts.
     fn write_attempts<'a>(&mut self, attempts: impl Iterator<Item = AttemptRequest<'a>>);
-    /// Writes a frame that cancels a shard request.
+    /// Encodes a frame that cancels a shard request.
     fn write_cancel(&mut self, request_id: &str);
 }
 
 /// What a data node reports about the shard map in its reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ShardReport {
-    /// The version of the shard map by which the node does not hold the shard.
+    /// The data node's version of the shard map, if by that version the data node does not hold the shard.
     pub moved_at_version: Option<Version>,
-    /// The keys that the reply is for, from the first to below the second; an empty range if they are unreadable.
+    /// The keys that the reply is for, from the first (inclusive) to the second (exclusive); an empty range if the
+    /// field is unreadable; `None` if it is missing.
     pub keys: Option<(u32, u32)>,
 }
 
@@ -48,10 +50,10 @@
 pub struct NodeReply<'a> {
     /// Id of the shard request.
     pub request_id: &'a str,
-    /// The outcome that the node reports.
+    /// The outcome of the attempt that the data node reports.
     pub outcome: AttemptOutcome,
-    /// What the node reports about the shard map.
+    /// What the data node reports about the shard map.
     pub report: ShardReport,
-    /// The value; empty unless the outcome is success.
+    /// The value for the shard request; empty unless the outcome is success.
     pub value: &'a str,
 }
--- a/crates/router/src/state/pending_input.rs
+++ b/crates/router/src/state/pending_input.rs
@@ -1,27 +1,29 @@
-//! Input that the policy gets in the next round, except for input that the tables of the state keep themselves.
+//! Input that the policy gets in its next run, except for the changes that the tables of the state collect themselves.
 use alderway::interface::{NodeObservation, PolicyInput};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A timer of the policy.
+/// A timer that the policy has set.
 struct PolicyTimer {
+    /// When the timer fires, in seconds of the monotonic clock.
     due_at_s: f64,
     tag: u64,
 }
 
-/// Numbers of queries of other routers that ended late and in time.
+/// Numbers of queries of other routers of the fleet that ended late and in time.
 #[derive(Clone, Copy, Default)]
 struct FleetLatencyCounts {
     late: u32,
     in_time: u32,
 }
 
-/// Input for the policy since the last round.
+/// Input that has arrived since the policy's last run.
 #[derive(Default)]
 pub struct PendingInput {
-    /// Numbers of queries opened since the last round.
+    /// The numbers that identify the queries opened since the policy's last run.
     pub new_queries: Vec<u64>,
-    /// Ids of queries that ended without a decision of the policy.
+    /// Ids of queries that ended without a decision of the policy, because the client disconnected or the deadline
+    /// passed.
     pub disconnected_queries: Vec<Rc<str>>,
     observations: BTreeMap<String, NodeObservation>,
     fleet_counts: Option<FleetLatencyCounts>,
@@ -29,29 +31,31 @@
 }
 
 impl PendingInput {
-    /// Adds an observation of a data node; it replaces an earlier one of that node.
+    /// Adds an observation of the data node `node` made by another core or router; replaces a pending one of the same
+    /// data node.
     pub fn add_observation(&mut self, node: String, observation: NodeObservation) {
         self.observations.insert(node, observation);
     }
 
-    /// Replaces all pending observations.
+    /// Replaces all pending observations by these, each with the name of its data node.
     pub fn set_observations(&mut self, observations: impl IntoIterator<Item = (String, NodeObservation)>) {
         self.observations = observations.into_iter().collect();
     }
 
-    /// Adds the numbers of queries of other routers that ended late and in time.
+    /// Adds to the numbers of queries of other routers that ended late and in time.
     pub fn add_fleet_latency_counts(&mut self, late: u32, in_time: u32) {
         let counts = self.fleet_counts.get_or_insert_default();
         counts.late = counts.late.saturating_add(late);
         counts.in_time = counts.in_time.saturating_add(in_time);
     }
 
-    /// Sets a timer of the policy, in seconds of the monotonic clock.
+    /// Adds a timer that fires at `due_at_s`, in seconds of the monotonic clock. The policy gets `tag` when the timer
+    /// fires.
     pub fn add_timer(&mut self, due_at_s: f64, tag: u64) {
         self.timers.push(PolicyTimer { due_at_s, tag });
     }
 
-    /// When the next timer is due; infinite if none is set.
+    /// When the next timer is due, in seconds of the monotonic clock; infinite if no timer is set.
     pub fn next_timer_s(&self) -> f64 {
         self.timers.iter().map(|timer| timer.due_at_s).fold(f64::INFINITY, f64::min)
     }
@@ -66,21 +70,22 @@
         }
     }
 
-    /// Passes the ids of queries that ended without a decision of the policy.
+    /// Passes the ids of queries that ended without a decision of the policy to the policy.
     pub fn notify_disconnected(&mut self, policy: &mut dyn PolicyInput) {
         for query_id in std::mem::take(&mut self.disconnected_queries) {
             policy.client_disconnected(&query_id);
         }
     }
 
-    /// Fires and removes the timers that are due.
+    /// Removes the timers that are due at `now`, and passes their tags to the policy.
     pub fn notify_timers(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let due: Vec<u64> =
             self.timers.extract_if(.., |timer| timer.due_at_s <= now).map(|timer| timer.tag).collect();
         due.into_iter().for_each(|tag| policy.timer_fired(tag));
     }
 
-    /// Drops input about queries and timers that a restarted policy does not know.
+    /// Drops the queries and timers of the failed policy; the restarted policy starts without them. Observations and
+    /// latency counts are kept.
     pub fn clear_for_policy_restart(&mut self) {
         self.new_queries.clear();
         self.disconnected_queries.clear();
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -1,4 +1,7 @@
-//! Open queries and their shard requests, from the last byte of a query to its final response.
+//! Open queries and their shard requests, from the receipt of the last byte of a query to its final response. If the
+//! router has a shard map, shard requests are for keys, and a request whose shard was split or merged may be split into
+//! several requests. The table identifies a query by a number, which is never reused; clients may reuse the id of an
+//! ended query.
 use super::clients::ClientConnection;
 use super::response::AnswerCoverage;
 use super::timer_queue::TimerQueue;
@@ -14,15 +17,15 @@
 pub enum QueryError {
     /// A query with the same id is open.
     IdInUse,
-    /// No shard map has been received yet.
+    /// The router has received no shard map yet.
     NoShardMap,
-    /// A target names a shard that does not exist.
+    /// A target of the query names a shard that does not exist.
     UnknownShard,
-    /// A target names keys that do not exist.
+    /// A target of the query names an empty range or keys that do not exist.
     UnknownKeys,
-    /// Targets overlap.
+    /// Two targets of the query have a key in common.
     DuplicateKeys,
-    /// A target names both a shard and keys, or neither.
+    /// A target of the query names both a shard and keys, or neither.
     AmbiguousTarget,
 }
 
@@ -41,7 +44,8 @@
 
 impl std::error::Error for QueryError {}
 
-/// An attempt that a data node may have executed.
+/// An attempt that a data node may have executed, and when the first byte of its frame was to be written, in seconds of
+/// the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PossibleExecution {
     attempt: usize,
@@ -52,15 +56,15 @@
 pub struct ShardRequest {
     /// Id of the request, unique among open queries.
     pub id: Rc<str>,
-    /// The requested shard.
+    /// Id of the requested shard.
     pub shard: u32,
-    /// Its fraction of the query.
+    /// The shard request's fraction of the query, from 0 to 1.
     pub weight: f64,
-    /// The value, as the data node sent it.
+    /// The value that the data node sent, if it has answered and the router has no shard map.
     pub value: Option<String>,
-    /// Number of attempts so far.
+    /// Number of attempts started so far.
     pub attempts: usize,
-    /// The requested keys, if a shard map is followed.
+    /// The requested keys; `None` if the router has no shard map.
     pub keys: Option<RequestedKeys>,
     possible_executions: Vec<PossibleExecution>,
 }
@@ -70,49 +74,52 @@
 pub struct RequestedKeys {
     /// The requested range of keys.
     pub range: Range,
-    /// Whether the client asked for a shard rather than for keys, and so needs one value for all of it.
+    /// Whether the client asked for a shard rather than for keys, so that one value has to answer all keys of the
+    /// shard.
     pub is_whole_shard: bool,
-    /// Whether the request was split into several. Its late answer still counts.
+    /// Whether the request was split into several requests. An answer to the request that arrives after the split still
+    /// counts.
     pub is_split: bool,
-    /// Whether all keys are answered.
+    /// Whether an answer for all keys of the range has been received.
     pub is_answered: bool,
 }
 
 impl RequestedKeys {
-    /// Keys without an answer.
+    /// A range of keys that is neither split nor answered.
     pub fn new(range: Range, is_whole_shard: bool) -> Self {
         RequestedKeys { range, is_whole_shard, is_split: false, is_answered: false }
     }
 }
 
 impl ShardRequest {
-    /// A request without attempts.
+    /// A shard request without attempts and without keys.
     pub fn new(id: Rc<str>, shard: u32, weight: f64) -> Self {
         ShardRequest { id, shard, weight, value: None, attempts: 0, keys: None, possible_executions: vec![] }
     }
 
-    /// When the frame of the first attempt that may have been executed began. Ignores the attempt `except`.
+    /// When the frame of the earliest attempt that may have been executed was begun, in seconds of the monotonic clock,
+    /// without regard to attempt `except`; `None` if there is no such attempt.
     pub fn first_possible_execution(&self, except: Option<usize>) -> Option<f64> {
         let others = self.possible_executions.iter().filter(|execution| Some(execution.attempt) != except);
         others.map(|execution| execution.begun_at_s).reduce(f64::min)
     }
 
-    /// Whether a data node may have executed any attempt.
+    /// Whether a data node may have executed any attempt of this shard request.
     pub fn may_have_executed(&self) -> bool {
         !self.possible_executions.is_empty()
     }
 
-    /// Records that the frame of an attempt begins to be written: from now on it may be executed.
+    /// Records that the frame of an attempt begins to be written at `now`: the data node may execute the attempt.
     pub fn record_possible_execution(&mut self, attempt: usize, now: f64) {
         self.possible_executions.push(PossibleExecution { attempt, begun_at_s: now });
     }
 
-    /// Records that an attempt was certainly not executed.
+    /// Records that the data node certainly did not execute an attempt.
     pub fn rule_out_execution(&mut self, attempt: usize) {
         self.possible_executions.retain(|execution| execution.attempt != attempt);
     }
 
-    /// Whether it was split into several requests.
+    /// Whether this shard request was split into several requests.
     pub fn is_split(&self) -> bool {
         self.keys.is_some_and(|keys| keys.is_split)
     }
@@ -122,48 +129,48 @@
 pub struct Query {
     /// The id that the client gave the query.
     pub id: Rc<str>,
-    /// Slot of the query class.
+    /// Slot of the query's class: its index in `Dispatcher::query_classes`.
     pub class: usize,
-    /// The deadline: when the client stops waiting.
+    /// The deadline of the query, when the client stops waiting, in seconds of the monotonic clock.
     pub not_after_s: f64,
-    /// The text that every shard request carries.
+    /// The text that is sent to the data node with every shard request.
     pub text: String,
-    /// The shard requests. Those created by a split are at the end.
+    /// The shard requests. Requests created by a split are added at the end.
     pub requests: Vec<ShardRequest>,
-    /// The connection that gets the response.
+    /// The client connection that gets the response.
     pub client: Rc<ClientConnection>,
-    /// The answered keys and their values, if a shard map is followed.
+    /// The answered keys and their values; `None` if the router has no shard map.
     pub coverage: Option<AnswerCoverage>,
 }
 
-/// The resources shared by all cores that an open query holds, released on drop.
+/// What an open query holds of the resources that all cores share, released on drop.
 pub struct QueryResources {
-    /// The claim on the query's id, which no other open query may have.
+    /// The claim on the query's id. No other open query on any core may have the same id.
     pub id_claim: Claim,
-    /// Capacity for the query and its shard requests.
+    /// Units of the capacity that all cores share: one for the query and one for each of its shard requests.
     pub capacity: Vec<Taken>,
 }
 
-/// The content of a frame for an open shard request.
+/// What the frame of an attempt contains of its shard request.
 pub struct ShardRequestContent<'a> {
-    /// The requested shard.
+    /// Id of the requested shard.
     pub shard: u32,
-    /// The text of the query.
+    /// The text that is sent to the data node.
     pub text: &'a str,
-    /// The deadline: when the client stops waiting.
+    /// The deadline of the query, when the client stops waiting, in seconds of the monotonic clock.
     pub not_after_s: f64,
-    /// The requested keys, if a shard map is followed.
+    /// The requested keys; `None` if the router has no shard map.
     pub keys: Option<Range>,
 }
 
-/// The position of a shard request: the number of its query and its index there.
+/// Locates a shard request: the number of its query and its index in `Query::requests`.
 #[derive(Clone, Copy)]
 struct RequestIndex {
     query: u64,
     index: usize,
 }
 
-/// The open queries, each from `insert` to `remove`. A query's number is never reused.
+/// The open queries of one core, each from `insert` to `remove`.
 #[derive(Default)]
 pub struct QueryTable {
     open: BTreeMap<u64, Query>,
@@ -176,7 +183,7 @@
 }
 
 impl QueryTable {
-    /// Number of queries and shard requests that use capacity.
+    /// Number of capacity units in use: open queries plus their shard requests.
     pub fn reserved_count(&self) -> usize {
         self.open.len() + self.requests.len()
     }
@@ -191,7 +198,7 @@
         self.open.len()
     }
 
-    /// Number of open queries of the class in a slot.
+    /// Number of open queries whose class has the slot `class`.
     pub fn open_in_class(&self, class: usize) -> usize {
         self.open_by_class.get(&class).copied().unwrap_or(0)
     }
@@ -206,7 +213,7 @@
         self.numbers.keys().cloned().collect()
     }
 
-    /// Adds a query; returns its number.
+    /// Adds a query, and returns the number that identifies it.
     pub fn insert(&mut self, query: Query, resources: QueryResources) -> u64 {
         self.last_number += 1;
         let number = self.last_number;
@@ -237,17 +244,17 @@
         Some(query)
     }
 
-    /// An open query by number.
+    /// The open query with this number; `None` if it has ended.
     pub fn get(&self, number: u64) -> Option<&Query> {
         self.open.get(&number)
     }
 
-    /// Numbers of the queries whose deadline has passed, the earliest deadline first.
+    /// Numbers of the queries whose deadline has passed at `now`, the earliest deadline first.
     pub fn overdue(&self, now: f64) -> Vec<u64> {
         self.deadlines.due(now).copied().collect()
     }
 
-    /// Ids of the open requests to these shards that were not split, by shard.
+    /// Ids of the open shard requests for these shards that were not split, by shard.
     pub fn unsplit_requests_of(&self, shards: &[ShardId]) -> BTreeMap<ShardId, Vec<Rc<str>>> {
         let wanted: BTreeSet<ShardId> = shards.iter().copied().collect();
         let mut found: BTreeMap<ShardId, Vec<Rc<str>>> = BTreeMap::new();
@@ -264,41 +271,47 @@
         self.requests.contains_key(request_id)
     }
 
-    /// The number of an open query, by id.
+    /// The number of the open query with this id; `None` if no such query is open on this core.
     pub fn number(&self, id: &str) -> Option<u64> {
         self.numbers.get(id).copied()
     }
 
-    /// A shard request of an open query.
+    /// The shard request with this id; `None` if its query has ended.
     pub fn request_mut(&mut self, request_id: &str) -> Option<&mut ShardRequest> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         self.open.get_mut(&query)?.requests.get_mut(index)
     }
 
-    /// The content of a frame for an open shard request.
+    /// What the frame of an attempt contains of this shard request; `None` if its query has ended.
     pub fn request_content(&self, request_id: &str) -> Option<ShardRequestContent<'_>> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
         let request = query.requests.get(index)?;
         let keys = request.keys.map(|keys| keys.range);
-        Some(ShardRequestContent { shard: request.shard, text: &query.text, not_after_s: query.not_after_s, keys })
+        Some(ShardRequestContent {
+            shard: request.shard,
+            text: &query.text,
+            not_after_s: query.not_after_s,
+            keys,
+        })
     }
 
-    /// An open shard request, and the slot of its query's class.
+    /// The shard request with this id, after the slot of its query's class; `None` if its query has ended.
     pub fn class_and_request(&self, request_id: &str) -> Option<(usize, &ShardRequest)> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
         Some((query.class, query.requests.get(index)?))
     }
 
-    /// The query of an open shard request: the query's number, the query, and the request's index in it.
+    /// The number of the query of a shard request, the query, and the request's index in `Query::requests`; `None` if
+    /// the query has ended.
     pub fn query_of_request(&mut self, request_id: &str) -> Option<(u64, &mut Query, usize)> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         Some((query, self.open.get_mut(&query)?, index))
     }
 
-    /// Adds the requests that a shard request is split into. The split request stays in the query, as a late answer to it
-    /// still counts.
+    /// Marks a shard request as split and adds the requests `into` to its query, with the capacity for them. The split
+    /// request stays in the query, because an answer to it that arrives later still counts.
     pub fn split_request(&mut self, request_id: &str, into: Vec<ShardRequest>, capacity: Taken) {
         let Some(&RequestIndex { query: number, index }) = self.requests.get(request_id) else { return };
         let Some(query) = self.open.get_mut(&number) else { return };
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -1,17 +1,18 @@
-//! Query classes across changes of the configuration. Each version of a class has a slot, so that an open query keeps the
-//! rules that it was opened with while new queries use the newest.
+//! Query classes across changes of the configuration. Each version of a class has a slot, an index into the list of
+//! class rules, so that an open query keeps the rules that it was opened with while new queries use the newest rules. A
+//! slot is retiring if only open queries still use its rules.
 use alderway::interface::{ClassSlot, Idempotency, PolicyConfig, PolicyInput, QueryClass};
 use alderway_deployment::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// One version of the configuration, which every core applies.
+/// A configuration of the router that every core applies.
 #[derive(Debug)]
 pub struct ConfigGeneration {
-    /// Number of the version; later versions have larger numbers.
+    /// Number of the configuration within this process: 0 for the first, one more for each further one.
     pub serial: u64,
-    /// The settings of this version.
+    /// The settings of this configuration.
     pub settings: Settings,
 }
 
@@ -22,9 +23,9 @@
     pub name: String,
     /// Whether shard requests may be repeated.
     pub idempotency: Idempotency,
-    /// Fraction of the weight from which on an answer is complete.
+    /// Smallest answered fraction of a query's weight, from 0 to 1, with which its answer counts as complete.
     pub complete_fraction: f64,
-    /// Least fraction of the weight with which an answer may be sent.
+    /// Smallest answered fraction of a query's weight, from 0 to 1, with which an answer may be sent.
     pub minimum_fraction: f64,
 }
 
@@ -43,7 +44,7 @@
 }
 
 impl From<&str> for ClassRules {
-    /// An idempotent class whose queries may be answered without any result.
+    /// The rules of an idempotent class whose queries may be answered without any result.
     fn from(name: &str) -> Self {
         ClassRules {
             name: name.into(),
@@ -54,27 +55,30 @@
     }
 }
 
-/// The longest deadline before the last change. Queries with that deadline may be open until `until_s`.
+/// The longest time limit for queries before the last change of the configuration, in seconds after the arrival of a
+/// query. Queries with that limit may be open until `until_s`, in seconds of the monotonic clock.
 #[derive(Clone, Copy, Default)]
 struct PreviousDeadline {
     deadline_s: f64,
     until_s: f64,
 }
 
-/// A change that the policy gets in the next round.
+/// A change of the configuration that the policy gets in its next run.
 struct PendingChange {
     generation: Arc<ConfigGeneration>,
     slots: Vec<ClassSlot>,
 }
 
-/// Assigns slots to query classes. A slot holds the newest rules of a class, or is retiring because open queries still use
-/// its rules, or is free for reuse. So the number of slots is bounded by the number of rules in use.
+/// Assigns slots to query classes. A slot has the newest rules of a class, or is retiring because open queries still
+/// use its rules, or is free for reuse. Reuse keeps the number of slots close to the number of rules in use.
 #[derive(Default)]
 pub struct ClassTable {
     updates: Option<watch::Receiver<Arc<ConfigGeneration>>>,
     current: Option<Arc<ConfigGeneration>>,
-    /// Slots of the newest classes, in the order of the settings; `None` before the first change.
+    /// The slots for new queries, in the order of the classes in the settings; `None` before the first change, when
+    /// each class has the slot of its index.
     newest_slots: Option<Vec<usize>>,
+    /// The policy's settings of the class in each slot.
     classes_by_slot: BTreeMap<usize, QueryClass>,
     retiring_slots: BTreeSet<usize>,
     free_slots: BTreeSet<usize>,
@@ -83,17 +87,18 @@
 }
 
 impl ClassTable {
-    /// The configuration with which the policy starts.
+    /// The part of the configuration in use that a policy starts with; `None` before `subscribe`.
     pub fn policy_config(&self) -> Option<&PolicyConfig> {
         Some(&self.current.as_ref()?.settings.policy)
     }
 
-    /// The configuration in use.
+    /// The configuration in use; `None` before `subscribe`.
     pub fn current(&self) -> Option<&Arc<ConfigGeneration>> {
         self.current.as_ref()
     }
 
-    /// The slot for new queries of a class.
+    /// The slot for new queries of the class `name`; `None` if there is no such class. `rules` are the class rules by
+    /// slot.
     pub fn slot_of(&self, rules: &[ClassRules], name: &str) -> Option<usize> {
         match &self.newest_slots {
             None => rules.iter().position(|class| class.name == name),
@@ -101,7 +106,7 @@
         }
     }
 
-    /// Subscribes to a stream of configurations; returns the newest.
+    /// Subscribes to the channel of configurations; applies and returns the newest one.
     pub fn subscribe(
         &mut self,
         mut updates: watch::Receiver<Arc<ConfigGeneration>>,
@@ -112,13 +117,13 @@
         generation
     }
 
-    /// The newest configuration, if it has not been returned before.
+    /// The newest configuration from the channel; `None` if it has been returned before.
     pub fn take_update(&mut self) -> Option<Arc<ConfigGeneration>> {
         let updates = self.updates.as_mut().filter(|updates| updates.has_changed().unwrap_or(false))?;
         Some(updates.borrow_and_update().clone())
     }
 
-    /// Resets the slots: the class at each index of the settings gets the slot of that index.
+    /// Applies a configuration without regard to open queries: each class gets the slot of its index in the settings.
     pub fn reset(&mut self, generation: Arc<ConfigGeneration>) {
         self.classes_by_slot = generation.settings.policy.query_classes.iter().cloned().enumerate().collect();
         self.newest_slots = None;
@@ -128,8 +133,9 @@
         self.current = Some(generation);
     }
 
-    /// Applies a configuration. A class that did not change keeps its slot; a new or changed class gets another slot. Open
-    /// queries may have deadlines of up to `longest_deadline_s`.
+    /// Applies a configuration. A class that did not change keeps its slot; a new or changed class gets another slot,
+    /// whose entry in `rules` is replaced or added. `longest_deadline_s` is the longest time limit that a query opened
+    /// until `now` may have, in seconds after its arrival.
     pub fn apply(
         &mut self,
         generation: Arc<ConfigGeneration>,
@@ -166,21 +172,23 @@
         assigned
     }
 
-    /// The longest deadline that an open query may have, in seconds: `max_deadline_s`, or the longest deadline before the last
-    /// change while queries opened before it may be open.
+    /// The longest time limit that an open query may have, in seconds after its arrival: the present limit
+    /// `max_deadline_s`, or the previous configuration's limit if that is longer and queries opened under that
+    /// configuration may still be open at `now`.
     pub fn longest_deadline_s(&self, max_deadline_s: f64, now: f64) -> f64 {
         let PreviousDeadline { deadline_s, until_s } = self.previous_deadline;
         if now < until_s { max_deadline_s.max(deadline_s) } else { max_deadline_s }
     }
 
-    /// Passes the new configurations to the policy, which applies them from this round on.
+    /// Passes the configurations that were applied since the policy's last run to the policy.
     pub fn notify_changes(&mut self, policy: &mut dyn PolicyInput) {
         for PendingChange { generation, slots } in std::mem::take(&mut self.pending_changes) {
             policy.change_config(&generation.settings.policy, &slots);
         }
     }
 
-    /// Frees the retiring slots without open queries, and reports them to the policy.
+    /// Frees the retiring slots without open queries, and reports these slots to the policy. `open_in` returns the
+    /// number of open queries of a slot.
     pub fn notify_retired_slots(&mut self, open_in: impl Fn(usize) -> usize, policy: &mut dyn PolicyInput) {
         for slot in self.retiring_slots.extract_if(.., |slot| open_in(*slot) == 0) {
             policy.class_retired(slot);
--- a/crates/router/src/state/response.rs
+++ b/crates/router/src/state/response.rs
@@ -3,53 +3,54 @@
 use alderway_layouts::ShardId;
 use alderway_layouts::coverage::Coverage;
 
-/// The answered keys of a query, each range with the shard that answered and the value.
+/// The answered key ranges of a query, each with the shard that answered and its value.
 pub type AnswerCoverage = Coverage<(ShardId, String)>;
 
-/// The value of one shard request.
+/// The value of one answered shard request.
 #[derive(Debug)]
 pub struct ShardResult {
-    /// The shard that answered.
+    /// Id of the shard that answered.
     pub shard: u32,
-    /// The keys that the value is for, from the first to below the second, if they are known.
+    /// The keys that the value is for, from the first (inclusive) to the second (exclusive); `None` without a shard
+    /// map.
     pub keys: Option<(u32, u32)>,
-    /// The value, as the data node sent it.
+    /// The value that the data node sent, unchanged.
     pub value: String,
 }
 
 /// The one final response to a query.
 pub enum QueryResponse {
-    /// The query is answered with values by shard.
+    /// The query is answered with one value for each answered shard request.
     Results {
-        /// Whether enough was answered for the query's class to call it complete.
+        /// Whether the answered fraction of the query reaches the `complete_fraction` of the query's class.
         complete: bool,
         /// One entry for each shard request that was answered.
         results: Vec<ShardResult>,
     },
-    /// The query is answered with values by keys, as a shard map is followed.
+    /// The query is answered with one value for each answered key range. Used if the router has a shard map.
     ResultsByKeys {
-        /// Whether enough was answered for the query's class to call it complete.
+        /// Whether the answered fraction of the query reaches the `complete_fraction` of the query's class.
         complete: bool,
-        /// The answered keys and their values.
+        /// The answered key ranges and their values.
         coverage: AnswerCoverage,
     },
-    /// There is no capacity for the query, or the router shuts down.
+    /// The router has no capacity for the query or shuts down.
     NoCapacity,
-    /// The policy rejected the query. Its client may retry it without side effects.
+    /// The policy rejected the query. The client may retry the query without side effects.
     Rejected {
-        /// How long the client should wait before it retries, in seconds.
+        /// How long the client should wait before it retries, in seconds; `None` if the policy gives no advice.
         retry_after_s: Option<f64>,
     },
-    /// The policy failed the query, which may have had an effect.
+    /// The policy failed the query. Data nodes may have executed parts of the query.
     Failed,
-    /// The deadline of the query passed first.
+    /// The deadline of the query passed before a response was ready.
     DeadlineExceeded,
 }
 
-/// A response that is not yet encoded.
+/// A final response that is not yet encoded.
 pub struct PendingResponse {
-    /// The response.
+    /// The response to encode.
     pub response: QueryResponse,
-    /// Whether the connection closes after the response.
+    /// Whether the router closes the client's connection after the response.
     pub closes_connection: bool,
 }
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -1,5 +1,9 @@
-//! One core's view of the shard map: its history, the mapping of queries to shard requests, and the changes that the policy
-//! gets in the next round. A core whose shards are placed by the platform's ring has no shard map.
+//! The shard map of one core. A shard map assigns each range of keys to a shard, and each shard to its holders: the
+//! replica groups that store all keys of the shard. New versions split, merge or move shards, so open shard requests
+//! may have to be split into parts, which share the attempts of the split request.
+//!
+//! This module maps queries to shard requests and collects the changes that the policy gets in its next run. A router
+//! whose shards are placed by the platform's hash ring has no shard map.
 use super::attempts::AttemptId;
 use super::node_protocol::ShardReport;
 use super::queries::{QueryError, RequestedKeys, ShardRequest};
@@ -13,65 +17,67 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Settings for following a shard map.
+/// Settings for changes of the shard map.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardMapConfig {
-    /// How long a client may still name a shard that no longer exists, in seconds.
+    /// How long clients may still request a shard that no longer exists, in seconds.
     pub retired_shard_grace_s: f64,
-    /// How long a data node that lags behind has to catch up before it is asked for the shard again, in seconds.
+    /// How long no requests for a shard are sent to a data node that has replied that it does not hold the shard, in
+    /// seconds. A data node with an older shard map can catch up in this time.
     pub lagging_node_grace_s: f64,
 }
 
-/// A target of a query: a shard or keys.
+/// A target of a query: either a shard or a range of keys.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryTarget {
-    /// The id of the shard.
+    /// Id of the requested shard; `None` if the target names keys.
     pub shard: Option<ShardId>,
-    /// The keys, from the first to below the second.
+    /// The requested keys, from the first (inclusive) to the second (exclusive); `None` if the target names a shard.
     pub keys: Option<(u32, u32)>,
-    /// Its fraction of the query.
+    /// The target's fraction of the query, from 0 to 1.
     pub weight: f64,
 }
 
-/// One of the requests that a shard request was split into.
+/// A part of a split: one of the shard requests that a shard request was split into.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitPart {
-    /// Id of the new request.
+    /// Id of the new shard request.
     pub id: Rc<str>,
-    /// The requested shard.
+    /// Id of the requested shard.
     pub shard: ShardId,
-    /// Its fraction of the query.
+    /// The part's fraction of the query, from 0 to 1.
     pub weight: f64,
 }
 
-/// A shard request that was split into several.
+/// The split of a shard request into several.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitShardRequest {
-    /// Number of the query.
+    /// The number that identifies the query on this core.
     pub query: u64,
-    /// Id of the split request.
+    /// Id of the shard request that was split.
     pub request_id: Rc<str>,
-    /// The requests that it was split into.
+    /// The shard requests that replace the split one.
     pub parts: Vec<SplitPart>,
 }
 
-/// The shard map, and the changes to it since the last round.
+/// The shard map of one core, and the changes that the policy has not received yet.
 pub struct ShardMapView {
     config: ShardMapConfig,
     history: Option<History>,
-    /// The split shard requests, and which of their parts still wait for which attempts.
+    /// For each split shard request, its parts, and which parts no longer wait for which of its attempts.
     pub families: Families<Rc<str>>,
-    /// For tests: every answer counts, whatever keys it is for.
+    /// For tests: every answer counts, for whichever keys it is.
     #[cfg(feature = "faults")]
     pub counts_all_answers: bool,
-    /// New shards, each with the shards whose keys it took over.
+    /// New shards, each with the former shards that had its keys.
     inherited: Vec<(ShardId, Vec<ShardId>)>,
+    /// Shards whose holders the policy gets in its next run.
     changed_shards: BTreeSet<ShardId>,
     splits: Vec<SplitShardRequest>,
 }
 
 impl ShardMapView {
-    /// A view without a shard map.
+    /// The state before a shard map is received.
     pub fn new(config: ShardMapConfig) -> Self {
         ShardMapView {
             config,
@@ -85,20 +91,24 @@
         }
     }
 
-    /// The newest version, if there is a shard map.
+    /// The version of the newest shard map; `None` before the first one.
     pub fn version(&self) -> Option<Version> {
         self.history.as_ref().map(|history| history.newest().version())
     }
 
-    /// The shard map, with the shards that no longer exist but are still in use.
+    /// The newest shard map, and the shards that no longer exist but are still in use; `None` before the first shard
+    /// map.
     pub fn history(&self) -> Option<&History> {
         self.history.as_ref()
     }
 
-    /// Applies a shard map or changes from discovery. Returns the shards whose open requests have to be checked.
+    /// Applies a full shard map or changes from discovery. Returns the shards whose holders may have changed, and those
+    /// that no longer exist but have open requests: the caller recalls attempts to former holders and splits requests
+    /// for these shards if necessary.
     ///
     /// # Errors
-    /// The shard map or the changes are invalid or do not follow the current version. Nothing is changed then.
+    /// The shard map or the changes are invalid or do not follow the current version. The current shard map then stays
+    /// in use.
     pub fn apply(&mut self, news: News, now: f64) -> Result<Vec<ShardId>, Faulty> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
@@ -114,10 +124,12 @@
         }
     }
 
-    /// Applies a shard map that another core has validated. Returns the shards whose open requests have to be checked.
+    /// Replaces the shard map by one that the acceptor core has validated. Returns the same shards as
+    /// [`apply`](Self::apply).
     ///
     /// # Errors
-    /// The shard map does not follow the current version. Nothing is changed then.
+    /// The shard map is older than the current one, or reuses the id of a shard for other keys. The current shard map
+    /// then stays in use.
     pub fn replace_from_core(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, Faulty> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
@@ -141,7 +153,7 @@
         followed.held
     }
 
-    /// Marks all shards as changed, so that a restarted policy gets all of them in the next round.
+    /// Marks all shards as changed, so that a restarted policy gets all shards in its first run.
     pub fn mark_all_changed(&mut self) {
         self.inherited.clear();
         self.splits.clear();
@@ -151,10 +163,12 @@
         }
     }
 
-    /// The shard requests for the targets of a query by the newest shard map, and the coverage that records their answers.
+    /// Maps the targets of a query to shard requests by the newest shard map. Also returns the coverage that records
+    /// which keys of the query are answered.
     ///
     /// # Errors
-    /// [`QueryError`] if a target does not exist, targets overlap, or there is no shard map.
+    /// [`QueryError`] if a target does not exist or names both or neither of shard and keys, targets overlap, or there
+    /// is no shard map.
     pub fn requests_for(
         &self,
         query_id: &str,
@@ -186,7 +200,7 @@
         Ok((requests, coverage))
     }
 
-    /// The requests that a shard request is split into by the newest shard map.
+    /// The shard requests that replace `request` if it is split by the newest shard map.
     pub fn split_requests(&self, query_id: &str, request: &ShardRequest) -> Vec<ShardRequest> {
         let (Some(history), Some(keys)) = (&self.history, request.keys) else { return vec![] };
         let mut split_into = requests_by_keys(history, query_id, keys.range, request.weight);
@@ -194,9 +208,10 @@
         split_into
     }
 
-    /// Whether an open shard request has to be split. That is so if its shard no longer exists, and either the shards that now
-    /// cover its keys have different holders, or the request has had no attempt and can follow the newest shard map.
-    /// Guards against a request whose only common holder hangs while other nodes hold each of its parts.
+    /// Whether an open shard request has to be split: the client asked for keys, the shard of the request no longer
+    /// exists, and either the request has had no attempt or the new shards of its keys have different holders. Guards
+    /// against a request that can only go to a hanging replica group, the only one that holds all of its keys, although
+    /// other groups hold some of the keys.
     pub fn must_split(&self, request: &ShardRequest) -> bool {
         let (Some(history), Some(keys)) = (&self.history, request.keys) else { return false };
         let is_settled = keys.is_whole_shard || keys.is_split || keys.is_answered;
@@ -205,14 +220,15 @@
             && (request.attempts == 0 || history.is_scattered(request.shard))
     }
 
-    /// Records that a shard request is open. Its shard is kept until the request is closed.
+    /// Records that a shard request is open. The shard is kept until all requests for it are closed, even if it no
+    /// longer exists.
     pub fn record_request_opened(&mut self, request: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| request.keys.is_some()) {
             history.opened(request.shard);
         }
     }
 
-    /// Records that a shard request is closed. A split request is closed by its split and is ignored here.
+    /// Records that a shard request is closed. Does nothing for a split request, which was closed when it was split.
     pub fn record_request_closed(&mut self, request: &ShardRequest) {
         let is_open = request.keys.is_some_and(|keys| !keys.is_split);
         if let Some(history) = self.history.as_mut().filter(|_| is_open) {
@@ -220,13 +236,13 @@
         }
     }
 
-    /// The replica groups that hold a shard.
+    /// Ids of the replica groups that hold all keys of a shard.
     pub fn replica_groups_of(&self, shard: ShardId) -> Vec<u32> {
         self.history.as_ref().map_or(vec![], |history| history.holders(shard))
     }
 
-    /// Records that a shard request was split. If its query is `is_new` to the policy, the next round passes the query with
-    /// the parts in the first place, so the split itself is not reported.
+    /// Records that a shard request was split. `is_new` says that the policy has not received the query yet; it then
+    /// receives the query with the parts only, and the split is not reported.
     pub fn record_split(&mut self, split: SplitShardRequest, is_new: bool) {
         let part_ids: Vec<Rc<str>> = split.parts.iter().map(|part| part.id.clone()).collect();
         self.families.divide(&split.request_id, &part_ids);
@@ -235,9 +251,10 @@
         }
     }
 
-    /// The outcome of an attempt, corrected by what the data node reports about the shard map. An answer succeeds only if it
-    /// is for exactly the requested keys. Guards against a node that answers by another version of the shard map, and
-    /// against one that knows no shard map and is asked for a part of what it takes for the shard.
+    /// The outcome of an attempt, corrected by what the data node reports about the shard map. An answer is a success
+    /// only if it is for exactly the requested keys; an answer without keys counts as one for the whole shard. Guards
+    /// against data nodes with another version of the shard map, and against data nodes without a shard map, which
+    /// always answer for the whole shard.
     pub fn classify_outcome(
         &mut self,
         node: &str,
@@ -264,7 +281,8 @@
         }
     }
 
-    /// Passes the changed shards to the policy. It must get them before the queries of the round.
+    /// Passes the new shards, and the holders of all changed shards, to the policy. Must be called before new queries
+    /// are passed to the policy.
     pub fn notify_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(history) = &mut self.history else { return };
         self.changed_shards.extend(history.lapse(now));
@@ -278,7 +296,7 @@
         }
     }
 
-    /// Passes the splits of shard requests to the policy, for queries that it knows.
+    /// Passes the splits of shard requests to the policy, for queries that the policy has received before.
     pub fn notify_splits(&mut self, policy: &mut dyn PolicyInput) {
         for split in std::mem::take(&mut self.splits) {
             let parts: Vec<(&str, u32, f64)> =
@@ -287,28 +305,31 @@
         }
     }
 
-    /// Drops the pending changes, for an owner of the shard map that has no policy.
+    /// Drops the changes that are collected for the policy, and the shards that are no longer in use. For a process
+    /// that has no policy.
     pub fn discard_notifications(&mut self, now: f64) {
         self.inherited.clear();
         self.changed_shards.clear();
         self.history.iter_mut().for_each(|history| drop(history.retire(now)));
     }
 
-    /// Drops the shards that are no longer in use, and reports them to the policy. Called at the end of the round.
+    /// Drops the shards that are no longer in use, and reports them to the policy. Must be called after all other input
+    /// has been passed to the policy.
     pub fn notify_retired_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         if let Some(history) = &mut self.history {
             history.retire(now).into_iter().for_each(|shard| policy.shard_retired(shard));
         }
     }
 
-    /// Records that a shard request no longer waits for an attempt that it shares with the other parts of its split. Returns
-    /// whether none of them waits any more.
+    /// Records that the part `request_id` of a split no longer waits for an attempt that the parts share. Returns
+    /// whether no part waits for the attempt any more.
     pub fn remove_waiting_request(&mut self, id: &AttemptId, request_id: &Rc<str>) -> bool {
         self.families.release(&(id.request_id.clone(), id.number), request_id)
     }
 
-    /// The shard requests for which the policy gets the end of an attempt whose request was split: all parts of the split if
-    /// the attempt succeeded, otherwise those that still wait for it. `None` if the request was not split.
+    /// The shard requests for which the policy gets the end of an attempt, if the shard request of the attempt was
+    /// split: all parts of the split if the attempt succeeded, otherwise the parts that still wait for the attempt.
+    /// `None` if the request was not split.
     pub fn outcome_recipients(&self, id: &AttemptId, outcome: AttemptOutcome) -> Option<Vec<Rc<str>>> {
         if self.families.is_empty() {
             return None;
@@ -321,13 +342,15 @@
     }
 }
 
-/// The keys of a shard. A shard that no longer exists still has its keys while some replica group holds all of them.
+/// The keys of a shard that a client requests. A shard that no longer exists can be requested while some replica group
+/// holds all of its keys.
 fn shard_range(history: &History, shard: ShardId) -> Result<Range, QueryError> {
     let is_served = || !history.is_gone(shard) || !history.holders(shard).is_empty();
     history.keys(shard).filter(|_| is_served()).ok_or(QueryError::UnknownShard)
 }
 
-/// One shard request for each shard that covers part of `range` by the newest shard map. Every key has the same weight.
+/// One shard request for each shard that has keys of `range` by the newest shard map. `weight` is divided in proportion
+/// to the number of keys.
 fn requests_by_keys(history: &History, query_id: &str, range: Range, weight: f64) -> Vec<ShardRequest> {
     let weight_per_key = weight / range.keys() as f64;
     let request = |(shard, keys): (ShardId, Range)| {
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -1,5 +1,6 @@
-//! The state that the cores of a process share, and the channels between them. A process with one core has a shared state
-//! too, without channels.
+//! The state that the cores of a process share, and the channels between the cores. One core, the acceptor core,
+//! accepts client connections and passes them and the endpoint list to the other cores. A process with one core has a
+//! shared state without channels.
 use super::descriptors::DescriptorPermit;
 use super::metrics::MetricsSnapshot;
 use alderway::interface::{NodeObservation, SharedLimits};
@@ -10,31 +11,31 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use tokio::sync::{Notify, broadcast, mpsc, watch};
 
-/// Capacity of the channel for observations. A core that falls further behind loses the oldest ones; it learns the same
-/// from the endpoint list and its own attempts.
+/// Capacity of the channel for observations, in messages. A core that has more unread observations loses the oldest
+/// ones; it detects bad data nodes from the endpoint list and its own attempts instead.
 const OBSERVATION_QUEUE: usize = 4096;
-/// Capacity of the channel for commands to one core.
+/// Capacity of the channel for commands to one core, in commands.
 const COMMAND_QUEUE: usize = 1024;
 
-/// A client connection that is passed to a core. Every byte read from it so far belongs to an answered request.
+/// A client connection that is passed to a core. All bytes that were read from it so far belong to answered requests.
 pub struct TransferredConnection {
     /// The socket.
     pub stream: std::net::TcpStream,
-    /// The permit for the socket's descriptor.
+    /// The permit for the socket's file descriptor.
     pub permit: DescriptorPermit,
-    /// Whether the client has sent a complete request, to another core.
+    /// Whether the client has already sent a complete request on this connection.
     pub has_sent_request: bool,
 }
 
 /// A command to a core.
 pub enum CoreCommand {
-    /// Serve a connection.
+    /// Serve this client connection.
     Serve(TransferredConnection),
-    /// Hand over connections to another core when they are idle.
+    /// Move client connections to another core, each when it is idle.
     HandOver {
-        /// The core that gets the connections.
+        /// Index of the core that gets the client connections.
         to: usize,
-        /// Number of connections.
+        /// Number of client connections to move.
         connections: usize,
     },
     /// Close the client connection that has been idle longest.
@@ -44,27 +45,27 @@
 /// An observation of a data node that a core passes to the other cores.
 #[derive(Clone, Debug)]
 pub struct ObservationMessage {
-    /// The core that made the observation, or received it from another router.
+    /// Index of the core that made the observation or received it from another router.
     pub core: usize,
-    /// The data node's name.
+    /// The name of the observed data node.
     pub node: String,
-    /// The observation.
+    /// What was observed of the data node.
     pub observation: NodeObservation,
 }
 
-/// The status that a core last published.
+/// What a core last published about itself. The acceptor core reads it to supervise and balance the cores.
 pub struct CoreState {
-    /// Time of the last heartbeat, in milliseconds of the clock that all cores share.
+    /// Time of the core's last heartbeat, in milliseconds of the monotonic clock that all cores share.
     pub heartbeat_ms: AtomicU64,
-    /// Number of client connections.
+    /// Number of open client connections of the core.
     pub client_count: AtomicUsize,
-    /// Number of clients that got bytes of a response between the last two heartbeats.
+    /// Number of client connections on which response bytes were written between the last two heartbeats.
     pub active_clients: AtomicUsize,
-    /// Recent utilization of the core, in thousandths.
+    /// CPU time used by the thread per time elapsed, in thousandths: a moving average over the last few heartbeats.
     pub busy_permille: AtomicU64,
-    /// Counters and gauges of the core.
+    /// The counters and gauges that the core last published.
     pub metrics: watch::Sender<Arc<MetricsSnapshot>>,
-    /// The serial of the configuration that the core's policy uses.
+    /// The [`serial`](super::query_classes::ConfigGeneration::serial) of the configuration that the core's policy uses.
     pub config_serial: watch::Sender<u64>,
     commands: Option<mpsc::Sender<CoreCommand>>,
 }
@@ -83,34 +84,36 @@
     }
 }
 
-/// The state that all cores share.
+/// The state that all cores of the process share.
 pub struct SharedState {
-    /// Ids of open queries.
+    /// Ids of the open queries of all cores, so that no two open queries have the same id.
     pub ids: Arc<Ids>,
-    /// Capacity for queries and shard requests.
+    /// Free capacity of the process: an open query takes one unit, and each of its shard requests one unit.
     pub capacity: Arc<Pool>,
-    /// Keeps a core that lacks the newest endpoint list from starting attempts.
+    /// Keeps a core from starting attempts until it has applied the newest endpoint list.
     pub fence: Arc<Fence>,
-    /// Limits of the policy that apply to all cores together.
+    /// Limits of the policy that apply to all cores together, such as shared budgets.
     pub limits: SharedLimits,
-    /// One entry for each core.
+    /// The published state of each core, by index.
     pub cores: Vec<CoreState>,
     /// Notified when the policy of a core requests a poll of the endpoint list.
     pub poll_requested: Arc<Notify>,
     /// Maximum number of connections from one core to one data node.
     pub max_connections_per_node: usize,
     observations: Option<broadcast::Sender<ObservationMessage>>,
-    /// Number of cores that serve, set by the acceptor core.
+    /// Number of cores that serve clients, as last set by the acceptor core.
     pub cores_serving: AtomicUsize,
-    /// Number of cores that hang.
+    /// Number of cores that have missed their heartbeats, as last set by the acceptor core.
     pub cores_hung: AtomicUsize,
-    /// Number of cores that have failed or are lost.
+    /// Number of cores that have failed, including those that are not restarted any more, as last set by the acceptor
+    /// core.
     pub cores_lost: AtomicUsize,
     /// Counters and gauges of the acceptor core.
     pub acceptor_metrics: watch::Sender<Arc<MetricsSnapshot>>,
-    /// The version of the configuration in use, or 0 if it has none.
+    /// The control plane's version number of the configuration in use; 0 if the configuration is not from the control
+    /// plane.
     pub config_version: AtomicU64,
-    /// Counters and gauges of the subscription to the control plane, if there is one.
+    /// Counters and gauges of the subscription to the control plane; empty if there is no subscription.
     pub control_metrics: watch::Sender<Arc<MetricsSnapshot>>,
 }
 
@@ -119,7 +122,8 @@
 pub struct MulticoreConfig {
     /// Number of cores.
     pub cores: usize,
-    /// Maximum number of connections to one data node from all cores together. Each core may have at least one.
+    /// Maximum number of connections to one data node from all cores together, though each core may always have one;
+    /// `None` for no limit.
     pub max_connections_per_node: Option<usize>,
     /// Whether cores share their observations of data nodes.
     pub shares_observations: bool,
@@ -132,8 +136,9 @@
 }
 
 impl SharedState {
-    /// A shared state for `capacity` queries and shard requests, and the receiver of each core's commands. No core starts
-    /// attempts when the acceptor core has last confirmed more than `fence_timeout_s` ago that its endpoint list is current.
+    /// Creates a shared state with `capacity` units for open queries and their shard requests, and the receiver of each
+    /// core's commands. Cores start no attempts if the acceptor core has not confirmed for more than `fence_timeout_s`
+    /// seconds that its endpoint list is current.
     pub fn new(
         capacity: usize,
         config: MulticoreConfig,
@@ -172,20 +177,20 @@
         (Arc::new(shared), receivers)
     }
 
-    /// The shared state of a process with one core.
+    /// Creates the shared state of a process with one core.
     pub fn single_core(capacity: usize) -> Arc<Self> {
         SharedState::new(capacity, MulticoreConfig::default(), f64::INFINITY).0
     }
 
-    /// Whether there are several cores.
+    /// Whether the process has several cores.
     pub fn has_several_cores(&self) -> bool {
         self.cores.len() > 1
     }
 
-    /// Sends a core a command.
+    /// Sends a command to the core with index `core`.
     ///
     /// # Errors
-    /// Returns the command if the core's queue is full or the core has ended.
+    /// Returns the command if the core's command channel is full, the core has ended, or the process has only one core.
     pub fn send_command(&self, core: usize, command: CoreCommand) -> Result<(), CoreCommand> {
         let Some(commands) = self.cores.get(core).and_then(|state| state.commands.as_ref()) else {
             return Err(command);
@@ -195,18 +200,19 @@
         })
     }
 
-    /// Sends an observation to the other cores; false if cores do not share observations.
+    /// Sends an observation of a data node to all cores; false if cores do not share observations.
     pub fn broadcast_observation(&self, message: ObservationMessage) -> bool {
         // Sending fails only if no core has subscribed.
         self.observations.as_ref().map(|observations| observations.send(message)).is_some()
     }
 
-    /// Subscribes to the observations of other cores, if cores share observations.
+    /// Subscribes to the observations of all cores; `None` if cores do not share observations.
     pub fn subscribe_observations(&self) -> Option<broadcast::Receiver<ObservationMessage>> {
         self.observations.as_ref().map(broadcast::Sender::subscribe)
     }
 
-    /// Adds the metrics that the other cores last published, and the metrics of the process, to those of one core.
+    /// Adds the metrics that the other cores last published, and the metrics of the process, to `metrics`. `core` is
+    /// the index of the core that `metrics` already includes, `None` if it includes no core.
     pub fn add_other_cores(&self, core: Option<usize>, metrics: &mut MetricsSnapshot) {
         let version = self.config_version.load(Relaxed);
         if version > 0 {
--- a/crates/router/src/state/shutdown_phase.rs
+++ b/crates/router/src/state/shutdown_phase.rs
@@ -6,10 +6,12 @@
     /// No shutdown was requested.
     #[default]
     Serving,
-    /// The router reports that it is not ready, so that it gets no new connections; open ones are served.
+    /// The router reports that it is not ready, so that the load balancer sends no new connections. Requests on open
+    /// connections are served.
     Draining,
-    /// Every connection closes after its current response.
+    /// The router closes every client connection after its current response.
     Closing,
-    /// Open queries have been failed. There is no time left to answer a new one, which is rejected at once.
+    /// Open queries have been failed. No time is left to answer a new query, so the router rejects new queries
+    /// immediately.
     Ending,
 }
--- a/crates/router/src/state/stall_detector.rs
+++ b/crates/router/src/state/stall_detector.rs
@@ -1,10 +1,13 @@
-//! Detects that this thread did not run for a while, for example because its process was stopped or not scheduled. Events
-//! of that time are unread, and older knowledge must not be acted on before they are read.
+//! Detects stalls: times at which this thread did not run, for example because its process was stopped or not
+//! scheduled. After a stall, events that arrived during the stall must be read before the thread acts on its older
+//! state.
 
-/// The longest gap between two checks that is not a stall. A disconnect or a drain may stay unread for this long.
+/// The longest time between two checks, in seconds, that is not a stall. A disconnect of a client or a drain of a data
+/// node may stay unread for this long.
 const MAX_GAP_S: f64 = 0.02;
 
-/// Counts the stalls of one thread. An idle thread cannot be told from a stalled one and is counted as stalled.
+/// Counts the stalls of one thread. A thread that was idle is counted as stalled too, because the detector cannot
+/// distinguish the two.
 #[derive(Debug, Default)]
 pub struct StallDetector {
     last_check_s: f64,
@@ -12,7 +15,8 @@
 }
 
 impl StallDetector {
-    /// Checks for a stall since the last call; returns the number of stalls so far. Every task of the thread must call this.
+    /// Checks at `now` whether the thread stalled since the last call; returns the number of stalls so far. Every task
+    /// of the thread must call this before it acts on the state.
     pub fn check(&mut self, now: f64) -> u64 {
         self.count += u64::from(now - self.last_check_s > MAX_GAP_S);
         self.last_check_s = now;
--- a/crates/router/src/state/timer_queue.rs
+++ b/crates/router/src/state/timer_queue.rs
@@ -1,8 +1,8 @@
-//! Keys ordered by due time, so that a round visits only the keys that are due.
+//! A queue of keys ordered by due time, so that only the keys that are due are visited.
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-/// A time of the monotonic clock, in seconds, with a total order.
+/// A due time in seconds of the monotonic clock, with a total order.
 #[derive(Clone, Copy, PartialEq)]
 struct DueAt(f64);
 
@@ -30,7 +30,7 @@
 }
 
 impl<K: Ord + Clone> TimerQueue<K> {
-    /// Adds a key that is due at `due_at_s`.
+    /// Adds a key that is due at `due_at_s`, in seconds of the monotonic clock.
     pub fn insert(&mut self, due_at_s: f64, key: K) {
         self.0.insert((DueAt(due_at_s), key));
     }
@@ -40,12 +40,12 @@
         self.0.remove(&(DueAt(due_at_s), key.clone()));
     }
 
-    /// The keys that are due, the earliest first.
+    /// The keys that are due at `now`, the earliest due time first.
     pub fn due(&self, now: f64) -> impl Iterator<Item = &K> {
         self.0.iter().take_while(move |(at, _)| at.0 <= now).map(|(_, key)| key)
     }
 
-    /// When the next key is due; infinite if the queue is empty.
+    /// The earliest due time, in seconds of the monotonic clock; infinite if the queue is empty.
     pub fn next_due(&self) -> f64 {
         self.0.first().map_or(f64::INFINITY, |(at, _)| at.0)
     }
--- a/crates/router/src/state/watch_state.rs
+++ b/crates/router/src/state/watch_state.rs
@@ -1,70 +1,81 @@
-//! Decides when the watch on discovery is lost and when the next one opens. The caller reports events with their times;
-//! nothing here reads a socket or a clock. The longest time from a change in discovery to its arrival here follows from the
-//! three constants below and, if changes are polled for, from how soon the policy polls again.
+//! Decides when a watch is lost and when the next watch opens. A watch is an HTTP response from the discovery agent
+//! that streams the changes of the endpoint list. The caller reports events with their times, in seconds of the
+//! monotonic clock; this module reads no socket and no clock. The longest time from a change in discovery until the
+//! router receives it follows from the three constants below and, if watches open only when the policy polls, from the
+//! policy's poll interval.
 
-/// A watch is lost if it receives no complete line or object for this long. The discovery agent sends an empty line every 2 s.
+/// A watch is lost if no complete line or object is received for this time, in seconds. The discovery agent sends an
+/// empty line every 2 s.
 pub const SILENCE_TIMEOUT_S: f64 = 3.0;
-/// A watch is lost if its response does not begin within this time. The discovery agent runs on the router's machine.
+/// A watch is lost if the head of its response is not received within this time, in seconds. The discovery agent runs
+/// on the router's machine.
 pub const RESPONSE_TIMEOUT_S: f64 = 1.0;
-/// Pause between the loss of a watch and the next one.
+/// Pause between the loss of a watch and the opening of the next one, in seconds.
 pub const RECONNECT_PAUSE_S: f64 = 0.25;
 
-/// The phase of the watch.
+/// The phase of the current or next watch. Times are seconds of the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WatchPhase {
-    /// Changes are polled for, and the policy has not requested a poll.
+    /// No watch is open, and the next one opens when the policy requests a poll.
     NotRequested,
-    /// No watch is open.
+    /// No watch is open, and the next one opens after a pause.
     Waiting {
         /// When the next watch opens.
         opens_at_s: f64,
     },
     /// The connection is being opened, or its response has not begun.
     Opening {
-        /// When the watch is lost.
+        /// When the watch is lost unless the head of its response is received before.
         lost_at_s: f64,
     },
-    /// The response has begun.
+    /// The head of the response has been received.
     Open {
-        /// When the watch is lost, unless a complete line or object is received before.
+        /// When the watch is lost unless a complete line or object is received before.
         lost_at_s: f64,
     },
 }
 
-/// The state of the watch.
+/// The state of the watch on discovery.
 #[derive(Debug)]
 pub struct WatchState {
+    /// Whether a watch opens only when the policy requests a poll.
     on_request: bool,
     /// The current phase.
     pub phase: WatchPhase,
 }
 
 impl WatchState {
-    /// A state without an open watch. `on_request` says whether changes come only when the policy polls for them.
+    /// A state without an open watch. If `on_request`, a watch opens only when the policy requests a poll; otherwise
+    /// the first watch opens immediately, and each lost watch is replaced after a pause.
     pub fn new(on_request: bool) -> Self {
-        let phase = if on_request { WatchPhase::NotRequested } else { WatchPhase::Waiting { opens_at_s: 0.0 } };
+        let phase =
+            if on_request { WatchPhase::NotRequested } else { WatchPhase::Waiting { opens_at_s: 0.0 } };
         WatchState { on_request, phase }
     }
 
-    /// The next watch opens now: the pause is over, the policy requested a poll, or the address of discovery changed.
+    /// Records that the next watch opens at `now`, because the pause is over, the policy requested a poll, or the
+    /// address of the discovery agent changed.
     pub fn open(&mut self, now: f64) {
         self.phase = WatchPhase::Opening { lost_at_s: now + RESPONSE_TIMEOUT_S };
     }
 
-    /// The head of the response was received. The first object has yet to come.
+    /// Records that the head of the response was received. `SILENCE_TIMEOUT_S` counts from the opening of the watch
+    /// until the first line or object is received.
     pub fn response_started(&mut self) {
         if let WatchPhase::Opening { lost_at_s } = self.phase {
             self.phase = WatchPhase::Open { lost_at_s: lost_at_s - RESPONSE_TIMEOUT_S + SILENCE_TIMEOUT_S };
         }
     }
 
-    /// A complete line or object was received. Guards against a watch that keeps sending single bytes but never completes
-    /// anything: such bytes do not postpone the time-out.
+    /// Records that a complete line or object was received at `now`. Single bytes do not postpone the time-out. Guards
+    /// against a watch that keeps sending bytes but never completes a line or object.
     pub fn update_received(&mut self, now: f64) {
         self.phase = WatchPhase::Open { lost_at_s: now + SILENCE_TIMEOUT_S };
     }
 
-    /// The watch is lost; returns whether its response had begun. If it had not, the request for a poll stays in force.
+    /// Records that the watch was lost at `now`; returns whether the head of its response had been received. If so and
+    /// watches open on request, the next watch opens when the policy requests the next poll; in all other cases it
+    /// opens after a pause.
     pub fn lost(&mut self, now: f64) -> bool {
         let had_response = matches!(self.phase, WatchPhase::Open { .. });
         let awaits_poll = had_response && self.on_request;
@@ -76,7 +87,8 @@
         had_response
     }
 
-    /// When the current phase ends without an event; infinite if it does not.
+    /// When the current phase ends if no event ends it before, in seconds of the monotonic clock; infinite if only an
+    /// event ends it.
     pub fn deadline(&self) -> f64 {
         match self.phase {
             WatchPhase::NotRequested => f64::INFINITY,
