--- a/crates/router/src/wire/buffer.rs
+++ b/crates/router/src/wire/buffer.rs
@@ -1,6 +1,7 @@
-//! The read buffer of a connection: bytes that have been received and not yet consumed.
+//! The read buffer of a connection. It has the bytes that were received and are not yet consumed.
 
-/// A buffer that grows on demand up to a maximum length. Room is made by moving unconsumed bytes to the front.
+/// A buffer that grows on demand up to a maximum length. When its end is reached, the unconsumed bytes are moved to the
+/// front.
 pub struct ReadBuffer {
     bytes: Vec<u8>,
     start: usize,
@@ -8,7 +9,7 @@
     max_bytes: usize,
 }
 
-/// Length of the first allocation. A longer one is freed when the buffer is empty.
+/// Length of the first allocation. A longer allocation is freed when the buffer becomes empty.
 const INITIAL_BYTES: usize = 4096;
 
 impl ReadBuffer {
@@ -22,17 +23,17 @@
         &self.bytes[self.start..self.end]
     }
 
-    /// The received bytes that are not yet consumed, to be changed in place.
+    /// The received bytes that are not yet consumed, for decoding in place.
     pub fn data_mut(&mut self) -> &mut [u8] {
         &mut self.bytes[self.start..self.end]
     }
 
-    /// Whether every received byte is consumed.
+    /// Whether all received bytes are consumed.
     pub fn is_empty(&self) -> bool {
         self.start == self.end
     }
 
-    /// The free space to read the next bytes into; empty when `max_bytes` are not yet consumed.
+    /// The free space into which the next bytes are to be read; empty if the buffer has `max_bytes` unconsumed bytes.
     pub fn unfilled(&mut self) -> &mut [u8] {
         if self.start > 0 && (self.is_empty() || self.end == self.bytes.len()) {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -45,12 +46,13 @@
         &mut self.bytes[self.end..]
     }
 
-    /// Adds the first `count` bytes of [`unfilled`](Self::unfilled), which now hold received data.
+    /// Adds the first `count` bytes of [`unfilled`](Self::unfilled) to the received bytes. The caller has written
+    /// received data into them.
     pub fn add_filled(&mut self, count: usize) {
         self.end = (self.end + count).min(self.bytes.len());
     }
 
-    /// Copies as many of `bytes` as fit; returns how many.
+    /// Appends as many of `bytes` as fit; returns the number of bytes appended.
     pub fn append(&mut self, bytes: &[u8]) -> usize {
         let unfilled = self.unfilled();
         let count = unfilled.len().min(bytes.len());
@@ -59,7 +61,8 @@
         count
     }
 
-    /// Drops the first `count` bytes. When the buffer becomes empty, memory beyond the first allocation is freed.
+    /// Drops the first `count` unconsumed bytes. An allocation longer than `INITIAL_BYTES` is freed when the buffer
+    /// becomes empty.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.is_empty() {
@@ -70,7 +73,8 @@
         }
     }
 
-    /// Removes the bytes of `range`, counted from the first unconsumed byte, and closes the gap.
+    /// Removes the bytes of `range`, whose indices count from the first unconsumed byte, and moves the following bytes
+    /// forward.
     pub fn remove(&mut self, range: std::ops::Range<usize>) {
         let (start, end) = (self.start + range.start, (self.start + range.end).min(self.end));
         if start < end {
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery's watch: the request that opens it, and the endpoint lists and changes that it streams.
+//! The watch on discovery: an HTTP response with a chunked body that streams JSON objects, each with a full endpoint
+//! list or with changes to it. This module writes the request that opens a watch, and reads the response.
 use super::ParseError;
 use super::buffer::ReadBuffer;
 use super::http::{ChunkDecoder, MessageReader};
@@ -7,37 +8,40 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// The largest object that is read: a full list of about ten thousand data nodes.
+/// The largest object of a watch that is read, in bytes: enough for a full list of about ten thousand data nodes.
 pub const MAX_OBJECT_BYTES: usize = 2 * 1024 * 1024;
 
-/// Writes the request that opens a watch. The watch streams the changes since version `since` of the endpoint list, or the
-/// full list and its changes if there is none. If the shard map is followed, the watch also streams its changes since
-/// version `shard_map`; 0 asks for the full map.
+/// Writes the request that opens a watch. The watch streams the changes since version `since` of the endpoint list, or,
+/// if `since` is `None`, the full list and then its changes. If `shard_map` is set, the watch also streams the changes
+/// of the shard map since that version; version 0 requests the full shard map.
 pub fn write_watch_request(out: &mut Vec<u8>, host: &str, since: Option<u64>, shard_map: Option<u64>) {
     let since = since.map_or(String::new(), |version| format!("&since={version}"));
     let shard_map = shard_map.map_or(String::new(), |version| format!("&layout={version}"));
     let _ = write!(out, "GET /discovery/hosts?follow=1{since}{shard_map} HTTP/1.1\r\nHost: {host}\r\n\r\n");
 }
 
-/// The version of an object, and whether the object is a full list. Fails if any part of the object cannot be read.
+/// The version of the endpoint list in an object, and whether the object has a full list. Fails if any part of the
+/// object is not valid JSON or a required field is missing.
 pub fn read_version(bytes: &[u8]) -> Result<(u64, bool), ParseError> {
     read_object(bytes, &mut |_, _| ())
 }
 
-/// A data node in an endpoint list.
+/// A data node in an endpoint list from discovery.
 #[derive(Debug, PartialEq)]
 pub struct NodeEntry {
     pub address: SocketAddr,
     pub replica_group: u32,
     pub state: NodeState,
-    /// Unix time in milliseconds of the last start of its process; 0 if that is unknown or long ago.
+    /// When the data node's process last started, as Unix time in milliseconds; 0 if discovery does not know it or it
+    /// is long ago.
     pub started_at_unix_ms: u64,
 }
 
-/// Why an entry cannot be used, with its state if that can be read.
+/// Why an entry of an endpoint list cannot be used, after the state of its data node if the state is readable.
 pub type EntryError = (Option<NodeState>, ParseError);
 
-/// Reads an object and calls `on_entry` for each of its entries, with the entry's name, or an empty string if it has none.
+/// Reads an object and calls `on_entry` for each entry of its endpoint list, with the name of the data node, or an
+/// empty string if the entry has no name.
 pub fn read_entries(
     bytes: &[u8],
     mut on_entry: impl FnMut(&str, Result<NodeEntry, EntryError>),
@@ -47,7 +51,7 @@
 
 type EntryHandler<'a> = &'a mut dyn FnMut(&str, Result<NodeEntry, EntryError>);
 
-/// Address of a deleted data node whose entry has none.
+/// Address that is reported for a deleted data node whose entry has no address.
 const UNSPECIFIED_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
@@ -56,8 +60,10 @@
     let mut has_endpoints = false;
     json.read_object(|json, key| {
         match key {
-            "index" => version = Some(json.read_integer()?),
-            "snapshot" => is_full_list = Some(json.read_bool()?),
+            "index" => version = Some(json.read_integer().map_err(|_| "`index` is not a whole number")?),
+            "snapshot" => {
+                is_full_list = Some(json.read_bool().map_err(|_| "`snapshot` is not true or false")?)
+            }
             "endpoints" => {
                 has_endpoints = true;
                 json.read_array(|json| read_entry(json, on_entry))?;
@@ -68,31 +74,36 @@
     })?;
     json.expect_end()?;
     if !has_endpoints {
-        return Err("`endpoints` is missing");
+        return Err("an object of the watch has no `endpoints`");
     }
-    Ok((version.ok_or("`index` is missing")?, is_full_list.ok_or("`snapshot` is missing")?))
+    Ok((
+        version.ok_or("an object of the watch has no `index`")?,
+        is_full_list.ok_or("an object of the watch has no `snapshot`")?,
+    ))
 }
 
 fn read_state(json: &mut JsonReader) -> Result<NodeState, ParseError> {
-    match json.read_string()?.as_ref() {
+    match json.read_string().map_err(|_| "`status` is not a string")?.as_ref() {
         "SERVING" => Ok(NodeState::Serving),
         "DRAINING" => Ok(NodeState::Draining),
         "DELETED" => Ok(NodeState::Removed),
-        _ => Err("`status` has an unknown value"),
+        _ => Err("`status` is not SERVING, DRAINING or DELETED"),
     }
 }
 
-/// Reads one entry. Guards against one unusable entry hiding all others of its list: only that entry is reported as an
-/// error.
+/// Reads one entry of an endpoint list. An unusable entry is reported to `on_entry` as an error, so that the other
+/// entries of the list still count.
 fn read_entry(json: &mut JsonReader, on_entry: EntryHandler) -> Result<(), ParseError> {
     let (mut name, mut address, mut replica_group) = (None, None, None);
-    let (mut state, mut started_at_unix_ms) = (Err("an entry has no `status`"), Ok(0));
+    let (mut state, mut started_at_unix_ms) = (Err("the entry has no `status`"), Ok(0));
     json.read_object(|json, key| {
         match key {
             "name" => name = json.read_or_skip(JsonReader::read_string)?.ok(),
             "address" => {
                 let text = json.read_or_skip(JsonReader::read_string)?;
-                let parsed = text.and_then(|text| text.parse().map_err(|_| "`address` is not address:port"));
+                let parsed = text.map_err(|_| "`address` is not a string");
+                let parsed = parsed
+                    .and_then(|text| text.parse().map_err(|_| "`address` is not an IP address and port"));
                 address = Some(parsed);
             }
             "group" => {
@@ -114,9 +125,9 @@
     let address = address.or(is_removed.then_some(Ok(UNSPECIFIED_ADDRESS)));
     let replica_group = replica_group.or(is_removed.then_some(Ok(0)));
     let entry = || {
-        let address = address.ok_or("an entry has no `address`");
-        let replica_group = replica_group.ok_or("an entry has no `group`");
-        name.as_ref().ok_or("an entry has no `name`")?;
+        let address = address.ok_or("the entry has no `address`");
+        let replica_group = replica_group.ok_or("the entry has no `group`");
+        name.as_ref().ok_or("the entry has no `name`")?;
         Ok(NodeEntry {
             address: address??,
             replica_group: replica_group??,
@@ -129,38 +140,40 @@
     Ok(())
 }
 
-/// What a watch has received completely.
+/// A completely received piece of a watch's response.
 #[derive(Debug, PartialEq)]
 pub enum WatchEvent {
-    /// The head of the response.
+    /// The status line and header fields of the response.
     ResponseHead,
     /// A line break outside of objects: the end of an object's line, or an empty line while nothing changes.
     EmptyLine,
-    /// An object. The number is the position of its end in the buffer, in bytes.
+    /// An object. The number is the length of the object with the whitespace before it, in bytes from the start of the
+    /// buffer.
     Object(usize),
 }
 
-/// Reads the stream of a watch: the head of the response, then chunks, which contain objects and empty lines. An object may
-/// span several lines.
+/// Reads the response of a watch: the head, then a chunked body of objects and empty lines. An object may span several
+/// lines and chunks.
 #[derive(Default)]
 pub struct WatchReader {
     head: MessageReader,
     has_head: bool,
     chunks: ChunkDecoder,
-    /// Bytes at the start of the buffer whose chunk framing is removed.
+    /// Number of bytes at the start of the buffer that are decoded, that is, without the framing of chunks.
     decoded_bytes: usize,
-    /// Those of them that were searched for the end of an event.
+    /// Number of bytes at the start of the buffer that were searched for the end of an event.
     scanned_bytes: usize,
-    /// Those of them that belong to the event returned last.
+    /// Number of bytes at the start of the buffer that belong to the event that was returned last.
     returned_bytes: usize,
-    /// How deep the braces are nested.
+    /// Number of objects that are open at the searched position.
     depth: usize,
     in_string: bool,
     is_escaped: bool,
 }
 
 impl WatchReader {
-    /// The next event that is completely received. An object stays in the buffer until the next call.
+    /// The next completely received event; `None` if more bytes are needed. The bytes of an object stay in the buffer
+    /// until the next call.
     pub fn next_event(&mut self, buffer: &mut ReadBuffer) -> Result<Option<WatchEvent>, ParseError> {
         if !self.has_head {
             if !self.head.find_head(buffer).map_err(|error| error.1)? {
@@ -168,10 +181,10 @@
             }
             let (head, _) = self.head.message(buffer);
             if head.first_line().split(' ').nth(1) != Some("200") {
-                return Err("the response status is not 200");
+                return Err("the status of discovery's response is not 200");
             }
             if !self.head.is_chunked() {
-                return Err("the response is not chunked");
+                return Err("discovery's response has no chunked body");
             }
             self.head.consume_message(buffer);
             self.has_head = true;
@@ -183,7 +196,8 @@
             self.scanned_bytes -= self.returned_bytes;
             self.returned_bytes = 0;
         }
-        self.decoded_bytes = self.chunks.decode_chunks(buffer, self.decoded_bytes).map_err(|error| error.1)?;
+        self.decoded_bytes =
+            self.chunks.decode_chunks(buffer, self.decoded_bytes).map_err(|error| error.1)?;
         while self.scanned_bytes < self.decoded_bytes {
             let byte = buffer.data()[self.scanned_bytes];
             self.scanned_bytes += 1;
@@ -199,14 +213,14 @@
         }
     }
 
-    /// Scans one byte; returns the event that ends with it, if any.
+    /// Scans the next byte of the body; returns the event that ends with this byte, if any.
     fn scan_byte(&mut self, byte: u8) -> Result<Option<WatchEvent>, ParseError> {
         if self.in_string {
             match byte {
                 _ if self.is_escaped => self.is_escaped = false,
                 b'\\' => self.is_escaped = true,
                 b'"' => self.in_string = false,
-                0..0x20 => return Err("a control character in a string"),
+                0..0x20 => return Err("the watch has a control character in a string"),
                 _ => {}
             }
             return Ok(None);
@@ -221,7 +235,9 @@
             b'"' if self.depth > 0 => self.in_string = true,
             b'\n' if self.depth == 0 => return Ok(Some(WatchEvent::EmptyLine)),
             b' ' | b'\t' | b'\r' => {}
-            _ if self.depth == 0 => return Err("a byte outside of any object"),
+            _ if self.depth == 0 => {
+                return Err("the watch has bytes other than whitespace outside of objects");
+            }
             _ => {}
         }
         Ok(None)
--- a/crates/router/src/wire/http.rs
+++ b/crates/router/src/wire/http.rs
@@ -3,20 +3,20 @@
 use super::buffer::ReadBuffer;
 use crate::state::descriptors::CLIENT_BUFFER_BYTES;
 
-/// The largest body.
+/// The largest body of a request or response that is read, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The largest head, with the empty line that ends it.
+/// The largest head of a message that is read, in bytes, with the empty line that ends it.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The longest line with a chunk's size, and the largest trailer.
+/// The longest line with the size of a chunk, and the largest trailer after the last chunk, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
 const _: () = assert!(MAX_MESSAGE_BYTES == CLIENT_BUFFER_BYTES);
-/// The buffer size that the largest message needs, with space for the framing of its chunks.
+/// The read buffer size that the largest message needs, in bytes, with space for the framing of chunks.
 pub const MAX_MESSAGE_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + 4 * MAX_CHUNK_LINE_BYTES;
 
-/// Why a message is rejected: the status of the error response and its text.
+/// Why a received message is rejected: the status of the error response and its text.
 pub type HttpError = (u16, ParseError);
 
-/// The head of a message: its first line and its header fields.
+/// The head of an HTTP message: its first line and its header fields.
 #[derive(Clone, Copy)]
 pub struct Head<'b> {
     lines: &'b str,
@@ -28,7 +28,8 @@
         self.lines.lines().next().unwrap_or_default()
     }
 
-    /// The value of a header field, if it is present; an error if the head has several fields of that name.
+    /// The value of the header field `name`, `None` if it is missing; an error if the head has several fields of that
+    /// name.
     pub fn field(&self, name: &str) -> Result<Option<&'b str>, HttpError> {
         let mut found = None;
         for line in self.lines.lines().skip(1) {
@@ -43,14 +44,14 @@
         Ok(found)
     }
 
-    /// Whether a field with a comma-separated list contains a token, in any letter case.
+    /// Whether the comma-separated list in the header field `name` contains `token`, in any letter case.
     fn list_contains(&self, name: &str, token: &str) -> bool {
         let fields = self.lines.lines().skip(1).filter_map(|line| line.split_once(':'));
         let mut values = fields.filter(|f| f.0.eq_ignore_ascii_case(name)).flat_map(|f| f.1.split(','));
         values.any(|v| v.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Whether the sender closes the connection after this message.
+    /// Whether the sender of this message wants the connection to close after the message.
     pub fn closes_connection(&self) -> bool {
         let is_http_1_0 =
             self.first_line().ends_with("HTTP/1.0") || self.first_line().starts_with("HTTP/1.0");
@@ -79,7 +80,8 @@
     }
 }
 
-/// The end of the head with its empty line. The first `searched` bytes, which do not contain it, are not searched again.
+/// The length of the head in bytes, with the empty line that ends it; `None` if the head is incomplete. The first
+/// `searched` bytes have been searched before and are skipped.
 fn find_head_end(data: &[u8], searched: usize) -> Option<usize> {
     let from = searched.saturating_sub(3);
     let at = data[from..].windows(4).position(|w| w == b"\r\n\r\n")?;
@@ -102,10 +104,11 @@
     Ok(Head { lines })
 }
 
-/// Decodes a chunked body in place: removes the framing of the chunks from the buffer.
+/// Decodes a chunked body in place: removes the chunk sizes and line breaks from the buffer, so that only the content
+/// is left.
 #[derive(Default)]
 pub struct ChunkDecoder {
-    /// Bytes of the current chunk that are not yet decoded.
+    /// Number of bytes of the current chunk that are not yet decoded.
     remaining_bytes: usize,
     state: ChunkState,
     trailer_bytes: usize,
@@ -122,13 +125,13 @@
 }
 
 impl ChunkDecoder {
-    /// Whether the last chunk and the trailer are decoded.
+    /// Whether the whole body is decoded, including the last chunk and the trailer.
     pub fn is_complete(&self) -> bool {
         self.state == ChunkState::Done
     }
 
-    /// Decodes the bytes of the buffer from `from` on: removes the framing and leaves the decoded bytes. Returns the
-    /// end of the decoded bytes; the bytes behind it are not decoded yet.
+    /// Decodes the chunks that follow the first `decoded_end` bytes of the buffer. Returns the number of bytes at the
+    /// start of the buffer that precede the chunks still to be decoded.
     pub fn decode_chunks(&mut self, buffer: &mut ReadBuffer, decoded_end: usize) -> Result<usize, HttpError> {
         let (mut to, mut at) = (decoded_end, decoded_end);
         let data = buffer.data_mut();
@@ -188,22 +191,23 @@
     usize::from_str_radix(text, 16).map_err(|_| (400, "a chunk's size is not a number"))
 }
 
-/// Finds the messages in a read buffer, one after the other.
+/// Finds HTTP messages in a read buffer, one after the other.
 #[derive(Default)]
 pub struct MessageReader {
-    /// Bytes already searched for the end of the head.
+    /// Number of bytes that were searched for the end of the head.
     searched: usize,
-    /// The end of the current message's head, once it is received.
+    /// The length of the current message's head in bytes; `None` until the head is completely received.
     head_end: Option<usize>,
-    /// The end of the body; of a chunked one, the end of the bytes decoded so far.
+    /// The end of the body in the buffer, in bytes from the start of the message; for a chunked body, the end of the
+    /// bytes decoded so far.
     body_end: usize,
-    /// The length of the body, or `None` if it is chunked.
+    /// The length of the body in bytes; `None` if the body is chunked.
     body_length: Option<usize>,
     chunks: ChunkDecoder,
 }
 
 impl MessageReader {
-    /// Whether the buffer starts with a complete message, whose chunks are then decoded.
+    /// Whether the buffer starts with a complete message. A chunked body is decoded as far as it is received.
     pub fn find_message(&mut self, buffer: &mut ReadBuffer) -> Result<bool, HttpError> {
         if !self.find_head(buffer)? {
             return Ok(false);
@@ -220,7 +224,7 @@
         Ok(buffer.data().len() >= self.body_end)
     }
 
-    /// Whether the buffer starts with a complete head; the framing of the body is then known.
+    /// Whether the buffer starts with a complete head. If so, the length of the body, or that it is chunked, is stored.
     pub fn find_head(&mut self, buffer: &mut ReadBuffer) -> Result<bool, HttpError> {
         if self.head_end.is_some() {
             return Ok(true);
@@ -251,25 +255,27 @@
         self.head_end.is_some() && self.body_length.is_none()
     }
 
-    /// The head and body found by `find_message`; after `find_head` alone, the head and an empty body.
+    /// The head and body of the message that `find_message` found. If only `find_head` was called, the body is empty.
     pub fn message<'b>(&self, buffer: &'b ReadBuffer) -> (Head<'b>, &'b [u8]) {
         let (data, end) = (buffer.data(), self.head_end.unwrap_or_default());
         let lines = std::str::from_utf8(&data[..end]).unwrap_or_default();
         (Head { lines }, data.get(end..self.body_end).unwrap_or_default())
     }
 
-    /// The end of the message found by `find_message`.
+    /// The length in bytes of the message that `find_message` found.
     pub fn message_end(&self) -> usize {
         self.body_end
     }
 
-    /// Whether the client waits for `100 Continue` before it sends the body.
+    /// Whether only the head of a request is received, and the client waits for `100 Continue` before it sends the
+    /// body.
     pub fn expects_continue(&self, buffer: &ReadBuffer) -> bool {
         let has_only_head = self.head_end == Some(buffer.data().len());
         has_only_head && self.message(buffer).0.list_contains("expect", "100-continue")
     }
 
-    /// Removes the message from the buffer. The next call of `find_message` looks for the following one.
+    /// Removes the message that `find_message` found from the buffer. The next call of `find_message` searches for the
+    /// following message.
     pub fn consume_message(&mut self, buffer: &mut ReadBuffer) {
         buffer.consume(self.body_end);
         *self = MessageReader::default();
--- a/crates/router/src/wire/mod.rs
+++ b/crates/router/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Encoding and decoding of the protocols: HTTP with clients, discovery's watch, and frames with data nodes. Nothing here
-//! reads a socket or a clock. Decoders get the received bytes and return slices of the buffer that holds them.
+//! Encoding and decoding of the protocols: HTTP with clients, the watch on discovery, and frames with data nodes. This
+//! module reads no socket and no clock. Decoders get received bytes and return slices of the buffer with those bytes.
 pub mod buffer;
 pub mod discovery;
 pub mod frames;
@@ -9,5 +9,5 @@
 pub mod response;
 pub mod shard_map;
 
-/// Why received bytes cannot be used: a short text for a log line or a response body.
+/// Why received bytes cannot be used, as a short text for a log line or an error response.
 pub type ParseError = &'static str;
--- a/crates/router/src/wire/query.rs
+++ b/crates/router/src/wire/query.rs
@@ -1,13 +1,15 @@
-//! The JSON body of a client's query.
+//! The JSON body of a client's query. The body has a text and targets; a target is a shard or a range of keys, with a
+//! weight: its fraction of the query (`share`).
 use super::ParseError;
 use super::json::JsonReader;
 use std::borrow::Cow;
 
-/// How far the sum of a query's weights may differ from 1: twenty weights, each rounded to three decimals, differ by 0.01.
+/// Largest difference of the sum of a query's weights from 1. The sum of twenty weights, each rounded to three
+/// decimals, may differ from 1 by up to 0.01.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// Reads a body whose targets are shards. `add_target` gets the shard and weight of each target as it is read. Returns
-/// the text that every shard request carries.
+/// Reads a body whose targets are shards, and calls `add_target` with the shard and weight of each target. Returns the
+/// query's text, which is sent with every shard request.
 pub fn read_query_by_shards(
     body: &[u8],
     mut add_target: impl FnMut(u32, f64) -> Result<(), ParseError>,
@@ -17,9 +19,9 @@
     })
 }
 
-/// Reads a body. `add_target` gets the shard, keys and weight of each target as it is read; the keys are a range from the
-/// first to below the second. If `accepts_keys` is false, `keys` is ignored like any unknown field. Returns the text that
-/// every shard request carries.
+/// Reads a body, and calls `add_target` with the shard, the keys and the weight of each target. Keys are a range from
+/// the first number (inclusive) to the second (exclusive). If `accepts_keys` is false, the field `keys` is ignored, as
+/// unknown fields are. Returns the query's text, which is sent with every shard request.
 pub fn read_query(
     body: &[u8],
     accepts_keys: bool,
@@ -28,7 +30,7 @@
     let (mut json, mut text) = (JsonReader::new(body), None);
     let (mut has_targets, mut weight_sum) = (false, 0.0);
     json.read_object(|json, key| match key {
-        "targets" if has_targets => Err("`targets` stands twice"),
+        "targets" if has_targets => Err("`targets` is given twice"),
         "targets" => {
             has_targets = true;
             json.read_array(|json| {
@@ -48,12 +50,12 @@
         return Err("`targets` is missing");
     }
     if (weight_sum - 1.0f64).abs() > WEIGHT_SUM_TOLERANCE {
-        return Err("the shares do not add up to 1");
+        return Err("the `share` values of the targets do not add up to 1");
     }
     text.ok_or("`query` is missing")
 }
 
-/// Shard, keys and weight of a target.
+/// The shard, keys and weight of a target.
 type Target = (Option<u32>, Option<(u32, u32)>, f64);
 
 fn read_target(json: &mut JsonReader, accepts_keys: bool) -> Result<Target, ParseError> {
--- a/crates/router/src/wire/shard_map.rs
+++ b/crates/router/src/wire/shard_map.rs
@@ -1,5 +1,6 @@
-//! The shard map in discovery's objects: beside `endpoints`, an object may have a `layout`, which is the full shard map or a
-//! list of changes to one of its versions.
+//! Reads the shard map in an object from discovery. Besides the endpoint list, an object may have a field `layout`:
+//! either a full shard map, which gives the keys of each shard and the replica groups that hold the shard (its
+//! holders), or changes to one version of the shard map.
 use super::ParseError;
 use super::json::JsonReader;
 use alderway_layouts::history::News;
@@ -7,7 +8,8 @@
 use alderway_layouts::{Range, ShardId};
 use std::collections::BTreeSet;
 
-/// The shard map, or the changes to it, in an object from discovery; `None` if the object has no `layout`.
+/// The full shard map, or the changes to the shard map, in an object from discovery; `None` if the object has no
+/// `layout`.
 pub fn read_update(bytes: &[u8]) -> Result<Option<News>, ParseError> {
     let (mut json, mut update) = (JsonReader::new(bytes), None);
     json.read_object(|json, key| match key {
@@ -128,10 +130,10 @@
     match (split, merge, moved) {
         (Some(parent), None, None) => Ok(Change::Split { parent, children: into }),
         (None, Some(parents), None) => {
-            Ok(Change::Merge { parents, child: child.ok_or("a merge has no `as`")? })
+            Ok(Change::Merge { parents, child: child.ok_or("a change with `merge` has no `as`")? })
         }
         (None, None, Some(shard)) => {
-            let holders = holders.ok_or("a move has no `holders`")?.into_iter().collect();
+            let holders = holders.ok_or("a change with `move` has no `holders`")?.into_iter().collect();
             Ok(Change::Move { shard, holders })
         }
         _ => Err("a change must be exactly one of `split`, `merge` and `move`"),
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -132,7 +132,10 @@
 #[rstest]
 fn deep_nesting_is_rejected_before_the_stack_overflows() {
     let text = "[".repeat(100_000);
-    assert_eq!(JsonReader::new(text.as_bytes()).skip_value(), Err("nested too deep"));
+    assert_eq!(
+        JsonReader::new(text.as_bytes()).skip_value(),
+        Err("JSON values are nested more than 32 levels deep")
+    );
 }
 
 #[rstest]
@@ -244,9 +247,9 @@
 #[case::half_an_object(&chunk(&LIST[..LIST.len() - 1]), None)]
 #[case::spaces_without_line_break(&chunk("  \t"), None)]
 #[case::braces_in_a_string(&chunk(r#"{"name":"}\"}""#), None)]
-#[case::no_object(&chunk("nothing"), Some("a byte outside of any object"))]
-#[case::unmatched_closing_brace(&chunk("}"), Some("a byte outside of any object"))]
-#[case::line_break_in_a_string(&chunk("{\"na\nme\":1}"), Some("a control character in a string"))]
+#[case::no_object(&chunk("nothing"), Some("the watch has bytes other than whitespace outside of objects"))]
+#[case::unmatched_closing_brace(&chunk("}"), Some("the watch has bytes other than whitespace outside of objects"))]
+#[case::line_break_in_a_string(&chunk("{\"na\nme\":1}"), Some("the watch has a control character in a string"))]
 fn incomplete_or_invalid_input_is_no_watch_event(#[case] body: &str, #[case] error: Option<&str>) {
     let stream = format!("{WATCH_HEAD}{body}");
     for size in [1, stream.len()] {
@@ -255,8 +258,14 @@
 }
 
 #[rstest]
-#[case::not_200("HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n", "the response status is not 200")]
-#[case::not_chunked("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", "the response is not chunked")]
+#[case::not_200(
+    "HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n",
+    "the status of discovery's response is not 200"
+)]
+#[case::not_chunked(
+    "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n",
+    "discovery's response has no chunked body"
+)]
 #[case::bad_chunk(&(WATCH_HEAD.to_string() + "zz\r\n"), "a chunk's size is not a number")]
 fn an_invalid_watch_response_is_an_error(#[case] bytes: &str, #[case] error: &str) {
     assert_eq!(read_watch(bytes.as_bytes(), 5), (vec![], Some(error)));
