--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -21,7 +21,7 @@
 pub struct ClassRules {
     /// The name of the class in clients' requests.
     pub name: String,
-    /// Whether shard requests may be repeated.
+    /// Whether a shard request may be sent again after an attempt that may have been executed.
     pub idempotency: Idempotency,
     /// Smallest answered fraction of a query's weight, from 0 to 1, with which its answer counts as complete.
     pub complete_fraction: f64,
@@ -70,7 +70,7 @@
 }
 
 /// Assigns slots to query classes. A slot has the newest rules of a class, or is retiring because open queries still
-/// use its rules, or is free for reuse. Reuse keeps the number of slots close to the number of rules in use.
+/// use its rules, or is free for reuse. Free slots are reused, so that the number of slots stays bounded.
 #[derive(Default)]
 pub struct ClassTable {
     updates: Option<watch::Receiver<Arc<ConfigGeneration>>>,
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -92,7 +92,7 @@
     pub capacity: Arc<Pool>,
     /// Keeps a core from starting attempts until it has applied the newest endpoint list.
     pub fence: Arc<Fence>,
-    /// Limits of the policy that apply to all cores together, such as shared budgets.
+    /// Limits of the policy that apply to all cores together.
     pub limits: SharedLimits,
     /// The published state of each core, by index.
     pub cores: Vec<CoreState>,
--- a/crates/router/tests/common/dispatcher.rs
+++ b/crates/router/tests/common/dispatcher.rs
@@ -14,16 +14,16 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Which input of the policy is recorded.
+/// The kind of policy input that a `RecordingPolicy` records.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Recorded {
-    /// The endpoint list, queries with their numbers, timers.
+    /// The endpoint list, queries and shard requests with their numbers, and timers.
     Endpoints,
-    /// Shards, queries, shard requests and their splits.
+    /// Shards, queries, shard requests, and splits of shard requests.
     Shards,
 }
 
-/// A policy that records its input as one line of text per call and decides nothing.
+/// A policy that records each input as one line of text and makes no decisions.
 pub struct RecordingPolicy {
     pub events: Vec<String>,
     recorded: Recorded,
@@ -93,7 +93,7 @@
     }
 }
 
-/// A policy that knows one query class.
+/// A policy whose configuration has one query class.
 pub fn one_class_policy() -> Policy {
     let settings = r#"{"Extra":{"Cells":1,"Reach":1},"Discovery":"automatic","Obligations":{},"ReplicasOfMe":1,
         "Limits":{"MayCancel":true,"ParallelTries":true,"MaxAttempts":3},"Services":[{"Name":"v","Worth":1,
@@ -102,7 +102,7 @@
     deployment::policy(7, &settings).expect("a valid policy").0
 }
 
-/// Applies each decision of a policy to a dispatcher at once.
+/// Applies each decision of a policy to a dispatcher immediately.
 pub struct DispatcherSink<'a>(pub &'a RefCell<Dispatcher>);
 
 impl DecisionSink for DispatcherSink<'_> {
@@ -143,7 +143,7 @@
     }
 }
 
-/// Opens a query with the text `text`; returns its client's connection.
+/// Opens a query whose deadline is `time_left_s` seconds from now; returns its client's connection.
 pub fn open_query(
     dispatcher: &mut Dispatcher,
     id: &str,
@@ -166,13 +166,14 @@
     Ok(client)
 }
 
-/// One shard request for each shard, each with the same weight.
+/// One shard request for each shard, each with the weight `weight`.
 pub fn shard_requests(query_id: &str, shards: &[u32], weight: f64) -> Vec<ShardRequest> {
     let request = |shard: &u32| ShardRequest::new(format!("{query_id}.{shard}").into(), *shard, weight);
     shards.iter().map(request).collect()
 }
 
-/// Starts attempts at a node and puts them into frames, as one round does; returns the connections to open.
+/// Starts attempts at a data node and puts them into frames, as after one run of the policy; returns the connections to
+/// open.
 pub fn start_attempts(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Vec<DialRequest> {
     requests.iter().for_each(|request| dispatcher.start_attempt(request, node, 5.0));
     let now = dispatcher.clock.now();
@@ -188,7 +189,7 @@
     has_frame.then(|| String::from_utf8_lossy(&out[4..]).to_string())
 }
 
-/// All responses that a client has been sent, as text.
+/// All responses for a client, encoded, as text.
 pub fn response_text(client: &ClientConnection) -> String {
     response::encode_pending(client);
     String::from_utf8_lossy(&client.output.borrow()).to_string()
--- a/crates/router/tests/dispatcher/any_order.rs
+++ b/crates/router/tests/dispatcher/any_order.rs
@@ -62,19 +62,19 @@
 struct Model {
     dispatcher: Dispatcher,
     clients: Vec<Rc<ClientConnection>>,
-    /// Node and number of each connection.
+    /// The data node and number of each connection.
     connections: Vec<(String, u64)>,
     /// Attempts whose frame is being written, by connection.
     writing: BTreeMap<u64, Vec<String>>,
-    /// Attempts whose frame has been written completely.
+    /// Attempts whose frame has been completely written.
     written: BTreeSet<String>,
     /// Attempts that have not ended.
     open: BTreeSet<String>,
-    /// By request, the attempts that may have been executed.
+    /// For each shard request, the attempts that may have been executed.
     executed: BTreeMap<String, BTreeSet<String>>,
-    /// By request, the number of attempts so far.
+    /// For each shard request, the number of attempts so far.
     attempts: BTreeMap<String, usize>,
-    /// Requests that may be executed only once.
+    /// Shard requests that may be executed only once.
     execute_once: BTreeSet<String>,
 }
 
@@ -193,7 +193,8 @@
             }
             Event::Requeue(number) => {
                 let Some((node, number)) = self.connection(number) else { return };
-                // The task of a connection does this only if attempts are next, none is in flight, and a reply was received.
+                // The task of a connection requeues attempts only if the next frame has attempts, no attempt is in
+                // flight, and a reply was received on the connection.
                 let connection = self.dispatcher.endpoints.connection(&node, number);
                 if connection.is_some_and(|connection| connection.will_reuse_after_idle()) {
                     self.dispatcher.requeue_unsent(&node, number);
@@ -220,10 +221,10 @@
         }
     }
 
-    /// Begins the next frame of a connection, and checks that each of its attempts may begin.
+    /// Begins the next frame of a connection, and checks that each attempt of the frame may be sent.
     fn begin_frame(&mut self, connection: usize) {
         let Some((node, number)) = self.connection(connection) else { return };
-        // Attempts that have ended are taken into account.
+        // First update the model with the attempts that have ended.
         self.run_round();
         let mut out = vec![];
         let Some(connection) = self.dispatcher.endpoints.connection(&node, number) else { return };
@@ -262,7 +263,8 @@
         }
     }
 
-    /// Runs one round, and checks that every attempt ends once and with an outcome that fits what was written of it.
+    /// Passes the policy's input on, and checks that every attempt ends once and with an outcome that fits how much of
+    /// its frame was written.
     fn run_round(&mut self) {
         for event in policy_events(&mut self.dispatcher) {
             let words: Vec<&str> = event.split(' ').collect();
@@ -289,7 +291,7 @@
     }
 }
 
-/// Applies events in order. Then every connection is lost, and every attempt must have ended.
+/// Applies events in order, then loses every connection, and checks that every attempt has ended.
 fn run_events(events: impl IntoIterator<Item = Event>) {
     let mut model = Model::new();
     events.into_iter().for_each(|event| model.apply(event));
@@ -302,8 +304,8 @@
     assert_eq!(model.dispatcher.attempts.in_flight_count(), 0);
 }
 
-/// A failing case of the property below. The outcome of an attempt that was ended while its frame was being written stands,
-/// whatever happens to its connection.
+/// A case in which the property below once failed. An attempt is ended while its frame is being written, and then its
+/// connection closes: the first outcome must remain the only one.
 #[rstest]
 fn an_attempt_ended_while_its_frame_is_written_counts_as_begun_after_its_connection_closes() {
     use Event::*;
--- a/crates/router/tests/dispatcher/attempts.rs
+++ b/crates/router/tests/dispatcher/attempts.rs
@@ -105,8 +105,9 @@
     assert_eq!(write_next_frame(&mut dispatcher, &dial).as_deref(), Some("Cq.1"));
 }
 
-/// `first` is the outcome of the first attempt; `second` is the start of the second attempt's frame, if it may begin after
-/// the deduplication window.
+/// Data nodes drop duplicates of a shard request only within the deduplication window. `first` is the outcome of the
+/// first attempt; `second` is the beginning of the second attempt's frame, or `None` if that attempt may not be sent
+/// after the window.
 #[rstest]
 #[case::failed(AttemptOutcome::Error, None)]
 #[case::rejected(AttemptOutcome::Rejected, Some("Sq.1 "))]
@@ -120,7 +121,7 @@
     let dial = start_attempts(&mut dispatcher, "s", &["q.1"]).remove(0);
     write_next_frame(&mut dispatcher, &dial);
     dispatcher.record_reply("s", dial.connection, "q.1", first, "");
-    // The second attempt is decided within the window, but its frame could begin only after the window.
+    // The second attempt is started within the window, but its frame is to be written after the window.
     let dial = start_attempts(&mut dispatcher, "t", &["q.1"]).remove(0);
     policy_events(&mut dispatcher);
     std::thread::sleep(std::time::Duration::from_millis(60));
--- a/crates/router/tests/dispatcher/client_connections.rs
+++ b/crates/router/tests/dispatcher/client_connections.rs
@@ -48,7 +48,7 @@
         let mut client = std::net::TcpStream::connect(address).expect("connected");
         std::io::Write::write_all(&mut client, b"GET /up HTTP/1.1\r\n\r\n").expect("written");
         client.set_nonblocking(true).expect("set");
-        // The runtime has not polled the listener since.
+        // The runtime has not polled the listener since the client connected.
         let (descriptors, close) =
             (descriptors::split(64, usize::MAX, 1).0, Rc::new(tokio::sync::Notify::new()));
         close.notify_one();
@@ -96,7 +96,7 @@
         let mut answer = [0; 200];
         dispatcher.borrow().clients.close_idle();
         assert_eq!(stream.read(&mut answer).await.expect("an end"), 0);
-        // This request crosses the close: the client has not noticed it yet.
+        // The client sends a further request before it notices that the router closes the connection.
         stream.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
         while !dispatcher.borrow().clients.is_empty() {
             tokio::task::yield_now().await;
--- a/crates/router/tests/dispatcher/endpoints.rs
+++ b/crates/router/tests/dispatcher/endpoints.rs
@@ -68,7 +68,7 @@
     dispatcher.start_attempt("q.0", "s", 1.0);
     let now = dispatcher.clock.now();
     let connection = dispatcher.flush_attempts(now).remove(0).connection;
-    // The acceptor core has a list in which `s` drains; this core has not applied it yet.
+    // The acceptor core has published a list in which `s` drains; this core has not applied that list yet.
     let generation = shared.fence.publish();
     let mut out = vec![];
     assert!(!dispatcher.encode_next_frame("s", connection, &mut out) && out.is_empty());
--- a/crates/router/tests/dispatcher/main.rs
+++ b/crates/router/tests/dispatcher/main.rs
@@ -50,7 +50,7 @@
     dispatcher.endpoints_changed();
 }
 
-/// Expires what is due, and returns the events that the policy gets in a round.
+/// Expires overdue attempts and queries, and returns the input that the policy gets, one line of text per event.
 fn policy_events(dispatcher: &mut Dispatcher) -> Vec<String> {
     let (mut policy, now) = (RecordingPolicy::new(Recorded::Endpoints), dispatcher.clock.now());
     dispatcher.expire_attempts_and_queries(now);
@@ -58,7 +58,7 @@
     policy.events
 }
 
-/// Opens query `id` with one request for each shard, and passes it to the policy.
+/// Opens query `id` with one shard request for each shard, and passes the query to the policy.
 fn open(dispatcher: &mut Dispatcher, id: &str, shards: &[u32]) -> Rc<ClientConnection> {
     let requests = shard_requests(id, shards, 1.0);
     let client = open_query(dispatcher, id, 0, 5.0, requests, None).expect("the query opens");
--- a/crates/router/tests/dispatcher/reused_ids.rs
+++ b/crates/router/tests/dispatcher/reused_ids.rs
@@ -12,7 +12,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A dispatcher with the policy that decides for it.
+/// A dispatcher and its policy.
 struct Router {
     dispatcher: RefCell<Dispatcher>,
     policy: Policy,
@@ -36,7 +36,7 @@
         self.dispatcher.borrow_mut().client_disconnected(query);
     }
 
-    /// Runs one round and writes all frames.
+    /// Runs the policy once and writes all frames.
     fn round(&mut self) {
         let dispatcher = &self.dispatcher;
         let now = dispatcher.borrow().clock.now();
--- a/crates/router/tests/shard_map/any_order.rs
+++ b/crates/router/tests/shard_map/any_order.rs
@@ -25,7 +25,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A policy with one query class of this idempotency.
+/// A policy with one query class, whose idempotency is `idempotency`.
 fn policy(idempotency: Idempotency) -> Policy {
     let query_class = QueryClass {
         latency_objective_s: 2.0,
@@ -64,7 +64,8 @@
     )
 }
 
-/// An attempt whose frame is written and that has no reply: node, connection, shard request, keys.
+/// An attempt whose frame is written and that has no reply: data node, number of the connection, id of the shard
+/// request, keys.
 type InFlight = (String, u64, String, Range);
 
 /// A query, as its client sent it.
@@ -80,20 +81,20 @@
 struct Simulation {
     dispatcher: RefCell<Dispatcher>,
     policy: Policy,
-    /// How far the policy's time is ahead of the clock, in seconds.
+    /// How far the time that the policy gets is ahead of the clock, in seconds.
     clock_offset_s: f64,
     in_flight: Vec<InFlight>,
     connections: Vec<(String, u64)>,
     queries: Vec<ClientQuery>,
     last_shard: ShardId,
-    /// Keys whose attempts may have been executed, by query.
+    /// Ids of queries, each with a range of keys for which an attempt may have been executed.
     executed: Vec<(String, Range)>,
 }
 
 impl Simulation {
     fn new(idempotency: Idempotency) -> Simulation {
         let mut dispatcher = dispatcher(10_000);
-        // The policy has got no input yet.
+        // The policy is new and has received no input, so the dispatcher has to pass the full state.
         dispatcher.restart_policy();
         Simulation {
             dispatcher: RefCell::new(dispatcher),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Runs one round, and writes all frames.
+    /// Runs the policy once, and writes all frames.
     fn round(&mut self) {
         let now = self.dispatcher.borrow().clock.now() + self.clock_offset_s;
         let dispatcher = &self.dispatcher;
@@ -236,12 +237,12 @@
     /// Closes the connection of a client with an open query, and opens a query with the same id for other keys.
     fn reopen_query(&mut self, which: usize, from: Key, keys: Key) {
         let Some(id) = self.disconnect(which) else { return };
-        // The new query may have effects of its own.
+        // The new query may be executed once too, so the record of the earlier one is dropped.
         self.executed.retain(|(executed, _)| *executed != id);
         self.open_query(id, from, keys);
     }
 
-    /// Lets all open queries end.
+    /// Advances the time until all open queries have ended.
     fn finish(&mut self) {
         for _ in 0..40 {
             self.clock_offset_s += 0.3;
@@ -316,7 +317,8 @@
     })
 }
 
-/// Checks that each counter reached at least 10 over all cases; otherwise the cases do not cover what they should.
+/// Checks that each counter is at least 10 over all cases; otherwise too few cases reach the code that the counter
+/// stands for.
 fn assert_all_counted(totals: &[Cell<u64>], names: &[&str]) {
     for (total, name) in totals.iter().zip(names) {
         eprintln!("{name} {}", total.get());
@@ -324,7 +326,7 @@
     }
 }
 
-/// Counters that the cases must have reached, for them to cover what they should.
+/// Counters that must be at least 10 over all cases.
 const COUNTERS: [&str; 5] = [
     "queries_merged{v}",
     "queries_merged_in_part{v}",
@@ -379,8 +381,8 @@
     assert_all_counted(&totals, &COUNTERS);
 }
 
-/// Like the test above, with several events between two rounds and with clients that disconnect and reuse the id of their
-/// query. Guards against replies and ends of an earlier query being applied to a later one.
+/// Like the test above, with several events between two runs of the policy, and with clients that disconnect and reuse
+/// the id of their query. Guards against replies and ends of an earlier query being applied to a later one.
 #[rstest]
 fn each_query_gets_one_correct_answer_for_any_order_with_reused_ids() {
     const COUNTERS: [&str; 4] =
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -28,10 +28,11 @@
 };
 use std::rc::Rc;
 
-/// A target of a query: a shard or keys, and the weight.
+/// A target of a query: a shard or keys, and the target's weight.
 type Target = (Option<u32>, Option<(u32, u32)>, f64);
 
-/// A full shard map of keys 0 to 100; each shard has an id, its keys from the first to below the second, and its holders.
+/// A full shard map of keys 0 to 100. Each shard is given as its id, its keys from the first (inclusive) to the second
+/// (exclusive), and its holders: the replica groups that store the shard.
 fn full_map(version: u64, shards: &[(ShardId, Key, Key, &[u32])]) -> News {
     let shard = |&(id, from, to, holders): &(ShardId, Key, Key, &[u32])| {
         (id, Shard { keys: Range::new(from, to), holders: holders.iter().copied().collect() })
@@ -74,14 +75,14 @@
     dispatcher
 }
 
-/// The events that the policy gets in a round.
+/// The input that the policy gets in its next run, one line of text per event.
 fn policy_events(dispatcher: &mut Dispatcher) -> Vec<String> {
     let (mut policy, now) = (RecordingPolicy::new(Recorded::Shards), dispatcher.clock.now());
     dispatcher.notify_policy(now, &mut policy);
     policy.events
 }
 
-/// Delivers a reply with a node's report in its encoded form.
+/// Delivers a reply to the dispatcher. `report` is the data node's report in its encoded form.
 fn reply_received(
     dispatcher: &mut Dispatcher,
     node: &str,
