--- a/crates/router/src/wire/json.rs
+++ b/crates/router/src/wire/json.rs
@@ -45,13 +45,10 @@
         close: u8,
         mut read_item: impl FnMut(&mut Self) -> Parsed<()>,
     ) -> Parsed<()> {
-        self.expect_byte(
-            open,
-            if open == b'{' { "a JSON value is not an object" } else { "a JSON value is not an array" },
-        )?;
+        self.expect_byte(open, if open == b'{' { "expected an object" } else { "expected a list" })?;
         self.depth += 1;
         if self.depth > MAX_DEPTH {
-            return Err("JSON values are nested more than 32 levels deep");
+            return Err("nested too deep");
         }
         if self.peek() != Some(close) {
             read_item(self)?;
@@ -61,7 +58,7 @@
             }
         }
         self.depth -= 1;
-        self.expect_byte(close, "invalid JSON: expected a comma or the end of an array or object")
+        self.expect_byte(close, "expected a comma or the end of a list or object")
     }
 
     /// Reads an array. `read_item` must read or skip each of its values.
@@ -73,49 +70,47 @@
     pub fn read_object(&mut self, mut read_value: impl FnMut(&mut Self, &str) -> Parsed<()>) -> Parsed<()> {
         self.read_items(b'{', b'}', |json| {
             let key = json.read_string()?;
-            json.expect_byte(b':', "invalid JSON: expected a colon after a key")?;
+            json.expect_byte(b':', "expected a colon after a key")?;
             read_value(json, &key)
         })
     }
 
     /// Reads a string. The string is copied only if it contains escapes.
     pub fn read_string(&mut self) -> Parsed<Cow<'b, str>> {
-        self.expect_byte(b'"', "a JSON value or key is not a string")?;
+        self.expect_byte(b'"', "expected a string")?;
         let start = self.position;
         while let Some(&byte) = self.bytes.get(self.position) {
             match byte {
                 b'"' => {
                     let raw = &self.bytes[start..self.position];
                     self.position += 1;
-                    let plain =
-                        std::str::from_utf8(raw).map_err(|_| "invalid JSON: a string is not valid UTF-8")?;
+                    let plain = std::str::from_utf8(raw).map_err(|_| "a string is not UTF-8")?;
                     return Ok(Cow::Borrowed(plain));
                 }
                 b'\\' => return self.read_escaped_string(start),
-                0..0x20 => return Err("invalid JSON: a string has a control character"),
+                0..0x20 => return Err("a control character in a string"),
                 _ => self.position += 1,
             }
         }
-        Err("invalid JSON: a string is not terminated")
+        Err("a string does not end")
     }
 
     /// Reads the rest of a string that began at `start`, from its first escape on.
     fn read_escaped_string(&mut self, start: usize) -> Parsed<Cow<'b, str>> {
         let mut text = self.bytes[start..self.position].to_vec();
         loop {
-            let byte = *self.bytes.get(self.position).ok_or("invalid JSON: a string is not terminated")?;
+            let byte = *self.bytes.get(self.position).ok_or("a string does not end")?;
             self.position += 1;
             match byte {
                 b'"' => {
-                    let text =
-                        String::from_utf8(text).map_err(|_| "invalid JSON: a string is not valid UTF-8")?;
+                    let text = String::from_utf8(text).map_err(|_| "a string is not UTF-8")?;
                     return Ok(Cow::Owned(text));
                 }
                 b'\\' => {
                     let character = self.read_escape()?;
                     text.extend_from_slice(character.encode_utf8(&mut [0; 4]).as_bytes());
                 }
-                0..0x20 => return Err("invalid JSON: a string has a control character"),
+                0..0x20 => return Err("a control character in a string"),
                 _ => text.push(byte),
             }
         }
@@ -123,7 +118,7 @@
 
     /// Reads an escape sequence after its backslash.
     fn read_escape(&mut self) -> Parsed<char> {
-        let byte = *self.bytes.get(self.position).ok_or("invalid JSON: a string is not terminated")?;
+        let byte = *self.bytes.get(self.position).ok_or("a string does not end")?;
         self.position += 1;
         Ok(match byte {
             b'"' | b'\\' | b'/' => char::from(byte),
@@ -147,23 +142,17 @@
                 } else {
                     high
                 };
-                char::from_u32(code).ok_or("invalid JSON: a string has half of a surrogate pair")?
+                char::from_u32(code).ok_or("half a surrogate pair in a string")?
             }
-            _ => return Err("invalid JSON: a string has an unknown escape sequence"),
+            _ => return Err("an unknown escape in a string"),
         })
     }
 
     fn read_four_hex_digits(&mut self) -> Parsed<u32> {
-        let digits = self
-            .bytes
-            .get(self.position..self.position + 4)
-            .ok_or("invalid JSON: a string is not terminated")?;
+        let digits = self.bytes.get(self.position..self.position + 4).ok_or("a string does not end")?;
         self.position += 4;
         digits.iter().try_fold(0, |code, &d| {
-            char::from(d)
-                .to_digit(16)
-                .map(|d| code * 16 + d)
-                .ok_or("invalid JSON: a \\u escape has no four hex digits")
+            char::from(d).to_digit(16).map(|d| code * 16 + d).ok_or("an escape without four hex digits")
         })
     }
 
@@ -178,17 +167,17 @@
         let is_digit = |b: Option<&u8>| b.is_some_and(u8::is_ascii_digit);
         let (first, unsigned) = (text.as_bytes().first(), text.trim_start_matches('-'));
         if !(is_digit(first) || first == Some(&b'-')) || !is_digit(unsigned.as_bytes().first()) {
-            return Err("a JSON value is not a number");
+            return Err("expected a number");
         }
-        let value: f64 = text.parse().map_err(|_| "a JSON value is not a number")?;
-        if value.is_finite() { Ok(value) } else { Err("a JSON number is too large for a 64-bit float") }
+        let value: f64 = text.parse().map_err(|_| "expected a number")?;
+        if value.is_finite() { Ok(value) } else { Err("a number is too large") }
     }
 
     /// Reads an integer from 0 to 2^53, the largest range in which every integer is exact as an `f64`.
     pub fn read_integer(&mut self) -> Parsed<u64> {
         let value = self.read_number()?;
         if value < 0.0 || value.fract() != 0.0 || value > 9_007_199_254_740_992.0 {
-            return Err("a JSON value is not a whole number from 0 to 2^53");
+            return Err("expected a whole number");
         }
         Ok(value as u64)
     }
@@ -206,7 +195,7 @@
         if self.consume_literal("true") {
             return Ok(true);
         }
-        if self.consume_literal("false") { Ok(false) } else { Err("a JSON value is not true or false") }
+        if self.consume_literal("false") { Ok(false) } else { Err("expected true or false") }
     }
 
     /// Skips a value of any type.
@@ -235,10 +224,6 @@
 
     /// Fails if anything but whitespace follows the last value that was read.
     pub fn expect_end(&mut self) -> Parsed<()> {
-        if self.peek().is_none() {
-            Ok(())
-        } else {
-            Err("invalid JSON: there are bytes after the end of the value")
-        }
+        if self.peek().is_none() { Ok(()) } else { Err("something follows the end") }
     }
 }
--- a/crates/router/src/wire/query.rs
+++ b/crates/router/src/wire/query.rs
@@ -30,7 +30,7 @@
     let (mut json, mut text) = (JsonReader::new(body), None);
     let (mut has_targets, mut weight_sum) = (false, 0.0);
     json.read_object(|json, key| match key {
-        "targets" if has_targets => Err("`targets` is given twice"),
+        "targets" if has_targets => Err("`targets` stands twice"),
         "targets" => {
             has_targets = true;
             json.read_array(|json| {
@@ -50,7 +50,7 @@
         return Err("`targets` is missing");
     }
     if (weight_sum - 1.0f64).abs() > WEIGHT_SUM_TOLERANCE {
-        return Err("the `share` values of the targets do not add up to 1");
+        return Err("the shares do not add up to 1");
     }
     text.ok_or("`query` is missing")
 }
