--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,9 +1,9 @@
 //! The machine's limit: a bare relay between the same clients and data nodes. It parses what a query router must parse,
 //! sends each part to the next data node in a fixed order and answers when all are in. It decides, checks, times and
 //! repeats nothing, so what a router reaches beside it shows what its work costs.
-use alderway_router::wire::buffer::Buffer;
-use alderway_router::wire::http::Messages;
-use alderway_router::wire::{answer, frames, query};
+use alderway_router::wire::buffer::ReadBuffer;
+use alderway_router::wire::http::MessageReader;
+use alderway_router::wire::{frames, query, response};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener as Listener};
@@ -79,7 +79,7 @@
 async fn carry(node: SocketAddr, trunk: Rc<Trunk>, parts: Parts) {
     let Ok(mut stream) = TcpStream::connect(node).await else { return };
     let _ = stream.set_nodelay(true);
-    let mut buffer = Buffer::new(1 << 20);
+    let mut buffer = ReadBuffer::new(1 << 20);
     loop {
         let out = trunk.out.take();
         if !out.is_empty() && stream.write_all(&out).await.is_err() {
@@ -89,13 +89,13 @@
             ready = stream.readable() => if ready.is_err() { return },
             () = trunk.wake.notified() => continue,
         }
-        match stream.try_read(buffer.space()) {
+        match stream.try_read(buffer.unfilled()) {
             Ok(0) => return,
-            Ok(count) => buffer.filled(count),
+            Ok(count) => buffer.add_filled(count),
             Err(_) => continue,
         }
-        while let Ok(Some((_, rest, used))) = frames::next(buffer.data()) {
-            if let Ok((id, _, _, value)) = frames::reply(rest)
+        while let Ok(Some((_, rest, used))) = frames::read_frame(buffer.data()) {
+            if let Ok((id, _, _, value)) = frames::parse_reply(rest)
                 && let Some((open, at)) = parts.borrow_mut().remove(id)
             {
                 open.values.borrow_mut()[at].1 = Some(value.to_string());
@@ -103,23 +103,23 @@
                     open.done.notify_one();
                 }
             }
-            buffer.used(used);
+            buffer.consume(used);
         }
     }
 }
 
 async fn client(mut stream: TcpStream, trunks: Rc<Vec<Rc<Trunk>>>, parts: Parts, turn: Rc<RefCell<usize>>) {
-    let (mut buffer, mut messages) = (Buffer::new(1 << 17), Messages::default());
+    let (mut buffer, mut messages) = (ReadBuffer::new(1 << 17), MessageReader::default());
     loop {
-        match messages.find(&mut buffer) {
+        match messages.find_message(&mut buffer) {
             Ok(true) => {}
             Ok(false) => {
                 if stream.readable().await.is_err() {
                     return;
                 }
-                match stream.try_read(buffer.space()) {
+                match stream.try_read(buffer.unfilled()) {
                     Ok(0) => return,
-                    Ok(count) => buffer.filled(count),
+                    Ok(count) => buffer.add_filled(count),
                     Err(_) => {}
                 }
                 continue;
@@ -131,7 +131,7 @@
             let (head, body) = messages.message(&buffer);
             let id = head.field("X-Correlation-Id").ok().flatten().unwrap_or_default().to_string();
             let mut asked = vec![];
-            let text = query::read(body, |shard, _| {
+            let text = query::read_query_by_shards(body, |shard, _| {
                 asked.push(shard);
                 Ok(())
             });
@@ -142,7 +142,7 @@
                 let mut turn = turn.borrow_mut();
                 *turn = (*turn + 1) % trunks.len();
                 let trunk = &trunks[*turn];
-                frames::call(
+                frames::write_attempts_frame(
                     &mut trunk.out.borrow_mut(),
                     std::iter::once((part.as_str(), shard, 1000, &*text, None)),
                 );
@@ -150,11 +150,16 @@
                 trunk.wake.notify_one();
             }
         }
-        messages.done(&mut buffer);
+        messages.consume_message(&mut buffer);
         open.done.notified().await;
         let mut out = vec![];
         let values = open.values.take();
-        answer::merged(&mut out, true, values.iter().filter_map(|v| Some((v.0, v.1.as_deref()?))), false);
+        response::write_results(
+            &mut out,
+            true,
+            values.iter().filter_map(|v| Some((v.0, v.1.as_deref()?))),
+            false,
+        );
         if stream.write_all(&out).await.is_err() {
             return;
         }
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -284,7 +284,7 @@
         LinkContext::log_changes(context.gossip.borrow_mut().view.tick(now));
         let counts = context.gossip.borrow_mut().view.take_query_counts();
         if let Some((late, in_time)) = counts {
-            context.dispatcher.borrow_mut().remote_fleet_counts(late, in_time);
+            context.dispatcher.borrow_mut().receive_fleet_latency_counts(late, in_time);
         }
     }
 }
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -5,12 +5,12 @@
 use crate::state::DispatcherHandle;
 use crate::state::clients::{ClientConnection, CloseRequest};
 use crate::state::descriptors::DescriptorPermit;
-use crate::state::dispatcher::Handover;
+use crate::state::dispatcher::ClientHandover;
 use crate::state::shared::{CoreCommand, TransferredConnection};
 use crate::state::shutdown_phase::ShutdownPhase;
-use crate::wire::answer;
-use crate::wire::buffer::Buffer;
-use crate::wire::http::{MESSAGE, Messages, Refusal};
+use crate::wire::buffer::ReadBuffer;
+use crate::wire::http::{HttpError, MAX_MESSAGE_BYTES, MessageReader};
+use crate::wire::response;
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
 use std::future::ready;
@@ -132,7 +132,7 @@
     let Some(query) = client.open_query.get() else { return };
     let mut dispatcher = dispatcher.borrow_mut();
     if reason != CloseReason::ClientLeft {
-        dispatcher.check_closed_connection(query);
+        dispatcher.report_unanswered_close(query);
     }
     dispatcher.client_disconnected(query);
 }
@@ -143,7 +143,7 @@
     if stream.shutdown().await.is_err() {
         return;
     }
-    let (mut discarded, mut left_bytes) = ([0; DISCARD_BYTES], MESSAGE);
+    let (mut discarded, mut left_bytes) = ([0; DISCARD_BYTES], MAX_MESSAGE_BYTES);
     let discard = async {
         while left_bytes > 0 && stream.readable().await.is_ok() {
             match alderway_sockets::read(stream, &mut discarded) {
@@ -184,8 +184,8 @@
     client: &'a Rc<ClientConnection>,
     stream: &'a TcpStream,
     clock: Clock,
-    buffer: Buffer,
-    messages: Messages,
+    buffer: ReadBuffer,
+    messages: MessageReader,
     sender: Sender,
     /// Bytes of the present answer that are out.
     written_bytes: usize,
@@ -220,8 +220,8 @@
             client,
             stream,
             clock,
-            buffer: Buffer::new(MESSAGE),
-            messages: Messages::default(),
+            buffer: ReadBuffer::new(MAX_MESSAGE_BYTES),
+            messages: MessageReader::default(),
             sender: Sender::default(),
             written_bytes: 0,
             is_unreadable: false,
@@ -250,7 +250,7 @@
             }
             let now = clock.now();
             let waiting = self.waiting(now);
-            let has_room = !self.buffer.space().is_empty();
+            let has_room = !self.buffer.unfilled().is_empty();
             let is_overdue = waiting.deadline <= now && !waiting.is_half_sent;
             let should_close = waiting.is_idle && (client.should_close() || is_overdue);
             tokio::select! {
@@ -288,7 +288,7 @@
     /// Whether the client of half a request is owed an answer, as the program or its core ends before the rest can come.
     /// Guards against a rest that comes in the last moment, with nobody to read it.
     fn must_reject_half_sent(&self) -> bool {
-        self.client.is_half_sent.get() && self.client.close_request.get() == CloseRequest::AtProgramEnd
+        self.client.has_partial_request.get() && self.client.close_request.get() == CloseRequest::AtShutdown
     }
 
     fn closed_while_idle(&self) -> CloseReason {
@@ -298,7 +298,7 @@
     /// Takes the requests that have come, one at a time: the next waits unread until the answer is out.
     fn take_requests(&mut self) {
         while !self.is_unreadable && self.client.open_query.get().is_none() && !self.has_output() {
-            match self.messages.find(&mut self.buffer) {
+            match self.messages.find_message(&mut self.buffer) {
                 Ok(true) => self.take_request(),
                 Ok(false) => {
                     self.send_continue_if_awaited();
@@ -315,33 +315,33 @@
 
     /// Whether bytes wait to be written, those of a response that has just come among them.
     fn has_output(&self) -> bool {
-        answer::encode_pending(self.client);
+        response::encode_pending(self.client);
         !self.client.output.borrow().is_empty()
     }
 
     fn take_request(&mut self) {
         let (head, body) = self.messages.message(&self.buffer);
-        let has_bytes_behind = self.buffer.data().len() > self.messages.end();
-        self.client.has_bytes_behind.set(has_bytes_behind);
+        let has_bytes_behind = self.buffer.data().len() > self.messages.message_end();
+        self.client.has_pipelined_bytes.set(has_bytes_behind);
         requests::take(self.dispatcher, self.client, head, body, self.read_at);
-        self.messages.done(&mut self.buffer);
+        self.messages.consume_message(&mut self.buffer);
         self.client.has_sent_request.set(true);
         self.has_sent_continue = false;
     }
 
     fn send_continue_if_awaited(&mut self) {
-        if !self.has_sent_continue && self.messages.awaits_go_ahead(&self.buffer) {
+        if !self.has_sent_continue && self.messages.expects_continue(&self.buffer) {
             self.has_sent_continue = true;
             self.client.output.borrow_mut().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
     }
 
     /// Writes the last answer on this connection, as nothing more can be made out on it.
-    fn reject_unreadable(&mut self, counter: &str, refusal: Refusal) {
+    fn reject_unreadable(&mut self, counter: &str, refusal: HttpError) {
         self.dispatcher.borrow_mut().counters.increment(counter);
-        answer::unreadable(&mut self.client.output.borrow_mut(), refusal);
+        response::write_http_error(&mut self.client.output.borrow_mut(), refusal);
         self.is_unreadable = true;
-        self.client.close_after_answer.set(true);
+        self.client.close_after_response.set(true);
     }
 
     /// Writes what the socket takes of the answer, if there is one.
@@ -366,7 +366,7 @@
         }
         output.clear();
         self.written_bytes = 0;
-        if self.client.close_after_answer.get() && self.client.open_query.get().is_none() {
+        if self.client.close_after_response.get() && self.client.open_query.get().is_none() {
             return ControlFlow::Break(CloseReason::AfterAnswer);
         }
         ControlFlow::Continue(Progress::Complete)
@@ -376,8 +376,8 @@
     /// more than is kept and goes, whose end stands behind it: past a full buffer what comes is read and dropped.
     fn read(&mut self) -> bool {
         let mut discarded = [0; DISCARD_BYTES];
-        self.has_overrun |= self.buffer.space().is_empty();
-        let space = if self.has_overrun { &mut discarded[..] } else { self.buffer.space() };
+        self.has_overrun |= self.buffer.unfilled().is_empty();
+        let space = if self.has_overrun { &mut discarded[..] } else { self.buffer.unfilled() };
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.stall_detector.check(self.clock.now());
         let estimator = &mut dispatcher.arrival_times;
@@ -385,8 +385,8 @@
             Ok(Some((0, _))) | Err(_) => return false,
             Ok(Some((count, at))) => {
                 if !self.has_overrun {
-                    self.client.has_bytes_behind.set(self.client.open_query.get().is_some());
-                    self.buffer.filled(count);
+                    self.client.has_pipelined_bytes.set(self.client.open_query.get().is_some());
+                    self.buffer.add_filled(count);
                     self.read_at = at;
                 }
                 dispatcher.counters.add("bytes_from_clients", count);
@@ -412,8 +412,9 @@
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
-        let Handover { to, connections } = dispatcher.handover.filter(|handover| handover.connections > 0)?;
-        dispatcher.handover = Some(Handover { to, connections: connections - 1 });
+        let ClientHandover { to, connections } =
+            dispatcher.handover.filter(|handover| handover.connections > 0)?;
+        dispatcher.handover = Some(ClientHandover { to, connections: connections - 1 });
         Some(to)
     }
 
@@ -428,7 +429,7 @@
         times.half_sent_since = since(times.half_sent_since, is_half_sent, now);
         times.write_stalled_since = since(times.write_stalled_since, is_writing, now);
         self.client.idle_since.set(times.idle_since);
-        self.client.is_half_sent.set(is_half_sent);
+        self.client.has_partial_request.set(is_half_sent);
         Waiting { has_open_query, is_writing, is_half_sent, is_idle, deadline: self.deadline() }
     }
 
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -7,7 +7,7 @@
 use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
-use crate::state::dispatcher::{Dispatcher, Handover};
+use crate::state::dispatcher::{ClientHandover, Dispatcher};
 use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use crate::state::shard_map::{ShardMapConfig, ShardMapView};
 use crate::state::shared::{CoreCommand, ObservationMessage, SharedState};
@@ -239,7 +239,7 @@
             }
             _ = beats.tick() => {
                 let mut held = dispatcher.borrow_mut();
-                held.recheck_fence();
+                held.resume_held_attempts();
                 let now = slot.clock.now();
                 let Dispatcher { observations: board, endpoints, .. } = &mut *held;
                 board.sweep(now, |node| endpoints.nodes.contains_key(node));
@@ -288,26 +288,26 @@
 fn adopt(dispatcher: &DispatcherHandle, told: &EndpointSnapshot) {
     let mut dispatcher = dispatcher.borrow_mut();
     if told.number > dispatcher.endpoints_generation {
-        dispatcher.endpoints.adopt(&told.entries);
+        dispatcher.endpoints.replace_from_core(&told.entries);
         dispatcher.endpoints_generation = told.number;
         dispatcher.endpoints_changed();
         let now = dispatcher.clock.now();
         if let (Some(shard_map), Some(layout)) = (&mut dispatcher.shard_map, &told.layout) {
-            match shard_map.adopt(layout, now) {
+            match shard_map.replace_from_core(layout, now) {
                 Ok(shards) if !shards.is_empty() => dispatcher.shard_map_changed(&shards),
                 Ok(_) => {}
                 Err(why) => tracing::error!(target: "layout", "not taken over from the lead: {why}"),
             }
         }
-        dispatcher.recheck_fence();
+        dispatcher.resume_held_attempts();
     }
 }
 
 fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
     match order {
         CoreCommand::Serve(connection) => acceptor::take_over(dispatcher, connection),
-        CoreCommand::GiveAway { to, connections } => {
-            dispatcher.borrow_mut().handover = Some(Handover { to, connections })
+        CoreCommand::HandOver { to, connections } => {
+            dispatcher.borrow_mut().handover = Some(ClientHandover { to, connections })
         }
         CoreCommand::CloseLongestIdle => dispatcher.make_room(),
     }
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -141,7 +141,7 @@
                 loads[from].utilization,
                 loads[to].utilization
             );
-            let _ = self.shared.send_command(from, CoreCommand::GiveAway { to, connections });
+            let _ = self.shared.send_command(from, CoreCommand::HandOver { to, connections });
         }
     }
 }
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -4,9 +4,9 @@
 use crate::state::dispatcher::Dispatcher;
 use crate::state::endpoints::EndpointTable;
 use crate::state::watch_state::{WatchPhase, WatchState};
-use crate::wire::buffer::Buffer;
-use crate::wire::discovery::{self, Watch, Word};
-use crate::wire::layout;
+use crate::wire::buffer::ReadBuffer;
+use crate::wire::discovery::{self, WatchEvent, WatchReader};
+use crate::wire::shard_map;
 use alderway_layouts::history::LayoutUpdate;
 use alderway_layouts::layout::LayoutError;
 use alderway_sockets::Sender;
@@ -137,7 +137,7 @@
             why = watch(&list, address, &mut state, &mut whole, &mut heard) => why,
             Ok(()) = agent.changed() => {
                 list.borrow_mut().moved();
-                state.phase = WatchPhase::Waiting { until: clock.now() };
+                state.phase = WatchPhase::Waiting { opens_at_s: clock.now() };
                 continue;
             }
         };
@@ -173,9 +173,9 @@
     let _ = stream.set_nodelay(true);
     let leads = list.borrow().leads();
     let mut out = Vec::new();
-    discovery::follow(&mut out, &address.to_string(), since, layout);
+    discovery::write_watch_request(&mut out, &address.to_string(), since, layout);
     let (mut sender, mut written) = (Sender::default(), 0);
-    let (mut buffer, mut watch) = (Buffer::new(discovery::LONGEST), Watch::default());
+    let (mut buffer, mut watch) = (ReadBuffer::new(discovery::MAX_OBJECT_BYTES), WatchReader::default());
     loop {
         if written < out.len() {
             match sender.write(&stream, &out[written..]) {
@@ -197,25 +197,25 @@
                 continue;
             }
         }
-        match alderway_sockets::read(&stream, buffer.space()) {
+        match alderway_sockets::read(&stream, buffer.unfilled()) {
             Ok(Some(0)) => return "it ended".into(),
-            Ok(Some(count)) => buffer.filled(count),
+            Ok(Some(count)) => buffer.add_filled(count),
             Ok(None) => continue,
             Err(why) => return format!("not read ({why})"),
         }
         loop {
-            match watch.word(&mut buffer) {
+            match watch.next_event(&mut buffer) {
                 Err(why) => return why.into(),
                 Ok(None) => break,
                 Ok(Some(word)) => {
                     let now = clock.now();
-                    if word == Word::Head {
+                    if word == WatchEvent::ResponseHead {
                         state.response_started();
                         continue;
                     }
                     state.update_received(now);
                     list.borrow_mut().quiet(now - std::mem::replace(heard, now));
-                    if let Word::Object(end) = word
+                    if let WatchEvent::Object(end) = word
                         && let Err(why) = take(list, &buffer.data()[..end], whole)
                     {
                         return why.into();
@@ -233,7 +233,7 @@
 
 /// One object of the watch: a list or a change.
 fn take(list: &SharedFollower, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
-    let (index, whole) = discovery::version(line)?;
+    let (index, whole) = discovery::read_version(line)?;
     let mut list = list.borrow_mut();
     let (clock, endpoints) = (list.clock(), list.endpoints());
     let now = clock.now();
@@ -244,11 +244,11 @@
     }
     endpoints.begin_update(index, whole);
     let (mut entries, mut unusable, mut wrong) = (0, 0, None);
-    discovery::entries(line, |name, told| match told {
+    discovery::read_entries(line, |name, told| match told {
         Ok(node) => {
             entries += 1;
-            let started = clock.from_unix_ms(node.since);
-            endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
+            let started = clock.from_unix_ms(node.started_at_unix_ms);
+            endpoints.update_from_discovery(name, node.address, node.replica_group, node.state, started, now);
         }
         Err((state, why)) => {
             unusable += 1;
@@ -259,7 +259,7 @@
     if let Some(first) = wrong {
         tracing::warn!(target: "roster", "list {index}: {unusable} entries cannot be used, first {first}");
     }
-    let told = if list.layout_since().is_some() { layout::news(line) } else { Ok(None) };
+    let told = if list.layout_since().is_some() { shard_map::read_update(line) } else { Ok(None) };
     let (mut refused, held) = (None, list.layout_since());
     match told {
         Ok(Some(news)) => {
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -3,11 +3,11 @@
 use super::{arrival, rounds, until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
-use crate::state::node_connection::Dial;
+use crate::state::node_connection::DialRequest;
 use crate::state::node_connection::NodeConnection;
 use crate::state::node_protocol::NodeReply;
-use crate::wire::buffer::Buffer;
-use crate::wire::{Fault, frames};
+use crate::wire::buffer::ReadBuffer;
+use crate::wire::{ParseError, frames};
 use alderway::interface::AttemptOutcome;
 use alderway_sockets::Sender;
 use alderway_telemetry::clock::Clock;
@@ -65,19 +65,19 @@
 /// A frame that cannot be used, and the shard request that it names, if that could be read.
 #[derive(Debug)]
 struct CorruptedFrame {
-    problem: Fault,
+    problem: ParseError,
     shard_request: Option<String>,
 }
 
 impl CorruptedFrame {
-    fn unnamed(problem: Fault) -> Self {
+    fn unnamed(problem: ParseError) -> Self {
         CorruptedFrame { problem, shard_request: None }
     }
 }
 
 /// Dials a data node, serves the connection until it ends, and gives everything back.
-pub async fn run(dispatcher: DispatcherHandle, dial: Dial, descriptors: Arc<DescriptorPool>) {
-    let Dial { node, connection, address } = dial;
+pub async fn run(dispatcher: DispatcherHandle, dial: DialRequest, descriptors: Arc<DescriptorPool>) {
+    let DialRequest { node, connection, address } = dial;
     let dial_timeout = Duration::from_secs_f64(dispatcher.borrow().connection_config.dial_timeout_s);
     let is_short_of_resources = Cell::new(false);
     let dialled = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
@@ -154,7 +154,7 @@
     idle_timeout_s: f64,
     /// An answer that has begun to come has to be complete within so many seconds.
     answer_timeout_s: f64,
-    incoming: Buffer,
+    incoming: ReadBuffer,
     outgoing: Outgoing,
     /// By when the present frame has to get further; infinite where none is blocked.
     write_by: f64,
@@ -195,7 +195,7 @@
         let mut state = dispatcher.borrow_mut();
         let (clock, config) = (state.clock, state.connection_config);
         let node_connection = state.endpoints.connection(node, connection)?;
-        node_connection.is_up = true;
+        node_connection.is_open = true;
         let wake = node_connection.wake.clone();
         // Idle connections close a dial's length before the node's machine would.
         let idle_timeout_s = (config.idle_timeout_s - config.dial_timeout_s).max(0.5 * config.idle_timeout_s);
@@ -208,7 +208,7 @@
             wake,
             idle_timeout_s,
             answer_timeout_s: config.dial_timeout_s,
-            incoming: Buffer::new(frames::LONGEST + LENGTH_BYTES),
+            incoming: ReadBuffer::new(frames::MAX_FRAME_BYTES + LENGTH_BYTES),
             outgoing: Outgoing::default(),
             write_by: f64::INFINITY,
             read_by: f64::INFINITY,
@@ -281,7 +281,7 @@
     /// Guards against an attempt written to a connection that its node has closed as idle, which would count as one that
     /// may have run.
     fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
-        let is_reuse = self.with_state(|state| state.is_reuse_after_idle()).unwrap_or(false);
+        let is_reuse = self.with_state(|state| state.will_reuse_after_idle()).unwrap_or(false);
         if is_reuse && arrival::ended(self.stream) {
             self.dispatcher.borrow_mut().requeue_unsent(self.node, self.connection);
             return Err(CloseReason::EndedWhileIdle);
@@ -329,7 +329,7 @@
             frame.clear();
             *written_bytes = 0;
         }
-        dispatcher.next_frame(self.node, self.connection, frame)
+        dispatcher.encode_next_frame(self.node, self.connection, frame)
     }
 
     /// Writes what the socket takes of the present frame: how many bytes.
@@ -348,7 +348,7 @@
             return Ok(0);
         }
         if is_start {
-            dispatcher.check_frame_started(node, connection);
+            dispatcher.check_started_attempts(node, connection);
         }
         *written_bytes += count;
         *total_bytes += count as u64;
@@ -373,21 +373,21 @@
     /// Reads once what has come and says how many frames that made. Whoever has more to say waits for its next turn, so
     /// that no data node can keep the core to itself.
     fn read(&mut self) -> Result<usize, CloseReason> {
-        match alderway_sockets::read(self.stream, self.incoming.space()) {
+        match alderway_sockets::read(self.stream, self.incoming.unfilled()) {
             Ok(Some(0)) | Err(_) => return Err(CloseReason::EndedByNode),
             Ok(Some(count)) => {
-                self.incoming.filled(count);
+                self.incoming.add_filled(count);
                 self.dispatcher.borrow_mut().counters.add("bytes_from_nodes", count);
             }
             Ok(None) => return Ok(0),
         }
         let mut frames_read = 0;
         loop {
-            let next = frames::next(self.incoming.data());
+            let next = frames::read_frame(self.incoming.data());
             let next = next.map_err(|problem| CloseReason::Corrupted(CorruptedFrame::unnamed(problem)))?;
             let Some((letter, body, used_bytes)) = next else { return Ok(frames_read) };
             self.receive(letter, body)?;
-            self.incoming.used(used_bytes);
+            self.incoming.consume(used_bytes);
             frames_read += 1;
         }
     }
@@ -406,7 +406,8 @@
     }
 
     fn receive_reply(&self, body: &[u8]) -> Result<(), CorruptedFrame> {
-        let (shard_request, word, report, value) = frames::reply(body).map_err(CorruptedFrame::unnamed)?;
+        let (shard_request, word, report, value) =
+            frames::parse_reply(body).map_err(CorruptedFrame::unnamed)?;
         let outcome = match word {
             "done" => AttemptOutcome::Success,
             "failed" => AttemptOutcome::Error,
@@ -417,7 +418,7 @@
             }
         };
         let mut dispatcher = self.dispatcher.borrow_mut();
-        let report = frames::shard_report(report);
+        let report = frames::parse_shard_report(report);
         let reply = NodeReply { request_id: shard_request, outcome, report, value };
         if !dispatcher.reply_received(self.node, self.connection, &reply) {
             return Err(CorruptedFrame::unnamed("a reply for a part not asked for"));
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -4,34 +4,40 @@
 use crate::state::queries::{Query, QueryError, ShardRequest};
 use crate::state::response::AnswerCoverage;
 use crate::state::shard_map::{QueryTarget, ShardMapView};
-use crate::wire::frames::LONGEST_ID;
-use crate::wire::http::{Head, Refusal};
-use crate::wire::{answer, query};
+use crate::wire::frames::MAX_QUERY_ID_BYTES;
+use crate::wire::http::{Head, HttpError};
+use crate::wire::{query, response};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 /// Takes a whole request whose last byte came at `at`; it is answered now, or it is an open query then.
 pub fn take(dispatcher: &DispatcherHandle, client: &Rc<ClientConnection>, head: Head, body: &[u8], at: f64) {
     // The answers here have a body, which an answer to HEAD must not: no further message could be told apart.
-    let closes = head.closes() || head.first().starts_with("HEAD ");
+    let closes = head.closes_connection() || head.first_line().starts_with("HEAD ");
     client
-        .close_after_answer
-        .set(client.close_after_answer.get() || closes || dispatcher.borrow().closes_connection(client));
-    let mut words = head.first().split(' ');
+        .close_after_response
+        .set(client.close_after_response.get() || closes || dispatcher.borrow().closes_for_shutdown(client));
+    let mut words = head.first_line().split(' ');
     let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
     let plain = |status, text: &str| {
-        answer::plain(&mut client.output.borrow_mut(), status, text, None, client.close_after_answer.get());
+        response::write_text(
+            &mut client.output.borrow_mut(),
+            status,
+            text,
+            None,
+            client.close_after_response.get(),
+        );
     };
     if !words.next().unwrap_or_default().starts_with("HTTP/1.") || words.next().is_some() {
-        client.close_after_answer.set(true);
+        client.close_after_response.set(true);
         return plain(505, "expected METHOD PATH HTTP/1.1");
     }
     #[cfg(feature = "faults")]
     if let Ok(Some(fault)) = head.field("X-Fault") {
         let mut dispatcher = dispatcher.borrow_mut();
         match &mut dispatcher.shard_map {
-            Some(shard_map) if fault == "count-by-answers" => shard_map.by_answers = true,
+            Some(shard_map) if fault == "count-by-answers" => shard_map.counts_all_answers = true,
             _ => dispatcher.injected_fault = Some(fault.to_string()),
         }
     }
@@ -58,10 +64,10 @@
     head: Head,
     body: &[u8],
     at: f64,
-) -> Result<(), Refusal> {
+) -> Result<(), HttpError> {
     let field = |name, lacking| head.field(name)?.filter(|v| !v.is_empty()).ok_or((400, lacking));
     let id = field("X-Correlation-Id", "X-Correlation-Id is missing")?;
-    if id.len() > LONGEST_ID || !id.bytes().all(|b| b.is_ascii_graphic()) {
+    if id.len() > MAX_QUERY_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
         return Err((400, "X-Correlation-Id is not a short word"));
     }
     let class = field("X-Service-Class", "X-Service-Class is missing")?;
@@ -70,7 +76,7 @@
     let left =
         left.parse::<u32>().ok().filter(|_| digits).ok_or((400, "X-Time-Left-Ms is not a whole number"))?;
     let mut dispatcher = dispatcher.borrow_mut();
-    dispatcher.refresh_config();
+    dispatcher.apply_newest_config();
     let class = dispatcher.class_slot(class).ok_or((400, "an unknown vertical"))?;
     if dispatcher.queries.is_open(id) {
         return Err(refusal(QueryError::IdInUse));
@@ -98,9 +104,9 @@
     shard_map: &ShardMapView,
     query_id: &str,
     body: &[u8],
-) -> Result<ShardRequests, Refusal> {
+) -> Result<ShardRequests, HttpError> {
     let mut targets = Vec::new();
-    let text = query::targets(body, true, |shard, keys, weight| {
+    let text = query::read_query(body, true, |shard, keys, weight| {
         targets.push(QueryTarget { shard, keys, weight });
         Ok(())
     });
@@ -112,9 +118,9 @@
     Ok(ShardRequests { text, requests, coverage: Some(coverage) })
 }
 
-fn requests_by_ring(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, Refusal> {
+fn requests_by_ring(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, HttpError> {
     let (mut requests, mut asked) = (Vec::new(), BTreeSet::new());
-    let text = query::read(body, |shard, weight| {
+    let text = query::read_query_by_shards(body, |shard, weight| {
         if shard >= shard_count {
             return Err("`partition` is no shard here");
         }
@@ -129,7 +135,7 @@
 }
 
 /// Status and text for a query that cannot be opened.
-pub fn refusal(error: QueryError) -> Refusal {
+pub fn refusal(error: QueryError) -> HttpError {
     match error {
         QueryError::IdInUse => (400, "a query with this X-Correlation-Id is open"),
         QueryError::NoShardMap => (503, "no layout is known yet"),
--- a/crates/router/src/state/arrival_time.rs
+++ b/crates/router/src/state/arrival_time.rs
@@ -1,33 +1,37 @@
-//! When bytes arrived, from the system's timestamps and without trusting the wall clock.
+//! Estimates when bytes arrived at the kernel, in seconds of the monotonic clock, from the wall-clock timestamps that
+//! the kernel gives to received bytes.
 //!
-//! The system stamps bytes by its wall clock, which may step at any time. Timestamps are therefore compared with each
-//! other alone: a timestamp is never later than the moment at which its bytes are read, and most bytes are read at once,
-//! so the largest difference between a timestamp and the time of its reading is the offset of the wall clock to the
-//! monotonic clock.
+//! The wall clock may step at any time, so only differences of recent timestamps are used. The kernel timestamps bytes
+//! before they are read, and most bytes are read immediately. The largest recent value of (timestamp minus monotonic
+//! time of the read) is therefore the offset of the wall clock from the monotonic clock.
 
-/// Offsets kept. After a step back of the wall clock a request may seem older than it is until as many have been read.
+/// Number of recent offsets that are kept. After the wall clock steps back, arrival times may be too early until this
+/// many new offsets have replaced the old ones.
 const MAX_OFFSETS: usize = 64;
-/// What a timestamp may be off by because of rounding.
+/// Largest rounding error of a timestamp, in seconds.
 const ROUNDING_S: f64 = 0.001;
 
-/// Estimates arrival times from the timestamps of one thread's connections.
+/// Estimates arrival times for all client connections of one thread.
 #[derive(Debug)]
 pub struct ArrivalEstimator {
-    /// Timestamps less the times at which their bytes were read, as a ring.
+    /// Ring buffer of the last `MAX_OFFSETS` offsets: the wall-clock timestamp of received bytes minus the monotonic
+    /// time at which those bytes were read.
     offsets_s: Vec<f64>,
+    /// Index in `offsets_s` that is overwritten next.
     next: usize,
 }
 
 impl ArrivalEstimator {
-    /// Begins with what the wall clock shows, which may be wrong.
+    /// Starts with one offset, from the current times of the monotonic clock (`now`) and the wall clock (`unix_now`).
     pub fn new(now: f64, unix_now: f64) -> Self {
         ArrivalEstimator { offsets_s: vec![unix_now - now], next: 0 }
     }
 
-    /// When bytes arrived that are read now, in seconds of the monotonic clock: not before `since`, when nothing of the
-    /// connection was unread.
-    pub fn arrival_time(&mut self, now: f64, since: f64, timestamp: f64) -> f64 {
-        let offset = timestamp - now;
+    /// Estimates when bytes arrived that are read at `read_at_s` and have the kernel timestamp `unix_timestamp_s`. The
+    /// result is in seconds of the monotonic clock and not before `not_before_s`, when the connection had no unread
+    /// bytes.
+    pub fn estimate_arrival_s(&mut self, read_at_s: f64, not_before_s: f64, unix_timestamp_s: f64) -> f64 {
+        let offset = unix_timestamp_s - read_at_s;
         if self.offsets_s.len() < MAX_OFFSETS {
             self.offsets_s.push(offset);
         } else {
@@ -35,13 +39,14 @@
         }
         self.next = (self.next + 1) % MAX_OFFSETS;
         let largest = self.offsets_s.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        let arrived_at = timestamp - largest;
-        if arrived_at >= since - ROUNDING_S {
-            return arrived_at.min(now);
+        let arrived_at = unix_timestamp_s - largest;
+        if arrived_at >= not_before_s - ROUNDING_S {
+            return arrived_at.min(read_at_s);
         }
-        // The wall clock has stepped back, or what was kept was wrong from the start.
+        // The estimate is too early, so the wall clock has stepped back or the first offset was wrong: restart with
+        // this offset.
         self.offsets_s = vec![offset];
         self.next = 0;
-        now
+        read_at_s
     }
 }
--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -1,13 +1,15 @@
-//! Attempts from the policy's decision to their outcome. Each ends exactly once.
+//! Attempts, from the policy's decision to start them to their outcome. Each attempt ends exactly once. When a shard
+//! request is split, the new requests (its parts) share the attempts that the split request has in flight.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
-use crate::state::node_connection::{AttemptPosition, Dial, OutboundFrame};
+use crate::state::node_connection::{DialRequest, OutboundFrame, SendProgress};
 use alderway::interface::{AttemptOutcome, NodeState, PolicyInput};
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Starts the next attempt of a shard request; it goes out when the round ends.
-    pub(super) fn start_attempt_at(&mut self, request_id: &str, node: &str, timeout_s: f64) {
+    /// Starts an attempt of a shard request on data node `node`. `flush_attempts` puts it into a frame after the policy
+    /// has run.
+    pub(super) fn start_attempt_on_node(&mut self, request_id: &str, node: &str, timeout_s: f64) {
         let is_hedge = self.has_attempt_in_flight(request_id);
         let now = self.clock.now();
         let Some(request) = self.queries.request_mut(request_id) else {
@@ -22,13 +24,14 @@
         });
         let is_duplicate = self.is_in_flight_at(request_id, node);
         self.attempts.start(id.clone(), node, now, now + timeout_s);
-        // Guards against two attempts of a request at one node, whose replies could not be told apart.
+        // Guards against two attempts of a shard request in flight at one data node, whose replies could not be
+        // distinguished.
         if is_duplicate {
             self.counters.increment("calls_twice_at_a_node");
-            return self.end_attempt(&id, AttemptOutcome::NeverSent);
+            return self.record_attempt_end(&id, AttemptOutcome::NeverSent);
         }
         match self.endpoints.nodes.get_mut(node) {
-            // Guards against a planner that has not heard of a drain.
+            // Guards against a planner whose endpoint list does not yet show that the data node drains or is removed.
             Some(record) if record.state == NodeState::Serving => {
                 if record.unsent_attempts.is_empty() {
                     self.nodes_to_flush.insert(node.to_string());
@@ -37,7 +40,7 @@
             }
             _ => {
                 self.counters.increment("calls_of_nodes_not_serving");
-                self.end_attempt(&id, AttemptOutcome::NeverSent);
+                self.record_attempt_end(&id, AttemptOutcome::NeverSent);
             }
         }
     }
@@ -56,7 +59,7 @@
         attempts.iter().any(|id| self.attempts.get(id).is_some_and(|attempt| attempt.node == node))
     }
 
-    /// Attempts in flight for a shard request, those of the requests that it was split from among them.
+    /// Attempts in flight for a shard request, including the attempts of the requests that it was split from.
     pub(super) fn attempts_of_family(&self, request_id: &Rc<str>) -> Vec<AttemptId> {
         match &self.shard_map {
             Some(shard_map) => {
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Cancels an attempt for one shard request. An attempt of a request that was split goes on until none of the
-    /// requests that came of it waits for it.
+    /// Cancels an attempt for one shard request. If the request is a part of a split request and shares the attempt
+    /// with other parts, the attempt itself is cancelled only when no part waits for it.
     pub(super) fn cancel_attempt_of(&mut self, request_id: &str, attempt: usize) {
         self.counters.increment("leaf_calls_cancelled");
         let id = AttemptId::new(request_id, attempt);
@@ -85,10 +88,10 @@
         let (Some(shared_id), Some(shard_map)) = (shared, &mut self.shard_map) else {
             return self.abort_attempt(&id, AttemptOutcome::Cancelled);
         };
-        let is_last = shard_map.release_attempt(&shared_id, &id.request_id);
+        let is_last = shard_map.remove_waiting_request(&shared_id, &id.request_id);
         if let Some(attempt) = self.attempts.get(&shared_id) {
             let (node, latency_s) = (attempt.node.clone(), self.clock.now() - attempt.started_at_s);
-            self.attempts.report_end(id, &node, AttemptOutcome::Cancelled, latency_s);
+            self.attempts.queue_outcome(id, &node, AttemptOutcome::Cancelled, latency_s);
             self.work_ready.notify_one();
         }
         if is_last {
@@ -96,12 +99,13 @@
         }
     }
 
-    /// Records the outcome of an attempt. One without an effect no longer stands against a repeat of its request.
-    pub(super) fn end_attempt(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
+    /// Records the outcome of an attempt. If the outcome proves that the data node did not execute the attempt, the
+    /// attempt no longer counts as possibly executed, so that its shard request may be repeated.
+    pub(super) fn record_attempt_end(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         if outcome.had_no_effect()
             && let Some(request) = self.queries.request_mut(&id.request_id)
         {
-            request.forget_execution(id.number);
+            request.rule_out_execution(id.number);
         }
         if self.attempts.end(id, outcome, self.clock.now()).is_some() {
             self.counters.attempt_ended(outcome);
@@ -109,8 +113,9 @@
         }
     }
 
-    /// Ends an attempt from this side. A frame that has not begun is taken back; one that is out is followed by a
-    /// cancellation; in the midst of one, only closing the connection helps.
+    /// Ends an attempt that has no reply. If no byte of its frame has been written, the attempt is removed from the
+    /// frame; if the frame is partly written, the connection is closed; if it is completely written, a cancellation is
+    /// queued.
     pub(super) fn abort_attempt(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let (node, connection) = (attempt.node.clone(), attempt.connection);
@@ -120,37 +125,37 @@
         let (now, dial_timeout_s) = (self.clock.now(), self.connection_config.dial_timeout_s);
         let longest_deadline_s = self.longest_deadline_s(now);
         if let Some(connection) = connection.and_then(|number| self.endpoints.connection(&node, number)) {
-            match connection.position(id) {
-                AttemptPosition::Queued => connection.remove_queued(id),
-                AttemptPosition::InFlight => {
+            match connection.send_progress(id) {
+                SendProgress::Queued => connection.remove_queued(id),
+                SendProgress::InFlight => {
                     connection.cancel(id, now, now + longest_deadline_s, dial_timeout_s);
                 }
-                AttemptPosition::Writing => connection.abort_for(id),
-                AttemptPosition::Absent => {}
+                SendProgress::Writing => connection.abort_for(id),
+                SendProgress::NotOnConnection => {}
             }
         }
-        self.end_attempt(id, outcome);
+        self.record_attempt_end(id, outcome);
     }
 
-    /// Takes back the attempts of a request that is over, as far as they are not out whole.
+    /// Ends the attempts of a shard request whose frame is not completely written.
     pub(super) fn recall_unsent(&mut self, request_id: &str, outcome: AttemptOutcome) {
         for id in self.attempts.of_request(request_id) {
-            if !matches!(self.position_of(&id), Some(AttemptPosition::InFlight)) {
+            if !matches!(self.send_progress_of(&id), Some(SendProgress::InFlight)) {
                 self.abort_attempt(&id, outcome);
             }
         }
     }
 
-    /// Where an attempt stands on its connection; none where it has no connection.
-    pub(super) fn position_of(&self, id: &AttemptId) -> Option<AttemptPosition> {
+    /// How much of the frame of an attempt has been sent; `None` if no connection is chosen for the attempt.
+    pub(super) fn send_progress_of(&self, id: &AttemptId) -> Option<SendProgress> {
         let attempt = self.attempts.get(id)?;
         let connections = &self.endpoints.nodes.get(&attempt.node)?.connections;
-        Some(connections.get(&attempt.connection?)?.position(id))
+        Some(connections.get(&attempt.connection?)?.send_progress(id))
     }
 
-    /// Puts the attempts of this round into frames, as many to a frame as the settings allow, and each frame on a
-    /// connection. Returns the connections to open.
-    pub fn flush_attempts(&mut self, now: f64) -> Vec<Dial> {
+    /// Puts the attempts that are not yet in a frame into frames, with as many attempts per frame as the settings
+    /// allow, and queues each frame on a connection. Returns the connections to open.
+    pub fn flush_attempts(&mut self, now: f64) -> Vec<DialRequest> {
         let max_batch = self.connection_config.max_batch.min(self.connection_config.streams_per_connection);
         for node in std::mem::take(&mut self.nodes_to_flush) {
             let Some(record) = self.endpoints.nodes.get_mut(&node) else { continue };
@@ -158,7 +163,9 @@
             for batch in attempts.chunks(max_batch) {
                 match self.choose_connection(&node, batch, now) {
                     Some(connection) => self.enqueue_batch(&node, connection, batch),
-                    None => batch.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::Unreachable)),
+                    None => {
+                        batch.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Unreachable))
+                    }
                 }
             }
         }
@@ -176,8 +183,8 @@
         }
     }
 
-    /// Tells the policy the attempts that ended since the last round: for a request that was split, in the name of
-    /// those that came of it.
+    /// Passes the attempts that have ended since the policy's last run to the policy. The end of an attempt of a split
+    /// request is passed for the parts of the split instead.
     pub(super) fn notify_ended_attempts(&mut self, policy: &mut dyn PolicyInput) {
         for ended in self.attempts.take_ended() {
             let AttemptId { request_id, number } = &ended.id;
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -1,8 +1,11 @@
-//! Connections to data nodes: which one carries an attempt, what may begin to be written, and what the end of a
-//! connection proves about the attempts on it.
+//! Connections to data nodes: which connection carries an attempt, which frames may be written, and how the attempts on
+//! a connection end when the connection closes. A fence, shared by all cores, keeps this core from starting attempts
+//! while its endpoint list may be outdated.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
-use crate::state::node_connection::{AttemptPosition, Dial, NodeConnection, OutboundFrame, Unfinished};
+use crate::state::node_connection::{
+    DialRequest, NodeConnection, OutboundFrame, SendProgress, UnfinishedAttempts,
+};
 use crate::state::node_protocol::{AttemptRequest, KeysAtVersion, NodeFrameWriter};
 use crate::state::shard_map::ShardMapView;
 use alderway::interface::{AttemptOutcome, NodeState};
@@ -10,19 +13,20 @@
 use alderway_cores::fence;
 
 impl Dispatcher {
-    /// A connection with capacity for a batch: one that is up, else one that is being opened, else a new one.
+    /// Chooses a connection to a data node with a free stream for each attempt of a batch: an open connection, else a
+    /// connection that is being opened, else a new one. Returns its number; `None` if the data node is unknown.
     pub(super) fn choose_connection(&mut self, node: &str, batch: &[AttemptId], now: f64) -> Option<u64> {
         let streams = self.connection_config.streams_per_connection;
         let record = self.endpoints.nodes.get(node)?;
         let least_used = |streams| {
             let usable = record.connections.iter().filter(|(_, c)| c.can_take(batch, streams));
-            usable.min_by_key(|(_, c)| (!c.is_up, c.used_streams())).map(|(number, _)| *number)
+            usable.min_by_key(|(_, c)| (!c.is_open, c.used_streams())).map(|(number, _)| *number)
         };
         if let Some(number) = least_used(streams) {
             return Some(number);
         }
-        // Guards against cores that together open more connections than a data node accepts: past the stated number,
-        // attempts wait on a full connection until one of its streams is free.
+        // Guards against the cores together opening more connections than a data node accepts: at the maximum number of
+        // connections, attempts are queued on a connection without free streams.
         let open = record.connections.values().filter(|c| !c.is_retired && !c.is_aborted).count();
         if open >= self.shared.max_connections_per_node
             && let Some(number) = least_used(usize::MAX)
@@ -34,7 +38,11 @@
         let number = self.endpoints.last_connection;
         let record = self.endpoints.nodes.get_mut(node)?;
         record.connections.insert(number, NodeConnection::new(now));
-        self.pending_dials.push(Dial { node: node.into(), connection: number, address: record.address });
+        self.pending_dials.push(DialRequest {
+            node: node.into(),
+            connection: number,
+            address: record.address,
+        });
         Some(number)
     }
 
@@ -42,44 +50,47 @@
         self.endpoints.nodes.get_mut(node)?.connections.remove(&number)
     }
 
-    /// A reply could not be read, so nothing more can be made out on its connection, which this side closes. One
-    /// attempt has failed: that of the request which the reply names, else the one in flight longest. The others are
-    /// cancelled, which closing the connection is by the protocol. Guards against an unreadable reply being taken for
-    /// a reset of every attempt beside it, which would show a sound data node as one that is down.
+    /// Removes a connection on which an unreadable reply was received; the router closes it, because the rest of the
+    /// stream cannot be decoded. One attempt fails: the attempt of `request_id` if the reply names a shard request,
+    /// else the one that was started first. The other attempts in flight are cancelled; by the protocol, closing the
+    /// connection cancels them at the data node. Guards against counting one unreadable reply as a reset of all these
+    /// attempts, which would make a healthy data node look unreachable.
     pub fn connection_corrupted(&mut self, node: &str, number: u64, request_id: Option<&str>) {
         self.counters.increment("answers_spoilt");
         let Some(connection) = self.remove_connection(node, number) else { return };
-        let Unfinished { unsent, mut in_flight } = connection.into_unfinished();
-        unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::NeverSent));
+        let UnfinishedAttempts { unsent, mut in_flight } = connection.into_unfinished();
+        unsent.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::NeverSent));
         let started_at_s =
             |id: &AttemptId| self.attempts.get(id).map_or(f64::INFINITY, |attempt| attempt.started_at_s);
         let named = in_flight.iter().position(|id| Some(&*id.request_id) == request_id);
         let longest = (0..in_flight.len())
             .min_by(|&a, &b| started_at_s(&in_flight[a]).total_cmp(&started_at_s(&in_flight[b])));
         if let Some(failed) = named.or(longest) {
-            self.end_attempt(&in_flight.swap_remove(failed), AttemptOutcome::Error);
+            self.record_attempt_end(&in_flight.swap_remove(failed), AttemptOutcome::Error);
         }
-        in_flight.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::Cancelled));
+        in_flight.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Cancelled));
     }
 
-    /// A connection has ended, or could not be opened. What was not written whole was never executed.
+    /// Removes a connection that the data node closed, that broke, or that could not be opened. Attempts whose frame
+    /// was not completely written end as unreachable, as the data node cannot have executed them; the others end as
+    /// reset.
     pub fn connection_lost(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
-        let Unfinished { unsent, in_flight } = connection.into_unfinished();
-        unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::Unreachable));
-        in_flight.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::ConnectionReset));
+        let UnfinishedAttempts { unsent, in_flight } = connection.into_unfinished();
+        unsent.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Unreachable));
+        in_flight.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::ConnectionReset));
     }
 
-    /// A connection could not be opened for lack of resources on this side: its attempts were never sent, which says
-    /// nothing about the data node.
+    /// Removes a connection that could not be opened because this process lacks resources. The attempts queued on it
+    /// end as never sent, so that the policy does not blame the data node.
     pub fn connection_not_opened(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let unsent = connection.into_unfinished().unsent;
-        unsent.iter().for_each(|id| self.end_attempt(id, AttemptOutcome::NeverSent));
+        unsent.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::NeverSent));
     }
 
-    /// A data node has closed a connection that was idle. What is queued there goes out on another one. This ends:
-    /// each such connection has served before.
+    /// Removes an idle connection that the data node has closed, and queues its unsent attempts for another connection.
+    /// An attempt cannot be moved forever, because this is done only for connections that have received a reply before.
     pub fn requeue_unsent(&mut self, node: &str, number: u64) {
         let Some(mut connection) = self.remove_connection(node, number) else { return };
         let queued = connection.take_queued();
@@ -98,8 +109,9 @@
         }
     }
 
-    /// Writes the next frame of a connection; false when there is none that may begin.
-    pub fn next_frame(&mut self, node: &str, number: u64, writer: &mut impl NodeFrameWriter) -> bool {
+    /// Writes the next queued frame of a connection, or the frame that is being written, to `writer`. False if no frame
+    /// is queued or the fence forbids the frame.
+    pub fn encode_next_frame(&mut self, node: &str, number: u64, writer: &mut impl NodeFrameWriter) -> bool {
         self.drop_denied_attempts(node, number);
         let now = self.clock.now();
         if self.is_held_by_fence(node, number, now) {
@@ -118,7 +130,7 @@
                 self.counters.increment("frames_sent{call}");
                 for id in attempts {
                     if let Some(request) = self.queries.request_mut(&id.request_id) {
-                        request.note_execution(id.number, now);
+                        request.record_possible_execution(id.number, now);
                     }
                 }
             }
@@ -126,9 +138,9 @@
         true
     }
 
-    /// What a frame says of an attempt; none where its query is over.
+    /// The content of an attempt in a frame; `None` if the query of the attempt has ended.
     fn attempt_request<'a>(&'a self, id: &'a AttemptId, now: f64) -> Option<AttemptRequest<'a>> {
-        let requested = self.queries.requested(&id.request_id)?;
+        let requested = self.queries.request_content(&id.request_id)?;
         let timeout_at_s =
             self.attempts.get(id).map_or(requested.not_after_s, |attempt| attempt.timeout_at_s);
         let version = self.shard_map.as_ref().and_then(ShardMapView::version).unwrap_or(0);
@@ -141,15 +153,16 @@
         })
     }
 
-    /// Whether the next frame would start attempts that the fence holds back. Guards against a core that stood still
-    /// while its endpoint list changed: what it decided by the old list waits until it has caught up.
+    /// Whether the next frame starts attempts while the fence forbids that. Guards against a core that was stalled
+    /// while the endpoint list changed: attempts that its policy started by the old list wait until the core has
+    /// applied the new list.
     fn is_held_by_fence(&mut self, node: &str, number: u64, now: f64) -> bool {
         let Err(reason) = self.shared.fence.check(self.endpoints_generation, now) else { return false };
         let connection = self.endpoints.connection(node, number);
         if !connection.is_some_and(|connection| connection.next_starts_attempts()) {
             return false;
         }
-        if !std::mem::replace(&mut self.is_fenced, true) {
+        if !std::mem::replace(&mut self.has_held_attempts, true) {
             self.counters.increment(match reason {
                 fence::Blocked::ListOutdated => "sends_held_back{roster_behind}",
                 fence::Blocked::DiscoveryStale => "sends_held_back{lead_late}",
@@ -158,22 +171,22 @@
         true
     }
 
-    /// The socket took no byte of the frame that was to begin. Guards against a frame that goes out long after it was
-    /// encoded: its attempts are checked, and it is encoded, anew.
+    /// Puts an encoded frame back into the queue, because the socket accepted no byte of it. Guards against writing a
+    /// frame long after it was encoded: its attempts are checked and encoded again before the next write.
     pub fn frame_not_started(&mut self, node: &str, number: u64) {
         let Some(connection) = self.endpoints.connection(node, number) else { return };
         let attempts = connection.writing_attempts().to_vec();
         connection.return_frame();
         for id in attempts {
             if let Some(request) = self.queries.request_mut(&id.request_id) {
-                request.forget_execution(id.number);
+                request.rule_out_execution(id.number);
             }
         }
         self.counters.increment("frames_not_taken");
     }
 
-    /// Why an attempt of the next frame may not begin, if it may not. It may have waited for a dial or a stream past its
-    /// time, or past the window in which its data node drops repeats.
+    /// Why an attempt of the next frame may not be sent; `None` if it may. For example, the attempt has waited for a
+    /// connection or a stream until after its time-out or after the time in which data nodes drop duplicates.
     fn denial(&self, id: &AttemptId, node: NodeState, now: f64) -> Option<Denial> {
         let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
             return Some(Denial::QueryEnded);
@@ -188,7 +201,8 @@
         permits::may_start_attempt(&start).err()
     }
 
-    /// Ends the attempts of the next frame that may not begin any more, as ones that were never sent.
+    /// Removes the attempts that may no longer be sent (see [`denial`](Self::denial)) from the next frame, and ends
+    /// them as never sent.
     fn drop_denied_attempts(&mut self, node: &str, number: u64) {
         let now = self.clock.now();
         loop {
@@ -201,26 +215,28 @@
             for (id, denial) in &denied {
                 self.counters.increment(&format!("calls_denied{{{}}}", denial.label()));
                 self.abort_attempt(id, AttemptOutcome::NeverSent);
-                // Guards against an attempt that has ended and is queued still: aborting it changes nothing.
+                // Guards against an attempt that has ended but is still in the queued frame: `abort_attempt` ignores
+                // ended attempts.
                 if let Some(connection) = self.endpoints.connection(node, number) {
                     connection.remove_queued(id);
                 }
             }
-            // A frame with no attempt left is gone, and the one behind it is next.
+            // If all attempts of the frame were denied, the frame was removed and the following frame has to be
+            // checked.
             if denied.is_empty() || denied.len() < next.len() {
                 return;
             }
         }
     }
 
-    /// After a change of the endpoint list: no attempt that has not begun goes to a node that drains or is gone, and
-    /// connections of removed nodes close as they fall idle.
+    /// Applies a change of the endpoint list to attempts and connections: attempts to a draining or removed data node
+    /// end if no byte of their frame has been written, and connections to removed data nodes close when they are idle.
     pub fn endpoints_changed(&mut self) {
         for name in self.endpoints.retire_unserving() {
             for id in self.attempts.on_node(&name) {
                 let has_connection =
                     self.attempts.get(&id).is_some_and(|attempt| attempt.connection.is_some());
-                if !has_connection || matches!(self.position_of(&id), Some(AttemptPosition::Queued)) {
+                if !has_connection || matches!(self.send_progress_of(&id), Some(SendProgress::Queued)) {
                     self.abort_attempt(&id, AttemptOutcome::NeverSent);
                 }
             }
@@ -229,16 +245,19 @@
         self.work_ready.notify_one();
     }
 
-    /// Polling the endpoint list failed; the last one holds.
+    /// Records that a poll of the endpoint list failed. The last received list stays in use.
     pub fn endpoint_poll_failed(&mut self) {
         self.endpoints.has_poll_failed = true;
         self.work_ready.notify_one();
     }
 
-    /// Lets attempts go on that the fence held back, once it lets them pass.
-    pub fn recheck_fence(&mut self) {
-        if self.is_fenced && self.shared.fence.check(self.endpoints_generation, self.clock.now()).is_ok() {
-            self.is_fenced = false;
+    /// Wakes the connections whose frames with attempts were held back, if the fence now allows this core to start
+    /// attempts.
+    pub fn resume_held_attempts(&mut self) {
+        if self.has_held_attempts
+            && self.shared.fence.check(self.endpoints_generation, self.clock.now()).is_ok()
+        {
+            self.has_held_attempts = false;
             let connections = self.endpoints.nodes.values().flat_map(|record| record.connections.values());
             connections.for_each(|connection| connection.wake.notify_one());
         }
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -1,15 +1,19 @@
-//! The dispatcher of one core joins what protocol edges bring in with the state and with the policy's decisions. The
-//! state stands in tables of its own; this module only leads each event to the part that it concerns:
+//! The dispatcher of one core applies events from connections and decisions of the policy to the state, which is kept
+//! in separate tables. The policy runs in rounds: in each run, the dispatcher first passes the input that has arrived
+//! since the last run to the policy, then applies the policy's decisions.
 //!
-//! - `queries`: opens and ends queries, and leaves their responses with the clients' connections
+//! A fence, shared by all cores, keeps a core from starting attempts while the acceptor core has published a newer
+//! endpoint list than the core has applied, or has not confirmed in time that its list is current. A class slot is an
+//! index into `Dispatcher::query_classes`. The submodules handle the events:
+//!
+//! - `queries`: opens and ends queries, and stores their responses in the state of the clients' connections
 //! - `attempts`: starts, cancels and ends attempts
-//! - `answers`: takes in what data nodes reply
-//! - `connections`: which connection carries an attempt, what is written on it, and what its end means
-//! - `shard_changes`: attempts and shard requests when the shard map changes
-//! - `config`: a configuration that changes while queries are open
-//! - `observations`: what other cores and routers observed
-//! - `invariants`: checks each act at the moment it happens
-mod answers;
+//! - `replies`: matches the replies of data nodes with attempts, and records the values of the replies
+//! - `connections`: chooses connections for attempts, encodes frames, and ends attempts when a connection closes
+//! - `shard_changes`: applies changes of the shard map to attempts and shard requests
+//! - `config`: applies changes of the configuration while queries are open
+//! - `observations`: exchanges observations of data nodes with other cores and routers
+//! - `invariants`: checks that each attempt that starts and each response is allowed when it happens
 mod attempts;
 mod config;
 mod connections;
@@ -17,6 +21,7 @@
 mod metrics;
 mod observations;
 mod queries;
+mod replies;
 mod shard_changes;
 
 use super::arrival_time::ArrivalEstimator;
@@ -26,7 +31,7 @@
 use super::endpoints::EndpointTable;
 use super::gossip_link::GossipLink;
 use super::metrics::MetricsSource;
-use super::node_connection::Dial;
+use super::node_connection::DialRequest;
 use super::pending_input::PendingInput;
 use super::queries::QueryTable;
 use super::query_classes::{ClassRules, ClassTable};
@@ -44,29 +49,29 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// The dispatcher as the tasks of its core share it.
+/// The dispatcher of a core, shared by the tasks of that core.
 pub type DispatcherHandle = Rc<RefCell<Dispatcher>>;
 
-/// Connections of clients that go to another core as they fall idle.
+/// A request to move client connections of this core to another core, each when it is idle.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Handover {
-    /// The core that takes them over.
+pub struct ClientHandover {
+    /// Index of the core that gets the client connections.
     pub to: usize,
-    /// How many are still to go.
+    /// Number of client connections that are still to be moved.
     pub connections: usize,
 }
 
-/// The state of one core. Times are seconds of `clock`.
+/// The dispatcher and the state of one core. All times are in seconds of `clock`.
 pub struct Dispatcher {
     /// The monotonic clock that all cores share.
     pub clock: Clock,
-    /// How connections to data nodes are used.
+    /// Settings for connections to data nodes.
     pub connection_config: ConnectionConfig,
-    /// What may be taken in.
+    /// Settings for the admission of queries.
     pub admission: AdmissionConfig,
-    /// Rules of the query classes by slot; `class_table` says which class has which slot.
+    /// Rules of the query classes. The index of a class here is its slot, which `class_table` assigns.
     pub query_classes: Vec<ClassRules>,
-    /// Slots of the query classes, and the configuration in force.
+    /// Assigns slots to the query classes; also has the configuration in use.
     pub class_table: ClassTable,
     /// Open queries.
     pub queries: QueryTable,
@@ -74,50 +79,51 @@
     pub attempts: AttemptTable,
     /// Data nodes and the connections to them.
     pub endpoints: EndpointTable,
-    /// Connections of clients.
+    /// Client connections.
     pub clients: ClientTable,
-    /// What this core has counted.
+    /// Counters of this core.
     pub counters: Counters,
-    /// What all cores of the process share.
+    /// The state that all cores of the process share.
     pub shared: Arc<SharedState>,
-    /// This core's index there.
+    /// Index of this core in `shared.cores`.
     pub core: usize,
-    /// The generation of the endpoint list that this core has applied.
+    /// Number of the newest endpoint list of the acceptor core that this core has applied; 0 if none.
     pub endpoints_generation: u64,
-    /// Attempts wait until this core has caught up with the endpoint list.
-    pub is_fenced: bool,
-    /// Observations of other cores that still hold, for a policy that starts anew.
+    /// Whether frames with attempts wait because the fence does not allow this core to start attempts.
+    pub has_held_attempts: bool,
+    /// Observations of data nodes made by other cores and routers, until each expires. A restarted policy gets all of
+    /// them.
     pub observations: ObservationCache,
-    /// The shard map, where one is followed; otherwise shards lie in the platform's ring.
+    /// The shard map; `None` if shards are placed by the platform's hash ring instead of a shard map.
     pub shard_map: Option<ShardMapView>,
-    /// The way to other routers, where there is one.
+    /// The gossip link to other routers; `None` if gossip is off.
     pub gossip: Option<Rc<dyn GossipLink>>,
-    /// Other components of this core that count.
+    /// Other components of this core whose metrics are added to those of the dispatcher.
     pub metrics_sources: Vec<Rc<dyn MetricsSource>>,
-    /// A fault that a test asks for, played at the next heartbeat.
+    /// A fault that a test requested and that is injected at the next heartbeat of this core.
     #[cfg(feature = "faults")]
     pub injected_fault: Option<String>,
-    /// Connections to hand over to another core.
-    pub handover: Option<Handover>,
-    /// Wakes the round: there is something to tell the policy.
+    /// The request to move client connections to another core, if there is one.
+    pub handover: Option<ClientHandover>,
+    /// Notified when there is input for the policy, so that the policy runs.
     pub work_ready: Rc<Notify>,
-    /// The policy asks for a poll of the endpoint list.
+    /// Notified when the policy requests a poll of the endpoint list.
     pub poll_requested: Arc<Notify>,
-    /// How far a graceful shutdown has got.
+    /// The phase of a graceful shutdown.
     pub shutdown_phase: ShutdownPhase,
-    /// Finds out that this thread stood still.
+    /// Detects times at which the thread of this core did not run.
     pub stall_detector: StallDetector,
-    /// When bytes of clients arrived.
+    /// Estimates when the bytes received from clients arrived at the kernel.
     pub arrival_times: ArrivalEstimator,
     is_readiness_logged: bool,
     pending: PendingInput,
-    pending_dials: Vec<Dial>,
-    /// Data nodes that were given attempts in this round.
+    pending_dials: Vec<DialRequest>,
+    /// Names of the data nodes with attempts that are not yet in a frame.
     nodes_to_flush: BTreeSet<String>,
 }
 
 impl Dispatcher {
-    /// A dispatcher of a process with one core.
+    /// Creates the dispatcher of a process with one core.
     pub fn new(
         clock: Clock,
         connection_config: ConnectionConfig,
@@ -128,7 +134,7 @@
         Dispatcher::for_core(shared, 0, clock, connection_config, admission, query_classes)
     }
 
-    /// The dispatcher of core number `core`.
+    /// Creates the dispatcher of one of several cores. `core` is its index in `shared.cores`.
     pub fn for_core(
         shared: Arc<SharedState>,
         core: usize,
@@ -142,7 +148,7 @@
             shared,
             core,
             endpoints_generation: 0,
-            is_fenced: false,
+            has_held_attempts: false,
             observations: ObservationCache::default(),
             shard_map: None,
             gossip: None,
@@ -171,20 +177,25 @@
         }
     }
 
-    /// Whether queries can be served: data nodes and, where one is followed, the shard map are known.
+    /// Whether this core can serve queries: it has data nodes and, unless shards are placed by the platform's hash
+    /// ring, a shard map; the acceptor core has recently confirmed that the endpoint list is current; and no shutdown
+    /// has begun.
     pub fn is_ready(&self) -> bool {
-        let is_led = self.shared.fence.check(u64::MAX, self.clock.now()).is_ok();
-        let is_mapped = self.shard_map.as_ref().is_none_or(|shard_map| shard_map.version().is_some());
-        self.endpoints.has_nodes() && self.shutdown_phase == ShutdownPhase::Serving && is_led && is_mapped
+        let is_list_current = self.shared.fence.check(u64::MAX, self.clock.now()).is_ok();
+        let has_shard_map = self.shard_map.as_ref().is_none_or(|shard_map| shard_map.version().is_some());
+        self.endpoints.has_nodes()
+            && self.shutdown_phase == ShutdownPhase::Serving
+            && is_list_current
+            && has_shard_map
     }
 
-    /// When the next round is due though nothing comes in.
+    /// When the policy has to run next even if no input arrives, in seconds of the monotonic clock.
     pub fn next_timer_s(&self) -> f64 {
         self.pending.next_timer_s().min(self.attempts.next_timeout_s())
     }
 
-    /// Ends what the clock ends: attempts past their time-out, and queries whose client waits no longer.
-    pub fn expire_due(&mut self, now: f64) {
+    /// Ends attempts that have timed out at `now`, and queries whose deadline has passed.
+    pub fn expire_attempts_and_queries(&mut self, now: f64) {
         for id in self.attempts.overdue(now) {
             self.abort_attempt(&id, AttemptOutcome::TimedOut);
         }
@@ -193,7 +204,7 @@
         }
     }
 
-    /// Tells the policy all that came in since the last round.
+    /// Passes all input that has arrived since the policy's last run to the policy.
     pub fn notify_policy(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         self.log_readiness();
         self.notify_config(policy);
@@ -205,7 +216,8 @@
         if let Some(shard_map) = &mut self.shard_map {
             shard_map.notify_splits(policy);
         }
-        // Ends before begins: guards against a new query with the id of one that is over, which would get the other's.
+        // Ended queries and attempts are passed before new queries. Guards against the policy applying the end of a
+        // query to a new query with the same id.
         self.notify_ended_attempts(policy);
         self.pending.notify_disconnected(policy);
         self.notify_new_queries(policy);
@@ -213,7 +225,7 @@
             self.notify_retired_classes(policy);
         }
         self.pending.notify_timers(now, policy);
-        self.notify_retired_shards(now, policy);
+        self.retire_shards(now, policy);
         self.endpoints.drop_removed();
     }
 
@@ -224,7 +236,8 @@
         }
     }
 
-    /// After a failure of the policy: fails what is open, and tells the next round everything from the start.
+    /// Prepares the state for a policy that is restarted after a failure: fails all open queries, ends all attempts,
+    /// and marks everything as changed so that the new policy gets the full state in its first run.
     pub fn restart_policy(&mut self) {
         self.counters.increment("module_failures");
         self.fail_all_queries();
@@ -232,7 +245,7 @@
             self.abort_attempt(&id, AttemptOutcome::Cancelled);
         }
         self.attempts.take_ended();
-        self.pending.clear_for_restart();
+        self.pending.clear_for_policy_restart();
         self.reset_classes();
         self.endpoints.mark_all_changed();
         self.shard_map.iter_mut().for_each(ShardMapView::mark_all_changed);
@@ -240,10 +253,10 @@
     }
 }
 
-/// The policy's decisions, carried out as they are written.
+/// Applies each decision of the policy immediately.
 impl DecisionSink for Dispatcher {
     fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64) {
-        self.start_attempt_at(request, node, timeout_s);
+        self.start_attempt_on_node(request, node, timeout_s);
     }
 
     fn cancel_attempt(&mut self, request: &str, attempt: usize) {
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -1,7 +1,7 @@
-//! Queries from their last byte to their final response: each gets exactly one.
+//! Queries, from the receipt of their last byte to their final response. Each query gets exactly one final response.
 use super::Dispatcher;
 use crate::state::clients::ClientConnection;
-use crate::state::queries::{Query, QueryError, QueryReservation};
+use crate::state::queries::{Query, QueryError, QueryResources};
 use crate::state::response::{QueryResponse, ShardResult};
 use crate::state::shutdown_phase::ShutdownPhase;
 use alderway::interface::{AttemptOutcome, PolicyInput};
@@ -10,10 +10,11 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Opens a query, or rejects it where no capacity is left; either way it gets its one response.
+    /// Opens a query, or stores an error response if there is no capacity or the router is in the last phase of a
+    /// shutdown.
     ///
     /// # Errors
-    /// [`QueryError::IdInUse`] if a query with its id is open on some core.
+    /// [`QueryError::IdInUse`] if a query with the same id is open on any core.
     pub fn open_query(&mut self, client: &Rc<ClientConnection>, query: Query) -> Result<(), QueryError> {
         let class = query.class;
         let capacity = self.shared.capacity.acquire(1 + query.requests.len());
@@ -28,23 +29,23 @@
             self.count_query("turned_away", class);
             let reason = permit.err().map_or("", Denial::label);
             self.counters.increment(&format!("queries_denied{{{reason}}}"));
-            client.respond(QueryResponse::NoCapacity, client.close_after_answer.get());
+            client.respond(QueryResponse::NoCapacity, client.close_after_response.get());
             return Ok(());
         };
         self.abort_attempts_of_earlier_query(&query);
         if let Some(shard_map) = &mut self.shard_map {
-            query.requests.iter().for_each(|request| shard_map.request_opened(request));
+            query.requests.iter().for_each(|request| shard_map.record_request_opened(request));
         }
-        let reservation = QueryReservation { id_claim, capacity: vec![capacity] };
-        let number = self.queries.insert(query, reservation);
+        let resources = QueryResources { id_claim, capacity: vec![capacity] };
+        let number = self.queries.insert(query, resources);
         client.open_query.set(Some(number));
         self.pending.new_queries.push(number);
         self.work_ready.notify_one();
         Ok(())
     }
 
-    /// Guards against an answer to an attempt of an earlier query with the same id, in flight still where nothing is
-    /// cancelled: it would be taken for one of this query.
+    /// Aborts attempts of an earlier query with the same id that are still in flight, because ended queries do not
+    /// always cancel their attempts. Guards against a reply to the earlier query being recorded for the new one.
     fn abort_attempts_of_earlier_query(&mut self, query: &Query) {
         for request in &query.requests {
             for id in self.attempts.of_request(&request.id) {
@@ -58,18 +59,19 @@
         self.abandon_query(number, "left");
     }
 
-    /// Ends a query whose client waits no longer.
+    /// Ends a query whose deadline has passed, with an error response.
     pub(super) fn expire_query(&mut self, number: u64) {
         let Some(client) = self.queries.get(number).map(|query| query.client.clone()) else { return };
-        client.respond(QueryResponse::DeadlineExceeded, client.close_after_answer.get());
+        client.respond(QueryResponse::DeadlineExceeded, client.close_after_response.get());
         client.wake.notify_one();
         self.abandon_query(number, "overdue");
     }
 
-    /// Ends a query without the policy, which is told in the next round.
-    fn abandon_query(&mut self, number: u64, what: &str) {
+    /// Ends a query without a decision of the policy. The policy gets the query's id in its next run. Counted as
+    /// `queries_{counter}`.
+    fn abandon_query(&mut self, number: u64, counter: &str) {
         let Some(query) = self.queries.remove(number) else { return };
-        self.count_query(what, query.class);
+        self.count_query(counter, query.class);
         self.close_shard_requests(&query);
         for request in &query.requests {
             for id in self.attempts.of_request(&request.id) {
@@ -80,18 +82,19 @@
         self.work_ready.notify_one();
     }
 
-    /// Answers a query with what has come in.
+    /// Answers a query with the values that data nodes have sent so far. `complete` says whether the response is marked
+    /// as complete.
     pub(super) fn answer_query(&mut self, query_id: &str, complete: bool) {
-        let what = if complete { "merged" } else { "merged_in_part" };
-        let Some(query) = self.close_query(query_id, what) else { return };
+        let counter = if complete { "merged" } else { "merged_in_part" };
+        let Some(query) = self.close_query(query_id, counter) else { return };
         self.check_answer(&query, complete);
         let client = query.client.clone();
-        client.respond(self.results(query, complete), client.close_after_answer.get());
+        client.respond(self.results(query, complete), client.close_after_response.get());
     }
 
     fn results(&self, query: Query, complete: bool) -> QueryResponse {
         #[cfg(feature = "faults")]
-        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.by_answers) {
+        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.counts_all_answers) {
             let results = query.requests.into_iter().filter_map(|request| {
                 let keys = request.keys.map(|keys| (keys.range.from, keys.range.to));
                 Some(ShardResult { shard: request.shard, keys, value: request.value? })
@@ -107,19 +110,20 @@
         QueryResponse::Results { complete, results: results.collect() }
     }
 
-    /// Rejects a query: a retry by its client is harmless.
+    /// Rejects a query. The client may retry the query without side effects.
     pub(super) fn reject_query(&mut self, query_id: &str, retry_after_s: Option<f64>) {
         let Some(query) = self.close_query(query_id, "rejected") else { return };
         self.check_rejection(&query);
         query
             .client
-            .respond(QueryResponse::Rejected { retry_after_s }, query.client.close_after_answer.get());
+            .respond(QueryResponse::Rejected { retry_after_s }, query.client.close_after_response.get());
     }
 
-    /// Fails a query that may have had an effect.
+    /// Fails a query. Data nodes may have executed parts of the query, so the client must not expect a retry to be free
+    /// of side effects.
     pub(super) fn fail_query(&mut self, query_id: &str) {
         let Some(query) = self.close_query(query_id, "aborted") else { return };
-        query.client.respond(QueryResponse::Failed, query.client.close_after_answer.get());
+        query.client.respond(QueryResponse::Failed, query.client.close_after_response.get());
     }
 
     /// Fails every open query.
@@ -129,38 +133,40 @@
         }
     }
 
-    /// Takes a query out of the table for its response, and settles whether its connection closes after that.
-    fn close_query(&mut self, query_id: &str, what: &str) -> Option<Query> {
+    /// Removes a query that gets its final response, and decides whether its client's connection closes after the
+    /// response. Counted as `queries_{counter}`.
+    fn close_query(&mut self, query_id: &str, counter: &str) -> Option<Query> {
         let query = self.queries.number(query_id).and_then(|number| self.queries.remove(number))?;
-        self.count_query(what, query.class);
+        self.count_query(counter, query.class);
         self.close_shard_requests(&query);
         for request in &query.requests {
             self.recall_unsent(&request.id, AttemptOutcome::NeverSent);
         }
-        let closes = query.client.close_after_answer.get() || self.closes_connection(&query.client);
-        query.client.close_after_answer.set(closes);
+        let closes = query.client.close_after_response.get() || self.closes_for_shutdown(&query.client);
+        query.client.close_after_response.set(closes);
         query.client.wake.notify_one();
         Some(query)
     }
 
-    /// Whether this side ends a connection with its present response. Guards against dropping what has been read behind
-    /// the request: it is owed a response as well.
-    pub fn closes_connection(&self, client: &ClientConnection) -> bool {
+    /// Whether the router closes a client connection after its current response because of a shutdown. Guards against
+    /// dropping a pipelined request whose bytes have been read: the connection stays open until that request is
+    /// answered.
+    pub fn closes_for_shutdown(&self, client: &ClientConnection) -> bool {
         let closing = permits::ConnectionClose {
             query_open: false,
             unwritten: false,
-            unread: client.has_bytes_behind.get(),
+            unread: client.has_pipelined_bytes.get(),
         };
         self.shutdown_phase >= ShutdownPhase::Closing && permits::may_close_connection(&closing).is_ok()
     }
 
     fn close_shard_requests(&mut self, query: &Query) {
         if let Some(shard_map) = &mut self.shard_map {
-            query.requests.iter().for_each(|request| shard_map.request_closed(request));
+            query.requests.iter().for_each(|request| shard_map.record_request_closed(request));
         }
     }
 
-    /// Tells the policy the queries opened since the last round.
+    /// Passes the queries that have been opened since the policy's last run to the policy.
     pub(super) fn notify_new_queries(&mut self, policy: &mut dyn PolicyInput) {
         for number in std::mem::take(&mut self.pending.new_queries) {
             let Some(query) = self.queries.get(number) else { continue };
--- a/crates/router/src/state/dispatcher/answers.rs
+++ b/crates/router/src/state/dispatcher/replies.rs
@@ -1,4 +1,5 @@
-//! What data nodes reply: which attempt a reply ends, with what outcome, and what of it counts for the query.
+//! Replies of data nodes: which attempt a reply ends, with which outcome, and for which keys the value of the reply
+//! counts.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::ReplyMatch;
@@ -8,8 +9,8 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Takes in a reply that came on a connection, after judging its outcome by the shard map. False for a shard
-    /// request that was not asked there.
+    /// Records a reply received on a connection. The shard map may correct the outcome that the data node reports.
+    /// False if the shard request was not sent on that connection.
     pub fn reply_received(&mut self, node: &str, connection: u64, reply: &NodeReply) -> bool {
         let outcome = self.classify_reply(node, reply);
         self.record_reply(node, connection, reply.request_id, outcome, reply.value)
@@ -28,8 +29,8 @@
         outcome
     }
 
-    /// Records a reply whose outcome is settled. One for a request that is over is passed over; false for a request
-    /// that was not asked there.
+    /// Records a reply with its corrected outcome. A reply to an attempt that has ended is counted and dropped. False
+    /// if the shard request was not sent on that connection.
     pub fn record_reply(
         &mut self,
         node: &str,
@@ -42,14 +43,14 @@
         let Some(connection) = self.endpoints.connection(node, connection) else { return true };
         let attempt = match connection.reply_received(request_id, now) {
             ReplyMatch::InFlight { attempt } => attempt,
-            ReplyMatch::AlreadyOver => {
+            ReplyMatch::AlreadyEnded => {
                 self.counters.increment("replies_for_parts_over");
                 return true;
             }
-            ReplyMatch::NotAsked => return false,
+            ReplyMatch::NotRequested => return false,
         };
         let id = AttemptId::new(request_id, attempt);
-        self.end_attempt(&id, outcome);
+        self.record_attempt_end(&id, outcome);
         if outcome == AttemptOutcome::Success {
             self.record_value(&id.request_id, value);
         }
@@ -66,7 +67,7 @@
         self.recall_unsent(request_id, AttemptOutcome::Cancelled);
     }
 
-    /// The value counts for the keys asked for, and so for the requests that this one was split into as well.
+    /// Records a value for the keys of a shard request. If the request was split, the value answers its parts too.
     fn record_value_by_keys(&mut self, request_id: &Rc<str>, value: &str) {
         let shard_map = self.shard_map.as_ref();
         let split_into = shard_map.map_or(vec![], |shard_map| shard_map.families.parts(request_id).to_vec());
@@ -78,7 +79,7 @@
             }
         }
         #[cfg(feature = "faults")]
-        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.by_answers) {
+        if self.shard_map.as_ref().is_some_and(|shard_map| shard_map.counts_all_answers) {
             query.requests[index].value = Some(value.to_string());
         }
         for id in split_into.iter().chain([request_id]) {
--- a/crates/router/src/state/dispatcher/shard_changes.rs
+++ b/crates/router/src/state/dispatcher/shard_changes.rs
@@ -1,22 +1,24 @@
-//! What a change of the shard map does to open queries: attempts that have not begun are taken back from nodes that lost
-//! the shard, and shard requests that no node holds whole any more are split.
+//! Applies a change of the shard map to open queries. Attempts of which no byte has been sent end if their data node no
+//! longer holds the shard. Shard requests whose shard no longer exists are split by the new shard map if necessary.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
-use crate::state::node_connection::AttemptPosition;
+use crate::state::node_connection::SendProgress;
 use crate::state::shard_map::{SplitPart, SplitShardRequest};
 use alderway::interface::{AttemptOutcome, PolicyInput};
 use alderway_layouts::ShardId;
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// These shards have other holders now, or are gone.
+    /// Applies a change of the shard map. `shards` are the shards that are held by other replica groups than before or
+    /// no longer exist.
     pub fn shard_map_changed(&mut self, shards: &[ShardId]) {
         self.counters.increment("layout_changes");
-        // A change is rare, a query is not: open requests are searched here rather than indexed by shard.
+        // Searches all open shard requests. An index by shard would cost more, because changes are much rarer than
+        // queries.
         let open = self.queries.unsplit_requests_of(shards);
         for &shard in shards {
             let Some(shard_map) = &self.shard_map else { return };
-            let holders = shard_map.holders(shard);
+            let holders = shard_map.replica_groups_of(shard);
             for request_id in open.get(&shard).into_iter().flatten() {
                 for id in self.attempts_of_family(request_id) {
                     self.recall_from_former_holder(&id, &holders);
@@ -31,14 +33,15 @@
         let Some(attempt) = self.attempts.get(id) else { return };
         let Some(record) = self.endpoints.nodes.get(&attempt.node) else { return };
         if !holders.contains(&record.replica_group)
-            && matches!(self.position_of(id), Some(AttemptPosition::Queued))
+            && matches!(self.send_progress_of(id), Some(SendProgress::Queued))
         {
             self.counters.increment("calls_taken_back{moved}");
             self.abort_attempt(id, AttemptOutcome::NeverSent);
         }
     }
 
-    /// Splits an open shard request by the newest shard map, if it must be.
+    /// Splits an open shard request by the newest shard map, if
+    /// [`must_split`](crate::state::shard_map::ShardMapView::must_split) requires it.
     fn split_request(&mut self, request_id: &Rc<str>) {
         let Some((number, query, index)) = self.queries.query_of_request(request_id) else { return };
         let request = &query.requests[index];
@@ -47,26 +50,28 @@
             return;
         };
         let split_into = shard_map.split_requests(&query.id, request);
-        // Guards against many queries that grow past the memory limit by one change of the shard map.
+        // Each new shard request needs capacity; without it, the request stays unsplit. Guards against one change of
+        // the shard map splitting so many queries that the process exceeds its memory limit.
         let Some(capacity) = self.shared.capacity.acquire(split_into.len()) else {
             return self.counters.increment("divisions_without_room");
         };
-        shard_map.request_closed(request);
-        split_into.iter().for_each(|request| shard_map.request_opened(request));
+        shard_map.record_request_closed(request);
+        split_into.iter().for_each(|request| shard_map.record_request_opened(request));
         let parts = split_into
             .iter()
             .map(|part| SplitPart { id: part.id.clone(), shard: part.shard, weight: part.weight })
             .collect();
         let split = SplitShardRequest { query: number, request_id: request_id.clone(), parts };
-        shard_map.request_split(split, self.pending.new_queries.contains(&number));
+        shard_map.record_split(split, self.pending.new_queries.contains(&number));
         self.queries.split_request(request_id, split_into, capacity);
         self.counters.increment("parts_divided");
     }
 
-    /// Tells the policy the shards that nothing refers to any more, and forgets splits of requests that are over.
-    pub(super) fn notify_retired_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
+    /// Drops the shards that are no longer in use and reports them to the policy. Also drops the records of splits
+    /// whose requests and attempts have all ended.
+    pub(super) fn retire_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(shard_map) = &mut self.shard_map else { return };
-        shard_map.notify_retired(now, policy);
+        shard_map.notify_retired_shards(now, policy);
         if !shard_map.families.is_empty() {
             let (queries, attempts) = (&self.queries, &self.attempts);
             shard_map
--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -1,93 +1,98 @@
-//! A connection to a data node: frames that are queued, the one that is being written, and attempts in flight. The task of
-//! the connection owns its socket.
+//! The state of a connection to a data node: queued frames, the frame that is being written, and attempts in flight.
+//! Each connection has a task, which owns the connection's socket. Times ending in `_s` are seconds of the monotonic
+//! clock.
 use super::attempts::AttemptId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A connection that has to be opened.
-pub struct Dial {
+/// A request to open a connection to a data node.
+pub struct DialRequest {
     /// The data node's name.
     pub node: String,
-    /// The connection's number.
+    /// The number of the connection.
     pub connection: u64,
-    /// Where the node listens.
+    /// The address on which the data node listens.
     pub address: SocketAddr,
 }
 
 /// A frame to a data node.
 pub enum OutboundFrame {
-    /// Attempts that go out together.
+    /// Sends these attempts.
     Attempts(Vec<AttemptId>),
-    /// Nobody waits for this shard request any more.
+    /// Cancels this shard request.
     Cancel(Rc<str>),
 }
 
-/// Where an attempt stands on its connection.
-pub enum AttemptPosition {
-    /// No byte of its frame is written.
+/// How much of the frame of an attempt has been sent.
+pub enum SendProgress {
+    /// No byte of its frame has been written.
     Queued,
-    /// Its frame has begun and is not out whole.
+    /// Part of its frame may have been written, but not all of it.
     Writing,
-    /// Its frame is out whole, and it is unanswered.
+    /// Its frame has been written completely, and no reply has been received.
     InFlight,
-    /// It is not on this connection.
-    Absent,
+    /// The attempt is not on this connection: it has ended or is on another connection.
+    NotOnConnection,
 }
 
-/// What a reply belongs to.
+/// The result of matching a reply with the attempts of its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplyMatch {
-    /// To the attempt of this number.
+    /// The reply ends an attempt in flight.
     InFlight {
-        /// Its number among its shard request's attempts.
+        /// Index of the attempt among the attempts of its shard request, from 0.
         attempt: usize,
     },
-    /// To an attempt that was cancelled, or answered just before.
-    AlreadyOver,
-    /// To nothing that was asked here.
-    NotAsked,
+    /// The attempt has ended: it was cancelled, or the reply is a second one to the shard request that was answered
+    /// last on this connection.
+    AlreadyEnded,
+    /// The shard request was not sent on this connection.
+    NotRequested,
 }
 
-/// The attempts on a connection that has ended.
-pub struct Unfinished {
-    /// Those whose frame was not written whole: they were never executed.
+/// The attempts without a reply on a connection that has closed.
+pub struct UnfinishedAttempts {
+    /// Attempts whose frame was not completely written: the data node cannot have executed them.
     pub unsent: Vec<AttemptId>,
-    /// Those whose frame was.
+    /// Attempts whose frame was completely written: the data node may have executed them.
     pub in_flight: Vec<AttemptId>,
 }
 
 /// One connection to a data node.
 #[derive(Default)]
 pub struct NodeConnection {
-    /// Wakes the task of the connection.
+    /// Wakes the task of the connection when it has a frame to write or is to close.
     pub wake: Rc<Notify>,
-    /// Whether it is open.
-    pub is_up: bool,
-    /// When its dial began.
+    /// Whether the connection is established.
+    pub is_open: bool,
+    /// When the router began to open the connection.
     pub opened_at_s: f64,
-    /// Takes no new attempt, and closes once it is idle.
+    /// Whether the connection takes no new attempts and closes when it is idle.
     pub is_retired: bool,
-    /// Closes at once.
+    /// Whether the connection is to close immediately.
     pub is_aborted: bool,
     queued: VecDeque<OutboundFrame>,
     writing: Option<OutboundFrame>,
-    /// Unanswered shard requests whose frame is out whole, with the attempt's number.
+    /// Shard requests whose frame has been completely written and that have no reply, each with the number of its
+    /// attempt.
     in_flight: BTreeMap<Rc<str>, usize>,
     has_received: bool,
-    /// Since when attempts are in flight and nothing has come.
+    /// When the first frame with attempts since the last reply was completely written; `None` if no such frame was
+    /// written since the last reply.
     silent_since_s: Option<f64>,
-    /// Cancelled requests whose reply may still come, with the time after which none can. Guards against reading it as
-    /// the reply to a later attempt, or as one for a request that was not asked.
+    /// Cancelled shard requests, each with the time until which a reply may still arrive. Guards against matching a
+    /// late reply with a later attempt of the same request, and against treating it as a reply to a request that was
+    /// never sent.
     cancelled: BTreeMap<Rc<str>, f64>,
-    /// Some data nodes answer a request twice.
+    /// The shard request that was answered last on this connection. Some data nodes answer a request twice.
     last_answered: Option<Rc<str>>,
     idle_since_s: f64,
 }
 
 impl NodeConnection {
-    /// A connection whose dial begins now.
+    /// The state of a connection that the router begins to open at `now`.
     pub fn new(now: f64) -> Self {
         NodeConnection { opened_at_s: now, idle_since_s: now, ..NodeConnection::default() }
     }
@@ -99,7 +104,7 @@
         })
     }
 
-    /// Streams in use: each attempt has one from the moment it is queued until it is answered or cancelled.
+    /// Number of streams in use. An attempt uses one stream from when it is queued until it is answered or cancelled.
     pub fn used_streams(&self) -> usize {
         self.in_flight.len() + self.unwritten_attempts().count()
     }
@@ -108,17 +113,18 @@
         self.in_flight.is_empty() && self.queued.is_empty() && self.writing.is_none()
     }
 
-    /// Since when it is idle, if it is.
+    /// Since when the connection is idle, that is, without attempts and frames; `None` if it is not idle.
     pub fn idle_since(&self) -> Option<f64> {
         self.is_idle().then_some(self.idle_since_s)
     }
 
-    /// Whether attempts are next on a connection that has served before and has none in flight.
-    pub fn is_reuse_after_idle(&self) -> bool {
+    /// Whether the next frame has attempts, on a connection that has received a reply before and has no attempt in
+    /// flight.
+    pub fn will_reuse_after_idle(&self) -> bool {
         self.has_received && self.in_flight.is_empty() && !self.next_attempts().is_empty()
     }
 
-    /// Whether these attempts may go on this connection, with `streams` in use at most.
+    /// Whether these attempts may be queued on this connection with at most `streams` streams in use afterwards.
     pub fn can_take(&self, attempts: &[AttemptId], streams: usize) -> bool {
         let is_known = |id: &AttemptId| {
             self.in_flight.contains_key(&id.request_id) || self.cancelled.contains_key(&id.request_id)
@@ -135,7 +141,7 @@
         self.wake.notify_one();
     }
 
-    /// Takes all attempts of which no byte is written.
+    /// Empties the queue; returns the attempts of the queued frames, of which no byte has been written.
     pub fn take_queued(&mut self) -> Vec<AttemptId> {
         let attempts = self.queued.drain(..).filter_map(|frame| match frame {
             OutboundFrame::Attempts(attempts) => Some(attempts),
@@ -144,7 +150,7 @@
         attempts.flatten().collect()
     }
 
-    /// Takes one attempt out of its queued frame.
+    /// Removes an attempt from its queued frame, and removes the frame if no attempt is left in it.
     pub fn remove_queued(&mut self, id: &AttemptId) {
         for frame in &mut self.queued {
             if let OutboundFrame::Attempts(attempts) = frame {
@@ -155,7 +161,8 @@
             .retain(|frame| !matches!(frame, OutboundFrame::Attempts(attempts) if attempts.is_empty()));
     }
 
-    /// The attempts of the next frame, where that has not begun and starts some.
+    /// The attempts of the next queued frame. Empty if another frame is being written or the next frame has no
+    /// attempts.
     pub fn next_attempts(&self) -> &[AttemptId] {
         match (&self.writing, self.queued.front()) {
             (None, Some(OutboundFrame::Attempts(attempts))) => attempts,
@@ -163,7 +170,7 @@
         }
     }
 
-    /// Whether the next frame starts attempts.
+    /// Whether no frame is being written and the next queued frame has attempts.
     pub fn next_starts_attempts(&self) -> bool {
         self.writing.is_none() && matches!(self.queued.front(), Some(OutboundFrame::Attempts(_)))
     }
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Begins the next frame, or returns the one that has begun.
+    /// The frame that is being written. If there is none, takes the next frame from the queue.
     pub fn begin_frame(&mut self) -> Option<&OutboundFrame> {
         if self.writing.is_none() {
             self.writing = self.queued.pop_front();
@@ -184,14 +191,14 @@
         self.writing.as_ref()
     }
 
-    /// The socket took no byte of the frame that had begun: it is the next one again.
+    /// Puts the frame that was to be written back to the front of the queue, because the socket accepted no byte of it.
     pub fn return_frame(&mut self) {
         if let Some(frame) = self.writing.take() {
             self.queued.push_front(frame);
         }
     }
 
-    /// The last byte of the frame that had begun is written.
+    /// Records that the last byte of the frame that is being written was written at `now`: its attempts are in flight.
     pub fn frame_written(&mut self, now: f64) {
         if let Some(OutboundFrame::Attempts(attempts)) = self.writing.take() {
             self.in_flight.extend(attempts.into_iter().map(|id| (id.request_id, id.number)));
@@ -199,37 +206,41 @@
         }
     }
 
-    /// Where an attempt stands.
-    pub fn position(&self, id: &AttemptId) -> AttemptPosition {
+    /// How much of the frame of an attempt has been sent on this connection.
+    pub fn send_progress(&self, id: &AttemptId) -> SendProgress {
         let holds = |frame: &OutboundFrame| matches!(frame, OutboundFrame::Attempts(ids) if ids.contains(id));
         if self.in_flight.get(&id.request_id) == Some(&id.number) {
-            AttemptPosition::InFlight
+            SendProgress::InFlight
         } else if self.writing.as_ref().is_some_and(holds) {
-            AttemptPosition::Writing
+            SendProgress::Writing
         } else if self.queued.iter().any(holds) {
-            AttemptPosition::Queued
+            SendProgress::Queued
         } else {
-            AttemptPosition::Absent
+            SendProgress::NotOnConnection
         }
     }
 
-    /// Cancels an attempt in flight; its reply may still come until `reply_until_s`. After `patience_s` of silence the
-    /// connection is retired as well. Guards against a connection that is dead while its data node serves: it has
-    /// the most streams free, and attempts that took them would make the node look unresponsive. A node that only
-    /// paused costs one more dial.
-    pub fn cancel(&mut self, id: &AttemptId, now: f64, reply_until_s: f64, patience_s: f64) {
+    ///
+    /// Cancels an attempt in flight. A reply to the attempt that arrives until `reply_until_s` is dropped.
+    ///
+    /// If no reply has been received for `silence_timeout_s` seconds while attempts were in flight, the connection also
+    /// takes no new attempts. Guards against a dead connection to a healthy data node: with the most free streams it
+    /// would get more attempts, and their time-outs would make the data node look unresponsive. If the data node had
+    /// only paused, one more connection is opened.
+    pub fn cancel(&mut self, id: &AttemptId, now: f64, reply_until_s: f64, silence_timeout_s: f64) {
         if self.in_flight.remove(&id.request_id).is_none() {
             return;
         }
-        self.is_retired |= self.silent_since_s.is_some_and(|since| since + patience_s <= now);
+        self.is_retired |= self.silent_since_s.is_some_and(|since| since + silence_timeout_s <= now);
         self.cancelled.retain(|_, until_s| *until_s > now);
         self.cancelled.insert(id.request_id.clone(), reply_until_s);
         self.idle_since_s = now;
         self.enqueue(OutboundFrame::Cancel(id.request_id.clone()));
     }
 
-    /// Closes the connection over an attempt that was aborted in the midst of its frame. Guards against the attempt
-    /// being ended a second time with the connection, as one that was never executed.
+    /// Closes the connection because an attempt was aborted while its frame was being written. Also removes the attempt
+    /// from the frame. Guards against the attempt ending a second time, as one that was never executed, when the
+    /// connection closes.
     pub fn abort_for(&mut self, id: &AttemptId) {
         if let Some(OutboundFrame::Attempts(attempts)) = &mut self.writing {
             attempts.retain(|writing| writing != id);
@@ -238,7 +249,7 @@
         self.wake.notify_one();
     }
 
-    /// Matches a reply with the attempt that it ends.
+    /// Matches a reply that is received at `now` with an attempt, and removes the attempt from those in flight.
     pub fn reply_received(&mut self, request_id: &str, now: f64) -> ReplyMatch {
         (self.idle_since_s, self.silent_since_s, self.has_received) = (now, None, true);
         if let Some((request_id, attempt)) = self.in_flight.remove_entry(request_id) {
@@ -247,16 +258,16 @@
         }
         let was_cancelled = self.cancelled.remove(request_id).is_some();
         if was_cancelled || self.last_answered.as_deref() == Some(request_id) {
-            return ReplyMatch::AlreadyOver;
+            return ReplyMatch::AlreadyEnded;
         }
-        ReplyMatch::NotAsked
+        ReplyMatch::NotRequested
     }
 
-    /// The attempts that are left as the connection ends.
-    pub fn into_unfinished(self) -> Unfinished {
+    /// The attempts without a reply when the connection closes.
+    pub fn into_unfinished(self) -> UnfinishedAttempts {
         let unsent = self.unwritten_attempts().cloned().collect();
         let in_flight = self.in_flight.into_iter();
         let in_flight = in_flight.map(|(request_id, number)| AttemptId { request_id, number }).collect();
-        Unfinished { unsent, in_flight }
+        UnfinishedAttempts { unsent, in_flight }
     }
 }
--- a/crates/router/src/state/node_protocol.rs
+++ b/crates/router/src/state/node_protocol.rs
@@ -1,45 +1,47 @@
-//! What the dispatcher exchanges with the protocol edge towards data nodes: typed frames out, typed replies in.
+//! The types that the dispatcher exchanges with the encoder and decoder of the data node protocol. If the router has a
+//! shard map, a shard request also names the keys that it asks for.
 use alderway::interface::AttemptOutcome;
 use alderway_layouts::{KeyRange, Version};
 
-/// Keys that a shard request asks for, by a version of the shard map.
+/// The keys of a shard request, and the version of the shard map by which the router chose the shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeysAtVersion {
-    /// The version of the shard map that the request was mapped by.
+    /// The router's version of the shard map when the frame is encoded.
     pub version: Version,
-    /// The keys asked for.
+    /// The requested keys.
     pub keys: KeyRange,
 }
 
-/// One attempt of an outbound frame.
+/// One attempt in a frame to a data node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptRequest<'a> {
     /// Id of the shard request.
     pub request_id: &'a str,
-    /// The shard asked.
+    /// The requested shard.
     pub shard: u32,
-    /// For how long the router waits, in milliseconds.
+    /// How long the router waits for a reply from now on, in milliseconds.
     pub timeout_ms: u64,
-    /// The query's text.
+    /// The text that the client sent as its query.
     pub text: &'a str,
-    /// The keys asked for, where a shard map is followed.
+    /// The requested keys; `None` if the router has no shard map.
     pub keys: Option<KeysAtVersion>,
 }
 
 /// Encodes frames to a data node.
 pub trait NodeFrameWriter {
-    /// One frame with all of these attempts.
+    /// Encodes one frame with all of these attempts.
     fn write_attempts<'a>(&mut self, attempts: impl Iterator<Item = AttemptRequest<'a>>);
-    /// Tells the node that nobody waits for a shard request any more.
+    /// Encodes a frame that cancels a shard request.
     fn write_cancel(&mut self, request_id: &str);
 }
 
 /// What a data node reports about the shard map in its reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ShardReport {
-    /// The version by which the node does not hold the shard.
+    /// The data node's version of the shard map, if by that version the data node does not hold the shard.
     pub moved_at_version: Option<Version>,
-    /// The keys that it answered for, from the first to below the second; an empty range if it named unreadable ones.
+    /// The keys that the reply is for, from the first (inclusive) to the second (exclusive); an empty range if the
+    /// field is unreadable; `None` if it is missing.
     pub keys: Option<(u32, u32)>,
 }
 
@@ -48,10 +50,10 @@
 pub struct NodeReply<'a> {
     /// Id of the shard request.
     pub request_id: &'a str,
-    /// How the attempt ended, in the node's own words.
+    /// The outcome of the attempt that the data node reports.
     pub outcome: AttemptOutcome,
-    /// What it says about the shard map.
+    /// What the data node reports about the shard map.
     pub report: ShardReport,
-    /// The value; empty unless it succeeded.
+    /// The value for the shard request; empty unless the outcome is success.
     pub value: &'a str,
 }
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -1,4 +1,7 @@
-//! Open queries and their shard requests, from the last byte of a query to its final response.
+//! Open queries and their shard requests, from the receipt of the last byte of a query to its final response. If the
+//! router has a shard map, shard requests are for keys, and a request whose shard was split or merged may be split into
+//! several requests. The table identifies a query by a number, which is never reused; clients may reuse the id of an
+//! ended query.
 use super::clients::ClientConnection;
 use super::response::AnswerCoverage;
 use super::timer_queue::TimerQueue;
@@ -12,17 +15,17 @@
 /// Why a query cannot be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryError {
-    /// A query with its id is open.
+    /// A query with the same id is open.
     IdInUse,
-    /// No shard map has come yet.
+    /// The router has received no shard map yet.
     NoShardMap,
-    /// It names a shard that does not exist.
+    /// A target of the query names a shard that does not exist.
     UnknownShard,
-    /// It names keys that do not exist.
+    /// A target of the query names an empty range or keys that do not exist.
     UnknownKeys,
-    /// It names some keys twice.
+    /// Two targets of the query have a key in common.
     DuplicateKeys,
-    /// A target names both a shard and keys, or neither.
+    /// A target of the query names both a shard and keys, or neither.
     AmbiguousTarget,
 }
 
@@ -31,9 +34,9 @@
         formatter.write_str(match self {
             QueryError::IdInUse => "a query with this id is open",
             QueryError::NoShardMap => "no shard map is known yet",
-            QueryError::UnknownShard => "a shard that does not exist",
-            QueryError::UnknownKeys => "keys that do not exist",
-            QueryError::DuplicateKeys => "some keys are asked for twice",
+            QueryError::UnknownShard => "a target names a shard that does not exist",
+            QueryError::UnknownKeys => "a target names keys that do not exist",
+            QueryError::DuplicateKeys => "targets overlap",
             QueryError::AmbiguousTarget => "a target must name either a shard or keys",
         })
     }
@@ -41,133 +44,137 @@
 
 impl std::error::Error for QueryError {}
 
-/// An attempt that may have been executed.
+/// An attempt that a data node may have executed, and when the first byte of its frame was to be written, in seconds of
+/// the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PossibleExecution {
     attempt: usize,
     begun_at_s: f64,
 }
 
-/// A query's request to one shard.
+/// The part of a query that goes to one shard.
 pub struct ShardRequest {
-    /// Its id, unique among open queries.
+    /// Id of the request, unique among open queries.
     pub id: Rc<str>,
-    /// The shard asked.
+    /// Id of the requested shard.
     pub shard: u32,
-    /// Its fraction of the query.
+    /// The shard request's fraction of the query, from 0 to 1.
     pub weight: f64,
-    /// As the data node gave it.
+    /// The value that the data node sent, if it has answered and the router has no shard map.
     pub value: Option<String>,
-    /// Attempts so far.
+    /// Number of attempts started so far.
     pub attempts: usize,
-    /// The keys asked for, where a shard map is followed.
+    /// The requested keys; `None` if the router has no shard map.
     pub keys: Option<RequestedKeys>,
     possible_executions: Vec<PossibleExecution>,
 }
 
-/// The keys that a shard request asks for.
+/// The keys of a shard request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestedKeys {
-    /// From the first key to below the last.
+    /// The requested range of keys.
     pub range: KeyRange,
-    /// The client asked for a shard and can use nothing but one value for it.
+    /// Whether the client asked for a shard rather than for keys, so that one value has to answer all keys of the
+    /// shard.
     pub is_whole_shard: bool,
-    /// It was split into several requests; its late answer still counts.
+    /// Whether the request was split into several requests. An answer to the request that arrives after the split still
+    /// counts.
     pub is_split: bool,
-    /// All its keys are answered.
+    /// Whether an answer for all keys of the range has been received.
     pub is_answered: bool,
 }
 
 impl RequestedKeys {
-    /// Keys that are asked for and unanswered.
+    /// A range of keys that is neither split nor answered.
     pub fn new(range: KeyRange, is_whole_shard: bool) -> Self {
         RequestedKeys { range, is_whole_shard, is_split: false, is_answered: false }
     }
 }
 
 impl ShardRequest {
-    /// A request without an attempt.
+    /// A shard request without attempts and without keys.
     pub fn new(id: Rc<str>, shard: u32, weight: f64) -> Self {
         ShardRequest { id, shard, weight, value: None, attempts: 0, keys: None, possible_executions: vec![] }
     }
 
-    /// When the first of its attempts that may have been executed began, `except` left out.
+    /// When the frame of the earliest attempt that may have been executed was begun, in seconds of the monotonic clock,
+    /// without regard to attempt `except`; `None` if there is no such attempt.
     pub fn first_possible_execution(&self, except: Option<usize>) -> Option<f64> {
         let others = self.possible_executions.iter().filter(|execution| Some(execution.attempt) != except);
         others.map(|execution| execution.begun_at_s).reduce(f64::min)
     }
 
-    /// Whether any attempt may have been executed.
+    /// Whether a data node may have executed any attempt of this shard request.
     pub fn may_have_executed(&self) -> bool {
         !self.possible_executions.is_empty()
     }
 
-    /// The frame of an attempt begins to be written.
-    pub fn note_execution(&mut self, attempt: usize, now: f64) {
+    /// Records that the frame of an attempt begins to be written at `now`: the data node may execute the attempt.
+    pub fn record_possible_execution(&mut self, attempt: usize, now: f64) {
         self.possible_executions.push(PossibleExecution { attempt, begun_at_s: now });
     }
 
-    /// An attempt is known not to have been executed.
-    pub fn forget_execution(&mut self, attempt: usize) {
+    /// Records that the data node certainly did not execute an attempt.
+    pub fn rule_out_execution(&mut self, attempt: usize) {
         self.possible_executions.retain(|execution| execution.attempt != attempt);
     }
 
-    /// Whether it was split into several requests.
+    /// Whether this shard request was split into several requests.
     pub fn is_split(&self) -> bool {
         self.keys.is_some_and(|keys| keys.is_split)
     }
 }
 
-/// A query that is open, or about to be.
+/// A query that is open or is about to be opened.
 pub struct Query {
-    /// Its id, as the client gave it.
+    /// The id that the client gave the query.
     pub id: Rc<str>,
-    /// Slot of its query class.
+    /// Slot of the query's class: its index in `Dispatcher::query_classes`.
     pub class: usize,
-    /// When its client waits no longer.
+    /// The deadline of the query, when the client stops waiting, in seconds of the monotonic clock.
     pub not_after_s: f64,
-    /// What every shard request has to carry.
+    /// The text that is sent to the data node with every shard request.
     pub text: String,
-    /// Its shard requests; those that came of a split stand behind the others.
+    /// The shard requests. Requests created by a split are added at the end.
     pub requests: Vec<ShardRequest>,
-    /// The connection that waits for its response.
+    /// The client connection that gets the response.
     pub client: Rc<ClientConnection>,
-    /// What is answered by keys, where a shard map is followed.
+    /// The answered keys and their values; `None` if the router has no shard map.
     pub coverage: Option<AnswerCoverage>,
 }
 
-/// What an open query takes of what all cores share; given back on drop.
-pub struct QueryReservation {
-    /// Its id, which no other query may have.
+/// What an open query holds of the resources that all cores share, released on drop.
+pub struct QueryResources {
+    /// The claim on the query's id. No other open query on any core may have the same id.
     pub id_claim: IdClaim,
-    /// Capacity for itself and its shard requests.
+    /// Units of the capacity that all cores share: one for the query and one for each of its shard requests.
     pub capacity: Vec<PoolPermit>,
 }
 
-/// What a frame says of an open shard request.
-pub struct RequestedWork<'a> {
-    /// The shard asked.
+/// What the frame of an attempt contains of its shard request.
+pub struct ShardRequestContent<'a> {
+    /// Id of the requested shard.
     pub shard: u32,
-    /// The query's text.
+    /// The text that is sent to the data node.
     pub text: &'a str,
-    /// When the client waits no longer.
+    /// The deadline of the query, when the client stops waiting, in seconds of the monotonic clock.
     pub not_after_s: f64,
-    /// The keys asked for, where a shard map is followed.
+    /// The requested keys; `None` if the router has no shard map.
     pub keys: Option<KeyRange>,
 }
 
-/// Where a shard request stands.
+/// Locates a shard request: the number of its query and its index in `Query::requests`.
 #[derive(Clone, Copy)]
 struct RequestIndex {
     query: u64,
     index: usize,
 }
 
-/// Queries from `insert` to `remove`, by a number that is never used again.
+/// The open queries of one core, each from `insert` to `remove`.
 #[derive(Default)]
 pub struct QueryTable {
     open: BTreeMap<u64, Query>,
-    reservations: BTreeMap<u64, QueryReservation>,
+    resources: BTreeMap<u64, QueryResources>,
     deadlines: TimerQueue<u64>,
     numbers: BTreeMap<Rc<str>, u64>,
     requests: BTreeMap<Rc<str>, RequestIndex>,
@@ -176,7 +183,7 @@
 }
 
 impl QueryTable {
-    /// Queries and shard requests that count against the capacity.
+    /// Number of capacity units in use: open queries plus their shard requests.
     pub fn reserved_count(&self) -> usize {
         self.open.len() + self.requests.len()
     }
@@ -186,12 +193,12 @@
         self.open.is_empty()
     }
 
-    /// Open queries.
+    /// Number of open queries.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Open queries of the class in a slot.
+    /// Number of open queries whose class has the slot `class`.
     pub fn open_in_class(&self, class: usize) -> usize {
         self.open_by_class.get(&class).copied().unwrap_or(0)
     }
@@ -206,11 +213,11 @@
         self.numbers.keys().cloned().collect()
     }
 
-    /// Adds a query; returns its number.
-    pub fn insert(&mut self, query: Query, reservation: QueryReservation) -> u64 {
+    /// Adds a query, and returns the number that identifies it.
+    pub fn insert(&mut self, query: Query, resources: QueryResources) -> u64 {
         self.last_number += 1;
         let number = self.last_number;
-        self.reservations.insert(number, reservation);
+        self.resources.insert(number, resources);
         self.deadlines.insert(query.not_after_s, number);
         self.numbers.insert(query.id.clone(), number);
         for (index, request) in query.requests.iter().enumerate() {
@@ -221,11 +228,11 @@
         number
     }
 
-    /// Removes a query for its final response, and gives back what it reserved.
+    /// Removes a query, and releases its resources.
     pub fn remove(&mut self, number: u64) -> Option<Query> {
         let query = self.open.remove(&number)?;
         self.numbers.remove(&query.id);
-        self.reservations.remove(&number);
+        self.resources.remove(&number);
         self.deadlines.remove(query.not_after_s, &number);
         if let Some(open) = self.open_by_class.get_mut(&query.class) {
             *open -= 1;
@@ -237,17 +244,17 @@
         Some(query)
     }
 
-    /// An open query.
+    /// The open query with this number; `None` if it has ended.
     pub fn get(&self, number: u64) -> Option<&Query> {
         self.open.get(&number)
     }
 
-    /// Queries whose client waits no longer, the earliest first.
+    /// Numbers of the queries whose deadline has passed at `now`, the earliest deadline first.
     pub fn overdue(&self, now: f64) -> Vec<u64> {
         self.deadlines.due(now).copied().collect()
     }
 
-    /// Open requests of these shards that were not split.
+    /// Ids of the open shard requests for these shards that were not split, by shard.
     pub fn unsplit_requests_of(&self, shards: &[ShardId]) -> BTreeMap<ShardId, Vec<Rc<str>>> {
         let wanted: BTreeSet<ShardId> = shards.iter().copied().collect();
         let mut found: BTreeMap<ShardId, Vec<Rc<str>>> = BTreeMap::new();
@@ -259,45 +266,52 @@
         found
     }
 
-    /// Whether a shard request is one of an open query.
+    /// Whether a shard request belongs to an open query.
     pub fn has_request(&self, request_id: &str) -> bool {
         self.requests.contains_key(request_id)
     }
 
-    /// The number of an open query.
+    /// The number of the open query with this id; `None` if no such query is open on this core.
     pub fn number(&self, id: &str) -> Option<u64> {
         self.numbers.get(id).copied()
     }
 
-    /// A shard request of an open query.
+    /// The shard request with this id; `None` if its query has ended.
     pub fn request_mut(&mut self, request_id: &str) -> Option<&mut ShardRequest> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         self.open.get_mut(&query)?.requests.get_mut(index)
     }
 
-    /// What a frame has to say of an open shard request.
-    pub fn requested(&self, request_id: &str) -> Option<RequestedWork<'_>> {
+    /// What the frame of an attempt contains of this shard request; `None` if its query has ended.
+    pub fn request_content(&self, request_id: &str) -> Option<ShardRequestContent<'_>> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
         let request = query.requests.get(index)?;
         let keys = request.keys.map(|keys| keys.range);
-        Some(RequestedWork { shard: request.shard, text: &query.text, not_after_s: query.not_after_s, keys })
+        Some(ShardRequestContent {
+            shard: request.shard,
+            text: &query.text,
+            not_after_s: query.not_after_s,
+            keys,
+        })
     }
 
-    /// An open shard request and the class of its query.
+    /// The shard request with this id, after the slot of its query's class; `None` if its query has ended.
     pub fn class_and_request(&self, request_id: &str) -> Option<(usize, &ShardRequest)> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
         Some((query.class, query.requests.get(index)?))
     }
 
-    /// The query of an open shard request: its number, itself, and the request's index in it.
+    /// The number of the query of a shard request, the query, and the request's index in `Query::requests`; `None` if
+    /// the query has ended.
     pub fn query_of_request(&mut self, request_id: &str) -> Option<(u64, &mut Query, usize)> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         Some((query, self.open.get_mut(&query)?, index))
     }
 
-    /// Replaces a shard request by several; it stays for a late answer.
+    /// Marks a shard request as split and adds the requests `into` to its query, with the capacity for them. The split
+    /// request stays in the query, because an answer to it that arrives later still counts.
     pub fn split_request(&mut self, request_id: &str, into: Vec<ShardRequest>, capacity: PoolPermit) {
         let Some(&RequestIndex { query: number, index }) = self.requests.get(request_id) else { return };
         let Some(query) = self.open.get_mut(&number) else { return };
@@ -309,8 +323,8 @@
             self.requests.insert(request.id.clone(), index);
             query.requests.push(request);
         }
-        if let Some(reservation) = self.reservations.get_mut(&number) {
-            reservation.capacity.push(capacity);
+        if let Some(resources) = self.resources.get_mut(&number) {
+            resources.capacity.push(capacity);
         }
     }
 }
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -1,35 +1,36 @@
-//! Query classes while the configuration changes: each has a slot, so that an open query goes on by the rules that it was
-//! opened with and a new one goes by the newest.
+//! Query classes across changes of the configuration. Each version of a class has a slot, an index into the list of
+//! class rules, so that an open query keeps the rules that it was opened with while new queries use the newest rules. A
+//! slot is retiring if only open queries still use its rules.
 use alderway::interface::{ClassSlot, Idempotency, PolicyConfig, PolicyInput, QueryClass};
 use alderway_deployment::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// A configuration that every core is to apply.
+/// A configuration of the router that every core applies.
 #[derive(Debug)]
 pub struct ConfigGeneration {
-    /// Larger for a later one.
+    /// Number of the configuration within this process: 0 for the first, one more for each further one.
     pub serial: u64,
-    /// What it says.
+    /// The settings of this configuration.
     pub settings: Settings,
 }
 
-/// The rules of a query class that the dispatcher itself goes by.
+/// The settings of a query class that the dispatcher itself uses.
 #[derive(Clone, Debug)]
 pub struct ClassRules {
-    /// The name by which clients ask for it.
+    /// The name of the class in clients' requests.
     pub name: String,
-    /// Whether its shard requests may be repeated.
+    /// Whether a shard request may be sent again after an attempt that may have been executed.
     pub idempotency: Idempotency,
-    /// Fraction of the weight that makes an answer complete.
+    /// Smallest answered fraction of a query's weight, from 0 to 1, with which its answer counts as complete.
     pub complete_fraction: f64,
-    /// Least fraction of the weight that may be answered.
+    /// Smallest answered fraction of a query's weight, from 0 to 1, with which an answer may be sent.
     pub minimum_fraction: f64,
 }
 
 impl ClassRules {
-    /// All query classes of some settings, in their order.
+    /// The rules of all query classes, in the order of the settings.
     pub fn all(settings: &Settings) -> Vec<ClassRules> {
         let classes = settings.class_names.iter().zip(&settings.policy.query_classes);
         let rules = |(name, class): (&String, &QueryClass)| ClassRules {
@@ -43,7 +44,7 @@
 }
 
 impl From<&str> for ClassRules {
-    /// An idempotent class whose queries may be answered with nothing.
+    /// The rules of an idempotent class whose queries may be answered without any result.
     fn from(name: &str) -> Self {
         ClassRules {
             name: name.into(),
@@ -54,27 +55,30 @@
     }
 }
 
-/// The longest deadline before the last change, while queries with it may be open.
+/// The longest time limit for queries before the last change of the configuration, in seconds after the arrival of a
+/// query. Queries with that limit may be open until `until_s`, in seconds of the monotonic clock.
 #[derive(Clone, Copy, Default)]
 struct PreviousDeadline {
     deadline_s: f64,
     until_s: f64,
 }
 
-/// A change that the policy has not been told yet.
+/// A change of the configuration that the policy gets in its next run.
 struct PendingChange {
     generation: Arc<ConfigGeneration>,
     slots: Vec<ClassSlot>,
 }
 
-/// Which class has which slot. A slot is the newest one of its class, or retiring while queries with its rules are open,
-/// or free; so there are never more slots than classes that some query goes by.
+/// Assigns slots to query classes. A slot has the newest rules of a class, or is retiring because open queries still
+/// use its rules, or is free for reuse. Free slots are reused, so that the number of slots stays bounded.
 #[derive(Default)]
 pub struct ClassTable {
     updates: Option<watch::Receiver<Arc<ConfigGeneration>>>,
     current: Option<Arc<ConfigGeneration>>,
-    /// Slots of the newest classes, in their order; none while there has been no change.
+    /// The slots for new queries, in the order of the classes in the settings; `None` before the first change, when
+    /// each class has the slot of its index.
     newest_slots: Option<Vec<usize>>,
+    /// The policy's settings of the class in each slot.
     classes_by_slot: BTreeMap<usize, QueryClass>,
     retiring_slots: BTreeSet<usize>,
     free_slots: BTreeSet<usize>,
@@ -83,17 +87,18 @@
 }
 
 impl ClassTable {
-    /// What a policy that starts now is started with.
+    /// The part of the configuration in use that a policy starts with; `None` before `subscribe`.
     pub fn policy_config(&self) -> Option<&PolicyConfig> {
         Some(&self.current.as_ref()?.settings.policy)
     }
 
-    /// The configuration in force.
+    /// The configuration in use; `None` before `subscribe`.
     pub fn current(&self) -> Option<&Arc<ConfigGeneration>> {
         self.current.as_ref()
     }
 
-    /// The slot of a class for queries that come now.
+    /// The slot for new queries of the class `name`; `None` if there is no such class. `rules` are the class rules by
+    /// slot.
     pub fn slot_of(&self, rules: &[ClassRules], name: &str) -> Option<usize> {
         match &self.newest_slots {
             None => rules.iter().position(|class| class.name == name),
@@ -101,7 +106,7 @@
         }
     }
 
-    /// Follows a stream of configurations; returns the newest.
+    /// Subscribes to the channel of configurations; applies and returns the newest one.
     pub fn subscribe(
         &mut self,
         mut updates: watch::Receiver<Arc<ConfigGeneration>>,
@@ -112,13 +117,13 @@
         generation
     }
 
-    /// The newest configuration, if it has not been taken yet.
+    /// The newest configuration from the channel; `None` if it has been returned before.
     pub fn take_update(&mut self) -> Option<Arc<ConfigGeneration>> {
         let updates = self.updates.as_mut().filter(|updates| updates.has_changed().unwrap_or(false))?;
         Some(updates.borrow_and_update().clone())
     }
 
-    /// Gives each class the slot of its order, as at the start.
+    /// Applies a configuration without regard to open queries: each class gets the slot of its index in the settings.
     pub fn reset(&mut self, generation: Arc<ConfigGeneration>) {
         self.classes_by_slot = generation.settings.policy.query_classes.iter().cloned().enumerate().collect();
         self.newest_slots = None;
@@ -128,8 +133,9 @@
         self.current = Some(generation);
     }
 
-    /// Applies a configuration: each class keeps its slot where nothing of it changed, and else gets one of its own.
-    /// Queries opened until now may have had `longest_deadline_s`.
+    /// Applies a configuration. A class that did not change keeps its slot; a new or changed class gets another slot,
+    /// whose entry in `rules` is replaced or added. `longest_deadline_s` is the longest time limit that a query opened
+    /// until `now` may have, in seconds after its arrival.
     pub fn apply(
         &mut self,
         generation: Arc<ConfigGeneration>,
@@ -145,12 +151,12 @@
     }
 
     fn assign_slots(&mut self, generation: &ConfigGeneration, rules: &mut Vec<ClassRules>) -> Vec<ClassSlot> {
-        let mut former = self.newest_slots.take().unwrap_or_else(|| (0..rules.len()).collect());
+        let mut previous_slots = self.newest_slots.take().unwrap_or_else(|| (0..rules.len()).collect());
         let (mut assigned, mut superseded) = (vec![], vec![]);
         let classes = &generation.settings.policy.query_classes;
         for (new_rules, class) in ClassRules::all(&generation.settings).into_iter().zip(classes) {
-            let previous_slot = former.iter().position(|&slot| rules[slot].name == new_rules.name);
-            let previous_slot = previous_slot.map(|index| former.remove(index));
+            let previous_slot = previous_slots.iter().position(|&slot| rules[slot].name == new_rules.name);
+            let previous_slot = previous_slot.map(|index| previous_slots.remove(index));
             let unchanged = previous_slot.filter(|slot| self.classes_by_slot.get(slot) == Some(class));
             let slot = unchanged.or_else(|| self.free_slots.pop_first()).unwrap_or(rules.len());
             match rules.get_mut(slot) {
@@ -161,26 +167,29 @@
             self.classes_by_slot.insert(slot, class.clone());
             assigned.push(ClassSlot { slot, previous_slot });
         }
-        self.retiring_slots.extend(former.into_iter().chain(superseded));
+        self.retiring_slots.extend(previous_slots.into_iter().chain(superseded));
         self.newest_slots = Some(assigned.iter().map(|assigned| assigned.slot).collect());
         assigned
     }
 
-    /// The longest deadline of any open query, in seconds: `max_deadline_s` now, or what it was before the last change.
+    /// The longest time limit that an open query may have, in seconds after its arrival: the present limit
+    /// `max_deadline_s`, or the previous configuration's limit if that is longer and queries opened under that
+    /// configuration may still be open at `now`.
     pub fn longest_deadline_s(&self, max_deadline_s: f64, now: f64) -> f64 {
         let PreviousDeadline { deadline_s, until_s } = self.previous_deadline;
         if now < until_s { max_deadline_s.max(deadline_s) } else { max_deadline_s }
     }
 
-    /// Tells the policy the configurations that it goes by from this round on.
+    /// Passes the configurations that were applied since the policy's last run to the policy.
     pub fn notify_changes(&mut self, policy: &mut dyn PolicyInput) {
         for PendingChange { generation, slots } in std::mem::take(&mut self.pending_changes) {
             policy.change_config(&generation.settings.policy, &slots);
         }
     }
 
-    /// Frees the retiring slots in which no query is open any more, and tells the policy.
-    pub fn notify_retired(&mut self, open_in: impl Fn(usize) -> usize, policy: &mut dyn PolicyInput) {
+    /// Frees the retiring slots without open queries, and reports these slots to the policy. `open_in` returns the
+    /// number of open queries of a slot.
+    pub fn notify_retired_slots(&mut self, open_in: impl Fn(usize) -> usize, policy: &mut dyn PolicyInput) {
         for slot in self.retiring_slots.extract_if(.., |slot| open_in(*slot) == 0) {
             policy.class_retired(slot);
             self.free_slots.insert(slot);
--- a/crates/router/src/state/response.rs
+++ b/crates/router/src/state/response.rs
@@ -1,55 +1,56 @@
-//! The final response to a query, as the dispatcher leaves it with the client's connection. The protocol edge that owns
-//! the connection encodes it.
+//! The final response to a query, as the dispatcher stores it in the state of the client's connection. The connection's
+//! task encodes it.
 use alderway_layouts::ShardId;
 use alderway_layouts::coverage::Coverage;
 
-/// What was answered of a query by keys: from which shard, and the value.
+/// The answered key ranges of a query, each with the shard that answered and its value.
 pub type AnswerCoverage = Coverage<(ShardId, String)>;
 
-/// The value of one shard request.
+/// The value of one answered shard request.
 #[derive(Debug)]
 pub struct ShardResult {
-    /// The shard that answered.
+    /// Id of the shard that answered.
     pub shard: u32,
-    /// The keys that the value is for, from the first to below the second, where the query was for keys.
+    /// The keys that the value is for, from the first (inclusive) to the second (exclusive); `None` without a shard
+    /// map.
     pub keys: Option<(u32, u32)>,
-    /// The value as the data node gave it.
+    /// The value that the data node sent, unchanged.
     pub value: String,
 }
 
 /// The one final response to a query.
 pub enum QueryResponse {
-    /// The values by shard.
+    /// The query is answered with one value for each answered shard request.
     Results {
-        /// Whether enough was answered for the query's class to call it complete.
+        /// Whether the answered fraction of the query reaches the `complete_fraction` of the query's class.
         complete: bool,
         /// One entry for each shard request that was answered.
         results: Vec<ShardResult>,
     },
-    /// The values by keys, where a shard map is followed.
+    /// The query is answered with one value for each answered key range. Used if the router has a shard map.
     ResultsByKeys {
-        /// Whether enough was answered for the query's class to call it complete.
+        /// Whether the answered fraction of the query reaches the `complete_fraction` of the query's class.
         complete: bool,
-        /// What was answered, with its keys.
+        /// The answered key ranges and their values.
         coverage: AnswerCoverage,
     },
-    /// No capacity was left for the query, or none is admitted any more.
+    /// The router has no capacity for the query or shuts down.
     NoCapacity,
-    /// The policy rejected it: a retry by its client is harmless.
+    /// The policy rejected the query. The client may retry the query without side effects.
     Rejected {
-        /// Advice to the client when to try again, in seconds.
+        /// How long the client should wait before it retries, in seconds; `None` if the policy gives no advice.
         retry_after_s: Option<f64>,
     },
-    /// The policy gave it up; it may have had an effect.
+    /// The policy failed the query. Data nodes may have executed parts of the query.
     Failed,
-    /// Its client's time ran out first.
+    /// The deadline of the query passed before a response was ready.
     DeadlineExceeded,
 }
 
-/// A response that is not encoded yet.
+/// A final response that is not yet encoded.
 pub struct PendingResponse {
-    /// What to tell the client.
+    /// The response to encode.
     pub response: QueryResponse,
-    /// Whether the connection ends after it.
+    /// Whether the router closes the client's connection after the response.
     pub closes_connection: bool,
 }
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -1,5 +1,6 @@
-//! What the cores of a process share, and how they reach each other: atomics, pools and messages. A process on one core has a
-//! shared state of its own with nobody else in it.
+//! The state that the cores of a process share, and the channels between the cores. One core, the acceptor core,
+//! accepts client connections and passes them and the endpoint list to the other cores. A process with one core has a
+//! shared state without channels.
 use super::descriptors::DescriptorPermit;
 use super::metrics::MetricsSnapshot;
 use alderway::interface::{NodeObservation, SharedLimits};
@@ -10,61 +11,61 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use tokio::sync::{Notify, broadcast, mpsc, watch};
 
-/// Observations on their way between cores. A core that is further behind loses the oldest; the endpoint list and its own
-/// attempts make up for them.
+/// Capacity of the channel for observations, in messages. A core that has more unread observations loses the oldest
+/// ones; it detects bad data nodes from the endpoint list and its own attempts instead.
 const OBSERVATION_QUEUE: usize = 4096;
-/// Commands on their way to one core.
+/// Capacity of the channel for commands to one core, in commands.
 const COMMAND_QUEUE: usize = 1024;
 
-/// A connection of a client on its way to a core. Nothing of it is read that is not answered.
+/// A client connection that is passed to a core. All bytes that were read from it so far belong to answered requests.
 pub struct TransferredConnection {
     /// The socket.
     pub stream: std::net::TcpStream,
-    /// The right to its descriptor.
+    /// The permit for the socket's file descriptor.
     pub permit: DescriptorPermit,
-    /// Whether it has sent a request before, on another core.
+    /// Whether the client has already sent a complete request on this connection.
     pub has_sent_request: bool,
 }
 
-/// What a core is told to do.
+/// A command to a core.
 pub enum CoreCommand {
-    /// To serve a connection.
+    /// Serve this client connection.
     Serve(TransferredConnection),
-    /// To hand connections over to another core as they fall idle.
-    GiveAway {
-        /// The core that takes them over.
+    /// Move client connections to another core, each when it is idle.
+    HandOver {
+        /// Index of the core that gets the client connections.
         to: usize,
-        /// How many.
+        /// Number of client connections to move.
         connections: usize,
     },
-    /// To close the connection of a client that is idle longest.
+    /// Close the client connection that has been idle longest.
     CloseLongestIdle,
 }
 
-/// What one core observed of a data node, for the others.
+/// An observation of a data node that a core passes to the other cores.
 #[derive(Clone, Debug)]
 pub struct ObservationMessage {
-    /// The core that observed it, or that heard it from another router.
+    /// Index of the core that made the observation or received it from another router.
     pub core: usize,
-    /// The data node's name.
+    /// The name of the observed data node.
     pub node: String,
-    /// What was observed.
+    /// What was observed of the data node.
     pub observation: NodeObservation,
 }
 
-/// What a core last said of itself.
+/// What a core last published about itself. The acceptor core reads it to supervise and balance the cores.
 pub struct CoreState {
-    /// When, in milliseconds of the common clock.
+    /// Time of the core's last heartbeat, in milliseconds of the monotonic clock that all cores share.
     pub heartbeat_ms: AtomicU64,
-    /// Connections of clients.
+    /// Number of open client connections of the core.
     pub client_count: AtomicUsize,
-    /// Clients that had a response between the last two heartbeats.
+    /// Number of client connections on which response bytes were written between the last two heartbeats.
     pub active_clients: AtomicUsize,
-    /// How much of its time it worked lately, in thousandths.
+    /// CPU time used by the thread per time elapsed, in thousandths: a moving average over the last few heartbeats.
     pub busy_permille: AtomicU64,
-    /// What it counts.
+    /// The counters and gauges that the core last published.
     pub metrics: watch::Sender<Arc<MetricsSnapshot>>,
-    /// The serial of the configuration that its policy goes by.
+    /// The [`serial`](super::query_classes::ConfigGeneration::serial) of the configuration that the core's policy uses.
     pub config_serial: watch::Sender<u64>,
     commands: Option<mpsc::Sender<CoreCommand>>,
 }
@@ -83,45 +84,48 @@
     }
 }
 
-/// What all cores share.
+/// The state that all cores of the process share.
 pub struct SharedState {
-    /// Ids of open queries.
+    /// OpenQueryIds of the open queries of all cores, so that no two open queries have the same id.
     pub ids: Arc<OpenQueryIds>,
-    /// Capacity for queries and shard requests.
+    /// Free capacity of the process: an open query takes one unit, and each of its shard requests one unit.
     pub capacity: Arc<Pool>,
-    /// Keeps a core that has fallen behind from starting attempts.
+    /// Keeps a core from starting attempts until it has applied the newest endpoint list.
     pub fence: Arc<Fence>,
-    /// Limits of the policy that hold for all cores together.
+    /// Limits of the policy that apply to all cores together.
     pub limits: SharedLimits,
-    /// One entry for each core.
+    /// The published state of each core, by index.
     pub cores: Vec<CoreState>,
-    /// The policy of some core asks for a poll of the endpoint list.
+    /// Notified when the policy of a core requests a poll of the endpoint list.
     pub poll_requested: Arc<Notify>,
-    /// Most connections of one core to one data node.
+    /// Maximum number of connections from one core to one data node.
     pub max_connections_per_node: usize,
     observations: Option<broadcast::Sender<ObservationMessage>>,
-    /// Cores that serve, as the acceptor core sees them.
+    /// Number of cores that serve clients, as last set by the acceptor core.
     pub cores_serving: AtomicUsize,
-    /// Cores that hang.
+    /// Number of cores that have missed their heartbeats, as last set by the acceptor core.
     pub cores_hung: AtomicUsize,
-    /// Cores that are lost.
+    /// Number of cores that have failed, including those that are not restarted any more, as last set by the acceptor
+    /// core.
     pub cores_lost: AtomicUsize,
-    /// What the acceptor core itself counts.
+    /// Counters and gauges of the acceptor core.
     pub acceptor_metrics: watch::Sender<Arc<MetricsSnapshot>>,
-    /// The version of the configuration in force, or 0 if it came with none.
+    /// The control plane's version number of the configuration in use; 0 if the configuration is not from the control
+    /// plane.
     pub config_version: AtomicU64,
-    /// What the subscription to the control plane counts, where there is one.
+    /// Counters and gauges of the subscription to the control plane; empty if there is no subscription.
     pub control_metrics: watch::Sender<Arc<MetricsSnapshot>>,
 }
 
-/// How several cores share.
+/// How the cores share resources and observations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MulticoreConfig {
-    /// How many cores there are.
+    /// Number of cores.
     pub cores: usize,
-    /// Most connections to one data node, of all cores together; each core may have one at least.
+    /// Maximum number of connections to one data node from all cores together, though each core may always have one;
+    /// `None` for no limit.
     pub max_connections_per_node: Option<usize>,
-    /// Whether cores share what they observe of data nodes.
+    /// Whether cores share their observations of data nodes.
     pub shares_observations: bool,
 }
 
@@ -132,12 +136,13 @@
 }
 
 impl SharedState {
-    /// A shared state with the commands of each core, for `capacity` queries and shard requests. A core that is not led
-    /// for `patience_s` starts no attempt.
+    /// Creates a shared state with `capacity` units for open queries and their shard requests, and the receiver of each
+    /// core's commands. Cores start no attempts if the acceptor core has not confirmed for more than `fence_timeout_s`
+    /// seconds that its endpoint list is current.
     pub fn new(
         capacity: usize,
         config: MulticoreConfig,
-        patience_s: f64,
+        fence_timeout_s: f64,
     ) -> (Arc<Self>, Vec<mpsc::Receiver<CoreCommand>>) {
         let MulticoreConfig { cores, max_connections_per_node, shares_observations } = config;
         let has_several = cores > 1;
@@ -154,7 +159,7 @@
         let shared = SharedState {
             ids: OpenQueryIds::new(capacity),
             capacity: Pool::new(capacity),
-            fence: Fence::new(if has_several { patience_s } else { f64::INFINITY }),
+            fence: Fence::new(if has_several { fence_timeout_s } else { f64::INFINITY }),
             limits: SharedLimits::new(cores),
             cores: core_states,
             poll_requested: Arc::default(),
@@ -172,20 +177,20 @@
         (Arc::new(shared), receivers)
     }
 
-    /// The shared state of a process on one core.
+    /// Creates the shared state of a process with one core.
     pub fn single_core(capacity: usize) -> Arc<Self> {
         SharedState::new(capacity, MulticoreConfig::default(), f64::INFINITY).0
     }
 
-    /// Whether there are several cores.
+    /// Whether the process has several cores.
     pub fn has_several_cores(&self) -> bool {
         self.cores.len() > 1
     }
 
-    /// Sends a core a command.
+    /// Sends a command to the core with index `core`.
     ///
     /// # Errors
-    /// The command itself, if the core has too many waiting or is gone.
+    /// Returns the command if the core's command channel is full, the core has ended, or the process has only one core.
     pub fn send_command(&self, core: usize, command: CoreCommand) -> Result<(), CoreCommand> {
         let Some(commands) = self.cores.get(core).and_then(|state| state.commands.as_ref()) else {
             return Err(command);
@@ -195,18 +200,19 @@
         })
     }
 
-    /// Shares an observation with the other cores; false where cores don't share.
+    /// Sends an observation of a data node to all cores; false if cores do not share observations.
     pub fn broadcast_observation(&self, message: ObservationMessage) -> bool {
-        // An error says that nobody listens.
+        // Sending fails only if no core has subscribed.
         self.observations.as_ref().map(|observations| observations.send(message)).is_some()
     }
 
-    /// What other cores observe from now on, where cores share.
+    /// Subscribes to the observations of all cores; `None` if cores do not share observations.
     pub fn subscribe_observations(&self) -> Option<broadcast::Receiver<ObservationMessage>> {
         self.observations.as_ref().map(broadcast::Sender::subscribe)
     }
 
-    /// Adds to the metrics of one core what the others last said, and how the cores are.
+    /// Adds the metrics that the other cores last published, and the metrics of the process, to `metrics`. `core` is
+    /// the index of the core that `metrics` already includes, `None` if it includes no core.
     pub fn add_other_cores(&self, core: Option<usize>, metrics: &mut MetricsSnapshot) {
         let version = self.config_version.load(Relaxed);
         if version > 0 {
--- a/crates/router/src/wire/mod.rs
+++ b/crates/router/src/wire/mod.rs
@@ -1,13 +1,13 @@
-//! What is spoken. Everything here is fed bytes and knows neither a socket nor a clock; messages are slices
-//! of the buffer that they were read into.
-pub mod answer;
+//! Encoding and decoding of the protocols: HTTP with clients, the watch on discovery, and frames with data nodes. This
+//! module reads no socket and no clock. Decoders get received bytes and return slices of the buffer with those bytes.
 pub mod buffer;
 pub mod discovery;
 pub mod frames;
 pub mod http;
 pub mod json;
-pub mod layout;
 pub mod query;
+pub mod response;
+pub mod shard_map;
 
-/// Why bytes could not be used, in a few words.
-pub type Fault = &'static str;
+/// Why received bytes cannot be used, as a short text for a log line or an error response.
+pub type ParseError = &'static str;
--- a/crates/router/src/wire/query.rs
+++ b/crates/router/src/wire/query.rs
@@ -1,69 +1,82 @@
-//! The body of a query.
-use super::Fault;
-use super::json::Json;
+//! The JSON body of a client's query. The body has a text and targets; a target is a shard or a range of keys, with a
+//! weight: its fraction of the query (`share`).
+use super::ParseError;
+use super::json::JsonReader;
 use std::borrow::Cow;
 
-/// By how much the shares of a query may miss 1 together: twenty of them, rounded to three decimals, do by this.
-const ROUNDED: f64 = 0.01;
+/// Largest difference of the sum of a query's weights from 1. The sum of twenty weights, each rounded to three
+/// decimals, may differ from 1 by up to 0.01.
+const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// Reads a body: every target goes straight into `part` with its shard and weight; returns the text that
-/// each part has to carry.
-pub fn read(body: &[u8], mut part: impl FnMut(u32, f64) -> Result<(), Fault>) -> Result<Cow<'_, str>, Fault> {
-    targets(body, false, |shard, _, weight| part(shard.ok_or("a target without `partition`")?, weight))
+/// Reads a body whose targets are shards, and calls `add_target` with the shard and weight of each target. Returns the
+/// query's text, which is sent with every shard request.
+pub fn read_query_by_shards(
+    body: &[u8],
+    mut add_target: impl FnMut(u32, f64) -> Result<(), ParseError>,
+) -> Result<Cow<'_, str>, ParseError> {
+    read_query(body, false, |shard, _, weight| {
+        add_target(shard.ok_or("a target without `partition`")?, weight)
+    })
 }
 
-/// The same where a target may name `keys`, from one to below another, in the place of a shard.
-pub fn targets(
+/// Reads a body, and calls `add_target` with the shard, the keys and the weight of each target. Keys are a range from
+/// the first number (inclusive) to the second (exclusive). If `accepts_keys` is false, the field `keys` is ignored, as
+/// unknown fields are. Returns the query's text, which is sent with every shard request.
+pub fn read_query(
     body: &[u8],
-    by_keys: bool,
-    mut part: impl FnMut(Option<u32>, Option<(u32, u32)>, f64) -> Result<(), Fault>,
-) -> Result<Cow<'_, str>, Fault> {
-    let (mut json, mut text, mut targets, mut whole) = (Json::new(body), None, false, 0.0);
-    json.object(|json, key| match key {
-        "targets" if targets => Err("`targets` stands twice"),
+    accepts_keys: bool,
+    mut add_target: impl FnMut(Option<u32>, Option<(u32, u32)>, f64) -> Result<(), ParseError>,
+) -> Result<Cow<'_, str>, ParseError> {
+    let (mut json, mut text) = (JsonReader::new(body), None);
+    let (mut has_targets, mut weight_sum) = (false, 0.0);
+    json.read_object(|json, key| match key {
+        "targets" if has_targets => Err("`targets` stands twice"),
         "targets" => {
-            targets = true;
-            json.list(|json| {
-                let (shard, keys, weight) = target(json, by_keys)?;
-                whole += weight;
-                part(shard, keys, weight)
+            has_targets = true;
+            json.read_array(|json| {
+                let (shard, keys, weight) = read_target(json, accepts_keys)?;
+                weight_sum += weight;
+                add_target(shard, keys, weight)
             })
         }
         "query" => {
-            text = Some(json.text()?);
+            text = Some(json.read_string()?);
             Ok(())
         }
-        _ => json.skip(),
+        _ => json.skip_value(),
     })?;
-    json.end()?;
-    if !targets {
+    json.expect_end()?;
+    if !has_targets {
         return Err("`targets` is missing");
     }
-    if (whole - 1.0f64).abs() > ROUNDED {
+    if (weight_sum - 1.0f64).abs() > WEIGHT_SUM_TOLERANCE {
         return Err("the shares do not add up to 1");
     }
     text.ok_or("`query` is missing")
 }
 
+/// The shard, keys and weight of a target.
 type Target = (Option<u32>, Option<(u32, u32)>, f64);
 
-fn target(json: &mut Json, by_keys: bool) -> Result<Target, Fault> {
+fn read_target(json: &mut JsonReader, accepts_keys: bool) -> Result<Target, ParseError> {
     let (mut shard, mut keys, mut weight) = (None, None, None);
-    json.object(|json, key| {
+    json.read_object(|json, key| {
         match key {
-            "partition" => shard = Some(json.whole().map_err(|_| "`partition` is not a whole number")?),
-            "keys" if by_keys => {
-                let mut ends = vec![];
-                json.list(|json| {
-                    ends.push(json.whole().map_err(|_| "`keys` are not two whole numbers")?);
+            "partition" => {
+                shard = Some(json.read_integer().map_err(|_| "`partition` is not a whole number")?)
+            }
+            "keys" if accepts_keys => {
+                let mut bounds = vec![];
+                json.read_array(|json| {
+                    bounds.push(json.read_integer().map_err(|_| "`keys` are not two whole numbers")?);
                     Ok(())
                 })?;
-                let [from, to] = ends[..] else { return Err("`keys` are not two whole numbers") };
-                let key = |end| u32::try_from(end).map_err(|_| "`keys` are too large");
+                let [from, to] = bounds[..] else { return Err("`keys` are not two whole numbers") };
+                let key = |bound| u32::try_from(bound).map_err(|_| "`keys` are too large");
                 keys = Some((key(from)?, key(to)?));
             }
-            "share" => weight = Some(json.number().map_err(|_| "`share` is not a number")?),
-            _ => json.skip()?,
+            "share" => weight = Some(json.read_number().map_err(|_| "`share` is not a number")?),
+            _ => json.skip_value()?,
         }
         Ok(())
     })?;
