--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -3,7 +3,7 @@
 //! tells the lead, which has it start anew.
 use super::acceptor::{self, ConnectionAcceptor};
 use super::endpoint_publisher::EndpointSnapshot;
-use super::rounds;
+use super::policy_loop;
 use crate::lifecycle::graceful_shutdown;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
@@ -177,8 +177,8 @@
     adopt(dispatcher, &slot.endpoints.borrow_and_update().clone());
     dispatcher.borrow_mut().endpoints.is_replaced = true;
     dispatcher.borrow_mut().replay_observations();
-    let module = rounds::newest(dispatcher, slot.seed);
-    let mut rounds = spawn_local(rounds::run(dispatcher.clone(), None, module, slot.for_nodes.clone()));
+    let module = policy_loop::policy_factory(dispatcher, slot.seed);
+    let mut rounds = spawn_local(policy_loop::run(dispatcher.clone(), None, module, slot.for_nodes.clone()));
     let mut failures = slot.endpoints.borrow().failures;
     let mut stopping: Option<JoinHandle<()>> = None;
     // A core that starts anew in the midst of a stop hears of it as of news.
--- a/crates/router/src/io/mod.rs
+++ b/crates/router/src/io/mod.rs
@@ -8,7 +8,7 @@
 pub mod discovery;
 pub mod endpoint_publisher;
 pub mod node_session;
-pub mod rounds;
+pub mod policy_loop;
 
 use alderway_telemetry::clock::Clock;
 use tokio::time::{Sleep, sleep_until};
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -1,6 +1,6 @@
 //! The driver of a connection to a data node: dials, writes attempts and reads their answers, and closes connections that are
 //! idle, blocked or corrupted.
-use super::{arrival, rounds, until};
+use super::{arrival, policy_loop, until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
 use crate::state::node_connection::Dial;
@@ -100,7 +100,7 @@
         Err(_) => dispatcher.borrow_mut().counters.increment("connections{dial_timed_out}"),
     }
     dispatcher.borrow_mut().connection_lost(&node, connection);
-    rounds::post(&dispatcher, &descriptors);
+    policy_loop::flush_attempts(&dispatcher, &descriptors);
 }
 
 fn log_close(dispatcher: &DispatcherHandle, node: &str, connection: u64, reason: &CloseReason) {
--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -12,20 +12,20 @@
 use tokio::task::{spawn_local, yield_now};
 
 /// The dispatcher as the module writes to it; a forwarder notes what its own module decides.
-pub struct Pen<'a>(&'a DispatcherHandle, Option<&'a Tier>);
+pub struct DispatcherSink<'a>(&'a DispatcherHandle, Option<&'a Tier>);
 
-impl<'a> Pen<'a> {
+impl<'a> DispatcherSink<'a> {
     /// For decisions that a forwarder has noted already.
-    pub fn bare(dispatcher: &'a DispatcherHandle) -> Self {
-        Pen(dispatcher, None)
+    pub fn without_tier(dispatcher: &'a DispatcherHandle) -> Self {
+        DispatcherSink(dispatcher, None)
     }
 
-    fn finished(&self, query: &str) {
+    fn query_finished(&self, query: &str) {
         self.1.iter().for_each(|tier| tier.borrow_mut().own_finished(query));
     }
 }
 
-impl DecisionSink for Pen<'_> {
+impl DecisionSink for DispatcherSink<'_> {
     fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
         self.1.iter().for_each(|tier| tier.borrow_mut().own_called(part, node));
         self.0.borrow_mut().start_attempt(part, node, limit);
@@ -34,15 +34,15 @@
         self.0.borrow_mut().cancel_attempt(part, hop);
     }
     fn answer(&mut self, query: &str, whole: bool) {
-        self.finished(query);
+        self.query_finished(query);
         self.0.borrow_mut().answer(query, whole);
     }
     fn reject(&mut self, query: &str, come_back: Option<f64>) {
-        self.finished(query);
+        self.query_finished(query);
         self.0.borrow_mut().reject(query, come_back);
     }
     fn fail(&mut self, query: &str) {
-        self.finished(query);
+        self.query_finished(query);
         self.0.borrow_mut().fail(query);
     }
     fn share_observation(&mut self, node: &str, seen: NodeObservation) {
@@ -63,7 +63,7 @@
 }
 
 /// Gives calls their places on connections, and dials those that this takes.
-pub fn post(dispatcher: &DispatcherHandle, share: &Arc<DescriptorPool>) {
+pub fn flush_attempts(dispatcher: &DispatcherHandle, share: &Arc<DescriptorPool>) {
     let now = dispatcher.borrow().clock.now();
     let dials = dispatcher.borrow_mut().flush_attempts(now);
     for dial in dials {
@@ -72,7 +72,10 @@
 }
 
 /// Makes a module by the newest settings that the dispatcher has taken over; without any there is none to make.
-pub fn newest(dispatcher: &DispatcherHandle, seed: u64) -> impl Fn() -> Result<Policy, String> + 'static {
+pub fn policy_factory(
+    dispatcher: &DispatcherHandle,
+    seed: u64,
+) -> impl Fn() -> Result<Policy, String> + 'static {
     let dispatcher = dispatcher.clone();
     move || {
         let dispatcher = dispatcher.borrow();
@@ -130,7 +133,8 @@
             }
             Ok::<(), Infallible>(())
         };
-        let round = AssertUnwindSafe(|| router.round(now, tell, &mut Pen(&dispatcher, tier.as_ref())));
+        let round =
+            AssertUnwindSafe(|| router.round(now, tell, &mut DispatcherSink(&dispatcher, tier.as_ref())));
         // Guards against a fault of the module that some rare query brings out: what is open is aborted, and
         // the router goes on with a module that has yet to learn, as after a restart.
         if catch_unwind(round).is_err() {
@@ -140,7 +144,7 @@
             dispatcher.borrow_mut().restart_policy();
         }
         dispatcher.borrow_mut().counters.increment("rounds");
-        post(&dispatcher, &share);
+        flush_attempts(&dispatcher, &share);
         let tick = dispatcher.borrow().admission.min_round_interval_s;
         until(clock, now + tick).await;
     }
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::control::{self, Subscription};
 use crate::gossip::{self, Circle};
-use crate::io::{acceptor, arrival, discovery, rounds};
+use crate::io::{acceptor, arrival, discovery, policy_loop};
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::live_config::LiveConfig;
 use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
@@ -80,8 +80,8 @@
     if let Some(gossip) = gossip {
         gossip::start(&dispatcher, gossip, &name, post::incarnation()).await?;
     }
-    let policy = rounds::newest(&dispatcher, seed);
-    let rounds = spawn_local(rounds::run(dispatcher.clone(), forwarder, policy, for_nodes));
+    let policy = policy_loop::policy_factory(&dispatcher, seed);
+    let rounds = spawn_local(policy_loop::run(dispatcher.clone(), forwarder, policy, for_nodes));
     spawn_local(wake_at_new_settings(dispatcher.clone(), live_config.subscribe()));
     let counting = dispatcher.clone();
     live_config.attach(Box::new(move |name| counting.borrow_mut().counters.increment(name)), None);
--- a/crates/router/tests/dispatcher/queries.rs
+++ b/crates/router/tests/dispatcher/queries.rs
@@ -1,7 +1,7 @@
 //! Queries at the end of a shutdown and after a failure of the policy.
 use crate::common::dispatcher::{one_class_policy, played, response_text};
 use crate::{dispatcher, told};
-use alderway_router::io::rounds;
+use alderway_router::io::policy_loop;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::descriptors;
 use alderway_router::state::queries::Query;
@@ -50,7 +50,7 @@
     };
     played(async {
         let share = descriptors::split(64, usize::MAX, 1).1;
-        tokio::task::spawn_local(rounds::run(dispatcher.clone(), None, module, share));
+        tokio::task::spawn_local(policy_loop::run(dispatcher.clone(), None, module, share));
         let bad = taken("bad", 1);
         bad.wake.notified().await;
         assert!(response_text(&bad).starts_with("HTTP/1.1 504 "));
