--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -22,48 +22,48 @@
 use tokio::time::{sleep, timeout};
 
 /// Whoever keeps the list: a core's dispatcher, or the lead of several.
-pub trait Follower {
+pub trait DiscoveryTarget {
     fn clock(&self) -> Clock;
     /// Whether changes come only when the module asks to follow the list.
-    fn follows(&self) -> bool;
-    fn asked(&self) -> Arc<Notify>;
+    fn polls_on_request(&self) -> bool;
+    fn poll_requested(&self) -> Arc<Notify>;
     fn endpoints(&mut self) -> &mut EndpointTable;
-    fn changed(&mut self);
+    fn endpoints_updated(&mut self);
     /// A watch is lost, whether or not it had answered.
     fn watch_lost(&mut self, answered: bool);
     /// So long there was no watch that had answered, or it said nothing; until now.
-    fn quiet(&mut self, span: f64);
-    fn moved(&mut self);
+    fn record_silence(&mut self, span: f64);
+    fn discovery_moved(&mut self);
     /// Whether `looked` is waited for: by other cores, which must not send by a list that may be out of date.
-    fn leads(&self) -> bool {
+    fn tracks_checks(&self) -> bool {
         false
     }
     /// Nothing that discovery had sent by then is unread, or there is no watch.
-    fn looked(&mut self, _at: f64) {}
+    fn discovery_checked(&mut self, _at: f64) {}
     /// Where layouts are followed, the version to ask for changes to: 0 for the whole layout.
-    fn layout_since(&self) -> Option<u64> {
+    fn layout_version(&self) -> Option<u64> {
         None
     }
     /// News of the layout, taken in whole or not at all; `changed` follows.
-    fn layout(&mut self, _news: News) -> Result<(), Faulty> {
+    fn apply_layout(&mut self, _news: News) -> Result<(), Faulty> {
         Ok(())
     }
 }
 
-impl Follower for Dispatcher {
+impl DiscoveryTarget for Dispatcher {
     fn clock(&self) -> Clock {
         self.clock
     }
-    fn follows(&self) -> bool {
+    fn polls_on_request(&self) -> bool {
         self.admission.polls_endpoints
     }
-    fn asked(&self) -> Arc<Notify> {
+    fn poll_requested(&self) -> Arc<Notify> {
         self.poll_requested.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
-    fn changed(&mut self) {
+    fn endpoints_updated(&mut self) {
         self.endpoints_changed();
     }
     fn watch_lost(&mut self, answered: bool) {
@@ -72,16 +72,16 @@
             self.endpoint_poll_failed();
         }
     }
-    fn quiet(&mut self, span: f64) {
+    fn record_silence(&mut self, span: f64) {
         self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
     }
-    fn moved(&mut self) {
+    fn discovery_moved(&mut self) {
         self.counters.increment("discovery_moves");
     }
-    fn layout_since(&self) -> Option<u64> {
+    fn layout_version(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
-    fn layout(&mut self, news: News) -> Result<(), Faulty> {
+    fn apply_layout(&mut self, news: News) -> Result<(), Faulty> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
         let shards =
@@ -93,20 +93,20 @@
     }
 }
 
-pub type SharedFollower = Rc<RefCell<dyn Follower>>;
+pub type SharedDiscoveryTarget = Rc<RefCell<dyn DiscoveryTarget>>;
 
 /// How often a follower hears that nothing is unread.
 const LOOKS: Duration = Duration::from_millis(100);
 
 /// Waits for something while there is no watch that could tell anything: the old list holds.
-async fn unwatched<T>(list: &SharedFollower, what: impl Future<Output = T>) -> T {
-    if !list.borrow().leads() {
+async fn unwatched<T>(list: &SharedDiscoveryTarget, what: impl Future<Output = T>) -> T {
+    if !list.borrow().tracks_checks() {
         return what.await;
     }
     let mut what = pin!(what);
     loop {
         let now = list.borrow().clock().now();
-        list.borrow_mut().looked(now);
+        list.borrow_mut().discovery_checked(now);
         if let Ok(done) = timeout(LOOKS, what.as_mut()).await {
             return done;
         }
@@ -115,10 +115,10 @@
 
 /// Watches for as long as the program runs, at the address that `agent` holds. Where that changes the old watch
 /// ends at once and the new one begins; until it tells something, the old list holds.
-pub async fn run(list: SharedFollower, mut agent: Receiver<SocketAddr>) {
+pub async fn run(list: SharedDiscoveryTarget, mut agent: Receiver<SocketAddr>) {
     let (clock, follows, asked) = {
         let list = list.borrow();
-        (list.clock(), list.follows(), list.asked())
+        (list.clock(), list.polls_on_request(), list.poll_requested())
     };
     let (mut state, mut whole, mut heard) = (WatchState::new(follows), false, clock.now());
     loop {
@@ -136,7 +136,7 @@
         let why = tokio::select! {
             why = watch(&list, address, &mut state, &mut whole, &mut heard) => why,
             Ok(()) = agent.changed() => {
-                list.borrow_mut().moved();
+                list.borrow_mut().discovery_moved();
                 state.phase = WatchPhase::Waiting { until: clock.now() };
                 continue;
             }
@@ -149,7 +149,7 @@
 
 /// One watch; returns why it ended.
 async fn watch(
-    list: &SharedFollower,
+    list: &SharedDiscoveryTarget,
     address: SocketAddr,
     state: &mut WatchState,
     whole: &mut bool,
@@ -157,7 +157,7 @@
 ) -> String {
     let (clock, since, mut layout) = {
         let mut list = list.borrow_mut();
-        let layout = list.layout_since();
+        let layout = list.layout_version();
         (list.clock(), list.endpoints().version, layout)
     };
     // Changes could not be followed from the version held: guards against asking for them for ever.
@@ -171,7 +171,7 @@
         Err(_) => return "no connection in time".into(),
     };
     let _ = stream.set_nodelay(true);
-    let leads = list.borrow().leads();
+    let leads = list.borrow().tracks_checks();
     let mut out = Vec::new();
     discovery::follow(&mut out, &address.to_string(), since, layout);
     let (mut sender, mut written) = (Sender::default(), 0);
@@ -192,7 +192,7 @@
                 // The time is read first: what comes after it may be missed by this look.
                 let now = clock.now();
                 if !arrival::waits(&stream) {
-                    list.borrow_mut().looked(now);
+                    list.borrow_mut().discovery_checked(now);
                 }
                 continue;
             }
@@ -214,7 +214,7 @@
                         continue;
                     }
                     state.update_received(now);
-                    list.borrow_mut().quiet(now - std::mem::replace(heard, now));
+                    list.borrow_mut().record_silence(now - std::mem::replace(heard, now));
                     if let Word::Object(end) = word
                         && let Err(why) = take(list, &buffer.data()[..end], whole)
                     {
@@ -232,7 +232,7 @@
 }
 
 /// One object of the watch: a list or a change.
-fn take(list: &SharedFollower, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
+fn take(list: &SharedDiscoveryTarget, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
     let (index, whole) = discovery::version(line)?;
     let mut list = list.borrow_mut();
     let (clock, endpoints) = (list.clock(), list.endpoints());
@@ -259,11 +259,11 @@
     if let Some(first) = wrong {
         tracing::warn!(target: "roster", "list {index}: {unusable} entries cannot be used, first {first}");
     }
-    let told = if list.layout_since().is_some() { layout::news(line) } else { Ok(None) };
-    let (mut refused, held) = (None, list.layout_since());
+    let told = if list.layout_version().is_some() { layout::news(line) } else { Ok(None) };
+    let (mut refused, held) = (None, list.layout_version());
     match told {
         Ok(Some(news)) => {
-            if let Err(why) = list.layout(news) {
+            if let Err(why) = list.apply_layout(news) {
                 *whole_layout = matches!(why, Faulty::NotHeld { .. });
                 refused = Some(why.to_string());
             }
@@ -271,8 +271,8 @@
         Ok(None) => {}
         Err(why) => refused = Some(why.to_string()),
     }
-    list.changed();
-    match (refused, list.layout_since()) {
+    list.endpoints_updated();
+    match (refused, list.layout_version()) {
         (Some(why), held) => {
             let held = held.unwrap_or(0);
             tracing::warn!(target: "layout", "refused: {why}; version {held} holds");
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -68,24 +68,24 @@
     }
 }
 
-impl discovery::Follower for EndpointPublisher {
+impl discovery::DiscoveryTarget for EndpointPublisher {
     fn clock(&self) -> Clock {
         self.clock
     }
-    fn follows(&self) -> bool {
+    fn polls_on_request(&self) -> bool {
         self.polls_endpoints
     }
-    fn asked(&self) -> Arc<Notify> {
+    fn poll_requested(&self) -> Arc<Notify> {
         self.shared.poll_requested.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
-    fn changed(&mut self) {
+    fn endpoints_updated(&mut self) {
         self.counters.increment("roster_lists");
         self.publish();
     }
-    fn quiet(&mut self, span: f64) {
+    fn record_silence(&mut self, span: f64) {
         self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
     }
     fn watch_lost(&mut self, answered: bool) {
@@ -94,19 +94,19 @@
             self.snapshots.send_modify(|snapshot| snapshot.failures += 1);
         }
     }
-    fn moved(&mut self) {
+    fn discovery_moved(&mut self) {
         self.counters.increment("discovery_moves");
     }
-    fn leads(&self) -> bool {
+    fn tracks_checks(&self) -> bool {
         true
     }
-    fn looked(&mut self, at: f64) {
+    fn discovery_checked(&mut self, at: f64) {
         self.shared.fence.looked(at);
     }
-    fn layout_since(&self) -> Option<u64> {
+    fn layout_version(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
-    fn layout(&mut self, news: News) -> Result<(), Faulty> {
+    fn apply_layout(&mut self, news: News) -> Result<(), Faulty> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
         let taken = shard_map.apply(news, now).map(drop);
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -6,7 +6,7 @@
 pub use rounds::{PolicyFailed, round};
 
 use super::{Outbox, received_observation};
-use crate::io::discovery::Follower;
+use crate::io::discovery::DiscoveryTarget;
 use crate::state::counters::Counters;
 use crate::state::endpoints::EndpointTable;
 use alderway::interface::{AttemptOutcome, NodeObservation, PolicyInput};
@@ -397,30 +397,30 @@
     }
 }
 
-impl Follower for Planner {
+impl DiscoveryTarget for Planner {
     fn clock(&self) -> Clock {
         self.clock
     }
-    fn follows(&self) -> bool {
+    fn polls_on_request(&self) -> bool {
         false
     }
-    fn asked(&self) -> Arc<Notify> {
+    fn poll_requested(&self) -> Arc<Notify> {
         self.asked.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
-    fn changed(&mut self) {
+    fn endpoints_updated(&mut self) {
         self.counters.increment("roster_changes");
         self.wake.notify_one();
     }
     fn watch_lost(&mut self, _answered: bool) {
         self.counters.increment("discovery_watches_lost");
     }
-    fn quiet(&mut self, span: f64) {
+    fn record_silence(&mut self, span: f64) {
         self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
     }
-    fn moved(&mut self) {
+    fn discovery_moved(&mut self) {
         self.counters.increment("discovery_moves");
     }
 }
--- a/crates/router/tests/shard_map/changes.rs
+++ b/crates/router/tests/shard_map/changes.rs
@@ -1,7 +1,7 @@
 //! Changes of the shard map that reach attempts and the policy.
 use crate::{change, dispatcher, moved, send, take, told, whole};
 use alderway_layouts::history::News;
-use alderway_router::io::discovery::Follower;
+use alderway_router::io::discovery::DiscoveryTarget;
 use rstest::rstest;
 
 #[rstest]
@@ -31,9 +31,9 @@
 fn faulty_news_change_nothing() {
     let mut dispatcher = dispatcher(100);
     let hole = whole(2, &[(1, 0, 50, &[0, 1])]);
-    assert_eq!(dispatcher.layout(hole).expect_err("a hole").to_string(), "no shard covers key 50");
+    assert_eq!(dispatcher.apply_layout(hole).expect_err("a hole").to_string(), "no shard covers key 50");
     let unknown = News::Changes { version: 3, after: 2, changes: vec![moved(1, &[4])] };
-    assert!(dispatcher.layout(unknown).is_err());
-    assert_eq!(dispatcher.layout_since(), Some(1));
+    assert!(dispatcher.apply_layout(unknown).is_err());
+    assert_eq!(dispatcher.layout_version(), Some(1));
     assert!(told(&mut dispatcher).is_empty());
 }
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -13,7 +13,7 @@
 use alderway_layouts::history::News;
 use alderway_layouts::layout::{Change, Shard};
 use alderway_layouts::{Key, Range, ShardId};
-use alderway_router::io::discovery::Follower;
+use alderway_router::io::discovery::DiscoveryTarget;
 use alderway_router::requests;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
@@ -39,7 +39,7 @@
 }
 
 fn change(dispatcher: &mut Dispatcher, version: u64, changes: Vec<Change>) {
-    dispatcher.layout(News::Changes { version, after: version - 1, changes }).expect("a sound change");
+    dispatcher.apply_layout(News::Changes { version, after: version - 1, changes }).expect("a sound change");
 }
 
 fn split(parent: ShardId, children: &[(ShardId, Key)]) -> Change {
@@ -65,7 +65,7 @@
         dispatcher.endpoints.update(&format!("n{group}"), at, group, NodeState::Serving, None);
     }
     assert!(!dispatcher.is_ready(), "no layout is known yet");
-    dispatcher.layout(whole(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])])).expect("sound");
+    dispatcher.apply_layout(whole(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])])).expect("sound");
     assert!(dispatcher.is_ready());
     told(&mut dispatcher);
     dispatcher
