--- a/crates/router/src/io/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -13,12 +13,12 @@
 use tokio::net::TcpStream;
 
 /// Asks for stamps; connections inherit it from their listener.
-pub fn stamp(socket: &impl AsFd) -> io::Result<()> {
+pub fn enable_receive_timestamps(socket: &impl AsFd) -> io::Result<()> {
     Ok(setsockopt(socket, sockopt::ReceiveTimestampns, &true)?)
 }
 
 /// Whether bytes have come that are not read yet, whatever the runtime has been told so far.
-pub fn waits(stream: &TcpStream) -> bool {
+pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     peek(stream).is_ok_and(|count| count > 0)
 }
 
@@ -28,7 +28,7 @@
 }
 
 /// Whether the other side has ended a connection on which nothing is unread.
-pub fn ended(stream: &TcpStream) -> bool {
+pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     peek(stream).is_ok_and(|count| count == 0)
 }
 
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// The connection is over.
-pub fn read(
+pub fn read_with_arrival_time(
     stream: &TcpStream,
     space: &mut [u8],
     clock: Clock,
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -264,7 +264,7 @@
                 () = client.wake.notified() => {}
                 () = ready(()), if should_close => {
                     // Guards against closing on a request that has come and is not read yet: it counts as taken.
-                    if !has_room || !arrival::waits(stream) {
+                    if !has_room || !arrival::has_unread_bytes(stream) {
                         if !self.must_reject_half_sent() {
                             return self.closed_while_idle();
                         }
@@ -381,7 +381,8 @@
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.stall_detector.check(self.clock.now());
         let estimator = &mut dispatcher.arrival_times;
-        match arrival::read(self.stream, space, self.clock, estimator, &mut self.drained_at) {
+        match arrival::read_with_arrival_time(self.stream, space, self.clock, estimator, &mut self.drained_at)
+        {
             Ok(Some((0, _))) | Err(_) => return false,
             Ok(Some((count, at))) => {
                 if !self.has_overrun {
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -191,7 +191,7 @@
             () = sleep(LOOKS), if leads => {
                 // The time is read first: what comes after it may be missed by this look.
                 let now = clock.now();
-                if !arrival::waits(&stream) {
+                if !arrival::has_unread_bytes(&stream) {
                     list.borrow_mut().discovery_checked(now);
                 }
                 continue;
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -282,7 +282,7 @@
     /// may have run.
     fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
         let is_reuse = self.with_state(|state| state.is_reuse_after_idle()).unwrap_or(false);
-        if is_reuse && arrival::ended(self.stream) {
+        if is_reuse && arrival::is_closed_by_peer(self.stream) {
             self.dispatcher.borrow_mut().requeue_unsent(self.node, self.connection);
             return Err(CloseReason::EndedWhileIdle);
         }
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -71,7 +71,7 @@
     let StartupConfig { name, listen, discovery, seed, role, gossip, .. } = config;
 
     let listener = TcpListener::bind(listen).await?;
-    arrival::stamp(&listener)?;
+    arrival::enable_receive_timestamps(&listener)?;
     let (address, known) = (listener.local_addr()?, dispatcher.endpoints.nodes.len());
     tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known");
     let dispatcher = Rc::new(RefCell::new(dispatcher));
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -87,7 +87,7 @@
     }
 
     let listener = TcpListener::bind(listen).await?;
-    arrival::stamp(&listener)?;
+    arrival::enable_receive_timestamps(&listener)?;
     let (address, cores) = (listener.local_addr()?, multicore.cores);
     tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known, {cores} cores");
     let crew = Rc::new(RefCell::new(Crew::new(cores, clock.now())));
