--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -1,6 +1,6 @@
 //! The driver of a client's connection: reads requests one at a time, writes answers, and closes connections that say nothing,
 //! send half a request or do not read their answer.
-use super::{arrival, until};
+use super::{arrival, sleep_until};
 use crate::requests;
 use crate::state::DispatcherHandle;
 use crate::state::clients::{ClientConnection, CloseRequest};
@@ -272,7 +272,7 @@
                     }
                     yield_now().await;
                 }
-                () = until(clock, waiting.deadline), if waiting.deadline.is_finite() && !should_close => {
+                () = sleep_until(clock, waiting.deadline), if waiting.deadline.is_finite() && !should_close => {
                     if waiting.is_writing {
                         return CloseReason::ReadsNothing;
                     }
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,6 +1,6 @@
 //! The driver of discovery's watch: through losses and silences to a new watch, while the old list holds.
 use super::arrival;
-use super::until;
+use super::sleep_until;
 use crate::state::dispatcher::Dispatcher;
 use crate::state::endpoints::EndpointTable;
 use crate::state::watch_state::{WatchPhase, WatchState};
@@ -126,7 +126,7 @@
         let rest = async {
             tokio::select! {
                 () = asked.notified(), if state.phase == WatchPhase::NotRequested => {}
-                () = until(clock, due), if due.is_finite() => {}
+                () = sleep_until(clock, due), if due.is_finite() => {}
                 Ok(()) = agent.changed() => {}
             }
         };
@@ -187,7 +187,7 @@
             biased;
             _ = stream.readable() => {}
             () = sender.ready(&stream), if written < out.len() => {}
-            () = until(clock, state.deadline()) => return "silence".into(),
+            () = sleep_until(clock, state.deadline()) => return "silence".into(),
             () = sleep(LOOKS), if leads => {
                 // The time is read first: what comes after it may be missed by this look.
                 let now = clock.now();
--- a/crates/router/src/io/mod.rs
+++ b/crates/router/src/io/mod.rs
@@ -11,9 +11,9 @@
 pub mod policy_loop;
 
 use alderway_telemetry::clock::Clock;
-use tokio::time::{Sleep, sleep_until};
+use tokio::time::Sleep;
 
 /// Sleeps until a time of the steady clock.
-pub fn until(clock: Clock, at: f64) -> Sleep {
-    sleep_until(clock.instant(at).into())
+pub fn sleep_until(clock: Clock, at_s: f64) -> Sleep {
+    tokio::time::sleep_until(clock.instant(at_s).into())
 }
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -1,6 +1,6 @@
 //! The driver of a connection to a data node: dials, writes attempts and reads their answers, and closes connections that are
 //! idle, blocked or corrupted.
-use super::{arrival, policy_loop, until};
+use super::{arrival, policy_loop, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
 use crate::state::node_connection::Dial;
@@ -240,15 +240,15 @@
                 self.limit_incomplete_answer(frames);
             }
             () = self.outgoing.sender.ready(stream), if progress == WriteProgress::Blocked => {}
-            () = until(clock, self.write_by), if self.write_by.is_finite() => {
+            () = sleep_until(clock, self.write_by), if self.write_by.is_finite() => {
                 return Err(CloseReason::TakesNothing);
             }
-            () = until(clock, self.read_by), if self.read_by.is_finite() => {
+            () = sleep_until(clock, self.read_by), if self.read_by.is_finite() => {
                 let problem = "an answer that does not end";
                 return Err(CloseReason::Corrupted(CorruptedFrame::unnamed(problem)));
             }
             () = wake.notified() => {}
-            () = until(clock, idle_since.unwrap_or_default() + self.idle_timeout_s), if idle_since.is_some() => {}
+            () = sleep_until(clock, idle_since.unwrap_or_default() + self.idle_timeout_s), if idle_since.is_some() => {}
         }
         Ok(())
     }
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -1,5 +1,5 @@
 //! The driver of the module: one round for all that came in.
-use super::{node_session, until};
+use super::{node_session, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
 use crate::tier::forwarder::Split;
@@ -112,7 +112,7 @@
         let due = dispatcher.borrow().next_timer_s();
         tokio::select! {
             () = came.notified() => {}
-            () = until(clock, due), if due.is_finite() => {}
+            () = sleep_until(clock, due), if due.is_finite() => {}
         }
         let stall = dispatcher.borrow_mut().stall_detector.check(clock.now());
         if std::mem::replace(&mut settled, stall) != stall {
@@ -146,6 +146,6 @@
         dispatcher.borrow_mut().counters.increment("rounds");
         flush_attempts(&dispatcher, &share);
         let tick = dispatcher.borrow().admission.min_round_interval_s;
-        until(clock, now + tick).await;
+        sleep_until(clock, now + tick).await;
     }
 }
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -1,6 +1,6 @@
 //! A planner's drivers: the listener for forwarders, a task a connection, discovery, and the rounds of its module.
 use super::planner::{self, Planner};
-use crate::io::{discovery, until};
+use crate::io::{discovery, sleep_until};
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
 use crate::lifecycle::startup::StartupConfig;
@@ -85,7 +85,7 @@
         let due = planner.borrow().next_due();
         tokio::select! {
             () = wake.notified() => {}
-            () = until(clock, due), if due.is_finite() => {}
+            () = sleep_until(clock, due), if due.is_finite() => {}
         }
         // Whatever else has come by now is told in the same round.
         yield_now().await;
