--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -17,7 +17,7 @@
 /// Where accepted connections go.
 pub trait ConnectionAcceptor {
     /// Closes an idle connection, so that a descriptor comes free.
-    fn make_room(&self);
+    fn close_idle_connection(&self);
 
     /// Takes an accepted connection over, with the permit for its descriptor.
     fn accept(&self, stream: TcpStream, permit: DescriptorPermit) -> impl Future<Output = ()>;
@@ -25,7 +25,7 @@
 
 /// On one core, connections are served where they are accepted.
 impl ConnectionAcceptor for DispatcherHandle {
-    fn make_room(&self) {
+    fn close_idle_connection(&self) {
         let dispatcher = self.borrow();
         let half_sent_timeout_s = dispatcher.connection_config.dial_timeout_s;
         dispatcher.clients.close_longest_idle(dispatcher.clock.now(), half_sent_timeout_s);
@@ -38,7 +38,7 @@
 
 /// Accepts connections until `close` is notified; what the system has accepted by then, whether or not the runtime has been
 /// told of it, is accepted before this returns. Where descriptors run out, idle connections make room.
-pub async fn listen(
+pub async fn accept_connections(
     acceptor: impl ConnectionAcceptor,
     listener: TcpListener,
     descriptors: Arc<DescriptorPool>,
@@ -91,13 +91,13 @@
         if let Some(permit) = descriptors.acquire() {
             return permit;
         }
-        acceptor.make_room();
+        acceptor.close_idle_connection();
         let _ = timeout(RETRY_PAUSE, descriptors.released.notified()).await;
     }
 }
 
 /// Serves a connection that the acceptor's core has accepted, or another core hands over between two of its requests.
-pub fn take_over(dispatcher: &DispatcherHandle, connection: TransferredConnection) {
+pub fn serve_transferred(dispatcher: &DispatcherHandle, connection: TransferredConnection) {
     let TransferredConnection { stream, permit, has_sent_request } = connection;
     match TcpStream::from_std(stream) {
         Ok(stream) => {
--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -29,7 +29,7 @@
 }
 
 impl ConnectionAcceptor for Rc<ConnectionBalancer> {
-    fn make_room(&self) {
+    fn close_idle_connection(&self) {
         let core = (self.last_asked.get() + 1) % self.shared.cores.len();
         self.last_asked.set(core);
         let _ = self.shared.send_command(core, CoreCommand::CloseLongestIdle);
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -305,10 +305,10 @@
 
 fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
     match order {
-        CoreCommand::Serve(connection) => acceptor::take_over(dispatcher, connection),
+        CoreCommand::Serve(connection) => acceptor::serve_transferred(dispatcher, connection),
         CoreCommand::GiveAway { to, connections } => {
             dispatcher.borrow_mut().handover = Some(Handover { to, connections })
         }
-        CoreCommand::CloseLongestIdle => dispatcher.make_room(),
+        CoreCommand::CloseLongestIdle => dispatcher.close_idle_connection(),
     }
 }
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -91,8 +91,12 @@
     spawn_local(reload_at_sighup(hangups, previous, discovery, clock, reloadable));
 
     let close = Rc::default();
-    let listening =
-        spawn_local(acceptor::listen(dispatcher.clone(), listener, for_clients, Rc::clone(&close)));
+    let listening = spawn_local(acceptor::accept_connections(
+        dispatcher.clone(),
+        listener,
+        for_clients,
+        Rc::clone(&close),
+    ));
     // A router whose decision module has failed must not go on as if it served.
     tokio::select! {
         () = graceful_shutdown::shut_down_at_sigterm(terminations, dispatcher.clone(), close, listening) => {}
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -98,7 +98,7 @@
     spawn_local(discovery::run(publisher.clone(), discovery_address));
     let balancer = ConnectionBalancer::new(shared.clone(), crew.clone());
     let close = Rc::new(Notify::new());
-    let listening = spawn_local(acceptor::listen(balancer, listener, for_clients, close.clone()));
+    let listening = spawn_local(acceptor::accept_connections(balancer, listener, for_clients, close.clone()));
 
     let mut supervisor =
         CoreSupervisor::new(shared.clone(), clock, publisher, crew, received_reports, restarts);
--- a/crates/router/tests/dispatcher/client_connections.rs
+++ b/crates/router/tests/dispatcher/client_connections.rs
@@ -15,7 +15,12 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let share = descriptors::split(64, usize::MAX, 1).0;
-    tokio::task::spawn_local(acceptor::listen(dispatcher.clone(), listener, share, Rc::default()));
+    tokio::task::spawn_local(acceptor::accept_connections(
+        dispatcher.clone(),
+        listener,
+        share,
+        Rc::default(),
+    ));
     tokio::net::TcpStream::connect(address).await.expect("connected")
 }
 
@@ -51,7 +56,7 @@
         // The runtime has not looked at the listener since.
         let (share, close) = (descriptors::split(64, usize::MAX, 1).0, Rc::new(tokio::sync::Notify::new()));
         close.notify_one();
-        acceptor::listen(dispatcher, listener, share, close).await;
+        acceptor::accept_connections(dispatcher, listener, share, close).await;
         let mut answer = [0; 200];
         let mut client = tokio::net::TcpStream::from_std(client).expect("a stream");
         let count = client.read(&mut answer).await.expect("an answer");
