--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -323,7 +323,7 @@
         let (head, body) = self.messages.message(&self.buffer);
         let has_bytes_behind = self.buffer.data().len() > self.messages.end();
         self.client.has_bytes_behind.set(has_bytes_behind);
-        requests::take(self.dispatcher, self.client, head, body, self.read_at);
+        requests::handle(self.dispatcher, self.client, head, body, self.read_at);
         self.messages.done(&mut self.buffer);
         self.client.has_sent_request.set(true);
         self.has_sent_continue = false;
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -11,7 +11,13 @@
 use std::rc::Rc;
 
 /// Takes a whole request whose last byte came at `at`; it is answered now, or it is an open query then.
-pub fn take(dispatcher: &DispatcherHandle, client: &Rc<ClientConnection>, head: Head, body: &[u8], at: f64) {
+pub fn handle(
+    dispatcher: &DispatcherHandle,
+    client: &Rc<ClientConnection>,
+    head: Head,
+    body: &[u8],
+    at: f64,
+) {
     // The answers here have a body, which an answer to HEAD must not: no further message could be told apart.
     let closes = head.closes() || head.first().starts_with("HEAD ");
     client
@@ -37,8 +43,8 @@
     }
     match (method, path) {
         ("POST", "/api") => {
-            let taken = read(dispatcher, client, head, body, at);
-            if let Err((status, why)) = taken {
+            let opened = open_query(dispatcher, client, head, body, at);
+            if let Err((status, why)) = opened {
                 dispatcher.borrow_mut().counters.increment("requests{not_in_form}");
                 plain(status, why);
             }
@@ -52,7 +58,7 @@
 }
 
 /// Opens the query that a request asks for.
-fn read(
+fn open_query(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
     head: Head,
@@ -73,18 +79,18 @@
     dispatcher.refresh_config();
     let class = dispatcher.class_slot(class).ok_or((400, "an unknown vertical"))?;
     if dispatcher.queries.is_open(id) {
-        return Err(refusal(QueryError::IdInUse));
+        return Err(error_response(QueryError::IdInUse));
     }
     let not_after_s = at + (f64::from(left) / 1e3).min(dispatcher.admission.max_deadline_s);
     let ShardRequests { text, requests, coverage } = match &dispatcher.shard_map {
-        Some(shard_map) => requests_by_shard_map(shard_map, id, body)?,
-        None => requests_by_ring(dispatcher.admission.shard_count, id, body)?,
+        Some(shard_map) => shard_map_requests(shard_map, id, body)?,
+        None => ring_requests(dispatcher.admission.shard_count, id, body)?,
     };
     if requests.is_empty() {
         return Err((400, "`targets` is empty"));
     }
     let query = Query { id: id.into(), class, not_after_s, text, requests, client: client.clone(), coverage };
-    dispatcher.open_query(client, query).map_err(refusal)
+    dispatcher.open_query(client, query).map_err(error_response)
 }
 
 /// What a body asks for.
@@ -94,7 +100,7 @@
     coverage: Option<AnswerCoverage>,
 }
 
-fn requests_by_shard_map(
+fn shard_map_requests(
     shard_map: &ShardMapView,
     query_id: &str,
     body: &[u8],
@@ -108,11 +114,11 @@
     if targets.is_empty() {
         return Err((400, "`targets` is empty"));
     }
-    let (requests, coverage) = shard_map.requests_for(query_id, &targets).map_err(refusal)?;
+    let (requests, coverage) = shard_map.requests_for(query_id, &targets).map_err(error_response)?;
     Ok(ShardRequests { text, requests, coverage: Some(coverage) })
 }
 
-fn requests_by_ring(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, Refusal> {
+fn ring_requests(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, Refusal> {
     let (mut requests, mut asked) = (Vec::new(), BTreeSet::new());
     let text = query::read(body, |shard, weight| {
         if shard >= shard_count {
@@ -129,7 +135,7 @@
 }
 
 /// Status and text for a query that cannot be opened.
-pub fn refusal(error: QueryError) -> Refusal {
+pub fn error_response(error: QueryError) -> Refusal {
     match error {
         QueryError::IdInUse => (400, "a query with this X-Correlation-Id is open"),
         QueryError::NoShardMap => (503, "no layout is known yet"),
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -100,7 +100,7 @@
 ) -> Result<Rc<ClientConnection>, &'static str> {
     let target = |&(shard, keys, weight): &Target| QueryTarget { shard, keys, weight };
     let targets: Vec<QueryTarget> = targets.iter().map(target).collect();
-    let text = |error: QueryError| requests::refusal(error).1;
+    let text = |error: QueryError| requests::error_response(error).1;
     let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
     let (requests, coverage) = shard_map.requests_for(id, &targets).map_err(text)?;
     open_query(dispatcher, id, 0, 5.0, requests, Some(coverage)).map_err(text)
