--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -1,4 +1,4 @@
-//! The driver of the module: one round for all that came in.
+//! Drives the policy of a core: each round passes on what has happened since the last round and carries out the decisions.
 use super::{node_session, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
@@ -11,67 +11,72 @@
 use std::sync::Arc;
 use tokio::task::{spawn_local, yield_now};
 
-/// The dispatcher as the module writes to it; a forwarder notes what its own module decides.
-pub struct DispatcherSink<'a>(&'a DispatcherHandle, Option<&'a Tier>);
+/// Carries out decisions of a policy on the dispatcher. On a forwarder, it also reports the decisions of the forwarder's own
+/// policy to the tier.
+pub struct DispatcherSink<'a> {
+    dispatcher: &'a DispatcherHandle,
+    tier: Option<&'a Tier>,
+}
 
 impl<'a> DispatcherSink<'a> {
-    /// For decisions that a forwarder has noted already.
+    /// A sink for decisions of a planner, of which the tier knows already.
     pub fn without_tier(dispatcher: &'a DispatcherHandle) -> Self {
-        DispatcherSink(dispatcher, None)
+        DispatcherSink { dispatcher, tier: None }
     }
 
     fn query_finished(&self, query: &str) {
-        self.1.iter().for_each(|tier| tier.borrow_mut().own_finished(query));
+        self.tier.iter().for_each(|tier| tier.borrow_mut().own_finished(query));
     }
 }
 
 impl DecisionSink for DispatcherSink<'_> {
-    fn start_attempt(&mut self, part: &str, node: &str, limit: f64) {
-        self.1.iter().for_each(|tier| tier.borrow_mut().own_called(part, node));
-        self.0.borrow_mut().start_attempt(part, node, limit);
+    fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64) {
+        self.tier.iter().for_each(|tier| tier.borrow_mut().own_called(request, node));
+        self.dispatcher.borrow_mut().start_attempt(request, node, timeout_s);
     }
-    fn cancel_attempt(&mut self, part: &str, hop: usize) {
-        self.0.borrow_mut().cancel_attempt(part, hop);
+    fn cancel_attempt(&mut self, request: &str, attempt: usize) {
+        self.dispatcher.borrow_mut().cancel_attempt(request, attempt);
     }
-    fn answer(&mut self, query: &str, whole: bool) {
+    fn answer(&mut self, query: &str, complete: bool) {
         self.query_finished(query);
-        self.0.borrow_mut().answer(query, whole);
+        self.dispatcher.borrow_mut().answer(query, complete);
     }
-    fn reject(&mut self, query: &str, come_back: Option<f64>) {
+    fn reject(&mut self, query: &str, retry_after_s: Option<f64>) {
         self.query_finished(query);
-        self.0.borrow_mut().reject(query, come_back);
+        self.dispatcher.borrow_mut().reject(query, retry_after_s);
     }
     fn fail(&mut self, query: &str) {
         self.query_finished(query);
-        self.0.borrow_mut().fail(query);
+        self.dispatcher.borrow_mut().fail(query);
     }
-    fn share_observation(&mut self, node: &str, seen: NodeObservation) {
-        self.0.borrow_mut().share_observation(node, seen);
+    fn share_observation(&mut self, node: &str, observation: NodeObservation) {
+        self.dispatcher.borrow_mut().share_observation(node, observation);
     }
     fn query_ended(&mut self, late: bool) {
-        self.0.borrow_mut().query_ended(late);
+        self.dispatcher.borrow_mut().query_ended(late);
     }
-    fn set_timer(&mut self, span: f64, tag: u64) {
-        self.0.borrow_mut().set_timer(span, tag);
+    fn set_timer(&mut self, span_s: f64, tag: u64) {
+        self.dispatcher.borrow_mut().set_timer(span_s, tag);
     }
     fn poll_endpoints(&mut self) {
-        self.0.borrow_mut().poll_endpoints();
+        self.dispatcher.borrow_mut().poll_endpoints();
     }
     fn log(&mut self, text: &str) {
-        self.0.borrow_mut().log(text);
+        self.dispatcher.borrow_mut().log(text);
     }
 }
 
-/// Gives calls their places on connections, and dials those that this takes.
-pub fn flush_attempts(dispatcher: &DispatcherHandle, share: &Arc<DescriptorPool>) {
+/// Assigns waiting attempts to connections, and dials the connections that they need.
+pub fn flush_attempts(dispatcher: &DispatcherHandle, descriptors: &Arc<DescriptorPool>) {
     let now = dispatcher.borrow().clock.now();
     let dials = dispatcher.borrow_mut().flush_attempts(now);
     for dial in dials {
-        spawn_local(node_session::run(dispatcher.clone(), dial, share.clone()));
+        spawn_local(node_session::run(dispatcher.clone(), dial, descriptors.clone()));
     }
 }
 
-/// Makes a module by the newest settings that the dispatcher has taken over; without any there is none to make.
+/// Returns a function that creates a policy from the newest settings that the dispatcher has applied. The function fails
+/// where the dispatcher has no settings.
 pub fn policy_factory(
     dispatcher: &DispatcherHandle,
     seed: u64,
@@ -79,73 +84,74 @@
     let dispatcher = dispatcher.clone();
     move || {
         let dispatcher = dispatcher.borrow();
-        let terms = dispatcher.class_table.policy_config().ok_or("no settings")?;
-        Ok(Policy::new(seed, terms.clone()))
+        let config = dispatcher.class_table.policy_config().ok_or("the dispatcher has no settings")?;
+        Ok(Policy::new(seed, config.clone()))
     }
 }
 
-/// Plays rounds for as long as the program runs, the settings' tick apart at least. `module` makes the module,
-/// at the start and again if it has failed; returns only where that is impossible. `tier` stands between dispatcher and
-/// module on a forwarder.
+/// Runs the policy for as long as the program runs, with at least the minimum round interval of the settings between two
+/// rounds. `make_policy` creates the policy at the start and after each panic of the policy; this function returns only
+/// where `make_policy` fails. On a forwarder, `tier` splits the events between the planners and the forwarder's own policy.
 pub async fn run<E>(
     dispatcher: DispatcherHandle,
     tier: Option<Tier>,
-    module: impl Fn() -> Result<Policy, E>,
-    share: Arc<DescriptorPool>,
+    make_policy: impl Fn() -> Result<Policy, E>,
+    descriptors: Arc<DescriptorPool>,
 ) -> Result<(), E> {
-    let (clock, came, common) = {
+    let (clock, work_ready, limits) = {
         let dispatcher = dispatcher.borrow();
-        // Who has peers tells them what it sees, as one core tells others.
-        let common =
+        // A router with gossip peers shares its observations with them, as the cores of a router do with each other.
+        let limits =
             if dispatcher.gossip.is_some() { SharedLimits::new(2) } else { dispatcher.shared.limits.clone() };
-        let common = common.for_core(dispatcher.core as u8);
-        (dispatcher.clock, dispatcher.work_ready.clone(), common)
+        let limits = limits.for_core(dispatcher.core as u8);
+        (dispatcher.clock, dispatcher.work_ready.clone(), limits)
     };
-    let module = || {
-        let mut router = module()?;
-        router.join(common.clone());
-        Ok(router)
+    let new_policy = || {
+        let mut policy = make_policy()?;
+        policy.join(limits.clone());
+        Ok(policy)
     };
-    let mut router = module()?;
-    let mut settled = 0;
+    let mut policy = new_policy()?;
+    let mut handled_stall = 0;
     loop {
-        let due = dispatcher.borrow().next_timer_s();
+        let timer_s = dispatcher.borrow().next_timer_s();
         tokio::select! {
-            () = came.notified() => {}
-            () = sleep_until(clock, due), if due.is_finite() => {}
+            () = work_ready.notified() => {}
+            () = sleep_until(clock, timer_s), if timer_s.is_finite() => {}
         }
         let stall = dispatcher.borrow_mut().stall_detector.check(clock.now());
-        if std::mem::replace(&mut settled, stall) != stall {
-            // What came while this thread stood still is read before anything is decided by its absence.
+        if std::mem::replace(&mut handled_stall, stall) != stall {
+            // Input that arrived while this thread was suspended is read before the policy decides, for example that an
+            // answer is late.
             yield_now().await;
         }
         let now = clock.now();
         dispatcher.borrow_mut().expire_due(now);
-        let tell = |intake: &mut dyn PolicyInput| {
+        let notify = |input: &mut dyn PolicyInput| {
             match &tier {
-                None => dispatcher.borrow_mut().notify_policy(now, intake),
+                None => dispatcher.borrow_mut().notify_policy(now, input),
                 Some(tier) => {
                     let mut tier = tier.borrow_mut();
-                    let mut split = Split::begin(&mut tier, intake);
+                    let mut split = Split::begin(&mut tier, input);
                     dispatcher.borrow_mut().notify_policy(now, &mut split);
                     split.end();
                 }
             }
             Ok::<(), Infallible>(())
         };
-        let round =
-            AssertUnwindSafe(|| router.round(now, tell, &mut DispatcherSink(&dispatcher, tier.as_ref())));
-        // Guards against a fault of the module that some rare query brings out: what is open is aborted, and
-        // the router goes on with a module that has yet to learn, as after a restart.
+        let mut sink = DispatcherSink { dispatcher: &dispatcher, tier: tier.as_ref() };
+        let round = AssertUnwindSafe(|| policy.round(now, notify, &mut sink));
+        // Guards against a defect of the policy that a rare query triggers: open queries fail, and the router continues with
+        // a new policy, which has no observations of the data nodes yet, as after a restart.
         if catch_unwind(round).is_err() {
-            tracing::error!(target: "failure", "the module failed: open queries are aborted, it starts anew");
-            router = module()?;
+            tracing::error!(target: "failure", "the policy panicked: open queries fail, and a new policy starts");
+            policy = new_policy()?;
             tier.iter().for_each(|tier| tier.borrow_mut().start_over());
             dispatcher.borrow_mut().restart_policy();
         }
         dispatcher.borrow_mut().counters.increment("rounds");
-        flush_attempts(&dispatcher, &share);
-        let tick = dispatcher.borrow().admission.min_round_interval_s;
-        sleep_until(clock, now + tick).await;
+        flush_attempts(&dispatcher, &descriptors);
+        let interval_s = dispatcher.borrow().admission.min_round_interval_s;
+        sleep_until(clock, now + interval_s).await;
     }
 }
