--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,6 +1,6 @@
-//! The driver of discovery's watch: through losses and silences to a new watch, while the old list holds.
-use super::arrival;
-use super::sleep_until;
+//! Keeps a watch of discovery open: connects, reads endpoint lists and layouts, and reconnects after errors and timeouts. The
+//! last list that was received stays in force meanwhile.
+use super::{arrival, sleep_until};
 use crate::state::dispatcher::Dispatcher;
 use crate::state::endpoints::EndpointTable;
 use crate::state::watch_state::{WatchPhase, WatchState};
@@ -21,30 +21,37 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-/// Whoever keeps the list: a core's dispatcher, or the lead of several.
+/// Holds the endpoint list, and the layout if one is followed, that a watch of discovery updates: the dispatcher of a router
+/// on one core, the supervising thread of a router on several cores, or a planner.
 pub trait DiscoveryTarget {
     fn clock(&self) -> Clock;
-    /// Whether changes come only when the module asks to follow the list.
+    /// Whether a watch opens only after the policy has asked to poll the endpoint list.
     fn polls_on_request(&self) -> bool;
+    /// Notified when the policy asks to poll the endpoint list.
     fn poll_requested(&self) -> Arc<Notify>;
     fn endpoints(&mut self) -> &mut EndpointTable;
+    /// Called after each update of [`Self::endpoints`], and of the layout if the same message held one.
     fn endpoints_updated(&mut self);
-    /// A watch is lost, whether or not it had answered.
+    /// Called when a watch is lost; `answered` says whether its response had begun.
     fn watch_lost(&mut self, answered: bool);
-    /// So long there was no watch that had answered, or it said nothing; until now.
-    fn record_silence(&mut self, span: f64);
+    /// Called with each message of discovery: how many seconds have passed since the message before it, on any watch.
+    fn record_silence(&mut self, span_s: f64);
+    /// Called when the configuration names another address of discovery.
     fn discovery_moved(&mut self);
-    /// Whether `looked` is waited for: by other cores, which must not send by a list that may be out of date.
+    /// Whether [`Self::discovery_checked`] has to be called. Other cores need it: they must not start attempts by a list that
+    /// may be out of date.
     fn tracks_checks(&self) -> bool {
         false
     }
-    /// Nothing that discovery had sent by then is unread, or there is no watch.
-    fn discovery_checked(&mut self, _at: f64) {}
-    /// Where layouts are followed, the version to ask for changes to: 0 for the whole layout.
+    /// Called every [`CHECK_INTERVAL`]: all that discovery had sent by `_at_s`, in seconds of the clock, has been read, or no
+    /// watch is open.
+    fn discovery_checked(&mut self, _at_s: f64) {}
+    /// The version of the layout held, from which discovery is asked for changes: 0 if none is held. None where layouts are
+    /// not followed.
     fn layout_version(&self) -> Option<u64> {
         None
     }
-    /// News of the layout, taken in whole or not at all; `changed` follows.
+    /// Applies a layout or a change of it, completely or not at all; [`Self::endpoints_updated`] is called afterwards.
     fn apply_layout(&mut self, _news: News) -> Result<(), Faulty> {
         Ok(())
     }
@@ -72,8 +79,8 @@
             self.endpoint_poll_failed();
         }
     }
-    fn record_silence(&mut self, span: f64) {
-        self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
+    fn record_silence(&mut self, span_s: f64) {
+        self.counters.record_max("discovery_quiet_ms_most", (span_s * 1e3) as u64);
     }
     fn discovery_moved(&mut self) {
         self.counters.increment("discovery_moves");
@@ -95,195 +102,203 @@
 
 pub type SharedDiscoveryTarget = Rc<RefCell<dyn DiscoveryTarget>>;
 
-/// How often a follower hears that nothing is unread.
-const LOOKS: Duration = Duration::from_millis(100);
+/// How often a watch without unread bytes is reported to the target.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits for something while there is no watch that could tell anything: the old list holds.
-async fn unwatched<T>(list: &SharedDiscoveryTarget, what: impl Future<Output = T>) -> T {
-    if !list.borrow().tracks_checks() {
-        return what.await;
+/// Waits for a future while no watch is open: the last list stays in force, and the target is told so at each interval.
+async fn wait_without_watch<T>(target: &SharedDiscoveryTarget, future: impl Future<Output = T>) -> T {
+    if !target.borrow().tracks_checks() {
+        return future.await;
     }
-    let mut what = pin!(what);
+    let mut future = pin!(future);
     loop {
-        let now = list.borrow().clock().now();
-        list.borrow_mut().discovery_checked(now);
-        if let Ok(done) = timeout(LOOKS, what.as_mut()).await {
-            return done;
+        let now = target.borrow().clock().now();
+        target.borrow_mut().discovery_checked(now);
+        if let Ok(output) = timeout(CHECK_INTERVAL, future.as_mut()).await {
+            return output;
         }
     }
 }
 
-/// Watches for as long as the program runs, at the address that `agent` holds. Where that changes the old watch
-/// ends at once and the new one begins; until it tells something, the old list holds.
-pub async fn run(list: SharedDiscoveryTarget, mut agent: Receiver<SocketAddr>) {
-    let (clock, follows, asked) = {
-        let list = list.borrow();
-        (list.clock(), list.polls_on_request(), list.poll_requested())
+/// Keeps a watch open for as long as the program runs, at the newest address in `addresses`. A new address ends the present
+/// watch at once; the last list stays in force until the new watch has received one.
+pub async fn run(target: SharedDiscoveryTarget, mut addresses: Receiver<SocketAddr>) {
+    let (clock, polls_on_request, poll_requested) = {
+        let target = target.borrow();
+        (target.clock(), target.polls_on_request(), target.poll_requested())
     };
-    let (mut state, mut whole, mut heard) = (WatchState::new(follows), false, clock.now());
+    let mut state = WatchState::new(polls_on_request);
+    let (mut needs_whole_layout, mut last_message_s) = (false, clock.now());
     loop {
-        let due = state.deadline();
-        let rest = async {
+        let open_at_s = state.deadline();
+        let next_watch_due = async {
             tokio::select! {
-                () = asked.notified(), if state.phase == WatchPhase::NotRequested => {}
-                () = sleep_until(clock, due), if due.is_finite() => {}
-                Ok(()) = agent.changed() => {}
+                () = poll_requested.notified(), if state.phase == WatchPhase::NotRequested => {}
+                () = sleep_until(clock, open_at_s), if open_at_s.is_finite() => {}
+                Ok(()) = addresses.changed() => {}
             }
         };
-        unwatched(&list, rest).await;
-        let address = *agent.borrow_and_update();
+        wait_without_watch(&target, next_watch_due).await;
+        let address = *addresses.borrow_and_update();
         state.open(clock.now());
-        let why = tokio::select! {
-            why = watch(&list, address, &mut state, &mut whole, &mut heard) => why,
-            Ok(()) = agent.changed() => {
-                list.borrow_mut().discovery_moved();
+        let reason = tokio::select! {
+            reason = watch(&target, address, &mut state, &mut needs_whole_layout, &mut last_message_s) => reason,
+            Ok(()) = addresses.changed() => {
+                target.borrow_mut().discovery_moved();
                 state.phase = WatchPhase::Waiting { until: clock.now() };
                 continue;
             }
         };
-        tracing::warn!(target: "discovery", "the watch is lost: {why}; the old list holds");
+        tracing::warn!(target: "discovery", "the watch is lost: {reason}; the last endpoint list stays in force");
         let answered = state.lost(clock.now());
-        list.borrow_mut().watch_lost(answered);
+        target.borrow_mut().watch_lost(answered);
     }
 }
 
-/// One watch; returns why it ended.
+/// Opens one watch and reads from it until it is lost; returns the reason. `needs_whole_layout` is set where a change could
+/// not be applied to the layout held, and makes the next watch ask for the whole layout.
 async fn watch(
-    list: &SharedDiscoveryTarget,
+    target: &SharedDiscoveryTarget,
     address: SocketAddr,
     state: &mut WatchState,
-    whole: &mut bool,
-    heard: &mut f64,
+    needs_whole_layout: &mut bool,
+    last_message_s: &mut f64,
 ) -> String {
     let (clock, since, mut layout) = {
-        let mut list = list.borrow_mut();
-        let layout = list.layout_version();
-        (list.clock(), list.endpoints().version, layout)
+        let mut target = target.borrow_mut();
+        let layout = target.layout_version();
+        (target.clock(), target.endpoints().version, layout)
     };
-    // Changes could not be followed from the version held: guards against asking for them for ever.
-    if std::mem::take(whole) {
+    // Guards against asking for the same changes for ever: they cannot be applied to the version held.
+    if std::mem::take(needs_whole_layout) {
         layout = layout.map(|_| 0);
     }
     let limit = Duration::from_secs_f64((state.deadline() - clock.now()).max(0.0));
-    let stream = match unwatched(list, timeout(limit, alderway_sockets::dial(address))).await {
+    let stream = match wait_without_watch(target, timeout(limit, alderway_sockets::dial(address))).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(why)) => return format!("no connection ({why})"),
-        Err(_) => return "no connection in time".into(),
+        Ok(Err(error)) => return format!("cannot connect: {error}"),
+        Err(_) => return "connecting timed out".into(),
     };
     let _ = stream.set_nodelay(true);
-    let leads = list.borrow().tracks_checks();
-    let mut out = Vec::new();
-    discovery::follow(&mut out, &address.to_string(), since, layout);
+    let tracks_checks = target.borrow().tracks_checks();
+    let mut request = Vec::new();
+    discovery::follow(&mut request, &address.to_string(), since, layout);
     let (mut sender, mut written) = (Sender::default(), 0);
     let (mut buffer, mut watch) = (Buffer::new(discovery::LONGEST), Watch::default());
     loop {
-        if written < out.len() {
-            match sender.write(&stream, &out[written..]) {
+        if written < request.len() {
+            match sender.write(&stream, &request[written..]) {
                 Ok(count) => written += count,
-                Err(why) => return format!("not written ({why})"),
+                Err(error) => return format!("write failed: {error}"),
             }
         }
         tokio::select! {
             biased;
             _ = stream.readable() => {}
-            () = sender.ready(&stream), if written < out.len() => {}
+            () = sender.ready(&stream), if written < request.len() => {}
             () = sleep_until(clock, state.deadline()) => return "silence".into(),
-            () = sleep(LOOKS), if leads => {
-                // The time is read first: what comes after it may be missed by this look.
+            () = sleep(CHECK_INTERVAL), if tracks_checks => {
+                // The clock is read before the socket: bytes that arrive between the two are not covered by this check.
                 let now = clock.now();
                 if !arrival::has_unread_bytes(&stream) {
-                    list.borrow_mut().discovery_checked(now);
+                    target.borrow_mut().discovery_checked(now);
                 }
                 continue;
             }
         }
         match alderway_sockets::read(&stream, buffer.space()) {
-            Ok(Some(0)) => return "it ended".into(),
+            Ok(Some(0)) => return "discovery closed the connection".into(),
             Ok(Some(count)) => buffer.filled(count),
             Ok(None) => continue,
-            Err(why) => return format!("not read ({why})"),
+            Err(error) => return format!("read failed: {error}"),
         }
         loop {
             match watch.word(&mut buffer) {
-                Err(why) => return why.into(),
+                Err(problem) => return problem.into(),
                 Ok(None) => break,
-                Ok(Some(word)) => {
+                Ok(Some(message)) => {
                     let now = clock.now();
-                    if word == Word::Head {
+                    if message == Word::Head {
                         state.response_started();
                         continue;
                     }
                     state.update_received(now);
-                    list.borrow_mut().record_silence(now - std::mem::replace(heard, now));
-                    if let Word::Object(end) = word
-                        && let Err(why) = take(list, &buffer.data()[..end], whole)
+                    target.borrow_mut().record_silence(now - std::mem::replace(last_message_s, now));
+                    if let Word::Object(end) = message
+                        && let Err(problem) = apply(target, &buffer.data()[..end], needs_whole_layout)
                     {
-                        return why.into();
+                        return problem.into();
                     }
-                    list.borrow_mut().endpoints().last_contact_s = Some(now);
+                    target.borrow_mut().endpoints().last_contact_s = Some(now);
                 }
             }
         }
-        // Guards against bytes that keep coming and make nothing whole.
+        // Guards against a peer that keeps sending bytes but never completes a message.
         if clock.now() >= state.deadline() {
             return "silence".into();
         }
     }
 }
 
-/// One object of the watch: a list or a change.
-fn take(list: &SharedDiscoveryTarget, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
-    let (index, whole) = discovery::version(line)?;
-    let mut list = list.borrow_mut();
-    let (clock, endpoints) = (list.clock(), list.endpoints());
+/// Applies one JSON object of the watch: a whole endpoint list or a change of it, with a layout in either form if it holds one.
+fn apply(
+    target: &SharedDiscoveryTarget,
+    object: &[u8],
+    needs_whole_layout: &mut bool,
+) -> Result<(), &'static str> {
+    let (version, is_whole) = discovery::version(object)?;
+    let mut target = target.borrow_mut();
+    let (clock, endpoints) = (target.clock(), target.endpoints());
     let now = clock.now();
-    if !whole && endpoints.version.is_none_or(|held| index < held) {
-        // Not a change to the list held: the next watch asks for the whole one.
+    if !is_whole && endpoints.version.is_none_or(|held| version < held) {
+        // The change does not apply to the list held: the next watch asks for the whole list.
         endpoints.version = None;
         return Err("a change to an older list");
     }
-    endpoints.begin_update(index, whole);
-    let (mut entries, mut unusable, mut wrong) = (0, 0, None);
-    discovery::entries(line, |name, told| match told {
+    endpoints.begin_update(version, is_whole);
+    let (mut usable, mut unusable, mut first_error) = (0, 0, None);
+    discovery::entries(object, |name, entry| match entry {
         Ok(node) => {
-            entries += 1;
+            usable += 1;
             let started = clock.from_unix_ms(node.since);
             endpoints.update_from_discovery(name, node.address, node.cell, node.state, started, now);
         }
-        Err((state, why)) => {
+        Err((state, problem)) => {
             unusable += 1;
-            wrong.get_or_insert_with(|| format!("that of node `{name}`: {why}"));
+            first_error.get_or_insert_with(|| format!("`{name}`: {problem}"));
             endpoints.mark_unreadable(name, state);
         }
     })?;
-    if let Some(first) = wrong {
-        tracing::warn!(target: "roster", "list {index}: {unusable} entries cannot be used, first {first}");
+    if let Some(first) = first_error {
+        tracing::warn!(target: "roster", "list {version}: {unusable} entries cannot be used, the first is node {first}");
     }
-    let told = if list.layout_version().is_some() { layout::news(line) } else { Ok(None) };
-    let (mut refused, held) = (None, list.layout_version());
-    match told {
+    let layout = if target.layout_version().is_some() { layout::news(object) } else { Ok(None) };
+    let (mut layout_error, former_layout) = (None, target.layout_version());
+    match layout {
         Ok(Some(news)) => {
-            if let Err(why) = list.apply_layout(news) {
-                *whole_layout = matches!(why, Faulty::NotHeld { .. });
-                refused = Some(why.to_string());
+            if let Err(error) = target.apply_layout(news) {
+                *needs_whole_layout = matches!(error, Faulty::NotHeld { .. });
+                layout_error = Some(error.to_string());
             }
         }
         Ok(None) => {}
-        Err(why) => refused = Some(why.to_string()),
+        Err(problem) => layout_error = Some(problem.to_string()),
     }
-    list.endpoints_updated();
-    match (refused, list.layout_version()) {
-        (Some(why), held) => {
+    target.endpoints_updated();
+    match (layout_error, target.layout_version()) {
+        (Some(reason), held) => {
             let held = held.unwrap_or(0);
-            tracing::warn!(target: "layout", "refused: {why}; version {held} holds");
+            tracing::warn!(target: "layout", "refused: {reason}; version {held} holds");
+        }
+        (None, layout) if layout != former_layout => {
+            tracing::info!(target: "layout", "version {}", layout.unwrap_or(0))
         }
-        (None, now) if now != held => tracing::info!(target: "layout", "version {}", now.unwrap_or(0)),
         _ => {}
     }
-    if *whole_layout {
+    if *needs_whole_layout {
         return Err("a change to a layout that is not held");
     }
-    let kind = if whole { "whole list" } else { "change" };
-    tracing::info!(target: "roster", "{kind} {index}: {entries} entries");
+    let kind = if is_whole { "whole list" } else { "change" };
+    tracing::info!(target: "roster", "{kind} {version}: {usable} entries");
     Ok(())
 }
