--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -1,6 +1,6 @@
-//! One core among several: a thread with a runtime, a dispatcher, a module and clients of its own. It tends what the
-//! lead and the other cores send it; where its module or a driver of it fails, what is open is aborted and it
-//! tells the lead, which has it start anew.
+//! One core of a router on several cores: a thread with its own runtime, dispatcher, policy and client connections. It
+//! executes the commands of the supervising thread and processes the observations of other cores. If its policy or one of
+//! its tasks fails, its open queries fail, and it reports the failure to the supervising thread, which restarts it.
 use super::acceptor::{self, ConnectionAcceptor};
 use super::endpoint_publisher::EndpointSnapshot;
 use super::policy_loop;
@@ -24,30 +24,32 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 use tokio::runtime::{Builder, Runtime};
-use tokio::sync::broadcast::{Receiver as Gossip, error::RecvError};
+use tokio::sync::broadcast::{Receiver as ObservationReceiver, error::RecvError};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// How often a core tells how it is.
+/// How often a core publishes its state and its heartbeat.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far the program is.
+/// Phase of the program, as the supervising thread announces it to the cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     Serving,
     Stopping,
-    /// No new client comes any more.
+    /// The listener is closed: no new client connection arrives.
     Closed,
 }
 
-/// What a core tells the lead.
+/// A message of a core to the supervising thread.
 pub enum CoreReport {
+    /// The core with this number failed, for this reason.
     Failed(usize, String),
+    /// The core with this number has shut down.
     Ended(usize),
 }
 
-/// What a core starts with, and again after a failure.
+/// What a core starts with, at first and after each failure.
 pub struct CoreSlot {
     pub core: usize,
     pub shared: Arc<SharedState>,
@@ -56,32 +58,34 @@
     pub admission: AdmissionConfig,
     pub query_classes: Vec<ClassRules>,
     pub shard_map: Option<ShardMapConfig>,
-    /// The start of the module's chance, and the settings, of which the newest hold.
+    /// Seed of the policy's random choices.
     pub seed: u64,
+    /// The settings; the newest are in force.
     pub config_updates: watch::Receiver<Arc<ConfigGeneration>>,
-    pub for_nodes: Arc<DescriptorPool>,
+    /// Descriptors for connections to data nodes.
+    pub node_descriptors: Arc<DescriptorPool>,
     pub commands: mpsc::Receiver<CoreCommand>,
     pub endpoints: watch::Receiver<EndpointSnapshot>,
     pub phase: watch::Receiver<Phase>,
     pub reports: mpsc::UnboundedSender<CoreReport>,
-    /// The lead's leave to start again.
+    /// Each message lets the core start again after a failure.
     pub restart_permits: mpsc::Receiver<()>,
 }
 
-/// Runs until the program stops, through failures.
+/// Runs a core until the program stops, and restarts it after each failure.
 pub fn run(mut slot: CoreSlot) {
     log::set_thread_core(slot.core);
-    let mut gossip = slot.shared.subscribe_observations();
+    let mut observations = slot.shared.subscribe_observations();
     let mut board = Board::default();
     loop {
-        let why = match Builder::new_current_thread().enable_all().build() {
-            Ok(runtime) => match life(&runtime, &mut slot, &mut gossip, &mut board) {
+        let reason = match Builder::new_current_thread().enable_all().build() {
+            Ok(runtime) => match run_until_failure(&runtime, &mut slot, &mut observations, &mut board) {
                 Ok(()) => break,
-                Err(why) => why,
+                Err(reason) => reason,
             },
-            Err(why) => format!("no runtime ({why})"),
+            Err(error) => format!("the runtime could not be created ({error})"),
         };
-        if slot.reports.send(CoreReport::Failed(slot.core, why)).is_err()
+        if slot.reports.send(CoreReport::Failed(slot.core, reason)).is_err()
             || slot.restart_permits.blocking_recv().is_none()
         {
             return;
@@ -90,12 +94,12 @@
     let _ = slot.reports.send(CoreReport::Ended(slot.core));
 }
 
-/// One life: from an empty dispatcher to the end of the program, or to a failure and its last answers. What it counted
-/// and what others had told it outlive it.
-fn life(
+/// Runs a core with a new dispatcher until the program ends, or until a failure, after which the open queries are answered.
+/// Returns the reason of the failure. The counters and the observations of other cores are kept for the next start.
+fn run_until_failure(
     runtime: &Runtime,
     slot: &mut CoreSlot,
-    gossip: &mut Option<Gossip<ObservationMessage>>,
+    observations: &mut Option<ObservationReceiver<ObservationMessage>>,
     board: &mut Board,
 ) -> Result<(), String> {
     let local = LocalSet::new();
@@ -113,198 +117,215 @@
     dispatcher.shard_map = slot.shard_map.map(ShardMapView::new);
     dispatcher.subscribe_config(slot.config_updates.clone());
     let dispatcher = Rc::new(RefCell::new(dispatcher));
-    let lived = catch_unwind(AssertUnwindSafe(|| local.block_on(runtime, tend(&dispatcher, slot, gossip))));
-    let why = match lived {
+    let served =
+        catch_unwind(AssertUnwindSafe(|| local.block_on(runtime, serve(&dispatcher, slot, observations))));
+    let reason = match served {
         Ok(Ok(())) => return Ok(()),
-        Ok(Err(why)) => why,
-        Err(_) => "a driver panicked".into(),
+        Ok(Err(reason)) => reason,
+        Err(_) => "the main task panicked".into(),
     };
-    // Guards against clients that would learn nothing: what is open here gets its final answer, as far as the
-    // dispatcher is still whole.
-    let last = catch_unwind(AssertUnwindSafe(|| {
+    // Guards against clients that never get an answer: every open query of this core gets its final answer, unless the
+    // dispatcher itself panics.
+    let answered = catch_unwind(AssertUnwindSafe(|| {
         dispatcher.borrow_mut().counters.increment("core_failures");
         local.block_on(runtime, graceful_shutdown::end_open_queries(&dispatcher));
-        say(&dispatcher, slot, None);
+        publish_state(&dispatcher, slot, None);
         *board = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
-    // Connections and queries that are left go with their tasks, and what they held of the shared state with them.
+    // Ends the remaining tasks with their connections and queries, and releases what these hold of the shared state.
     let _ = catch_unwind(AssertUnwindSafe(|| drop(local)));
-    Err(if last.is_ok() { why } else { format!("{why}; its last answers could not be given") })
+    Err(if answered.is_ok() { reason } else { format!("{reason}; its open queries could not be answered") })
 }
 
-/// The share of its time that this thread has worked, smoothed over some beats.
-struct Work {
-    at: f64,
-    cpu: f64,
-    busy: f64,
+/// Weight of the latest measurement in the moving average of [`CpuUsage`].
+const CPU_USAGE_WEIGHT: f64 = 0.2;
+
+/// The fraction of time that this thread uses its CPU, as an exponential moving average over heartbeats.
+struct CpuUsage {
+    measured_at_s: f64,
+    thread_cpu_s: f64,
+    busy_fraction: f64,
 }
 
-impl Work {
-    fn cpu() -> f64 {
+impl CpuUsage {
+    fn new(now: f64) -> Self {
+        CpuUsage { measured_at_s: now, thread_cpu_s: Self::thread_cpu_s(), busy_fraction: 0.0 }
+    }
+
+    fn thread_cpu_s() -> f64 {
         let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map(Duration::from);
         time.unwrap_or_default().as_secs_f64()
     }
 
-    fn look(&mut self, now: f64) -> f64 {
-        let cpu = Work::cpu();
-        if now > self.at {
-            self.busy += 0.2 * ((cpu - self.cpu) / (now - self.at) - self.busy);
+    fn measure(&mut self, now: f64) -> f64 {
+        let thread_cpu_s = Self::thread_cpu_s();
+        if now > self.measured_at_s {
+            let latest = (thread_cpu_s - self.thread_cpu_s) / (now - self.measured_at_s);
+            self.busy_fraction += CPU_USAGE_WEIGHT * (latest - self.busy_fraction);
         }
-        (self.at, self.cpu) = (now, cpu);
-        self.busy
+        (self.measured_at_s, self.thread_cpu_s) = (now, thread_cpu_s);
+        self.busy_fraction
     }
 }
 
-/// Says how this core is, for the lead and for whoever asks another core for the counters.
-fn say(dispatcher: &DispatcherHandle, slot: &CoreSlot, work: Option<&mut Work>) {
+/// Publishes this core's heartbeat, load and metrics, which the supervising thread and the other cores read.
+fn publish_state(dispatcher: &DispatcherHandle, slot: &CoreSlot, cpu_usage: Option<&mut CpuUsage>) {
     let (now, core_state, dispatcher) =
         (slot.clock.now(), &slot.shared.cores[slot.core], dispatcher.borrow());
     core_state.client_count.store(dispatcher.clients.len(), Relaxed);
-    if let Some(work) = work {
+    if let Some(cpu_usage) = cpu_usage {
         core_state.active_clients.store(dispatcher.clients.take_active_count(), Relaxed);
-        core_state.busy_permille.store((work.look(now) * 1e3) as u64, Relaxed);
+        core_state.busy_permille.store((cpu_usage.measure(now) * 1e3) as u64, Relaxed);
     }
     dispatcher.publish_metrics();
     core_state.heartbeat_ms.store((now * 1e3) as u64, Relaxed);
 }
 
-/// Tends a core until the stop is seen through, or something of it has failed.
-async fn tend(
+/// Serves on this core until its shutdown is complete, or until its policy or one of its tasks fails.
+async fn serve(
     dispatcher: &DispatcherHandle,
     slot: &mut CoreSlot,
-    gossip: &mut Option<Gossip<ObservationMessage>>,
+    observations: &mut Option<ObservationReceiver<ObservationMessage>>,
 ) -> Result<(), String> {
-    adopt(dispatcher, &slot.endpoints.borrow_and_update().clone());
+    apply_snapshot(dispatcher, &slot.endpoints.borrow_and_update().clone());
     dispatcher.borrow_mut().endpoints.is_replaced = true;
     dispatcher.borrow_mut().replay_observations();
-    let module = policy_loop::policy_factory(dispatcher, slot.seed);
-    let mut rounds = spawn_local(policy_loop::run(dispatcher.clone(), None, module, slot.for_nodes.clone()));
-    let mut failures = slot.endpoints.borrow().failures;
-    let mut stopping: Option<JoinHandle<()>> = None;
-    // A core that starts anew in the midst of a stop hears of it as of news.
+    let make_policy = policy_loop::policy_factory(dispatcher, slot.seed);
+    let mut policy_task =
+        spawn_local(policy_loop::run(dispatcher.clone(), None, make_policy, slot.node_descriptors.clone()));
+    let mut watch_failures = slot.endpoints.borrow().watch_failures;
+    let mut shutdown: Option<JoinHandle<()>> = None;
+    // A core that restarts during a shutdown has to begin its own shutdown.
     slot.phase.mark_changed();
-    let mut beats = interval(HEARTBEAT_INTERVAL);
-    beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut work = Work { at: slot.clock.now(), cpu: Work::cpu(), busy: 0.0 };
+    let mut heartbeats = interval(HEARTBEAT_INTERVAL);
+    heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut cpu_usage = CpuUsage::new(slot.clock.now());
     loop {
         tokio::select! {
             biased;
-            // First of all the endpoint list: after a pause nothing new goes out before it (the fence sees to that).
+            // The endpoint list comes first: after a pause of this thread the fence holds back every new attempt until
+            // the newest list is applied.
             changed = slot.endpoints.changed() => {
                 if changed.is_err() {
-                    return Err("the lead is gone".into());
+                    return Err("the supervising thread has ended".into());
                 }
-                let told = slot.endpoints.borrow_and_update().clone();
-                adopt(dispatcher, &told);
-                if std::mem::replace(&mut failures, told.failures) != told.failures {
+                let snapshot = slot.endpoints.borrow_and_update().clone();
+                apply_snapshot(dispatcher, &snapshot);
+                if std::mem::replace(&mut watch_failures, snapshot.watch_failures) != snapshot.watch_failures {
                     dispatcher.borrow_mut().endpoint_poll_failed();
                 }
             }
-            ended = &mut rounds => return Err(match ended {
-                Ok(Err(why)) => format!("its module: {why}"),
-                _ => "its rounds panicked".into(),
+            ended = &mut policy_task => return Err(match ended {
+                Ok(Err(reason)) => format!("the policy could not be created: {reason}"),
+                _ => "the policy task panicked".into(),
             }),
-            // The round takes them over.
+            // The next policy round applies the settings.
             Ok(()) = slot.config_updates.changed() => dispatcher.borrow().work_ready.notify_one(),
-            changed = slot.phase.changed(), if stopping.is_none() => {
+            changed = slot.phase.changed(), if shutdown.is_none() => {
                 if changed.is_ok() && *slot.phase.borrow_and_update() != Phase::Serving {
-                    let closed = closed(slot.phase.clone());
-                    stopping = Some(spawn_local(graceful_shutdown::shut_down(dispatcher.clone(), closed)));
+                    let closed = listener_closed(slot.phase.clone());
+                    shutdown = Some(spawn_local(graceful_shutdown::shut_down(dispatcher.clone(), closed)));
                 }
             }
-            seen = ended_of(&mut stopping) => {
-                seen.map_err(|_| "its stop panicked".to_string())?;
-                // Guards against connections that were dealt to this core in the moment in which it had none left.
-                let mut late = false;
-                while let Ok(order) = slot.commands.try_recv() {
-                    late = true;
-                    carry_out(dispatcher, order);
+            ended = shutdown_ended(&mut shutdown) => {
+                ended.map_err(|_| "the shutdown task panicked".to_string())?;
+                // Guards against losing connections that the balancer assigned to this core just as its shutdown ended.
+                let mut has_late_commands = false;
+                while let Ok(command) = slot.commands.try_recv() {
+                    has_late_commands = true;
+                    execute(dispatcher, command);
                 }
-                if late {
-                    stopping = Some(spawn_local(graceful_shutdown::end_late_connections(dispatcher.clone())));
+                if has_late_commands {
+                    shutdown = Some(spawn_local(graceful_shutdown::end_late_connections(dispatcher.clone())));
                     continue;
                 }
-                say(dispatcher, slot, None);
+                publish_state(dispatcher, slot, None);
                 return Ok(());
             }
-            Some(order) = slot.commands.recv() => carry_out(dispatcher, order),
-            word = heard(gossip) => {
-                if let ControlFlow::Continue(word) = word {
-                    if word.core != slot.core {
-                        dispatcher.borrow_mut().remote_observation(word);
+            Some(command) = slot.commands.recv() => execute(dispatcher, command),
+            received = next_observation(observations) => {
+                if let ControlFlow::Continue(observation) = received {
+                    if observation.core != slot.core {
+                        dispatcher.borrow_mut().remote_observation(observation);
                     }
                 } else {
                     dispatcher.borrow_mut().counters.increment("evidence_lost");
                 }
             }
-            _ = beats.tick() => {
-                let mut held = dispatcher.borrow_mut();
-                held.recheck_fence();
+            _ = heartbeats.tick() => {
+                let mut state = dispatcher.borrow_mut();
+                state.recheck_fence();
                 let now = slot.clock.now();
-                let Dispatcher { observations: board, endpoints, .. } = &mut *held;
+                let Dispatcher { observations: board, endpoints, .. } = &mut *state;
                 board.sweep(now, |node| endpoints.nodes.contains_key(node));
-                if slot.for_nodes.pool.is_short() {
+                if slot.node_descriptors.pool.is_short() {
                     endpoints.retire_longest_idle();
                 }
-                drop(held);
-                say(dispatcher, slot, Some(&mut work));
+                drop(state);
+                publish_state(dispatcher, slot, Some(&mut cpu_usage));
                 #[cfg(feature = "faults")]
-                play(dispatcher.borrow_mut().injected_fault.take());
+                inject_fault(dispatcher.borrow_mut().injected_fault.take());
             }
         }
     }
 }
 
-/// Plays a fault that a test asks for: `hang MILLISECONDS` blocks the thread, `fail` panics.
+/// Injects the fault that a test asked for: `hang MILLISECONDS` blocks the thread, any other text panics.
 #[cfg(feature = "faults")]
-fn play(fault: Option<String>) {
+fn inject_fault(fault: Option<String>) {
     match fault.as_deref().and_then(|f| f.strip_prefix("hang ")?.parse().ok()) {
         Some(span) => std::thread::sleep(Duration::from_millis(span)),
-        None => assert!(fault.is_none(), "a test asked for it: {fault:?}"),
+        None => assert!(fault.is_none(), "fault injected by a test: {fault:?}"),
     }
 }
 
-async fn ended_of(stopping: &mut Option<JoinHandle<()>>) -> Result<(), tokio::task::JoinError> {
-    match stopping {
+/// Waits for the shutdown task; never returns where no shutdown has begun.
+async fn shutdown_ended(shutdown: &mut Option<JoinHandle<()>>) -> Result<(), tokio::task::JoinError> {
+    match shutdown {
         Some(handle) => handle.await,
         None => std::future::pending().await,
     }
 }
 
-/// The next word of another core, or a break where words were lost.
-async fn heard(gossip: &mut Option<Gossip<ObservationMessage>>) -> ControlFlow<(), ObservationMessage> {
-    let Some(gossip) = gossip else { return std::future::pending().await };
-    match gossip.recv().await {
-        Ok(word) => ControlFlow::Continue(word),
+/// Receives the next observation of any core; `Break` where this core was too slow and observations were lost.
+async fn next_observation(
+    observations: &mut Option<ObservationReceiver<ObservationMessage>>,
+) -> ControlFlow<(), ObservationMessage> {
+    let Some(observations) = observations else { return std::future::pending().await };
+    match observations.recv().await {
+        Ok(observation) => ControlFlow::Continue(observation),
         Err(RecvError::Lagged(_)) => ControlFlow::Break(()),
         Err(RecvError::Closed) => std::future::pending().await,
     }
 }
 
-async fn closed(mut phase: watch::Receiver<Phase>) {
+async fn listener_closed(mut phase: watch::Receiver<Phase>) {
     let _ = phase.wait_for(|phase| *phase == Phase::Closed).await;
 }
 
-fn adopt(dispatcher: &DispatcherHandle, told: &EndpointSnapshot) {
+/// Applies a snapshot of the endpoint list and the layout, if it is newer than the one in force.
+fn apply_snapshot(dispatcher: &DispatcherHandle, snapshot: &EndpointSnapshot) {
     let mut dispatcher = dispatcher.borrow_mut();
-    if told.number > dispatcher.endpoints_generation {
-        dispatcher.endpoints.adopt(&told.entries);
-        dispatcher.endpoints_generation = told.number;
+    if snapshot.generation > dispatcher.endpoints_generation {
+        dispatcher.endpoints.adopt(&snapshot.entries);
+        dispatcher.endpoints_generation = snapshot.generation;
         dispatcher.endpoints_changed();
         let now = dispatcher.clock.now();
-        if let (Some(shard_map), Some(layout)) = (&mut dispatcher.shard_map, &told.layout) {
+        if let (Some(shard_map), Some(layout)) = (&mut dispatcher.shard_map, &snapshot.layout) {
             match shard_map.adopt(layout, now) {
                 Ok(shards) if !shards.is_empty() => dispatcher.shard_map_changed(&shards),
                 Ok(_) => {}
-                Err(why) => tracing::error!(target: "layout", "not taken over from the lead: {why}"),
+                Err(error) => {
+                    tracing::error!(target: "layout", "the published layout cannot be applied on this core: {error}");
+                }
             }
         }
         dispatcher.recheck_fence();
     }
 }
 
-fn carry_out(dispatcher: &DispatcherHandle, order: CoreCommand) {
-    match order {
+fn execute(dispatcher: &DispatcherHandle, command: CoreCommand) {
+    match command {
         CoreCommand::Serve(connection) => acceptor::serve_transferred(dispatcher, connection),
         CoreCommand::GiveAway { to, connections } => {
             dispatcher.borrow_mut().handover = Some(Handover { to, connections })
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -1,4 +1,4 @@
-//! Watches over the cores of a program by their heartbeats and reports.
+//! Supervises the cores of a router by their heartbeats and reports.
 use super::core::{CoreReport, HEARTBEAT_INTERVAL};
 use super::endpoint_publisher::EndpointPublisher;
 use crate::state::metrics::MetricsSnapshot;
@@ -16,26 +16,26 @@
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-/// How long a report of a core that shuts down is waited for at the least.
+/// Minimum time to wait for each report of a core that shuts down.
 const REPORT_WAIT_MIN: Duration = Duration::from_millis(50);
 
-/// Watches over the cores: starts failed ones anew, finds those that hang, and evens out their load.
+/// Restarts cores that failed, detects cores that hang, and moves connections from busy cores to idle ones.
 pub struct CoreSupervisor {
     shared: Arc<SharedState>,
     clock: Clock,
     publisher: Rc<RefCell<EndpointPublisher>>,
     crew: Rc<RefCell<Crew>>,
     balance: Balance,
-    /// What the cores report.
+    /// Messages of the cores.
     reports: mpsc::UnboundedReceiver<CoreReport>,
-    /// Lets each core start again after a failure.
+    /// For each core, a sender whose message lets the core start again after a failure.
     restarts: Vec<mpsc::Sender<()>>,
-    /// When the cores were last looked at.
-    looked_at: Cell<f64>,
+    /// When the heartbeats were last checked, in seconds of the clock.
+    last_check_s: Cell<f64>,
 }
 
 impl CoreSupervisor {
-    /// Over the cores of `crew`, each of which has an entry in `restarts`.
+    /// Supervises the cores of `crew`, each of which has an entry in `restarts`.
     pub fn new(
         shared: Arc<SharedState>,
         clock: Clock,
@@ -44,34 +44,34 @@
         reports: mpsc::UnboundedReceiver<CoreReport>,
         restarts: Vec<mpsc::Sender<()>>,
     ) -> Self {
-        let (balance, looked_at) = (Balance::new(restarts.len()), Cell::new(clock.now()));
-        CoreSupervisor { shared, clock, publisher, crew, balance, reports, restarts, looked_at }
+        let (balance, last_check_s) = (Balance::new(restarts.len()), Cell::new(clock.now()));
+        CoreSupervisor { shared, clock, publisher, crew, balance, reports, restarts, last_check_s }
     }
 
-    /// Watches until SIGTERM.
+    /// Supervises until SIGTERM.
     ///
     /// # Errors
-    /// No core is left that will ever serve.
-    pub async fn watch(&mut self, mut terminations: Signals) -> io::Result<()> {
-        let mut looks = interval(HEARTBEAT_INTERVAL);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    /// Every core has failed too often and will not be restarted.
+    pub async fn supervise(&mut self, mut terminations: Signals) -> io::Result<()> {
+        let mut checks = interval(HEARTBEAT_INTERVAL);
+        checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
                 _ = terminations.recv() => return Ok(()),
                 Some(report) = self.reports.recv() => {
-                    if let CoreReport::Failed(core, why) = report {
-                        tracing::error!(target: "failure", "core {core}: {why}");
+                    if let CoreReport::Failed(core, reason) = report {
+                        tracing::error!(target: "failure", "core {core} failed: {reason}");
                         let change = self.crew.borrow_mut().failed(core, self.clock.now());
                         change.iter().for_each(log_change);
                     }
                 }
-                _ = looks.tick() => {
+                _ = checks.tick() => {
                     let starts = self.crew.borrow_mut().starts(self.clock.now());
                     for core in starts {
                         let _ = self.restarts[core].try_send(());
                     }
-                    self.look();
+                    self.check_cores();
                 }
             }
             if self.crew.borrow().is_lost() {
@@ -80,44 +80,47 @@
         }
     }
 
-    /// Goes on looking at the cores while connections are still accepted in a shutdown: one that was silent may beat again.
-    pub async fn look_on(&self) {
+    /// Keeps checking heartbeats while a shutdown still accepts connections: a core that hung may serve again.
+    pub async fn monitor_heartbeats(&self) {
         loop {
             sleep(HEARTBEAT_INTERVAL).await;
-            self.see_beats().iter().for_each(log_change);
+            self.check_heartbeats().iter().for_each(log_change);
         }
     }
 
-    /// Waits until the cores that are still there have shut down, until a time at the latest; how many have not. Guards
-    /// against a process that stands still past that time: what the cores have reported by then is read all the same.
-    pub async fn wait_for_shutdown(&mut self, until: f64) -> usize {
-        let is_there = |state| !matches!(state, State::Failed(_) | State::Lost);
-        let mut left = self.crew.borrow().count(is_there);
-        while left > 0 {
-            let remaining = Duration::from_secs_f64((until - self.clock.now()).max(0.0)).max(REPORT_WAIT_MIN);
+    /// Waits until every core that has not failed has shut down, or until `deadline` in seconds of the clock. Returns how
+    /// many cores have not shut down. Guards against a process that is suspended past the deadline: each wait lasts at
+    /// least [`REPORT_WAIT_MIN`], so reports that were sent in the meantime are still read.
+    pub async fn wait_for_shutdown(&mut self, deadline: f64) -> usize {
+        let is_running = |state| !matches!(state, State::Failed(_) | State::Lost);
+        let mut running = self.crew.borrow().count(is_running);
+        while running > 0 {
+            let remaining =
+                Duration::from_secs_f64((deadline - self.clock.now()).max(0.0)).max(REPORT_WAIT_MIN);
             match timeout(remaining, self.reports.recv()).await {
-                Ok(Some(CoreReport::Ended(_) | CoreReport::Failed(..))) => left -= 1,
+                Ok(Some(CoreReport::Ended(_) | CoreReport::Failed(..))) => running -= 1,
                 _ => break,
             }
         }
-        left
+        running
     }
 
-    /// Takes in how the cores have beaten, and finds those that hang.
-    fn see_beats(&self) -> Vec<Change> {
+    /// Reads the heartbeats of all cores and returns each core that began or ceased to hang.
+    fn check_heartbeats(&self) -> Vec<Change> {
         let (now, mut crew) = (self.clock.now(), self.crew.borrow_mut());
         let mut changes = vec![];
         for (core, core_state) in self.shared.cores.iter().enumerate() {
-            let at = core_state.heartbeat_ms.load(Relaxed) as f64 / 1e3;
-            changes.extend(crew.beat(core, at, core_state.client_count.load(Relaxed)));
+            let heartbeat_s = core_state.heartbeat_ms.load(Relaxed) as f64 / 1e3;
+            changes.extend(crew.beat(core, heartbeat_s, core_state.client_count.load(Relaxed)));
         }
-        crew.lead_paused(self.looked_at.replace(now), now);
+        crew.lead_paused(self.last_check_s.replace(now), now);
         changes.extend(crew.look(now));
         changes
     }
 
-    fn look(&mut self) {
-        let changes = self.see_beats();
+    /// Checks the heartbeats, publishes how many cores serve, and moves connections from a busy core to an idle one.
+    fn check_cores(&mut self) {
+        let changes = self.check_heartbeats();
         let (now, crew) = (self.clock.now(), self.crew.borrow());
         let counters = self.publisher.borrow().counters.clone();
         self.shared.acceptor_metrics.send_replace(Arc::new(MetricsSnapshot { counters, gauges: vec![] }));
@@ -131,11 +134,11 @@
             serving: crew.state(core) == State::Serving,
         };
         let loads: Vec<Load> = self.shared.cores.iter().enumerate().map(load).collect();
-        if let Some(going) = self.balance.next(now, &loads) {
-            let (from, to, connections) = (going.from, going.to, going.connections);
+        if let Some(transfer) = self.balance.next(now, &loads) {
+            let (from, to, connections) = (transfer.from, transfer.to, transfer.connections);
             tracing::info!(
                 target: "balance",
-                "core {from} ({:.2} busy) gives {connections} connections to core {to} ({:.2} busy)",
+                "core {from} ({:.2} busy) hands {connections} connections over to core {to} ({:.2} busy)",
                 loads[from].busy,
                 loads[to].busy
             );
@@ -154,7 +157,7 @@
         }
         State::Failed(_) => tracing::error!(target: "cores", "core {core} failed; {serving} serve"),
         State::Lost => {
-            tracing::error!(target: "cores", "core {core} failed too often and stays out; {serving} serve");
+            tracing::error!(target: "cores", "core {core} failed too often and is not restarted; {serving} serve");
         }
     }
 }
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -1,4 +1,5 @@
-//! Follows discovery for all cores of a program and publishes what each of them is to take over.
+//! Keeps the endpoint list and the layout that discovery reports on the supervising thread, and publishes snapshots of both
+//! to all cores.
 use super::discovery;
 use crate::state::counters::Counters;
 use crate::state::endpoints::{Endpoint, EndpointTable};
@@ -10,15 +11,15 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-/// The endpoint list and the shard map, complete, for the cores.
+/// A complete copy of the endpoint list and the layout, for the cores.
 #[derive(Clone, Default)]
 pub struct EndpointSnapshot {
-    /// Grows with each snapshot.
-    pub number: u64,
+    /// Increases with each snapshot.
+    pub generation: u64,
     pub entries: Arc<Vec<Endpoint>>,
     pub layout: Option<Layout>,
-    /// How often the watch of discovery has failed.
-    pub failures: u64,
+    /// How often a watch of discovery that had answered was lost, where endpoints are polled.
+    pub watch_failures: u64,
 }
 
 /// The endpoint list and the shard map as the supervising thread keeps them for the cores.
@@ -28,13 +29,14 @@
     endpoints: EndpointTable,
     shared: Arc<SharedState>,
     pub counters: Counters,
-    /// Where a changing shard map is followed: nothing is open here, it only checks what the cores take over.
+    /// Checks each layout before the cores apply it; none where shards lie in the fixed ring of the settings. No query is
+    /// open on this thread.
     shard_map: Option<ShardMapView>,
     snapshots: watch::Sender<EndpointSnapshot>,
 }
 
 impl EndpointPublisher {
-    /// Publishes `endpoints` as the first snapshot. `shard_map` where a changing shard map is followed.
+    /// Publishes `endpoints` as the first snapshot. `shard_map` is none where shards lie in the fixed ring of the settings.
     pub fn new(
         clock: Clock,
         polls_endpoints: bool,
@@ -50,19 +52,20 @@
         publisher
     }
 
-    /// For a core: the newest snapshot.
+    /// A receiver of the newest snapshot, for one core.
     pub fn subscribe(&self) -> watch::Receiver<EndpointSnapshot> {
         self.snapshots.subscribe()
     }
 
-    /// Shuts the fence first: whoever has not taken in the new list sends nothing new from here on.
+    /// Publishes a snapshot. The fence is raised first: from then on, a core starts no attempt until it has applied the new
+    /// list.
     fn publish(&mut self) {
-        let number = self.shared.fence.publish();
+        let generation = self.shared.fence.publish();
         let entries = Arc::new(self.endpoints.endpoints());
         let layout =
             self.shard_map.as_ref().and_then(|shard_map| Some(shard_map.history()?.newest().clone()));
         self.snapshots.send_modify(|snapshot| {
-            (snapshot.number, snapshot.entries, snapshot.layout) = (number, entries, layout);
+            (snapshot.generation, snapshot.entries, snapshot.layout) = (generation, entries, layout);
         });
         self.endpoints.drop_removed();
     }
@@ -85,13 +88,13 @@
         self.counters.increment("roster_lists");
         self.publish();
     }
-    fn record_silence(&mut self, span: f64) {
-        self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
+    fn record_silence(&mut self, span_s: f64) {
+        self.counters.record_max("discovery_quiet_ms_most", (span_s * 1e3) as u64);
     }
     fn watch_lost(&mut self, answered: bool) {
         self.counters.increment("discovery_watches_lost");
         if self.polls_endpoints && answered {
-            self.snapshots.send_modify(|snapshot| snapshot.failures += 1);
+            self.snapshots.send_modify(|snapshot| snapshot.watch_failures += 1);
         }
     }
     fn discovery_moved(&mut self) {
@@ -100,8 +103,8 @@
     fn tracks_checks(&self) -> bool {
         true
     }
-    fn discovery_checked(&mut self, at: f64) {
-        self.shared.fence.looked(at);
+    fn discovery_checked(&mut self, at_s: f64) {
+        self.shared.fence.looked(at_s);
     }
     fn layout_version(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
@@ -109,9 +112,9 @@
     fn apply_layout(&mut self, news: News) -> Result<(), Faulty> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
-        let taken = shard_map.apply(news, now).map(drop);
+        let applied = shard_map.apply(news, now).map(drop);
         shard_map.discard_notifications(now);
-        self.counters.increment(if taken.is_ok() { "layouts_taken" } else { "layouts_refused" });
-        taken
+        self.counters.increment(if applied.is_ok() { "layouts_taken" } else { "layouts_refused" });
+        applied
     }
 }
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,4 +1,5 @@
-//! Runs a program as it was started: a router on one core in this thread, a router on several cores, or a planner.
+//! Runs the program in the role that its configuration gives it: a router on one core in this thread, a router on several
+//! cores, or a planner.
 
 mod several_cores;
 
@@ -32,11 +33,11 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Serves until SIGTERM has been seen through. With a `subscription`, the control plane governs the settings and a reload
-/// leaves them alone.
+/// Serves until the shutdown after SIGTERM is complete. With a `subscription`, the settings come from the control plane, and a
+/// reload does not change them.
 ///
 /// # Errors
-/// No socket, signal handler or thread could be had, or the decision module failed for good.
+/// A socket, signal handler or thread could not be created, or the policy could not be created.
 pub fn serve(
     config: StartupConfig,
     subscription: Option<Subscription>,
@@ -60,9 +61,9 @@
     multicore: MulticoreConfig,
     clock: Clock,
 ) -> io::Result<()> {
-    // Before anybody can know that this program is up: unhandled, either signal would end it.
+    // Handlers are installed before the program is reachable: an unhandled signal would end it.
     let (terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
-    let (for_clients, for_nodes) = split_descriptors(&config, subscription.is_some());
+    let (client_descriptors, node_descriptors) = split_descriptors(&config, subscription.is_some());
     let shared = SharedState::new(config.settings.admission.max_open, multicore, f64::INFINITY).0;
     let (role, settings) = (config.role.clone(), config.settings.clone());
     let live_config = LiveConfig::new(shared.clone(), role, config.settings_json.clone(), settings, None);
@@ -72,19 +73,20 @@
 
     let listener = TcpListener::bind(listen).await?;
     arrival::enable_receive_timestamps(&listener)?;
-    let (address, known) = (listener.local_addr()?, dispatcher.endpoints.nodes.len());
-    tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known");
+    let (address, node_count) = (listener.local_addr()?, dispatcher.endpoints.nodes.len());
+    tracing::info!(target: "start", "{name} listens at {address}: {node_count} data nodes known");
     let dispatcher = Rc::new(RefCell::new(dispatcher));
 
-    let forwarder = connect_to_planners(&dispatcher, &role, &name, &for_nodes, clock);
+    let forwarder = connect_to_planners(&dispatcher, &role, &name, &node_descriptors, clock);
     if let Some(gossip) = gossip {
         gossip::start(&dispatcher, gossip, &name, post::incarnation()).await?;
     }
-    let policy = policy_loop::policy_factory(&dispatcher, seed);
-    let rounds = spawn_local(policy_loop::run(dispatcher.clone(), forwarder, policy, for_nodes));
-    spawn_local(wake_at_new_settings(dispatcher.clone(), live_config.subscribe()));
-    let counting = dispatcher.clone();
-    live_config.attach(Box::new(move |name| counting.borrow_mut().counters.increment(name)), None);
+    let make_policy = policy_loop::policy_factory(&dispatcher, seed);
+    let policy_task =
+        spawn_local(policy_loop::run(dispatcher.clone(), forwarder, make_policy, node_descriptors));
+    spawn_local(wake_on_new_settings(dispatcher.clone(), live_config.subscribe()));
+    let counting_dispatcher = dispatcher.clone();
+    live_config.attach(Box::new(move |name| counting_dispatcher.borrow_mut().counters.increment(name)), None);
     let (discovery, discovery_address) = watch::channel(discovery);
     spawn_local(discovery::run(dispatcher.clone(), discovery_address));
     let reloadable = subscribe(subscription, &live_config, &name, shared, clock);
@@ -94,20 +96,20 @@
     let listening = spawn_local(acceptor::accept_connections(
         dispatcher.clone(),
         listener,
-        for_clients,
+        client_descriptors,
         Rc::clone(&close),
     ));
-    // A router whose decision module has failed must not go on as if it served.
+    // A router whose policy task has ended cannot answer any query, so the program ends.
     tokio::select! {
         () = graceful_shutdown::shut_down_at_sigterm(terminations, dispatcher.clone(), close, listening) => {}
-        failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
+        ended = policy_task => return Err(io::Error::other(format!("the policy task ended: {ended:?}"))),
     }
     log::write_unlimited(&dispatcher.borrow().metrics_text());
     Ok(())
 }
 
-/// Subscribes to the control plane, if the operator's file names it. Returns what a reload may change: nothing where the
-/// control plane governs the settings, as a file would undo a version unseen.
+/// Subscribes to the control plane, if the operator's file names it. Returns the configuration to which a reload may apply
+/// settings: none where settings come from the control plane, as the file's would silently replace its version.
 fn subscribe(
     subscription: Option<Subscription>,
     live_config: &LiveConfig,
@@ -121,7 +123,7 @@
     None
 }
 
-/// Descriptors for clients and for data nodes, after those for gossip and the control plane.
+/// Splits the descriptors that gossip and the control plane leave into those for clients and those for data nodes.
 fn split_descriptors(
     config: &StartupConfig,
     has_subscription: bool,
@@ -148,12 +150,12 @@
     dispatcher
 }
 
-/// A forwarder's links to its planners; nothing for a router that decides by itself.
+/// Connects a forwarder to its planners; none for a router that makes its own decisions.
 fn connect_to_planners(
     dispatcher: &DispatcherHandle,
     role: &Role,
     name: &str,
-    for_nodes: &Arc<DescriptorPool>,
+    node_descriptors: &Arc<DescriptorPool>,
     clock: Clock,
 ) -> Option<Tier> {
     let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return None };
@@ -162,12 +164,12 @@
     let forwarder = Forwarder::new(name, post::incarnation(), watch, clock, work_ready);
     let forwarder = Rc::new(RefCell::new(forwarder));
     dispatcher.borrow_mut().metrics_sources.push(forwarder.clone());
-    links::start(dispatcher, &forwarder, planners, for_nodes, post::incarnation());
+    links::start(dispatcher, &forwarder, planners, node_descriptors, post::incarnation());
     Some(forwarder)
 }
 
-/// Has a round played for new settings, where nothing else asks for one.
-async fn wake_at_new_settings(
+/// Requests a policy round for each change of the settings, as a round applies them.
+async fn wake_on_new_settings(
     dispatcher: DispatcherHandle,
     mut updates: watch::Receiver<Arc<ConfigGeneration>>,
 ) {
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -1,5 +1,5 @@
-//! A router on several cores: this thread follows discovery for all of them, accepts connections and hands them out, watches
-//! over the cores, and sees reload and shutdown through. It serves no query itself.
+//! A router on several cores. This thread, the supervising thread, watches discovery for all cores, accepts connections and
+//! distributes them, supervises the cores, and handles reload and shutdown. It serves no query itself.
 use super::subscribe;
 use crate::control::{self, Subscription};
 use crate::io::connection_balancer::ConnectionBalancer;
@@ -28,14 +28,14 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Half the grace period of a drain: a thread that has not looked at discovery for so many seconds may have missed one
-/// that is due.
+/// Longest time since discovery was last checked, in seconds, for a core to start attempts. Half the grace period of a drain:
+/// after a longer pause a data node may already have stopped.
 const MAX_DISCOVERY_AGE_S: f64 = 1.0;
-/// How much longer than until their open queries fail the cores may take, in seconds: for their last answers, and for
-/// those to connections that came late.
+/// Time that the cores may take after their open queries have failed, in seconds: for the last answers, and for answers on
+/// connections that were assigned late.
 const CORES_MARGIN_S: f64 = 0.25;
 
-/// Serves until SIGTERM has been seen through.
+/// Serves until the shutdown after SIGTERM is complete.
 pub async fn run(
     config: StartupConfig,
     subscription: Option<Subscription>,
@@ -48,17 +48,18 @@
     let (connections, admission) = (settings.connections, settings.admission);
     let for_control = if subscription.is_some() { control::DESCRIPTORS } else { 0 };
     let available = config.max_descriptors - for_control;
-    let (for_clients, for_nodes) = descriptors::split(available, config.max_memory_bytes, multicore.cores);
+    let (client_descriptors, node_descriptors) =
+        descriptors::split(available, config.max_memory_bytes, multicore.cores);
     let (shared, inboxes) = SharedState::new(admission.max_open, multicore, MAX_DISCOVERY_AGE_S);
     let max_deadline_limit_s = shard_map.map(|_| admission.max_deadline_s);
     let live_config =
         LiveConfig::new(shared.clone(), role, config.settings_json, settings, max_deadline_limit_s);
 
-    let known = endpoints.nodes.len();
-    let checked_map =
-        shard_map.map(|map| ShardMapView::new(outliving_requests(map, admission.max_deadline_s)));
+    let node_count = endpoints.nodes.len();
+    let shard_map_view =
+        shard_map.map(|map| ShardMapView::new(with_longer_grace(map, admission.max_deadline_s)));
     let polls_endpoints = admission.polls_endpoints;
-    let publisher = EndpointPublisher::new(clock, polls_endpoints, endpoints, shared.clone(), checked_map);
+    let publisher = EndpointPublisher::new(clock, polls_endpoints, endpoints, shared.clone(), shard_map_view);
     let publisher = Rc::new(RefCell::new(publisher));
     let (phase, phase_updates) = watch::channel(Phase::Serving);
     let (reports, received_reports) = mpsc::unbounded_channel();
@@ -76,7 +77,7 @@
             shard_map,
             seed,
             config_updates: live_config.subscribe(),
-            for_nodes: for_nodes.clone(),
+            node_descriptors: node_descriptors.clone(),
             commands,
             endpoints: publisher.borrow().subscribe(),
             phase: phase_updates.clone(),
@@ -89,7 +90,7 @@
     let listener = TcpListener::bind(listen).await?;
     arrival::enable_receive_timestamps(&listener)?;
     let (address, cores) = (listener.local_addr()?, multicore.cores);
-    tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known, {cores} cores");
+    tracing::info!(target: "start", "{name} listens at {address}: {node_count} data nodes known, {cores} cores");
     let crew = Rc::new(RefCell::new(Crew::new(cores, clock.now())));
     attach(&live_config, &publisher, &crew);
     let (discovery, discovery_address) = watch::channel(discovery);
@@ -98,37 +99,39 @@
     spawn_local(discovery::run(publisher.clone(), discovery_address));
     let balancer = ConnectionBalancer::new(shared.clone(), crew.clone());
     let close = Rc::new(Notify::new());
-    let listening = spawn_local(acceptor::accept_connections(balancer, listener, for_clients, close.clone()));
+    let listening =
+        spawn_local(acceptor::accept_connections(balancer, listener, client_descriptors, close.clone()));
 
     let mut supervisor =
         CoreSupervisor::new(shared.clone(), clock, publisher, crew, received_reports, restarts);
-    let watched = supervisor.watch(terminations).await;
-    if watched.is_ok() {
+    let supervised = supervisor.supervise(terminations).await;
+    if supervised.is_ok() {
         let _ = phase.send(Phase::Stopping);
-        // Whether a core is still there or not, the shutdown takes no longer than on one core.
+        // The shutdown has the same time limit as on one core, even if a core hangs.
         let limit_s = graceful_shutdown::time_limit_s(live_config.max_deadline_s()) + CORES_MARGIN_S;
-        let until = clock.now() + limit_s;
+        let deadline = clock.now() + limit_s;
         tokio::select! {
             () = graceful_shutdown::listener_closed(close, listening, limit_s) => {}
-            () = supervisor.look_on() => {}
+            () = supervisor.monitor_heartbeats() => {}
         }
         let _ = phase.send(Phase::Closed);
-        let left = supervisor.wait_for_shutdown(until).await;
-        if left > 0 {
-            tracing::error!(target: "stop", "{left} cores did not end in time");
+        let running = supervisor.wait_for_shutdown(deadline).await;
+        if running > 0 {
+            tracing::error!(target: "stop", "{running} cores did not shut down in time");
         }
     }
     log::write_unlimited(&metrics_text(&shared));
-    watched
+    supervised
 }
 
-/// Guards against a shard that this thread has forgotten and a core has not: the cores take over what is checked here, so
-/// this thread remembers for longer than a shard request can be open.
-fn outliving_requests(map: ShardMapConfig, max_deadline_s: f64) -> ShardMapConfig {
+/// Lengthens the grace period of retired shards by the longest time that a shard request can be open, so that this thread
+/// remembers a retired shard for longer than any core does. Guards against a layout that passes the check on this thread, and
+/// is then rejected by a core that still remembers a shard which this thread has dropped.
+fn with_longer_grace(map: ShardMapConfig, max_deadline_s: f64) -> ShardMapConfig {
     ShardMapConfig { retired_shard_grace_s: map.retired_shard_grace_s + max_deadline_s + 1.0, ..map }
 }
 
-/// Tells the live configuration where to count, and which cores serve.
+/// Gives the live configuration its counters, and tells it which cores serve.
 fn attach(live_config: &LiveConfig, publisher: &Rc<RefCell<EndpointPublisher>>, crew: &Rc<RefCell<Crew>>) {
     let (publisher, crew) = (publisher.clone(), crew.clone());
     let increment = move |name: &'static str| publisher.borrow_mut().counters.increment(name);
