--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -1,4 +1,4 @@
-//! The listener for clients: accepts connections for as long as there are descriptors, and hands them to whoever serves them.
+//! The listener for clients: accepts connections while descriptors are available, and passes them on to be served.
 use super::client_session;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
@@ -11,15 +11,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Between two attempts where the system gives no descriptor, or all connections are busy.
+/// Pause before accepting is retried after an error, or while no descriptor is available.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Where accepted connections go.
+/// Serves accepted connections.
 pub trait ConnectionAcceptor {
-    /// Closes an idle connection, so that a descriptor comes free.
+    /// Closes an idle connection, if there is one, so that its descriptor is released.
     fn close_idle_connection(&self);
 
-    /// Takes an accepted connection over, with the permit for its descriptor.
+    /// Serves an accepted connection, or passes it to a core. `permit` is the permit for its descriptor.
     fn accept(&self, stream: TcpStream, permit: DescriptorPermit) -> impl Future<Output = ()>;
 }
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// Accepts connections until `close` is notified; what the system has accepted by then, whether or not the runtime has been
-/// told of it, is accepted before this returns. Where descriptors run out, idle connections make room.
+/// Accepts connections until `close` is notified. Before this returns, it also accepts every connection that waits in the
+/// system's queue by then, even if the runtime has not reported it. Where descriptors run out, idle connections are closed.
 pub async fn accept_connections(
     acceptor: impl ConnectionAcceptor,
     listener: TcpListener,
@@ -54,7 +54,7 @@
         match accepted {
             Ok((stream, _)) => acceptor.accept(stream, permit).await,
             Err(error) => {
-                tracing::warn!(target: "accept", "no connection accepted: {error}");
+                tracing::warn!(target: "accept", "cannot accept a connection: {error}");
                 sleep(RETRY_PAUSE).await;
             }
         }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Accepts what waits in the system's queue of a listener that closes.
+/// Accepts the connections that wait in the system's queue of a listener that closes.
 async fn accept_waiting(
     acceptor: &impl ConnectionAcceptor,
     listener: &std::net::TcpListener,
@@ -76,13 +76,13 @@
             Ok(Some(stream)) => acceptor.accept(stream, permit).await,
             Ok(None) => return,
             Err(error) => {
-                return tracing::warn!(target: "accept", "the listener failed as it closed: {error}");
+                return tracing::warn!(target: "accept", "cannot accept the connections that wait as the listener closes: {error}");
             }
         }
     }
 }
 
-/// Waits for a descriptor, for which idle connections make room.
+/// Waits for a descriptor, and closes idle connections until one is available.
 async fn acquire_descriptor(
     acceptor: &impl ConnectionAcceptor,
     descriptors: &Arc<DescriptorPool>,
@@ -96,13 +96,15 @@
     }
 }
 
-/// Serves a connection that the acceptor's core has accepted, or another core hands over between two of its requests.
+/// Serves a connection that the supervising thread accepted, or that another core hands over between two requests.
 pub fn serve_transferred(dispatcher: &DispatcherHandle, connection: TransferredConnection) {
     let TransferredConnection { stream, permit, has_sent_request } = connection;
     match TcpStream::from_std(stream) {
         Ok(stream) => {
             drop(spawn_local(client_session::serve(dispatcher.clone(), stream, permit, has_sent_request)));
         }
-        Err(error) => tracing::warn!(target: "accept", "a connection could not be taken over: {error}"),
+        Err(error) => {
+            tracing::warn!(target: "accept", "cannot serve a connection from another thread: {error}")
+        }
     }
 }
--- a/crates/router/src/io/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -1,5 +1,5 @@
-//! Reads with the moment at which the last byte came in. The system stamps it: a router that stood still, or
-//! was kept off its core, would take old bytes for new ones and count a client's time from too late.
+//! Reads that also return when the last byte arrived. The time is the system's receive timestamp: a router that was suspended
+//! or not scheduled reads bytes long after they arrived, and would count a client's remaining time from too late.
 use crate::state::arrival_time::ArrivalEstimator;
 use alderway_sockets::{received, uninterrupted};
 use alderway_telemetry::clock::Clock;
@@ -12,12 +12,12 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Asks for stamps; connections inherit it from their listener.
+/// Enables receive timestamps on a socket. Connections inherit the option from their listener.
 pub fn enable_receive_timestamps(socket: &impl AsFd) -> io::Result<()> {
     Ok(setsockopt(socket, sockopt::ReceiveTimestampns, &true)?)
 }
 
-/// Whether bytes have come that are not read yet, whatever the runtime has been told so far.
+/// Whether bytes have arrived that are not read yet, even if the runtime has not reported the socket as readable.
 pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     peek(stream).is_ok_and(|count| count > 0)
 }
@@ -27,45 +27,46 @@
     uninterrupted(|| Ok(recv(stream.as_raw_fd(), &mut [0], flags)?))
 }
 
-/// Whether the other side has ended a connection on which nothing is unread.
+/// Whether the peer has closed a connection that has no unread bytes.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     peek(stream).is_ok_and(|count| count == 0)
 }
 
-/// The bytes of a read, and the system's stamp of the last of them in seconds of its wall clock.
-type Stamped = (usize, Option<f64>);
+/// How many bytes were read, and the system's receive timestamp of the last one, in seconds of the wall clock.
+type TimestampedRead = (usize, Option<f64>);
 
-/// Reads what is there and says how much, and when the last of it came; `None` where nothing is there. `since` is when
-/// nothing was unread on the connection, and moves to now where nothing is.
+/// Reads the available bytes. Returns how many there were and when the last one arrived, in seconds of the clock, or `None`
+/// if there were none. `drained_at_s` is when the connection last had no unread bytes; it is updated if that is the case now.
 ///
 /// # Errors
-/// The connection is over.
+/// The connection was closed or broke.
 pub fn read_with_arrival_time(
     stream: &TcpStream,
-    space: &mut [u8],
+    buffer: &mut [u8],
     clock: Clock,
-    stamps: &mut ArrivalEstimator,
-    since: &mut f64,
+    estimator: &mut ArrivalEstimator,
+    drained_at_s: &mut f64,
 ) -> io::Result<Option<(usize, f64)>> {
     let before = clock.now();
-    let Some((count, stamp)) = received(uninterrupted(|| read_stamped(stream, space)))? else {
-        *since = before;
+    let Some((count, timestamp)) = received(uninterrupted(|| read_timestamped(stream, buffer)))? else {
+        *drained_at_s = before;
         return Ok(None);
     };
     let now = clock.now();
-    Ok(Some((count, stamp.map_or(now, |stamp| stamps.arrival_time(now, *since, stamp)))))
+    let arrived_at = timestamp.map_or(now, |timestamp| estimator.arrival_time(now, *drained_at_s, timestamp));
+    Ok(Some((count, arrived_at)))
 }
 
-fn read_stamped(stream: &TcpStream, space: &mut [u8]) -> io::Result<Stamped> {
+fn read_timestamped(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<TimestampedRead> {
     stream.try_io(Interest::READABLE, || {
-        let mut stamps = cmsg_space!(TimeSpec);
-        let mut space = [IoSliceMut::new(space)];
+        let mut control_messages = cmsg_space!(TimeSpec);
+        let mut buffers = [IoSliceMut::new(buffer)];
         let fd = stream.as_raw_fd();
-        let came = recvmsg::<()>(fd, &mut space, Some(&mut stamps), MsgFlags::MSG_DONTWAIT)?;
-        let stamp = came.cmsgs()?.find_map(|message| match message {
-            ControlMessageOwned::ScmTimestampns(at) => Some(Duration::from(at).as_secs_f64()),
+        let received = recvmsg::<()>(fd, &mut buffers, Some(&mut control_messages), MsgFlags::MSG_DONTWAIT)?;
+        let timestamp = received.cmsgs()?.find_map(|message| match message {
+            ControlMessageOwned::ScmTimestampns(time) => Some(Duration::from(time).as_secs_f64()),
             _ => None,
         });
-        Ok((came.bytes, stamp))
+        Ok((received.bytes, timestamp))
     })
 }
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -1,5 +1,5 @@
-//! The driver of a client's connection: reads requests one at a time, writes answers, and closes connections that say nothing,
-//! send half a request or do not read their answer.
+//! Serves a client's connection: reads requests one at a time, writes answers, and closes connections that send no request,
+//! leave a request incomplete or do not read their answer.
 use super::{arrival, sleep_until};
 use crate::requests;
 use crate::state::DispatcherHandle;
@@ -22,52 +22,53 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// The users' protocol, later edition: a connection with no open request on it may be closed after 2 s.
+/// The client protocol allows to close a connection that has had no open request for 2 s.
 const IDLE_TIMEOUT_S: f64 = 2.0;
-/// The users' protocol, later edition: whoever sends no request is owed an error or a close within 3 s of connecting.
+/// The client protocol requires an error response or a close within 3 s of connecting, for a client that sends no complete
+/// request.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
-/// How long a connection that this side ends waits for the client to end it too, so that what the client still sends does
-/// not reset the answer on its way.
+/// How long to wait for the client to close a connection after the router has closed its sending side. Bytes that arrive at a
+/// closed socket would make the system reset the connection before the client has read the answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// What is read at once where nothing is kept.
+/// Size of the buffer for bytes that are read and dropped.
 const DISCARD_BYTES: usize = 4096;
 
 /// Why a session on this core ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
     /// The client closed the connection, or it broke.
-    ClientLeft,
+    ClientDisconnected,
     /// The client never sent a request.
-    NeverAsked,
-    /// The client takes no byte of its answer.
-    ReadsNothing,
-    /// This side closes after an answer; what the client still sends must not reset that on its way.
+    NoRequest,
+    /// The client does not read its answer.
+    AnswerNotRead,
+    /// The router closes the connection after an answer, and lingers until the client has read it.
     AfterAnswer,
-    /// Another core goes on with the connection.
+    /// The connection moves to the core with this number.
     MovesTo(usize),
 }
 
 impl CloseReason {
-    /// How counters name it.
+    /// The label of the counter `client_closes`.
     fn label(self) -> &'static str {
         match self {
-            CloseReason::ClientLeft => "left",
-            CloseReason::NeverAsked => "never_asked",
-            CloseReason::ReadsNothing => "reads_nothing",
+            CloseReason::ClientDisconnected => "left",
+            CloseReason::NoRequest => "never_asked",
+            CloseReason::AnswerNotRead => "reads_nothing",
             CloseReason::AfterAnswer => "in_order",
             CloseReason::MovesTo(_) => "moved",
         }
     }
 }
 
-/// Serves one connection from its first byte on this core to its last, or until another core takes it over.
+/// Serves one connection on this core until it ends or moves to another core.
 pub async fn serve(
     dispatcher: DispatcherHandle,
     mut stream: TcpStream,
     mut permit: DescriptorPermit,
     has_sent_request: bool,
 ) {
-    // Without it answers are late, not lost.
+    // Not fatal: without this option small answers are delayed.
     let _ = stream.set_nodelay(true);
     if !has_sent_request {
         dispatcher.borrow_mut().counters.increment("clients{accepted}");
@@ -78,7 +79,7 @@
             CloseReason::MovesTo(core) => core,
             reason => break reason,
         };
-        // Nothing of it is open or read here: what the client sends next waits in the system for the new core.
+        // No request is open and no byte is buffered here: the new core reads whatever the client sends next.
         dispatcher.borrow_mut().clients.remove(id);
         let Some(returned) = transfer(&dispatcher, stream, permit, core) else { return };
         (stream, permit) = returned;
@@ -90,7 +91,7 @@
     if reason == CloseReason::AfterAnswer {
         linger(&mut stream).await;
     }
-    // In this order: another connection must not take the descriptor's place before it is free.
+    // The stream is dropped first: the permit must not be given to another connection before its descriptor is closed.
     drop(stream);
     drop(permit);
     let mut dispatcher = dispatcher.borrow_mut();
@@ -107,7 +108,7 @@
     (id, client)
 }
 
-/// Hands a connection to another core; returned where that takes no more.
+/// Hands a connection over to another core. Returns the connection if that core accepts none.
 fn transfer(
     dispatcher: &DispatcherHandle,
     stream: TcpStream,
@@ -131,24 +132,24 @@
 fn end_open_query(dispatcher: &DispatcherHandle, client: &ClientConnection, reason: CloseReason) {
     let Some(query) = client.open_query.get() else { return };
     let mut dispatcher = dispatcher.borrow_mut();
-    if reason != CloseReason::ClientLeft {
+    if reason != CloseReason::ClientDisconnected {
         dispatcher.check_closed_connection(query);
     }
     dispatcher.client_disconnected(query);
 }
 
-/// Ends this side and reads until the client ends its own. At most as much as the longest request, so that nobody's
-/// endless body takes the core.
+/// Closes the sending side and reads until the client closes its own. Reads at most as many bytes as the longest request may
+/// have, so that a client that never stops sending cannot occupy the core.
 async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
-    let (mut discarded, mut left_bytes) = ([0; DISCARD_BYTES], MESSAGE);
+    let (mut discarded, mut remaining_bytes) = ([0; DISCARD_BYTES], MESSAGE);
     let discard = async {
-        while left_bytes > 0 && stream.readable().await.is_ok() {
+        while remaining_bytes > 0 && stream.readable().await.is_ok() {
             match alderway_sockets::read(stream, &mut discarded) {
                 Ok(Some(0)) | Err(_) => break,
-                Ok(Some(count)) => left_bytes = left_bytes.saturating_sub(count),
+                Ok(Some(count)) => remaining_bytes = remaining_bytes.saturating_sub(count),
                 Ok(None) => {}
             }
         }
@@ -159,11 +160,11 @@
 /// Since when a session has been in states that may last for a limited time only, in seconds of the clock.
 #[derive(Default)]
 struct StateTimes {
-    /// Nothing is open or to be written.
+    /// Since when no query is open and no answer has to be written.
     idle_since: Option<f64>,
-    /// Part of a request has come.
+    /// Since when a request is incomplete.
     half_sent_since: Option<f64>,
-    /// The client has taken no byte of an answer.
+    /// Since when the client has read no byte of an answer.
     write_stalled_since: Option<f64>,
 }
 
@@ -172,13 +173,13 @@
     has_open_query: bool,
     is_writing: bool,
     is_half_sent: bool,
-    /// Nothing is open or to be written.
+    /// No query is open, and no answer has to be written.
     is_idle: bool,
-    /// When the client has to have got further; infinite while a query is open.
+    /// When the session ends unless the client sends or reads more; infinite while a query is open.
     deadline: f64,
 }
 
-/// A connection between two closes or moves: its unread bytes, and how far the present request and answer are.
+/// A connection while this core serves it: its unread bytes, and the progress of the current request and answer.
 struct ClientSession<'a> {
     dispatcher: &'a DispatcherHandle,
     client: &'a Rc<ClientConnection>,
@@ -187,19 +188,20 @@
     buffer: Buffer,
     messages: Messages,
     sender: Sender,
-    /// Bytes of the present answer that are out.
+    /// Bytes of the current answer that the socket has accepted.
     written_bytes: usize,
-    /// No further request can be made out, or is waited for.
+    /// No further request can be parsed, or none is expected.
     is_unreadable: bool,
-    /// More came behind an open query than is kept: what followed is gone, so nothing after it can be made out.
+    /// More bytes arrived behind an open query than the buffer holds. The rest was dropped, so no request after it can be
+    /// parsed.
     has_overrun: bool,
-    /// The client has been told to send the body of the present request.
+    /// `100 Continue` was sent for the current request.
     has_sent_continue: bool,
-    /// By when the first request has to be complete.
+    /// When the first request has to be complete, in seconds of the clock.
     first_request_by: f64,
-    /// When the last byte came.
+    /// When the last byte arrived, in seconds of the clock.
     read_at: f64,
-    /// When nothing of the connection was unread.
+    /// When the connection last had no unread bytes, in seconds of the clock.
     drained_at: f64,
     times: StateTimes,
 }
@@ -212,7 +214,8 @@
     ) -> Self {
         let clock = dispatcher.borrow().clock;
         let accepted_at = clock.now();
-        // The error for half a request has to reach the client in time, however long its network takes.
+        // The error for an incomplete request has to reach the client in time: the dial timeout is taken as the longest delay
+        // of its network.
         let network_s = dispatcher.borrow().connection_config.dial_timeout_s;
         let error_by = accepted_at + FIRST_REQUEST_TIMEOUT_S - network_s;
         ClientSession {
@@ -229,17 +232,17 @@
             has_sent_continue: false,
             first_request_by: error_by.max(accepted_at + IDLE_TIMEOUT_S),
             read_at: accepted_at,
-            // It may have waited for this side, but not for longer than a client is owed anything.
+            // Bytes may have arrived before the connection was accepted, but a client waits no longer than this.
             drained_at: accepted_at - FIRST_REQUEST_TIMEOUT_S,
             times: StateTimes::default(),
         }
     }
 
-    /// Reads requests and writes answers until the session ends.
+    /// Reads requests and writes answers until the session ends; returns why.
     async fn run(mut self) -> CloseReason {
         let (client, stream, clock) = (self.client, self.stream, self.clock);
         loop {
-            self.take_requests();
+            self.handle_requests();
             match self.write_answer() {
                 ControlFlow::Break(reason) => return reason,
                 ControlFlow::Continue(Progress::Complete) => continue,
@@ -257,13 +260,13 @@
                 biased;
                 _ = stream.readable(), if has_room || waiting.has_open_query => {
                     if !self.read() {
-                        return CloseReason::ClientLeft;
+                        return CloseReason::ClientDisconnected;
                     }
                 }
                 () = self.sender.ready(stream), if waiting.is_writing => {}
                 () = client.wake.notified() => {}
                 () = ready(()), if should_close => {
-                    // Guards against closing on a request that has come and is not read yet: it counts as taken.
+                    // Guards against closing a connection with an unread request, which the router has to answer.
                     if !has_room || !arrival::has_unread_bytes(stream) {
                         if !self.must_reject_half_sent() {
                             return self.closed_while_idle();
@@ -274,7 +277,7 @@
                 }
                 () = sleep_until(clock, waiting.deadline), if waiting.deadline.is_finite() && !should_close => {
                     if waiting.is_writing {
-                        return CloseReason::ReadsNothing;
+                        return CloseReason::AnswerNotRead;
                     }
                     if waiting.is_half_sent {
                         let refusal = (408, "the request did not come in time");
@@ -285,21 +288,21 @@
         }
     }
 
-    /// Whether the client of half a request is owed an answer, as the program or its core ends before the rest can come.
-    /// Guards against a rest that comes in the last moment, with nobody to read it.
+    /// Whether an incomplete request has to be rejected because the program or its core ends. Guards against a client that
+    /// completes its request at the last moment and never gets an answer.
     fn must_reject_half_sent(&self) -> bool {
         self.client.is_half_sent.get() && self.client.close_request.get() == CloseRequest::AtProgramEnd
     }
 
     fn closed_while_idle(&self) -> CloseReason {
-        if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NeverAsked }
+        if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NoRequest }
     }
 
-    /// Takes the requests that have come, one at a time: the next waits unread until the answer is out.
-    fn take_requests(&mut self) {
+    /// Handles the requests in the buffer one at a time: the next is not parsed before the answer is written.
+    fn handle_requests(&mut self) {
         while !self.is_unreadable && self.client.open_query.get().is_none() && !self.has_output() {
             match self.messages.find(&mut self.buffer) {
-                Ok(true) => self.take_request(),
+                Ok(true) => self.handle_request(),
                 Ok(false) => {
                     self.send_continue_if_awaited();
                     if !self.has_overrun {
@@ -313,13 +316,13 @@
         }
     }
 
-    /// Whether bytes wait to be written, those of a response that has just come among them.
+    /// Whether bytes wait to be written, including those of a response that is not encoded yet.
     fn has_output(&self) -> bool {
         answer::encode_pending(self.client);
         !self.client.output.borrow().is_empty()
     }
 
-    fn take_request(&mut self) {
+    fn handle_request(&mut self) {
         let (head, body) = self.messages.message(&self.buffer);
         let has_bytes_behind = self.buffer.data().len() > self.messages.end();
         self.client.has_bytes_behind.set(has_bytes_behind);
@@ -336,7 +339,7 @@
         }
     }
 
-    /// Writes the last answer on this connection, as nothing more can be made out on it.
+    /// Writes an error as the last answer of this connection, on which no further request can be parsed.
     fn reject_unreadable(&mut self, counter: &str, refusal: Refusal) {
         self.dispatcher.borrow_mut().counters.increment(counter);
         answer::unreadable(&mut self.client.output.borrow_mut(), refusal);
@@ -344,7 +347,7 @@
         self.client.close_after_answer.set(true);
     }
 
-    /// Writes what the socket takes of the answer, if there is one.
+    /// Writes as much of the answer as the socket accepts, if there is an answer.
     fn write_answer(&mut self) -> ControlFlow<CloseReason, Progress> {
         if !self.has_output() {
             return ControlFlow::Continue(Progress::NothingToWrite);
@@ -359,7 +362,7 @@
                     self.times.write_stalled_since = None;
                 }
             }
-            Err(_) => return ControlFlow::Break(CloseReason::ClientLeft),
+            Err(_) => return ControlFlow::Break(CloseReason::ClientDisconnected),
         }
         if self.written_bytes < output.len() {
             return ControlFlow::Continue(Progress::Blocked);
@@ -372,8 +375,8 @@
         ControlFlow::Continue(Progress::Complete)
     }
 
-    /// Reads once what has come; false when the client has ended the connection. Guards against a client that sends
-    /// more than is kept and goes, whose end stands behind it: past a full buffer what comes is read and dropped.
+    /// Reads once; false when the client has closed the connection. Once the buffer is full, further bytes are read and
+    /// dropped. Guards against missing the close of a client that sends more than the buffer holds and then leaves.
     fn read(&mut self) -> bool {
         let mut discarded = [0; DISCARD_BYTES];
         self.has_overrun |= self.buffer.space().is_empty();
@@ -397,7 +400,7 @@
         true
     }
 
-    /// The core that this connection is to be served by from here on, if connections are being moved; only between two
+    /// The core to which this connection has to move, if connections are being handed over and this one is between two
     /// requests.
     fn core_to_move_to(&self) -> Option<usize> {
         let is_between_requests = self.client.open_query.get().is_none()
@@ -409,7 +412,7 @@
             return None;
         }
         let mut dispatcher = self.dispatcher.borrow_mut();
-        // Guards against a connection that would reach a core as its shutdown ends.
+        // Guards against a connection that would reach another core after that has shut down.
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
@@ -418,7 +421,7 @@
         Some(to)
     }
 
-    /// What the session waits for from `now` on, and until when.
+    /// What the session waits for, and until when.
     fn waiting(&mut self, now: f64) -> Waiting {
         let has_open_query = self.client.open_query.get().is_some();
         let is_writing = self.has_output();
@@ -433,7 +436,8 @@
         Waiting { has_open_query, is_writing, is_half_sent, is_idle, deadline: self.deadline() }
     }
 
-    /// Guards against connections that say nothing, send half a request, or read half an answer.
+    /// When the session times out. Guards against connections that send no request, leave a request incomplete, or do not read
+    /// their answer.
     fn deadline(&self) -> f64 {
         if self.times.half_sent_since.is_some() && !self.client.has_sent_request.get() {
             return self.first_request_by;
@@ -444,17 +448,17 @@
     }
 }
 
-/// How far writing an answer has got.
+/// Progress of writing an answer.
 enum Progress {
-    /// No answer waits.
+    /// There is no answer to write.
     NothingToWrite,
-    /// The socket takes no more for now.
+    /// The socket accepts no more bytes for now.
     Blocked,
-    /// All of it is out.
+    /// The whole answer is written.
     Complete,
 }
 
-/// Since when a state holds, given since when it held before; none where it does not.
+/// Since when a condition holds: `before`, or now if it did not hold before. None if it does not hold.
 fn since(before: Option<f64>, holds: bool, now: f64) -> Option<f64> {
     holds.then(|| before.unwrap_or(now))
 }
--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -1,4 +1,4 @@
-//! Spreads accepted connections over the cores.
+//! Distributes accepted connections over the cores.
 use super::acceptor::ConnectionAcceptor;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::shared::{CoreCommand, SharedState, TransferredConnection};
@@ -10,19 +10,19 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Between two attempts to hand over a connection while no core takes any.
+/// Pause before a connection that no core accepts is offered again.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Hands each accepted connection to the core that has the fewest.
+/// Assigns each accepted connection to the serving core with the fewest connections.
 pub struct ConnectionBalancer {
     shared: Arc<SharedState>,
     crew: Rc<RefCell<Crew>>,
-    /// The core that was last asked to make room.
+    /// The core that was last asked to close an idle connection.
     last_asked: Cell<usize>,
 }
 
 impl ConnectionBalancer {
-    /// Over the cores of `crew`.
+    /// Distributes connections over the cores of `crew`.
     pub fn new(shared: Arc<SharedState>, crew: Rc<RefCell<Crew>>) -> Rc<Self> {
         Rc::new(ConnectionBalancer { shared, crew, last_asked: Cell::new(0) })
     }
@@ -47,8 +47,8 @@
                     Err(returned) => command = returned,
                 }
             }
-            // Guards against clients that are turned away while every core hangs or starts anew.
-            // Nobody serves, or all are full: what comes meanwhile waits in the system's queue.
+            // Guards against refusing clients while every core hangs, restarts or has a full command queue: the connection is
+            // offered again, and further ones wait in the system's queue of the listener.
             sleep(RETRY_PAUSE).await;
         }
     }
--- a/crates/router/src/io/mod.rs
+++ b/crates/router/src/io/mod.rs
@@ -1,4 +1,4 @@
-//! The drivers: they read and write sockets and keep time, and leave all else to `wire` and `memory`.
+//! The tasks that read and write sockets and wait for timers. Protocols are in `wire`, and state is in `state`.
 pub mod acceptor;
 pub mod arrival;
 mod client_session;
@@ -13,7 +13,7 @@
 use alderway_telemetry::clock::Clock;
 use tokio::time::Sleep;
 
-/// Sleeps until a time of the steady clock.
+/// Sleeps until `at_s`, in seconds of the program's monotonic clock.
 pub fn sleep_until(clock: Clock, at_s: f64) -> Sleep {
     tokio::time::sleep_until(clock.instant(at_s).into())
 }
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -1,5 +1,5 @@
-//! The driver of a connection to a data node: dials, writes attempts and reads their answers, and closes connections that are
-//! idle, blocked or corrupted.
+//! Serves a connection to a data node: connects, writes attempts, reads replies, and closes connections that are idle, blocked
+//! or corrupted.
 use super::{arrival, policy_loop, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
@@ -23,31 +23,32 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Bytes of a frame's length, which stand before it.
+/// Size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
 /// Why a connection was closed.
 #[derive(Debug)]
 enum CloseReason {
-    /// The dispatcher knows of it no more.
+    /// The dispatcher has dropped the connection.
     Forgotten,
-    /// The node had closed it before an attempt was written to it.
+    /// The data node had closed the idle connection before the next attempt was written.
     EndedWhileIdle,
-    /// It broke, or was cut to keep the rest of a frame from going out.
+    /// The connection broke, or was closed so that the rest of a frame is not sent.
     CutOrBroken,
-    /// It was idle, and its descriptor was needed elsewhere.
+    /// The connection was idle, and its descriptor was needed for another one.
     Retired,
-    /// It was idle for longer than the node would keep it.
+    /// The connection was idle for the idle timeout.
     Idle,
+    /// The data node closed the connection.
     EndedByNode,
-    /// The node's machine takes no byte of a frame.
-    TakesNothing,
-    /// The node sent what cannot be read.
+    /// The data node accepted no byte of a frame within the idle timeout.
+    WriteTimeout,
+    /// The data node sent a frame that cannot be used.
     Corrupted(CorruptedFrame),
 }
 
 impl CloseReason {
-    /// How counters name it.
+    /// The label of the counter `connection_closes`.
     fn label(&self) -> &'static str {
         match self {
             CloseReason::Forgotten => "forgotten",
@@ -56,13 +57,13 @@
             CloseReason::Retired => "retired",
             CloseReason::Idle => "idle",
             CloseReason::EndedByNode => "ended_by_node",
-            CloseReason::TakesNothing => "takes_nothing",
+            CloseReason::WriteTimeout => "takes_nothing",
             CloseReason::Corrupted(_) => "spoilt",
         }
     }
 }
 
-/// A frame that cannot be used, and the shard request that it names, if that could be read.
+/// A frame that cannot be used, with the shard request that it names, if the name could be read.
 #[derive(Debug)]
 struct CorruptedFrame {
     problem: Fault,
@@ -75,14 +76,15 @@
     }
 }
 
-/// Dials a data node, serves the connection until it ends, and gives everything back.
+/// Connects to a data node, serves the connection until it ends, and reports its end to the dispatcher.
 pub async fn run(dispatcher: DispatcherHandle, dial: Dial, descriptors: Arc<DescriptorPool>) {
     let Dial { node, connection, address } = dial;
     let dial_timeout = Duration::from_secs_f64(dispatcher.borrow().connection_config.dial_timeout_s);
     let is_short_of_resources = Cell::new(false);
-    let dialled = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
-    match timeout(dial_timeout, dialled).await {
-        // In this order: the stream closes before its permit is given back, or another takes that in between.
+    let connecting = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
+    match timeout(dial_timeout, connecting).await {
+        // The stream is dropped before the permit: the permit must not be given to another connection before the descriptor
+        // is closed.
         Ok(Ok((_permit, stream))) => {
             dispatcher.borrow_mut().counters.increment("connections{opened}");
             let reason = match NodeSession::open(&dispatcher, &node, connection, &stream) {
@@ -93,7 +95,7 @@
         }
         Ok(Err(_)) => dispatcher.borrow_mut().counters.increment("connections{refused}"),
         Err(_) if is_short_of_resources.get() => {
-            // Guards against blaming a data node for what this machine or this program lacks.
+            // Guards against counting a shortage of this machine or program as a failure of the data node.
             dispatcher.borrow_mut().counters.increment("connections{short_of_resources}");
             dispatcher.borrow_mut().connection_not_opened(&node, connection);
         }
@@ -113,15 +115,15 @@
     dispatcher.counters.increment(&format!("connection_closes{{{}}}", reason.label()));
 }
 
-/// Waits for a descriptor, making room where all are taken, and dials. `is_short_of_resources` tells meanwhile whether it
-/// is this machine or program that lacks something.
+/// Waits for a descriptor, for which idle connections are closed if none is free, and connects. `is_short_of_resources` is
+/// true while this machine or program lacks a resource for the connection.
 async fn connect(
     dispatcher: &DispatcherHandle,
     address: SocketAddr,
     descriptors: &Arc<DescriptorPool>,
     is_short_of_resources: &Cell<bool>,
 ) -> io::Result<(DescriptorPermit, TcpStream)> {
-    let mut waiting = None;
+    let mut waiter = None;
     let permit = loop {
         if let Some(permit) = descriptors.acquire() {
             break permit;
@@ -129,14 +131,15 @@
         is_short_of_resources.set(true);
         dispatcher.borrow_mut().counters.increment("dials_short_of_descriptors");
         dispatcher.borrow_mut().endpoints.retire_longest_idle();
-        // Guards against idle connections of other cores that hold what this one lacks: they let some go.
-        waiting.get_or_insert_with(|| descriptors.pool.waits());
+        // Guards against idle connections of other cores that hold all descriptors: while this waiter exists, those cores
+        // close idle connections.
+        waiter.get_or_insert_with(|| descriptors.pool.waits());
         descriptors.released.notified().await;
     };
-    drop(waiting);
+    drop(waiter);
     is_short_of_resources.set(false);
     let stream = alderway_sockets::dial_telling(address, is_short_of_resources).await?;
-    // Without it small frames would wait for the acknowledgement of those before.
+    // Otherwise small frames would wait until earlier ones are acknowledged.
     stream.set_nodelay(true)?;
     Ok((permit, stream))
 }
@@ -148,44 +151,45 @@
     connection: u64,
     stream: &'a TcpStream,
     clock: Clock,
-    /// The dispatcher has something for this connection.
+    /// Notified when the dispatcher has a frame for this connection, or wants it closed.
     wake: Rc<Notify>,
-    /// An idle connection is closed after so many seconds.
+    /// Time after which an idle connection is closed, in seconds.
     idle_timeout_s: f64,
-    /// An answer that has begun to come has to be complete within so many seconds.
+    /// Time within which a reply has to be complete once its first byte has arrived, in seconds.
     answer_timeout_s: f64,
     incoming: Buffer,
     outgoing: Outgoing,
-    /// By when the present frame has to get further; infinite where none is blocked.
+    /// When the connection is closed unless more of the current frame is written, in seconds of the clock; infinite where no
+    /// frame is blocked.
     write_by: f64,
-    /// By when a frame that has begun to come has to be complete; infinite where none has.
+    /// When a partially received frame has to be complete, in seconds of the clock; infinite where there is none.
     read_by: f64,
-    /// The last stall of this thread that was waited out.
-    known_stall: u64,
+    /// The last stall of this thread after which pending input was read.
+    handled_stall: u64,
 }
 
-/// The frame that is being written.
+/// The frame that is being written, and totals of what was written.
 #[derive(Default)]
 struct Outgoing {
     sender: Sender,
     frame: Vec<u8>,
-    /// Bytes of the frame that the socket has taken.
+    /// Bytes of the frame that the socket has accepted.
     written_bytes: usize,
-    /// Bytes of all frames that the socket has taken.
+    /// Bytes of all frames that the socket has accepted.
     total_bytes: u64,
 }
 
-/// How far writing has got.
+/// Progress of writing.
 #[derive(Clone, Copy, PartialEq)]
 enum WriteProgress {
-    /// No frame waits.
+    /// All frames are written.
     Complete,
-    /// The socket takes no more for now.
+    /// The socket accepts no more bytes for now.
     Blocked,
 }
 
 impl<'a> NodeSession<'a> {
-    /// None where the dispatcher has forgotten the connection.
+    /// None where the dispatcher has dropped the connection.
     fn open(
         dispatcher: &'a DispatcherHandle,
         node: &'a str,
@@ -197,7 +201,7 @@
         let node_connection = state.endpoints.connection(node, connection)?;
         node_connection.is_up = true;
         let wake = node_connection.wake.clone();
-        // Idle connections close a dial's length before the node's machine would.
+        // Idle connections are closed one dial timeout before the data node closes them, but not before half its idle timeout.
         let idle_timeout_s = (config.idle_timeout_s - config.dial_timeout_s).max(0.5 * config.idle_timeout_s);
         Some(NodeSession {
             dispatcher,
@@ -212,11 +216,11 @@
             outgoing: Outgoing::default(),
             write_by: f64::INFINITY,
             read_by: f64::INFINITY,
-            known_stall: 0,
+            handled_stall: 0,
         })
     }
 
-    /// Writes what waits and reads what comes until the connection is to be closed.
+    /// Writes frames and reads replies until the connection has to be closed; returns why.
     async fn run(mut self) -> CloseReason {
         loop {
             if let Err(reason) = self.step().await {
@@ -226,7 +230,7 @@
     }
 
     async fn step(&mut self) -> Result<(), CloseReason> {
-        self.wait_out_stall().await;
+        self.read_pending_input_after_stall().await;
         self.check_still_open_before_reuse()?;
         let progress = self.write_frames()?;
         let idle_since = self.check_idle()?;
@@ -241,10 +245,10 @@
             }
             () = self.outgoing.sender.ready(stream), if progress == WriteProgress::Blocked => {}
             () = sleep_until(clock, self.write_by), if self.write_by.is_finite() => {
-                return Err(CloseReason::TakesNothing);
+                return Err(CloseReason::WriteTimeout);
             }
             () = sleep_until(clock, self.read_by), if self.read_by.is_finite() => {
-                let problem = "an answer that does not end";
+                let problem = "a reply that is not complete in time";
                 return Err(CloseReason::Corrupted(CorruptedFrame::unnamed(problem)));
             }
             () = wake.notified() => {}
@@ -253,14 +257,14 @@
         Ok(())
     }
 
-    /// Calls `act` on the state of this connection; none where the dispatcher has forgotten it.
+    /// Calls `act` on the state of this connection; none where the dispatcher has dropped the connection.
     fn with_state<T>(&self, act: impl FnOnce(&mut NodeConnection) -> T) -> Option<T> {
         self.dispatcher.borrow_mut().endpoints.connection(self.node, self.connection).map(act)
     }
 
-    /// Has what came while this thread stood still read before an attempt begins. Guards against attempts for clients
-    /// that have left, or to data nodes that drain, where the word of it waits unread behind this connection.
-    async fn wait_out_stall(&mut self) {
+    /// After this thread was suspended, lets other tasks read what has arrived meanwhile before an attempt starts. Guards
+    /// against attempts for clients that have disconnected, or on data nodes that drain, while that news is still unread.
+    async fn read_pending_input_after_stall(&mut self) {
         loop {
             let stall = {
                 let mut dispatcher = self.dispatcher.borrow_mut();
@@ -270,16 +274,16 @@
             if !self.with_state(|state| state.next_starts_attempts()).unwrap_or(false) {
                 return;
             }
-            if replace(&mut self.known_stall, stall) == stall {
+            if replace(&mut self.handled_stall, stall) == stall {
                 return;
             }
-            // The runtime asks the system what has come, and whoever that is for goes first.
+            // The runtime polls the system for input and runs the tasks that receive it first.
             yield_now().await;
         }
     }
 
-    /// Guards against an attempt written to a connection that its node has closed as idle, which would count as one that
-    /// may have run.
+    /// Guards against writing an attempt to a connection that the data node has closed as idle: the attempt would count as
+    /// possibly executed.
     fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
         let is_reuse = self.with_state(|state| state.is_reuse_after_idle()).unwrap_or(false);
         if is_reuse && arrival::is_closed_by_peer(self.stream) {
@@ -289,8 +293,8 @@
         Ok(())
     }
 
-    /// Writes frame after frame until none waits or the socket takes no more. A silent machine never closes: a frame
-    /// that gets no further for long ends the connection.
+    /// Writes frames until none is left or the socket accepts no more bytes. Sets a deadline for a blocked frame, as a machine
+    /// that has gone down never closes its connections.
     fn write_frames(&mut self) -> Result<WriteProgress, CloseReason> {
         let before = self.outgoing.total_bytes;
         let progress = self.write_until_blocked()?;
@@ -304,7 +308,7 @@
 
     fn write_until_blocked(&mut self) -> Result<WriteProgress, CloseReason> {
         loop {
-            // Guards against the rest of a frame going out after the final answer of a query in it.
+            // Guards against sending the rest of a frame after a query in it has got its final answer.
             if self.with_state(|state| state.is_aborted).unwrap_or(true) {
                 return Err(CloseReason::CutOrBroken);
             }
@@ -317,7 +321,7 @@
         }
     }
 
-    /// False where no frame waits.
+    /// Begins the next frame; false where there is none.
     fn begin_next_frame(&mut self) -> bool {
         let Outgoing { frame, written_bytes, .. } = &mut self.outgoing;
         let mut dispatcher = self.dispatcher.borrow_mut();
@@ -332,7 +336,7 @@
         dispatcher.next_frame(self.node, self.connection, frame)
     }
 
-    /// Writes what the socket takes of the present frame: how many bytes.
+    /// Writes as much of the current frame as the socket accepts; returns the number of bytes.
     fn write_some(&mut self) -> Result<usize, CloseReason> {
         let (node, connection) = (self.node, self.connection);
         let Outgoing { sender, frame, written_bytes, total_bytes } = &mut self.outgoing;
@@ -356,7 +360,7 @@
         Ok(count)
     }
 
-    /// Since when the connection is idle; an end where it has been so for too long, or is not wanted any more.
+    /// Returns since when the connection is idle, or an error where it was idle for too long or is retired.
     fn check_idle(&self) -> Result<Option<f64>, CloseReason> {
         let now = self.clock.now();
         let checked = self.with_state(|state| {
@@ -370,8 +374,8 @@
         checked.unwrap_or(Err(CloseReason::Forgotten))
     }
 
-    /// Reads once what has come and says how many frames that made. Whoever has more to say waits for its next turn, so
-    /// that no data node can keep the core to itself.
+    /// Reads once and handles the complete frames; returns how many there were. Reads no more than once, so that no data node
+    /// can occupy the core.
     fn read(&mut self) -> Result<usize, CloseReason> {
         match alderway_sockets::read(self.stream, self.incoming.space()) {
             Ok(Some(0)) | Err(_) => return Err(CloseReason::EndedByNode),
@@ -385,48 +389,51 @@
         loop {
             let next = frames::next(self.incoming.data());
             let next = next.map_err(|problem| CloseReason::Corrupted(CorruptedFrame::unnamed(problem)))?;
-            let Some((letter, body, used_bytes)) = next else { return Ok(frames_read) };
-            self.receive(letter, body)?;
+            let Some((frame_type, body, used_bytes)) = next else { return Ok(frames_read) };
+            self.receive(frame_type, body)?;
             self.incoming.used(used_bytes);
             frames_read += 1;
         }
     }
 
-    fn receive(&self, letter: u8, body: &[u8]) -> Result<(), CloseReason> {
-        match letter {
+    fn receive(&self, frame_type: u8, body: &[u8]) -> Result<(), CloseReason> {
+        match frame_type {
             b'R' => self.receive_reply(body).map_err(CloseReason::Corrupted),
             b'F' => {
-                tracing::warn!(target: "frame", "node {}: it could not use a frame of ours", self.node);
+                tracing::warn!(target: "frame", "node {}: it could not read a frame that this router sent", self.node);
                 Err(CloseReason::EndedByNode)
             }
             // Answers to health checks, which this router does not send.
             b'H' | b'M' => Ok(()),
-            _ => Err(CloseReason::Corrupted(CorruptedFrame::unnamed("a frame with an unknown letter"))),
+            _ => Err(CloseReason::Corrupted(CorruptedFrame::unnamed("a frame of an unknown type"))),
         }
     }
 
     fn receive_reply(&self, body: &[u8]) -> Result<(), CorruptedFrame> {
-        let (shard_request, word, report, value) = frames::reply(body).map_err(CorruptedFrame::unnamed)?;
-        let outcome = match word {
+        let (shard_request, status, report, value) = frames::reply(body).map_err(CorruptedFrame::unnamed)?;
+        let outcome = match status {
             "done" => AttemptOutcome::Success,
             "failed" => AttemptOutcome::Error,
             "full" => AttemptOutcome::Rejected,
             _ => {
                 let shard_request = Some(shard_request.to_string());
-                return Err(CorruptedFrame { problem: "a reply with an unknown ending", shard_request });
+                return Err(CorruptedFrame { problem: "a reply with an unknown status", shard_request });
             }
         };
         let mut dispatcher = self.dispatcher.borrow_mut();
         let report = frames::shard_report(report);
         let reply = NodeReply { request_id: shard_request, outcome, report, value };
         if !dispatcher.reply_received(self.node, self.connection, &reply) {
-            return Err(CorruptedFrame::unnamed("a reply for a part not asked for"));
+            return Err(CorruptedFrame::unnamed(
+                "a reply to a shard request that was not sent on this connection",
+            ));
         }
         Ok(())
     }
 
-    /// A data node writes an answer in one go. Guards against a length that says more than comes, which would hold the
-    /// attempts out here, and take the next answer for its rest.
+    /// Sets a deadline for a partially received reply. A data node writes each reply at once. Guards against a frame whose
+    /// length is larger than its content: the attempts on the connection would wait for the rest, and the next reply would be
+    /// read as that rest.
     fn limit_incomplete_answer(&mut self, frames_read: usize) {
         if self.incoming.is_empty() {
             self.read_by = f64::INFINITY;
