--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts one query router as the platform runs it: by its configuration alone, on one core.
+//! Starts a query router on one core, configured only by the file that the environment variable `PROXY_CONFIG` names.
 use alderway_router::lifecycle::startup::StartupConfig;
 use alderway_router::server::serve;
 use alderway_router::state::shared::MulticoreConfig;
@@ -11,15 +11,15 @@
     let clock = Clock::default();
     let config = match StartupConfig::from_env(clock) {
         Ok(config) => config,
-        Err(why) => {
-            eprintln!("alderway-router: {why}");
+        Err(error) => {
+            eprintln!("alderway-router: {error}");
             return ExitCode::from(2);
         }
     };
     match serve(config, None, MulticoreConfig::default(), clock) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("alderway-router: {why}");
+        Err(error) => {
+            eprintln!("alderway-router: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -1,4 +1,4 @@
-//! What a request asks for: a query, readiness or the counters; anything else is told why not.
+//! The HTTP requests of clients: a query, readiness or the counters. Any other request gets an error response.
 use crate::state::DispatcherHandle;
 use crate::state::clients::ClientConnection;
 use crate::state::queries::{Query, QueryError, ShardRequest};
@@ -10,28 +10,30 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Takes a whole request whose last byte came at `at`; it is answered now, or it is an open query then.
+/// Handles a complete request whose last byte arrived at `arrived_at`, in seconds of the clock: answers it, or opens a query
+/// that is answered later.
 pub fn handle(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
     head: Head,
     body: &[u8],
-    at: f64,
+    arrived_at: f64,
 ) {
-    // The answers here have a body, which an answer to HEAD must not: no further message could be told apart.
+    // All responses here have a body, which a response to HEAD must not have: the client could not find the start of the next
+    // response, so the connection is closed.
     let closes = head.closes() || head.first().starts_with("HEAD ");
     client
         .close_after_answer
         .set(client.close_after_answer.get() || closes || dispatcher.borrow().closes_connection(client));
-    let mut words = head.first().split(' ');
-    let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
+    let mut parts = head.first().split(' ');
+    let (method, target) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
-    let plain = |status, text: &str| {
+    let respond = |status, text: &str| {
         answer::plain(&mut client.output.borrow_mut(), status, text, None, client.close_after_answer.get());
     };
-    if !words.next().unwrap_or_default().starts_with("HTTP/1.") || words.next().is_some() {
+    if !parts.next().unwrap_or_default().starts_with("HTTP/1.") || parts.next().is_some() {
         client.close_after_answer.set(true);
-        return plain(505, "expected METHOD PATH HTTP/1.1");
+        return respond(505, "expected METHOD PATH HTTP/1.1");
     }
     #[cfg(feature = "faults")]
     if let Ok(Some(fault)) = head.field("X-Fault") {
@@ -43,45 +45,48 @@
     }
     match (method, path) {
         ("POST", "/api") => {
-            let opened = open_query(dispatcher, client, head, body, at);
-            if let Err((status, why)) = opened {
+            let opened = open_query(dispatcher, client, head, body, arrived_at);
+            if let Err((status, text)) = opened {
                 dispatcher.borrow_mut().counters.increment("requests{not_in_form}");
-                plain(status, why);
+                respond(status, text);
             }
         }
-        ("GET", "/up") if dispatcher.borrow().is_ready() => plain(200, "up"),
-        ("GET", "/up") => plain(503, "not able to serve"),
-        ("GET", "/counters") => plain(200, dispatcher.borrow().metrics_text().trim_end()),
-        (_, "/api" | "/up" | "/counters") => plain(405, "not that method here"),
-        _ => plain(404, "no such path"),
+        ("GET", "/up") if dispatcher.borrow().is_ready() => respond(200, "up"),
+        ("GET", "/up") => respond(503, "not able to serve"),
+        ("GET", "/counters") => respond(200, dispatcher.borrow().metrics_text().trim_end()),
+        (_, "/api" | "/up" | "/counters") => respond(405, "not that method here"),
+        _ => respond(404, "no such path"),
     }
 }
 
-/// Opens the query that a request asks for.
+/// Opens the query of a request.
 fn open_query(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
     head: Head,
     body: &[u8],
-    at: f64,
+    arrived_at: f64,
 ) -> Result<(), Refusal> {
-    let field = |name, lacking| head.field(name)?.filter(|v| !v.is_empty()).ok_or((400, lacking));
+    let field = |name, missing| head.field(name)?.filter(|v| !v.is_empty()).ok_or((400, missing));
     let id = field("X-Correlation-Id", "X-Correlation-Id is missing")?;
     if id.len() > LONGEST_ID || !id.bytes().all(|b| b.is_ascii_graphic()) {
         return Err((400, "X-Correlation-Id is not a short word"));
     }
     let class = field("X-Service-Class", "X-Service-Class is missing")?;
-    let left = field("X-Time-Left-Ms", "X-Time-Left-Ms is missing")?;
-    let digits = left.bytes().all(|b| b.is_ascii_digit());
-    let left =
-        left.parse::<u32>().ok().filter(|_| digits).ok_or((400, "X-Time-Left-Ms is not a whole number"))?;
+    let time_left_ms = field("X-Time-Left-Ms", "X-Time-Left-Ms is missing")?;
+    let is_digits = time_left_ms.bytes().all(|b| b.is_ascii_digit());
+    let time_left_ms = time_left_ms
+        .parse::<u32>()
+        .ok()
+        .filter(|_| is_digits)
+        .ok_or((400, "X-Time-Left-Ms is not a whole number"))?;
     let mut dispatcher = dispatcher.borrow_mut();
     dispatcher.refresh_config();
     let class = dispatcher.class_slot(class).ok_or((400, "an unknown vertical"))?;
     if dispatcher.queries.is_open(id) {
         return Err(error_response(QueryError::IdInUse));
     }
-    let not_after_s = at + (f64::from(left) / 1e3).min(dispatcher.admission.max_deadline_s);
+    let not_after_s = arrived_at + (f64::from(time_left_ms) / 1e3).min(dispatcher.admission.max_deadline_s);
     let ShardRequests { text, requests, coverage } = match &dispatcher.shard_map {
         Some(shard_map) => shard_map_requests(shard_map, id, body)?,
         None => ring_requests(dispatcher.admission.shard_count, id, body)?,
@@ -93,7 +98,7 @@
     dispatcher.open_query(client, query).map_err(error_response)
 }
 
-/// What a body asks for.
+/// The shard requests of a query, as its body names them.
 struct ShardRequests {
     text: String,
     requests: Vec<ShardRequest>,
@@ -110,7 +115,7 @@
         targets.push(QueryTarget { shard, keys, weight });
         Ok(())
     });
-    let text = text.map_err(|why| (400, why))?.into_owned();
+    let text = text.map_err(|problem| (400, problem))?.into_owned();
     if targets.is_empty() {
         return Err((400, "`targets` is empty"));
     }
@@ -119,22 +124,22 @@
 }
 
 fn ring_requests(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, Refusal> {
-    let (mut requests, mut asked) = (Vec::new(), BTreeSet::new());
+    let (mut requests, mut shards) = (Vec::new(), BTreeSet::new());
     let text = query::read(body, |shard, weight| {
         if shard >= shard_count {
             return Err("`partition` is no shard here");
         }
-        if !asked.insert(shard) {
+        if !shards.insert(shard) {
             return Err("`partition` stands twice");
         }
         requests.push(ShardRequest::new(format!("{query_id}.{shard}").into(), shard, weight));
         Ok(())
     });
-    let text = text.map_err(|why| (400, why))?.into_owned();
+    let text = text.map_err(|problem| (400, problem))?.into_owned();
     Ok(ShardRequests { text, requests, coverage: None })
 }
 
-/// Status and text for a query that cannot be opened.
+/// Status and text of the response for a query that cannot be opened.
 pub fn error_response(error: QueryError) -> Refusal {
     match error {
         QueryError::IdInUse => (400, "a query with this X-Correlation-Id is open"),
