--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -27,8 +27,8 @@
 impl ConnectionAcceptor for DispatcherHandle {
     fn close_idle_connection(&self) {
         let dispatcher = self.borrow();
-        let half_sent_timeout_s = dispatcher.connection_config.dial_timeout_s;
-        dispatcher.clients.close_longest_idle(dispatcher.clock.now(), half_sent_timeout_s);
+        let partial_request_timeout_s = dispatcher.connection_config.dial_timeout_s;
+        dispatcher.clients.close_longest_idle(dispatcher.clock.now(), partial_request_timeout_s);
     }
 
     async fn accept(&self, stream: TcpStream, permit: DescriptorPermit) {
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -163,7 +163,7 @@
     /// Since when no query is open and no answer has to be written.
     idle_since: Option<f64>,
     /// Since when a request is incomplete.
-    half_sent_since: Option<f64>,
+    partial_request_since: Option<f64>,
     /// Since when the client has read no byte of an answer.
     write_stalled_since: Option<f64>,
 }
@@ -172,7 +172,7 @@
 struct Waiting {
     has_open_query: bool,
     is_writing: bool,
-    is_half_sent: bool,
+    has_partial_request: bool,
     /// No query is open, and no answer has to be written.
     is_idle: bool,
     /// When the session ends unless the client sends or reads more; infinite while a query is open.
@@ -254,7 +254,7 @@
             let now = clock.now();
             let waiting = self.waiting(now);
             let has_room = !self.buffer.space().is_empty();
-            let is_overdue = waiting.deadline <= now && !waiting.is_half_sent;
+            let is_overdue = waiting.deadline <= now && !waiting.has_partial_request;
             let should_close = waiting.is_idle && (client.should_close() || is_overdue);
             tokio::select! {
                 biased;
@@ -268,7 +268,7 @@
                 () = ready(()), if should_close => {
                     // Guards against closing a connection with an unread request, which the router has to answer.
                     if !has_room || !arrival::has_unread_bytes(stream) {
-                        if !self.must_reject_half_sent() {
+                        if !self.must_reject_partial_request() {
                             return self.closed_while_idle();
                         }
                         self.reject_unreadable("requests{half_sent}", (503, "not served any more"));
@@ -279,7 +279,7 @@
                     if waiting.is_writing {
                         return CloseReason::AnswerNotRead;
                     }
-                    if waiting.is_half_sent {
+                    if waiting.has_partial_request {
                         let refusal = (408, "the request did not come in time");
                         self.reject_unreadable("requests{half_sent}", refusal);
                     }
@@ -290,7 +290,7 @@
 
     /// Whether an incomplete request has to be rejected because the program or its core ends. Guards against a client that
     /// completes its request at the last moment and never gets an answer.
-    fn must_reject_half_sent(&self) -> bool {
+    fn must_reject_partial_request(&self) -> bool {
         self.client.is_half_sent.get() && self.client.close_request.get() == CloseRequest::AtProgramEnd
     }
 
@@ -426,24 +426,24 @@
         let has_open_query = self.client.open_query.get().is_some();
         let is_writing = self.has_output();
         let is_idle = !has_open_query && !is_writing;
-        let is_half_sent = is_idle && !self.buffer.is_empty();
+        let has_partial_request = is_idle && !self.buffer.is_empty();
         let times = &mut self.times;
         times.idle_since = since(times.idle_since, is_idle, now);
-        times.half_sent_since = since(times.half_sent_since, is_half_sent, now);
+        times.partial_request_since = since(times.partial_request_since, has_partial_request, now);
         times.write_stalled_since = since(times.write_stalled_since, is_writing, now);
         self.client.idle_since.set(times.idle_since);
-        self.client.is_half_sent.set(is_half_sent);
-        Waiting { has_open_query, is_writing, is_half_sent, is_idle, deadline: self.deadline() }
+        self.client.is_half_sent.set(has_partial_request);
+        Waiting { has_open_query, is_writing, has_partial_request, is_idle, deadline: self.deadline() }
     }
 
     /// When the session times out. Guards against connections that send no request, leave a request incomplete, or do not read
     /// their answer.
     fn deadline(&self) -> f64 {
-        if self.times.half_sent_since.is_some() && !self.client.has_sent_request.get() {
+        if self.times.partial_request_since.is_some() && !self.client.has_sent_request.get() {
             return self.first_request_by;
         }
-        let StateTimes { idle_since, half_sent_since, write_stalled_since } = self.times;
-        let since = half_sent_since.or(idle_since).or(write_stalled_since);
+        let StateTimes { idle_since, partial_request_since, write_stalled_since } = self.times;
+        let since = partial_request_since.or(idle_since).or(write_stalled_since);
         since.map_or(f64::INFINITY, |since| since + IDLE_TIMEOUT_S)
     }
 }
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -1,12 +1,12 @@
-//! Graceful shutdown after SIGTERM. Connections keep arriving for a while and clients keep the ones they have, as they may
-//! have nowhere else to go; every query that was admitted gets an answer before the platform's SIGKILL.
+//! Graceful shutdown after SIGTERM. New connections are accepted for a while, and clients keep the connections they have,
+//! because no other router may be available to them. Every admitted query gets an answer before the platform sends SIGKILL.
 //!
 //! The phases, as `ShutdownPhase` names them:
 //!
 //! 1. Draining, from SIGTERM: the listener stays open for [`LISTEN_DURATION`], and connections are served as before.
-//! 2. Closing, as soon as a query that came now might find no time for its answer: idle connections are closed, busy ones
-//!    after their answer.
-//! 3. Ending, once all clients are gone or the time is over: open queries fail, and their answers go out.
+//! 2. Closing, as soon as a new query might not be answered before the end: idle connections are closed at once, others after
+//!    their answer.
+//! 3. Ending, once all clients are disconnected or the time limit is reached: open queries fail, and their answers are written.
 use crate::state::DispatcherHandle;
 use crate::state::shutdown_phase::ShutdownPhase;
 use alderway_sockets::signals::Signals;
@@ -16,30 +16,32 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// How long the listener stays open after SIGTERM. The users' protocol: new connections keep coming for 0.4 s.
+/// How long the listener stays open after SIGTERM. By the client protocol, new connections may arrive for 0.4 s.
 pub const LISTEN_DURATION: Duration = Duration::from_millis(500);
-/// The users' protocol: SIGKILL comes no sooner than the longest deadline, counted as 3 s where it is longer, and 0.7 s.
+/// By the client protocol, SIGKILL follows SIGTERM no sooner than after the longest deadline, of which at most 3 s count, plus
+/// 0.7 s.
 const MAX_DEADLINE_S: f64 = 3.0;
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
-/// How long the last answers may take to go out.
+/// Time reserved for writing the last answers, in seconds.
 const LAST_ANSWERS_S: f64 = 0.1;
-/// The users' standing test: the process may be held up for so long at any moment.
+/// The users' acceptance tests suspend the process for up to this long at any time, in seconds.
 const STALL_S: f64 = 0.15;
-/// How long before SIGKILL the program has ended, even if it was held up.
+/// Time between the end of the program and SIGKILL, in seconds, even if the process was suspended for [`STALL_S`].
 const SAFETY_MARGIN_S: f64 = 0.15;
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Polls that a wait for the last answers makes at the least: one to read what has come, one to answer it, one to write.
+/// Minimum number of polls while waiting for the last answers: one to read pending requests, one to answer them, and one to
+/// write the answers.
 const POLLS_MIN: usize = 3;
-/// How long accepting the connections that wait as the listener closes may take at the least.
+/// Minimum time for accepting the connections that wait in the queue of the closing listener.
 const ACCEPT_WAITING_MIN: Duration = Duration::from_millis(100);
 
-/// How long after SIGTERM the last open queries fail, in seconds, for a longest deadline in seconds.
+/// Time from SIGTERM until the remaining open queries fail, in seconds, if `longest_deadline_s` is the longest deadline.
 pub fn time_limit_s(longest_deadline_s: f64) -> f64 {
     let reserved_s = LAST_ANSWERS_S + STALL_S + SAFETY_MARGIN_S;
     longest_deadline_s.min(MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - reserved_s
 }
 
-/// Waits for SIGTERM and shuts one core down, whose listener ends with `close`; returns when the program may end.
+/// Waits for SIGTERM and shuts down a router on one core, whose listener stops at `close`. Returns when the program may end.
 pub async fn shut_down_at_sigterm(
     mut terminations: Signals,
     dispatcher: DispatcherHandle,
@@ -54,9 +56,9 @@
     shut_down(dispatcher, listener_closed(close, listening, time_limit_s(longest_deadline_s))).await;
 }
 
-/// Closes the listener after [`LISTEN_DURATION`]; returns once no further connection is accepted, by the end of a shutdown
-/// of `limit_s` seconds where the descriptors for them come free too slowly. Guards against ending with connections that
-/// the system has accepted and this program has not looked at yet, as after standing still.
+/// Closes the listener after [`LISTEN_DURATION`], and returns once no further connection is accepted. Waits at most until the
+/// end of a shutdown of `limit_s` seconds, in case descriptors are released too slowly. Guards against ending while connections
+/// that the system has accepted wait in the listener's queue, for example after the process was suspended.
 pub async fn listener_closed(close: Rc<Notify>, listening: JoinHandle<()>, limit_s: f64) {
     sleep(LISTEN_DURATION).await;
     close.notify_one();
@@ -64,31 +66,31 @@
     let _ = timeout(remaining.clamp(ACCEPT_WAITING_MIN, LISTEN_DURATION), listening).await;
 }
 
-/// Shuts one core down; returns when the program may end. `listener_closed` ends when no further connection comes.
+/// Shuts one core down; returns when the program may end. `listener_closed` completes when no further connection arrives.
 pub async fn shut_down(dispatcher: DispatcherHandle, listener_closed: impl Future<Output = ()>) {
     let clock = dispatcher.borrow().clock;
-    let times = begin_draining(&dispatcher);
+    let phases = begin_draining(&dispatcher);
     listener_closed.await;
-    // Guards against ending before the task of the connection accepted last has run for the first time.
+    // Guards against ending before the task of the last accepted connection has run for the first time.
     sleep(POLL_INTERVAL).await;
-    while clock.now() < times.end && !dispatcher.borrow().clients.is_empty() {
-        if clock.now() >= times.close_at {
+    while clock.now() < phases.end && !dispatcher.borrow().clients.is_empty() {
+        if clock.now() >= phases.close_at {
             dispatcher.borrow_mut().shutdown_phase = ShutdownPhase::Closing;
             dispatcher.borrow().clients.close_idle();
         }
         sleep(POLL_INTERVAL).await;
     }
     let open_queries = end_open_queries(&dispatcher).await;
-    let took_s = clock.now() - times.began;
-    tracing::info!(target: "stop", "ended after {took_s:.1} s: {open_queries} queries aborted");
+    let took_s = clock.now() - phases.began;
+    tracing::info!(target: "stop", "ended after {took_s:.1} s: {open_queries} open queries failed");
 }
 
-/// When the phases of a shutdown begin, in seconds of the program's clock.
+/// When the phases of a shutdown begin, in seconds of the clock.
 struct PhaseTimes {
     began: f64,
-    /// Connections close from here on: a query that came now might not be answered by the end.
+    /// From then on connections close, as a new query might not be answered before `end`.
     close_at: f64,
-    /// Open queries fail.
+    /// Open queries fail then.
     end: f64,
 }
 
@@ -102,7 +104,7 @@
     PhaseTimes { began, close_at: end - dispatcher.admission.max_latency_objective_s, end }
 }
 
-/// Fails all open queries; how many there were.
+/// Fails all open queries and returns how many there were.
 fn fail_open_queries(dispatcher: &DispatcherHandle) -> usize {
     let mut dispatcher = dispatcher.borrow_mut();
     let open_queries = dispatcher.queries.len();
@@ -112,31 +114,32 @@
     open_queries
 }
 
-/// Ends what a core has open, at the end of a shutdown or as the core has failed: whatever it has read gets its final
-/// answer, also what comes or is behind an open query now. How many queries were open.
+/// Ends all queries and client connections of a core, at the end of a shutdown or after a failure of the core. Every request
+/// that was read gets its final answer, including those that wait behind an open query or arrive meanwhile. Returns how many
+/// queries were open.
 pub async fn end_open_queries(dispatcher: &DispatcherHandle) -> usize {
     let open_queries = fail_open_queries(dispatcher);
-    last_answers_written(dispatcher).await;
+    wait_for_last_answers(dispatcher).await;
     open_queries
 }
 
-/// Waits until the last answers have gone out and all clients with them, for [`LAST_ANSWERS_S`] at most. Guards against a
-/// process that stands still just before or meanwhile, and would end before its tasks have written an answer: the time
-/// counts from here, and passes only with some polls.
-async fn last_answers_written(dispatcher: &DispatcherHandle) {
+/// Waits until the last answers are written and all clients are disconnected, for at most [`LAST_ANSWERS_S`]. Guards against a
+/// process that is suspended just before or during the wait, and would end before its tasks have written the answers: the time
+/// starts with the wait, which also makes at least [`POLLS_MIN`] polls.
+async fn wait_for_last_answers(dispatcher: &DispatcherHandle) {
     let clock = dispatcher.borrow().clock;
-    let until = clock.now() + LAST_ANSWERS_S;
+    let deadline = clock.now() + LAST_ANSWERS_S;
     let mut polls = 0;
-    while !dispatcher.borrow().clients.is_empty() && (clock.now() < until || polls < POLLS_MIN) {
+    while !dispatcher.borrow().clients.is_empty() && (clock.now() < deadline || polls < POLLS_MIN) {
         sleep(POLL_INTERVAL).await;
         polls += 1;
     }
 }
 
-/// Ends connections that came to a core which had shut down already: what they ask for is rejected at once.
+/// Ends connections that were assigned to a core after its shutdown: their requests are rejected at once.
 pub async fn end_late_connections(dispatcher: DispatcherHandle) {
-    // Their tasks have yet to run for the first time.
+    // Lets the tasks of these connections run for the first time.
     sleep(POLL_INTERVAL).await;
     dispatcher.borrow().clients.close_at_program_end();
-    last_answers_written(&dispatcher).await;
+    wait_for_last_answers(&dispatcher).await;
 }
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -1,6 +1,6 @@
-//! Settings that change while the router serves. Whoever brings them, a file at SIGHUP or the control plane, brings them to
-//! [`LiveConfig::apply`]: they are checked as at a start and rejected as a whole, or applied as a whole, by every core
-//! between two of its rounds.
+//! Settings that change while the router serves. They come from the configuration file at SIGHUP or from the control plane, and
+//! go through [`LiveConfig::apply`]: they are checked as at a start, and are either rejected completely or applied completely,
+//! by every core between two policy rounds.
 use super::startup::Role;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shared::SharedState;
@@ -15,19 +15,19 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long [`LiveConfig::apply`] waits for a core that serves but does not take new settings over.
+/// How long [`LiveConfig::apply`] waits for a serving core that does not apply new settings.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often it looks whether a core that it waits for still serves.
+/// How often [`LiveConfig::apply`] checks whether a core that it waits for still serves.
 const SERVING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why settings cannot be applied. Nothing of them is; those in force stay.
+/// Why settings cannot be applied. None of them is applied, and the settings in force stay.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// They would be rejected at a start too.
+    /// The settings would also be rejected at a start.
     #[error("key `settings`: expected {0}")]
     Invalid(String),
-    /// These keys differ, and only change with a start.
-    #[error("`{}` can't change while serving: that waits for a start", .0.join("`, `"))]
+    /// These keys differ, and can only change with a restart.
+    #[error("`{}` can't change while serving: a restart is required", .0.join("`, `"))]
     RestartRequired(Vec<String>),
 }
 
@@ -40,20 +40,20 @@
     pub changed_keys: Vec<&'static str>,
 }
 
-/// What applying settings came to.
+/// The result of applying settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Every core that serves has taken them over. One that hangs, failed or starts takes them over before the first
-    /// request that it reads and the first round that it plays.
+    /// Every serving core has applied the settings. A core that hangs, has failed or is starting applies them before the next
+    /// request that it reads and the next policy round that it runs.
     Changed,
-    /// They say what is in force already.
+    /// The settings equal those in force.
     Unchanged,
 }
 
-/// Checks settings as a start does; with those in force, also whether a running router could change to them.
+/// Checks settings as at a start. Given the settings in force, also checks whether a running router can change to the new ones.
 ///
 /// # Errors
-/// A key is at fault, or differs and only changes with a start.
+/// A key is invalid, or differs and can only change with a restart.
 pub fn check(settings: &Value, in_force: Option<&Value>) -> Result<CheckedSettings, ConfigError> {
     let parsed = Settings::read(settings).map_err(|error| ConfigError::Invalid(error.to_string()))?;
     let changed = in_force.map_or(Changes::default(), |in_force| changes(in_force, settings));
@@ -65,29 +65,29 @@
 
 /// Increments a counter of this program by its name.
 pub type IncrementCounter = Box<dyn Fn(&'static str)>;
-/// Whether a core serves, so that it is worth waiting for.
+/// Whether a core serves; the others are not waited for.
 pub type IsServing = Box<dyn Fn(usize) -> bool>;
 
 struct Inner {
     shared: Arc<SharedState>,
     role: Role,
-    /// No deadline of a query class may be longer, in seconds; none where any may be.
+    /// Upper limit of the deadline of a query class, in seconds; none where there is no limit.
     max_deadline_limit_s: Option<f64>,
     in_force: RefCell<Arc<Value>>,
     updates: watch::Sender<Arc<ConfigGeneration>>,
-    /// The longest deadline of all settings so far, in seconds.
+    /// The longest deadline of all settings that were in force since the start, in seconds.
     max_deadline_s: Cell<f64>,
     increment_counter: RefCell<Option<IncrementCounter>>,
     is_serving: RefCell<Option<IsServing>>,
 }
 
-/// The settings in force in the running router; on several cores the acceptor's core holds it. Copies share one state.
+/// The settings in force in the running router; on several cores, the supervising thread holds them. Clones share one state.
 #[derive(Clone)]
 pub struct LiveConfig(Rc<Inner>);
 
 impl LiveConfig {
-    /// For a router that starts with `settings_json`, which `settings` were read from. No later settings may have a deadline
-    /// beyond `max_deadline_limit_s`, in seconds, if there is such a limit.
+    /// For a router that starts with `settings`, which were read from `settings_json`. Later settings are rejected if they have
+    /// a deadline longer than `max_deadline_limit_s`, in seconds, if there is a limit.
     pub fn new(
         shared: Arc<SharedState>,
         role: Role,
@@ -107,7 +107,7 @@
         }))
     }
 
-    /// Sets who counts, and which cores serve; without `is_serving` all do.
+    /// Sets the function that increments counters, and the one that says which cores serve; without the latter, all serve.
     pub fn attach(&self, increment_counter: IncrementCounter, is_serving: Option<IsServing>) {
         *self.0.increment_counter.borrow_mut() = Some(increment_counter);
         *self.0.is_serving.borrow_mut() = is_serving;
@@ -123,7 +123,7 @@
         self.0.in_force.borrow().clone()
     }
 
-    /// The version of the settings in force, if they came with one.
+    /// The version of the settings in force, if they have one.
     pub fn version(&self) -> Option<u64> {
         Some(self.0.shared.config_version.load(Relaxed)).filter(|version| *version > 0)
     }
@@ -133,14 +133,14 @@
         self.0.max_deadline_s.get()
     }
 
-    /// Counts settings of a file that were too faulty to be brought here.
+    /// Counts settings that were rejected while reading the configuration file.
     pub fn count_rejected(&self) {
         self.count("settings_refused");
     }
 
-    /// Applies settings, under their version if they have one. Returns once every core that serves has taken them over,
-    /// which is within a round; a core that does not serve is not waited for. A later call does not wait for an earlier
-    /// one: the newest settings hold, and the earlier call returns with them.
+    /// Applies settings, with their version if they have one. Returns once every serving core has applied them, which takes one
+    /// policy round; a core that does not serve is not waited for. A later call does not wait for an earlier one: the newest
+    /// settings are in force, and the earlier call returns once they are applied.
     ///
     /// # Errors
     /// The settings cannot be applied; those in force stay, and the rejection is logged and counted.
@@ -151,11 +151,11 @@
         self.0.shared.config_version.store(version.unwrap_or(0), Relaxed);
         *self.0.in_force.borrow_mut() = Arc::new(settings);
         if checked.changed_keys.is_empty() {
-            tracing::info!(target: "settings", "{name}: as those in force");
+            tracing::info!(target: "settings", "{name}: no change, equal to the settings in force");
             return Ok(Applied::Unchanged);
         }
         let serial = self.publish(checked.settings);
-        let late_cores = self.wait_until_taken_over(serial).await;
+        let late_cores = self.wait_until_applied(serial).await;
         self.count("settings_taken");
         log_applied(&name, &checked.changed_keys, &late_cores);
         Ok(Applied::Changed)
@@ -163,7 +163,7 @@
 
     fn check_against_in_force(&self, settings: &Value) -> Result<CheckedSettings, ConfigError> {
         if self.0.role != Role::Router {
-            // Forwarders and planners share quotas by figures that this one program does not know.
+            // Forwarders and planners divide the quotas by numbers that a single program does not know.
             return Err(ConfigError::RestartRequired(vec!["settings".into()]));
         }
         let checked = check(settings, Some(&self.in_force()))?;
@@ -174,7 +174,7 @@
         Ok(checked)
     }
 
-    /// Hands settings to every core; the serial by which a core says that it has taken them over.
+    /// Publishes settings to every core. Returns the serial that a core reports once it has applied them.
     fn publish(&self, settings: Settings) -> u64 {
         let longest_s = self.0.max_deadline_s.get().max(settings.admission.max_deadline_s);
         self.0.max_deadline_s.set(longest_s);
@@ -183,23 +183,24 @@
         serial
     }
 
-    /// Waits until the cores have taken settings over; returns those that have not and do not serve, or took too long.
-    async fn wait_until_taken_over(&self, serial: u64) -> Vec<usize> {
-        let end = Instant::now() + APPLY_TIMEOUT;
+    /// Waits until the cores have applied the settings. Returns the cores that have not, because they do not serve or took longer
+    /// than [`APPLY_TIMEOUT`].
+    async fn wait_until_applied(&self, serial: u64) -> Vec<usize> {
+        let deadline = Instant::now() + APPLY_TIMEOUT;
         let mut late_cores = vec![];
         for (core, state) in self.0.shared.cores.iter().enumerate() {
-            let mut taken_over = state.config_serial.subscribe();
-            while timeout(SERVING_CHECK_INTERVAL, taken_over.wait_for(|taken| *taken >= serial))
+            let mut applied_serial = state.config_serial.subscribe();
+            while timeout(SERVING_CHECK_INTERVAL, applied_serial.wait_for(|applied| *applied >= serial))
                 .await
                 .is_err()
             {
-                if !self.is_serving(core) || Instant::now() >= end {
+                if !self.is_serving(core) || Instant::now() >= deadline {
                     late_cores.push(core);
                     break;
                 }
             }
         }
-        // Guards against a caller that applies settings without end and leaves this thread no time for anything else.
+        // Guards against a caller that applies settings in a loop and never lets other tasks of this thread run.
         sleep(Duration::ZERO).await;
         late_cores
     }
@@ -216,7 +217,7 @@
 
     fn log_rejected(&self, name: &str, error: &ConfigError) {
         self.count_rejected();
-        tracing::warn!(target: "settings", "refused: {name}: {error}; the settings in force hold");
+        tracing::warn!(target: "settings", "refused: {name}: {error}; the settings in force stay");
     }
 }
 
@@ -225,7 +226,7 @@
     let late = if late_cores.is_empty() {
         String::new()
     } else {
-        format!("; cores {late_cores:?} do not serve, and take it over when they do")
+        format!("; cores {late_cores:?} do not serve, and apply it when they do")
     };
     tracing::info!(target: "settings", "{name}: in force, `{keys}` changed{late}");
 }
--- a/crates/router/src/lifecycle/mod.rs
+++ b/crates/router/src/lifecycle/mod.rs
@@ -1,11 +1,11 @@
-//! The life of a program: what it starts with, how its configuration changes while it serves, and how it shuts down.
+//! The lifecycle of the program: its configuration at the start, changes of it while the program serves, and shutdown.
 //!
-//! - [`startup`]: the configuration file, read and checked.
-//! - [`reload`]: the same file read again at SIGHUP.
-//! - [`live_config`]: settings applied to the running router, whole or not at all.
-//! - [`graceful_shutdown`]: from SIGTERM to the end of the program.
+//! - [`startup`]: reads and checks the configuration file.
+//! - [`reload`]: reads the file again at SIGHUP.
+//! - [`live_config`]: applies settings to the running router, completely or not at all.
+//! - [`graceful_shutdown`]: shuts the program down after SIGTERM.
 //!
-//! Nothing here knows who brings a configuration beside the file; `control` and `server` build on these modules.
+//! These modules do not depend on the other sources of settings; `control` and `server` build on them.
 pub mod graceful_shutdown;
 pub mod live_config;
 pub mod reload;
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -1,5 +1,5 @@
-//! The configuration file read again at SIGHUP. What may change while the program serves is applied; a file that is missing,
-//! half written or faulty changes nothing.
+//! Reads the configuration file again at SIGHUP, and applies what can change while the program serves. A file that is missing,
+//! incomplete or invalid changes nothing.
 use super::live_config::LiveConfig;
 use super::startup::{FixedKeys, OperatorFileCheck, Overrides, StartupConfig, StartupError};
 use alderway_sockets::signals::Signals;
@@ -10,13 +10,13 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// What the program was last configured by, to tell what a file says anew.
+/// The configuration last read, to find what has changed in the file.
 pub struct PreviousConfig {
     /// The configuration file.
     pub path: PathBuf,
-    /// Compares the operator's file with the start; none where there is no such file.
+    /// Compares the operator's file with its content at the start; none where there is no such file.
     pub operator_file_check: Option<OperatorFileCheck>,
-    /// Keys that only change with a start, with their values; settings as they were last applied from the file.
+    /// Keys that can only change with a restart, with their values, and the settings last applied from the file.
     pub fixed_keys: FixedKeys,
 }
 
@@ -30,9 +30,9 @@
     OperatorFile(String),
 }
 
-/// Reads the configuration anew with every SIGHUP, for as long as the program runs. Discovery's address goes to
-/// `discovery`. Settings are applied to `live_config`, if the router can change them, when they differ from those last
-/// applied from the file: a reload for another reason does not undo what came another way since.
+/// Reads the configuration again at each SIGHUP, for as long as the program runs. Sends the address of discovery to `discovery`.
+/// If there is a `live_config`, applies the settings to it when they differ from those last applied from the file, so that a
+/// reload for another reason does not undo settings that came from another source since.
 pub async fn reload_at_sighup(
     mut hangups: Signals,
     mut previous: PreviousConfig,
@@ -63,7 +63,7 @@
 }
 
 impl PreviousConfig {
-    /// What a program that starts with `config` is configured by.
+    /// The configuration of a program that starts with `config`.
     pub fn of(config: &StartupConfig) -> Self {
         PreviousConfig {
             path: config.path.clone(),
@@ -76,7 +76,7 @@
         let operator_file = self.operator_file_check.as_ref().map_or(Ok(false), |check| check());
         let config = StartupConfig::read(&self.path, Overrides::default(), clock)?;
         if operator_file.map_err(ReloadError::OperatorFile)? {
-            tracing::warn!(target: "reload", "operator's file: its change waits for a start");
+            tracing::warn!(target: "reload", "operator's file: its change takes effect with a restart");
         }
         Ok(config)
     }
@@ -85,7 +85,7 @@
         for ((key, new), (_, previous)) in config.fixed_keys.iter().zip(&self.fixed_keys) {
             let is_applied = can_apply_settings && *key == "settings";
             if new != previous && !is_applied {
-                tracing::warn!(target: "reload", "key `{key}`: its change waits for a start");
+                tracing::warn!(target: "reload", "key `{key}`: its change takes effect with a restart");
             }
         }
     }
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,5 +1,5 @@
-//! What a program starts with: the configuration file that `PROXY_CONFIG` names, read, checked and given defaults in this one
-//! place. Each error names the key that is at fault.
+//! The configuration at the start: reads the file that `PROXY_CONFIG` names, checks it, and fills in defaults. Each error names
+//! the invalid key.
 use crate::gossip::Circle;
 use crate::state::endpoints::EndpointTable;
 use crate::state::query_classes::ClassRules;
@@ -16,80 +16,81 @@
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// Descriptors where the configuration states no limit: those of the usual small machine.
+/// Default of `limits.sockets`: the descriptor limit of a usual small machine.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Fewer could not hold the listener, discovery, some clients and data nodes beside the runtime's own.
+/// Minimum of `limits.sockets`: enough for the runtime's own descriptors, the listener, discovery, and a few clients and data
+/// nodes.
 const MIN_DESCRIPTORS: u64 = 20;
-/// Memory where the configuration states no limit, in MiB.
+/// Default of `limits.memory_mb`, in MiB.
 const DEFAULT_MEMORY_MB: u64 = 192;
 const BYTES_PER_MB: usize = 1024 * 1024;
 
-/// Everything that a program is started with.
+/// The complete configuration that a program starts with.
 pub struct StartupConfig {
     /// The configuration file, which is read again at SIGHUP.
     pub path: PathBuf,
-    /// Compares the operator's file with what it said at the start; none where the program was started without one.
+    /// Compares the operator's file with its content at the start; none where the program was started without one.
     pub operator_file_check: Option<OperatorFileCheck>,
     /// The router's name among its peers.
     pub name: String,
-    /// Where clients connect, or forwarders to a planner.
+    /// Address of the listener for clients, or of a planner for forwarders.
     pub listen: SocketAddr,
-    /// Where discovery is polled.
+    /// Address of discovery.
     pub discovery: SocketAddr,
     /// Descriptors that the program may have open at once.
     pub max_descriptors: usize,
     /// Memory that connections may take, in bytes.
     pub max_memory_bytes: usize,
-    /// The data nodes as an earlier run knew them; discovery corrects them.
+    /// The data nodes that an earlier run of this router knew, until discovery sends its list.
     pub endpoints: EndpointTable,
-    /// Seed of the decision module's random choices.
+    /// Seed of the policy's random choices.
     pub seed: u64,
-    /// The settings as JSON, as they were given.
+    /// The settings as JSON, unchanged.
     pub settings_json: Value,
-    /// The settings as read.
+    /// The parsed settings.
     pub settings: Settings,
     /// The query classes of the settings, in their order.
     pub query_classes: Vec<ClassRules>,
-    /// Keys that only change with a start, as the file has them.
+    /// Keys that can only change with a restart, with their values in the file.
     pub fixed_keys: FixedKeys,
     /// How changes of the shard map are followed; none where shards lie in the fixed ring of the settings.
     pub shard_map: Option<ShardMapConfig>,
-    /// What the program does in its installation.
+    /// The role of the program among the routers, forwarders and planners.
     pub role: Role,
-    /// Routers that exchange observations with this one; none where it knows of no other.
+    /// The routers with which this one exchanges observations; none where gossip is off.
     pub gossip: Option<Circle>,
 }
 
-/// What a program does in its installation.
+/// The role of a program among the routers, forwarders and planners.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Role {
-    /// It serves clients and decides by itself.
+    /// Serves clients and makes all decisions itself.
     #[default]
     Router,
-    /// It serves clients; planners decide for it, as far as any can be asked.
+    /// Serves clients; planners make its decisions while one of them is available.
     Forwarder {
-        /// Where the planners listen.
+        /// Addresses of the planners.
         planners: Vec<SocketAddr>,
         /// Seconds between two heartbeats to a planner.
         heartbeat_interval_s: f64,
-        /// A planner that leaves a heartbeat unanswered for so many seconds counts as gone.
+        /// A planner that does not answer a heartbeat within this time, in seconds, counts as unavailable.
         heartbeat_timeout_s: f64,
     },
-    /// It decides for forwarders.
+    /// Makes decisions for forwarders.
     Planner,
 }
 
-/// Reads the operator's file again: whether what only changes with a start differs from the start, or a line that says
-/// why the file cannot be used.
+/// Reads the operator's file again. Returns whether a value has changed that can only change with a restart, or one line that
+/// says why the file cannot be used.
 pub type OperatorFileCheck = Arc<dyn Fn() -> Result<bool, String> + Send + Sync>;
 
-/// The keys of the configuration file that only change with a start, with their values in the file.
+/// The keys of the configuration file that can only change with a restart, with their values in the file.
 pub type FixedKeys = [(&'static str, Value); 4];
 
-/// Why a configuration cannot be started with.
+/// Why the program cannot start with a configuration.
 #[derive(Debug, Error)]
 pub enum StartupError {
-    /// No file was named.
+    /// The environment variable is not set.
     #[error("environment `{CONFIG_VARIABLE}`: not set")]
     NoConfigPath,
     /// The file cannot be read.
@@ -97,13 +98,13 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
     /// The file is not JSON.
     #[error("configuration: not JSON ({0})")]
     NotJson(#[from] serde_json::Error),
-    /// A key is missing or has a value that cannot be used.
+    /// A key is missing or has an invalid value.
     #[error("key `{key}`: {problem}")]
     Key {
         /// The key, with its path.
@@ -118,18 +119,18 @@
         StartupError::Key { key, problem: problem.into() }
     }
 
-    /// Whether the settings are at fault, rather than the rest of the configuration.
+    /// Whether the invalid key is in the settings, rather than in the rest of the configuration.
     pub fn is_of_settings(&self) -> bool {
         matches!(self, StartupError::Key { key: "settings", .. })
     }
 }
 
-/// What takes the place of values in the configuration file.
+/// Values that replace those of the configuration file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// How many programs share the quotas of the settings, where that is not their `ReplicasOfMe`.
+    /// How many programs share the quotas, instead of `ReplicasOfMe` of the settings.
     pub router_count: Option<u64>,
-    /// Settings in the place of the file's.
+    /// Settings instead of those in the file.
     pub settings: Option<Value>,
 }
 
@@ -146,12 +147,12 @@
     /// Reads one file.
     ///
     /// # Errors
-    /// The file cannot be read, is not JSON, or a key is at fault; see [`StartupError`].
+    /// The file cannot be read, is not JSON, or has an invalid key; see [`StartupError`].
     pub fn read(path: &Path, overrides: Overrides, clock: Clock) -> Result<Self, StartupError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| StartupError::Unreadable { path: path.into(), source })?;
         let mut document: Value = serde_json::from_str(&text)?;
-        // As the file has them: a reload compares the file with itself, whatever was put in its place.
+        // Taken before the overrides: a reload compares the file with its earlier content.
         let fixed_keys = FIXED_KEYS.map(|key| (key, document[key].clone()));
         if let (Some(settings), Some(keys)) = (overrides.settings, document.as_object_mut()) {
             keys.insert("settings".into(), settings);
@@ -187,10 +188,10 @@
 const FIXED_KEYS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
 fn parse_settings(json: &Value) -> Result<Settings, StartupError> {
-    Settings::read(json).map_err(|why| StartupError::key("settings", format!("expected {why}")))
+    Settings::read(json).map_err(|error| StartupError::key("settings", format!("expected {error}")))
 }
 
-/// Reads the keys of a configuration file. Some may be absent where an environment variable stands in for them.
+/// Reads the keys of a configuration file. Some keys are read from an environment variable where the file lacks them.
 struct ConfigKeys<'a> {
     document: &'a Value,
 }
@@ -206,13 +207,13 @@
 
     fn address(&self, key: &'static str, variable: &str) -> Result<SocketAddr, StartupError> {
         let text = self.text(key, variable)?;
-        let wrong = |_| StartupError::key(key, format!("expected address:port, found `{text}`"));
-        text.parse().map_err(wrong)
+        let invalid = |_| StartupError::key(key, format!("expected address:port, found `{text}`"));
+        text.parse().map_err(invalid)
     }
 
-    /// A whole number of the object `limits`; `key` with its path.
+    /// Reads a whole number of the object `limits`; `key` is the path of the key.
     fn limit(&self, key: &'static str, default: u64, min: u64) -> Result<usize, StartupError> {
-        let given = key.split('.').try_fold(self.document, |from, key| from.get(key));
+        let given = key.split('.').try_fold(self.document, |value, key| value.get(key));
         let value = given.map_or(Some(default), Value::as_u64).filter(|value| *value >= min);
         let value =
             value.ok_or_else(|| StartupError::key(key, format!("expected a whole number from {min}")))?;
@@ -229,7 +230,7 @@
         self.document.get("settings").ok_or_else(|| StartupError::key("settings", "missing"))
     }
 
-    /// The endpoint list as an earlier run of this router last knew it, in discovery's form; it may be old, or empty.
+    /// The endpoint list that an earlier run of this router last knew, in discovery's format. It may be outdated or empty.
     fn known_endpoints(&self, clock: Clock) -> Result<EndpointTable, StartupError> {
         let known = self.document.get("known").filter(|list| !list.is_null());
         let endpoints = known.map_or(Ok(EndpointTable::default()), |list| parse_endpoints(list, clock));
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -71,7 +71,7 @@
     let new = with(path, value);
     check(&new, None).expect("sound at a start");
     let why = check(&new, Some(&held())).expect_err("refused").to_string();
-    assert!(why.contains(&format!("`{key}`")) && why.contains("waits for a start"), "{why}");
+    assert!(why.contains(&format!("`{key}`")) && why.contains("a restart is required"), "{why}");
 }
 
 #[rstest]
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -385,7 +385,7 @@
     program.says("change 42: 0 entries");
     std::fs::write(&program.config, moved.replace("\"sockets\":256", "\"sockets\":300")).expect("written");
     program.signal("HUP");
-    assert!(program.says("waits for a start").contains("key `limits`"));
+    assert!(program.says("takes effect with a restart").contains("key `limits`"));
     let (asked, mut watch_there) = new.watch();
     assert!(asked.contains("since=42 "), "{asked}");
     assert_eq!(watch.read(&mut [0; 100]).unwrap_or_default(), 0, "the old watch has ended");
