--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -1,17 +1,17 @@
-//! A connection to a control server: frames in, frames out, nothing decided.
+//! A connection to a control server: reads and writes frames.
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_sockets::Sender;
 use alderway_transport::{FrameError, FrameReader, Hello, Incarnation, Name, Received, encode_hello};
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Why a connection is of no further use.
+/// Why a connection cannot be used any more.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionError {
     #[error("the connection was closed")]
     Closed,
-    /// The list of control servers names this address otherwise than the machine there calls itself.
-    #[error("`{0}` answers where another control machine is")]
+    /// The control server has another name than the configuration gives it.
+    #[error("the control machine at this address is `{0}`, which the configuration names differently")]
     UnexpectedMachine(Name),
     #[error(transparent)]
     Frame(#[from] FrameError),
@@ -19,7 +19,7 @@
 
 /// What a control server sent.
 pub(super) enum Incoming {
-    /// Its hello: messages may be sent from now on.
+    /// The hello of the control server: from then on messages may be sent.
     Greeted,
     Message(ControlMessage),
 }
@@ -28,22 +28,22 @@
     stream: TcpStream,
     sender: Sender,
     reader: FrameReader<ControlMessage>,
-    /// What the list of control servers calls the one at this address.
+    /// The name of the control server in the configuration.
     expected_name: Name,
     is_greeted: bool,
-    /// Encoded and not written yet.
+    /// Encoded bytes that are not written yet.
     output: Vec<u8>,
 }
 
 impl Connection {
-    /// Takes over a stream that has just been connected. The own hello is the first thing to be written.
+    /// Starts the protocol on a connected stream: the router's hello is the first output.
     pub(super) fn new(
         stream: TcpStream,
         expected_name: Name,
         own_name: Name,
         incarnation: Incarnation,
     ) -> Self {
-        // Only a matter of latency: the connection works without it.
+        // Only reduces latency: a failure is ignored.
         let _ = stream.set_nodelay(true);
         let mut output = vec![];
         encode_hello::<RouterMessage>(&mut output, &Hello::new::<RouterMessage>(own_name, incarnation));
@@ -51,7 +51,7 @@
         Connection { stream, sender, reader, expected_name, is_greeted: false, output }
     }
 
-    /// Whether the next message may be given to [`Self::send`]: one at a time, and none before the control server's hello.
+    /// Whether the next message may be passed to [`Self::send`]: one at a time, and none before the control server's hello.
     pub(super) fn is_ready_to_send(&self) -> bool {
         self.is_greeted && self.output.is_empty()
     }
@@ -60,12 +60,12 @@
         !self.output.is_empty()
     }
 
-    /// Makes an encoded message the next output.
+    /// Sets an encoded message as the next output.
     pub(super) fn send(&mut self, message: Vec<u8>) {
         self.output = message;
     }
 
-    /// Writes what the socket takes of the output now, and returns how many bytes that were.
+    /// Writes as much of the output as the socket accepts; returns the number of bytes.
     pub(super) fn write(&mut self) -> Result<usize, ConnectionError> {
         let written = self.sender.write(&self.stream, &self.output);
         let count = written.map_err(|_| ConnectionError::Closed)?;
@@ -73,7 +73,7 @@
         Ok(count)
     }
 
-    /// Reads what has arrived, as far as `buffer` holds it, and returns how many bytes that were.
+    /// Reads available bytes, at most the size of `buffer`; returns the number of bytes.
     pub(super) fn read(&mut self, buffer: &mut [u8]) -> Result<usize, ConnectionError> {
         match alderway_sockets::read(&self.stream, buffer) {
             Ok(Some(0)) | Err(_) => Err(ConnectionError::Closed),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The next frame among the bytes that were read.
+    /// The next frame in the bytes read so far; none where no further one is complete.
     pub(super) fn next_incoming(&mut self) -> Result<Option<Incoming>, ConnectionError> {
         match self.reader.next_frame()? {
             Some(Received::Hello(hello)) if hello.name == self.expected_name => {
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Waits until something can be read; false where the connection is known to have failed.
+    /// Waits until the connection is readable; false where it has failed.
     pub(super) async fn readable(&self) -> bool {
         self.stream.readable().await.is_ok()
     }
 
-    /// Waits until another write may get further.
+    /// Waits until the connection is writable.
     pub(super) async fn writable(&self) {
         self.sender.ready(&self.stream).await;
     }
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of a subscription: carries out the subscriber's commands and tells it what came of them.
+//! Drives a subscription: executes the subscriber's commands and passes it their results.
 use super::connection::{Connection, ConnectionError, Incoming};
 use alderway_control_plane::messages::ApplyOutcome;
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
@@ -15,25 +15,26 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// While the rate limit allows fewer bytes than this, nothing is read.
+/// The driver does not read while the rate limit allows fewer bytes than this.
 const MIN_READ_BYTES: usize = 200;
-/// Between two calls of [`SubscriptionHost::observe`].
+/// Interval between two calls of [`SubscriptionHost::observe`].
 const OBSERVE_INTERVAL_S: f64 = 0.5;
-/// The driver wakes at least so often, and at most so often without an event.
+/// Longest time that the driver waits for an event before it runs again.
 const MAX_WAIT_S: f64 = 1.0;
+/// Shortest time that the driver waits if no event occurs.
 const MIN_WAIT_S: f64 = 0.0005;
 
 type BoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Applies settings under their version number, and says what came of it.
+/// Applies settings with their version number, and returns the outcome.
 pub type ApplySettings = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
-/// Is shown the subscription twice a second, with the traffic so far and the time in seconds of the host's clock.
+/// Called every `OBSERVE_INTERVAL_S` with the subscription, the traffic so far, and the time in seconds of the host's clock.
 pub type ObserveSubscriber = Box<dyn FnMut(&Subscriber, Traffic, f64)>;
-/// Persists the version that the next start is to begin with, and when it was last known to be the latest, in seconds of the
-/// host's clock, if that is known.
+/// Persists the version that the next start begins with, and when it was last known to be the latest, in seconds of the host's
+/// clock, if that is known.
 pub type PersistVersion = Box<dyn Fn(ConfigVersion, Option<f64>)>;
 
-/// Bytes of all connections so far.
+/// Bytes transferred on all connections so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// From control servers.
@@ -44,25 +45,25 @@
 
 /// The router that a subscription belongs to.
 pub struct SubscriptionHost {
-    /// Its name in the hello.
+    /// The name of the router in its hello.
     pub name: Name,
-    /// Which of its starts this is.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// Name and address of each control server, in the order of the subscriber's list.
     pub machines: Vec<(Name, SocketAddr)>,
-    /// The clock of all times that the subscriber is given.
+    /// The clock of all times that are passed to the subscriber.
     pub clock: Clock,
-    /// Brings a version into force.
+    /// Applies a version.
     pub apply: ApplySettings,
     /// Persists a version.
     pub persist: PersistVersion,
-    /// Watches the subscription.
+    /// Observes the subscription.
     pub observe: ObserveSubscriber,
     /// Whether the subscriber's events are written to the log.
     pub log_events: bool,
 }
 
-/// Runs a subscription. Never returns; the task is aborted where the subscription has to end.
+/// Runs a subscription. Never returns; abort the task to end the subscription.
 pub async fn run(subscriber: Subscriber, host: SubscriptionHost) {
     let read_limit = TokenBucket::empty(ROUTER_READ, host.clock.now());
     let driver = Driver {
@@ -89,11 +90,11 @@
     outcome: BoxFuture<ApplyOutcome>,
 }
 
-/// What the driver waits for.
+/// An event that wakes the driver.
 enum Event {
     Connected(io::Result<TcpStream>),
     Applied(ApplyOutcome),
-    /// False where the connection is known to have failed.
+    /// False where the connection has failed.
     Readable(bool),
     Writable,
     DeadlineReached,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Sends what the subscriber has to say, as far as the socket takes it.
+    /// Sends the subscriber's messages, as far as the socket accepts them.
     fn send_messages(&mut self, now: f64) {
         let Some(connection) = &mut self.connection else { return };
         while connection.is_ready_to_send()
@@ -164,7 +165,7 @@
             connection.send(message);
             match connection.write() {
                 Ok(count) => self.traffic.sent_bytes += count as u64,
-                // The output is left: the next write ends the connection.
+                // The output stays pending: the next write fails too, and closes the connection.
                 Err(_) => return,
             }
         }
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Until the subscriber has to be ticked, or bytes may be read again.
+    /// Seconds until the subscriber has to be ticked, or until bytes may be read again.
     fn wait_s(&self, now: f64, may_read: bool) -> f64 {
         let waits_for_limit = !may_read && self.connection.is_some();
         let read_at = if waits_for_limit { self.read_limit.ready_at(MIN_READ_BYTES) } else { f64::INFINITY };
@@ -223,7 +224,7 @@
         self.connection = Some(Connection::new(stream, machine_name, own_name, incarnation));
     }
 
-    /// Reads up to `max_bytes`, and hands the subscriber all whole messages.
+    /// Reads up to `max_bytes`, and passes all complete messages to the subscriber.
     fn receive(&mut self, max_bytes: usize) -> Result<(), ConnectionError> {
         let Some(connection) = &mut self.connection else { return Ok(()) };
         let count = connection.read(&mut self.buffer[..max_bytes])?;
@@ -247,7 +248,7 @@
 
     fn close_on_error(&mut self, result: Result<(), ConnectionError>) {
         let Err(error) = result else { return };
-        // The subscriber's own event tells of a connection that ended.
+        // The subscriber itself logs that a connection was closed.
         if !matches!(error, ConnectionError::Closed) {
             tracing::warn!(target: "control", "{error}");
         }
--- a/crates/router/src/control/metrics.rs
+++ b/crates/router/src/control/metrics.rs
@@ -1,10 +1,10 @@
-//! The counters of a subscription, as `/counters` lists them.
+//! The counters and gauges of a subscription, under their names in `/counters`.
 use super::driver::Traffic;
 use crate::state::counters::Counters;
 use crate::state::metrics::MetricsSnapshot;
 use alderway_control_plane::subscriber::Subscriber;
 
-/// All counters and gauges at a time in seconds of the subscriber's clock.
+/// All counters and gauges; `now` is in seconds of the subscriber's clock.
 pub(super) fn snapshot(subscriber: &Subscriber, traffic: Traffic, now: f64) -> MetricsSnapshot {
     let (metrics, mut counters) = (subscriber.metrics, Counters::default());
     for (name, count) in [
@@ -32,7 +32,7 @@
         ("control_connected", u64::from(subscriber.connected_to().is_some())),
         ("control_quiet_ms", milliseconds(subscriber.unconfirmed_s(now))),
     ];
-    // Left out where the version may be of any age.
+    // Omitted where the age of the version is unknown.
     let age = subscriber.staleness_s(now).map(milliseconds);
     gauges.extend(age.map(|age_ms| ("control_version_age_ms", age_ms)));
     MetricsSnapshot { counters, gauges }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,14 +1,13 @@
 //! The router's subscription to control servers, on sockets and disk.
 //!
-//! [`alderway_control_plane::subscriber`] decides which control server the router is connected to, what it takes of the
-//! messages that come and when it sends what. Here are:
+//! [`alderway_control_plane::subscriber`] decides to which control server the router connects, how it handles received messages,
+//! and which messages it sends when. This module does the input and output:
 //!
-//! - `driver`: carries out the subscriber's commands and tells it what came of them;
-//! - `connection`: frames on one connection;
+//! - `driver`: executes the subscriber's commands and passes it their results;
+//! - `connection`: reads and writes frames on one connection;
 //! - [`persisted_version`]: the file with the version that the next start begins with;
-//! - `metrics`: the counters.
-//!
-//! How a version is applied is the host's: see [`settings`].
+//! - `metrics`: the counters;
+//! - [`settings`]: applies versions to the router.
 mod connection;
 mod driver;
 mod metrics;
@@ -30,19 +29,19 @@
 /// Descriptors that a subscription takes: its connection, and a file with its directory while a version is written.
 pub const DESCRIPTORS: usize = 3;
 
-/// A router's subscription: what the operator's file says of it, and what was persisted.
+/// A router's subscription: its configuration in the operator's file, and the persisted version.
 pub struct Subscription {
-    /// The control servers, and where each listens for routers.
+    /// The control servers, each with the address at which it listens for routers.
     pub machines: Vec<(ControlEndpoint, SocketAddr)>,
     /// The router's own zone.
     pub zone: String,
     /// Intervals and timeouts.
     pub config: SubscriptionConfig,
-    /// The file in which versions are persisted, if they are.
+    /// The file in which versions are persisted; none where they are not.
     pub persist_path: Option<PathBuf>,
     /// The persisted version that this router starts with.
     pub persisted: Option<PersistedVersion>,
-    /// Why it doesn't start with a persisted version, though there is one.
+    /// Why the persisted version cannot be used, if there is one that cannot.
     pub startup_error: Option<UnusableVersion>,
 }
 
@@ -82,12 +81,12 @@
     spawn_local(run(subscriber, host));
 }
 
-/// Makes the persisted version, with which the router has started, the one in force.
+/// Marks the persisted version, with which the router has started, as the version in force.
 fn resume(persisted: PersistedVersion, shared: &SharedState, clock: Clock) -> (ConfigVersion, Option<f64>) {
     let PersistedVersion { version, confirmed_at_unix_ms } = persisted;
-    tracing::info!(target: "control", "version {} in force, as persisted", version.number);
+    tracing::info!(target: "control", "started with persisted version {}", version.number);
     shared.config_version.store(version.number, Relaxed);
     let confirmed_at = confirmed_at_unix_ms.and_then(|unix_ms| clock.from_unix_ms(unix_ms));
-    // A wall clock that was ahead when the version was persisted must not make it newer than now.
+    // The wall clock may have been ahead when the version was persisted: the time must not be in the future.
     (version, confirmed_at.map(|confirmed_at| confirmed_at.min(clock.now())))
 }
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,8 +1,9 @@
-//! The file that holds the version which a router starts with while no control server can be reached.
+//! The file with the version that a router starts with while no control server can be reached.
 //!
 //! One line `alderway-version 1 NUMBER DIGEST CONFIRMED`, then the settings as text: the version's number, the digest of the
-//! text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The digest tells
-//! a damaged file. A version is in force before it is on disk: what a crash can lose is only that the next start knows it.
+//! text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The digest
+//! detects a damaged file. A version is applied before it is written: after a crash in between, the next start uses the version
+//! before it.
 use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_control_plane::version::VersionNumber;
@@ -16,26 +17,26 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::timeout;
 
-/// Opens the file and tells its format.
+/// Start of the file, which identifies its format.
 const FORMAT: &str = "alderway-version 1";
-/// The longest first line, with room to spare.
+/// Upper bound of the length of the first line.
 const MAX_HEADER_BYTES: u64 = 200;
 const MAX_FILE_BYTES: u64 = MAX_SETTINGS_BYTES as u64 + MAX_HEADER_BYTES;
-/// Stands for an unknown time in the first line.
+/// Represents an unknown time in the first line.
 const UNKNOWN_TIME: &str = "-";
-/// Before a version that the disk refused is written again.
+/// Pause before a version that could not be written is written again.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A version as the file holds it.
+/// The content of the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistedVersion {
     /// The version with its settings.
     pub version: ConfigVersion,
-    /// When it was last known to be the latest, in milliseconds of Unix time by the wall clock of then.
+    /// When the version was last known to be the latest, in milliseconds of Unix time, by the wall clock at that time.
     pub confirmed_at_unix_ms: Option<u64>,
 }
 
-/// Why the file can't be read or written.
+/// Why the file cannot be read or written.
 #[derive(Debug, Error)]
 pub enum PersistedVersionError {
     /// The system reported an error.
@@ -43,16 +44,16 @@
     Io {
         /// The file.
         path: PathBuf,
-        /// As reported.
+        /// The error of the system.
         source: io::Error,
     },
-    /// Longer than the longest version could make it.
+    /// The file is longer than `MAX_FILE_BYTES`.
     #[error("{path}: longer than any version", path = path.display())]
     TooLong {
         /// The file.
         path: PathBuf,
     },
-    /// Damaged, or written by something else.
+    /// The file is damaged, or has another format.
     #[error("{path}: torn or not of this program", path = path.display())]
     Corrupt {
         /// The file.
@@ -60,27 +61,27 @@
     },
 }
 
-/// Why a router doesn't start with its persisted version: a line for the log.
+/// Why a router does not start with its persisted version, as one line for the log.
 #[derive(Debug, Error)]
 pub enum UnusableVersion {
-    /// There is none that can be read.
+    /// The file cannot be read.
     #[error("persisted version {0}; ignored")]
     File(#[from] PersistedVersionError),
-    /// Its settings are refused by this program.
+    /// This program rejects the settings of the version.
     #[error("persisted version {number}: {reason}; ignored")]
     InvalidSettings {
-        /// The version.
+        /// The number of the version.
         number: VersionNumber,
-        /// One line that names the key.
+        /// One line that names the invalid key.
         reason: String,
     },
 }
 
 impl PersistedVersion {
-    /// Reads the file; none where there is no such file.
+    /// Reads the file; none where it does not exist.
     ///
     /// # Errors
-    /// The file can't be read, or holds something else than a version.
+    /// The file cannot be read, is damaged, or has another format.
     pub fn load(path: &Path) -> Result<Option<PersistedVersion>, PersistedVersionError> {
         let io_error = |source| PersistedVersionError::Io { path: path.into(), source };
         match fs::metadata(path) {
@@ -98,23 +99,23 @@
         }
     }
 
-    /// Replaces the file. After a crash at any moment either the former file is there whole or this one: it is written
-    /// beside the former, synced, renamed over it, and the directory is synced.
+    /// Replaces the file atomically: writes a temporary file next to it, syncs that, renames it over the file, and syncs the
+    /// directory. After a crash at any time, the file is either the previous one or the new one.
     ///
     /// # Errors
-    /// The system reported an error; the former file is still there, or this one.
+    /// The system reported an error; the file is either the previous one or the new one.
     pub fn store(&self, path: &Path) -> Result<(), PersistedVersionError> {
         let stored = self.replace(path);
         stored.map_err(|source| PersistedVersionError::Io { path: path.into(), source })
     }
 
     fn replace(&self, path: &Path) -> io::Result<()> {
-        let beside = path.with_extension("new");
-        let mut file = File::create(&beside)?;
+        let temporary = path.with_extension("new");
+        let mut file = File::create(&temporary)?;
         file.write_all(self.encode().as_bytes())?;
         file.sync_all()?;
         drop(file);
-        fs::rename(&beside, path)?;
+        fs::rename(&temporary, path)?;
         let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
         File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
     }
@@ -135,32 +136,32 @@
             ms => Some(ms.parse().ok()?),
         };
         let version = ConfigVersion::new(number, text);
-        let is_sound = version.digest == digest && fields.next().is_none();
-        is_sound.then_some(PersistedVersion { version, confirmed_at_unix_ms })
+        let is_intact = version.digest == digest && fields.next().is_none();
+        is_intact.then_some(PersistedVersion { version, confirmed_at_unix_ms })
     }
 }
 
-/// What the file is to hold next.
+/// The version to write next.
 #[derive(Clone)]
 struct Pending {
     version: ConfigVersion,
-    /// In seconds of the clock.
+    /// When the version was last known to be the latest, in seconds of the clock.
     confirmed_at: Option<f64>,
 }
 
-/// Writes versions to the file, off the thread that serves.
+/// Writes versions to the file on a separate thread, so that the serving thread does not wait for the disk.
 pub struct VersionWriter(watch::Sender<Option<Pending>>);
 
 impl VersionWriter {
-    /// Starts the task that writes; it ends when the writer is dropped.
+    /// Starts the task that writes versions; it ends when the writer is dropped.
     pub fn spawn(path: PathBuf, clock: Clock) -> VersionWriter {
         let (sender, pending) = watch::channel(None);
         spawn_local(write_all(pending, path, clock));
         VersionWriter(sender)
     }
 
-    /// Has a version written, in place of an earlier one that has not been yet. `confirmed_at` is when it was last known to
-    /// be the latest, in seconds of the clock.
+    /// Queues a version to be written. It replaces an earlier version that is not written yet. `confirmed_at` is when the version
+    /// was last known to be the latest, in seconds of the clock.
     pub fn persist(&self, version: ConfigVersion, confirmed_at: Option<f64>) {
         self.0.send_replace(Some(Pending { version, confirmed_at }));
     }
@@ -168,10 +169,10 @@
 
 async fn write_all(mut pending: watch::Receiver<Option<Pending>>, path: PathBuf, clock: Clock) {
     while pending.changed().await.is_ok() {
-        // A disk may fail for a while: the latest version is tried again until it is written.
+        // A disk error may be temporary: writing the latest version is retried until it succeeds.
         while let Err((number, error)) = write_latest(&mut pending, &path, clock).await {
             let delay_s = RETRY_DELAY.as_secs();
-            tracing::error!(target: "control", "version {number} is not persisted: {error}; tried again in {delay_s} s");
+            tracing::error!(target: "control", "version {number} could not be persisted: {error}; retrying in {delay_s} s");
             let is_writer_gone = matches!(timeout(RETRY_DELAY, pending.changed()).await, Ok(Err(_)));
             if is_writer_gone {
                 return;
@@ -180,7 +181,7 @@
     }
 }
 
-/// Writes the latest version, or says of which version that failed and why.
+/// Writes the latest version; the error names the version that could not be written.
 async fn write_latest(
     pending: &mut watch::Receiver<Option<Pending>>,
     path: &Path,
--- a/crates/router/src/control/settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from control servers: those of the persisted version at the start, and later versions while the router serves.
+//! Settings from control servers: the persisted version at the start, and later versions while the router serves.
 use super::persisted_version::{PersistedVersion, UnusableVersion};
 use super::{ApplySettings, Subscription};
 use crate::lifecycle::live_config::{ConfigError, LiveConfig};
@@ -8,9 +8,9 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// What a subscribed router starts with: the configuration file, with the persisted version in the place of its settings
-/// where there is one that this program accepts. `router_count` is how many programs share the quotas, where that is not
-/// what the settings say.
+/// The configuration that a subscribed router starts with: the configuration file, with the settings of the persisted version
+/// instead of its own if there is a version that this program accepts. `router_count` is the number of programs that share the
+/// quotas, if it overrides that of the settings.
 ///
 /// # Errors
 /// The configuration file cannot be used.
@@ -32,7 +32,7 @@
     Ok((config, subscription))
 }
 
-/// The persisted version and a start with it; none where nothing is persisted.
+/// The persisted version, and the configuration for a start with it; none where no version is persisted.
 fn read_persisted(
     subscription: &Subscription,
     config: &Path,
@@ -51,7 +51,8 @@
     Ok(Some((persisted, config)))
 }
 
-/// Applies versions to a running router: one that can change while it serves is active once all cores have it.
+/// Returns a function that applies versions to a running router. A version that changes only what can change while the router
+/// serves is in force once all serving cores have applied it.
 pub fn apply_to_running(live_config: LiveConfig) -> ApplySettings {
     Box::new(move |settings, number| {
         let live_config = live_config.clone();
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -90,7 +90,7 @@
 
     /// Waits until every core that has not failed has shut down, or until `deadline` in seconds of the clock. Returns how
     /// many cores have not shut down. Guards against a process that is suspended past the deadline: each wait lasts at
-    /// least [`REPORT_WAIT_MIN`], so reports that were sent in the meantime are still read.
+    /// least `REPORT_WAIT_MIN`, so reports that were sent in the meantime are still read.
     pub async fn wait_for_shutdown(&mut self, deadline: f64) -> usize {
         let is_running = |state| !matches!(state, State::Failed(_) | State::Lost);
         let mut running = self.crew.borrow().count(is_running);
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -43,7 +43,7 @@
     fn tracks_checks(&self) -> bool {
         false
     }
-    /// Called every [`CHECK_INTERVAL`]: all that discovery had sent by `_at_s`, in seconds of the clock, has been read, or no
+    /// Called every `CHECK_INTERVAL`: all that discovery had sent by `_at_s`, in seconds of the clock, has been read, or no
     /// watch is open.
     fn discovery_checked(&mut self, _at_s: f64) {}
     /// The version of the layout held, from which discovery is asked for changes: 0 if none is held. None where layouts are
