--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -118,7 +118,7 @@
         (ControlEndpoint { name, zone }, *at)
     });
     Some(Subscription {
-        machines: machines.collect(),
+        control_servers: machines.collect(),
         zone,
         config,
         persist_path: keep,
--- a/crates/lab/src/scale/simulated_routers.rs
+++ b/crates/lab/src/scale/simulated_routers.rs
@@ -125,7 +125,7 @@
     SubscriptionHost {
         name,
         incarnation: 1,
-        machines: machines.iter().map(|(machine, at)| (machine.name.clone(), *at)).collect(),
+        control_servers: machines.iter().map(|(machine, at)| (machine.name.clone(), *at)).collect(),
         clock,
         apply: Box::new(move |_, number| {
             applied.borrow_mut().applied.push((clock.now(), number));
--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -11,8 +11,8 @@
     #[error("the connection was closed")]
     Closed,
     /// The control server has another name than the configuration gives it.
-    #[error("the control machine at this address is `{0}`, which the configuration names differently")]
-    UnexpectedMachine(Name),
+    #[error("the control server at this address is `{0}`, which the configuration names differently")]
+    UnexpectedServer(Name),
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
@@ -92,7 +92,7 @@
                 self.is_greeted = true;
                 Ok(Some(Incoming::Greeted))
             }
-            Some(Received::Hello(hello)) => Err(ConnectionError::UnexpectedMachine(hello.name)),
+            Some(Received::Hello(hello)) => Err(ConnectionError::UnexpectedServer(hello.name)),
             Some(Received::Message(message)) => Ok(Some(Incoming::Message(message))),
             None => Ok(None),
         }
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -50,7 +50,7 @@
     /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// Name and address of each control server, in the order of the subscriber's list.
-    pub machines: Vec<(Name, SocketAddr)>,
+    pub control_servers: Vec<(Name, SocketAddr)>,
     /// The clock of all times that are passed to the subscriber.
     pub clock: Clock,
     /// Applies a version.
@@ -81,7 +81,7 @@
 }
 
 struct Connecting {
-    machine_name: Name,
+    server_name: Name,
     stream: BoxFuture<io::Result<TcpStream>>,
 }
 
@@ -144,9 +144,9 @@
 
     fn connect(&mut self, index: usize) {
         self.connection = None;
-        let Some((machine_name, address)) = self.host.machines.get(index).cloned() else { return };
+        let Some((server_name, address)) = self.host.control_servers.get(index).cloned() else { return };
         let stream = Box::pin(alderway_sockets::dial(address));
-        self.connecting = Some(Connecting { machine_name, stream });
+        self.connecting = Some(Connecting { server_name, stream });
     }
 
     fn observe(&mut self, now: f64) {
@@ -219,9 +219,9 @@
     }
 
     fn open(&mut self, stream: TcpStream) {
-        let Some(Connecting { machine_name, .. }) = self.connecting.take() else { return };
+        let Some(Connecting { server_name, .. }) = self.connecting.take() else { return };
         let (own_name, incarnation) = (self.host.name.clone(), self.host.incarnation);
-        self.connection = Some(Connection::new(stream, machine_name, own_name, incarnation));
+        self.connection = Some(Connection::new(stream, server_name, own_name, incarnation));
     }
 
     /// Reads up to `max_bytes`, and passes all complete messages to the subscriber.
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -32,7 +32,7 @@
 /// A router's subscription: its configuration in the operator's file, and the persisted version.
 pub struct Subscription {
     /// The control servers, each with the address at which it listens for routers.
-    pub machines: Vec<(ControlEndpoint, SocketAddr)>,
+    pub control_servers: Vec<(ControlEndpoint, SocketAddr)>,
     /// The router's own zone.
     pub zone: String,
     /// Intervals and timeouts.
@@ -54,18 +54,21 @@
     shared: Arc<SharedState>,
     clock: Clock,
 ) {
-    let Subscription { machines, zone, config, persist_path, persisted, startup_error } = subscription;
+    let Subscription { control_servers, zone, config, persist_path, persisted, startup_error } = subscription;
     if let Some(error) = startup_error {
         tracing::warn!(target: "control", "{error}");
     }
     let active = persisted.map(|persisted| resume(persisted, &shared, clock));
-    let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
+    let list = control_servers.iter().map(|(server, _)| server.clone()).collect();
     let subscriber = Subscriber::new(config, list, &zone, active, incarnation, clock.now());
     let writer = persist_path.map(|path| VersionWriter::spawn(path, clock));
     let host = SubscriptionHost {
         name: name.into(),
         incarnation,
-        machines: machines.into_iter().map(|(machine, address)| (machine.name, address)).collect(),
+        control_servers: control_servers
+            .into_iter()
+            .map(|(server, address)| (server.name, address))
+            .collect(),
         clock,
         apply,
         persist: Box::new(move |version, confirmed_at| {
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -138,7 +138,7 @@
         });
         let persisted = keep.as_deref().and_then(|path| PersistedVersion::load(path).ok().flatten());
         let subscription = Subscription {
-            machines,
+            control_servers: machines,
             zone: "z1".into(),
             config: fast_config(),
             persist_path: keep,
@@ -370,7 +370,7 @@
     });
     let at = closed();
     let subscription = || Subscription {
-        machines: vec![(machine("c1", "z1"), at)],
+        control_servers: vec![(machine("c1", "z1"), at)],
         zone: "z1".into(),
         config: fast_config(),
         persist_path: Some(keep.clone()),
@@ -427,7 +427,7 @@
 ) -> (StartupConfig, Subscription) {
     let (zone, keep) = (String::new(), Some(keep));
     let subscription = Subscription {
-        machines,
+        control_servers: machines,
         zone,
         config: fast_config(),
         persist_path: keep,
