--- a/crates/alderway/tests/shutdown.rs
+++ b/crates/alderway/tests/shutdown.rs
@@ -1,20 +1,20 @@
 //! Graceful shutdowns on several cores of a process that stands still in the midst of one: every query that was read is
 //! answered, and the process has ended before the earliest SIGKILL.
 mod common;
-#[path = "../../router/tests/common/held_shutdown.rs"]
-mod held_shutdown;
+#[path = "../../router/tests/common/suspended_shutdown.rs"]
+mod suspended_shutdown;
 use alderway_lab::Clock;
 use alderway_lab::agent::Agent;
 use alderway_lab::fleet::Fleet;
 use alderway_lab::model::{Fault, Make};
 use alderway_lab::program::{Build, Program, Setting};
 use common::{Client, PATIENCE, until};
-use held_shutdown::{HELD_UP_S, KILL_AFTER_DEADLINE_S, faults, play_moments};
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use std::sync::mpsc::RecvTimeoutError;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use suspended_shutdown::{KILL_AFTER_DEADLINE_S, SUSPENSION_S, run_suspended_shutdowns, shutdown_errors};
 
 const CORES: u64 = 3;
 /// The longest deadline of the settings below, in milliseconds.
@@ -81,16 +81,16 @@
     clients.iter_mut().enumerate().for_each(|(number, client)| client.query(&format!("open{number}"), 5000));
     at(held_from_s);
     router.program.signal(Signal::SIGSTOP);
-    at(held_from_s + HELD_UP_S);
+    at(held_from_s + SUSPENSION_S);
     router.program.signal(Signal::SIGCONT);
 
     let received: Vec<String> = clients.iter_mut().map(Client::rest).collect();
     router.ended();
-    faults(held_from_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
+    shutdown_errors(held_from_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
 /// Guards against queries read and never answered on some core, as the process that stood still ends first.
 #[rstest]
 fn a_shutdown_on_several_cores_held_up_at_any_moment_of_its_last_part_answers_what_was_read() {
-    play_moments(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_held_up);
+    run_suspended_shutdowns(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_held_up);
 }
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -1,10 +1,9 @@
-//! Graceful shutdowns of a process that stands still in the midst of one: every query that was read is answered, and the
-//! process has ended before the earliest SIGKILL.
+//! Graceful shutdowns of a process that is suspended during the shutdown: every query that was read is answered, and the process
+//! ends before the earliest SIGKILL.
 mod common;
-#[path = "common/held_shutdown.rs"]
-mod held_shutdown;
+#[path = "common/suspended_shutdown.rs"]
+mod suspended_shutdown;
 use common::*;
-use held_shutdown::{HELD_UP_S, KILL_AFTER_DEADLINE_S, faults, play_moments};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rstest::rstest;
@@ -12,28 +11,29 @@
 use std::net::TcpStream;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use suspended_shutdown::{KILL_AFTER_DEADLINE_S, SUSPENSION_S, run_suspended_shutdowns, shutdown_errors};
 
 /// The longest deadline of the settings below, in seconds.
 const LONGEST_DEADLINE_S: f64 = 1.0;
 const EARLIEST_KILL_S: f64 = LONGEST_DEADLINE_S + KILL_AFTER_DEADLINE_S;
-/// The last part of a shutdown, in seconds before the earliest SIGKILL, in which its moments are tried.
+/// The last part of a shutdown, in seconds before the earliest SIGKILL, in which the process is suspended.
 const LAST_PART_S: f64 = 0.7;
-const MOMENTS: usize = 20;
+const SHUTDOWNS: usize = 20;
 const CLIENTS: usize = 4;
 
-/// What a client's connection has brought when it ends.
+/// Everything that a client receives until its connection ends.
 fn received(client: Client) -> String {
     let mut bytes = client.0.buffer().to_vec();
     let mut stream: TcpStream = client.0.into_inner();
-    // A reset is an end as well.
+    // A reset ends the connection too.
     let _ = stream.read_to_end(&mut bytes);
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Stands still at a moment of the shutdown; what went wrong, if anything did.
-fn faults_of_a_shutdown_held_up(held_from_s: f64) -> Vec<String> {
+/// Runs a shutdown in which the process is suspended at a time in seconds after SIGTERM; returns the errors.
+fn errors_of_suspended_shutdown(suspended_at_s: f64) -> Vec<String> {
     let settings = settings(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
-    // The data node answers nothing from SIGTERM on, so that queries are open until the end.
+    // The data node does not answer after SIGTERM, so that queries are open until the end.
     let (nodes, agent) = (Nodes::new(1), Agent::new());
     let mut program = Program::start(&nodes.addresses, agent.address, &settings, r#"{"sockets":256}"#);
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| program.connect()).collect();
@@ -48,32 +48,33 @@
         sleep((terminated + Duration::from_secs_f64(since_s)).saturating_duration_since(Instant::now()));
     };
     kill(process, Signal::SIGTERM).expect("it runs");
-    // Read in time to be answered, and with more time left than the shutdown may take.
+    // Sent early enough to be admitted, and with a time limit longer than the shutdown.
     at(0.6);
     for (number, client) in clients.iter_mut().enumerate() {
         client.ask(&format!("open{number}"), &[number as u32], 5000);
     }
-    at(held_from_s);
+    at(suspended_at_s);
     let _ = kill(process, Signal::SIGSTOP);
-    at(held_from_s + HELD_UP_S);
+    at(suspended_at_s + SUSPENSION_S);
     let _ = kill(process, Signal::SIGCONT);
 
     let received: Vec<String> = clients.into_iter().map(received).collect();
     program.child.wait().expect("it ends");
-    faults(held_from_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
+    shutdown_errors(suspended_at_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
-/// Guards against queries read and never answered, as a process that stood still ends with its last answers unwritten.
+/// Guards against queries that are read and never answered, because a process that was suspended ends before it has written its
+/// last answers.
 #[rstest]
-fn a_shutdown_held_up_at_any_moment_of_its_last_part_answers_what_was_read() {
-    play_moments(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_held_up);
+fn a_shutdown_suspended_at_any_time_of_its_last_part_answers_every_read_query() {
+    run_suspended_shutdowns(EARLIEST_KILL_S, LAST_PART_S, SHUTDOWNS, errors_of_suspended_shutdown);
 }
 
-/// Guards against a client that sends the rest of its request to a program that ends just then.
+/// Guards against a client that completes its request just as the program ends and gets no answer.
 #[rstest]
-#[case::the_rest_never_comes(None)]
-#[case::the_rest_comes_with_the_end(Some(1.35))]
-fn a_request_half_sent_as_the_program_ends_is_answered(#[case] rest_at_s: Option<f64>) {
+#[case::the_rest_never_arrives(None)]
+#[case::the_rest_arrives_at_the_end(Some(1.35))]
+fn an_incomplete_request_at_the_end_of_the_program_is_answered(#[case] rest_at_s: Option<f64>) {
     let settings = settings(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
     let (nodes, agent) = (Nodes::new(1), Agent::new());
     let program = Program::start(&nodes.addresses, agent.address, &settings, r#"{"sockets":256}"#);
@@ -90,7 +91,7 @@
     client.send(first);
     if let Some(at_s) = rest_at_s {
         sleep((terminated + Duration::from_secs_f64(at_s)).saturating_duration_since(Instant::now()));
-        // The connection may have ended by then, with the answer on it.
+        // The connection may have ended by then, with the answer sent.
         let _ = client.0.get_mut().write_all(rest.as_bytes());
     }
     let received = received(client);
