--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of clients, data nodes and discovery that speak to the program over loopback.
-#![allow(dead_code)] // Each file of stories uses what it needs.
+//! Runs the router program, and fake clients, data nodes and discovery that connect to it over loopback.
+#![allow(dead_code)] // Each test file uses a part of this module.
 pub mod dispatcher;
 pub mod tier;
 
@@ -14,21 +14,23 @@
 use std::thread;
 use std::time::Duration;
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for an event before it fails.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings of two verticals, one cell in which every data node holds every shard.
-pub fn settings(slo_ms: u64, room: usize) -> String {
+/// Settings with two service classes and one replica group, in which every data node holds every shard. `max_open` limits the
+/// open queries and shard requests.
+pub fn settings_json(latency_objective_ms: u64, max_open: usize) -> String {
     let service = |name: &str| {
         format!(
             r#"{{"Name":"{name}","PromiseUs":{0},"DeadlineUs":5000000,"Effect":"idempotent","Worth":1,
                 "LateShare":0.3}}"#,
-            slo_ms * 1000
+            latency_objective_ms * 1000
         )
     };
     format!(
         r#"{{"Extra":{{"Cells":1,"Reach":1,"Slices":40,"BundleMax":8,"PerCallWorkUs":57000}},
         "Discovery":"automatic","TickUs":5000,"OverShareWorth":0.1,"Tenants":[],"ReplicasOfMe":2,
-        "Limits":{{"MayCancel":true,"ParallelTries":true,"MaxAttempts":3,"MaxOpen":{room},
+        "Limits":{{"MayCancel":true,"ParallelTries":true,"MaxAttempts":3,"MaxOpen":{max_open},
                   "StreamsPerConn":32,"DialTimeoutUs":250000,"KeepaliveUs":15000000}},
         "Obligations":{{}},"Services":[{},{}]}}"#,
         service("site-search"),
@@ -36,35 +38,42 @@
     )
 }
 
-pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
+/// An entry of an endpoint list.
+pub fn endpoint_entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"z","type":"m","group":0,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-pub fn object(index: u64, whole: bool, entries: &[String]) -> String {
+/// A message of discovery: a whole endpoint list or a change of it.
+pub fn endpoint_update(index: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-pub fn soon<T>(events: &Receiver<T>, what: &str) -> T {
-    events.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("nothing came: {what}"))
+/// Waits for the next event; panics after [`TIMEOUT`].
+pub fn receive<T>(events: &Receiver<T>, what: &str) -> T {
+    events.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
 
-/// Stand-ins of data nodes: they hand over every frame with the node and the connection that it came to.
-pub struct Nodes {
+/// Data nodes that pass every received frame to the test, which answers it.
+pub struct FakeNodes {
     pub addresses: Vec<SocketAddr>,
-    pub frames: Receiver<Came>,
+    pub frames: Receiver<ReceivedFrame>,
 }
 
-pub struct Came {
+/// A frame that a data node has received.
+pub struct ReceivedFrame {
+    /// Index of the data node.
     pub node: usize,
-    pub letter: char,
+    /// `S` starts attempts, `C` cancels one.
+    pub frame_type: char,
     pub text: String,
+    /// The connection, for replies.
     pub stream: TcpStream,
 }
 
-impl Nodes {
-    pub fn new(count: usize) -> Nodes {
+impl FakeNodes {
+    pub fn new(count: usize) -> FakeNodes {
         let (sender, frames) = channel();
         let mut addresses = vec![];
         for node in 0..count {
@@ -74,50 +83,51 @@
             thread::spawn(move || {
                 while let Ok((stream, _)) = listener.accept() {
                     let sender = sender.clone();
-                    thread::spawn(move || Self::listen(node, stream, &sender));
+                    thread::spawn(move || Self::read_frames(node, stream, &sender));
                 }
             });
         }
-        Nodes { addresses, frames }
+        FakeNodes { addresses, frames }
     }
 
-    pub fn listen(node: usize, mut stream: TcpStream, sender: &Sender<Came>) {
+    fn read_frames(node: usize, mut stream: TcpStream, sender: &Sender<ReceivedFrame>) {
         let mut length = [0; 4];
         while stream.read_exact(&mut length).is_ok() {
             let mut frame = vec![0; u32::from_be_bytes(length) as usize];
             stream.read_exact(&mut frame).expect("a whole frame");
             let text = String::from_utf8(frame[1..].to_vec()).expect("text");
-            let (letter, stream) = (char::from(frame[0]), stream.try_clone().expect("a handle"));
-            if sender.send(Came { node, letter, text, stream }).is_err() {
+            let (frame_type, stream) = (char::from(frame[0]), stream.try_clone().expect("a handle"));
+            if sender.send(ReceivedFrame { node, frame_type, text, stream }).is_err() {
                 return;
             }
         }
     }
 
-    /// The next frame at any node, of that letter.
-    pub fn next(&self, letter: char) -> Came {
-        let came = soon(&self.frames, "a frame at a data node");
-        assert_eq!(came.letter, letter, "{}", came.text);
-        came
+    /// Waits for the next frame at any node, and asserts its type.
+    pub fn next_frame(&self, frame_type: char) -> ReceivedFrame {
+        let frame = receive(&self.frames, "a frame at a data node");
+        assert_eq!(frame.frame_type, frame_type, "{}", frame.text);
+        frame
     }
 
-    /// Answers every part of the next call; returns its parts and the node.
-    pub fn serve(&self) -> (Vec<String>, usize) {
-        let mut came = self.next('S');
-        let ids = parts(&came.text);
+    /// Answers every shard request of the next frame; returns their ids and the node.
+    pub fn answer_next(&self) -> (Vec<String>, usize) {
+        let mut frame = self.next_frame('S');
+        let ids = request_ids(&frame.text);
         for id in &ids {
-            reply(&mut came.stream, &format!("{id} done 17 -\nvalue of {id}"));
+            send_reply(&mut frame.stream, &format!("{id} done 17 -\nvalue of {id}"));
         }
-        (ids, came.node)
+        (ids, frame.node)
     }
 }
 
-/// The ids of a call's parts, whose text is always `c41e77d0` here.
-pub fn parts(call: &str) -> Vec<String> {
-    call.split("c41e77d0").filter_map(|part| Some(part.split_once(' ')?.0.to_string())).collect()
+/// The ids of the shard requests in a frame. The query text of all tests is `c41e77d0`.
+pub fn request_ids(frame: &str) -> Vec<String> {
+    frame.split("c41e77d0").filter_map(|request| Some(request.split_once(' ')?.0.to_string())).collect()
 }
 
-pub fn reply(stream: &mut TcpStream, text: &str) {
+/// Sends a reply frame to the router.
+pub fn send_reply(stream: &mut TcpStream, text: &str) {
     let mut frame = (text.len() as u32 + 1).to_be_bytes().to_vec();
     frame.push(b'R');
     frame.extend_from_slice(text.as_bytes());
@@ -125,14 +135,14 @@
     let _ = stream.write_all(&frame);
 }
 
-/// A stand-in of discovery's agent: tells of every watch as it is asked for, with the connection to write to.
-pub struct Agent {
+/// A discovery server that passes each request of a watch to the test, with the connection to write to.
+pub struct FakeDiscovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, TcpStream)>,
 }
 
-impl Agent {
-    pub fn new() -> Agent {
+impl FakeDiscovery {
+    pub fn new() -> FakeDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (sender, watches) = channel();
@@ -147,30 +157,32 @@
                 }
             }
         });
-        Agent { address, watches }
+        FakeDiscovery { address, watches }
     }
 
-    pub fn watch(&self) -> (String, TcpStream) {
-        soon(&self.watches, "a watch")
+    /// Waits for the next watch; returns its request line and its connection.
+    pub fn accept_watch(&self) -> (String, TcpStream) {
+        receive(&self.watches, "a watch")
     }
 }
 
-pub fn tell(watch: &mut TcpStream, line: &str) {
+/// Sends one line on a watch.
+pub fn send_update(watch: &mut TcpStream, line: &str) {
     write!(watch, "{:x}\r\n{line}\n\r\n", line.len() + 1).expect("written");
 }
 
-/// A configuration that knows the data nodes from the start.
-pub fn configuration(nodes: &[SocketAddr], agent: SocketAddr, settings: &str, limits: &str) -> String {
-    let serving = |(i, address): (usize, &SocketAddr)| entry(&format!("s-{i}"), *address, "SERVING");
+/// A configuration file that lists the data nodes.
+pub fn config_json(nodes: &[SocketAddr], discovery: SocketAddr, settings: &str, limits: &str) -> String {
+    let serving = |(i, address): (usize, &SocketAddr)| endpoint_entry(&format!("s-{i}"), *address, "SERVING");
     let known: Vec<String> = nodes.iter().enumerate().map(serving).collect();
     format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{agent}","seed":"8c1f30d27a5be964",
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{limits},"known":{},"settings":{settings}}}"#,
-        object(41, true, &known)
+        endpoint_update(41, true, &known)
     )
 }
 
-/// The program under test, with its log as it comes.
+/// The program under test, with its log lines.
 pub struct Program {
     pub child: Child,
     pub log: Receiver<String>,
@@ -179,26 +191,28 @@
 }
 
 impl Program {
-    pub fn start(nodes: &[SocketAddr], agent: SocketAddr, settings: &str, limits: &str) -> Program {
-        Program::configured(&configuration(nodes, agent, settings, limits))
+    pub fn start(nodes: &[SocketAddr], discovery: SocketAddr, settings: &str, limits: &str) -> Program {
+        Program::start_with_config(&config_json(nodes, discovery, settings, limits))
     }
 
-    pub fn configured(config: &str) -> Program {
-        Program::read(spawn(config))
+    pub fn start_with_config(config: &str) -> Program {
+        Program::from_child(spawn(config))
     }
 
-    /// The same with system calls and clocks that fail by a plan.
-    pub fn with_faults(nodes: &[SocketAddr], agent: SocketAddr, settings: &str, faults: &str) -> Program {
+    /// Starts the program with system calls and clocks that fail by a plan.
+    pub fn with_faults(nodes: &[SocketAddr], discovery: SocketAddr, settings: &str, faults: &str) -> Program {
         let plan = Plan::parse(faults).expect("a plan");
-        let config = configuration(nodes, agent, settings, r#"{"sockets":256}"#);
-        Program::read(spawn_with(&config, |command| inject(command, &plan).expect("the library")))
+        let config = config_json(nodes, discovery, settings, r#"{"sockets":256}"#);
+        Program::from_child(spawn_with(&config, |command| {
+            inject(command, &plan).expect("the library is loaded")
+        }))
     }
 
-    fn read((mut child, path): (Child, PathBuf)) -> Program {
+    fn from_child((mut child, path): (Child, PathBuf)) -> Program {
         let (sender, log) = channel();
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
-        let first = soon(&log, "the first line of the log");
+        let first = receive(&log, "the first line of the log");
         let address = first.split("listens at ").nth(1).and_then(|rest| rest.split(": ").next());
         let address = address.and_then(|a| a.parse().ok()).unwrap_or_else(|| panic!("{first}"));
         Program { child, log, address, config: path }
@@ -206,14 +220,14 @@
 
     pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         Client(BufReader::new(stream))
     }
 
-    /// Waits for a line of the log that holds `text`.
-    pub fn says(&self, text: &str) -> String {
+    /// Waits for a log line that contains `text`, and returns the line.
+    pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = soon(&self.log, text);
+            let line = receive(&self.log, text);
             if line.contains(text) {
                 return line;
             }
@@ -228,17 +242,17 @@
     pub fn counters(&self) -> BTreeMap<String, u64> {
         let mut client = self.connect();
         client.send("GET /counters HTTP/1.1\r\n\r\n");
-        figures(client.answer().1.lines())
+        parse_counters(client.read_response().1.lines())
     }
 
-    /// Waits for the program's end; returns how it ended and its counters at exit.
-    pub fn ends(mut self) -> (ExitStatus, BTreeMap<String, u64>) {
-        let status = self.child.wait().expect("it ends");
+    /// Waits until the program ends; returns its exit status and the counters that it logs at exit.
+    pub fn wait_for_exit(mut self) -> (ExitStatus, BTreeMap<String, u64>) {
+        let status = self.child.wait().expect("the program ends");
         let mut lines = vec![];
-        while let Ok(line) = self.log.recv_timeout(PATIENCE) {
+        while let Ok(line) = self.log.recv_timeout(TIMEOUT) {
             lines.push(line);
         }
-        (status, figures(lines.iter().map(String::as_str)))
+        (status, parse_counters(lines.iter().map(String::as_str)))
     }
 }
 
@@ -254,6 +268,7 @@
     spawn_with(config, |_| {})
 }
 
+/// Starts the program with `config` as its file; `prepare` changes the command before.
 pub fn spawn_with(config: &str, prepare: impl FnOnce(&mut Command)) -> (Child, PathBuf) {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("alderway-{}-{}.json", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
@@ -262,20 +277,21 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_alderway-router"));
     let command = command.env("PROXY_CONFIG", &path).stderr(Stdio::piped()).stdin(Stdio::null());
     prepare(command);
-    (command.spawn().expect("it starts"), path)
+    (command.spawn().expect("the program starts"), path)
 }
 
-pub fn figures<'a>(lines: impl Iterator<Item = &'a str>) -> BTreeMap<String, u64> {
-    let figure = |line: &str| {
-        let (name, figure) = line.rsplit_once(' ')?;
-        Some((name.to_string(), figure.parse().ok()?))
+/// Parses lines of the form `NAME VALUE`; other lines are ignored.
+pub fn parse_counters<'a>(lines: impl Iterator<Item = &'a str>) -> BTreeMap<String, u64> {
+    let counter = |line: &str| {
+        let (name, value) = line.rsplit_once(' ')?;
+        Some((name.to_string(), value.parse().ok()?))
     };
-    lines.filter_map(figure).collect()
+    lines.filter_map(counter).collect()
 }
 
-/// The sum of all counters whose name starts so.
-pub fn sum(figures: &BTreeMap<String, u64>, start: &str) -> u64 {
-    figures.iter().filter(|(name, _)| name.starts_with(start)).map(|(_, figure)| figure).sum()
+/// The sum of all counters whose name begins with `prefix`.
+pub fn sum_by_prefix(counters: &BTreeMap<String, u64>, prefix: &str) -> u64 {
+    counters.iter().filter(|(name, _)| name.starts_with(prefix)).map(|(_, value)| value).sum()
 }
 
 pub struct Client(pub BufReader<TcpStream>);
@@ -285,15 +301,16 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("written");
     }
 
-    pub fn ask(&mut self, id: &str, shards: &[u32], left_ms: u64) {
-        self.send(&post(id, "site-search", shards, left_ms));
+    /// Sends a query of the class `site-search`.
+    pub fn send_query(&mut self, id: &str, shards: &[u32], time_left_ms: u64) {
+        self.send(&query_request(id, "site-search", shards, time_left_ms));
     }
 
-    /// The next answer: its head and its body.
-    pub fn answer(&mut self) -> (String, String) {
+    /// Reads the next response; returns its head and its body.
+    pub fn read_response(&mut self) -> (String, String) {
         let (mut head, mut body) = (String::new(), vec![]);
         while !head.ends_with("\r\n\r\n") {
-            assert_ne!(self.0.read_line(&mut head).expect("an answer"), 0, "ended after {head:?}");
+            assert_ne!(self.0.read_line(&mut head).expect("a response"), 0, "ended after {head:?}");
         }
         let length = head.split("Content-Length: ").nth(1).and_then(|rest| rest.lines().next());
         body.resize(length.expect("a length").parse().expect("a number"), 0);
@@ -301,38 +318,50 @@
         (head, String::from_utf8(body).expect("text"))
     }
 
-    pub fn status(&mut self) -> String {
-        self.answer().0.split(' ').nth(1).expect("a status").to_string()
+    /// Reads the next response; returns its status code.
+    pub fn read_status(&mut self) -> String {
+        self.read_response().0.split(' ').nth(1).expect("a status").to_string()
     }
 
-    /// Waits for the router to end the connection.
-    pub fn ended(mut self) {
+    /// Waits until the router closes the connection, and asserts that it sends nothing before.
+    pub fn wait_for_close(mut self) {
         let mut rest = vec![];
-        // A reset is an end as well.
+        // A reset ends the connection too.
         let _ = self.0.read_to_end(&mut rest);
         assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
     }
 }
 
-pub fn post(id: &str, vertical: &str, shards: &[u32], left_ms: u64) -> String {
+/// The HTTP request of a query with equal weights for `shards`.
+pub fn query_request(id: &str, class: &str, shards: &[u32], time_left_ms: u64) -> String {
     let share = 1.0 / shards.len() as f64;
     let targets: Vec<String> =
         shards.iter().map(|s| format!(r#"{{"partition":{s},"share":{share},"est_us":9000}}"#)).collect();
     let body = format!(r#"{{"targets":[{}],"query":"c41e77d0"}}"#, targets.join(","));
     format!(
-        "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {vertical}\r\n\
-         X-Time-Left-Ms: {left_ms}\r\nContent-Length: {}\r\n\r\n{body}",
+        "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
+         X-Time-Left-Ms: {time_left_ms}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// A router over `count` data nodes, with discovery's agent silent but for what a story tells.
-pub fn started(count: usize) -> (Program, Nodes, Agent) {
-    limited(count, 1000, 180, r#"{"sockets":256}"#)
+/// Starts a router with `count` data nodes. Discovery sends only what the test sends.
+pub fn start_router(count: usize) -> (Program, FakeNodes, FakeDiscovery) {
+    start_router_with(count, 1000, 180, r#"{"sockets":256}"#)
 }
 
-pub fn limited(count: usize, slo_ms: u64, room: usize, limits: &str) -> (Program, Nodes, Agent) {
-    let (nodes, agent) = (Nodes::new(count), Agent::new());
-    let program = Program::start(&nodes.addresses, agent.address, &settings(slo_ms, room), limits);
-    (program, nodes, agent)
+pub fn start_router_with(
+    count: usize,
+    latency_objective_ms: u64,
+    max_open: usize,
+    limits: &str,
+) -> (Program, FakeNodes, FakeDiscovery) {
+    let (nodes, discovery) = (FakeNodes::new(count), FakeDiscovery::new());
+    let program = Program::start(
+        &nodes.addresses,
+        discovery.address,
+        &settings_json(latency_objective_ms, max_open),
+        limits,
+    );
+    (program, nodes, discovery)
 }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -25,7 +25,7 @@
 use tokio::sync::watch;
 
 fn held() -> Value {
-    serde_json::from_str(&settings(1000, 180)).expect("settings")
+    serde_json::from_str(&settings_json(1000, 180)).expect("settings")
 }
 
 /// The same with another value at one place.
@@ -373,25 +373,25 @@
 
 #[rstest]
 fn a_reload_takes_settings_over_while_a_query_is_open() {
-    let (program, nodes, _agent) = limited(1, 4000, 180, r#"{"sockets":256}"#);
+    let (program, nodes, _agent) = start_router_with(1, 4000, 180, r#"{"sockets":256}"#);
     let (mut before, mut after) = (program.connect(), program.connect());
-    before.send(&post("a", "region-report", &[0], 4000));
-    let mut call = nodes.next('S');
+    before.send(&query_request("a", "region-report", &[0], 4000));
+    let mut call = nodes.next_frame('S');
     reload(&program, |settings| settings["Services"].as_array_mut().expect("a list").truncate(1));
-    assert!(program.says("settings: ").contains("in force, `Services` changed"));
-    after.send(&post("b", "region-report", &[0], 4000));
-    assert_eq!(after.answer().1.trim(), "an unknown vertical");
-    reply(&mut call.stream, "a.0 done 17 -\nvalue");
-    assert_eq!(before.status(), "200");
+    assert!(program.wait_for_log("settings: ").contains("in force, `Services` changed"));
+    after.send(&query_request("b", "region-report", &[0], 4000));
+    assert_eq!(after.read_response().1.trim(), "an unknown vertical");
+    send_reply(&mut call.stream, "a.0 done 17 -\nvalue");
+    assert_eq!(before.read_status(), "200");
     reload(&program, |settings| {
         let mut again = settings["Services"][0].clone();
         again["Name"] = json!("region-report");
         settings["Services"].as_array_mut().expect("a list").push(again);
     });
-    program.says("in force, `Services` changed");
-    after.send(&post("c", "region-report", &[0], 4000));
-    assert_eq!(nodes.serve().0, ["c.0"]);
-    assert_eq!(after.status(), "200");
+    program.wait_for_log("in force, `Services` changed");
+    after.send(&query_request("c", "region-report", &[0], 4000));
+    assert_eq!(nodes.answer_next().0, ["c.0"]);
+    assert_eq!(after.read_status(), "200");
     let counted = program.counters();
     assert_eq!((counted["settings_taken"], counted.get("settings_refused")), (2, None));
     // A file's settings have no number.
@@ -400,24 +400,24 @@
 
 #[rstest]
 fn a_reload_of_settings_that_cannot_change_changes_none() {
-    let (program, nodes, _agent) = started(1);
+    let (program, nodes, _agent) = start_router(1);
     reload(&program, |settings| {
         settings["Extra"]["Cells"] = json!(2);
         settings["Services"].as_array_mut().expect("a list").truncate(1);
     });
-    assert!(program.says("settings: refused").contains("`Extra.Cells` can't change while serving"));
+    assert!(program.wait_for_log("settings: refused").contains("`Extra.Cells` can't change while serving"));
     reload(&program, |settings| settings["Services"][0]["PromiseUs"] = json!(0));
-    assert!(program.says("the old configuration holds").contains("PromiseUs"));
+    assert!(program.wait_for_log("the old configuration holds").contains("PromiseUs"));
     let mut client = program.connect();
-    client.send(&post("a", "region-report", &[0], 4000));
-    assert_eq!(nodes.serve().0, ["a.0"]);
-    assert_eq!(client.status(), "200");
+    client.send(&query_request("a", "region-report", &[0], 4000));
+    assert_eq!(nodes.answer_next().0, ["a.0"]);
+    assert_eq!(client.read_status(), "200");
     assert_eq!(program.counters()["settings_refused"], 2);
 }
 
 #[rstest]
 fn a_hundred_changes_under_load_are_no_interruption() {
-    let (program, nodes, _agent) = limited(2, 2000, 180, r#"{"sockets":256}"#);
+    let (program, nodes, _agent) = start_router_with(2, 2000, 180, r#"{"sockets":256}"#);
     let (done, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     // Data nodes that answer each frame at once, until the last query has its answer.
     let over = Arc::new(AtomicBool::new(false));
@@ -425,8 +425,8 @@
     let answers = thread::spawn(move || {
         while !stop.load(Ordering::Relaxed) {
             let Ok(mut came) = frames.recv_timeout(Duration::from_millis(20)) else { continue };
-            for id in parts(&came.text) {
-                reply(&mut came.stream, &format!("{id} done 17 -\nvalue"));
+            for id in request_ids(&came.text) {
+                send_reply(&mut came.stream, &format!("{id} done 17 -\nvalue"));
             }
             let _ = came.stream.flush();
         }
@@ -437,8 +437,8 @@
             thread::spawn(move || {
                 let mut count = 0;
                 while !done.load(Ordering::Relaxed) {
-                    client.ask(&format!("q{n}-{count}"), &[0, 1, 2], 4000);
-                    let (head, body) = client.answer();
+                    client.send_query(&format!("q{n}-{count}"), &[0, 1, 2], 4000);
+                    let (head, body) = client.read_response();
                     assert!(
                         head.starts_with("HTTP/1.1 200 ") && body.matches(r#""value":"value""#).count() == 3,
                         "{head}{body}"
@@ -461,9 +461,9 @@
             // One that never sends a query is closed after two seconds.
             let mut up = program.connect();
             up.send("GET /up HTTP/1.1\r\n\r\n");
-            assert_eq!(up.status(), "200");
+            assert_eq!(up.read_status(), "200");
             up.send("GET /counters HTTP/1.1\r\n\r\n");
-            let taken = figures(up.answer().1.lines()).get("settings_taken") == Some(&n);
+            let taken = parse_counters(up.read_response().1.lines()).get("settings_taken") == Some(&n);
             // Queries go on between any two changes.
             if taken && asked.load(Ordering::Relaxed) > before {
                 break;
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -32,16 +32,16 @@
 
 /// Runs a shutdown in which the process is suspended at a time in seconds after SIGTERM; returns the errors.
 fn errors_of_suspended_shutdown(suspended_at_s: f64) -> Vec<String> {
-    let settings = settings(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
+    let settings = settings_json(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
     // The data node does not answer after SIGTERM, so that queries are open until the end.
-    let (nodes, agent) = (Nodes::new(1), Agent::new());
+    let (nodes, agent) = (FakeNodes::new(1), FakeDiscovery::new());
     let mut program = Program::start(&nodes.addresses, agent.address, &settings, r#"{"sockets":256}"#);
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| program.connect()).collect();
     let process = Pid::from_raw(program.child.id() as i32);
     for (number, client) in clients.iter_mut().enumerate() {
-        client.ask(&format!("before{number}"), &[number as u32], 900);
-        nodes.serve();
-        assert_eq!(client.status(), "200");
+        client.send_query(&format!("before{number}"), &[number as u32], 900);
+        nodes.answer_next();
+        assert_eq!(client.read_status(), "200");
     }
     let terminated = Instant::now();
     let at = |since_s: f64| {
@@ -51,7 +51,7 @@
     // Sent early enough to be admitted, and with a time limit longer than the shutdown.
     at(0.6);
     for (number, client) in clients.iter_mut().enumerate() {
-        client.ask(&format!("open{number}"), &[number as u32], 5000);
+        client.send_query(&format!("open{number}"), &[number as u32], 5000);
     }
     at(suspended_at_s);
     let _ = kill(process, Signal::SIGSTOP);
@@ -75,14 +75,14 @@
 #[case::the_rest_never_arrives(None)]
 #[case::the_rest_arrives_at_the_end(Some(1.35))]
 fn an_incomplete_request_at_the_end_of_the_program_is_answered(#[case] rest_at_s: Option<f64>) {
-    let settings = settings(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
-    let (nodes, agent) = (Nodes::new(1), Agent::new());
+    let settings = settings_json(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
+    let (nodes, agent) = (FakeNodes::new(1), FakeDiscovery::new());
     let program = Program::start(&nodes.addresses, agent.address, &settings, r#"{"sockets":256}"#);
     let mut client = program.connect();
-    client.ask("before", &[1], 900);
-    nodes.serve();
-    assert_eq!(client.status(), "200");
-    let request = post("half", "site-search", &[1], 5000);
+    client.send_query("before", &[1], 900);
+    nodes.answer_next();
+    assert_eq!(client.read_status(), "200");
+    let request = query_request("half", "site-search", &[1], 5000);
     let (first, rest) = request.split_at(request.len() / 2);
     let terminated = Instant::now();
     kill(Pid::from_raw(program.child.id() as i32), Signal::SIGTERM).expect("it runs");
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -9,10 +9,10 @@
 
 /// A configuration file with every key.
 fn document() -> Value {
-    let settings: Value = serde_json::from_str(&common::settings(1000, 180)).expect("settings");
+    let settings: Value = serde_json::from_str(&common::settings_json(1000, 180)).expect("settings");
     let known = format!(
         r#"{{"index":7,"snapshot":true,"endpoints":[{}]}}"#,
-        common::entry("s-1", ([127, 0, 0, 1], 9).into(), "SERVING")
+        common::endpoint_entry("s-1", ([127, 0, 0, 1], 9).into(), "SERVING")
     );
     json!({
         "name": "r1",
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -52,7 +52,7 @@
 }
 
 fn settings(number: VersionNumber) -> Value {
-    let mut settings: Value = serde_json::from_str(&common::settings(1000, 180)).expect("settings");
+    let mut settings: Value = serde_json::from_str(&common::settings_json(1000, 180)).expect("settings");
     settings["Limits"]["MaxOpen"] = json!(100 + number);
     settings
 }
