--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Two events that meet in one instant, over sockets: each story does both, and says which rule must hold. The list
-//! of all such pairs is docs/crossings.md.
+//! Pairs of events that happen at the same time, over sockets: each test triggers both and checks the rule that must hold. All
+//! such pairs are listed in docs/crossings.md.
 mod common;
 use common::*;
 use rstest::rstest;
@@ -10,25 +10,27 @@
 use std::time::{Duration, Instant};
 
 #[rstest]
-fn a_client_that_floods_and_leaves_has_its_parts_given_up() {
-    let (program, nodes, _agent) = start_router_with(1, 4000, 180, "{}");
+fn attempts_are_cancelled_for_a_client_that_fills_the_buffer_and_disconnects() {
+    let (program, nodes, _discovery) = start_router_with(1, 4000, 180, "{}");
     let mut client = program.connect();
-    // More than one read buffer holds stands behind the query, and the client's end behind that.
+    // More bytes than the read buffer holds follow the query, and the client's close follows them.
     client
         .send(&(query_request("q", "site-search", &[0], 4900) + &"GET /up HTTP/1.1\r\n\r\n".repeat(20_000)));
     nodes.next_frame('S');
     drop(client);
     assert_eq!(nodes.next_frame('C').text, "q.0");
-    let figures = program.counters();
-    assert_eq!(figures["queries_left{site-search}"], 1);
+    let counters = program.counters();
+    assert_eq!(counters["queries_left{site-search}"], 1);
 }
 
 #[rstest]
-fn a_client_that_floods_behind_a_query_gets_its_answers_and_an_error_for_the_rest() {
-    let (program, nodes, _agent) = start_router_with(1, 4000, 180, "{}");
+fn a_client_that_overfills_the_buffer_behind_a_query_gets_answers_and_then_an_error() {
+    let (program, nodes, _discovery) = start_router_with(1, 4000, 180, "{}");
     let mut client = program.connect();
-    let many = 20_000;
-    client.send(&(query_request("q", "site-search", &[0], 4900) + &"GET /up HTTP/1.1\r\n\r\n".repeat(many)));
+    let request_count = 20_000;
+    client.send(
+        &(query_request("q", "site-search", &[0], 4900) + &"GET /up HTTP/1.1\r\n\r\n".repeat(request_count)),
+    );
     nodes.answer_next();
     let mut answers = vec![client.read_status()];
     while answers.last().is_some_and(|status| status == "200") {
@@ -36,7 +38,7 @@
     }
     client.wait_for_close();
     assert_eq!(answers.pop().as_deref(), Some("400"));
-    assert!((2..many).contains(&answers.len()), "{}", answers.len());
+    assert!((2..request_count).contains(&answers.len()), "{}", answers.len());
     let mut other = program.connect();
     other.send_query("r", &[0], 4000);
     assert_eq!(nodes.answer_next().0, ["r.0"]);
@@ -44,14 +46,14 @@
 }
 
 #[rstest]
-fn a_request_that_came_while_the_program_stood_still_in_its_stop_is_answered() {
-    let (program, nodes, _agent) = start_router_with(1, 4000, 180, "{}");
+fn a_request_that_arrives_while_the_process_is_suspended_in_its_shutdown_is_answered() {
+    let (program, nodes, _discovery) = start_router_with(1, 4000, 180, "{}");
     program.signal("TERM");
     program.wait_for_log("SIGTERM");
     program.signal("STOP");
     let mut client = program.connect();
     client.send_query("q", &[0], 4000);
-    // Past the moment at which the listener was to close.
+    // Longer than the listener stays open after SIGTERM.
     thread::sleep(Duration::from_millis(700));
     program.signal("CONT");
     assert_eq!(nodes.answer_next().0, ["q.0"]);
@@ -59,48 +61,48 @@
 }
 
 #[rstest]
-#[case::says_nothing(b"")]
-#[case::begins_its_head(b"HTTP/1.1 200 OK\r\n")]
-fn an_agent_that_accepts_and_says_nothing_is_left_for_a_new_watch(#[case] says: &[u8]) {
-    let (nodes, mute) = (FakeNodes::new(1), TcpListener::bind("127.0.0.1:0").expect("a port"));
-    let address = mute.local_addr().expect("an address");
+#[case::sends_nothing(b"")]
+#[case::sends_half_a_head(b"HTTP/1.1 200 OK\r\n")]
+fn a_watch_without_a_response_times_out_and_is_opened_again(#[case] response: &[u8]) {
+    let (nodes, listener) = (FakeNodes::new(1), TcpListener::bind("127.0.0.1:0").expect("a port"));
+    let address = listener.local_addr().expect("an address");
     let _program = Program::start(&nodes.addresses, address, &settings_json(1000, 180), "{}");
     let (sender, watches) = channel();
-    thread::spawn(move || while mute.accept().is_ok_and(|watch| sender.send(watch.0).is_ok()) {});
+    thread::spawn(move || while listener.accept().is_ok_and(|watch| sender.send(watch.0).is_ok()) {});
     let mut first = receive(&watches, "a watch");
-    first.write_all(says).expect("written");
-    let began = Instant::now();
+    first.write_all(response).expect("written");
+    let started = Instant::now();
     let _second = receive(&watches, "another watch");
-    // A second and a quarter; by silence alone it would be more than three.
-    assert!(began.elapsed() < Duration::from_millis(2900), "{:?}", began.elapsed());
+    // 1.25 s: the response timeout and the pause before the next watch. The timeout between messages alone is 3 s.
+    assert!(started.elapsed() < Duration::from_millis(2900), "{:?}", started.elapsed());
 }
 
 #[rstest]
-#[case::blanks(" ")]
-#[case::an_object_that_never_ends("{\"x\":1,")]
-fn a_watch_that_drips_bytes_and_tells_nothing_is_lost(#[case] begins: &'static str) {
-    let (program, _nodes, agent) = start_router(1);
-    let (_, mut dripping) = agent.accept_watch();
-    let drip = thread::spawn(move || {
-        let mut next = begins;
-        while write!(dripping, "{:x}\r\n{next}\r\n", next.len()).is_ok() {
+#[case::spaces(" ")]
+#[case::an_endless_object("{\"x\":1,")]
+fn a_watch_that_sends_bytes_but_completes_no_message_is_lost(#[case] first_bytes: &'static str) {
+    let (program, _nodes, discovery) = start_router(1);
+    let (_, mut slow_watch) = discovery.accept_watch();
+    let sender = thread::spawn(move || {
+        let mut next = first_bytes;
+        while write!(slow_watch, "{:x}\r\n{next}\r\n", next.len()).is_ok() {
             thread::sleep(Duration::from_millis(50));
             next = " ";
         }
     });
-    let (_, mut watch) = agent.accept_watch();
+    let (_, mut watch) = discovery.accept_watch();
     program.wait_for_log("silence");
     send_update(&mut watch, &endpoint_update(45, true, &[]));
     program.wait_for_log("whole list 45: 0 entries");
-    drip.join().expect("the old watch is closed");
+    sender.join().expect("the old watch is closed");
     assert!(program.counters()["discovery_quiet_ms_most"] >= 3000);
 }
 
 #[rstest]
-fn a_list_may_be_indented() {
-    let (nodes, agent) = (FakeNodes::new(2), FakeDiscovery::new());
-    let program = Program::start(&nodes.addresses[..1], agent.address, &settings_json(1000, 180), "{}");
-    let (_, mut watch) = agent.accept_watch();
+fn an_endpoint_list_may_be_indented() {
+    let (nodes, discovery) = (FakeNodes::new(2), FakeDiscovery::new());
+    let program = Program::start(&nodes.addresses[..1], discovery.address, &settings_json(1000, 180), "{}");
+    let (_, mut watch) = discovery.accept_watch();
     let list = endpoint_update(45, true, &[endpoint_entry("s-9", nodes.addresses[1], "SERVING")]);
     send_update(&mut watch, &list.replace(',', ",\n    ").replace('{', "{\n  "));
     program.wait_for_log("whole list 45: 1 entries");
@@ -111,16 +113,16 @@
 }
 
 #[rstest]
-fn an_entry_that_cannot_be_used_leaves_its_node_as_it_was_and_hides_no_other() {
-    let (nodes, agent) = (FakeNodes::new(2), FakeDiscovery::new());
-    let program = Program::start(&nodes.addresses, agent.address, &settings_json(1000, 180), "{}");
-    let (_, mut watch) = agent.accept_watch();
-    let wrong =
+fn an_unusable_entry_leaves_its_node_unchanged_and_does_not_affect_others() {
+    let (nodes, discovery) = (FakeNodes::new(2), FakeDiscovery::new());
+    let program = Program::start(&nodes.addresses, discovery.address, &settings_json(1000, 180), "{}");
+    let (_, mut watch) = discovery.accept_watch();
+    let unusable =
         endpoint_entry("s-0", nodes.addresses[0], "SERVING").replace("\"group\":0", "\"group\":\"x\"");
-    let drains = endpoint_entry("s-1", nodes.addresses[1], "DRAINING");
-    send_update(&mut watch, &endpoint_update(45, true, &[wrong, drains]));
-    let said = program.wait_for_log("1 entries cannot be used");
-    assert!(said.contains("`s-0`: `group` is not a whole number"), "{said}");
+    let draining = endpoint_entry("s-1", nodes.addresses[1], "DRAINING");
+    send_update(&mut watch, &endpoint_update(45, true, &[unusable, draining]));
+    let line = program.wait_for_log("1 entries cannot be used");
+    assert!(line.contains("`s-0`: `group` is not a whole number"), "{line}");
     program.wait_for_log("whole list 45: 1 entries");
     let mut client = program.connect();
     for id in ["a", "b"] {
@@ -128,21 +130,21 @@
         assert_eq!(nodes.answer_next(), (vec![format!("{id}.0")], 0));
         assert_eq!(client.read_status(), "200");
     }
-    // A state that can be read holds whatever else is wrong.
-    let drains = endpoint_entry("s-0", nodes.addresses[0], "DRAINING").replace("127.0.0.1", "nowhere");
-    send_update(&mut watch, &endpoint_update(46, false, &[drains]));
+    // The status of an entry applies even if its address cannot be read.
+    let draining = endpoint_entry("s-0", nodes.addresses[0], "DRAINING").replace("127.0.0.1", "nowhere");
+    send_update(&mut watch, &endpoint_update(46, false, &[draining]));
     program.wait_for_log("change 46: 0 entries");
     client.send_query("c", &[0], 400);
     assert_ne!(client.read_status(), "200");
-    assert!(nodes.frames.try_recv().is_err(), "nothing new goes to a node that drains");
+    assert!(nodes.frames.try_recv().is_err(), "a draining node gets no new attempt");
 }
 
 #[rstest]
-fn idle_clients_that_hold_all_descriptors_keep_neither_discovery_nor_others_out() {
-    let (nodes, agent) = (FakeNodes::new(1), FakeDiscovery::new());
+fn idle_clients_that_hold_all_descriptors_block_neither_discovery_nor_new_clients() {
+    let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let limits = r#"{"sockets":32}"#;
-    let program = Program::start(&nodes.addresses, agent.address, &settings_json(1000, 180), limits);
-    // Each has had an answer, so none is dismissed before the others; none closes when it is.
+    let program = Program::start(&nodes.addresses, discovery.address, &settings_json(1000, 180), limits);
+    // Each client has had an answer, so all have the same priority for being closed. None closes its own side.
     let mut idle: Vec<Client> = vec![];
     for _ in 0..40 {
         let mut client = program.connect();
@@ -150,8 +152,8 @@
         assert_eq!(client.read_status(), "200");
         idle.push(client);
     }
-    drop(agent.accept_watch());
-    let (_, mut watch) = agent.accept_watch();
+    drop(discovery.accept_watch());
+    let (_, mut watch) = discovery.accept_watch();
     send_update(&mut watch, &endpoint_update(45, false, &[]));
     program.wait_for_log("change 45: 0 entries");
     let mut client = program.connect();
@@ -163,21 +165,21 @@
 }
 
 #[rstest]
-fn a_request_that_came_behind_another_at_the_end_of_a_stop_is_answered_too() {
-    let (program, nodes, _agent) = start_router_with(1, 4000, 180, "{}");
+fn a_request_pipelined_behind_another_at_the_end_of_a_shutdown_is_answered() {
+    let (program, nodes, _discovery) = start_router_with(1, 4000, 180, "{}");
     let mut client = program.connect();
     client.send_query("first", &[0], 4000);
-    let mut call = nodes.next_frame('S');
+    let mut frame = nodes.next_frame('S');
     program.signal("TERM");
     program.wait_for_log("SIGTERM");
-    // By now connections close with their present answer.
-    let end = Instant::now() + TIMEOUT;
+    // Once the listener is closed, each connection closes after its current answer.
+    let deadline = Instant::now() + TIMEOUT;
     while TcpStream::connect(program.address).is_ok() {
-        assert!(Instant::now() < end, "the listener stays open");
+        assert!(Instant::now() < deadline, "the listener stays open");
         thread::sleep(Duration::from_millis(5));
     }
     client.send_query("second", &[0], 4000);
-    send_reply(&mut call.stream, "first.0 done 17 -\nvalue");
+    send_reply(&mut frame.stream, "first.0 done 17 -\nvalue");
     assert_eq!(client.read_status(), "200");
     assert_eq!(nodes.answer_next().0, ["second.0"]);
     assert_eq!(client.read_status(), "200");
--- a/crates/router/tests/persisted_version.rs
+++ b/crates/router/tests/persisted_version.rs
@@ -1,5 +1,5 @@
-//! The file of a persisted configuration version stays readable: reference files are read, compared field by field, and
-//! written again to the same bytes.
+//! Compatibility of the file of a persisted version: reference files are read, compared field by field, and written again to the
+//! same bytes.
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_router::control::persisted_version::PersistedVersion;
 use rstest::rstest;
@@ -28,12 +28,12 @@
 #[rstest]
 #[case("persisted-version", Some(1_700_000_000_007))]
 #[case("persisted-version-of-unknown-age", None)]
-fn a_reference_file_is_read_and_written_again_to_the_same_bytes(
+fn a_reference_file_is_read_and_written_back_to_the_same_bytes(
     #[case] file: &str,
     #[case] confirmed_at_unix_ms: Option<u64>,
 ) {
     let reference = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(file);
-    let persisted = PersistedVersion::load(&reference).expect("sound").expect("there");
+    let persisted = PersistedVersion::load(&reference).expect("readable").expect("the file exists");
     let PersistedVersion {
         version: ConfigVersion { number, digest, text },
         confirmed_at_unix_ms: read_confirmed_at,
@@ -48,7 +48,7 @@
 }
 
 #[rstest]
-fn the_file_is_one_line_of_head_and_the_settings() {
+fn the_file_is_a_header_line_and_the_settings() {
     let reference = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/persisted-version");
     let expected = format!("alderway-version 1 7 000000425779502b 1700000000007\n{SETTINGS}");
     assert_eq!(fs::read_to_string(reference).expect("read"), expected);
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -1,4 +1,4 @@
-//! The configuration file at a start: what is read from it, and the line that says what is at fault.
+//! The configuration file at the start: the values that are read from it, and the error messages.
 mod common;
 use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
 use alderway_telemetry::clock::Clock;
@@ -25,7 +25,7 @@
     })
 }
 
-/// A file that is removed with the test.
+/// A temporary file that is removed at the end of the test.
 struct ConfigFile(PathBuf);
 
 impl ConfigFile {
@@ -50,13 +50,13 @@
 
 fn error_of(text: &str) -> String {
     let file = ConfigFile::new(text);
-    read(&file.0).err().expect("refused").to_string()
+    read(&file.0).err().expect("rejected").to_string()
 }
 
 #[rstest]
 fn every_key_is_read() {
     let file = ConfigFile::new(&document().to_string());
-    let config = read(&file.0).expect("a good file");
+    let config = read(&file.0).expect("a valid file");
     assert_eq!((config.name.as_str(), config.path.as_path()), ("r1", file.0.as_path()));
     assert_eq!(
         (config.listen.to_string(), config.discovery.to_string()),
@@ -84,13 +84,13 @@
         document.as_object_mut().expect("an object").remove(key);
     }
     let file = ConfigFile::new(&document.to_string());
-    let config = read(&file.0).expect("a good file");
+    let config = read(&file.0).expect("a valid file");
     assert_eq!((config.max_descriptors, config.max_memory_bytes, config.seed), (1024, 192 * 1024 * 1024, 0));
     assert!(config.endpoints.nodes.is_empty());
 }
 
 #[rstest]
-fn other_settings_and_another_count_of_routers_take_the_place_of_the_files() {
+fn overrides_replace_the_settings_and_the_count_of_routers() {
     let file = ConfigFile::new(&document().to_string());
     let mut settings = document()["settings"].clone();
     settings["TickUs"] = json!(7000);
@@ -99,33 +99,33 @@
         Overrides { router_count: Some(9), settings: Some(settings.clone()) },
         Clock::default(),
     )
-    .expect("good");
+    .expect("valid");
     assert_eq!((&config.settings_json, config.settings.policy.router_count), (&settings, 9));
     assert_eq!(config.settings.admission.min_round_interval_s, 0.007);
-    // A reload compares the file with itself.
+    // A reload compares the file with its own earlier content, not with the overrides.
     assert_eq!(config.fixed_keys[3], ("settings", document()["settings"].clone()));
 }
 
 #[rstest]
-#[case::no_name("/name", json!(7), "key `name`: expected text")]
-#[case::no_address("/listen", json!("here"), "key `listen`: expected address:port, found `here`")]
-#[case::no_text("/discovery", json!(null), "key `discovery`: expected text")]
-#[case::few_descriptors("/limits/sockets", json!(19), "key `limits.sockets`: expected a whole number from 20")]
-#[case::no_memory("/limits/memory_mb", json!("64"), "key `limits.memory_mb`: expected a whole number from 1")]
-#[case::no_seed("/seed", json!("xyz"), "key `seed`: expected up to 16 hex digits")]
-#[case::faulty_settings(
+#[case::invalid_name("/name", json!(7), "key `name`: expected text")]
+#[case::invalid_address("/listen", json!("here"), "key `listen`: expected address:port, found `here`")]
+#[case::null_address("/discovery", json!(null), "key `discovery`: expected text")]
+#[case::too_few_descriptors("/limits/sockets", json!(19), "key `limits.sockets`: expected a whole number from 20")]
+#[case::invalid_memory("/limits/memory_mb", json!("64"), "key `limits.memory_mb`: expected a whole number from 1")]
+#[case::invalid_seed("/seed", json!("xyz"), "key `seed`: expected up to 16 hex digits")]
+#[case::invalid_settings(
     "/settings/TickUs",
     json!("soon"),
     "key `settings`: expected a number in setting `TickUs`"
 )]
-fn a_faulty_key_is_named(#[case] path: &str, #[case] value: Value, #[case] message: &str) {
+fn an_error_names_the_invalid_key(#[case] path: &str, #[case] value: Value, #[case] message: &str) {
     let mut document = document();
     *document.pointer_mut(path).expect("a key") = value;
     assert_eq!(error_of(&document.to_string()), message);
 }
 
 #[rstest]
-fn known_data_nodes_that_cannot_be_read_are_named() {
+fn an_unreadable_list_of_known_data_nodes_is_named() {
     let mut document = document();
     document["known"] = json!({"index": "x"});
     let error = error_of(&document.to_string());
@@ -133,10 +133,10 @@
 }
 
 #[rstest]
-fn what_is_no_configuration_is_told() {
+fn a_file_that_is_no_configuration_is_rejected() {
     assert!(error_of("{").starts_with("configuration: not JSON ("));
     assert_eq!(error_of("{}"), "key `settings`: missing");
     let missing = Path::new("/nowhere/at/all.json");
-    let error = read(missing).err().expect("refused").to_string();
+    let error = read(missing).err().expect("rejected").to_string();
     assert!(error.starts_with("`PROXY_CONFIG` /nowhere/at/all.json: "), "{error}");
 }
