--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings that change while the router serves: as a dispatcher takes them over, as they are checked, and as the program does it
-//! over sockets. Each story fails when the code behind it breaks.
+//! Settings that change while the router serves: how they are checked, how a dispatcher applies them, how `LiveConfig` publishes
+//! them, and how the program applies them at a reload.
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
@@ -24,18 +24,18 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-fn held() -> Value {
+fn current_settings() -> Value {
     serde_json::from_str(&settings_json(1000, 180)).expect("settings")
 }
 
-/// The same with another value at one place.
-fn with(path: &str, value: Value) -> Value {
-    let mut all = held();
-    *all.pointer_mut(path).unwrap_or_else(|| panic!("no {path}")) = value;
-    all
+/// The current settings with another value at one path.
+fn settings_with(path: &str, value: Value) -> Value {
+    let mut settings = current_settings();
+    *settings.pointer_mut(path).unwrap_or_else(|| panic!("no {path}")) = value;
+    settings
 }
 
-// What is checked.
+// Checks.
 
 #[rstest]
 #[case("/Services/0/PromiseUs", json!("soon"), "PromiseUs")]
@@ -45,15 +45,16 @@
 #[case("/TickUs", json!(0), "TickUs")]
 #[case("/Tenants", json!({}), "Tenants")]
 #[case("/Obligations", json!({"ResendRatio": 0.1}), "ExtraFree")]
-fn what_is_faulty_is_refused_in_one_line_that_names_the_key(
+fn invalid_settings_are_rejected_with_one_line_that_names_the_key(
     #[case] path: &str,
     #[case] value: Value,
     #[case] key: &str,
 ) {
-    let why = check(&with(path, value), Some(&held())).expect_err("refused").to_string();
+    let error =
+        check(&settings_with(path, value), Some(&current_settings())).expect_err("rejected").to_string();
     assert!(
-        why.starts_with("key `settings`: expected ") && why.contains(key) && !why.contains('\n'),
-        "{why}"
+        error.starts_with("key `settings`: expected ") && error.contains(key) && !error.contains('\n'),
+        "{error}"
     );
 }
 
@@ -63,15 +64,15 @@
 #[case("/Extra/Slices", json!(41), "Extra.Slices")]
 #[case("/Discovery", json!("subscribe"), "Discovery")]
 #[case("/Limits/MaxOpen", json!(181), "Limits.MaxOpen")]
-fn what_holds_from_the_start_to_the_end_is_refused_by_name(
+fn keys_that_need_a_restart_are_rejected_by_name(
     #[case] path: &str,
     #[case] value: Value,
     #[case] key: &str,
 ) {
-    let new = with(path, value);
-    check(&new, None).expect("sound at a start");
-    let why = check(&new, Some(&held())).expect_err("refused").to_string();
-    assert!(why.contains(&format!("`{key}`")) && why.contains("a restart is required"), "{why}");
+    let new = settings_with(path, value);
+    check(&new, None).expect("valid at a start");
+    let error = check(&new, Some(&current_settings())).expect_err("rejected").to_string();
+    assert!(error.contains(&format!("`{key}`")) && error.contains("a restart is required"), "{error}");
 }
 
 #[rstest]
@@ -81,113 +82,117 @@
 #[case("/Obligations", json!({"ColdFrom": 0.2, "WarmUpUs": 1e6, "FallMultiple": 2, "FallUs": 1e6}), "Obligations.ColdFrom")]
 #[case("/Limits/MaxAttempts", json!(4), "Limits.MaxAttempts")]
 #[case("/ReplicasOfMe", json!(3), "ReplicasOfMe")]
-fn what_may_change_is_named(#[case] path: &str, #[case] value: Value, #[case] key: &str) {
-    let checked = check(&with(path, value), Some(&held())).expect("taken");
+fn keys_that_can_change_are_named(#[case] path: &str, #[case] value: Value, #[case] key: &str) {
+    let checked = check(&settings_with(path, value), Some(&current_settings())).expect("taken");
     assert_eq!(checked.changed_keys[0], key);
 }
 
 #[rstest]
-fn how_a_number_is_written_and_what_nobody_reads_is_no_change() {
-    let mut new = with("/Services/0/Worth", json!(1.0));
+fn the_notation_of_a_number_and_unknown_keys_are_no_change() {
+    let mut new = settings_with("/Services/0/Worth", json!(1.0));
     new["Comment"] = json!("as before");
-    assert_eq!(changes(&held(), &new), Changes::default());
+    assert_eq!(changes(&current_settings(), &new), Changes::default());
 }
 
 // The dispatcher.
 
-struct Started {
+struct Harness {
     dispatcher: Dispatcher,
-    module: Policy,
-    news: watch::Sender<Arc<ConfigGeneration>>,
+    policy: Policy,
+    updates: watch::Sender<Arc<ConfigGeneration>>,
 }
 
-fn issue(serial: u64, all: &Value) -> Arc<ConfigGeneration> {
-    Arc::new(ConfigGeneration { serial, settings: Settings::read(all).expect("sound") })
+fn generation(serial: u64, settings: &Value) -> Arc<ConfigGeneration> {
+    Arc::new(ConfigGeneration { serial, settings: Settings::read(settings).expect("valid") })
 }
 
-/// A dispatcher and its module, with one data node.
-fn dispatcher() -> Started {
-    let began = issue(0, &held());
-    let (trunk, room) = (began.settings.connections, began.settings.admission);
-    let mut dispatcher = Dispatcher::new(Clock::default(), trunk, room, vec![]);
-    let (news, told) = watch::channel(began);
-    dispatcher.subscribe_config(told);
+/// A dispatcher and its policy, with one data node.
+fn start_dispatcher() -> Harness {
+    let first = generation(0, &current_settings());
+    let (connections, admission) = (first.settings.connections, first.settings.admission);
+    let mut dispatcher = Dispatcher::new(Clock::default(), connections, admission, vec![]);
+    let (updates, receiver) = watch::channel(first);
+    dispatcher.subscribe_config(receiver);
     dispatcher.endpoints.begin_update(1, true);
     let address = ([127, 0, 0, 1], 1).into();
     dispatcher.endpoints.update("s", address, 0, alderway::interface::NodeState::Serving, None);
-    let module = Policy::new(7, dispatcher.class_table.policy_config().expect("terms").clone());
-    let mut started = Started { dispatcher, module, news };
-    started.round();
-    started
+    let policy = Policy::new(7, dispatcher.class_table.policy_config().expect("a configuration").clone());
+    let mut harness = Harness { dispatcher, policy, updates };
+    harness.run_round();
+    harness
 }
 
-/// Decisions of a round, carried out by the dispatcher after it.
+/// The decisions of a round, which the dispatcher carries out after it.
 #[derive(Default)]
-struct Said(Vec<(String, String)>);
+struct RecordedDecisions(Vec<(String, String)>);
 
-impl alderway::interface::DecisionSink for Said {
-    fn start_attempt(&mut self, part: &str, node: &str, _: f64) {
-        self.0.push((format!("call {part}"), node.into()));
+impl alderway::interface::DecisionSink for RecordedDecisions {
+    fn start_attempt(&mut self, request: &str, node: &str, _: f64) {
+        self.0.push((format!("start {request}"), node.into()));
     }
-    fn cancel_attempt(&mut self, part: &str, hop: usize) {
-        self.0.push((format!("cancel {part}"), hop.to_string()));
+    fn cancel_attempt(&mut self, request: &str, attempt: usize) {
+        self.0.push((format!("cancel {request}"), attempt.to_string()));
     }
-    fn answer(&mut self, query: &str, whole: bool) {
-        self.0.push((format!("answer {query}"), whole.to_string()));
+    fn answer(&mut self, query: &str, complete: bool) {
+        self.0.push((format!("answer {query}"), complete.to_string()));
     }
     fn reject(&mut self, query: &str, _: Option<f64>) {
         self.0.push((format!("reject {query}"), String::new()));
     }
     fn fail(&mut self, query: &str) {
-        self.0.push((format!("abort {query}"), String::new()));
+        self.0.push((format!("fail {query}"), String::new()));
     }
     fn set_timer(&mut self, _: f64, _: u64) {}
     fn poll_endpoints(&mut self) {}
     fn log(&mut self, _: &str) {}
 }
 
-impl Started {
-    fn round(&mut self) -> Vec<String> {
+impl Harness {
+    fn run_round(&mut self) -> Vec<String> {
         use alderway::interface::DecisionSink;
         let (now, dispatcher) = (self.dispatcher.clock.now(), &mut self.dispatcher);
-        let mut said = Said::default();
-        let told = |intake: &mut dyn alderway::interface::PolicyInput| {
-            dispatcher.notify_policy(now, intake);
+        let mut decisions = RecordedDecisions::default();
+        let notify = |input: &mut dyn alderway::interface::PolicyInput| {
+            dispatcher.notify_policy(now, input);
             Ok::<(), ()>(())
         };
-        self.module.round(now, told, &mut said).expect("no fault");
-        for (what, which) in &said.0 {
-            match what.split_once(' ').expect("two words") {
-                ("call", part) => self.dispatcher.start_attempt(part, which, 5.0),
-                ("cancel", part) => self.dispatcher.cancel_attempt(part, which.parse().expect("a hop")),
-                ("answer", query) => self.dispatcher.answer(query, which == "true"),
+        self.policy.round(now, notify, &mut decisions).expect("no error");
+        for (decision, argument) in &decisions.0 {
+            match decision.split_once(' ').expect("two words") {
+                ("start", request) => self.dispatcher.start_attempt(request, argument, 5.0),
+                ("cancel", request) => {
+                    self.dispatcher.cancel_attempt(request, argument.parse().expect("an attempt"))
+                }
+                ("answer", query) => self.dispatcher.answer(query, argument == "true"),
                 ("reject", query) => self.dispatcher.reject(query, None),
                 (_, query) => self.dispatcher.fail(query),
             }
         }
-        said.0.into_iter().map(|(what, _)| what).collect()
+        decisions.0.into_iter().map(|(decision, _)| decision).collect()
     }
 
-    fn offer(&mut self, serial: u64, all: &Value) {
-        self.news.send_replace(issue(serial, all));
+    fn publish(&mut self, serial: u64, settings: &Value) {
+        self.updates.send_replace(generation(serial, settings));
     }
 
-    /// As a request is taken in; the vertical's place, or none.
-    fn take(&mut self, id: &str, name: &str) -> Option<(usize, Rc<ClientConnection>)> {
+    /// Opens a query as a request does; returns the slot of its class, or none if the class is unknown.
+    fn open_query(&mut self, id: &str, class_name: &str) -> Option<(usize, Rc<ClientConnection>)> {
         self.dispatcher.refresh_config();
-        let class = self.dispatcher.class_slot(name)?;
+        let class = self.dispatcher.class_slot(class_name)?;
         let (time_left_s, requests) =
             (self.dispatcher.admission.max_deadline_s, shard_requests(id, &[1], 1.0));
-        let client = open_query(&mut self.dispatcher, id, class, time_left_s, requests, None).expect("taken");
+        let client =
+            open_query(&mut self.dispatcher, id, class, time_left_s, requests, None).expect("opened");
         Some((class, client))
     }
 
-    fn ends(&mut self, part: &str, ending: AttemptOutcome) -> Vec<String> {
-        let id = AttemptId::new(part, 0);
-        let node = self.dispatcher.attempts.get(&id).expect("it is out").node.clone();
-        self.dispatcher.attempts.end(&id, ending, self.dispatcher.clock.now()).expect("it is out");
+    /// Ends the first attempt of a shard request, and runs a round; returns its decisions.
+    fn end_attempt(&mut self, request: &str, outcome: AttemptOutcome) -> Vec<String> {
+        let id = AttemptId::new(request, 0);
+        let node = self.dispatcher.attempts.get(&id).expect("in flight").node.clone();
+        self.dispatcher.attempts.end(&id, outcome, self.dispatcher.clock.now()).expect("in flight");
         assert_eq!(node, "s");
-        self.round()
+        self.run_round()
     }
 
     fn serial(&self) -> u64 {
@@ -196,168 +201,170 @@
 }
 
 #[rstest]
-fn an_open_query_stays_in_its_verticals_old_place_and_a_new_one_goes_by_the_newest() {
-    let mut all = dispatcher();
-    let (old, _client) = all.take("a", "site-search").expect("known");
-    all.round();
-    // At most once from here on: what was taken before may be sent again.
-    all.offer(1, &with("/Services/0/Effect", json!("at_most_once")));
-    let (new, _other) = all.take("b", "site-search").expect("known");
-    assert_ne!(old, new, "before any round, a request goes by what is in force");
-    assert_eq!(all.serial(), 0);
-    assert!(all.round().contains(&"call b.1".to_string()));
-    assert_eq!(all.serial(), 1, "taken over with the round");
-    assert!(!all.ends("a.1", AttemptOutcome::Error).contains(&"abort a".to_string()));
-    assert_eq!(all.ends("b.1", AttemptOutcome::Error), ["abort b"]);
+fn an_open_query_keeps_its_class_settings_and_a_new_one_gets_the_newest() {
+    let mut harness = start_dispatcher();
+    let (old, _client) = harness.open_query("a", "site-search").expect("known");
+    harness.run_round();
+    // From here on the class is `at_most_once`; shard requests of earlier queries may still be retried.
+    harness.publish(1, &settings_with("/Services/0/Effect", json!("at_most_once")));
+    let (new, _other) = harness.open_query("b", "site-search").expect("known");
+    assert_ne!(old, new, "a request uses the newest settings even before the next round");
+    assert_eq!(harness.serial(), 0);
+    assert!(harness.run_round().contains(&"start b.1".to_string()));
+    assert_eq!(harness.serial(), 1, "applied with the round");
+    assert!(!harness.end_attempt("a.1", AttemptOutcome::Error).contains(&"fail a".to_string()));
+    assert_eq!(harness.end_attempt("b.1", AttemptOutcome::Error), ["fail b"]);
 }
 
 #[rstest]
-fn a_query_that_was_taken_but_not_yet_told_keeps_what_it_was_promised() {
-    let mut all = dispatcher();
-    let (old, client) = all.take("a", "region-report").expect("known");
-    let mut new = held();
+fn a_query_admitted_before_a_change_keeps_its_class_after_the_next_round() {
+    let mut harness = start_dispatcher();
+    let (old, client) = harness.open_query("a", "region-report").expect("known");
+    let mut new = current_settings();
     new["Services"].as_array_mut().expect("a list").truncate(1);
-    all.offer(1, &new);
-    assert_eq!(all.round(), ["call a.1"]);
-    assert!(all.take("b", "region-report").is_none(), "unknown from here on");
-    assert_eq!(all.dispatcher.queries.open_in_class(old), 1);
-    assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
+    harness.publish(1, &new);
+    assert_eq!(harness.run_round(), ["start a.1"]);
+    assert!(harness.open_query("b", "region-report").is_none(), "the class is removed");
+    assert_eq!(harness.dispatcher.queries.open_in_class(old), 1);
+    assert_eq!(harness.end_attempt("a.1", AttemptOutcome::Success), ["answer a"]);
     assert!(response_text(&client).starts_with("HTTP/1.1 200 "));
-    let counted = all.dispatcher.metrics_text();
-    assert!(counted.contains("queries_merged{region-report} 1"), "{counted}");
+    let metrics = harness.dispatcher.metrics_text();
+    assert!(metrics.contains("queries_merged{region-report} 1"), "{metrics}");
 }
 
 #[rstest]
-fn many_changes_leave_nothing_behind() {
-    let mut all = dispatcher();
-    let _client = all.take("a", "site-search").expect("known");
-    all.round();
+fn many_changes_do_not_accumulate_class_slots() {
+    let mut harness = start_dispatcher();
+    let _client = harness.open_query("a", "site-search").expect("known");
+    harness.run_round();
     for n in 1..=650 {
-        all.offer(n, &with("/Services/0/PromiseUs", json!(1_000_000 + n)));
-        // Some are so close that no round is between them.
+        harness.publish(n, &settings_with("/Services/0/PromiseUs", json!(1_000_000 + n)));
+        // Every third change is followed by another before the next round.
         if n % 3 > 0 {
-            all.round();
+            harness.run_round();
         } else {
-            all.dispatcher.refresh_config();
+            harness.dispatcher.refresh_config();
         }
     }
-    all.round();
+    harness.run_round();
     assert!(
-        all.dispatcher.class_slot_count() <= 5,
-        "{} places for two verticals and one open query",
-        all.dispatcher.class_slot_count()
+        harness.dispatcher.class_slot_count() <= 5,
+        "{} slots for two classes and one open query",
+        harness.dispatcher.class_slot_count()
     );
-    assert_eq!(all.ends("a.1", AttemptOutcome::Success), ["answer a"]);
+    assert_eq!(harness.end_attempt("a.1", AttemptOutcome::Success), ["answer a"]);
 }
 
 #[rstest]
-fn a_shorter_deadline_is_for_new_queries_and_replies_to_old_ones_are_still_waited_for() {
-    let mut all = dispatcher();
-    let (_, client) = all.take("a", "site-search").expect("known");
-    let until = all.dispatcher.queries.get(client.open_query.get().expect("open")).expect("open").not_after_s;
-    let mut new = with("/Services/0/DeadlineUs", json!(1_000_000));
+fn a_shorter_deadline_applies_only_to_new_queries() {
+    let mut harness = start_dispatcher();
+    let (_, client) = harness.open_query("a", "site-search").expect("known");
+    let until =
+        harness.dispatcher.queries.get(client.open_query.get().expect("open")).expect("open").not_after_s;
+    let mut new = settings_with("/Services/0/DeadlineUs", json!(1_000_000));
     new["Services"][1]["DeadlineUs"] = json!(1_000_000);
-    all.offer(1, &new);
-    all.round();
-    let (_, other) = all.take("b", "site-search").expect("known");
+    harness.publish(1, &new);
+    harness.run_round();
+    let (_, other) = harness.open_query("b", "site-search").expect("known");
     let of = |client: &Rc<ClientConnection>| {
-        all.dispatcher.queries.get(client.open_query.get().expect("open")).expect("open")
+        harness.dispatcher.queries.get(client.open_query.get().expect("open")).expect("open")
     };
-    let now = all.dispatcher.clock.now();
+    let now = harness.dispatcher.clock.now();
     assert_eq!(of(&client).not_after_s, until);
     assert!(of(&other).not_after_s <= now + 1.0);
-    assert_eq!(all.dispatcher.longest_deadline_s(now), 5.0);
-    assert_eq!(all.dispatcher.longest_deadline_s(now + 5.1), 1.0);
+    assert_eq!(harness.dispatcher.longest_deadline_s(now), 5.0);
+    assert_eq!(harness.dispatcher.longest_deadline_s(now + 5.1), 1.0);
 }
 
 #[rstest]
-fn a_module_that_starts_anew_starts_with_the_newest() {
-    let mut all = dispatcher();
-    let _client = all.take("a", "site-search").expect("known");
-    all.round();
-    all.offer(1, &with("/Services/0/Effect", json!("at_most_once")));
-    all.round();
-    all.dispatcher.restart_policy();
-    all.module = Policy::new(7, all.dispatcher.class_table.policy_config().expect("terms").clone());
-    all.round();
-    let (place, _client) = all.take("b", "site-search").expect("known");
-    assert_eq!((place, all.dispatcher.class_slot_count()), (0, 2), "as after a start");
-    assert_eq!(all.round(), ["call b.1"]);
-    assert_eq!(all.ends("b.1", AttemptOutcome::Error), ["abort b"]);
+fn a_policy_that_restarts_uses_the_newest_settings() {
+    let mut harness = start_dispatcher();
+    let _client = harness.open_query("a", "site-search").expect("known");
+    harness.run_round();
+    harness.publish(1, &settings_with("/Services/0/Effect", json!("at_most_once")));
+    harness.run_round();
+    harness.dispatcher.restart_policy();
+    harness.policy =
+        Policy::new(7, harness.dispatcher.class_table.policy_config().expect("a configuration").clone());
+    harness.run_round();
+    let (slot, _client) = harness.open_query("b", "site-search").expect("known");
+    assert_eq!((slot, harness.dispatcher.class_slot_count()), (0, 2), "as after a start");
+    assert_eq!(harness.run_round(), ["start b.1"]);
+    assert_eq!(harness.end_attempt("b.1", AttemptOutcome::Error), ["fail b"]);
 }
 
-// The one path for all that bring settings.
+// `LiveConfig`.
 
-fn live(role: Role) -> (LiveConfig, Arc<SharedState>) {
+fn new_live_config(role: Role) -> (LiveConfig, Arc<SharedState>) {
     let shared = SharedState::new(180, MulticoreConfig { cores: 2, ..MulticoreConfig::default() }, 1.0).0;
-    let began = Settings::read(&held()).expect("sound");
-    (LiveConfig::new(shared.clone(), role, held(), began, None), shared)
+    let settings = Settings::read(&current_settings()).expect("valid");
+    (LiveConfig::new(shared.clone(), role, current_settings(), settings, None), shared)
 }
 
-fn block_on<T>(what: impl Future<Output = T>) -> T {
+fn block_on<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("a runtime").block_on(what)
+    runtime.expect("a runtime").block_on(future)
 }
 
 #[rstest]
-fn an_offer_is_answered_when_every_core_that_serves_has_it() {
-    let (live, shared) = live(Role::Router);
+fn applying_settings_returns_once_every_serving_core_has_applied_them() {
+    let (live_config, shared) = new_live_config(Role::Router);
     let hangs = Rc::new(std::cell::Cell::new(false));
-    let serves = hangs.clone();
-    live.attach(Box::new(|_| ()), Some(Box::new(move |core| core == 0 || !serves.get())));
-    let new = with("/ReplicasOfMe", json!(5));
+    let core_1_hangs = hangs.clone();
+    live_config.attach(Box::new(|_| ()), Some(Box::new(move |core| core == 0 || !core_1_hangs.get())));
+    let new = settings_with("/ReplicasOfMe", json!(5));
     block_on(async {
-        let mut offer = Box::pin(live.apply(new.clone(), Some(7)));
-        let mut news = live.subscribe();
+        let mut apply = Box::pin(live_config.apply(new.clone(), Some(7)));
+        let mut updates = live_config.subscribe();
         tokio::select! {
             biased;
-            outcome = &mut offer => panic!("{outcome:?} though no core has it"),
+            outcome = &mut apply => panic!("{outcome:?} although no core has applied the settings"),
             () = async {
-                while news.borrow_and_update().serial < 1 {
-                    news.changed().await.expect("told");
+                while updates.borrow_and_update().serial < 1 {
+                    updates.changed().await.expect("published");
                 }
             } => {}
         }
         shared.cores[0].config_serial.send_replace(1);
         tokio::select! {
             biased;
-            outcome = &mut offer => panic!("{outcome:?} though core 1 has not"),
+            outcome = &mut apply => panic!("{outcome:?} although core 1 has not applied the settings"),
             () = tokio::task::yield_now() => {}
         }
-        // Nobody waits for one that hangs.
+        // A core that hangs is not waited for.
         hangs.set(true);
-        assert_eq!(offer.await, Ok(Applied::Changed));
-        assert_eq!((live.version(), live.in_force()), (Some(7), Arc::new(new.clone())));
-        assert_eq!(live.apply(new, Some(8)).await, Ok(Applied::Unchanged));
-        assert_eq!(live.version(), Some(8));
+        assert_eq!(apply.await, Ok(Applied::Changed));
+        assert_eq!((live_config.version(), live_config.in_force()), (Some(7), Arc::new(new.clone())));
+        assert_eq!(live_config.apply(new, Some(8)).await, Ok(Applied::Unchanged));
+        assert_eq!(live_config.version(), Some(8));
     });
 }
 
 #[rstest]
-fn what_is_refused_changes_nothing_and_is_told_to_nobody() {
-    let (live, _house) = live(Role::Router);
-    let news = live.subscribe();
+fn rejected_settings_change_nothing_and_are_not_published() {
+    let (live_config, _shared) = new_live_config(Role::Router);
+    let updates = live_config.subscribe();
     block_on(async {
-        let faulty = live.apply(with("/TickUs", json!(0)), Some(3)).await;
-        assert!(matches!(faulty, Err(ConfigError::Invalid(why)) if why.contains("TickUs")));
-        // Whole or not at all: what could change does not either.
-        let mut both = with("/Extra/Cells", json!(2));
+        let invalid = live_config.apply(settings_with("/TickUs", json!(0)), Some(3)).await;
+        assert!(matches!(invalid, Err(ConfigError::Invalid(error)) if error.contains("TickUs")));
+        // Settings are applied completely or not at all: a key that could change does not change either.
+        let mut both = settings_with("/Extra/Cells", json!(2));
         both["Services"][0]["Worth"] = json!(9);
         assert_eq!(
-            live.apply(both, Some(3)).await,
+            live_config.apply(both, Some(3)).await,
             Err(ConfigError::RestartRequired(vec!["Extra.Cells".into()]))
         );
     });
-    assert_eq!((live.version(), live.in_force()), (None, Arc::new(held())));
-    assert!(!news.has_changed().expect("open"));
+    assert_eq!((live_config.version(), live_config.in_force()), (None, Arc::new(current_settings())));
+    assert!(!updates.has_changed().expect("open"));
 }
 
 #[rstest]
 #[case(Role::Planner)]
 #[case(Role::Forwarder { planners: vec![], heartbeat_interval_s: 0.05, heartbeat_timeout_s: 0.25 })]
-fn on_two_levels_settings_wait_for_a_start(#[case] role: Role) {
-    let (live, _house) = live(role);
-    let outcome = block_on(live.apply(with("/ReplicasOfMe", json!(5)), None));
+fn settings_of_forwarders_and_planners_need_a_restart(#[case] role: Role) {
+    let (live_config, _shared) = new_live_config(role);
+    let outcome = block_on(live_config.apply(settings_with("/ReplicasOfMe", json!(5)), None));
     assert_eq!(outcome, Err(ConfigError::RestartRequired(vec!["settings".into()])));
 }
 
@@ -365,23 +372,23 @@
 
 fn reload(program: &Program, change: impl Fn(&mut Value)) {
     let text = std::fs::read_to_string(&program.config).expect("readable");
-    let mut all: Value = serde_json::from_str(&text).expect("an object");
-    change(&mut all["settings"]);
-    std::fs::write(&program.config, all.to_string()).expect("written");
+    let mut config: Value = serde_json::from_str(&text).expect("an object");
+    change(&mut config["settings"]);
+    std::fs::write(&program.config, config.to_string()).expect("written");
     program.signal("HUP");
 }
 
 #[rstest]
-fn a_reload_takes_settings_over_while_a_query_is_open() {
-    let (program, nodes, _agent) = start_router_with(1, 4000, 180, r#"{"sockets":256}"#);
+fn a_reload_applies_settings_while_a_query_is_open() {
+    let (program, nodes, _discovery) = start_router_with(1, 4000, 180, r#"{"sockets":256}"#);
     let (mut before, mut after) = (program.connect(), program.connect());
     before.send(&query_request("a", "region-report", &[0], 4000));
-    let mut call = nodes.next_frame('S');
+    let mut frame = nodes.next_frame('S');
     reload(&program, |settings| settings["Services"].as_array_mut().expect("a list").truncate(1));
     assert!(program.wait_for_log("settings: ").contains("in force, `Services` changed"));
     after.send(&query_request("b", "region-report", &[0], 4000));
     assert_eq!(after.read_response().1.trim(), "an unknown vertical");
-    send_reply(&mut call.stream, "a.0 done 17 -\nvalue");
+    send_reply(&mut frame.stream, "a.0 done 17 -\nvalue");
     assert_eq!(before.read_status(), "200");
     reload(&program, |settings| {
         let mut again = settings["Services"][0].clone();
@@ -392,15 +399,15 @@
     after.send(&query_request("c", "region-report", &[0], 4000));
     assert_eq!(nodes.answer_next().0, ["c.0"]);
     assert_eq!(after.read_status(), "200");
-    let counted = program.counters();
-    assert_eq!((counted["settings_taken"], counted.get("settings_refused")), (2, None));
-    // A file's settings have no number.
-    assert_eq!(counted.get("settings_version"), None);
+    let counters = program.counters();
+    assert_eq!((counters["settings_taken"], counters.get("settings_refused")), (2, None));
+    // Settings from a file have no version.
+    assert_eq!(counters.get("settings_version"), None);
 }
 
 #[rstest]
 fn a_reload_of_settings_that_cannot_change_changes_none() {
-    let (program, nodes, _agent) = start_router(1);
+    let (program, nodes, _discovery) = start_router(1);
     reload(&program, |settings| {
         settings["Extra"]["Cells"] = json!(2);
         settings["Services"].as_array_mut().expect("a list").truncate(1);
@@ -416,24 +423,24 @@
 }
 
 #[rstest]
-fn a_hundred_changes_under_load_are_no_interruption() {
-    let (program, nodes, _agent) = start_router_with(2, 2000, 180, r#"{"sockets":256}"#);
-    let (done, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-    // Data nodes that answer each frame at once, until the last query has its answer.
-    let over = Arc::new(AtomicBool::new(false));
-    let (frames, stop) = (nodes.frames, over.clone());
-    let answers = thread::spawn(move || {
+fn a_hundred_changes_under_load_fail_no_query() {
+    let (program, nodes, _discovery) = start_router_with(2, 2000, 180, r#"{"sockets":256}"#);
+    let (done, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    // The data nodes answer each frame at once, until the last query is answered.
+    let all_answered = Arc::new(AtomicBool::new(false));
+    let (frames, stop) = (nodes.frames, all_answered.clone());
+    let node_thread = thread::spawn(move || {
         while !stop.load(Ordering::Relaxed) {
-            let Ok(mut came) = frames.recv_timeout(Duration::from_millis(20)) else { continue };
-            for id in request_ids(&came.text) {
-                send_reply(&mut came.stream, &format!("{id} done 17 -\nvalue"));
+            let Ok(mut frame) = frames.recv_timeout(Duration::from_millis(20)) else { continue };
+            for id in request_ids(&frame.text) {
+                send_reply(&mut frame.stream, &format!("{id} done 17 -\nvalue"));
             }
-            let _ = came.stream.flush();
+            let _ = frame.stream.flush();
         }
     });
     let clients: Vec<_> = (0..4)
         .map(|n| {
-            let (mut client, done, asked) = (program.connect(), done.clone(), asked.clone());
+            let (mut client, done, answered) = (program.connect(), done.clone(), answered.clone());
             thread::spawn(move || {
                 let mut count = 0;
                 while !done.load(Ordering::Relaxed) {
@@ -444,13 +451,13 @@
                         "{head}{body}"
                     );
                     count += 1;
-                    asked.fetch_add(1, Ordering::Relaxed);
+                    answered.fetch_add(1, Ordering::Relaxed);
                 }
             })
         })
         .collect();
     for n in 1..=100u64 {
-        let before = asked.load(Ordering::Relaxed);
+        let before = answered.load(Ordering::Relaxed);
         reload(&program, |settings| {
             settings["Services"][0]["PromiseUs"] = json!(2_000_000 + n);
             settings["Services"][0]["Worth"] = json!(n % 7 + 1);
@@ -458,26 +465,26 @@
             settings["Obligations"] = json!({"ResendRatio": 0.01 * (n % 9) as f64, "ExtraFree": n % 11});
         });
         loop {
-            // One that never sends a query is closed after two seconds.
+            // A new connection each time: an idle one is closed after two seconds.
             let mut up = program.connect();
             up.send("GET /up HTTP/1.1\r\n\r\n");
             assert_eq!(up.read_status(), "200");
             up.send("GET /counters HTTP/1.1\r\n\r\n");
-            let taken = parse_counters(up.read_response().1.lines()).get("settings_taken") == Some(&n);
-            // Queries go on between any two changes.
-            if taken && asked.load(Ordering::Relaxed) > before {
+            let applied = parse_counters(up.read_response().1.lines()).get("settings_taken") == Some(&n);
+            // Some query is answered between any two changes.
+            if applied && answered.load(Ordering::Relaxed) > before {
                 break;
             }
         }
     }
     done.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|client| client.join().expect("every answer right"));
-    over.store(true, Ordering::Relaxed);
-    answers.join().expect("the nodes");
-    let counted = program.counters();
-    let asked = asked.load(Ordering::Relaxed);
-    assert!(asked >= 100, "{asked}");
-    assert_eq!(counted["queries_merged{site-search}"], asked);
-    assert_eq!(counted["queries_open"], 0);
-    assert_eq!((counted.get("settings_refused"), counted.get("module_failures")), (None, None));
+    clients.into_iter().for_each(|client| client.join().expect("all answers are correct"));
+    all_answered.store(true, Ordering::Relaxed);
+    node_thread.join().expect("the data nodes ran");
+    let counters = program.counters();
+    let answered = answered.load(Ordering::Relaxed);
+    assert!(answered >= 100, "{answered}");
+    assert_eq!(counters["queries_merged{site-search}"], answered);
+    assert_eq!(counters["queries_open"], 0);
+    assert_eq!((counters.get("settings_refused"), counters.get("module_failures")), (None, None));
 }
