--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -16,15 +16,15 @@
 /// Assigns each accepted connection to the serving core with the fewest connections.
 pub struct ConnectionBalancer {
     shared: Arc<SharedState>,
-    crew: Rc<RefCell<Crew>>,
+    core_table: Rc<RefCell<Crew>>,
     /// The core that was last asked to close an idle connection.
     last_asked: Cell<usize>,
 }
 
 impl ConnectionBalancer {
-    /// Distributes connections over the cores of `crew`.
-    pub fn new(shared: Arc<SharedState>, crew: Rc<RefCell<Crew>>) -> Rc<Self> {
-        Rc::new(ConnectionBalancer { shared, crew, last_asked: Cell::new(0) })
+    /// Distributes connections over the cores of `core_table`.
+    pub fn new(shared: Arc<SharedState>, core_table: Rc<RefCell<Crew>>) -> Rc<Self> {
+        Rc::new(ConnectionBalancer { shared, core_table, last_asked: Cell::new(0) })
     }
 }
 
@@ -40,7 +40,7 @@
         let mut command =
             CoreCommand::Serve(TransferredConnection { stream, permit, has_sent_request: false });
         loop {
-            let core = self.crew.borrow_mut().deal();
+            let core = self.core_table.borrow_mut().deal();
             if let Some(core) = core {
                 match self.shared.send_command(core, command) {
                     Ok(()) => return,
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -35,7 +35,9 @@
 /// Phase of the program, as the supervising thread announces it to the cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
+    /// Requests are served.
     Serving,
+    /// SIGTERM was received, and the listener is still open.
     Stopping,
     /// The listener is closed: no new client connection arrives.
     Closed,
@@ -49,8 +51,9 @@
     Ended(usize),
 }
 
-/// What a core starts with, at first and after each failure.
+/// The inputs with which a core starts, at first and after each failure.
 pub struct CoreSlot {
+    /// The number of the core.
     pub core: usize,
     pub shared: Arc<SharedState>,
     pub clock: Clock,
@@ -75,14 +78,17 @@
 /// Runs a core until the program stops, and restarts it after each failure.
 pub fn run(mut slot: CoreSlot) {
     log::set_thread_core(slot.core);
-    let mut observations = slot.shared.subscribe_observations();
-    let mut board = Board::default();
+    let mut remote_observations = slot.shared.subscribe_observations();
+    let mut observation_cache = Board::default();
     loop {
         let reason = match Builder::new_current_thread().enable_all().build() {
-            Ok(runtime) => match run_until_failure(&runtime, &mut slot, &mut observations, &mut board) {
-                Ok(()) => break,
-                Err(reason) => reason,
-            },
+            Ok(runtime) => {
+                match run_until_failure(&runtime, &mut slot, &mut remote_observations, &mut observation_cache)
+                {
+                    Ok(()) => break,
+                    Err(reason) => reason,
+                }
+            }
             Err(error) => format!("the runtime could not be created ({error})"),
         };
         if slot.reports.send(CoreReport::Failed(slot.core, reason)).is_err()
@@ -99,8 +105,8 @@
 fn run_until_failure(
     runtime: &Runtime,
     slot: &mut CoreSlot,
-    observations: &mut Option<ObservationReceiver<ObservationMessage>>,
-    board: &mut Board,
+    remote_observations: &mut Option<ObservationReceiver<ObservationMessage>>,
+    observation_cache: &mut Board,
 ) -> Result<(), String> {
     let local = LocalSet::new();
     let (shared, core) = (slot.shared.clone(), slot.core);
@@ -113,12 +119,13 @@
         slot.query_classes.clone(),
     );
     dispatcher.counters = slot.shared.cores[core].metrics.borrow().counters.clone();
-    dispatcher.observations = std::mem::take(board);
+    dispatcher.observations = std::mem::take(observation_cache);
     dispatcher.shard_map = slot.shard_map.map(ShardMapView::new);
     dispatcher.subscribe_config(slot.config_updates.clone());
     let dispatcher = Rc::new(RefCell::new(dispatcher));
-    let served =
-        catch_unwind(AssertUnwindSafe(|| local.block_on(runtime, serve(&dispatcher, slot, observations))));
+    let served = catch_unwind(AssertUnwindSafe(|| {
+        local.block_on(runtime, serve(&dispatcher, slot, remote_observations))
+    }));
     let reason = match served {
         Ok(Ok(())) => return Ok(()),
         Ok(Err(reason)) => reason,
@@ -130,7 +137,7 @@
         dispatcher.borrow_mut().counters.increment("core_failures");
         local.block_on(runtime, graceful_shutdown::end_open_queries(&dispatcher));
         publish_state(&dispatcher, slot, None);
-        *board = std::mem::take(&mut dispatcher.borrow_mut().observations);
+        *observation_cache = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
     // Ends the remaining tasks with their connections and queries, and releases what these hold of the shared state.
     let _ = catch_unwind(AssertUnwindSafe(|| drop(local)));
@@ -185,7 +192,7 @@
 async fn serve(
     dispatcher: &DispatcherHandle,
     slot: &mut CoreSlot,
-    observations: &mut Option<ObservationReceiver<ObservationMessage>>,
+    remote_observations: &mut Option<ObservationReceiver<ObservationMessage>>,
 ) -> Result<(), String> {
     apply_snapshot(dispatcher, &slot.endpoints.borrow_and_update().clone());
     dispatcher.borrow_mut().endpoints.is_replaced = true;
@@ -243,7 +250,7 @@
                 return Ok(());
             }
             Some(command) = slot.commands.recv() => execute(dispatcher, command),
-            received = next_observation(observations) => {
+            received = next_observation(remote_observations) => {
                 if let ControlFlow::Continue(observation) = received {
                     if observation.core != slot.core {
                         dispatcher.borrow_mut().remote_observation(observation);
@@ -256,8 +263,8 @@
                 let mut state = dispatcher.borrow_mut();
                 state.recheck_fence();
                 let now = slot.clock.now();
-                let Dispatcher { observations: board, endpoints, .. } = &mut *state;
-                board.sweep(now, |node| endpoints.nodes.contains_key(node));
+                let Dispatcher { observations, endpoints, .. } = &mut *state;
+                observations.sweep(now, |node| endpoints.nodes.contains_key(node));
                 if slot.node_descriptors.pool.is_short() {
                     endpoints.retire_longest_idle();
                 }
@@ -289,10 +296,10 @@
 
 /// Receives the next observation of any core; `Break` where this core was too slow and observations were lost.
 async fn next_observation(
-    observations: &mut Option<ObservationReceiver<ObservationMessage>>,
+    remote_observations: &mut Option<ObservationReceiver<ObservationMessage>>,
 ) -> ControlFlow<(), ObservationMessage> {
-    let Some(observations) = observations else { return std::future::pending().await };
-    match observations.recv().await {
+    let Some(remote_observations) = remote_observations else { return std::future::pending().await };
+    match remote_observations.recv().await {
         Ok(observation) => ControlFlow::Continue(observation),
         Err(RecvError::Lagged(_)) => ControlFlow::Break(()),
         Err(RecvError::Closed) => std::future::pending().await,
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -24,7 +24,7 @@
     shared: Arc<SharedState>,
     clock: Clock,
     publisher: Rc<RefCell<EndpointPublisher>>,
-    crew: Rc<RefCell<Crew>>,
+    core_table: Rc<RefCell<Crew>>,
     balance: Balance,
     /// Messages of the cores.
     reports: mpsc::UnboundedReceiver<CoreReport>,
@@ -35,17 +35,17 @@
 }
 
 impl CoreSupervisor {
-    /// Supervises the cores of `crew`, each of which has an entry in `restarts`.
+    /// Supervises the cores of `core_table`, each of which has an entry in `restarts`.
     pub fn new(
         shared: Arc<SharedState>,
         clock: Clock,
         publisher: Rc<RefCell<EndpointPublisher>>,
-        crew: Rc<RefCell<Crew>>,
+        core_table: Rc<RefCell<Crew>>,
         reports: mpsc::UnboundedReceiver<CoreReport>,
         restarts: Vec<mpsc::Sender<()>>,
     ) -> Self {
         let (balance, last_check_s) = (Balance::new(restarts.len()), Cell::new(clock.now()));
-        CoreSupervisor { shared, clock, publisher, crew, balance, reports, restarts, last_check_s }
+        CoreSupervisor { shared, clock, publisher, core_table, balance, reports, restarts, last_check_s }
     }
 
     /// Supervises until SIGTERM.
@@ -62,19 +62,19 @@
                 Some(report) = self.reports.recv() => {
                     if let CoreReport::Failed(core, reason) = report {
                         tracing::error!(target: "failure", "core {core} failed: {reason}");
-                        let change = self.crew.borrow_mut().failed(core, self.clock.now());
+                        let change = self.core_table.borrow_mut().failed(core, self.clock.now());
                         change.iter().for_each(log_change);
                     }
                 }
                 _ = checks.tick() => {
-                    let starts = self.crew.borrow_mut().starts(self.clock.now());
+                    let starts = self.core_table.borrow_mut().starts(self.clock.now());
                     for core in starts {
                         let _ = self.restarts[core].try_send(());
                     }
                     self.check_cores();
                 }
             }
-            if self.crew.borrow().is_lost() {
+            if self.core_table.borrow().is_lost() {
                 return Err(io::Error::other("every core has failed too often"));
             }
         }
@@ -93,7 +93,7 @@
     /// least `REPORT_WAIT_MIN`, so reports that were sent in the meantime are still read.
     pub async fn wait_for_shutdown(&mut self, deadline: f64) -> usize {
         let is_running = |state| !matches!(state, State::Failed(_) | State::Lost);
-        let mut running = self.crew.borrow().count(is_running);
+        let mut running = self.core_table.borrow().count(is_running);
         while running > 0 {
             let remaining =
                 Duration::from_secs_f64((deadline - self.clock.now()).max(0.0)).max(REPORT_WAIT_MIN);
@@ -105,33 +105,35 @@
         running
     }
 
-    /// Reads the heartbeats of all cores and returns each core that began or ceased to hang.
+    /// Reads the heartbeats of all cores, and returns the cores whose state has changed.
     fn check_heartbeats(&self) -> Vec<Change> {
-        let (now, mut crew) = (self.clock.now(), self.crew.borrow_mut());
+        let (now, mut core_table) = (self.clock.now(), self.core_table.borrow_mut());
         let mut changes = vec![];
         for (core, core_state) in self.shared.cores.iter().enumerate() {
             let heartbeat_s = core_state.heartbeat_ms.load(Relaxed) as f64 / 1e3;
-            changes.extend(crew.beat(core, heartbeat_s, core_state.client_count.load(Relaxed)));
+            changes.extend(core_table.beat(core, heartbeat_s, core_state.client_count.load(Relaxed)));
         }
-        crew.lead_paused(self.last_check_s.replace(now), now);
-        changes.extend(crew.look(now));
+        core_table.lead_paused(self.last_check_s.replace(now), now);
+        changes.extend(core_table.look(now));
         changes
     }
 
     /// Checks the heartbeats, publishes how many cores serve, and moves connections from a busy core to an idle one.
     fn check_cores(&mut self) {
         let changes = self.check_heartbeats();
-        let (now, crew) = (self.clock.now(), self.crew.borrow());
+        let (now, core_table) = (self.clock.now(), self.core_table.borrow());
         let counters = self.publisher.borrow().counters.clone();
         self.shared.acceptor_metrics.send_replace(Arc::new(MetricsSnapshot { counters, gauges: vec![] }));
         changes.iter().for_each(log_change);
-        self.shared.cores_serving.store(crew.serving(), Relaxed);
-        self.shared.cores_hung.store(crew.count(|s| matches!(s, State::Hung(_))), Relaxed);
-        self.shared.cores_lost.store(crew.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
+        self.shared.cores_serving.store(core_table.serving(), Relaxed);
+        self.shared.cores_hung.store(core_table.count(|s| matches!(s, State::Hung(_))), Relaxed);
+        self.shared
+            .cores_lost
+            .store(core_table.count(|s| matches!(s, State::Failed(_) | State::Lost)), Relaxed);
         let load = |(core, core_state): (usize, &CoreState)| Load {
             busy: core_state.busy_permille.load(Relaxed) as f64 / 1e3,
             active: core_state.active_clients.load(Relaxed),
-            serving: crew.state(core) == State::Serving,
+            serving: core_table.state(core) == State::Serving,
         };
         let loads: Vec<Load> = self.shared.cores.iter().enumerate().map(load).collect();
         if let Some(transfer) = self.balance.next(now, &loads) {
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -21,7 +21,7 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-/// Holds the endpoint list, and the layout if one is followed, that a watch of discovery updates: the dispatcher of a router
+/// Holds the endpoint list, and the layout if the router uses layouts, that a watch of discovery updates: the dispatcher of a router
 /// on one core, the supervising thread of a router on several cores, or a planner.
 pub trait DiscoveryTarget {
     fn clock(&self) -> Clock;
@@ -46,8 +46,8 @@
     /// Called every `CHECK_INTERVAL`: all that discovery had sent by `_at_s`, in seconds of the clock, has been read, or no
     /// watch is open.
     fn discovery_checked(&mut self, _at_s: f64) {}
-    /// The version of the layout held, from which discovery is asked for changes: 0 if none is held. None where layouts are
-    /// not followed.
+    /// The version of the current layout, from which changes are requested: 0 if there is none yet. None where the router does
+    /// not use layouts.
     fn layout_version(&self) -> Option<u64> {
         None
     }
@@ -105,7 +105,7 @@
 /// How often a watch without unread bytes is reported to the target.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits for a future while no watch is open: the last list stays in force, and the target is told so at each interval.
+/// Waits for a future while no watch is open. The last list stays in force, so each interval counts as a check of discovery.
 async fn wait_without_watch<T>(target: &SharedDiscoveryTarget, future: impl Future<Output = T>) -> T {
     if !target.borrow().tracks_checks() {
         return future.await;
@@ -120,7 +120,7 @@
     }
 }
 
-/// Keeps a watch open for as long as the program runs, at the newest address in `addresses`. A new address ends the present
+/// Keeps a watch open for as long as the program runs, at the newest address in `addresses`. A new address ends the current
 /// watch at once; the last list stays in force until the new watch has received one.
 pub async fn run(target: SharedDiscoveryTarget, mut addresses: Receiver<SocketAddr>) {
     let (clock, polls_on_request, poll_requested) = {
@@ -156,7 +156,7 @@
 }
 
 /// Opens one watch and reads from it until it is lost; returns the reason. `needs_whole_layout` is set where a change could
-/// not be applied to the layout held, and makes the next watch ask for the whole layout.
+/// not be applied to the current layout, and makes the next watch ask for the whole layout.
 async fn watch(
     target: &SharedDiscoveryTarget,
     address: SocketAddr,
@@ -169,7 +169,7 @@
         let layout = target.layout_version();
         (target.clock(), target.endpoints().version, layout)
     };
-    // Guards against asking for the same changes for ever: they cannot be applied to the version held.
+    // Guards against asking for the same changes for ever: they cannot be applied to the current version.
     if std::mem::take(needs_whole_layout) {
         layout = layout.map(|_| 0);
     }
@@ -251,7 +251,7 @@
     let (clock, endpoints) = (target.clock(), target.endpoints());
     let now = clock.now();
     if !is_whole && endpoints.version.is_none_or(|held| version < held) {
-        // The change does not apply to the list held: the next watch asks for the whole list.
+        // The change does not apply to the current list: the next watch asks for the whole list.
         endpoints.version = None;
         return Err("a change to an older list");
     }
@@ -296,7 +296,7 @@
         _ => {}
     }
     if *needs_whole_layout {
-        return Err("a change to a layout that is not held");
+        return Err("a change to an unknown version of the layout");
     }
     let kind = if is_whole { "whole list" } else { "change" };
     tracing::info!(target: "roster", "{kind} {version}: {usable} entries");
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -91,19 +91,19 @@
     arrival::enable_receive_timestamps(&listener)?;
     let (address, cores) = (listener.local_addr()?, multicore.cores);
     tracing::info!(target: "start", "{name} listens at {address}: {node_count} data nodes known, {cores} cores");
-    let crew = Rc::new(RefCell::new(Crew::new(cores, clock.now())));
-    attach(&live_config, &publisher, &crew);
+    let core_table = Rc::new(RefCell::new(Crew::new(cores, clock.now())));
+    attach(&live_config, &publisher, &core_table);
     let (discovery, discovery_address) = watch::channel(discovery);
     let reloadable = subscribe(subscription, &live_config, &name, shared.clone(), clock);
     spawn_local(reload_at_sighup(hangups, previous, discovery, clock, reloadable));
     spawn_local(discovery::run(publisher.clone(), discovery_address));
-    let balancer = ConnectionBalancer::new(shared.clone(), crew.clone());
+    let balancer = ConnectionBalancer::new(shared.clone(), core_table.clone());
     let close = Rc::new(Notify::new());
     let listening =
         spawn_local(acceptor::accept_connections(balancer, listener, client_descriptors, close.clone()));
 
     let mut supervisor =
-        CoreSupervisor::new(shared.clone(), clock, publisher, crew, received_reports, restarts);
+        CoreSupervisor::new(shared.clone(), clock, publisher, core_table, received_reports, restarts);
     let supervised = supervisor.supervise(terminations).await;
     if supervised.is_ok() {
         let _ = phase.send(Phase::Stopping);
@@ -132,11 +132,16 @@
 }
 
 /// Gives the live configuration its counters, and tells it which cores serve.
-fn attach(live_config: &LiveConfig, publisher: &Rc<RefCell<EndpointPublisher>>, crew: &Rc<RefCell<Crew>>) {
-    let (publisher, crew) = (publisher.clone(), crew.clone());
+fn attach(
+    live_config: &LiveConfig,
+    publisher: &Rc<RefCell<EndpointPublisher>>,
+    core_table: &Rc<RefCell<Crew>>,
+) {
+    let (publisher, core_table) = (publisher.clone(), core_table.clone());
     let increment = move |name: &'static str| publisher.borrow_mut().counters.increment(name);
-    let is_serving =
-        move |core| !matches!(crew.borrow().state(core), State::Hung(_) | State::Failed(_) | State::Lost);
+    let is_serving = move |core| {
+        !matches!(core_table.borrow().state(core), State::Hung(_) | State::Failed(_) | State::Lost)
+    };
     live_config.attach(Box::new(increment), Some(Box::new(is_serving)));
 }
 
