--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -51,7 +51,8 @@
         Connection { stream, sender, reader, expected_name, is_greeted: false, output }
     }
 
-    /// Whether the next message may be passed to [`Self::send`]: one at a time, and none before the control server's hello.
+    /// Whether the next message may be passed to [`Self::send`]: one at a time, and none before the control server's
+    /// hello.
     pub(super) fn is_ready_to_send(&self) -> bool {
         self.is_greeted && self.output.is_empty()
     }
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -28,10 +28,11 @@
 
 /// Applies settings with their version number, and returns the outcome.
 pub type ApplySettings = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
-/// Called every `OBSERVE_INTERVAL_S` with the subscription, the traffic so far, and the time in seconds of the host's clock.
+/// Called every `OBSERVE_INTERVAL_S` with the subscription, the traffic so far, and the time in seconds of the host's
+/// clock.
 pub type ObserveSubscriber = Box<dyn FnMut(&Subscriber, Traffic, f64)>;
-/// Persists the version that the next start begins with, and when it was last known to be the latest, in seconds of the host's
-/// clock, if that is known.
+/// Persists the version that the next start begins with, and when it was last known to be the latest, in seconds of
+/// the host's clock, if that is known.
 pub type PersistVersion = Box<dyn Fn(ConfigVersion, Option<f64>)>;
 
 /// Bytes transferred on all connections so far.
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The router's subscription to control servers, on sockets and disk.
 //!
-//! [`alderway_control_plane::subscriber`] decides to which control server the router connects, how it handles received messages,
-//! and which messages it sends when. This module does the input and output:
+//! [`alderway_control_plane::subscriber`] decides to which control server the router connects, how it handles
+//! received messages, and which messages it sends when. This module does the input and output:
 //!
 //! - `driver`: executes the subscriber's commands and passes it their results;
 //! - `connection`: reads and writes frames on one connection;
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,9 +1,9 @@
 //! The file with the version that a router starts with while no control server can be reached.
 //!
-//! One line `alderway-version 1 NUMBER DIGEST CONFIRMED`, then the settings as text: the version's number, the digest of the
-//! text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The digest
-//! detects a damaged file. A version is applied before it is written: after a crash in between, the next start uses the version
-//! before it.
+//! One line `alderway-version 1 NUMBER DIGEST CONFIRMED`, then the settings as text: the version's number, the digest
+//! of the text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The
+//! digest detects a damaged file. A version is applied before it is written: after a crash in between, the next start
+//! uses the version before it.
 use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_control_plane::version::VersionNumber;
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Replaces the file atomically: writes a temporary file next to it, syncs that, renames it over the file, and syncs the
-    /// directory. After a crash at any time, the file is either the previous one or the new one.
+    /// Replaces the file atomically: writes a temporary file next to it, syncs that, renames it over the file, and
+    /// syncs the directory. After a crash at any time, the file is either the previous one or the new one.
     ///
     /// # Errors
     /// The system reported an error; the file is either the previous one or the new one.
@@ -160,8 +160,8 @@
         VersionWriter(sender)
     }
 
-    /// Queues a version to be written. It replaces an earlier version that is not written yet. `confirmed_at` is when the version
-    /// was last known to be the latest, in seconds of the clock.
+    /// Queues a version to be written. It replaces an earlier version that is not written yet. `confirmed_at` is when
+    /// the version was last known to be the latest, in seconds of the clock.
     pub fn persist(&self, version: ConfigVersion, confirmed_at: Option<f64>) {
         self.0.send_replace(Some(Pending { version, confirmed_at }));
     }
--- a/crates/router/src/control/settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -8,9 +8,9 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// The configuration that a subscribed router starts with: the configuration file, with the settings of the persisted version
-/// instead of its own if there is a version that this program accepts. `router_count` is the number of programs that share the
-/// quotas, if it overrides that of the settings.
+/// The configuration that a subscribed router starts with: the configuration file, with the settings of the persisted
+/// version instead of its own if there is a version that this program accepts. `router_count` is the number of
+/// programs that share the quotas, if it overrides that of the settings.
 ///
 /// # Errors
 /// The configuration file cannot be used.
@@ -51,8 +51,8 @@
     Ok(Some((persisted, config)))
 }
 
-/// Returns a function that applies versions to a running router. A version that changes only what can change while the router
-/// serves is in force once all serving cores have applied it.
+/// Returns a function that applies versions to a running router. A version that changes only what can change while
+/// the router serves is in force once all serving cores have applied it.
 pub fn apply_to_running(live_config: LiveConfig) -> ApplySettings {
     Box::new(move |settings, number| {
         let live_config = live_config.clone();
--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -36,8 +36,9 @@
     }
 }
 
-/// Accepts connections until `close` is notified. Before this returns, it also accepts every connection that waits in the
-/// system's queue by then, even if the runtime has not reported it. Where descriptors run out, idle connections are closed.
+/// Accepts connections until `close` is notified. Before this returns, it also accepts every connection that waits in
+/// the system's queue by then, even if the runtime has not reported it. Where descriptors run out, idle connections
+/// are closed.
 pub async fn accept_connections(
     acceptor: impl ConnectionAcceptor,
     listener: TcpListener,
@@ -76,7 +77,7 @@
             Ok(Some(stream)) => acceptor.accept(stream, permit).await,
             Ok(None) => return,
             Err(error) => {
-                return tracing::warn!(target: "accept", "cannot accept the connections that wait as the listener closes: {error}");
+                return tracing::warn!(target: "accept", "cannot accept the queued connections of the closing listener: {error}");
             }
         }
     }
--- a/crates/router/src/io/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -1,5 +1,6 @@
-//! Reads that also return when the last byte arrived. The time is the system's receive timestamp: a router that was suspended
-//! or not scheduled reads bytes long after they arrived, and would count a client's remaining time from too late.
+//! Reads that also return when the last byte arrived. The time is the system's receive timestamp: a router that was
+//! suspended or not scheduled reads bytes long after they arrived, and would count a client's remaining time from too
+//! late.
 use crate::state::arrival_time::ArrivalEstimator;
 use alderway_sockets::{received, uninterrupted};
 use alderway_telemetry::clock::Clock;
@@ -35,8 +36,9 @@
 /// How many bytes were read, and the system's receive timestamp of the last one, in seconds of the wall clock.
 type TimestampedRead = (usize, Option<f64>);
 
-/// Reads the available bytes. Returns how many there were and when the last one arrived, in seconds of the clock, or `None`
-/// if there were none. `drained_at_s` is when the connection last had no unread bytes; it is updated if that is the case now.
+/// Reads the available bytes. Returns how many there were and when the last one arrived, in seconds of the clock, or
+/// `None` if there were none. `drained_at_s` is when the connection last had no unread bytes; it is updated if that
+/// is the case now.
 ///
 /// # Errors
 /// The connection was closed or broke.
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -1,5 +1,5 @@
-//! Serves a client's connection: reads requests one at a time, writes answers, and closes connections that send no request,
-//! leave a request incomplete or do not read their answer.
+//! Serves a client's connection: reads requests one at a time, writes answers, and closes connections that send no
+//! request, leave a request incomplete or do not read their answer.
 use super::{arrival, sleep_until};
 use crate::requests;
 use crate::state::DispatcherHandle;
@@ -24,11 +24,11 @@
 
 /// The client protocol allows to close a connection that has had no open request for 2 s.
 const IDLE_TIMEOUT_S: f64 = 2.0;
-/// The client protocol requires an error response or a close within 3 s of connecting, for a client that sends no complete
-/// request.
+/// The client protocol requires an error response or a close within 3 s of connecting, for a client that sends no
+/// complete request.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
-/// How long to wait for the client to close a connection after the router has closed its sending side. Bytes that arrive at a
-/// closed socket would make the system reset the connection before the client has read the answer.
+/// How long to wait for the client to close a connection after the router has closed its sending side. Bytes that
+/// arrive at a closed socket would make the system reset the connection before the client has read the answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Size of the buffer for bytes that are read and dropped.
 const DISCARD_BYTES: usize = 4096;
@@ -138,8 +138,8 @@
     dispatcher.client_disconnected(query);
 }
 
-/// Closes the sending side and reads until the client closes its own. Reads at most as many bytes as the longest request may
-/// have, so that a client that never stops sending cannot occupy the core.
+/// Closes the sending side and reads until the client closes its own. Reads at most as many bytes as the longest
+/// request may have, so that a client that never stops sending cannot occupy the core.
 async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
@@ -214,8 +214,8 @@
     ) -> Self {
         let clock = dispatcher.borrow().clock;
         let accepted_at = clock.now();
-        // The error for an incomplete request has to reach the client in time: the dial timeout is taken as the longest delay
-        // of its network.
+        // The error for an incomplete request has to reach the client in time: the dial timeout is taken as the
+        // longest delay of its network.
         let network_s = dispatcher.borrow().connection_config.dial_timeout_s;
         let error_by = accepted_at + FIRST_REQUEST_TIMEOUT_S - network_s;
         ClientSession {
@@ -288,8 +288,8 @@
         }
     }
 
-    /// Whether an incomplete request has to be rejected because the program or its core ends. Guards against a client that
-    /// completes its request at the last moment and never gets an answer.
+    /// Whether an incomplete request has to be rejected because the program or its core ends. Guards against a client
+    /// that completes its request at the last moment and never gets an answer.
     fn must_reject_partial_request(&self) -> bool {
         self.client.is_half_sent.get() && self.client.close_request.get() == CloseRequest::AtProgramEnd
     }
@@ -436,8 +436,8 @@
         Waiting { has_open_query, is_writing, has_partial_request, is_idle, deadline: self.deadline() }
     }
 
-    /// When the session times out. Guards against connections that send no request, leave a request incomplete, or do not read
-    /// their answer.
+    /// When the session times out. Guards against connections that send no request, leave a request incomplete, or do
+    /// not read their answer.
     fn deadline(&self) -> f64 {
         if self.times.partial_request_since.is_some() && !self.client.has_sent_request.get() {
             return self.first_request_by;
--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -47,8 +47,8 @@
                     Err(returned) => command = returned,
                 }
             }
-            // Guards against refusing clients while every core hangs, restarts or has a full command queue: the connection is
-            // offered again, and further ones wait in the system's queue of the listener.
+            // Guards against refusing clients while every core hangs, restarts or has a full command queue: the
+            // connection is offered again, and further ones wait in the system's queue of the listener.
             sleep(RETRY_PAUSE).await;
         }
     }
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -100,8 +100,9 @@
     let _ = slot.reports.send(CoreReport::Ended(slot.core));
 }
 
-/// Runs a core with a new dispatcher until the program ends, or until a failure, after which the open queries are answered.
-/// Returns the reason of the failure. The counters and the observations of other cores are kept for the next start.
+/// Runs a core with a new dispatcher until the program ends, or until a failure, after which the open queries are
+/// answered. Returns the reason of the failure. The counters and the observations of other cores are kept for the
+/// next start.
 fn run_until_failure(
     runtime: &Runtime,
     slot: &mut CoreSlot,
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,5 +1,5 @@
-//! Keeps a watch of discovery open: connects, reads endpoint lists and layouts, and reconnects after errors and timeouts. The
-//! last list that was received stays in force meanwhile.
+//! Keeps a watch of discovery open: connects, reads endpoint lists and layouts, and reconnects after errors and
+//! timeouts. The last list that was received stays in force meanwhile.
 use super::{arrival, sleep_until};
 use crate::state::dispatcher::Dispatcher;
 use crate::state::endpoints::EndpointTable;
@@ -21,8 +21,8 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-/// Holds the endpoint list, and the layout if the router uses layouts, that a watch of discovery updates: the dispatcher of a router
-/// on one core, the supervising thread of a router on several cores, or a planner.
+/// Holds the endpoint list, and the layout if the router uses layouts, that a watch of discovery updates: the
+/// dispatcher of a router on one core, the supervising thread of a router on several cores, or a planner.
 pub trait DiscoveryTarget {
     fn clock(&self) -> Clock;
     /// Whether a watch opens only after the policy has asked to poll the endpoint list.
@@ -38,16 +38,16 @@
     fn record_silence(&mut self, span_s: f64);
     /// Called when the configuration names another address of discovery.
     fn discovery_moved(&mut self);
-    /// Whether [`Self::discovery_checked`] has to be called. Other cores need it: they must not start attempts by a list that
-    /// may be out of date.
+    /// Whether [`Self::discovery_checked`] has to be called. Other cores need it: they must not start attempts by a
+    /// list that may be out of date.
     fn tracks_checks(&self) -> bool {
         false
     }
-    /// Called every `CHECK_INTERVAL`: all that discovery had sent by `_at_s`, in seconds of the clock, has been read, or no
-    /// watch is open.
+    /// Called every `CHECK_INTERVAL`: all that discovery had sent by `_at_s`, in seconds of the clock, has been read,
+    /// or no watch is open.
     fn discovery_checked(&mut self, _at_s: f64) {}
-    /// The version of the current layout, from which changes are requested: 0 if there is none yet. None where the router does
-    /// not use layouts.
+    /// The version of the current layout, from which changes are requested: 0 if there is none yet. None where the
+    /// router does not use layouts.
     fn layout_version(&self) -> Option<u64> {
         None
     }
@@ -105,7 +105,8 @@
 /// How often a watch without unread bytes is reported to the target.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits for a future while no watch is open. The last list stays in force, so each interval counts as a check of discovery.
+/// Waits for a future while no watch is open. The last list stays in force, so each interval counts as a check of
+/// discovery.
 async fn wait_without_watch<T>(target: &SharedDiscoveryTarget, future: impl Future<Output = T>) -> T {
     if !target.borrow().tracks_checks() {
         return future.await;
@@ -120,8 +121,8 @@
     }
 }
 
-/// Keeps a watch open for as long as the program runs, at the newest address in `addresses`. A new address ends the current
-/// watch at once; the last list stays in force until the new watch has received one.
+/// Keeps a watch open for as long as the program runs, at the newest address in `addresses`. A new address ends the
+/// current watch at once; the last list stays in force until the new watch has received one.
 pub async fn run(target: SharedDiscoveryTarget, mut addresses: Receiver<SocketAddr>) {
     let (clock, polls_on_request, poll_requested) = {
         let target = target.borrow();
@@ -155,8 +156,8 @@
     }
 }
 
-/// Opens one watch and reads from it until it is lost; returns the reason. `needs_whole_layout` is set where a change could
-/// not be applied to the current layout, and makes the next watch ask for the whole layout.
+/// Opens one watch and reads from it until it is lost; returns the reason. `needs_whole_layout` is set where a change
+/// could not be applied to the current layout, and makes the next watch ask for the whole layout.
 async fn watch(
     target: &SharedDiscoveryTarget,
     address: SocketAddr,
@@ -240,7 +241,8 @@
     }
 }
 
-/// Applies one JSON object of the watch: a whole endpoint list or a change of it, with a layout in either form if it holds one.
+/// Applies one JSON object of the watch: a whole endpoint list or a change of it, with a layout in either form if it
+/// holds one.
 fn apply(
     target: &SharedDiscoveryTarget,
     object: &[u8],
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -1,5 +1,5 @@
-//! Keeps the endpoint list and the layout that discovery reports on the supervising thread, and publishes snapshots of both
-//! to all cores.
+//! Keeps the endpoint list and the layout that discovery reports on the supervising thread, and publishes snapshots
+//! of both to all cores.
 use super::discovery;
 use crate::state::counters::Counters;
 use crate::state::endpoints::{Endpoint, EndpointTable};
@@ -36,7 +36,8 @@
 }
 
 impl EndpointPublisher {
-    /// Publishes `endpoints` as the first snapshot. `shard_map` is none where shards lie in the fixed ring of the settings.
+    /// Publishes `endpoints` as the first snapshot. `shard_map` is none where shards lie in the fixed ring of the
+    /// settings.
     pub fn new(
         clock: Clock,
         polls_endpoints: bool,
@@ -57,8 +58,8 @@
         self.snapshots.subscribe()
     }
 
-    /// Publishes a snapshot. The fence is raised first: from then on, a core starts no attempt until it has applied the new
-    /// list.
+    /// Publishes a snapshot. The fence is raised first: from then on, a core starts no attempt until it has applied
+    /// the new list.
     fn publish(&mut self) {
         let generation = self.shared.fence.publish();
         let entries = Arc::new(self.endpoints.endpoints());
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -1,5 +1,5 @@
-//! Serves a connection to a data node: connects, writes attempts, reads replies, and closes connections that are idle, blocked
-//! or corrupted.
+//! Serves a connection to a data node: connects, writes attempts, reads replies, and closes connections that are
+//! idle, blocked or corrupted.
 use super::{arrival, policy_loop, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
@@ -83,8 +83,8 @@
     let is_short_of_resources = Cell::new(false);
     let connecting = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
     match timeout(dial_timeout, connecting).await {
-        // The stream is dropped before the permit: the permit must not be given to another connection before the descriptor
-        // is closed.
+        // The stream is dropped before the permit: the permit must not be given to another connection before the
+        // descriptor is closed.
         Ok(Ok((_permit, stream))) => {
             dispatcher.borrow_mut().counters.increment("connections{opened}");
             let reason = match NodeSession::open(&dispatcher, &node, connection, &stream) {
@@ -115,8 +115,8 @@
     dispatcher.counters.increment(&format!("connection_closes{{{}}}", reason.label()));
 }
 
-/// Waits for a descriptor, for which idle connections are closed if none is free, and connects. `is_short_of_resources` is
-/// true while this machine or program lacks a resource for the connection.
+/// Waits for a descriptor, for which idle connections are closed if none is free, and connects.
+/// `is_short_of_resources` is true while this machine or program lacks a resource for the connection.
 async fn connect(
     dispatcher: &DispatcherHandle,
     address: SocketAddr,
@@ -159,8 +159,8 @@
     answer_timeout_s: f64,
     incoming: Buffer,
     outgoing: Outgoing,
-    /// When the connection is closed unless more of the current frame is written, in seconds of the clock; infinite where no
-    /// frame is blocked.
+    /// When the connection is closed unless more of the current frame is written, in seconds of the clock; infinite
+    /// where no frame is blocked.
     write_by: f64,
     /// When a partially received frame has to be complete, in seconds of the clock; infinite where there is none.
     read_by: f64,
@@ -201,7 +201,8 @@
         let node_connection = state.endpoints.connection(node, connection)?;
         node_connection.is_up = true;
         let wake = node_connection.wake.clone();
-        // Idle connections are closed one dial timeout before the data node closes them, but not before half its idle timeout.
+        // Idle connections are closed one dial timeout before the data node closes them, but not before half its idle
+        // timeout.
         let idle_timeout_s = (config.idle_timeout_s - config.dial_timeout_s).max(0.5 * config.idle_timeout_s);
         Some(NodeSession {
             dispatcher,
@@ -282,8 +283,8 @@
         }
     }
 
-    /// Guards against writing an attempt to a connection that the data node has closed as idle: the attempt would count as
-    /// possibly executed.
+    /// Guards against writing an attempt to a connection that the data node has closed as idle: the attempt would
+    /// count as possibly executed.
     fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
         let is_reuse = self.with_state(|state| state.is_reuse_after_idle()).unwrap_or(false);
         if is_reuse && arrival::is_closed_by_peer(self.stream) {
@@ -293,8 +294,8 @@
         Ok(())
     }
 
-    /// Writes frames until none is left or the socket accepts no more bytes. Sets a deadline for a blocked frame, as a machine
-    /// that has gone down never closes its connections.
+    /// Writes frames until none is left or the socket accepts no more bytes. Sets a deadline for a blocked frame, as
+    /// a machine that has gone down never closes its connections.
     fn write_frames(&mut self) -> Result<WriteProgress, CloseReason> {
         let before = self.outgoing.total_bytes;
         let progress = self.write_until_blocked()?;
@@ -374,8 +375,8 @@
         checked.unwrap_or(Err(CloseReason::Forgotten))
     }
 
-    /// Reads once and handles the complete frames; returns how many there were. Reads no more than once, so that no data node
-    /// can occupy the core.
+    /// Reads once and handles the complete frames; returns how many there were. Reads no more than once, so that no
+    /// data node can occupy the core.
     fn read(&mut self) -> Result<usize, CloseReason> {
         match alderway_sockets::read(self.stream, self.incoming.space()) {
             Ok(Some(0)) | Err(_) => return Err(CloseReason::EndedByNode),
@@ -431,9 +432,9 @@
         Ok(())
     }
 
-    /// Sets a deadline for a partially received reply. A data node writes each reply at once. Guards against a frame whose
-    /// length is larger than its content: the attempts on the connection would wait for the rest, and the next reply would be
-    /// read as that rest.
+    /// Sets a deadline for a partially received reply. A data node writes each reply at once. Guards against a frame
+    /// whose length is larger than its content: the attempts on the connection would wait for the rest, and the next
+    /// reply would be read as that rest.
     fn limit_incomplete_answer(&mut self, frames_read: usize) {
         if self.incoming.is_empty() {
             self.read_by = f64::INFINITY;
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -1,4 +1,5 @@
-//! Drives the policy of a core: each round passes on what has happened since the last round and carries out the decisions.
+//! Drives the policy of a core: each round passes on what has happened since the last round and carries out the
+//! decisions.
 use super::{node_session, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
@@ -11,8 +12,8 @@
 use std::sync::Arc;
 use tokio::task::{spawn_local, yield_now};
 
-/// Carries out decisions of a policy on the dispatcher. On a forwarder, it also reports the decisions of the forwarder's own
-/// policy to the tier.
+/// Carries out decisions of a policy on the dispatcher. On a forwarder, it also reports the decisions of the
+/// forwarder's own policy to the tier.
 pub struct DispatcherSink<'a> {
     dispatcher: &'a DispatcherHandle,
     tier: Option<&'a Tier>,
@@ -89,9 +90,10 @@
     }
 }
 
-/// Runs the policy for as long as the program runs, with at least the minimum round interval of the settings between two
-/// rounds. `make_policy` creates the policy at the start and after each panic of the policy; this function returns only
-/// where `make_policy` fails. On a forwarder, `tier` splits the events between the planners and the forwarder's own policy.
+/// Runs the policy for as long as the program runs, with at least the minimum round interval of the settings between
+/// two rounds. `make_policy` creates the policy at the start and after each panic of the policy; this function
+/// returns only where `make_policy` fails. On a forwarder, `tier` splits the events between the planners and the
+/// forwarder's own policy.
 pub async fn run<E>(
     dispatcher: DispatcherHandle,
     tier: Option<Tier>,
@@ -141,8 +143,8 @@
         };
         let mut sink = DispatcherSink { dispatcher: &dispatcher, tier: tier.as_ref() };
         let round = AssertUnwindSafe(|| policy.round(now, notify, &mut sink));
-        // Guards against a defect of the policy that a rare query triggers: open queries fail, and the router continues with
-        // a new policy, which has no observations of the data nodes yet, as after a restart.
+        // Guards against a defect of the policy that a rare query triggers: open queries fail, and the router
+        // continues with a new policy, which has no observations of the data nodes yet, as after a restart.
         if catch_unwind(round).is_err() {
             tracing::error!(target: "failure", "the policy panicked: open queries fail, and a new policy starts");
             policy = new_policy()?;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! The query router of alderway. The policy of the `alderway` crate makes every decision, once a round; this crate connects it
-//! to sockets, timers and the operating system.
+//! The query router of alderway. The policy of the `alderway` crate makes every decision, once a round; this crate
+//! connects it to sockets, timers and the operating system.
 //!
 //! - [`server`]: runs the program on one core, on several cores, or as a planner.
 //! - [`lifecycle`]: configuration at the start, changes of it while serving, and shutdown.
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -1,12 +1,14 @@
-//! Graceful shutdown after SIGTERM. New connections are accepted for a while, and clients keep the connections they have,
-//! because no other router may be available to them. Every admitted query gets an answer before the platform sends SIGKILL.
+//! Graceful shutdown after SIGTERM. New connections are accepted for a while, and clients keep the connections they
+//! have, because no other router may be available to them. Every admitted query gets an answer before the platform
+//! sends SIGKILL.
 //!
 //! The phases, as `ShutdownPhase` names them:
 //!
 //! 1. Draining, from SIGTERM: the listener stays open for [`LISTEN_DURATION`], and connections are served as before.
-//! 2. Closing, as soon as a new query might not be answered before the end: idle connections are closed at once, others after
-//!    their answer.
-//! 3. Ending, once all clients are disconnected or the time limit is reached: open queries fail, and their answers are written.
+//! 2. Closing, as soon as a new query might not be answered before the end: idle connections are closed at once,
+//!    others after their answer.
+//! 3. Ending, once all clients are disconnected or the time limit is reached: open queries fail, and their answers
+//!    are written.
 use crate::state::DispatcherHandle;
 use crate::state::shutdown_phase::ShutdownPhase;
 use alderway_sockets::signals::Signals;
@@ -18,8 +20,8 @@
 
 /// How long the listener stays open after SIGTERM. By the client protocol, new connections may arrive for 0.4 s.
 pub const LISTEN_DURATION: Duration = Duration::from_millis(500);
-/// By the client protocol, SIGKILL follows SIGTERM no sooner than after the longest deadline, of which at most 3 s count, plus
-/// 0.7 s.
+/// By the client protocol, SIGKILL follows SIGTERM no sooner than after the longest deadline, of which at most 3 s
+/// count, plus 0.7 s.
 const MAX_DEADLINE_S: f64 = 3.0;
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
 /// Time reserved for writing the last answers, in seconds.
@@ -29,8 +31,8 @@
 /// Time between the end of the program and SIGKILL, in seconds, even if the process was suspended for [`STALL_S`].
 const SAFETY_MARGIN_S: f64 = 0.15;
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Minimum number of polls while waiting for the last answers: one to read pending requests, one to answer them, and one to
-/// write the answers.
+/// Minimum number of polls while waiting for the last answers: one to read pending requests, one to answer them, and
+/// one to write the answers.
 const POLLS_MIN: usize = 3;
 /// Minimum time for accepting the connections that wait in the queue of the closing listener.
 const ACCEPT_WAITING_MIN: Duration = Duration::from_millis(100);
@@ -41,7 +43,8 @@
     longest_deadline_s.min(MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - reserved_s
 }
 
-/// Waits for SIGTERM and shuts down a router on one core, whose listener stops at `close`. Returns when the program may end.
+/// Waits for SIGTERM and shuts down a router on one core, whose listener stops at `close`. Returns when the program
+/// may end.
 pub async fn shut_down_at_sigterm(
     mut terminations: Signals,
     dispatcher: DispatcherHandle,
@@ -56,9 +59,10 @@
     shut_down(dispatcher, listener_closed(close, listening, time_limit_s(longest_deadline_s))).await;
 }
 
-/// Closes the listener after [`LISTEN_DURATION`], and returns once no further connection is accepted. Waits at most until the
-/// end of a shutdown of `limit_s` seconds, in case descriptors are released too slowly. Guards against ending while connections
-/// that the system has accepted wait in the listener's queue, for example after the process was suspended.
+/// Closes the listener after [`LISTEN_DURATION`], and returns once no further connection is accepted. Waits at most
+/// until the end of a shutdown of `limit_s` seconds, in case descriptors are released too slowly. Guards against
+/// ending while connections that the system has accepted wait in the listener's queue, for example after the process
+/// was suspended.
 pub async fn listener_closed(close: Rc<Notify>, listening: JoinHandle<()>, limit_s: f64) {
     sleep(LISTEN_DURATION).await;
     close.notify_one();
@@ -114,18 +118,18 @@
     open_queries
 }
 
-/// Ends all queries and client connections of a core, at the end of a shutdown or after a failure of the core. Every request
-/// that was read gets its final answer, including those that wait behind an open query or arrive meanwhile. Returns how many
-/// queries were open.
+/// Ends all queries and client connections of a core, at the end of a shutdown or after a failure of the core. Every
+/// request that was read gets its final answer, including those that wait behind an open query or arrive meanwhile.
+/// Returns how many queries were open.
 pub async fn end_open_queries(dispatcher: &DispatcherHandle) -> usize {
     let open_queries = fail_open_queries(dispatcher);
     wait_for_last_answers(dispatcher).await;
     open_queries
 }
 
-/// Waits until the last answers are written and all clients are disconnected, for at most [`LAST_ANSWERS_S`]. Guards against a
-/// process that is suspended just before or during the wait, and would end before its tasks have written the answers: the time
-/// starts with the wait, which also makes at least [`POLLS_MIN`] polls.
+/// Waits until the last answers are written and all clients are disconnected, for at most [`LAST_ANSWERS_S`]. Guards
+/// against a process that is suspended just before or during the wait, and would end before its tasks have written
+/// the answers: the time starts with the wait, which also makes at least [`POLLS_MIN`] polls.
 async fn wait_for_last_answers(dispatcher: &DispatcherHandle) {
     let clock = dispatcher.borrow().clock;
     let deadline = clock.now() + LAST_ANSWERS_S;
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -1,6 +1,6 @@
-//! Settings that change while the router serves. They come from the configuration file at SIGHUP or from the control plane, and
-//! go through [`LiveConfig::apply`]: they are checked as at a start, and are either rejected completely or applied completely,
-//! by every core between two policy rounds.
+//! Settings that change while the router serves. They come from the configuration file at SIGHUP or from the control
+//! plane, and go through [`LiveConfig::apply`]: they are checked as at a start, and are either rejected completely or
+//! applied completely, by every core between two policy rounds.
 use super::startup::Role;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shared::SharedState;
@@ -43,14 +43,15 @@
 /// The result of applying settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Every serving core has applied the settings. A core that hangs, has failed or is starting applies them before the next
-    /// request that it reads and the next policy round that it runs.
+    /// Every serving core has applied the settings. A core that hangs, has failed or is starting applies them before
+    /// the next request that it reads and the next policy round that it runs.
     Changed,
     /// The settings equal those in force.
     Unchanged,
 }
 
-/// Checks settings as at a start. Given the settings in force, also checks whether a running router can change to the new ones.
+/// Checks settings as at a start. Given the settings in force, also checks whether a running router can change to the
+/// new ones.
 ///
 /// # Errors
 /// A key is invalid, or differs and can only change with a restart.
@@ -81,13 +82,14 @@
     is_serving: RefCell<Option<IsServing>>,
 }
 
-/// The settings in force in the running router; on several cores, the supervising thread holds them. Clones share one state.
+/// The settings in force in the running router; on several cores, the supervising thread holds them. Clones share one
+/// state.
 #[derive(Clone)]
 pub struct LiveConfig(Rc<Inner>);
 
 impl LiveConfig {
-    /// For a router that starts with `settings`, which were read from `settings_json`. Later settings are rejected if they have
-    /// a deadline longer than `max_deadline_limit_s`, in seconds, if there is a limit.
+    /// For a router that starts with `settings`, which were read from `settings_json`. Later settings are rejected if
+    /// they have a deadline longer than `max_deadline_limit_s`, in seconds, if there is a limit.
     pub fn new(
         shared: Arc<SharedState>,
         role: Role,
@@ -107,7 +109,8 @@
         }))
     }
 
-    /// Sets the function that increments counters, and the one that says which cores serve; without the latter, all serve.
+    /// Sets the function that increments counters, and the one that says which cores serve; without the latter, all
+    /// serve.
     pub fn attach(&self, increment_counter: IncrementCounter, is_serving: Option<IsServing>) {
         *self.0.increment_counter.borrow_mut() = Some(increment_counter);
         *self.0.is_serving.borrow_mut() = is_serving;
@@ -138,9 +141,9 @@
         self.count("settings_refused");
     }
 
-    /// Applies settings, with their version if they have one. Returns once every serving core has applied them, which takes one
-    /// policy round; a core that does not serve is not waited for. A later call does not wait for an earlier one: the newest
-    /// settings are in force, and the earlier call returns once they are applied.
+    /// Applies settings, with their version if they have one. Returns once every serving core has applied them, which
+    /// takes one policy round; a core that does not serve is not waited for. A later call does not wait for an
+    /// earlier one: the newest settings are in force, and the earlier call returns once they are applied.
     ///
     /// # Errors
     /// The settings cannot be applied; those in force stay, and the rejection is logged and counted.
@@ -183,8 +186,8 @@
         serial
     }
 
-    /// Waits until the cores have applied the settings. Returns the cores that have not, because they do not serve or took longer
-    /// than [`APPLY_TIMEOUT`].
+    /// Waits until the cores have applied the settings. Returns the cores that have not, because they do not serve or
+    /// took longer than [`APPLY_TIMEOUT`].
     async fn wait_until_applied(&self, serial: u64) -> Vec<usize> {
         let deadline = Instant::now() + APPLY_TIMEOUT;
         let mut late_cores = vec![];
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration file again at SIGHUP, and applies what can change while the program serves. A file that is missing,
-//! incomplete or invalid changes nothing.
+//! Reads the configuration file again at SIGHUP, and applies what can change while the program serves. A file that is
+//! missing, incomplete or invalid changes nothing.
 use super::live_config::LiveConfig;
 use super::startup::{FixedKeys, OperatorFileCheck, Overrides, StartupConfig, StartupError};
 use alderway_sockets::signals::Signals;
@@ -30,9 +30,9 @@
     OperatorFile(String),
 }
 
-/// Reads the configuration again at each SIGHUP, for as long as the program runs. Sends the address of discovery to `discovery`.
-/// If there is a `live_config`, applies the settings to it when they differ from those last applied from the file, so that a
-/// reload for another reason does not undo settings that came from another source since.
+/// Reads the configuration again at each SIGHUP, for as long as the program runs. Sends the address of discovery to
+/// `discovery`. If there is a `live_config`, applies the settings to it when they differ from those last applied from
+/// the file, so that a reload for another reason does not undo settings that came from another source since.
 pub async fn reload_at_sighup(
     mut hangups: Signals,
     mut previous: PreviousConfig,
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,5 +1,5 @@
-//! The configuration at the start: reads the file that `PROXY_CONFIG` names, checks it, and fills in defaults. Each error names
-//! the invalid key.
+//! The configuration at the start: reads the file that `PROXY_CONFIG` names, checks it, and fills in defaults. Each
+//! error names the invalid key.
 use crate::gossip::Circle;
 use crate::state::endpoints::EndpointTable;
 use crate::state::query_classes::ClassRules;
@@ -18,8 +18,8 @@
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
 /// Default of `limits.sockets`: the descriptor limit of a usual small machine.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Minimum of `limits.sockets`: enough for the runtime's own descriptors, the listener, discovery, and a few clients and data
-/// nodes.
+/// Minimum of `limits.sockets`: enough for the runtime's own descriptors, the listener, discovery, and a few clients
+/// and data nodes.
 const MIN_DESCRIPTORS: u64 = 20;
 /// Default of `limits.memory_mb`, in MiB.
 const DEFAULT_MEMORY_MB: u64 = 192;
@@ -80,8 +80,8 @@
     Planner,
 }
 
-/// Reads the operator's file again. Returns whether a value has changed that can only change with a restart, or one line that
-/// says why the file cannot be used.
+/// Reads the operator's file again. Returns whether a value has changed that can only change with a restart, or one
+/// line that says why the file cannot be used.
 pub type OperatorFileCheck = Arc<dyn Fn() -> Result<bool, String> + Send + Sync>;
 
 /// The keys of the configuration file that can only change with a restart, with their values in the file.
@@ -230,7 +230,8 @@
         self.document.get("settings").ok_or_else(|| StartupError::key("settings", "missing"))
     }
 
-    /// The endpoint list that an earlier run of this router last knew, in discovery's format. It may be outdated or empty.
+    /// The endpoint list that an earlier run of this router last knew, in discovery's format. It may be outdated or
+    /// empty.
     fn known_endpoints(&self, clock: Clock) -> Result<EndpointTable, StartupError> {
         let known = self.document.get("known").filter(|list| !list.is_null());
         let endpoints = known.map_or(Ok(EndpointTable::default()), |list| parse_endpoints(list, clock));
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Handles a complete request whose last byte arrived at `arrived_at`, in seconds of the clock: answers it, or opens a query
-/// that is answered later.
+/// Handles a complete request whose last byte arrived at `arrived_at`, in seconds of the clock: answers it, or opens
+/// a query that is answered later.
 pub fn handle(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
@@ -19,8 +19,8 @@
     body: &[u8],
     arrived_at: f64,
 ) {
-    // All responses here have a body, which a response to HEAD must not have: the client could not find the start of the next
-    // response, so the connection is closed.
+    // All responses here have a body, which a response to HEAD must not have: the client could not find the start of
+    // the next response, so the connection is closed.
     let closes = head.closes() || head.first().starts_with("HEAD ");
     client
         .close_after_answer
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -33,8 +33,8 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Serves until the shutdown after SIGTERM is complete. With a `subscription`, the settings come from the control plane, and a
-/// reload does not change them.
+/// Serves until the shutdown after SIGTERM is complete. With a `subscription`, the settings come from the control
+/// plane, and a reload does not change them.
 ///
 /// # Errors
 /// A socket, signal handler or thread could not be created, or the policy could not be created.
@@ -108,8 +108,8 @@
     Ok(())
 }
 
-/// Subscribes to the control plane, if the operator's file names it. Returns the configuration to which a reload may apply
-/// settings: none where settings come from the control plane, as the file's would silently replace its version.
+/// Subscribes to the control plane, if the operator's file names it. Returns the configuration to which a reload may
+/// apply settings: none where settings come from the control plane, as the file's would silently replace its version.
 fn subscribe(
     subscription: Option<Subscription>,
     live_config: &LiveConfig,
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -1,5 +1,6 @@
-//! A router on several cores. This thread, the supervising thread, watches discovery for all cores, accepts connections and
-//! distributes them, supervises the cores, and handles reload and shutdown. It serves no query itself.
+//! A router on several cores. This thread, the supervising thread, watches discovery for all cores, accepts
+//! connections and distributes them, supervises the cores, and handles reload and shutdown. It serves no query
+//! itself.
 use super::subscribe;
 use crate::control::{self, Subscription};
 use crate::io::connection_balancer::ConnectionBalancer;
@@ -28,11 +29,11 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Longest time since discovery was last checked, in seconds, for a core to start attempts. Half the grace period of a drain:
-/// after a longer pause a data node may already have stopped.
+/// Longest time since discovery was last checked, in seconds, for a core to start attempts. Half the grace period of
+/// a drain: after a longer pause a data node may already have stopped.
 const MAX_DISCOVERY_AGE_S: f64 = 1.0;
-/// Time that the cores may take after their open queries have failed, in seconds: for the last answers, and for answers on
-/// connections that were assigned late.
+/// Time that the cores may take after their open queries have failed, in seconds: for the last answers, and for
+/// answers on connections that were assigned late.
 const CORES_MARGIN_S: f64 = 0.25;
 
 /// Serves until the shutdown after SIGTERM is complete.
@@ -124,9 +125,9 @@
     supervised
 }
 
-/// Lengthens the grace period of retired shards by the longest time that a shard request can be open, so that this thread
-/// remembers a retired shard for longer than any core does. Guards against a layout that passes the check on this thread, and
-/// is then rejected by a core that still remembers a shard which this thread has dropped.
+/// Lengthens the grace period of retired shards by the longest time that a shard request can be open, so that this
+/// thread remembers a retired shard for longer than any core does. Guards against a layout that passes the check on
+/// this thread, and is then rejected by a core that still remembers a shard which this thread has dropped.
 fn with_longer_grace(map: ShardMapConfig, max_deadline_s: f64) -> ShardMapConfig {
     ShardMapConfig { retired_shard_grace_s: map.retired_shard_grace_s + max_deadline_s + 1.0, ..map }
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -17,8 +17,8 @@
 /// How long a test waits for an event before it fails.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings with two service classes and one replica group, in which every data node holds every shard. `max_open` limits the
-/// open queries and shard requests.
+/// Settings with two service classes and one replica group, in which every data node holds every shard. `max_open`
+/// limits the open queries and shard requests.
 pub fn settings_json(latency_objective_ms: u64, max_open: usize) -> String {
     let service = |name: &str| {
         format!(
--- a/crates/router/tests/common/suspended_shutdown.rs
+++ b/crates/router/tests/common/suspended_shutdown.rs
@@ -7,8 +7,9 @@
 /// By the client protocol, SIGKILL follows SIGTERM no sooner than after the longest deadline plus this time, in seconds.
 pub const KILL_AFTER_DEADLINE_S: f64 = 0.7;
 
-/// Runs `count` shutdowns at once and asserts that none has an error. `errors_of_shutdown` runs one of them, suspended at the
-/// given time in seconds after SIGTERM; the times are spread over the last `last_part_s` seconds before the earliest SIGKILL.
+/// Runs `count` shutdowns at once and asserts that none has an error. `errors_of_shutdown` runs one of them,
+/// suspended at the given time in seconds after SIGTERM; the times are spread over the last `last_part_s` seconds
+/// before the earliest SIGKILL.
 pub fn run_suspended_shutdowns(
     earliest_kill_s: f64,
     last_part_s: f64,
@@ -26,8 +27,8 @@
     assert!(errors.is_empty(), "{errors:#?}");
 }
 
-/// Errors of a shutdown that was suspended at `suspended_at_s`: each client must have received exactly one response, and the
-/// process must have ended before the earliest SIGKILL. All times are in seconds after SIGTERM.
+/// Errors of a shutdown that was suspended at `suspended_at_s`: each client must have received exactly one response,
+/// and the process must have ended before the earliest SIGKILL. All times are in seconds after SIGTERM.
 pub fn shutdown_errors(
     suspended_at_s: f64,
     received: &[String],
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Pairs of events that happen at the same time, over sockets: each test triggers both and checks the rule that must hold. All
-//! such pairs are listed in docs/crossings.md.
+//! Pairs of events that happen at the same time, over sockets: each test triggers both and checks the rule that must
+//! hold. All such pairs are listed in docs/crossings.md.
 mod common;
 use common::*;
 use rstest::rstest;
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings that change while the router serves: how they are checked, how a dispatcher applies them, how `LiveConfig` publishes
-//! them, and how the program applies them at a reload.
+//! Settings that change while the router serves: how they are checked, how a dispatcher applies them, how
+//! `LiveConfig` publishes them, and how the program applies them at a reload.
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdowns of a process that is suspended during the shutdown: every query that was read is answered, and the process
-//! ends before the earliest SIGKILL.
+//! Graceful shutdowns of a process that is suspended during the shutdown: every query that was read is answered, and
+//! the process ends before the earliest SIGKILL.
 mod common;
 #[path = "common/suspended_shutdown.rs"]
 mod suspended_shutdown;
@@ -63,8 +63,8 @@
     shutdown_errors(suspended_at_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
-/// Guards against queries that are read and never answered, because a process that was suspended ends before it has written its
-/// last answers.
+/// Guards against queries that are read and never answered, because a process that was suspended ends before it has
+/// written its last answers.
 #[rstest]
 fn a_shutdown_suspended_at_any_time_of_its_last_part_answers_every_read_query() {
     run_suspended_shutdowns(EARLIEST_KILL_S, LAST_PART_S, SHUTDOWNS, errors_of_suspended_shutdown);
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Runs the program against clients, data nodes and discovery over loopback. The system chooses the ports. The tests wait for
-//! events of the program instead of sleeping for a fixed time.
+//! Runs the program against clients, data nodes and discovery over loopback. The system chooses the ports. The tests
+//! wait for events of the program instead of sleeping for a fixed time.
 mod common;
 use common::*;
 use rstest::rstest;
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! A router's subscription over sockets, to control servers whose versions the test commits. The tests wait for the router's
-//! counters.
+//! A router's subscription over sockets, to control servers whose versions the test commits. The tests wait for the
+//! router's counters.
 use alderway_control_plane::messages::{ApplyOutcome, RouterMessage};
 use alderway_control_plane::publisher;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, SubscriptionConfig};
@@ -216,8 +216,8 @@
     listener.local_addr().expect("its address")
 }
 
-/// Applies settings of a router whose settings can only change with a restart: valid settings that differ from `current` need
-/// a restart.
+/// Applies settings of a router whose settings can only change with a restart: valid settings that differ from
+/// `current` need a restart.
 fn apply_with_restart(current: Value) -> ApplySettings {
     Box::new(move |settings, _| {
         let outcome = match alderway_deployment::policy(0, &settings) {
--- a/crates/router/tests/system_faults.rs
+++ b/crates/router/tests/system_faults.rs
@@ -1,5 +1,5 @@
-//! The program under system calls that fail in ways that Linux documents, and under a wall clock that steps, while it serves and
-//! shuts down.
+//! The program under system calls that fail in ways that Linux documents, and under a wall clock that steps, while it
+//! serves and shuts down.
 mod common;
 use alderway_fault_injection::HELD_IN_SEND;
 use common::*;
@@ -211,7 +211,8 @@
     assert!(status.success(), "{status}");
 }
 
-/// A data node that starts while the program serves is in slow start, whatever the wall clock showed when the program started.
+/// A data node that starts while the program serves is in slow start, whatever the wall clock showed when the program
+/// started.
 #[rstest]
 #[case::right("seed=6")]
 #[case::an_hour_ahead("wall=3600")]
@@ -249,8 +250,8 @@
     assert!(sent <= 5, "{sent} of 30 queries were sent to a node in slow start that 200 routers share");
 }
 
-/// The system has no buffers for two seconds while an attempt is ready to be written. Whether the attempt may still be sent, and
-/// its time left, are determined when its first byte is written.
+/// The system has no buffers for two seconds while an attempt is ready to be written. Whether the attempt may still
+/// be sent, and its time left, are determined when its first byte is written.
 #[rstest]
 #[case::node_drains(true)]
 #[case::client_still_waits(false)]
@@ -291,15 +292,15 @@
     }
 }
 
-/// The oracle of the soak test relies on this log line: without it, a SIGSTOP during a held call would look like a frame that was
-/// encoded too early.
+/// The oracle of the soak test relies on this log line: without it, a SIGSTOP during a held call would look like a
+/// frame that was encoded too early.
 #[rstest]
 fn a_held_call_that_a_suspension_prolongs_is_logged_with_its_times() {
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let program =
         Program::with_faults(&nodes.addresses, discovery.address, &settings_json(1000, 180), "hold=1");
-    // The send call of the answer is held for 0.15 s. A process that answers slowly, for example on a busy machine, is stopped
-    // before the call, so the test tries several times.
+    // The send call of the answer is held for 0.15 s. A process that answers slowly, for example on a busy machine,
+    // is stopped before the call, so the test tries several times.
     let line_of_held_call = || {
         let mut client = program.connect();
         client.send("GET /up HTTP/1.1\r\n\r\n");
