--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -23,7 +23,7 @@
 
 /// Holds the endpoint list, and the layout if the router uses layouts, that a watch of discovery updates: the
 /// dispatcher of a router on one core, the supervising thread of a router on several cores, or a planner.
-pub trait DiscoveryTarget {
+pub trait DiscoveryHandler {
     fn clock(&self) -> Clock;
     /// Whether a watch opens only after the policy has asked to poll the endpoint list.
     fn polls_on_request(&self) -> bool;
@@ -57,7 +57,7 @@
     }
 }
 
-impl DiscoveryTarget for Dispatcher {
+impl DiscoveryHandler for Dispatcher {
     fn clock(&self) -> Clock {
         self.clock
     }
@@ -100,21 +100,21 @@
     }
 }
 
-pub type SharedDiscoveryTarget = Rc<RefCell<dyn DiscoveryTarget>>;
+pub type SharedDiscoveryHandler = Rc<RefCell<dyn DiscoveryHandler>>;
 
-/// How often a watch without unread bytes is reported to the target.
+/// How often a watch without unread bytes is reported to the handler.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Waits for a future while no watch is open. The last list stays in force, so each interval counts as a check of
 /// discovery.
-async fn wait_without_watch<T>(target: &SharedDiscoveryTarget, future: impl Future<Output = T>) -> T {
-    if !target.borrow().tracks_checks() {
+async fn wait_without_watch<T>(handler: &SharedDiscoveryHandler, future: impl Future<Output = T>) -> T {
+    if !handler.borrow().tracks_checks() {
         return future.await;
     }
     let mut future = pin!(future);
     loop {
-        let now = target.borrow().clock().now();
-        target.borrow_mut().discovery_checked(now);
+        let now = handler.borrow().clock().now();
+        handler.borrow_mut().discovery_checked(now);
         if let Ok(output) = timeout(CHECK_INTERVAL, future.as_mut()).await {
             return output;
         }
@@ -123,10 +123,10 @@
 
 /// Keeps a watch open for as long as the program runs, at the newest address in `addresses`. A new address ends the
 /// current watch at once; the last list stays in force until the new watch has received one.
-pub async fn run(target: SharedDiscoveryTarget, mut addresses: Receiver<SocketAddr>) {
+pub async fn run(handler: SharedDiscoveryHandler, mut addresses: Receiver<SocketAddr>) {
     let (clock, polls_on_request, poll_requested) = {
-        let target = target.borrow();
-        (target.clock(), target.polls_on_request(), target.poll_requested())
+        let handler = handler.borrow();
+        (handler.clock(), handler.polls_on_request(), handler.poll_requested())
     };
     let mut state = WatchState::new(polls_on_request);
     let (mut needs_whole_layout, mut last_message_s) = (false, clock.now());
@@ -139,49 +139,49 @@
                 Ok(()) = addresses.changed() => {}
             }
         };
-        wait_without_watch(&target, next_watch_due).await;
+        wait_without_watch(&handler, next_watch_due).await;
         let address = *addresses.borrow_and_update();
         state.open(clock.now());
         let reason = tokio::select! {
-            reason = watch(&target, address, &mut state, &mut needs_whole_layout, &mut last_message_s) => reason,
+            reason = watch(&handler, address, &mut state, &mut needs_whole_layout, &mut last_message_s) => reason,
             Ok(()) = addresses.changed() => {
-                target.borrow_mut().discovery_moved();
+                handler.borrow_mut().discovery_moved();
                 state.phase = WatchPhase::Waiting { until: clock.now() };
                 continue;
             }
         };
         tracing::warn!(target: "discovery", "the watch is lost: {reason}; the last endpoint list stays in force");
         let answered = state.lost(clock.now());
-        target.borrow_mut().watch_lost(answered);
+        handler.borrow_mut().watch_lost(answered);
     }
 }
 
 /// Opens one watch and reads from it until it is lost; returns the reason. `needs_whole_layout` is set where a change
 /// could not be applied to the current layout, and makes the next watch ask for the whole layout.
 async fn watch(
-    target: &SharedDiscoveryTarget,
+    handler: &SharedDiscoveryHandler,
     address: SocketAddr,
     state: &mut WatchState,
     needs_whole_layout: &mut bool,
     last_message_s: &mut f64,
 ) -> String {
     let (clock, since, mut layout) = {
-        let mut target = target.borrow_mut();
-        let layout = target.layout_version();
-        (target.clock(), target.endpoints().version, layout)
+        let mut handler = handler.borrow_mut();
+        let layout = handler.layout_version();
+        (handler.clock(), handler.endpoints().version, layout)
     };
     // Guards against asking for the same changes for ever: they cannot be applied to the current version.
     if std::mem::take(needs_whole_layout) {
         layout = layout.map(|_| 0);
     }
     let limit = Duration::from_secs_f64((state.deadline() - clock.now()).max(0.0));
-    let stream = match wait_without_watch(target, timeout(limit, alderway_sockets::dial(address))).await {
+    let stream = match wait_without_watch(handler, timeout(limit, alderway_sockets::dial(address))).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return format!("cannot connect: {error}"),
         Err(_) => return "connecting timed out".into(),
     };
     let _ = stream.set_nodelay(true);
-    let tracks_checks = target.borrow().tracks_checks();
+    let tracks_checks = handler.borrow().tracks_checks();
     let mut request = Vec::new();
     discovery::follow(&mut request, &address.to_string(), since, layout);
     let (mut sender, mut written) = (Sender::default(), 0);
@@ -202,7 +202,7 @@
                 // The clock is read before the socket: bytes that arrive between the two are not covered by this check.
                 let now = clock.now();
                 if !arrival::has_unread_bytes(&stream) {
-                    target.borrow_mut().discovery_checked(now);
+                    handler.borrow_mut().discovery_checked(now);
                 }
                 continue;
             }
@@ -224,13 +224,13 @@
                         continue;
                     }
                     state.update_received(now);
-                    target.borrow_mut().record_silence(now - std::mem::replace(last_message_s, now));
+                    handler.borrow_mut().record_silence(now - std::mem::replace(last_message_s, now));
                     if let Word::Object(end) = message
-                        && let Err(problem) = apply(target, &buffer.data()[..end], needs_whole_layout)
+                        && let Err(problem) = apply(handler, &buffer.data()[..end], needs_whole_layout)
                     {
                         return problem.into();
                     }
-                    target.borrow_mut().endpoints().last_contact_s = Some(now);
+                    handler.borrow_mut().endpoints().last_contact_s = Some(now);
                 }
             }
         }
@@ -244,13 +244,13 @@
 /// Applies one JSON object of the watch: a whole endpoint list or a change of it, with a layout in either form if it
 /// holds one.
 fn apply(
-    target: &SharedDiscoveryTarget,
+    handler: &SharedDiscoveryHandler,
     object: &[u8],
     needs_whole_layout: &mut bool,
 ) -> Result<(), &'static str> {
     let (version, is_whole) = discovery::version(object)?;
-    let mut target = target.borrow_mut();
-    let (clock, endpoints) = (target.clock(), target.endpoints());
+    let mut handler = handler.borrow_mut();
+    let (clock, endpoints) = (handler.clock(), handler.endpoints());
     let now = clock.now();
     if !is_whole && endpoints.version.is_none_or(|held| version < held) {
         // The change does not apply to the current list: the next watch asks for the whole list.
@@ -274,11 +274,11 @@
     if let Some(first) = first_error {
         tracing::warn!(target: "roster", "list {version}: {unusable} entries cannot be used, the first is node {first}");
     }
-    let layout = if target.layout_version().is_some() { layout::news(object) } else { Ok(None) };
-    let (mut layout_error, former_layout) = (None, target.layout_version());
+    let layout = if handler.layout_version().is_some() { layout::news(object) } else { Ok(None) };
+    let (mut layout_error, former_layout) = (None, handler.layout_version());
     match layout {
         Ok(Some(news)) => {
-            if let Err(error) = target.apply_layout(news) {
+            if let Err(error) = handler.apply_layout(news) {
                 *needs_whole_layout = matches!(error, Faulty::NotHeld { .. });
                 layout_error = Some(error.to_string());
             }
@@ -286,8 +286,8 @@
         Ok(None) => {}
         Err(problem) => layout_error = Some(problem.to_string()),
     }
-    target.endpoints_updated();
-    match (layout_error, target.layout_version()) {
+    handler.endpoints_updated();
+    match (layout_error, handler.layout_version()) {
         (Some(reason), held) => {
             let held = held.unwrap_or(0);
             tracing::warn!(target: "layout", "refused: {reason}; version {held} holds");
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -72,7 +72,7 @@
     }
 }
 
-impl discovery::DiscoveryTarget for EndpointPublisher {
+impl discovery::DiscoveryHandler for EndpointPublisher {
     fn clock(&self) -> Clock {
         self.clock
     }
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -6,7 +6,7 @@
 pub use rounds::{PolicyFailed, round};
 
 use super::{Outbox, received_observation};
-use crate::io::discovery::DiscoveryTarget;
+use crate::io::discovery::DiscoveryHandler;
 use crate::state::counters::Counters;
 use crate::state::endpoints::EndpointTable;
 use alderway::interface::{AttemptOutcome, NodeObservation, PolicyInput};
@@ -397,7 +397,7 @@
     }
 }
 
-impl DiscoveryTarget for Planner {
+impl DiscoveryHandler for Planner {
     fn clock(&self) -> Clock {
         self.clock
     }
--- a/crates/router/tests/shard_map/changes.rs
+++ b/crates/router/tests/shard_map/changes.rs
@@ -1,7 +1,7 @@
 //! Changes of the shard map that reach attempts and the policy.
 use crate::{change, dispatcher, moved, send, take, told, whole};
 use alderway_layouts::history::News;
-use alderway_router::io::discovery::DiscoveryTarget;
+use alderway_router::io::discovery::DiscoveryHandler;
 use rstest::rstest;
 
 #[rstest]
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -13,7 +13,7 @@
 use alderway_layouts::history::News;
 use alderway_layouts::layout::{Change, Shard};
 use alderway_layouts::{Key, Range, ShardId};
-use alderway_router::io::discovery::DiscoveryTarget;
+use alderway_router::io::discovery::DiscoveryHandler;
 use alderway_router::requests;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
