--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -102,7 +102,7 @@
         Err(_) => dispatcher.borrow_mut().counters.increment("connections{dial_timed_out}"),
     }
     dispatcher.borrow_mut().connection_lost(&node, connection);
-    policy_loop::flush_attempts(&dispatcher, &descriptors);
+    policy_loop::send_queued_attempts(&dispatcher, &descriptors);
 }
 
 fn log_close(dispatcher: &DispatcherHandle, node: &str, connection: u64, reason: &CloseReason) {
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -14,15 +14,15 @@
 
 /// Carries out decisions of a policy on the dispatcher. On a forwarder, it also reports the decisions of the
 /// forwarder's own policy to the tier.
-pub struct DispatcherSink<'a> {
+pub struct DispatcherDecisionSink<'a> {
     dispatcher: &'a DispatcherHandle,
     tier: Option<&'a Tier>,
 }
 
-impl<'a> DispatcherSink<'a> {
+impl<'a> DispatcherDecisionSink<'a> {
     /// A sink for decisions of a planner, of which the tier knows already.
-    pub fn without_tier(dispatcher: &'a DispatcherHandle) -> Self {
-        DispatcherSink { dispatcher, tier: None }
+    pub fn for_planner_decisions(dispatcher: &'a DispatcherHandle) -> Self {
+        DispatcherDecisionSink { dispatcher, tier: None }
     }
 
     fn query_finished(&self, query: &str) {
@@ -30,7 +30,7 @@
     }
 }
 
-impl DecisionSink for DispatcherSink<'_> {
+impl DecisionSink for DispatcherDecisionSink<'_> {
     fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64) {
         self.tier.iter().for_each(|tier| tier.borrow_mut().own_called(request, node));
         self.dispatcher.borrow_mut().start_attempt(request, node, timeout_s);
@@ -68,7 +68,7 @@
 }
 
 /// Assigns waiting attempts to connections, and dials the connections that they need.
-pub fn flush_attempts(dispatcher: &DispatcherHandle, descriptors: &Arc<DescriptorPool>) {
+pub fn send_queued_attempts(dispatcher: &DispatcherHandle, descriptors: &Arc<DescriptorPool>) {
     let now = dispatcher.borrow().clock.now();
     let dials = dispatcher.borrow_mut().flush_attempts(now);
     for dial in dials {
@@ -141,7 +141,7 @@
             }
             Ok::<(), Infallible>(())
         };
-        let mut sink = DispatcherSink { dispatcher: &dispatcher, tier: tier.as_ref() };
+        let mut sink = DispatcherDecisionSink { dispatcher: &dispatcher, tier: tier.as_ref() };
         let round = AssertUnwindSafe(|| policy.round(now, notify, &mut sink));
         // Guards against a defect of the policy that a rare query triggers: open queries fail, and the router
         // continues with a new policy, which has no observations of the data nodes yet, as after a restart.
@@ -152,7 +152,7 @@
             dispatcher.borrow_mut().restart_policy();
         }
         dispatcher.borrow_mut().counters.increment("rounds");
-        flush_attempts(&dispatcher, &descriptors);
+        send_queued_attempts(&dispatcher, &descriptors);
         let interval_s = dispatcher.borrow().admission.min_round_interval_s;
         sleep_until(clock, now + interval_s).await;
     }
--- a/crates/router/src/tier/links.rs
+++ b/crates/router/src/tier/links.rs
@@ -2,7 +2,7 @@
 //! that grow, so that forwarders do not come back all at once to a planner that has just started.
 use super::Outbox;
 use super::forwarder::Forwarder;
-use crate::io::policy_loop::{self, DispatcherSink};
+use crate::io::policy_loop::{self, DispatcherDecisionSink};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
 use alderway_sockets::Sender;
@@ -128,7 +128,7 @@
             match reader.next_frame() {
                 Ok(Some(Received::Message(message))) => {
                     called = true;
-                    tier.borrow_mut().read(hello, message, &mut DispatcherSink::without_tier(dispatcher));
+                    tier.borrow_mut().read(hello, message, &mut DispatcherDecisionSink::for_planner_decisions(dispatcher));
                 }
                 Ok(Some(Received::Hello(_))) => return Some("it says hello twice".into()),
                 Ok(None) => break,
@@ -136,7 +136,7 @@
             }
         }
         if called {
-            policy_loop::flush_attempts(dispatcher, share);
+            policy_loop::send_queued_attempts(dispatcher, share);
             continue;
         }
         tokio::select! {
