--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -32,15 +32,15 @@
 /// How often a core publishes its state and its heartbeat.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Phase of the program, as the supervising thread announces it to the cores.
+/// ProgramPhase of the program, as the supervising thread announces it to the cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Phase {
+pub enum ProgramPhase {
     /// Requests are served.
     Serving,
     /// SIGTERM was received, and the listener is still open.
     Stopping,
     /// The listener is closed: no new client connection arrives.
-    Closed,
+    ListenerClosed,
 }
 
 /// A message of a core to the supervising thread.
@@ -52,7 +52,7 @@
 }
 
 /// The inputs with which a core starts, at first and after each failure.
-pub struct CoreSlot {
+pub struct CoreInputs {
     /// The number of the core.
     pub core: usize,
     pub shared: Arc<SharedState>,
@@ -69,21 +69,21 @@
     pub node_descriptors: Arc<DescriptorPool>,
     pub commands: mpsc::Receiver<CoreCommand>,
     pub endpoints: watch::Receiver<EndpointSnapshot>,
-    pub phase: watch::Receiver<Phase>,
+    pub phase: watch::Receiver<ProgramPhase>,
     pub reports: mpsc::UnboundedSender<CoreReport>,
     /// Each message lets the core start again after a failure.
     pub restart_permits: mpsc::Receiver<()>,
 }
 
 /// Runs a core until the program stops, and restarts it after each failure.
-pub fn run(mut slot: CoreSlot) {
-    log::set_thread_core(slot.core);
-    let mut remote_observations = slot.shared.subscribe_observations();
+pub fn run(mut inputs: CoreInputs) {
+    log::set_thread_core(inputs.core);
+    let mut remote_observations = inputs.shared.subscribe_observations();
     let mut observation_cache = Board::default();
     loop {
         let reason = match Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => {
-                match run_until_failure(&runtime, &mut slot, &mut remote_observations, &mut observation_cache)
+                match run_until_failure(&runtime, &mut inputs, &mut remote_observations, &mut observation_cache)
                 {
                     Ok(()) => break,
                     Err(reason) => reason,
@@ -91,13 +91,13 @@
             }
             Err(error) => format!("the runtime could not be created ({error})"),
         };
-        if slot.reports.send(CoreReport::Failed(slot.core, reason)).is_err()
-            || slot.restart_permits.blocking_recv().is_none()
+        if inputs.reports.send(CoreReport::Failed(inputs.core, reason)).is_err()
+            || inputs.restart_permits.blocking_recv().is_none()
         {
             return;
         }
     }
-    let _ = slot.reports.send(CoreReport::Ended(slot.core));
+    let _ = inputs.reports.send(CoreReport::Ended(inputs.core));
 }
 
 /// Runs a core with a new dispatcher until the program ends, or until a failure, after which the open queries are
@@ -105,27 +105,27 @@
 /// next start.
 fn run_until_failure(
     runtime: &Runtime,
-    slot: &mut CoreSlot,
+    inputs: &mut CoreInputs,
     remote_observations: &mut Option<ObservationReceiver<ObservationMessage>>,
     observation_cache: &mut Board,
 ) -> Result<(), String> {
     let local = LocalSet::new();
-    let (shared, core) = (slot.shared.clone(), slot.core);
+    let (shared, core) = (inputs.shared.clone(), inputs.core);
     let mut dispatcher = Dispatcher::for_core(
         shared,
         core,
-        slot.clock,
-        slot.connections,
-        slot.admission,
-        slot.query_classes.clone(),
+        inputs.clock,
+        inputs.connections,
+        inputs.admission,
+        inputs.query_classes.clone(),
     );
-    dispatcher.counters = slot.shared.cores[core].metrics.borrow().counters.clone();
+    dispatcher.counters = inputs.shared.cores[core].metrics.borrow().counters.clone();
     dispatcher.observations = std::mem::take(observation_cache);
-    dispatcher.shard_map = slot.shard_map.map(ShardMapView::new);
-    dispatcher.subscribe_config(slot.config_updates.clone());
+    dispatcher.shard_map = inputs.shard_map.map(ShardMapView::new);
+    dispatcher.subscribe_config(inputs.config_updates.clone());
     let dispatcher = Rc::new(RefCell::new(dispatcher));
     let served = catch_unwind(AssertUnwindSafe(|| {
-        local.block_on(runtime, serve(&dispatcher, slot, remote_observations))
+        local.block_on(runtime, serve(&dispatcher, inputs, remote_observations))
     }));
     let reason = match served {
         Ok(Ok(())) => return Ok(()),
@@ -137,7 +137,7 @@
     let answered = catch_unwind(AssertUnwindSafe(|| {
         dispatcher.borrow_mut().counters.increment("core_failures");
         local.block_on(runtime, graceful_shutdown::end_open_queries(&dispatcher));
-        publish_state(&dispatcher, slot, None);
+        publish_state(&dispatcher, inputs, None);
         *observation_cache = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
     // Ends the remaining tasks with their connections and queries, and releases what these hold of the shared state.
@@ -177,9 +177,9 @@
 }
 
 /// Publishes this core's heartbeat, load and metrics, which the supervising thread and the other cores read.
-fn publish_state(dispatcher: &DispatcherHandle, slot: &CoreSlot, cpu_usage: Option<&mut CpuUsage>) {
+fn publish_state(dispatcher: &DispatcherHandle, inputs: &CoreInputs, cpu_usage: Option<&mut CpuUsage>) {
     let (now, core_state, dispatcher) =
-        (slot.clock.now(), &slot.shared.cores[slot.core], dispatcher.borrow());
+        (inputs.clock.now(), &inputs.shared.cores[inputs.core], dispatcher.borrow());
     core_state.client_count.store(dispatcher.clients.len(), Relaxed);
     if let Some(cpu_usage) = cpu_usage {
         core_state.active_clients.store(dispatcher.clients.take_active_count(), Relaxed);
@@ -192,32 +192,32 @@
 /// Serves on this core until its shutdown is complete, or until its policy or one of its tasks fails.
 async fn serve(
     dispatcher: &DispatcherHandle,
-    slot: &mut CoreSlot,
+    inputs: &mut CoreInputs,
     remote_observations: &mut Option<ObservationReceiver<ObservationMessage>>,
 ) -> Result<(), String> {
-    apply_snapshot(dispatcher, &slot.endpoints.borrow_and_update().clone());
+    apply_snapshot(dispatcher, &inputs.endpoints.borrow_and_update().clone());
     dispatcher.borrow_mut().endpoints.is_replaced = true;
     dispatcher.borrow_mut().replay_observations();
-    let make_policy = policy_loop::policy_factory(dispatcher, slot.seed);
+    let make_policy = policy_loop::policy_factory(dispatcher, inputs.seed);
     let mut policy_task =
-        spawn_local(policy_loop::run(dispatcher.clone(), None, make_policy, slot.node_descriptors.clone()));
-    let mut watch_failures = slot.endpoints.borrow().watch_failures;
+        spawn_local(policy_loop::run(dispatcher.clone(), None, make_policy, inputs.node_descriptors.clone()));
+    let mut watch_failures = inputs.endpoints.borrow().watch_failures;
     let mut shutdown: Option<JoinHandle<()>> = None;
     // A core that restarts during a shutdown has to begin its own shutdown.
-    slot.phase.mark_changed();
+    inputs.phase.mark_changed();
     let mut heartbeats = interval(HEARTBEAT_INTERVAL);
     heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut cpu_usage = CpuUsage::new(slot.clock.now());
+    let mut cpu_usage = CpuUsage::new(inputs.clock.now());
     loop {
         tokio::select! {
             biased;
             // The endpoint list comes first: after a pause of this thread the fence holds back every new attempt until
             // the newest list is applied.
-            changed = slot.endpoints.changed() => {
+            changed = inputs.endpoints.changed() => {
                 if changed.is_err() {
                     return Err("the supervising thread has ended".into());
                 }
-                let snapshot = slot.endpoints.borrow_and_update().clone();
+                let snapshot = inputs.endpoints.borrow_and_update().clone();
                 apply_snapshot(dispatcher, &snapshot);
                 if std::mem::replace(&mut watch_failures, snapshot.watch_failures) != snapshot.watch_failures {
                     dispatcher.borrow_mut().endpoint_poll_failed();
@@ -228,10 +228,10 @@
                 _ => "the policy task panicked".into(),
             }),
             // The next policy round applies the settings.
-            Ok(()) = slot.config_updates.changed() => dispatcher.borrow().work_ready.notify_one(),
-            changed = slot.phase.changed(), if shutdown.is_none() => {
-                if changed.is_ok() && *slot.phase.borrow_and_update() != Phase::Serving {
-                    let closed = listener_closed(slot.phase.clone());
+            Ok(()) = inputs.config_updates.changed() => dispatcher.borrow().work_ready.notify_one(),
+            changed = inputs.phase.changed(), if shutdown.is_none() => {
+                if changed.is_ok() && *inputs.phase.borrow_and_update() != ProgramPhase::Serving {
+                    let closed = wait_for_closed_listener(inputs.phase.clone());
                     shutdown = Some(spawn_local(graceful_shutdown::shut_down(dispatcher.clone(), closed)));
                 }
             }
@@ -239,7 +239,7 @@
                 ended.map_err(|_| "the shutdown task panicked".to_string())?;
                 // Guards against losing connections that the balancer assigned to this core just as its shutdown ended.
                 let mut has_late_commands = false;
-                while let Ok(command) = slot.commands.try_recv() {
+                while let Ok(command) = inputs.commands.try_recv() {
                     has_late_commands = true;
                     execute(dispatcher, command);
                 }
@@ -247,13 +247,13 @@
                     shutdown = Some(spawn_local(graceful_shutdown::end_late_connections(dispatcher.clone())));
                     continue;
                 }
-                publish_state(dispatcher, slot, None);
+                publish_state(dispatcher, inputs, None);
                 return Ok(());
             }
-            Some(command) = slot.commands.recv() => execute(dispatcher, command),
+            Some(command) = inputs.commands.recv() => execute(dispatcher, command),
             received = next_observation(remote_observations) => {
                 if let ControlFlow::Continue(observation) = received {
-                    if observation.core != slot.core {
+                    if observation.core != inputs.core {
                         dispatcher.borrow_mut().remote_observation(observation);
                     }
                 } else {
@@ -263,14 +263,14 @@
             _ = heartbeats.tick() => {
                 let mut state = dispatcher.borrow_mut();
                 state.recheck_fence();
-                let now = slot.clock.now();
+                let now = inputs.clock.now();
                 let Dispatcher { observations, endpoints, .. } = &mut *state;
                 observations.sweep(now, |node| endpoints.nodes.contains_key(node));
-                if slot.node_descriptors.pool.is_short() {
+                if inputs.node_descriptors.pool.is_short() {
                     endpoints.retire_longest_idle();
                 }
                 drop(state);
-                publish_state(dispatcher, slot, Some(&mut cpu_usage));
+                publish_state(dispatcher, inputs, Some(&mut cpu_usage));
                 #[cfg(feature = "faults")]
                 inject_fault(dispatcher.borrow_mut().injected_fault.take());
             }
@@ -307,8 +307,8 @@
     }
 }
 
-async fn listener_closed(mut phase: watch::Receiver<Phase>) {
-    let _ = phase.wait_for(|phase| *phase == Phase::Closed).await;
+async fn wait_for_closed_listener(mut phase: watch::Receiver<ProgramPhase>) {
+    let _ = phase.wait_for(|phase| *phase == ProgramPhase::ListenerClosed).await;
 }
 
 /// Applies a snapshot of the endpoint list and the layout, if it is newer than the one in force.
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -88,15 +88,15 @@
         }
     }
 
-    /// Waits until every core that has not failed has shut down, or until `deadline` in seconds of the clock. Returns how
+    /// Waits until every core that has not failed has shut down, or until `deadline_s` in seconds of the clock. Returns how
     /// many cores have not shut down. Guards against a process that is suspended past the deadline: each wait lasts at
     /// least `REPORT_WAIT_MIN`, so reports that were sent in the meantime are still read.
-    pub async fn wait_for_shutdown(&mut self, deadline: f64) -> usize {
+    pub async fn wait_and_count_running(&mut self, deadline_s: f64) -> usize {
         let is_running = |state| !matches!(state, State::Failed(_) | State::Lost);
         let mut running = self.core_table.borrow().count(is_running);
         while running > 0 {
             let remaining =
-                Duration::from_secs_f64((deadline - self.clock.now()).max(0.0)).max(REPORT_WAIT_MIN);
+                Duration::from_secs_f64((deadline_s - self.clock.now()).max(0.0)).max(REPORT_WAIT_MIN);
             match timeout(remaining, self.reports.recv()).await {
                 Ok(Some(CoreReport::Ended(_) | CoreReport::Failed(..))) => running -= 1,
                 _ => break,
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -4,7 +4,7 @@
 use super::subscribe;
 use crate::control::{self, Subscription};
 use crate::io::connection_balancer::ConnectionBalancer;
-use crate::io::core::{self, CoreSlot, Phase};
+use crate::io::core::{self, CoreInputs, ProgramPhase};
 use crate::io::core_supervisor::CoreSupervisor;
 use crate::io::endpoint_publisher::EndpointPublisher;
 use crate::io::{acceptor, arrival, discovery};
@@ -62,13 +62,13 @@
     let polls_endpoints = admission.polls_endpoints;
     let publisher = EndpointPublisher::new(clock, polls_endpoints, endpoints, shared.clone(), shard_map_view);
     let publisher = Rc::new(RefCell::new(publisher));
-    let (phase, phase_updates) = watch::channel(Phase::Serving);
+    let (phase, phase_updates) = watch::channel(ProgramPhase::Serving);
     let (reports, received_reports) = mpsc::unbounded_channel();
     let mut restarts = vec![];
     for (core, commands) in inboxes.into_iter().enumerate() {
         let (restart, restart_permits) = mpsc::channel(1);
         restarts.push(restart);
-        let slot = CoreSlot {
+        let inputs = CoreInputs {
             core,
             shared: shared.clone(),
             clock,
@@ -85,7 +85,7 @@
             reports: reports.clone(),
             restart_permits,
         };
-        std::thread::Builder::new().name(format!("core {core}")).spawn(move || core::run(slot))?;
+        std::thread::Builder::new().name(format!("core {core}")).spawn(move || core::run(inputs))?;
     }
 
     let listener = TcpListener::bind(listen).await?;
@@ -107,7 +107,7 @@
         CoreSupervisor::new(shared.clone(), clock, publisher, core_table, received_reports, restarts);
     let supervised = supervisor.supervise(terminations).await;
     if supervised.is_ok() {
-        let _ = phase.send(Phase::Stopping);
+        let _ = phase.send(ProgramPhase::Stopping);
         // The shutdown has the same time limit as on one core, even if a core hangs.
         let limit_s = graceful_shutdown::time_limit_s(live_config.max_deadline_s()) + CORES_MARGIN_S;
         let deadline = clock.now() + limit_s;
@@ -115,8 +115,8 @@
             () = graceful_shutdown::listener_closed(close, listening, limit_s) => {}
             () = supervisor.monitor_heartbeats() => {}
         }
-        let _ = phase.send(Phase::Closed);
-        let running = supervisor.wait_for_shutdown(deadline).await;
+        let _ = phase.send(ProgramPhase::ListenerClosed);
+        let running = supervisor.wait_and_count_running(deadline).await;
         if running > 0 {
             tracing::error!(target: "stop", "{running} cores did not shut down in time");
         }
