--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -136,7 +136,7 @@
     // dispatcher itself panics.
     let answered = catch_unwind(AssertUnwindSafe(|| {
         dispatcher.borrow_mut().counters.increment("core_failures");
-        local.block_on(runtime, graceful_shutdown::end_open_queries(&dispatcher));
+        local.block_on(runtime, graceful_shutdown::fail_queries_and_disconnect(&dispatcher));
         publish_state(&dispatcher, inputs, None);
         *observation_cache = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
@@ -244,7 +244,7 @@
                     execute(dispatcher, command);
                 }
                 if has_late_commands {
-                    shutdown = Some(spawn_local(graceful_shutdown::end_late_connections(dispatcher.clone())));
+                    shutdown = Some(spawn_local(graceful_shutdown::reject_late_connections(dispatcher.clone())));
                     continue;
                 }
                 publish_state(dispatcher, inputs, None);
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -4,7 +4,7 @@
 //!
 //! The phases, as `ShutdownPhase` names them:
 //!
-//! 1. Draining, from SIGTERM: the listener stays open for [`LISTEN_DURATION`], and connections are served as before.
+//! 1. Draining, from SIGTERM: the listener stays open for [`LISTEN_TIME_AFTER_SIGTERM`], and connections are served as before.
 //! 2. Closing, as soon as a new query might not be answered before the end: idle connections are closed at once,
 //!    others after their answer.
 //! 3. Ending, once all clients are disconnected or the time limit is reached: open queries fail, and their answers
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 
 /// How long the listener stays open after SIGTERM. By the client protocol, new connections may arrive for 0.4 s.
-pub const LISTEN_DURATION: Duration = Duration::from_millis(500);
+pub const LISTEN_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(500);
 /// By the client protocol, SIGKILL follows SIGTERM no sooner than after the longest deadline, of which at most 3 s
 /// count, plus 0.7 s.
 const MAX_DEADLINE_S: f64 = 3.0;
@@ -38,7 +38,7 @@
 const ACCEPT_WAITING_MIN: Duration = Duration::from_millis(100);
 
 /// Time from SIGTERM until the remaining open queries fail, in seconds, if `longest_deadline_s` is the longest deadline.
-pub fn time_limit_s(longest_deadline_s: f64) -> f64 {
+pub fn shutdown_time_limit_s(longest_deadline_s: f64) -> f64 {
     let reserved_s = LAST_ANSWERS_S + STALL_S + SAFETY_MARGIN_S;
     longest_deadline_s.min(MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - reserved_s
 }
@@ -56,18 +56,18 @@
         let dispatcher = dispatcher.borrow();
         dispatcher.longest_deadline_s(dispatcher.clock.now())
     };
-    shut_down(dispatcher, listener_closed(close, listening, time_limit_s(longest_deadline_s))).await;
+    shut_down(dispatcher, close_listener(close, listening, shutdown_time_limit_s(longest_deadline_s))).await;
 }
 
-/// Closes the listener after [`LISTEN_DURATION`], and returns once no further connection is accepted. Waits at most
+/// Closes the listener after [`LISTEN_TIME_AFTER_SIGTERM`], and returns once no further connection is accepted. Waits at most
 /// until the end of a shutdown of `limit_s` seconds, in case descriptors are released too slowly. Guards against
 /// ending while connections that the system has accepted wait in the listener's queue, for example after the process
 /// was suspended.
-pub async fn listener_closed(close: Rc<Notify>, listening: JoinHandle<()>, limit_s: f64) {
-    sleep(LISTEN_DURATION).await;
+pub async fn close_listener(close: Rc<Notify>, listening: JoinHandle<()>, limit_s: f64) {
+    sleep(LISTEN_TIME_AFTER_SIGTERM).await;
     close.notify_one();
-    let remaining = Duration::from_secs_f64(limit_s.max(0.0)).saturating_sub(LISTEN_DURATION);
-    let _ = timeout(remaining.clamp(ACCEPT_WAITING_MIN, LISTEN_DURATION), listening).await;
+    let remaining = Duration::from_secs_f64(limit_s.max(0.0)).saturating_sub(LISTEN_TIME_AFTER_SIGTERM);
+    let _ = timeout(remaining.clamp(ACCEPT_WAITING_MIN, LISTEN_TIME_AFTER_SIGTERM), listening).await;
 }
 
 /// Shuts one core down; returns when the program may end. `listener_closed` completes when no further connection arrives.
@@ -84,7 +84,7 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    let open_queries = end_open_queries(&dispatcher).await;
+    let open_queries = fail_queries_and_disconnect(&dispatcher).await;
     let took_s = clock.now() - phases.began;
     tracing::info!(target: "stop", "ended after {took_s:.1} s: {open_queries} open queries failed");
 }
@@ -104,7 +104,7 @@
     dispatcher.shutdown_phase = ShutdownPhase::Draining;
     let (queries, clients) = (dispatcher.queries.len(), dispatcher.clients.len());
     tracing::info!(target: "stop", "SIGTERM: {queries} queries open, {clients} clients");
-    let end = began + time_limit_s(dispatcher.longest_deadline_s(began));
+    let end = began + shutdown_time_limit_s(dispatcher.longest_deadline_s(began));
     PhaseTimes { began, close_at: end - dispatcher.admission.max_latency_objective_s, end }
 }
 
@@ -121,7 +121,7 @@
 /// Ends all queries and client connections of a core, at the end of a shutdown or after a failure of the core. Every
 /// request that was read gets its final answer, including those that wait behind an open query or arrive meanwhile.
 /// Returns how many queries were open.
-pub async fn end_open_queries(dispatcher: &DispatcherHandle) -> usize {
+pub async fn fail_queries_and_disconnect(dispatcher: &DispatcherHandle) -> usize {
     let open_queries = fail_open_queries(dispatcher);
     wait_for_last_answers(dispatcher).await;
     open_queries
@@ -141,7 +141,7 @@
 }
 
 /// Ends connections that were assigned to a core after its shutdown: their requests are rejected at once.
-pub async fn end_late_connections(dispatcher: DispatcherHandle) {
+pub async fn reject_late_connections(dispatcher: DispatcherHandle) {
     // Lets the tasks of these connections run for the first time.
     sleep(POLL_INTERVAL).await;
     dispatcher.borrow().clients.close_at_program_end();
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -109,10 +109,10 @@
     if supervised.is_ok() {
         let _ = phase.send(ProgramPhase::Stopping);
         // The shutdown has the same time limit as on one core, even if a core hangs.
-        let limit_s = graceful_shutdown::time_limit_s(live_config.max_deadline_s()) + CORES_MARGIN_S;
+        let limit_s = graceful_shutdown::shutdown_time_limit_s(live_config.max_deadline_s()) + CORES_MARGIN_S;
         let deadline = clock.now() + limit_s;
         tokio::select! {
-            () = graceful_shutdown::listener_closed(close, listening, limit_s) => {}
+            () = graceful_shutdown::close_listener(close, listening, limit_s) => {}
             () = supervisor.monitor_heartbeats() => {}
         }
         let _ = phase.send(ProgramPhase::ListenerClosed);
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -65,7 +65,7 @@
     }
     shared.borrow_mut().stopping = true;
     shared.borrow_mut().beat(PATIENCE);
-    let over = clock.now() + graceful_shutdown::time_limit_s(deadline);
+    let over = clock.now() + graceful_shutdown::shutdown_time_limit_s(deadline);
     while shared.borrow().open() > 0 && clock.now() < over {
         sleep(Duration::from_millis(10)).await;
     }
