--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -9,7 +9,7 @@
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, settings as control_settings};
 use alderway_router::gossip::{Circle, Members};
-use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
+use alderway_router::lifecycle::startup::{Overrides, ProgramRole, StartupConfig, StartupError};
 use alderway_router::server::serve;
 use alderway_router::state::descriptors;
 use alderway_router::state::shard_map::ShardMapConfig;
@@ -167,11 +167,11 @@
         lagging_node_grace_s: l.lagging_nodes,
     });
     config.role = match operator.tier.clone() {
-        Tier::Alone => Role::Router,
+        Tier::Alone => ProgramRole::Router,
         Tier::Forwarder { planners, beat, patience, .. } => {
-            Role::Forwarder { planners, heartbeat_interval_s: beat, heartbeat_timeout_s: patience }
+            ProgramRole::Forwarder { planners, heartbeat_interval_s: beat, heartbeat_timeout_s: patience }
         }
-        Tier::Planner { .. } => Role::Planner,
+        Tier::Planner { .. } => ProgramRole::Planner,
     };
     let cores = match operator.cores.count {
         Count::Cores(cores) => cores,
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -1,7 +1,7 @@
 //! Settings that change while the router serves. They come from the configuration file at SIGHUP or from the control
 //! plane, and go through [`LiveConfig::apply`]: they are checked as at a start, and are either rejected completely or
 //! applied completely, by every core between two policy rounds.
-use super::startup::Role;
+use super::startup::ProgramRole;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shared::SharedState;
 use alderway_deployment::{Changes, Settings, changes};
@@ -42,7 +42,7 @@
 
 /// The result of applying settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyResult {
     /// Every serving core has applied the settings. A core that hangs, has failed or is starting applies them before
     /// the next request that it reads and the next policy round that it runs.
     Changed,
@@ -71,7 +71,7 @@
 
 struct Inner {
     shared: Arc<SharedState>,
-    role: Role,
+    role: ProgramRole,
     /// Upper limit of the deadline of a query class, in seconds; none where there is no limit.
     max_deadline_limit_s: Option<f64>,
     in_force: RefCell<Arc<Value>>,
@@ -92,7 +92,7 @@
     /// they have a deadline longer than `max_deadline_limit_s`, in seconds, if there is a limit.
     pub fn new(
         shared: Arc<SharedState>,
-        role: Role,
+        role: ProgramRole,
         settings_json: Value,
         settings: Settings,
         max_deadline_limit_s: Option<f64>,
@@ -111,7 +111,7 @@
 
     /// Sets the function that increments counters, and the one that says which cores serve; without the latter, all
     /// serve.
-    pub fn attach(&self, increment_counter: IncrementCounter, is_serving: Option<IsServing>) {
+    pub fn set_callbacks(&self, increment_counter: IncrementCounter, is_serving: Option<IsServing>) {
         *self.0.increment_counter.borrow_mut() = Some(increment_counter);
         *self.0.is_serving.borrow_mut() = is_serving;
     }
@@ -122,7 +122,7 @@
     }
 
     /// The settings in force as JSON.
-    pub fn in_force(&self) -> Arc<Value> {
+    pub fn settings_in_force(&self) -> Arc<Value> {
         self.0.in_force.borrow().clone()
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Counts settings that were rejected while reading the configuration file.
-    pub fn count_rejected(&self) {
+    pub fn count_rejected_settings(&self) {
         self.count("settings_refused");
     }
 
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     /// The settings cannot be applied; those in force stay, and the rejection is logged and counted.
-    pub async fn apply(&self, settings: Value, version: Option<u64>) -> Result<Applied, ConfigError> {
+    pub async fn apply(&self, settings: Value, version: Option<u64>) -> Result<ApplyResult, ConfigError> {
         let name = version.map_or("settings".to_string(), |version| format!("version {version}"));
         let checked =
             self.check_against_in_force(&settings).inspect_err(|error| self.log_rejected(&name, error))?;
@@ -155,21 +155,21 @@
         *self.0.in_force.borrow_mut() = Arc::new(settings);
         if checked.changed_keys.is_empty() {
             tracing::info!(target: "settings", "{name}: no change, equal to the settings in force");
-            return Ok(Applied::Unchanged);
+            return Ok(ApplyResult::Unchanged);
         }
         let serial = self.publish(checked.settings);
         let late_cores = self.wait_until_applied(serial).await;
         self.count("settings_taken");
         log_applied(&name, &checked.changed_keys, &late_cores);
-        Ok(Applied::Changed)
+        Ok(ApplyResult::Changed)
     }
 
     fn check_against_in_force(&self, settings: &Value) -> Result<CheckedSettings, ConfigError> {
-        if self.0.role != Role::Router {
+        if self.0.role != ProgramRole::Router {
             // Forwarders and planners divide the quotas by numbers that a single program does not know.
             return Err(ConfigError::RestartRequired(vec!["settings".into()]));
         }
-        let checked = check(settings, Some(&self.in_force()))?;
+        let checked = check(settings, Some(&self.settings_in_force()))?;
         let max_deadline_s = checked.settings.admission.max_deadline_s;
         if self.0.max_deadline_limit_s.is_some_and(|limit_s| max_deadline_s > limit_s) {
             return Err(ConfigError::RestartRequired(vec!["Services[].DeadlineUs".into()]));
@@ -219,7 +219,7 @@
     }
 
     fn log_rejected(&self, name: &str, error: &ConfigError) {
-        self.count_rejected();
+        self.count_rejected_settings();
         tracing::warn!(target: "settings", "refused: {name}: {error}; the settings in force stay");
     }
 }
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
 //! Reads the configuration file again at SIGHUP, and applies what can change while the program serves. A file that is
 //! missing, incomplete or invalid changes nothing.
 use super::live_config::LiveConfig;
-use super::startup::{FixedKeys, OperatorFileCheck, Overrides, StartupConfig, StartupError};
+use super::startup::{RestartOnlyKeys, OperatorFileChangeCheck, Overrides, StartupConfig, StartupError};
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use serde_json::Value;
@@ -15,9 +15,9 @@
     /// The configuration file.
     pub path: PathBuf,
     /// Compares the operator's file with its content at the start; none where there is no such file.
-    pub operator_file_check: Option<OperatorFileCheck>,
+    pub operator_file_check: Option<OperatorFileChangeCheck>,
     /// Keys that can only change with a restart, with their values, and the settings last applied from the file.
-    pub fixed_keys: FixedKeys,
+    pub restart_only_keys: RestartOnlyKeys,
 }
 
 /// Why a reload changed nothing.
@@ -44,7 +44,7 @@
         hangups.recv().await;
         match previous.read_again(clock) {
             Ok(config) => {
-                previous.log_fixed_keys_changed(&config, live_config.is_some());
+                previous.log_restart_only_changes(&config, live_config.is_some());
                 move_discovery(&discovery, config.discovery);
                 if let Some(live_config) = &live_config {
                     previous.apply_settings(config.settings_json, live_config).await;
@@ -53,9 +53,9 @@
             Err(error) => {
                 tracing::warn!(target: "reload", "{error}; the old configuration holds");
                 if let (ReloadError::Config(error), Some(live_config)) = (&error, &live_config)
-                    && error.is_of_settings()
+                    && error.is_settings_error()
                 {
-                    live_config.count_rejected();
+                    live_config.count_rejected_settings();
                 }
             }
         }
@@ -68,7 +68,7 @@
         PreviousConfig {
             path: config.path.clone(),
             operator_file_check: config.operator_file_check.clone(),
-            fixed_keys: config.fixed_keys.clone(),
+            restart_only_keys: config.restart_only_keys.clone(),
         }
     }
 
@@ -81,8 +81,8 @@
         Ok(config)
     }
 
-    fn log_fixed_keys_changed(&self, config: &StartupConfig, can_apply_settings: bool) {
-        for ((key, new), (_, previous)) in config.fixed_keys.iter().zip(&self.fixed_keys) {
+    fn log_restart_only_changes(&self, config: &StartupConfig, can_apply_settings: bool) {
+        for ((key, new), (_, previous)) in config.restart_only_keys.iter().zip(&self.restart_only_keys) {
             let is_applied = can_apply_settings && *key == "settings";
             if new != previous && !is_applied {
                 tracing::warn!(target: "reload", "key `{key}`: its change takes effect with a restart");
@@ -91,7 +91,7 @@
     }
 
     async fn apply_settings(&mut self, settings: Value, live_config: &LiveConfig) {
-        let Some((_, previous)) = self.fixed_keys.iter_mut().find(|(key, _)| *key == "settings") else {
+        let Some((_, previous)) = self.restart_only_keys.iter_mut().find(|(key, _)| *key == "settings") else {
             return;
         };
         if *previous != settings && live_config.apply(settings.clone(), None).await.is_ok() {
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -30,7 +30,7 @@
     /// The configuration file, which is read again at SIGHUP.
     pub path: PathBuf,
     /// Compares the operator's file with its content at the start; none where the program was started without one.
-    pub operator_file_check: Option<OperatorFileCheck>,
+    pub operator_file_check: Option<OperatorFileChangeCheck>,
     /// The router's name among its peers.
     pub name: String,
     /// Address of the listener for clients, or of a planner for forwarders.
@@ -52,18 +52,18 @@
     /// The query classes of the settings, in their order.
     pub query_classes: Vec<ClassRules>,
     /// Keys that can only change with a restart, with their values in the file.
-    pub fixed_keys: FixedKeys,
+    pub restart_only_keys: RestartOnlyKeys,
     /// How changes of the shard map are followed; none where shards lie in the fixed ring of the settings.
     pub shard_map: Option<ShardMapConfig>,
     /// The role of the program among the routers, forwarders and planners.
-    pub role: Role,
+    pub role: ProgramRole,
     /// The routers with which this one exchanges observations; none where gossip is off.
     pub gossip: Option<Circle>,
 }
 
 /// The role of a program among the routers, forwarders and planners.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Role {
+pub enum ProgramRole {
     /// Serves clients and makes all decisions itself.
     #[default]
     Router,
@@ -82,10 +82,10 @@
 
 /// Reads the operator's file again. Returns whether a value has changed that can only change with a restart, or one
 /// line that says why the file cannot be used.
-pub type OperatorFileCheck = Arc<dyn Fn() -> Result<bool, String> + Send + Sync>;
+pub type OperatorFileChangeCheck = Arc<dyn Fn() -> Result<bool, String> + Send + Sync>;
 
 /// The keys of the configuration file that can only change with a restart, with their values in the file.
-pub type FixedKeys = [(&'static str, Value); 4];
+pub type RestartOnlyKeys = [(&'static str, Value); 4];
 
 /// Why the program cannot start with a configuration.
 #[derive(Debug, Error)]
@@ -120,7 +120,7 @@
     }
 
     /// Whether the invalid key is in the settings, rather than in the rest of the configuration.
-    pub fn is_of_settings(&self) -> bool {
+    pub fn is_settings_error(&self) -> bool {
         matches!(self, StartupError::Key { key: "settings", .. })
     }
 }
@@ -153,7 +153,7 @@
             .map_err(|source| StartupError::Unreadable { path: path.into(), source })?;
         let mut document: Value = serde_json::from_str(&text)?;
         // Taken before the overrides: a reload compares the file with its earlier content.
-        let fixed_keys = FIXED_KEYS.map(|key| (key, document[key].clone()));
+        let restart_only_keys = RESTART_ONLY_KEYS.map(|key| (key, document[key].clone()));
         if let (Some(settings), Some(keys)) = (overrides.settings, document.as_object_mut()) {
             keys.insert("settings".into(), settings);
         }
@@ -177,15 +177,15 @@
             settings_json: settings_json.clone(),
             query_classes: ClassRules::all(&settings),
             settings,
-            fixed_keys,
+            restart_only_keys,
             shard_map: None,
-            role: Role::Router,
+            role: ProgramRole::Router,
             gossip: None,
         })
     }
 }
 
-const FIXED_KEYS: [&str; 4] = ["name", "listen", "limits", "settings"];
+const RESTART_ONLY_KEYS: [&str; 4] = ["name", "listen", "limits", "settings"];
 
 fn parse_settings(json: &Value) -> Result<Settings, StartupError> {
     Settings::read(json).map_err(|error| StartupError::key("settings", format!("expected {error}")))
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -9,7 +9,7 @@
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::live_config::LiveConfig;
 use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
-use crate::lifecycle::startup::{Role, StartupConfig};
+use crate::lifecycle::startup::{ProgramRole, StartupConfig};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{self, DescriptorPool};
 use crate::state::dispatcher::Dispatcher;
@@ -46,7 +46,7 @@
 ) -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
-    if config.role == Role::Planner {
+    if config.role == ProgramRole::Planner {
         local.block_on(&runtime, post::run(config, clock))
     } else if multicore.cores > 1 {
         local.block_on(&runtime, several_cores::run(config, subscription, multicore, clock))
@@ -86,7 +86,7 @@
         spawn_local(policy_loop::run(dispatcher.clone(), forwarder, make_policy, node_descriptors));
     spawn_local(wake_on_new_settings(dispatcher.clone(), live_config.subscribe()));
     let counting_dispatcher = dispatcher.clone();
-    live_config.attach(Box::new(move |name| counting_dispatcher.borrow_mut().counters.increment(name)), None);
+    live_config.set_callbacks(Box::new(move |name| counting_dispatcher.borrow_mut().counters.increment(name)), None);
     let (discovery, discovery_address) = watch::channel(discovery);
     spawn_local(discovery::run(dispatcher.clone(), discovery_address));
     let reloadable = subscribe(subscription, &live_config, &name, shared, clock);
@@ -153,12 +153,12 @@
 /// Connects a forwarder to its planners; none for a router that makes its own decisions.
 fn connect_to_planners(
     dispatcher: &DispatcherHandle,
-    role: &Role,
+    role: &ProgramRole,
     name: &str,
     node_descriptors: &Arc<DescriptorPool>,
     clock: Clock,
 ) -> Option<Tier> {
-    let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return None };
+    let ProgramRole::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return None };
     let watch = Watch { beat: *heartbeat_interval_s, patience: *heartbeat_timeout_s };
     let work_ready = dispatcher.borrow().work_ready.clone();
     let forwarder = Forwarder::new(name, post::incarnation(), watch, clock, work_ready);
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -93,7 +93,7 @@
     let (address, cores) = (listener.local_addr()?, multicore.cores);
     tracing::info!(target: "start", "{name} listens at {address}: {node_count} data nodes known, {cores} cores");
     let core_table = Rc::new(RefCell::new(Crew::new(cores, clock.now())));
-    attach(&live_config, &publisher, &core_table);
+    set_callbacks(&live_config, &publisher, &core_table);
     let (discovery, discovery_address) = watch::channel(discovery);
     let reloadable = subscribe(subscription, &live_config, &name, shared.clone(), clock);
     spawn_local(reload_at_sighup(hangups, previous, discovery, clock, reloadable));
@@ -133,7 +133,7 @@
 }
 
 /// Gives the live configuration its counters, and tells it which cores serve.
-fn attach(
+fn set_callbacks(
     live_config: &LiveConfig,
     publisher: &Rc<RefCell<EndpointPublisher>>,
     core_table: &Rc<RefCell<Crew>>,
@@ -143,7 +143,7 @@
     let is_serving = move |core| {
         !matches!(core_table.borrow().state(core), State::Hung(_) | State::Failed(_) | State::Lost)
     };
-    live_config.attach(Box::new(increment), Some(Box::new(is_serving)));
+    live_config.set_callbacks(Box::new(increment), Some(Box::new(is_serving)));
 }
 
 fn metrics_text(shared: &Arc<SharedState>) -> String {
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -4,8 +4,8 @@
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
 use alderway_deployment::{Changes, Settings, changes};
-use alderway_router::lifecycle::live_config::{Applied, ConfigError, LiveConfig, check};
-use alderway_router::lifecycle::startup::Role;
+use alderway_router::lifecycle::live_config::{ApplyResult, ConfigError, LiveConfig, check};
+use alderway_router::lifecycle::startup::ProgramRole;
 use alderway_router::state::attempts::AttemptId;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
@@ -295,7 +295,7 @@
 
 // `LiveConfig`.
 
-fn new_live_config(role: Role) -> (LiveConfig, Arc<SharedState>) {
+fn new_live_config(role: ProgramRole) -> (LiveConfig, Arc<SharedState>) {
     let shared = SharedState::new(180, MulticoreConfig { cores: 2, ..MulticoreConfig::default() }, 1.0).0;
     let settings = Settings::read(&current_settings()).expect("valid");
     (LiveConfig::new(shared.clone(), role, current_settings(), settings, None), shared)
@@ -308,10 +308,10 @@
 
 #[rstest]
 fn applying_settings_returns_once_every_serving_core_has_applied_them() {
-    let (live_config, shared) = new_live_config(Role::Router);
+    let (live_config, shared) = new_live_config(ProgramRole::Router);
     let hangs = Rc::new(std::cell::Cell::new(false));
     let core_1_hangs = hangs.clone();
-    live_config.attach(Box::new(|_| ()), Some(Box::new(move |core| core == 0 || !core_1_hangs.get())));
+    live_config.set_callbacks(Box::new(|_| ()), Some(Box::new(move |core| core == 0 || !core_1_hangs.get())));
     let new = settings_with("/ReplicasOfMe", json!(5));
     block_on(async {
         let mut apply = Box::pin(live_config.apply(new.clone(), Some(7)));
@@ -333,16 +333,16 @@
         }
         // A core that hangs is not waited for.
         hangs.set(true);
-        assert_eq!(apply.await, Ok(Applied::Changed));
-        assert_eq!((live_config.version(), live_config.in_force()), (Some(7), Arc::new(new.clone())));
-        assert_eq!(live_config.apply(new, Some(8)).await, Ok(Applied::Unchanged));
+        assert_eq!(apply.await, Ok(ApplyResult::Changed));
+        assert_eq!((live_config.version(), live_config.settings_in_force()), (Some(7), Arc::new(new.clone())));
+        assert_eq!(live_config.apply(new, Some(8)).await, Ok(ApplyResult::Unchanged));
         assert_eq!(live_config.version(), Some(8));
     });
 }
 
 #[rstest]
 fn rejected_settings_change_nothing_and_are_not_published() {
-    let (live_config, _shared) = new_live_config(Role::Router);
+    let (live_config, _shared) = new_live_config(ProgramRole::Router);
     let updates = live_config.subscribe();
     block_on(async {
         let invalid = live_config.apply(settings_with("/TickUs", json!(0)), Some(3)).await;
@@ -355,14 +355,14 @@
             Err(ConfigError::RestartRequired(vec!["Extra.Cells".into()]))
         );
     });
-    assert_eq!((live_config.version(), live_config.in_force()), (None, Arc::new(current_settings())));
+    assert_eq!((live_config.version(), live_config.settings_in_force()), (None, Arc::new(current_settings())));
     assert!(!updates.has_changed().expect("open"));
 }
 
 #[rstest]
-#[case(Role::Planner)]
-#[case(Role::Forwarder { planners: vec![], heartbeat_interval_s: 0.05, heartbeat_timeout_s: 0.25 })]
-fn settings_of_forwarders_and_planners_need_a_restart(#[case] role: Role) {
+#[case(ProgramRole::Planner)]
+#[case(ProgramRole::Forwarder { planners: vec![], heartbeat_interval_s: 0.05, heartbeat_timeout_s: 0.25 })]
+fn settings_of_forwarders_and_planners_need_a_restart(#[case] role: ProgramRole) {
     let (live_config, _shared) = new_live_config(role);
     let outcome = block_on(live_config.apply(settings_with("/ReplicasOfMe", json!(5)), None));
     assert_eq!(outcome, Err(ConfigError::RestartRequired(vec!["settings".into()])));
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -1,6 +1,6 @@
 //! The configuration file at the start: the values that are read from it, and the error messages.
 mod common;
-use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
+use alderway_router::lifecycle::startup::{Overrides, ProgramRole, StartupConfig, StartupError};
 use alderway_telemetry::clock::Clock;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -70,10 +70,10 @@
     assert_eq!(classes, ["site-search", "region-report"]);
     let fixed = document();
     assert_eq!(
-        config.fixed_keys,
+        config.restart_only_keys,
         ["name", "listen", "limits", "settings"].map(|key| (key, fixed[key].clone()))
     );
-    assert_eq!(config.role, Role::Router);
+    assert_eq!(config.role, ProgramRole::Router);
     assert!(config.operator_file_check.is_none() && config.shard_map.is_none() && config.gossip.is_none());
 }
 
@@ -103,7 +103,7 @@
     assert_eq!((&config.settings_json, config.settings.policy.router_count), (&settings, 9));
     assert_eq!(config.settings.admission.min_round_interval_s, 0.007);
     // A reload compares the file with its own earlier content, not with the overrides.
-    assert_eq!(config.fixed_keys[3], ("settings", document()["settings"].clone()));
+    assert_eq!(config.restart_only_keys[3], ("settings", document()["settings"].clone()));
 }
 
 #[rstest]
