--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -178,7 +178,7 @@
         Count::All => std::thread::available_parallelism().map_or(1, usize::from).min(operator::MOST_CORES),
     };
     let for_peers = config.gossip.as_ref().map_or(0, Circle::descriptors);
-    let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
+    let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::SUBSCRIPTION_DESCRIPTORS);
     let least = descriptors::minimum(cores) + for_peers + for_control;
     if config.max_descriptors < least {
         let what = if for_peers > 0 { " and its peers" } else { "" };
--- a/crates/lab/src/scale/simulated_routers.rs
+++ b/crates/lab/src/scale/simulated_routers.rs
@@ -3,7 +3,7 @@
 use alderway_control_plane::messages::ApplyOutcome;
 use alderway_control_plane::subscriber::{ControlEndpoint, Subscriber, SubscriptionConfig};
 use alderway_control_plane::version::VersionNumber;
-use alderway_router::control::{SubscriptionHost, run};
+use alderway_router::control::{SubscribedRouter, run};
 use alderway_telemetry::clock::Clock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -120,9 +120,9 @@
     machines: &[ControlAddress],
     clock: Clock,
     state: &Rc<RefCell<RouterState>>,
-) -> SubscriptionHost {
+) -> SubscribedRouter {
     let (applied, observed) = (state.clone(), state.clone());
-    SubscriptionHost {
+    SubscribedRouter {
         name,
         incarnation: 1,
         control_servers: machines.iter().map(|(machine, at)| (machine.name.clone(), *at)).collect(),
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -17,7 +17,7 @@
 
 /// The driver does not read while the rate limit allows fewer bytes than this.
 const MIN_READ_BYTES: usize = 200;
-/// Interval between two calls of [`SubscriptionHost::observe`].
+/// Interval between two calls of [`SubscribedRouter::observe`].
 const OBSERVE_INTERVAL_S: f64 = 0.5;
 /// Longest time that the driver waits for an event before it runs again.
 const MAX_WAIT_S: f64 = 1.0;
@@ -27,17 +27,17 @@
 type BoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Applies settings with their version number, and returns the outcome.
-pub type ApplySettings = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
-/// Called every `OBSERVE_INTERVAL_S` with the subscription, the traffic so far, and the time in seconds of the host's
+pub type ApplyCallback = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
+/// Called every `OBSERVE_INTERVAL_S` with the subscription, the traffic so far, and the time in seconds of the router's
 /// clock.
-pub type ObserveSubscriber = Box<dyn FnMut(&Subscriber, Traffic, f64)>;
+pub type ObserveCallback = Box<dyn FnMut(&Subscriber, ControlTraffic, f64)>;
 /// Persists the version that the next start begins with, and when it was last known to be the latest, in seconds of
-/// the host's clock, if that is known.
-pub type PersistVersion = Box<dyn Fn(ConfigVersion, Option<f64>)>;
+/// the router's clock, if that is known.
+pub type PersistCallback = Box<dyn Fn(ConfigVersion, Option<f64>)>;
 
 /// Bytes transferred on all connections so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traffic {
+pub struct ControlTraffic {
     /// From control servers.
     pub received_bytes: u64,
     /// To control servers.
@@ -45,7 +45,7 @@
 }
 
 /// The router that a subscription belongs to.
-pub struct SubscriptionHost {
+pub struct SubscribedRouter {
     /// The name of the router in its hello.
     pub name: Name,
     /// The incarnation of this process.
@@ -55,27 +55,27 @@
     /// The clock of all times that are passed to the subscriber.
     pub clock: Clock,
     /// Applies a version.
-    pub apply: ApplySettings,
+    pub apply: ApplyCallback,
     /// Persists a version.
-    pub persist: PersistVersion,
+    pub persist: PersistCallback,
     /// Observes the subscription.
-    pub observe: ObserveSubscriber,
+    pub observe: ObserveCallback,
     /// Whether the subscriber's events are written to the log.
     pub log_events: bool,
 }
 
 /// Runs a subscription. Never returns; abort the task to end the subscription.
-pub async fn run(subscriber: Subscriber, host: SubscriptionHost) {
-    let read_limit = TokenBucket::empty(ROUTER_READ, host.clock.now());
+pub async fn run(subscriber: Subscriber, router: SubscribedRouter) {
+    let read_limit = TokenBucket::empty(ROUTER_READ, router.clock.now());
     let driver = Driver {
         subscriber,
-        host,
+        router,
         connecting: None,
         connection: None,
         applying: None,
         read_limit,
         buffer: vec![0; ROUTER_READ.burst_bytes as usize],
-        traffic: Traffic::default(),
+        traffic: ControlTraffic::default(),
         next_observation: 0.0,
     };
     driver.run().await;
@@ -103,20 +103,20 @@
 
 struct Driver {
     subscriber: Subscriber,
-    host: SubscriptionHost,
+    router: SubscribedRouter,
     connecting: Option<Connecting>,
     connection: Option<Connection>,
     applying: Option<Applying>,
     read_limit: TokenBucket,
     buffer: Vec<u8>,
-    traffic: Traffic,
+    traffic: ControlTraffic,
     next_observation: f64,
 }
 
 impl Driver {
     async fn run(mut self) {
         loop {
-            let now = self.host.clock.now();
+            let now = self.router.clock.now();
             self.subscriber.tick(now);
             self.execute_commands();
             self.observe(now);
@@ -133,11 +133,11 @@
                 Command::Connect(index) => self.connect(index),
                 Command::Disconnect => (self.connection, self.connecting) = (None, None),
                 Command::Apply { number, settings } => {
-                    let outcome = (self.host.apply)(settings, number);
+                    let outcome = (self.router.apply)(settings, number);
                     self.applying = Some(Applying { number, outcome });
                 }
-                Command::Persist(version) => (self.host.persist)(version, self.subscriber.confirmed_at()),
-                Command::Log(event) if self.host.log_events => log(&event),
+                Command::Persist(version) => (self.router.persist)(version, self.subscriber.confirmed_at()),
+                Command::Log(event) if self.router.log_events => log(&event),
                 Command::Log(_) => {}
             }
         }
@@ -145,14 +145,14 @@
 
     fn connect(&mut self, index: usize) {
         self.connection = None;
-        let Some((server_name, address)) = self.host.control_servers.get(index).cloned() else { return };
+        let Some((server_name, address)) = self.router.control_servers.get(index).cloned() else { return };
         let stream = Box::pin(alderway_sockets::dial(address));
         self.connecting = Some(Connecting { server_name, stream });
     }
 
     fn observe(&mut self, now: f64) {
         if now >= self.next_observation {
-            (self.host.observe)(&self.subscriber, self.traffic, now);
+            (self.router.observe)(&self.subscriber, self.traffic, now);
             self.next_observation = now + OBSERVE_INTERVAL_S;
         }
     }
@@ -199,7 +199,7 @@
             Event::Connected(Ok(stream)) => self.open(stream),
             Event::Connected(Err(_)) => {
                 self.connecting = None;
-                self.subscriber.connection_closed(self.host.clock.now());
+                self.subscriber.connection_closed(self.router.clock.now());
             }
             Event::Applied(outcome) => {
                 if let Some(Applying { number, .. }) = self.applying.take() {
@@ -221,7 +221,7 @@
 
     fn open(&mut self, stream: TcpStream) {
         let Some(Connecting { server_name, .. }) = self.connecting.take() else { return };
-        let (own_name, incarnation) = (self.host.name.clone(), self.host.incarnation);
+        let (own_name, incarnation) = (self.router.name.clone(), self.router.incarnation);
         self.connection = Some(Connection::new(stream, server_name, own_name, incarnation));
     }
 
@@ -229,10 +229,10 @@
     fn receive(&mut self, max_bytes: usize) -> Result<(), ConnectionError> {
         let Some(connection) = &mut self.connection else { return Ok(()) };
         let count = connection.read(&mut self.buffer[..max_bytes])?;
-        self.read_limit.try_take(count, self.host.clock.now());
+        self.read_limit.try_take(count, self.router.clock.now());
         self.traffic.received_bytes += count as u64;
         while let Some(incoming) = connection.next_incoming()? {
-            let now = self.host.clock.now();
+            let now = self.router.clock.now();
             match incoming {
                 Incoming::Greeted => self.subscriber.connection_opened(now),
                 Incoming::Message(message) => self.subscriber.receive(message, now),
@@ -254,7 +254,7 @@
             tracing::warn!(target: "control", "{error}");
         }
         if self.connection.take().is_some() {
-            self.subscriber.connection_closed(self.host.clock.now());
+            self.subscriber.connection_closed(self.router.clock.now());
         }
     }
 }
--- a/crates/router/src/control/metrics.rs
+++ b/crates/router/src/control/metrics.rs
@@ -1,11 +1,11 @@
 //! The counters and gauges of a subscription, under their names in `/counters`.
-use super::driver::Traffic;
+use super::driver::ControlTraffic;
 use crate::state::counters::Counters;
 use crate::state::metrics::MetricsSnapshot;
 use alderway_control_plane::subscriber::Subscriber;
 
 /// All counters and gauges; `now` is in seconds of the subscriber's clock.
-pub(super) fn snapshot(subscriber: &Subscriber, traffic: Traffic, now: f64) -> MetricsSnapshot {
+pub(super) fn snapshot(subscriber: &Subscriber, traffic: ControlTraffic, now: f64) -> MetricsSnapshot {
     let (metrics, mut counters) = (subscriber.metrics, Counters::default());
     for (name, count) in [
         ("control_dials", metrics.connect_attempts),
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -14,12 +14,12 @@
 pub mod persisted_version;
 pub mod settings;
 
-pub use driver::{ApplySettings, ObserveSubscriber, PersistVersion, SubscriptionHost, Traffic, run};
+pub use driver::{ApplyCallback, ObserveCallback, PersistCallback, SubscribedRouter, ControlTraffic, run};
 
 use crate::state::shared::SharedState;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, Subscriber, SubscriptionConfig};
 use alderway_telemetry::clock::Clock;
-use persisted_version::{PersistedVersion, UnusableVersion, VersionWriter};
+use persisted_version::{PersistedVersion, UnusablePersistedVersion, VersionWriter};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 use tokio::task::spawn_local;
 
 /// Descriptors that a subscription takes: its connection, and a file with its directory while a version is written.
-pub const DESCRIPTORS: usize = 3;
+pub const SUBSCRIPTION_DESCRIPTORS: usize = 3;
 
 /// A router's subscription: its configuration in the operator's file, and the persisted version.
 pub struct Subscription {
@@ -42,7 +42,7 @@
     /// The persisted version that this router starts with.
     pub persisted: Option<PersistedVersion>,
     /// Why the persisted version cannot be used, if there is one that cannot.
-    pub startup_error: Option<UnusableVersion>,
+    pub startup_error: Option<UnusablePersistedVersion>,
 }
 
 /// Starts the subscription of a router on the current thread, for as long as the program runs.
@@ -50,7 +50,7 @@
     subscription: Subscription,
     name: &str,
     incarnation: u64,
-    apply: ApplySettings,
+    apply: ApplyCallback,
     shared: Arc<SharedState>,
     clock: Clock,
 ) {
@@ -62,7 +62,7 @@
     let list = control_servers.iter().map(|(server, _)| server.clone()).collect();
     let subscriber = Subscriber::new(config, list, &zone, active, incarnation, clock.now());
     let writer = persist_path.map(|path| VersionWriter::spawn(path, clock));
-    let host = SubscriptionHost {
+    let router = SubscribedRouter {
         name: name.into(),
         incarnation,
         control_servers: control_servers
@@ -81,7 +81,7 @@
         }),
         log_events: true,
     };
-    spawn_local(run(subscriber, host));
+    spawn_local(run(subscriber, router));
 }
 
 /// Marks the persisted version, with which the router has started, as the version in force.
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -63,7 +63,7 @@
 
 /// Why a router does not start with its persisted version, as one line for the log.
 #[derive(Debug, Error)]
-pub enum UnusableVersion {
+pub enum UnusablePersistedVersion {
     /// The file cannot be read.
     #[error("persisted version {0}; ignored")]
     File(#[from] PersistedVersionError),
--- a/crates/router/src/control/settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -1,6 +1,6 @@
 //! Settings from control servers: the persisted version at the start, and later versions while the router serves.
-use super::persisted_version::{PersistedVersion, UnusableVersion};
-use super::{ApplySettings, Subscription};
+use super::persisted_version::{PersistedVersion, UnusablePersistedVersion};
+use super::{ApplyCallback, Subscription};
 use crate::lifecycle::live_config::{ConfigError, LiveConfig};
 use crate::lifecycle::startup::{Overrides, StartupConfig, StartupError};
 use alderway_control_plane::messages::ApplyOutcome;
@@ -38,7 +38,7 @@
     config: &Path,
     clock: Clock,
     router_count: Option<u64>,
-) -> Result<Option<(PersistedVersion, StartupConfig)>, UnusableVersion> {
+) -> Result<Option<(PersistedVersion, StartupConfig)>, UnusablePersistedVersion> {
     let Some(path) = &subscription.persist_path else { return Ok(None) };
     let Some(persisted) = PersistedVersion::load(path)? else { return Ok(None) };
     let settings = serde_json::from_str::<Value>(&persisted.version.text).map_err(|error| error.to_string());
@@ -47,13 +47,13 @@
         StartupConfig::read(config, overrides, clock).map_err(|error| error.to_string())
     });
     let number = persisted.version.number;
-    let config = config.map_err(|reason| UnusableVersion::InvalidSettings { number, reason })?;
+    let config = config.map_err(|reason| UnusablePersistedVersion::InvalidSettings { number, reason })?;
     Ok(Some((persisted, config)))
 }
 
 /// Returns a function that applies versions to a running router. A version that changes only what can change while
 /// the router serves is in force once all serving cores have applied it.
-pub fn apply_to_running(live_config: LiveConfig) -> ApplySettings {
+pub fn apply_to_running(live_config: LiveConfig) -> ApplyCallback {
     Box::new(move |settings, number| {
         let live_config = live_config.clone();
         Box::pin(async move {
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -129,7 +129,7 @@
     has_subscription: bool,
 ) -> (Arc<DescriptorPool>, Arc<DescriptorPool>) {
     let for_gossip = config.gossip.as_ref().map_or(0, Circle::descriptors);
-    let for_control = if has_subscription { control::DESCRIPTORS } else { 0 };
+    let for_control = if has_subscription { control::SUBSCRIPTION_DESCRIPTORS } else { 0 };
     let available = config.max_descriptors - for_gossip - for_control;
     descriptors::split(available, config.max_memory_bytes, 1)
 }
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -47,7 +47,7 @@
     let previous = PreviousConfig::of(&config);
     let StartupConfig { name, listen, discovery, endpoints, seed, role, shard_map, settings, .. } = config;
     let (connections, admission) = (settings.connections, settings.admission);
-    let for_control = if subscription.is_some() { control::DESCRIPTORS } else { 0 };
+    let for_control = if subscription.is_some() { control::SUBSCRIPTION_DESCRIPTORS } else { 0 };
     let available = config.max_descriptors - for_control;
     let (client_descriptors, node_descriptors) =
         descriptors::split(available, config.max_memory_bytes, multicore.cores);
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -8,7 +8,7 @@
 use alderway_control_server::subscriptions::Subscriptions;
 use alderway_router::control::persisted_version::{PersistedVersion, VersionWriter};
 use alderway_router::control::settings::startup_config;
-use alderway_router::control::{ApplySettings, Subscription, start};
+use alderway_router::control::{ApplyCallback, Subscription, start};
 use alderway_router::lifecycle::startup::StartupConfig;
 use alderway_router::state::metrics::MetricsSnapshot;
 use alderway_router::state::shared::{MulticoreConfig, SharedState};
@@ -126,7 +126,7 @@
     ) -> Router {
         let (offered, rejected) = (Rc::new(RefCell::new(vec![])), rejected.to_vec());
         let received = offered.clone();
-        let apply: ApplySettings = Box::new(move |settings, number| {
+        let apply: ApplyCallback = Box::new(move |settings, number| {
             received.borrow_mut().push((number, settings));
             let is_rejected = rejected.contains(&number);
             Box::pin(async move {
@@ -149,7 +149,7 @@
         Router { shared: Router::start_subscription(subscription, apply), offered }
     }
 
-    fn start_subscription(subscription: Subscription, apply: ApplySettings) -> Arc<SharedState> {
+    fn start_subscription(subscription: Subscription, apply: ApplyCallback) -> Arc<SharedState> {
         let multicore =
             MulticoreConfig { cores: 1, max_connections_per_node: None, shares_observations: false };
         let shared = SharedState::new(100, multicore, f64::INFINITY).0;
@@ -218,7 +218,7 @@
 
 /// Applies settings of a router whose settings can only change with a restart: valid settings that differ from
 /// `current` need a restart.
-fn apply_with_restart(current: Value) -> ApplySettings {
+fn apply_with_restart(current: Value) -> ApplyCallback {
     Box::new(move |settings, _| {
         let outcome = match alderway_deployment::policy(0, &settings) {
             Err(error) => ApplyOutcome::Rejected(format!("key `settings`: expected {error}")),
