--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -1,4 +1,5 @@
-//! The listener for clients: accepts connections while descriptors are available, and passes them on to be served.
+//! Accepts client connections while file descriptors are available, and passes each connection to a
+//! [`ConnectionAcceptor`].
 use super::client_session;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
@@ -11,19 +12,20 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Pause before accepting is retried after an error, or while no descriptor is available.
+/// Pause before the next attempt to accept a connection, after an error or while no file descriptor is available.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Serves accepted connections.
+/// Serves accepted client connections, or distributes them to the cores that serve them.
 pub trait ConnectionAcceptor {
-    /// Closes an idle connection, if there is one, so that its descriptor is released.
+    /// Closes an idle client connection, if there is one, to release its file descriptor.
     fn close_idle_connection(&self);
 
-    /// Serves an accepted connection, or passes it to a core. `permit` is the permit for its descriptor.
+    /// Serves an accepted client connection, or passes the connection to a core. `permit` reserves the connection's
+    /// file descriptor.
     fn accept(&self, stream: TcpStream, permit: DescriptorPermit) -> impl Future<Output = ()>;
 }
 
-/// On one core, connections are served where they are accepted.
+/// Serves each accepted connection on the current thread.
 impl ConnectionAcceptor for DispatcherHandle {
     fn close_idle_connection(&self) {
         let dispatcher = self.borrow();
@@ -36,9 +38,8 @@
     }
 }
 
-/// Accepts connections until `close` is notified. Before this returns, it also accepts every connection that waits in
-/// the system's queue by then, even if the runtime has not reported it. Where descriptors run out, idle connections
-/// are closed.
+/// Accepts client connections until `close` is notified, then accepts the connections that are already in the
+/// listener's queue in the kernel and returns. Closes idle connections while no file descriptor is available.
 pub async fn accept_connections(
     acceptor: impl ConnectionAcceptor,
     listener: TcpListener,
@@ -55,7 +56,7 @@
         match accepted {
             Ok((stream, _)) => acceptor.accept(stream, permit).await,
             Err(error) => {
-                tracing::warn!(target: "accept", "cannot accept a connection: {error}");
+                tracing::warn!(target: "accept", "cannot accept a client connection: {error}");
                 sleep(RETRY_PAUSE).await;
             }
         }
@@ -65,7 +66,7 @@
     }
 }
 
-/// Accepts the connections that wait in the system's queue of a listener that closes.
+/// Accepts the client connections that are in the kernel's queue of a closing listener.
 async fn accept_waiting(
     acceptor: &impl ConnectionAcceptor,
     listener: &std::net::TcpListener,
@@ -77,13 +78,13 @@
             Ok(Some(stream)) => acceptor.accept(stream, permit).await,
             Ok(None) => return,
             Err(error) => {
-                return tracing::warn!(target: "accept", "cannot accept the queued connections of the closing listener: {error}");
+                return tracing::warn!(target: "accept", "cannot accept the client connections in the queue of the closing listener: {error}");
             }
         }
     }
 }
 
-/// Waits for a descriptor, and closes idle connections until one is available.
+/// Waits for a free file descriptor, and closes idle client connections until there is one.
 async fn acquire_descriptor(
     acceptor: &impl ConnectionAcceptor,
     descriptors: &Arc<DescriptorPool>,
@@ -97,7 +98,8 @@
     }
 }
 
-/// Serves a connection that the supervising thread accepted, or that another core hands over between two requests.
+/// Serves a client connection on this core that the supervising thread accepted, or that another core served until
+/// now.
 pub fn serve_transferred(dispatcher: &DispatcherHandle, connection: TransferredConnection) {
     let TransferredConnection { stream, permit, has_sent_request } = connection;
     match TcpStream::from_std(stream) {
@@ -105,7 +107,7 @@
             drop(spawn_local(client_session::serve(dispatcher.clone(), stream, permit, has_sent_request)));
         }
         Err(error) => {
-            tracing::warn!(target: "accept", "cannot serve a connection from another thread: {error}")
+            tracing::warn!(target: "accept", "cannot serve a client connection that another thread handed over to this core: {error}")
         }
     }
 }
--- a/crates/router/src/io/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -1,6 +1,6 @@
-//! Reads that also return when the last byte arrived. The time is the system's receive timestamp: a router that was
-//! suspended or not scheduled reads bytes long after they arrived, and would count a client's remaining time from too
-//! late.
+//! Reads from sockets and determines when the last byte arrived, from the kernel's receive timestamp. A router that
+//! was suspended or not scheduled reads bytes long after their arrival; without the timestamp, the time limit of a
+//! request would start too late.
 use crate::state::arrival_time::ArrivalEstimator;
 use alderway_sockets::{received, uninterrupted};
 use alderway_telemetry::clock::Clock;
@@ -13,12 +13,12 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Enables receive timestamps on a socket. Connections inherit the option from their listener.
+/// Enables the kernel's receive timestamps on a socket. Accepted connections inherit the option from their listener.
 pub fn enable_receive_timestamps(socket: &impl AsFd) -> io::Result<()> {
     Ok(setsockopt(socket, sockopt::ReceiveTimestampns, &true)?)
 }
 
-/// Whether bytes have arrived that are not read yet, even if the runtime has not reported the socket as readable.
+/// Whether the socket has unread bytes, even if the runtime has not reported the socket as readable yet.
 pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     peek(stream).is_ok_and(|count| count > 0)
 }
@@ -28,20 +28,21 @@
     uninterrupted(|| Ok(recv(stream.as_raw_fd(), &mut [0], flags)?))
 }
 
-/// Whether the peer has closed a connection that has no unread bytes.
+/// Whether the peer has closed the connection and no unread bytes are left.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     peek(stream).is_ok_and(|count| count == 0)
 }
 
-/// How many bytes were read, and the system's receive timestamp of the last one, in seconds of the wall clock.
+/// The number of bytes read, and the kernel's receive timestamp of the last byte, in seconds of Unix time; `None` if
+/// the kernel reported no timestamp.
 type TimestampedRead = (usize, Option<f64>);
 
-/// Reads the available bytes. Returns how many there were and when the last one arrived, in seconds of the clock, or
-/// `None` if there were none. `drained_at_s` is when the connection last had no unread bytes; it is updated if that
-/// is the case now.
+/// Reads the available bytes. Returns the number of bytes and the arrival time of the last byte, or `None` if no
+/// bytes were available. `drained_at_s` is when the connection last had no unread bytes; the function updates it if
+/// there are none now. Times are in seconds of the monotonic clock.
 ///
 /// # Errors
-/// The connection was closed or broke.
+/// The peer closed the connection, or reading failed.
 pub fn read_with_arrival_time(
     stream: &TcpStream,
     buffer: &mut [u8],
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -1,5 +1,5 @@
-//! Serves a client's connection: reads requests one at a time, writes answers, and closes connections that send no
-//! request, leave a request incomplete or do not read their answer.
+//! Serves one client connection: reads requests one at a time and writes the responses. Closes the connection if the
+//! client sends no request, leaves a request incomplete or does not read the response.
 use super::{arrival, sleep_until};
 use crate::requests;
 use crate::state::DispatcherHandle;
@@ -22,34 +22,35 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// The client protocol allows to close a connection that has had no open request for 2 s.
+/// Time after which an idle client connection is closed, in seconds: the client protocol allows closing a connection
+/// that has had no open request for 2 s.
 const IDLE_TIMEOUT_S: f64 = 2.0;
-/// The client protocol requires an error response or a close within 3 s of connecting, for a client that sends no
-/// complete request.
+/// Time from connecting within which a client must send its first complete request, in seconds: otherwise, the client
+/// protocol requires an error response or a close.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
-/// How long to wait for the client to close a connection after the router has closed its sending side. Bytes that
-/// arrive at a closed socket would make the system reset the connection before the client has read the answer.
+/// How long the router waits for the client to close a connection after the last response. If the router closed
+/// first, bytes from the client would make the kernel reset the connection before the client has read the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Size of the buffer for bytes that are read and dropped.
+/// Size of the buffer for bytes that are read and discarded.
 const DISCARD_BYTES: usize = 4096;
 
-/// Why a session on this core ended.
+/// Why this core stopped serving a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// The client closed the connection, or it broke.
+    /// The client closed the connection, or the connection failed.
     ClientDisconnected,
-    /// The client never sent a request.
+    /// The client sent no request before the timeout.
     NoRequest,
-    /// The client does not read its answer.
+    /// The client did not read its response before the timeout.
     AnswerNotRead,
-    /// The router closes the connection after an answer, and lingers until the client has read it.
+    /// The router has sent its last response, and closes the connection once the client has read the response.
     AfterAnswer,
     /// The connection moves to the core with this number.
     MovesTo(usize),
 }
 
 impl CloseReason {
-    /// The label of the counter `client_closes`.
+    /// The label of this reason in the counter `client_closes`.
     fn label(self) -> &'static str {
         match self {
             CloseReason::ClientDisconnected => "left",
@@ -61,14 +62,15 @@
     }
 }
 
-/// Serves one connection on this core until it ends or moves to another core.
+/// Serves a client connection on this core until the connection closes or moves to another core. `has_sent_request`
+/// says whether another core has already received a request on the connection.
 pub async fn serve(
     dispatcher: DispatcherHandle,
     mut stream: TcpStream,
     mut permit: DescriptorPermit,
     has_sent_request: bool,
 ) {
-    // Not fatal: without this option small answers are delayed.
+    // A failure is ignored: without this option, small responses are only delayed.
     let _ = stream.set_nodelay(true);
     if !has_sent_request {
         dispatcher.borrow_mut().counters.increment("clients{accepted}");
@@ -79,7 +81,8 @@
             CloseReason::MovesTo(core) => core,
             reason => break reason,
         };
-        // No request is open and no byte is buffered here: the new core reads whatever the client sends next.
+        // This core has no open request and no buffered bytes of the connection, so the other core can read from
+        // where this core stopped.
         dispatcher.borrow_mut().clients.remove(id);
         let Some(returned) = transfer(&dispatcher, stream, permit, core) else { return };
         (stream, permit) = returned;
@@ -91,7 +94,8 @@
     if reason == CloseReason::AfterAnswer {
         linger(&mut stream).await;
     }
-    // The stream is dropped first: the permit must not be given to another connection before its descriptor is closed.
+    // The stream is dropped before its permit: another connection may use the permit only once this file descriptor
+    // is closed.
     drop(stream);
     drop(permit);
     let mut dispatcher = dispatcher.borrow_mut();
@@ -108,7 +112,8 @@
     (id, client)
 }
 
-/// Hands a connection over to another core. Returns the connection if that core accepts none.
+/// Hands a client connection over to the core with this number. Returns the connection if that core's command queue
+/// is full or closed.
 fn transfer(
     dispatcher: &DispatcherHandle,
     stream: TcpStream,
@@ -138,8 +143,9 @@
     dispatcher.client_disconnected(query);
 }
 
-/// Closes the sending side and reads until the client closes its own. Reads at most as many bytes as the longest
-/// request may have, so that a client that never stops sending cannot occupy the core.
+/// Closes the router's side of the connection, then discards the client's bytes until the client closes its side.
+/// Discards at most `MESSAGE` bytes, the size of the longest request, so that a client that never stops sending
+/// cannot occupy the core.
 async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
@@ -157,29 +163,31 @@
     let _ = timeout(LINGER_TIMEOUT, discard).await;
 }
 
-/// Since when a session has been in states that may last for a limited time only, in seconds of the clock.
+/// When a session entered each state that has a time limit, in seconds of the monotonic clock; `None` if the session
+/// is not in that state.
 #[derive(Default)]
 struct StateTimes {
-    /// Since when no query is open and no answer has to be written.
+    /// No query is open, and no response has to be written.
     idle_since: Option<f64>,
-    /// Since when a request is incomplete.
+    /// Part of a request has arrived.
     partial_request_since: Option<f64>,
-    /// Since when the client has read no byte of an answer.
+    /// A response is being written, and the client has read no byte of it.
     write_stalled_since: Option<f64>,
 }
 
-/// What a session waits for.
+/// The state of a session before it waits for the next event.
 struct Waiting {
     has_open_query: bool,
     is_writing: bool,
     has_partial_request: bool,
-    /// No query is open, and no answer has to be written.
+    /// No query is open, and no response has to be written.
     is_idle: bool,
-    /// When the session ends unless the client sends or reads more; infinite while a query is open.
+    /// When the session times out, in seconds of the monotonic clock; infinite while a query is open.
     deadline: f64,
 }
 
-/// A connection while this core serves it: its unread bytes, and the progress of the current request and answer.
+/// A client connection that this core serves, with the buffered bytes and the progress of the current request and
+/// response.
 struct ClientSession<'a> {
     dispatcher: &'a DispatcherHandle,
     client: &'a Rc<ClientConnection>,
@@ -188,20 +196,20 @@
     buffer: Buffer,
     messages: Messages,
     sender: Sender,
-    /// Bytes of the current answer that the socket has accepted.
+    /// Number of bytes of the current response that were written to the socket.
     written_bytes: usize,
-    /// No further request can be parsed, or none is expected.
+    /// The rest of the input is not parsed: an earlier request was malformed, or too many bytes arrived at once.
     is_unreadable: bool,
-    /// More bytes arrived behind an open query than the buffer holds. The rest was dropped, so no request after it can be
-    /// parsed.
+    /// While a query was open, the client sent more bytes than the buffer holds. The surplus was discarded, so no
+    /// later request can be parsed.
     has_overrun: bool,
-    /// `100 Continue` was sent for the current request.
+    /// `100 Continue` was sent to the client for the current request.
     has_sent_continue: bool,
-    /// When the first request has to be complete, in seconds of the clock.
+    /// Deadline for receiving the first complete request, in seconds of the monotonic clock.
     first_request_by: f64,
-    /// When the last byte arrived, in seconds of the clock.
+    /// When the last byte from the client arrived, in seconds of the monotonic clock.
     read_at: f64,
-    /// When the connection last had no unread bytes, in seconds of the clock.
+    /// When the socket last had no unread bytes, in seconds of the monotonic clock.
     drained_at: f64,
     times: StateTimes,
 }
@@ -214,8 +222,8 @@
     ) -> Self {
         let clock = dispatcher.borrow().clock;
         let accepted_at = clock.now();
-        // The error for an incomplete request has to reach the client in time: the dial timeout is taken as the
-        // longest delay of its network.
+        // The error response for an incomplete request has to reach the client within `FIRST_REQUEST_TIMEOUT_S`. The
+        // timeout for connecting to a data node serves as the upper bound of the network delay to the client.
         let network_s = dispatcher.borrow().connection_config.dial_timeout_s;
         let error_by = accepted_at + FIRST_REQUEST_TIMEOUT_S - network_s;
         ClientSession {
@@ -232,13 +240,14 @@
             has_sent_continue: false,
             first_request_by: error_by.max(accepted_at + IDLE_TIMEOUT_S),
             read_at: accepted_at,
-            // Bytes may have arrived before the connection was accepted, but a client waits no longer than this.
+            // Bytes may have arrived before the connection was accepted, but no longer ago than a client waits for
+            // its first response.
             drained_at: accepted_at - FIRST_REQUEST_TIMEOUT_S,
             times: StateTimes::default(),
         }
     }
 
-    /// Reads requests and writes answers until the session ends; returns why.
+    /// Reads requests and writes responses until the session ends; returns why the session ended.
     async fn run(mut self) -> CloseReason {
         let (client, stream, clock) = (self.client, self.stream, self.clock);
         loop {
@@ -266,7 +275,7 @@
                 () = self.sender.ready(stream), if waiting.is_writing => {}
                 () = client.wake.notified() => {}
                 () = ready(()), if should_close => {
-                    // Guards against closing a connection with an unread request, which the router has to answer.
+                    // A connection with unread bytes is not closed: they may be a request, which has to be answered.
                     if !has_room || !arrival::has_unread_bytes(stream) {
                         if !self.must_reject_partial_request() {
                             return self.closed_while_idle();
@@ -288,8 +297,8 @@
         }
     }
 
-    /// Whether an incomplete request has to be rejected because the program or its core ends. Guards against a client
-    /// that completes its request at the last moment and never gets an answer.
+    /// Whether an incomplete request has to be rejected because the program or this core shuts down. Guards against a
+    /// client that completes its request just before the shutdown and gets no response.
     fn must_reject_partial_request(&self) -> bool {
         self.client.is_half_sent.get() && self.client.close_request.get() == CloseRequest::AtProgramEnd
     }
@@ -298,7 +307,8 @@
         if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NoRequest }
     }
 
-    /// Handles the requests in the buffer one at a time: the next is not parsed before the answer is written.
+    /// Handles the requests in the buffer one at a time: a request is parsed only once the previous response is
+    /// written.
     fn handle_requests(&mut self) {
         while !self.is_unreadable && self.client.open_query.get().is_none() && !self.has_output() {
             match self.messages.find(&mut self.buffer) {
@@ -316,7 +326,7 @@
         }
     }
 
-    /// Whether bytes wait to be written, including those of a response that is not encoded yet.
+    /// Whether part of a response is not yet written to the socket; encodes a pending response first.
     fn has_output(&self) -> bool {
         answer::encode_pending(self.client);
         !self.client.output.borrow().is_empty()
@@ -339,7 +349,7 @@
         }
     }
 
-    /// Writes an error as the last answer of this connection, on which no further request can be parsed.
+    /// Sends an error as the last response of this connection; further input is not parsed. Increments `counter`.
     fn reject_unreadable(&mut self, counter: &str, refusal: Refusal) {
         self.dispatcher.borrow_mut().counters.increment(counter);
         answer::unreadable(&mut self.client.output.borrow_mut(), refusal);
@@ -347,7 +357,7 @@
         self.client.close_after_answer.set(true);
     }
 
-    /// Writes as much of the answer as the socket accepts, if there is an answer.
+    /// Writes as much of the current response as the socket accepts, if there is a response.
     fn write_answer(&mut self) -> ControlFlow<CloseReason, Progress> {
         if !self.has_output() {
             return ControlFlow::Continue(Progress::NothingToWrite);
@@ -375,8 +385,8 @@
         ControlFlow::Continue(Progress::Complete)
     }
 
-    /// Reads once; false when the client has closed the connection. Once the buffer is full, further bytes are read and
-    /// dropped. Guards against missing the close of a client that sends more than the buffer holds and then leaves.
+    /// Reads from the socket once; returns false if the connection is closed or failed. While the buffer is full,
+    /// bytes are read and discarded, so that the close of a client that has sent too much is still detected.
     fn read(&mut self) -> bool {
         let mut discarded = [0; DISCARD_BYTES];
         self.has_overrun |= self.buffer.space().is_empty();
@@ -400,8 +410,8 @@
         true
     }
 
-    /// The core to which this connection has to move, if connections are being handed over and this one is between two
-    /// requests.
+    /// The number of the core to which this connection has to move: `None` if no connection is to be handed over, or
+    /// this connection is not between two requests.
     fn core_to_move_to(&self) -> Option<usize> {
         let is_between_requests = self.client.open_query.get().is_none()
             && !self.has_output()
@@ -412,7 +422,7 @@
             return None;
         }
         let mut dispatcher = self.dispatcher.borrow_mut();
-        // Guards against a connection that would reach another core after that has shut down.
+        // During a shutdown, the other core may end before the connection reaches it.
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
@@ -421,7 +431,8 @@
         Some(to)
     }
 
-    /// What the session waits for, and until when.
+    /// Updates the times of the session's states at `now`, in seconds of the monotonic clock, and returns what the
+    /// session waits for.
     fn waiting(&mut self, now: f64) -> Waiting {
         let has_open_query = self.client.open_query.get().is_some();
         let is_writing = self.has_output();
@@ -436,8 +447,8 @@
         Waiting { has_open_query, is_writing, has_partial_request, is_idle, deadline: self.deadline() }
     }
 
-    /// When the session times out. Guards against connections that send no request, leave a request incomplete, or do
-    /// not read their answer.
+    /// When the session times out, in seconds of the monotonic clock. Guards against clients that send no request,
+    /// leave a request incomplete or do not read their response.
     fn deadline(&self) -> f64 {
         if self.times.partial_request_since.is_some() && !self.client.has_sent_request.get() {
             return self.first_request_by;
@@ -448,17 +459,18 @@
     }
 }
 
-/// Progress of writing an answer.
+/// Progress of writing a response.
 enum Progress {
-    /// There is no answer to write.
+    /// There is no response to write.
     NothingToWrite,
-    /// The socket accepts no more bytes for now.
+    /// The socket's send buffer is full.
     Blocked,
-    /// The whole answer is written.
+    /// The whole response is written.
     Complete,
 }
 
-/// Since when a condition holds: `before`, or now if it did not hold before. None if it does not hold.
+/// When a condition became true: `before`, or `now` if the condition was false until now; `None` if the condition is
+/// false.
 fn since(before: Option<f64>, holds: bool, now: f64) -> Option<f64> {
     holds.then(|| before.unwrap_or(now))
 }
--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -1,4 +1,4 @@
-//! Distributes accepted connections over the cores.
+//! Distributes accepted client connections over the cores.
 use super::acceptor::ConnectionAcceptor;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::shared::{CoreCommand, SharedState, TransferredConnection};
@@ -10,19 +10,19 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Pause before a connection that no core accepts is offered again.
+/// Pause before the next attempt to assign a client connection that no core accepts.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Assigns each accepted connection to the serving core with the fewest connections.
+/// Assigns each accepted client connection to the serving core with the fewest client connections.
 pub struct ConnectionBalancer {
     shared: Arc<SharedState>,
     core_table: Rc<RefCell<Crew>>,
-    /// The core that was last asked to close an idle connection.
+    /// The number of the core that was last asked to close an idle connection.
     last_asked: Cell<usize>,
 }
 
 impl ConnectionBalancer {
-    /// Distributes connections over the cores of `core_table`.
+    /// Creates a balancer that distributes client connections over the cores of `core_table`.
     pub fn new(shared: Arc<SharedState>, core_table: Rc<RefCell<Crew>>) -> Rc<Self> {
         Rc::new(ConnectionBalancer { shared, core_table, last_asked: Cell::new(0) })
     }
@@ -47,8 +47,8 @@
                     Err(returned) => command = returned,
                 }
             }
-            // Guards against refusing clients while every core hangs, restarts or has a full command queue: the
-            // connection is offered again, and further ones wait in the system's queue of the listener.
+            // While every core hangs, restarts or has a full command queue, the connection is kept and assigned
+            // later, and further connections wait in the listener's queue in the kernel.
             sleep(RETRY_PAUSE).await;
         }
     }
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -1,6 +1,11 @@
-//! One core of a router on several cores: a thread with its own runtime, dispatcher, policy and client connections. It
-//! executes the commands of the supervising thread and processes the observations of other cores. If its policy or one of
-//! its tasks fails, its open queries fail, and it reports the failure to the supervising thread, which restarts it.
+//! One core of a router on several cores. A core is a thread with a runtime, a dispatcher, a policy and client
+//! connections of its own. The core executes commands of the supervising thread and processes observations of data
+//! nodes that other cores share. If the policy or a task of the core fails, the core answers its open queries with an
+//! error and reports the failure to the supervising thread, which restarts the core.
+//!
+//! The fence is a check that all cores share: it stops a core from starting attempts while the core has not applied
+//! the newest endpoint list, or while discovery has not been checked recently. A policy round is one call of the
+//! policy.
 use super::acceptor::{self, ConnectionAcceptor};
 use super::endpoint_publisher::EndpointSnapshot;
 use super::policy_loop;
@@ -29,31 +34,31 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// How often a core publishes its state and its heartbeat.
+/// Interval at which a core publishes its metrics and its heartbeat.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// ProgramPhase of the program, as the supervising thread announces it to the cores.
+/// The phase of the program, which the supervising thread sends to all cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgramPhase {
-    /// Requests are served.
+    /// The program serves requests; no shutdown has begun.
     Serving,
-    /// SIGTERM was received, and the listener is still open.
+    /// SIGTERM was received, and the client listener is still open.
     Stopping,
-    /// The listener is closed: no new client connection arrives.
+    /// SIGTERM was received, and the client listener is closed: no new client connection arrives.
     ListenerClosed,
 }
 
-/// A message of a core to the supervising thread.
+/// A message from a core to the supervising thread.
 pub enum CoreReport {
-    /// The core with this number failed, for this reason.
+    /// The core with this number failed; the text is the reason.
     Failed(usize, String),
-    /// The core with this number has shut down.
+    /// The core with this number has completed its shutdown.
     Ended(usize),
 }
 
-/// The inputs with which a core starts, at first and after each failure.
+/// The configuration and channels of one core, which are used at the first start and at each restart.
 pub struct CoreInputs {
-    /// The number of the core.
+    /// The number of the core, from 0.
     pub core: usize,
     pub shared: Arc<SharedState>,
     pub clock: Clock,
@@ -63,19 +68,20 @@
     pub shard_map: Option<ShardMapConfig>,
     /// Seed of the policy's random choices.
     pub seed: u64,
-    /// The settings; the newest are in force.
+    /// The newest settings.
     pub config_updates: watch::Receiver<Arc<ConfigGeneration>>,
-    /// Descriptors for connections to data nodes.
+    /// File descriptors for this core's connections to data nodes.
     pub node_descriptors: Arc<DescriptorPool>,
     pub commands: mpsc::Receiver<CoreCommand>,
     pub endpoints: watch::Receiver<EndpointSnapshot>,
     pub phase: watch::Receiver<ProgramPhase>,
     pub reports: mpsc::UnboundedSender<CoreReport>,
-    /// Each message lets the core start again after a failure.
+    /// After a failure, the core restarts when it receives a message from this channel.
     pub restart_permits: mpsc::Receiver<()>,
 }
 
-/// Runs a core until the program stops, and restarts it after each failure.
+/// Runs a core until its shutdown is complete. After each failure, reports the failure and waits for permission to
+/// restart.
 pub fn run(mut inputs: CoreInputs) {
     log::set_thread_core(inputs.core);
     let mut remote_observations = inputs.shared.subscribe_observations();
@@ -83,8 +89,12 @@
     loop {
         let reason = match Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => {
-                match run_until_failure(&runtime, &mut inputs, &mut remote_observations, &mut observation_cache)
-                {
+                match run_until_failure(
+                    &runtime,
+                    &mut inputs,
+                    &mut remote_observations,
+                    &mut observation_cache,
+                ) {
                     Ok(()) => break,
                     Err(reason) => reason,
                 }
@@ -100,9 +110,9 @@
     let _ = inputs.reports.send(CoreReport::Ended(inputs.core));
 }
 
-/// Runs a core with a new dispatcher until the program ends, or until a failure, after which the open queries are
-/// answered. Returns the reason of the failure. The counters and the observations of other cores are kept for the
-/// next start.
+/// Runs a core with a new dispatcher until its shutdown is complete. If the policy or a task fails, answers the open
+/// queries with an error and returns the reason of the failure. Keeps the counters and the observations of other
+/// cores for the restart.
 fn run_until_failure(
     runtime: &Runtime,
     inputs: &mut CoreInputs,
@@ -132,23 +142,27 @@
         Ok(Err(reason)) => reason,
         Err(_) => "the main task panicked".into(),
     };
-    // Guards against clients that never get an answer: every open query of this core gets its final answer, unless the
-    // dispatcher itself panics.
+    // Every open query of this core gets a final response, unless the dispatcher itself panics.
     let answered = catch_unwind(AssertUnwindSafe(|| {
         dispatcher.borrow_mut().counters.increment("core_failures");
         local.block_on(runtime, graceful_shutdown::fail_queries_and_disconnect(&dispatcher));
         publish_state(&dispatcher, inputs, None);
         *observation_cache = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
-    // Ends the remaining tasks with their connections and queries, and releases what these hold of the shared state.
+    // Drops the remaining tasks of this core with their connections, and releases the shared capacity that they use.
     let _ = catch_unwind(AssertUnwindSafe(|| drop(local)));
-    Err(if answered.is_ok() { reason } else { format!("{reason}; its open queries could not be answered") })
+    Err(if answered.is_ok() {
+        reason
+    } else {
+        format!("{reason}; the core's open queries could not be answered")
+    })
 }
 
-/// Weight of the latest measurement in the moving average of [`CpuUsage`].
+/// Weight of the latest measurement in the moving average of [`CpuUsage`], from 0 to 1.
 const CPU_USAGE_WEIGHT: f64 = 0.2;
 
-/// The fraction of time that this thread uses its CPU, as an exponential moving average over heartbeats.
+/// The fraction of time that the current thread runs on a CPU, from 0 to 1, as an exponential moving average that is
+/// updated at each heartbeat.
 struct CpuUsage {
     measured_at_s: f64,
     thread_cpu_s: f64,
@@ -176,7 +190,8 @@
     }
 }
 
-/// Publishes this core's heartbeat, load and metrics, which the supervising thread and the other cores read.
+/// Publishes this core's heartbeat, client count and metrics, and its CPU usage if `cpu_usage` is given. The
+/// supervising thread and the other cores read them.
 fn publish_state(dispatcher: &DispatcherHandle, inputs: &CoreInputs, cpu_usage: Option<&mut CpuUsage>) {
     let (now, core_state, dispatcher) =
         (inputs.clock.now(), &inputs.shared.cores[inputs.core], dispatcher.borrow());
@@ -189,7 +204,7 @@
     core_state.heartbeat_ms.store((now * 1e3) as u64, Relaxed);
 }
 
-/// Serves on this core until its shutdown is complete, or until its policy or one of its tasks fails.
+/// Serves on this core until its shutdown is complete. Returns the reason if the policy or a task of the core fails.
 async fn serve(
     dispatcher: &DispatcherHandle,
     inputs: &mut CoreInputs,
@@ -203,7 +218,7 @@
         spawn_local(policy_loop::run(dispatcher.clone(), None, make_policy, inputs.node_descriptors.clone()));
     let mut watch_failures = inputs.endpoints.borrow().watch_failures;
     let mut shutdown: Option<JoinHandle<()>> = None;
-    // A core that restarts during a shutdown has to begin its own shutdown.
+    // A core that restarts during a shutdown has to read the phase again and begin its shutdown.
     inputs.phase.mark_changed();
     let mut heartbeats = interval(HEARTBEAT_INTERVAL);
     heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -211,8 +226,8 @@
     loop {
         tokio::select! {
             biased;
-            // The endpoint list comes first: after a pause of this thread the fence holds back every new attempt until
-            // the newest list is applied.
+            // Endpoint lists have the highest priority: after this thread was suspended, the fence delays every new
+            // attempt until the newest list is applied.
             changed = inputs.endpoints.changed() => {
                 if changed.is_err() {
                     return Err("the supervising thread has ended".into());
@@ -227,7 +242,7 @@
                 Ok(Err(reason)) => format!("the policy could not be created: {reason}"),
                 _ => "the policy task panicked".into(),
             }),
-            // The next policy round applies the settings.
+            // The next policy round applies the new settings.
             Ok(()) = inputs.config_updates.changed() => dispatcher.borrow().work_ready.notify_one(),
             changed = inputs.phase.changed(), if shutdown.is_none() => {
                 if changed.is_ok() && *inputs.phase.borrow_and_update() != ProgramPhase::Serving {
@@ -237,7 +252,8 @@
             }
             ended = shutdown_ended(&mut shutdown) => {
                 ended.map_err(|_| "the shutdown task panicked".to_string())?;
-                // Guards against losing connections that the balancer assigned to this core just as its shutdown ended.
+                // Connections that the balancer assigned to this core just before the end of its shutdown still get a
+                // response.
                 let mut has_late_commands = false;
                 while let Ok(command) = inputs.commands.try_recv() {
                     has_late_commands = true;
@@ -278,16 +294,17 @@
     }
 }
 
-/// Injects the fault that a test asked for: `hang MILLISECONDS` blocks the thread, any other text panics.
+/// Injects the fault that a test requested: `hang N` blocks the thread for N milliseconds, any other text panics, and
+/// `None` does nothing.
 #[cfg(feature = "faults")]
 fn inject_fault(fault: Option<String>) {
     match fault.as_deref().and_then(|f| f.strip_prefix("hang ")?.parse().ok()) {
-        Some(span) => std::thread::sleep(Duration::from_millis(span)),
+        Some(hang_ms) => std::thread::sleep(Duration::from_millis(hang_ms)),
         None => assert!(fault.is_none(), "fault injected by a test: {fault:?}"),
     }
 }
 
-/// Waits for the shutdown task; never returns where no shutdown has begun.
+/// Waits for the shutdown task; never returns if no shutdown has begun.
 async fn shutdown_ended(shutdown: &mut Option<JoinHandle<()>>) -> Result<(), tokio::task::JoinError> {
     match shutdown {
         Some(handle) => handle.await,
@@ -295,7 +312,8 @@
     }
 }
 
-/// Receives the next observation of any core; `Break` where this core was too slow and observations were lost.
+/// Receives the next observation that any core has shared. Returns `Break` if this core read too slowly and
+/// observations were lost.
 async fn next_observation(
     remote_observations: &mut Option<ObservationReceiver<ObservationMessage>>,
 ) -> ControlFlow<(), ObservationMessage> {
@@ -311,7 +329,8 @@
     let _ = phase.wait_for(|phase| *phase == ProgramPhase::ListenerClosed).await;
 }
 
-/// Applies a snapshot of the endpoint list and the layout, if it is newer than the one in force.
+/// Applies a snapshot of the endpoint list and the layout to this core's dispatcher, if the snapshot is newer than
+/// the last one applied. A layout is a version of the assignment of shards to data nodes.
 fn apply_snapshot(dispatcher: &DispatcherHandle, snapshot: &EndpointSnapshot) {
     let mut dispatcher = dispatcher.borrow_mut();
     if snapshot.generation > dispatcher.endpoints_generation {
@@ -324,7 +343,7 @@
                 Ok(shards) if !shards.is_empty() => dispatcher.shard_map_changed(&shards),
                 Ok(_) => {}
                 Err(error) => {
-                    tracing::error!(target: "layout", "the published layout cannot be applied on this core: {error}");
+                    tracing::error!(target: "layout", "the layout that the supervising thread published cannot be applied on this core: {error}");
                 }
             }
         }
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -1,4 +1,5 @@
-//! Supervises the cores of a router by their heartbeats and reports.
+//! Supervises the cores of a router: detects cores that hang or fail by their heartbeats and reports, and permits
+//! restarts. A core is a thread that serves client connections.
 use super::core::{CoreReport, HEARTBEAT_INTERVAL};
 use super::endpoint_publisher::EndpointPublisher;
 use crate::state::metrics::MetricsSnapshot;
@@ -16,7 +17,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-/// Minimum time to wait for each report of a core that shuts down.
+/// Minimum timeout for receiving each report of a core during a shutdown, even if the shutdown's deadline has passed.
 const REPORT_WAIT_MIN: Duration = Duration::from_millis(50);
 
 /// Restarts cores that failed, detects cores that hang, and moves connections from busy cores to idle ones.
@@ -26,16 +27,16 @@
     publisher: Rc<RefCell<EndpointPublisher>>,
     core_table: Rc<RefCell<Crew>>,
     balance: Balance,
-    /// Messages of the cores.
+    /// Messages from the cores.
     reports: mpsc::UnboundedReceiver<CoreReport>,
-    /// For each core, a sender whose message lets the core start again after a failure.
+    /// For each core, a channel; a message permits the core to restart after a failure.
     restarts: Vec<mpsc::Sender<()>>,
-    /// When the heartbeats were last checked, in seconds of the clock.
+    /// When the heartbeats were last checked, in seconds of the monotonic clock.
     last_check_s: Cell<f64>,
 }
 
 impl CoreSupervisor {
-    /// Supervises the cores of `core_table`, each of which has an entry in `restarts`.
+    /// Creates a supervisor for the cores of `core_table`. `restarts` has one channel for each core.
     pub fn new(
         shared: Arc<SharedState>,
         clock: Clock,
@@ -48,10 +49,10 @@
         CoreSupervisor { shared, clock, publisher, core_table, balance, reports, restarts, last_check_s }
     }
 
-    /// Supervises until SIGTERM.
+    /// Supervises the cores until SIGTERM is received.
     ///
     /// # Errors
-    /// Every core has failed too often and will not be restarted.
+    /// Every core has failed too often and is not restarted any more.
     pub async fn supervise(&mut self, mut terminations: Signals) -> io::Result<()> {
         let mut checks = interval(HEARTBEAT_INTERVAL);
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Keeps checking heartbeats while a shutdown still accepts connections: a core that hung may serve again.
+    /// Checks heartbeats in the first part of a shutdown, in which the listener is still open: a core that recovers
+    /// from hanging gets new connections again. Never returns.
     pub async fn monitor_heartbeats(&self) {
         loop {
             sleep(HEARTBEAT_INTERVAL).await;
@@ -88,9 +90,9 @@
         }
     }
 
-    /// Waits until every core that has not failed has shut down, or until `deadline_s` in seconds of the clock. Returns how
-    /// many cores have not shut down. Guards against a process that is suspended past the deadline: each wait lasts at
-    /// least `REPORT_WAIT_MIN`, so reports that were sent in the meantime are still read.
+    /// Waits until every core that has not failed has shut down, or until `deadline_s`, in seconds of the monotonic
+    /// clock. Returns the number of cores that still run. Each wait lasts at least `REPORT_WAIT_MIN`, so that reports
+    /// are still read if the process was suspended past the deadline.
     pub async fn wait_and_count_running(&mut self, deadline_s: f64) -> usize {
         let is_running = |state| !matches!(state, State::Failed(_) | State::Lost);
         let mut running = self.core_table.borrow().count(is_running);
@@ -105,7 +107,7 @@
         running
     }
 
-    /// Reads the heartbeats of all cores, and returns the cores whose state has changed.
+    /// Reads the heartbeats of all cores and updates the cores' states; returns the changes.
     fn check_heartbeats(&self) -> Vec<Change> {
         let (now, mut core_table) = (self.clock.now(), self.core_table.borrow_mut());
         let mut changes = vec![];
@@ -118,7 +120,8 @@
         changes
     }
 
-    /// Checks the heartbeats, publishes how many cores serve, and moves connections from a busy core to an idle one.
+    /// Checks the heartbeats, publishes the numbers of serving, hung and lost cores, and moves client connections
+    /// from a busy core to an idle core.
     fn check_cores(&mut self) {
         let changes = self.check_heartbeats();
         let (now, core_table) = (self.clock.now(), self.core_table.borrow());
@@ -140,7 +143,7 @@
             let (from, to, connections) = (transfer.from, transfer.to, transfer.connections);
             tracing::info!(
                 target: "balance",
-                "core {from} ({:.2} busy) hands {connections} connections over to core {to} ({:.2} busy)",
+                "core {from} (CPU usage {:.2}) hands {connections} client connections over to core {to} (CPU usage {:.2})",
                 loads[from].busy,
                 loads[to].busy
             );
@@ -152,14 +155,20 @@
 fn log_change(change: &Change) {
     let Change { core, state, serving } = change;
     match state {
-        State::Serving => tracing::info!(target: "cores", "core {core} serves; {serving} serve"),
-        State::Starting => tracing::info!(target: "cores", "core {core} starts; {serving} serve"),
+        State::Serving => {
+            tracing::info!(target: "cores", "core {core} is serving; {serving} cores are serving")
+        }
+        State::Starting => {
+            tracing::info!(target: "cores", "core {core} is starting; {serving} cores are serving")
+        }
         State::Hung(since) => {
-            tracing::error!(target: "cores", "core {core} hangs since {since:.3}; {serving} serve")
+            tracing::error!(target: "cores", "core {core} hangs since {since:.3} s after program start; {serving} cores are serving")
+        }
+        State::Failed(_) => {
+            tracing::error!(target: "cores", "core {core} failed; {serving} serve until it restarts")
         }
-        State::Failed(_) => tracing::error!(target: "cores", "core {core} failed; {serving} serve"),
         State::Lost => {
-            tracing::error!(target: "cores", "core {core} failed too often and is not restarted; {serving} serve");
+            tracing::error!(target: "cores", "core {core} failed too often and is not restarted; {serving} cores are serving");
         }
     }
 }
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,5 +1,8 @@
-//! Keeps a watch of discovery open: connects, reads endpoint lists and layouts, and reconnects after errors and
-//! timeouts. The last list that was received stays in force meanwhile.
+//! Keeps a watch open: a connection to the discovery server on which the router receives endpoint lists, layouts and
+//! changes of both. Reconnects after errors and timeouts; the last endpoint list received stays in use meanwhile.
+//!
+//! An endpoint list names the data nodes with their addresses and states. A layout is a version of the assignment of
+//! shards to data nodes.
 use super::{arrival, sleep_until};
 use crate::state::dispatcher::Dispatcher;
 use crate::state::endpoints::EndpointTable;
@@ -21,37 +24,42 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-/// Holds the endpoint list, and the layout if the router uses layouts, that a watch of discovery updates: the
-/// dispatcher of a router on one core, the supervising thread of a router on several cores, or a planner.
+/// Handles what a watch receives from discovery: holds the endpoint list, and the layout if the router uses layouts.
+/// Implemented by the dispatcher of a router on one core, by
+/// [`EndpointPublisher`](super::endpoint_publisher::EndpointPublisher) for a router on several cores, and by a
+/// planner.
 pub trait DiscoveryHandler {
     fn clock(&self) -> Clock;
-    /// Whether a watch opens only after the policy has asked to poll the endpoint list.
+    /// Whether a watch opens only when the policy requests the endpoint list; otherwise, a watch is always open.
     fn polls_on_request(&self) -> bool;
-    /// Notified when the policy asks to poll the endpoint list.
+    /// Notified when the policy requests the endpoint list.
     fn poll_requested(&self) -> Arc<Notify>;
     fn endpoints(&mut self) -> &mut EndpointTable;
-    /// Called after each update of [`Self::endpoints`], and of the layout if the same message held one.
+    /// Called after each update of [`Self::endpoints`], and after the update of the layout if the same message held
+    /// one.
     fn endpoints_updated(&mut self);
-    /// Called when a watch is lost; `answered` says whether its response had begun.
+    /// Called when a watch has failed or timed out; `answered` says whether discovery had begun its response.
     fn watch_lost(&mut self, answered: bool);
-    /// Called with each message of discovery: how many seconds have passed since the message before it, on any watch.
-    fn record_silence(&mut self, span_s: f64);
-    /// Called when the configuration names another address of discovery.
+    /// Called for each message from discovery, with the seconds since the previous message, which may have arrived on
+    /// an earlier watch.
+    fn record_silence(&mut self, gap_s: f64);
+    /// Called when a reload of the configuration changes the address of discovery.
     fn discovery_moved(&mut self);
-    /// Whether [`Self::discovery_checked`] has to be called. Other cores need it: they must not start attempts by a
-    /// list that may be out of date.
+    /// Whether [`Self::discovery_checked`] has to be called. It is needed if other threads use the endpoint list:
+    /// they must not start attempts with a list that may be out of date.
     fn tracks_checks(&self) -> bool {
         false
     }
-    /// Called every `CHECK_INTERVAL`: all that discovery had sent by `_at_s`, in seconds of the clock, has been read,
-    /// or no watch is open.
+    /// Called every `CHECK_INTERVAL` if every byte that arrived from discovery before `_at_s` has been read, or no
+    /// watch is open. `_at_s` is in seconds of the monotonic clock.
     fn discovery_checked(&mut self, _at_s: f64) {}
-    /// The version of the current layout, from which changes are requested: 0 if there is none yet. None where the
-    /// router does not use layouts.
+    /// The version of the current layout, 0 if no layout was received yet, or `None` if the router does not use
+    /// layouts. The next watch requests the changes since this version.
     fn layout_version(&self) -> Option<u64> {
         None
     }
-    /// Applies a layout or a change of it, completely or not at all; [`Self::endpoints_updated`] is called afterwards.
+    /// Applies a whole layout or a change of the current layout, completely or not at all.
+    /// [`Self::endpoints_updated`] is called afterwards.
     fn apply_layout(&mut self, _news: News) -> Result<(), Faulty> {
         Ok(())
     }
@@ -79,8 +87,8 @@
             self.endpoint_poll_failed();
         }
     }
-    fn record_silence(&mut self, span_s: f64) {
-        self.counters.record_max("discovery_quiet_ms_most", (span_s * 1e3) as u64);
+    fn record_silence(&mut self, gap_s: f64) {
+        self.counters.record_max("discovery_quiet_ms_most", (gap_s * 1e3) as u64);
     }
     fn discovery_moved(&mut self) {
         self.counters.increment("discovery_moves");
@@ -100,13 +108,14 @@
     }
 }
 
+/// A handler that the watch shares with the thread's other tasks.
 pub type SharedDiscoveryHandler = Rc<RefCell<dyn DiscoveryHandler>>;
 
-/// How often a watch without unread bytes is reported to the handler.
+/// Interval between calls of [`DiscoveryHandler::discovery_checked`].
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits for a future while no watch is open. The last list stays in force, so each interval counts as a check of
-/// discovery.
+/// Waits for a future while no watch is open. No newer endpoint list can arrive then, so
+/// [`DiscoveryHandler::discovery_checked`] is called every [`CHECK_INTERVAL`].
 async fn wait_without_watch<T>(handler: &SharedDiscoveryHandler, future: impl Future<Output = T>) -> T {
     if !handler.borrow().tracks_checks() {
         return future.await;
@@ -121,8 +130,8 @@
     }
 }
 
-/// Keeps a watch open for as long as the program runs, at the newest address in `addresses`. A new address ends the
-/// current watch at once; the last list stays in force until the new watch has received one.
+/// Keeps a watch open to the newest address in `addresses`, for as long as the program runs. A new address closes the
+/// current watch at once; the last endpoint list stays in use until the new watch receives one.
 pub async fn run(handler: SharedDiscoveryHandler, mut addresses: Receiver<SocketAddr>) {
     let (clock, polls_on_request, poll_requested) = {
         let handler = handler.borrow();
@@ -150,14 +159,15 @@
                 continue;
             }
         };
-        tracing::warn!(target: "discovery", "the watch is lost: {reason}; the last endpoint list stays in force");
+        tracing::warn!(target: "discovery", "the watch is lost: {reason}; the last endpoint list stays in use");
         let answered = state.lost(clock.now());
         handler.borrow_mut().watch_lost(answered);
     }
 }
 
-/// Opens one watch and reads from it until it is lost; returns the reason. `needs_whole_layout` is set where a change
-/// could not be applied to the current layout, and makes the next watch ask for the whole layout.
+/// Opens one watch and reads from the watch until it fails or times out; returns the reason. Sets
+/// `needs_whole_layout` if discovery sent a change that could not be applied to the current layout; the next watch
+/// then requests the whole layout.
 async fn watch(
     handler: &SharedDiscoveryHandler,
     address: SocketAddr,
@@ -170,15 +180,16 @@
         let layout = handler.layout_version();
         (handler.clock(), handler.endpoints().version, layout)
     };
-    // Guards against asking for the same changes for ever: they cannot be applied to the current version.
+    // If changes since the current version cannot be applied, requesting them again would fail for ever: version 0
+    // requests the whole layout.
     if std::mem::take(needs_whole_layout) {
         layout = layout.map(|_| 0);
     }
     let limit = Duration::from_secs_f64((state.deadline() - clock.now()).max(0.0));
     let stream = match wait_without_watch(handler, timeout(limit, alderway_sockets::dial(address))).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return format!("cannot connect: {error}"),
-        Err(_) => return "connecting timed out".into(),
+        Ok(Err(error)) => return format!("cannot connect to discovery: {error}"),
+        Err(_) => return "connecting to discovery timed out".into(),
     };
     let _ = stream.set_nodelay(true);
     let tracks_checks = handler.borrow().tracks_checks();
@@ -190,16 +201,16 @@
         if written < request.len() {
             match sender.write(&stream, &request[written..]) {
                 Ok(count) => written += count,
-                Err(error) => return format!("write failed: {error}"),
+                Err(error) => return format!("sending the request to discovery failed: {error}"),
             }
         }
         tokio::select! {
             biased;
             _ = stream.readable() => {}
             () = sender.ready(&stream), if written < request.len() => {}
-            () = sleep_until(clock, state.deadline()) => return "silence".into(),
+            () = sleep_until(clock, state.deadline()) => return "silence: discovery sent no complete message in time".into(),
             () = sleep(CHECK_INTERVAL), if tracks_checks => {
-                // The clock is read before the socket: bytes that arrive between the two are not covered by this check.
+                // The clock is read before the socket, as bytes may arrive in between.
                 let now = clock.now();
                 if !arrival::has_unread_bytes(&stream) {
                     handler.borrow_mut().discovery_checked(now);
@@ -211,7 +222,7 @@
             Ok(Some(0)) => return "discovery closed the connection".into(),
             Ok(Some(count)) => buffer.filled(count),
             Ok(None) => continue,
-            Err(error) => return format!("read failed: {error}"),
+            Err(error) => return format!("reading from discovery failed: {error}"),
         }
         loop {
             match watch.word(&mut buffer) {
@@ -234,15 +245,15 @@
                 }
             }
         }
-        // Guards against a peer that keeps sending bytes but never completes a message.
+        // Guards against a discovery server that keeps sending bytes but never completes a message.
         if clock.now() >= state.deadline() {
-            return "silence".into();
+            return "silence: discovery sent no complete message in time".into();
         }
     }
 }
 
-/// Applies one JSON object of the watch: a whole endpoint list or a change of it, with a layout in either form if it
-/// holds one.
+/// Applies one JSON object from discovery: a whole endpoint list or a change of the list, and the layout or change of
+/// the layout in the object, if any. Returns the reason if the watch has to be reopened.
 fn apply(
     handler: &SharedDiscoveryHandler,
     object: &[u8],
@@ -252,10 +263,10 @@
     let mut handler = handler.borrow_mut();
     let (clock, endpoints) = (handler.clock(), handler.endpoints());
     let now = clock.now();
-    if !is_whole && endpoints.version.is_none_or(|held| version < held) {
-        // The change does not apply to the current list: the next watch asks for the whole list.
+    if !is_whole && endpoints.version.is_none_or(|current| version < current) {
+        // The change cannot be applied to the current list: without a version, the next watch requests the whole list.
         endpoints.version = None;
-        return Err("a change to an older list");
+        return Err("discovery sent a change of an older endpoint list than the current one");
     }
     endpoints.begin_update(version, is_whole);
     let (mut usable, mut unusable, mut first_error) = (0, 0, None);
@@ -272,7 +283,7 @@
         }
     })?;
     if let Some(first) = first_error {
-        tracing::warn!(target: "roster", "list {version}: {unusable} entries cannot be used, the first is node {first}");
+        tracing::warn!(target: "roster", "endpoint list {version}: {unusable} entries cannot be used, the first is data node {first}");
     }
     let layout = if handler.layout_version().is_some() { layout::news(object) } else { Ok(None) };
     let (mut layout_error, former_layout) = (None, handler.layout_version());
@@ -288,19 +299,19 @@
     }
     handler.endpoints_updated();
     match (layout_error, handler.layout_version()) {
-        (Some(reason), held) => {
-            let held = held.unwrap_or(0);
-            tracing::warn!(target: "layout", "refused: {reason}; version {held} holds");
+        (Some(reason), current) => {
+            let current = current.unwrap_or(0);
+            tracing::warn!(target: "layout", "refused: {reason}; version {current} holds");
         }
         (None, layout) if layout != former_layout => {
-            tracing::info!(target: "layout", "version {}", layout.unwrap_or(0))
+            tracing::info!(target: "layout", "version {} is applied", layout.unwrap_or(0))
         }
         _ => {}
     }
     if *needs_whole_layout {
-        return Err("a change to an unknown version of the layout");
+        return Err("discovery sent a change of a layout version that this router does not have");
     }
     let kind = if is_whole { "whole list" } else { "change" };
-    tracing::info!(target: "roster", "{kind} {version}: {usable} entries");
+    tracing::info!(target: "roster", "applied {kind} {version}: {usable} entries can be used");
     Ok(())
 }
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -1,5 +1,6 @@
-//! Keeps the endpoint list and the layout that discovery reports on the supervising thread, and publishes snapshots
-//! of both to all cores.
+//! Holds the endpoint list and the layout on the supervising thread of a router on several cores, and publishes
+//! snapshots of both to all cores. An endpoint list names the data nodes; a layout is a version of the assignment of
+//! shards to data nodes.
 use super::discovery;
 use crate::state::counters::Counters;
 use crate::state::endpoints::{Endpoint, EndpointTable};
@@ -11,33 +12,35 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-/// A complete copy of the endpoint list and the layout, for the cores.
+/// A complete copy of the endpoint list and the layout, which all cores apply.
 #[derive(Clone, Default)]
 pub struct EndpointSnapshot {
-    /// Increases with each snapshot.
+    /// Number of the snapshot, which increases with each snapshot.
     pub generation: u64,
     pub entries: Arc<Vec<Endpoint>>,
     pub layout: Option<Layout>,
-    /// How often a watch of discovery that had answered was lost, where endpoints are polled.
+    /// Number of watches that were lost after discovery had begun its response; counted only if the policy polls the
+    /// endpoint list.
     pub watch_failures: u64,
 }
 
-/// The endpoint list and the shard map as the supervising thread keeps them for the cores.
+/// Applies the updates of discovery to the supervising thread's endpoint list and shard map, and publishes them to
+/// the cores.
 pub struct EndpointPublisher {
     clock: Clock,
     polls_endpoints: bool,
     endpoints: EndpointTable,
     shared: Arc<SharedState>,
     pub counters: Counters,
-    /// Checks each layout before the cores apply it; none where shards lie in the fixed ring of the settings. No query is
-    /// open on this thread.
+    /// Checks each layout before the cores apply the layout; `None` if the settings assign the shards to data nodes.
+    /// This thread has no open queries.
     shard_map: Option<ShardMapView>,
     snapshots: watch::Sender<EndpointSnapshot>,
 }
 
 impl EndpointPublisher {
-    /// Publishes `endpoints` as the first snapshot. `shard_map` is none where shards lie in the fixed ring of the
-    /// settings.
+    /// Creates a publisher whose first snapshot holds `endpoints`. `shard_map` is `None` if the settings assign the
+    /// shards to data nodes.
     pub fn new(
         clock: Clock,
         polls_endpoints: bool,
@@ -53,13 +56,13 @@
         publisher
     }
 
-    /// A receiver of the newest snapshot, for one core.
+    /// Returns a receiver of the newest snapshot, for one core.
     pub fn subscribe(&self) -> watch::Receiver<EndpointSnapshot> {
         self.snapshots.subscribe()
     }
 
-    /// Publishes a snapshot. The fence is raised first: from then on, a core starts no attempt until it has applied
-    /// the new list.
+    /// Publishes a snapshot. First raises the generation in the fence, the check that cores share: from then on, a
+    /// core starts no attempt until the core has applied this snapshot.
     fn publish(&mut self) {
         let generation = self.shared.fence.publish();
         let entries = Arc::new(self.endpoints.endpoints());
@@ -89,8 +92,8 @@
         self.counters.increment("roster_lists");
         self.publish();
     }
-    fn record_silence(&mut self, span_s: f64) {
-        self.counters.record_max("discovery_quiet_ms_most", (span_s * 1e3) as u64);
+    fn record_silence(&mut self, gap_s: f64) {
+        self.counters.record_max("discovery_quiet_ms_most", (gap_s * 1e3) as u64);
     }
     fn watch_lost(&mut self, answered: bool) {
         self.counters.increment("discovery_watches_lost");
--- a/crates/router/src/io/mod.rs
+++ b/crates/router/src/io/mod.rs
@@ -1,4 +1,5 @@
-//! The tasks that read and write sockets and wait for timers. Protocols are in `wire`, and state is in `state`.
+//! The tasks that read and write sockets and wait for timers. Protocols are in [`crate::wire`], and the state of
+//! queries, attempts and connections is in [`crate::state`].
 pub mod acceptor;
 pub mod arrival;
 mod client_session;
@@ -13,7 +14,7 @@
 use alderway_telemetry::clock::Clock;
 use tokio::time::Sleep;
 
-/// Sleeps until `at_s`, in seconds of the program's monotonic clock.
+/// Sleeps until `at_s`, in seconds of the monotonic clock.
 pub fn sleep_until(clock: Clock, at_s: f64) -> Sleep {
     tokio::time::sleep_until(clock.instant(at_s).into())
 }
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -1,5 +1,6 @@
-//! Serves a connection to a data node: connects, writes attempts, reads replies, and closes connections that are
-//! idle, blocked or corrupted.
+//! Serves one connection to a data node: connects, writes frames with attempts, and reads reply frames. Closes the
+//! connection if it is idle, blocked or corrupted. An attempt is one transmission of a shard request to one data
+//! node; a frame is a message with a length prefix.
 use super::{arrival, policy_loop, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
@@ -23,32 +24,32 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Size of the length prefix of a frame.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a connection was closed.
+/// Why a connection to a data node was closed.
 #[derive(Debug)]
 enum CloseReason {
-    /// The dispatcher has dropped the connection.
+    /// The dispatcher has removed the connection from its state.
     Forgotten,
-    /// The data node had closed the idle connection before the next attempt was written.
+    /// The data node closed the connection while it was idle, as was detected before the next frame was written.
     EndedWhileIdle,
-    /// The connection broke, or was closed so that the rest of a frame is not sent.
+    /// Writing failed, or the router closed the connection to stop a partly written frame.
     CutOrBroken,
-    /// The connection was idle, and its descriptor was needed for another one.
+    /// The connection was idle, and its file descriptor was needed for another connection.
     Retired,
-    /// The connection was idle for the idle timeout.
+    /// The connection was idle for longer than the idle timeout.
     Idle,
-    /// The data node closed the connection.
+    /// The data node closed the connection, or reading failed.
     EndedByNode,
-    /// The data node accepted no byte of a frame within the idle timeout.
+    /// No byte of a frame could be written within the idle timeout, as the data node did not read.
     WriteTimeout,
-    /// The data node sent a frame that cannot be used.
+    /// The data node sent a malformed or unexpected frame.
     Corrupted(CorruptedFrame),
 }
 
 impl CloseReason {
-    /// The label of the counter `connection_closes`.
+    /// The label of this reason in the counter `connection_closes`.
     fn label(&self) -> &'static str {
         match self {
             CloseReason::Forgotten => "forgotten",
@@ -63,7 +64,8 @@
     }
 }
 
-/// A frame that cannot be used, with the shard request that it names, if the name could be read.
+/// A malformed or unexpected frame from a data node, with the id of the shard request that the frame answers, if the
+/// id could be read.
 #[derive(Debug)]
 struct CorruptedFrame {
     problem: Fault,
@@ -76,14 +78,14 @@
     }
 }
 
-/// Connects to a data node, serves the connection until it ends, and reports its end to the dispatcher.
+/// Connects to a data node, serves the connection until it closes, and reports the close to the dispatcher.
 pub async fn run(dispatcher: DispatcherHandle, dial: Dial, descriptors: Arc<DescriptorPool>) {
     let Dial { node, connection, address } = dial;
     let dial_timeout = Duration::from_secs_f64(dispatcher.borrow().connection_config.dial_timeout_s);
     let is_short_of_resources = Cell::new(false);
     let connecting = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
     match timeout(dial_timeout, connecting).await {
-        // The stream is dropped before the permit: the permit must not be given to another connection before the
+        // The stream is dropped before its permit: another connection may use the permit only once this file
         // descriptor is closed.
         Ok(Ok((_permit, stream))) => {
             dispatcher.borrow_mut().counters.increment("connections{opened}");
@@ -95,7 +97,8 @@
         }
         Ok(Err(_)) => dispatcher.borrow_mut().counters.increment("connections{refused}"),
         Err(_) if is_short_of_resources.get() => {
-            // Guards against counting a shortage of this machine or program as a failure of the data node.
+            // Connecting timed out because this machine lacks descriptors, ports or buffers, which is not a failure
+            // of the data node.
             dispatcher.borrow_mut().counters.increment("connections{short_of_resources}");
             dispatcher.borrow_mut().connection_not_opened(&node, connection);
         }
@@ -108,15 +111,16 @@
 fn log_close(dispatcher: &DispatcherHandle, node: &str, connection: u64, reason: &CloseReason) {
     let mut dispatcher = dispatcher.borrow_mut();
     if let CloseReason::Corrupted(CorruptedFrame { problem, shard_request }) = reason {
-        tracing::warn!(target: "frame", "node {node}: {problem}; its connection is closed");
+        tracing::warn!(target: "frame", "data node {node}: {problem}; its connection is closed");
         dispatcher.connection_corrupted(node, connection, shard_request.as_deref());
     }
     dispatcher.counters.increment("connections{closed}");
     dispatcher.counters.increment(&format!("connection_closes{{{}}}", reason.label()));
 }
 
-/// Waits for a descriptor, for which idle connections are closed if none is free, and connects.
-/// `is_short_of_resources` is true while this machine or program lacks a resource for the connection.
+/// Waits for a free file descriptor and connects to a data node. While no descriptor is free, closes idle connections
+/// to data nodes. Sets `is_short_of_resources` to true while the connection waits for a descriptor, port or buffer of
+/// this machine.
 async fn connect(
     dispatcher: &DispatcherHandle,
     address: SocketAddr,
@@ -131,15 +135,15 @@
         is_short_of_resources.set(true);
         dispatcher.borrow_mut().counters.increment("dials_short_of_descriptors");
         dispatcher.borrow_mut().endpoints.retire_longest_idle();
-        // Guards against idle connections of other cores that hold all descriptors: while this waiter exists, those cores
-        // close idle connections.
+        // While the pool has a waiter, the other cores close their idle connections too, as these may hold all
+        // descriptors.
         waiter.get_or_insert_with(|| descriptors.pool.waits());
         descriptors.released.notified().await;
     };
     drop(waiter);
     is_short_of_resources.set(false);
     let stream = alderway_sockets::dial_telling(address, is_short_of_resources).await?;
-    // Otherwise small frames would wait until earlier ones are acknowledged.
+    // Without this option, a small frame would wait until the data node has acknowledged earlier frames.
     stream.set_nodelay(true)?;
     Ok((permit, stream))
 }
@@ -151,45 +155,46 @@
     connection: u64,
     stream: &'a TcpStream,
     clock: Clock,
-    /// Notified when the dispatcher has a frame for this connection, or wants it closed.
+    /// Notified when the dispatcher has a frame for this connection, or requests its close.
     wake: Rc<Notify>,
     /// Time after which an idle connection is closed, in seconds.
     idle_timeout_s: f64,
-    /// Time within which a reply has to be complete once its first byte has arrived, in seconds.
+    /// Timeout from the first byte of a reply until the reply is complete, in seconds.
     answer_timeout_s: f64,
     incoming: Buffer,
     outgoing: Outgoing,
-    /// When the connection is closed unless more of the current frame is written, in seconds of the clock; infinite
-    /// where no frame is blocked.
+    /// Deadline for writing more of the current frame, in seconds of the monotonic clock; infinite if no frame is
+    /// blocked.
     write_by: f64,
-    /// When a partially received frame has to be complete, in seconds of the clock; infinite where there is none.
+    /// Deadline for receiving the rest of a partly received frame, in seconds of the monotonic clock; infinite if
+    /// there is no such frame.
     read_by: f64,
-    /// The last stall of this thread after which pending input was read.
+    /// Number of the last suspension of this thread after which pending input was read.
     handled_stall: u64,
 }
 
-/// The frame that is being written, and totals of what was written.
+/// The frame that is being written, and the number of bytes written.
 #[derive(Default)]
 struct Outgoing {
     sender: Sender,
     frame: Vec<u8>,
-    /// Bytes of the frame that the socket has accepted.
+    /// Number of bytes of the current frame that were written to the socket.
     written_bytes: usize,
-    /// Bytes of all frames that the socket has accepted.
+    /// Number of bytes that were written to the socket since the connection was opened.
     total_bytes: u64,
 }
 
-/// Progress of writing.
+/// Progress of writing frames to a data node.
 #[derive(Clone, Copy, PartialEq)]
 enum WriteProgress {
     /// All frames are written.
     Complete,
-    /// The socket accepts no more bytes for now.
+    /// The socket's send buffer is full.
     Blocked,
 }
 
 impl<'a> NodeSession<'a> {
-    /// None where the dispatcher has dropped the connection.
+    /// Creates the session of an established connection; `None` if the dispatcher has removed the connection.
     fn open(
         dispatcher: &'a DispatcherHandle,
         node: &'a str,
@@ -201,8 +206,8 @@
         let node_connection = state.endpoints.connection(node, connection)?;
         node_connection.is_up = true;
         let wake = node_connection.wake.clone();
-        // Idle connections are closed one dial timeout before the data node closes them, but not before half its idle
-        // timeout.
+        // The router closes an idle connection one dial timeout before the data node would, but not before half of
+        // the data node's idle timeout.
         let idle_timeout_s = (config.idle_timeout_s - config.dial_timeout_s).max(0.5 * config.idle_timeout_s);
         Some(NodeSession {
             dispatcher,
@@ -221,7 +226,7 @@
         })
     }
 
-    /// Writes frames and reads replies until the connection has to be closed; returns why.
+    /// Writes frames and reads replies until the connection has to be closed; returns the reason.
     async fn run(mut self) -> CloseReason {
         loop {
             if let Err(reason) = self.step().await {
@@ -249,7 +254,7 @@
                 return Err(CloseReason::WriteTimeout);
             }
             () = sleep_until(clock, self.read_by), if self.read_by.is_finite() => {
-                let problem = "a reply that is not complete in time";
+                let problem = "a reply was not complete in time";
                 return Err(CloseReason::Corrupted(CorruptedFrame::unnamed(problem)));
             }
             () = wake.notified() => {}
@@ -258,13 +263,15 @@
         Ok(())
     }
 
-    /// Calls `act` on the state of this connection; none where the dispatcher has dropped the connection.
+    /// Calls `act` on the dispatcher's state of this connection; returns `None` if the dispatcher has removed the
+    /// connection.
     fn with_state<T>(&self, act: impl FnOnce(&mut NodeConnection) -> T) -> Option<T> {
         self.dispatcher.borrow_mut().endpoints.connection(self.node, self.connection).map(act)
     }
 
-    /// After this thread was suspended, lets other tasks read what has arrived meanwhile before an attempt starts. Guards
-    /// against attempts for clients that have disconnected, or on data nodes that drain, while that news is still unread.
+    /// After a suspension of this thread, lets other tasks read their sockets before this connection writes an
+    /// attempt. Guards against attempts for a client whose disconnect, or on a data node whose draining state, has
+    /// arrived but is not read yet.
     async fn read_pending_input_after_stall(&mut self) {
         loop {
             let stall = {
@@ -278,13 +285,13 @@
             if replace(&mut self.handled_stall, stall) == stall {
                 return;
             }
-            // The runtime polls the system for input and runs the tasks that receive it first.
+            // Yielding lets the runtime poll the sockets, and run the tasks that have input, before this task.
             yield_now().await;
         }
     }
 
-    /// Guards against writing an attempt to a connection that the data node has closed as idle: the attempt would
-    /// count as possibly executed.
+    /// Before an idle connection is reused, returns an error if the data node has closed the connection. Guards
+    /// against writing an attempt to a closed connection: the attempt would count as possibly executed.
     fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
         let is_reuse = self.with_state(|state| state.is_reuse_after_idle()).unwrap_or(false);
         if is_reuse && arrival::is_closed_by_peer(self.stream) {
@@ -294,8 +301,8 @@
         Ok(())
     }
 
-    /// Writes frames until none is left or the socket accepts no more bytes. Sets a deadline for a blocked frame, as
-    /// a machine that has gone down never closes its connections.
+    /// Writes frames until none is left or the socket's send buffer is full. Sets a deadline for a blocked frame,
+    /// because a machine that has crashed never closes its connections.
     fn write_frames(&mut self) -> Result<WriteProgress, CloseReason> {
         let before = self.outgoing.total_bytes;
         let progress = self.write_until_blocked()?;
@@ -309,7 +316,7 @@
 
     fn write_until_blocked(&mut self) -> Result<WriteProgress, CloseReason> {
         loop {
-            // Guards against sending the rest of a frame after a query in it has got its final answer.
+            // The rest of a frame must not be sent once a query in the frame has got its final response.
             if self.with_state(|state| state.is_aborted).unwrap_or(true) {
                 return Err(CloseReason::CutOrBroken);
             }
@@ -322,7 +329,7 @@
         }
     }
 
-    /// Begins the next frame; false where there is none.
+    /// Begins the next frame; returns false if there is no frame to write.
     fn begin_next_frame(&mut self) -> bool {
         let Outgoing { frame, written_bytes, .. } = &mut self.outgoing;
         let mut dispatcher = self.dispatcher.borrow_mut();
@@ -337,7 +344,7 @@
         dispatcher.next_frame(self.node, self.connection, frame)
     }
 
-    /// Writes as much of the current frame as the socket accepts; returns the number of bytes.
+    /// Writes as much of the current frame as the socket accepts; returns the number of bytes written.
     fn write_some(&mut self) -> Result<usize, CloseReason> {
         let (node, connection) = (self.node, self.connection);
         let Outgoing { sender, frame, written_bytes, total_bytes } = &mut self.outgoing;
@@ -361,7 +368,9 @@
         Ok(count)
     }
 
-    /// Returns since when the connection is idle, or an error where it was idle for too long or is retired.
+    /// Returns when the connection became idle, in seconds of the monotonic clock, or `None` if the connection is in
+    /// use. Returns an error if the connection was idle for too long, or its file descriptor is needed for another
+    /// connection.
     fn check_idle(&self) -> Result<Option<f64>, CloseReason> {
         let now = self.clock.now();
         let checked = self.with_state(|state| {
@@ -375,8 +384,8 @@
         checked.unwrap_or(Err(CloseReason::Forgotten))
     }
 
-    /// Reads once and handles the complete frames; returns how many there were. Reads no more than once, so that no
-    /// data node can occupy the core.
+    /// Reads from the socket once and handles the complete frames; returns the number of frames. A single read
+    /// prevents one data node from occupying the core.
     fn read(&mut self) -> Result<usize, CloseReason> {
         match alderway_sockets::read(self.stream, self.incoming.space()) {
             Ok(Some(0)) | Err(_) => return Err(CloseReason::EndedByNode),
@@ -401,10 +410,10 @@
         match frame_type {
             b'R' => self.receive_reply(body).map_err(CloseReason::Corrupted),
             b'F' => {
-                tracing::warn!(target: "frame", "node {}: it could not read a frame that this router sent", self.node);
+                tracing::warn!(target: "frame", "data node {} could not read a frame that this router sent; its connection is closed", self.node);
                 Err(CloseReason::EndedByNode)
             }
-            // Answers to health checks, which this router does not send.
+            // Replies to health checks, which this router does not send, are ignored.
             b'H' | b'M' => Ok(()),
             _ => Err(CloseReason::Corrupted(CorruptedFrame::unnamed("a frame of an unknown type"))),
         }
@@ -432,9 +441,9 @@
         Ok(())
     }
 
-    /// Sets a deadline for a partially received reply. A data node writes each reply at once. Guards against a frame
-    /// whose length is larger than its content: the attempts on the connection would wait for the rest, and the next
-    /// reply would be read as that rest.
+    /// Sets a deadline for a partly received reply, as data nodes write each reply in one piece. Guards against a
+    /// frame whose length prefix is larger than its content: the attempts on the connection would wait for the
+    /// missing bytes, and the next reply would be read as part of this one.
     fn limit_incomplete_answer(&mut self, frames_read: usize) {
         if self.incoming.is_empty() {
             self.read_by = f64::INFINITY;
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -1,5 +1,8 @@
-//! Drives the policy of a core: each round passes on what has happened since the last round and carries out the
-//! decisions.
+//! Runs the policy of a core in rounds: each round passes the events since the last round to the policy and executes
+//! the policy's decisions on the dispatcher.
+//!
+//! A forwarder is a router whose decisions are made by planners, which are separate programs, or by the forwarder's
+//! own policy while no planner is available. [`Tier`] holds a forwarder's connections to the planners.
 use super::{node_session, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
@@ -12,15 +15,15 @@
 use std::sync::Arc;
 use tokio::task::{spawn_local, yield_now};
 
-/// Carries out decisions of a policy on the dispatcher. On a forwarder, it also reports the decisions of the
-/// forwarder's own policy to the tier.
+/// Executes the decisions of a policy on the dispatcher. On a forwarder, also records the decisions of the
+/// forwarder's own policy in [`Tier`].
 pub struct DispatcherDecisionSink<'a> {
     dispatcher: &'a DispatcherHandle,
     tier: Option<&'a Tier>,
 }
 
 impl<'a> DispatcherDecisionSink<'a> {
-    /// A sink for decisions of a planner, of which the tier knows already.
+    /// Creates a sink for decisions that a planner has sent. The caller has already recorded them in [`Tier`].
     pub fn for_planner_decisions(dispatcher: &'a DispatcherHandle) -> Self {
         DispatcherDecisionSink { dispatcher, tier: None }
     }
@@ -56,8 +59,8 @@
     fn query_ended(&mut self, late: bool) {
         self.dispatcher.borrow_mut().query_ended(late);
     }
-    fn set_timer(&mut self, span_s: f64, tag: u64) {
-        self.dispatcher.borrow_mut().set_timer(span_s, tag);
+    fn set_timer(&mut self, delay_s: f64, tag: u64) {
+        self.dispatcher.borrow_mut().set_timer(delay_s, tag);
     }
     fn poll_endpoints(&mut self) {
         self.dispatcher.borrow_mut().poll_endpoints();
@@ -67,7 +70,7 @@
     }
 }
 
-/// Assigns waiting attempts to connections, and dials the connections that they need.
+/// Assigns queued attempts to connections to data nodes, and opens further connections if needed.
 pub fn send_queued_attempts(dispatcher: &DispatcherHandle, descriptors: &Arc<DescriptorPool>) {
     let now = dispatcher.borrow().clock.now();
     let dials = dispatcher.borrow_mut().flush_attempts(now);
@@ -76,8 +79,8 @@
     }
 }
 
-/// Returns a function that creates a policy from the newest settings that the dispatcher has applied. The function fails
-/// where the dispatcher has no settings.
+/// Returns a function that creates a policy from the newest settings that the dispatcher has applied. The function
+/// fails if the dispatcher has no settings.
 pub fn policy_factory(
     dispatcher: &DispatcherHandle,
     seed: u64,
@@ -90,10 +93,10 @@
     }
 }
 
-/// Runs the policy for as long as the program runs, with at least the minimum round interval of the settings between
-/// two rounds. `make_policy` creates the policy at the start and after each panic of the policy; this function
-/// returns only where `make_policy` fails. On a forwarder, `tier` splits the events between the planners and the
-/// forwarder's own policy.
+/// Runs the policy for as long as the program runs. The start times of two rounds are at least the settings' minimum
+/// round interval apart. `make_policy` creates the policy at the start and after each panic of the policy; this
+/// function returns only if `make_policy` fails. `tier` is given on a forwarder, where each event goes either to a
+/// planner or to the forwarder's own policy.
 pub async fn run<E>(
     dispatcher: DispatcherHandle,
     tier: Option<Tier>,
@@ -102,7 +105,8 @@
 ) -> Result<(), E> {
     let (clock, work_ready, limits) = {
         let dispatcher = dispatcher.borrow();
-        // A router with gossip peers shares its observations with them, as the cores of a router do with each other.
+        // A policy shares its observations only if its limits are for more than one core. A router with gossip peers
+        // needs this on one core too: gossip sends the observations to the peers.
         let limits =
             if dispatcher.gossip.is_some() { SharedLimits::new(2) } else { dispatcher.shared.limits.clone() };
         let limits = limits.for_core(dispatcher.core as u8);
@@ -123,8 +127,8 @@
         }
         let stall = dispatcher.borrow_mut().stall_detector.check(clock.now());
         if std::mem::replace(&mut handled_stall, stall) != stall {
-            // Input that arrived while this thread was suspended is read before the policy decides, for example that an
-            // answer is late.
+            // After a suspension of this thread, other tasks read their sockets before the policy decides, so that a
+            // reply that has arrived does not count as late.
             yield_now().await;
         }
         let now = clock.now();
@@ -143,10 +147,10 @@
         };
         let mut sink = DispatcherDecisionSink { dispatcher: &dispatcher, tier: tier.as_ref() };
         let round = AssertUnwindSafe(|| policy.round(now, notify, &mut sink));
-        // Guards against a defect of the policy that a rare query triggers: open queries fail, and the router
-        // continues with a new policy, which has no observations of the data nodes yet, as after a restart.
+        // If the policy panics, for example due to a defect that a rare query triggers, open queries fail and the
+        // router continues with a new policy. Like after a restart, the new policy has no observations of data nodes.
         if catch_unwind(round).is_err() {
-            tracing::error!(target: "failure", "the policy panicked: open queries fail, and a new policy starts");
+            tracing::error!(target: "failure", "the policy panicked: open queries fail, and the router continues with a new policy");
             policy = new_policy()?;
             tier.iter().for_each(|tier| tier.borrow_mut().start_over());
             dispatcher.borrow_mut().restart_policy();
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,10 +1,13 @@
-//! The query router of alderway. The policy of the `alderway` crate makes every decision, once a round; this crate
-//! connects it to sockets, timers and the operating system.
+//! The query router of alderway. The policy of the `alderway` crate decides which attempts to start, cancel and
+//! retry; this crate connects the policy to sockets, timers and the operating system.
+//!
+//! A policy round is one call of the policy: the call receives all events since the last round and returns decisions.
 //!
 //! - [`server`]: runs the program on one core, on several cores, or as a planner.
-//! - [`lifecycle`]: configuration at the start, changes of it while serving, and shutdown.
+//! - [`lifecycle`]: reads the configuration at the start, applies changes of the configuration while serving, and
+//!   shuts down.
 //! - [`io`]: the tasks that read and write sockets.
-//! - [`wire`]: the formats of HTTP requests, answers, data node frames and discovery.
+//! - [`wire`]: the formats of HTTP requests, responses, data node frames and discovery.
 //! - [`state`]: open queries, attempts, connections, endpoints and counters.
 //! - [`requests`]: the HTTP requests of clients.
 //! - [`control`]: the subscription to control servers.
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -1,4 +1,5 @@
-//! The HTTP requests of clients: a query, readiness or the counters. Any other request gets an error response.
+//! Handles the HTTP requests of clients: queries (`POST /api`), readiness (`GET /up`) and counters (`GET /counters`).
+//! Any other request gets an error response.
 use crate::state::DispatcherHandle;
 use crate::state::clients::ClientConnection;
 use crate::state::queries::{Query, QueryError, ShardRequest};
@@ -10,8 +11,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Handles a complete request whose last byte arrived at `arrived_at`, in seconds of the clock: answers it, or opens
-/// a query that is answered later.
+/// Handles a complete request: writes a response to `client`, or opens a query that is answered later. `arrived_at`
+/// is when the last byte of the request arrived, in seconds of the monotonic clock.
 pub fn handle(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
@@ -19,8 +20,8 @@
     body: &[u8],
     arrived_at: f64,
 ) {
-    // All responses here have a body, which a response to HEAD must not have: the client could not find the start of
-    // the next response, so the connection is closed.
+    // The router sends a body even in the response to HEAD. The client expects no body there and would read this one
+    // as the start of the next response, so the router closes the connection after the response.
     let closes = head.closes() || head.first().starts_with("HEAD ");
     client
         .close_after_answer
@@ -59,7 +60,7 @@
     }
 }
 
-/// Opens the query of a request.
+/// Parses a query request and opens its query; returns the error response if the request is invalid.
 fn open_query(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
@@ -98,10 +99,11 @@
     dispatcher.open_query(client, query).map_err(error_response)
 }
 
-/// The shard requests of a query, as its body names them.
+/// The content of a query request's body: the query text and the shard requests.
 struct ShardRequests {
     text: String,
     requests: Vec<ShardRequest>,
+    /// The key ranges of the query, with the results so far; `None` if the router has no shard map.
     coverage: Option<AnswerCoverage>,
 }
 
@@ -130,7 +132,7 @@
             return Err("`partition` is no shard here");
         }
         if !shards.insert(shard) {
-            return Err("`partition` stands twice");
+            return Err("`partition` is given twice");
         }
         requests.push(ShardRequest::new(format!("{query_id}.{shard}").into(), shard, weight));
         Ok(())
@@ -139,7 +141,7 @@
     Ok(ShardRequests { text, requests, coverage: None })
 }
 
-/// Status and text of the response for a query that cannot be opened.
+/// The HTTP status and text of the response to a query that cannot be opened.
 pub fn error_response(error: QueryError) -> Refusal {
     match error {
         QueryError::IdInUse => (400, "a query with this X-Correlation-Id is open"),
--- a/crates/router/src/tier/links.rs
+++ b/crates/router/src/tier/links.rs
@@ -128,7 +128,11 @@
             match reader.next_frame() {
                 Ok(Some(Received::Message(message))) => {
                     called = true;
-                    tier.borrow_mut().read(hello, message, &mut DispatcherDecisionSink::for_planner_decisions(dispatcher));
+                    tier.borrow_mut().read(
+                        hello,
+                        message,
+                        &mut DispatcherDecisionSink::for_planner_decisions(dispatcher),
+                    );
                 }
                 Ok(Some(Received::Hello(_))) => return Some("it says hello twice".into()),
                 Ok(None) => break,
