--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -1,25 +1,28 @@
-//! A connection to a control server: reads and writes frames.
+//! Reads and writes frames on a connection to a control server. The first frame in each direction is a hello with the
+//! sender's name; messages follow.
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_sockets::Sender;
 use alderway_transport::{FrameError, FrameReader, Hello, Incarnation, Name, Received, encode_hello};
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Why a connection cannot be used any more.
+/// Why a connection to a control server has to be closed.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionError {
-    #[error("the connection was closed")]
+    #[error("the connection to the control server was closed or failed")]
     Closed,
-    /// The control server has another name than the configuration gives it.
-    #[error("the control server at this address is `{0}`, which the configuration names differently")]
+    /// The control server's hello has a different name than the configuration has for this address.
+    #[error(
+        "the control server that answers calls itself `{0}`, but the configuration has another name for its address"
+    )]
     UnexpectedServer(Name),
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// What a control server sent.
+/// A frame from a control server.
 pub(super) enum Incoming {
-    /// The hello of the control server: from then on messages may be sent.
+    /// The control server's hello, which has the expected name. Messages can be sent from now on.
     Greeted,
     Message(ControlMessage),
 }
@@ -28,22 +31,22 @@
     stream: TcpStream,
     sender: Sender,
     reader: FrameReader<ControlMessage>,
-    /// The name of the control server in the configuration.
+    /// The name that the configuration has for the control server.
     expected_name: Name,
     is_greeted: bool,
-    /// Encoded bytes that are not written yet.
+    /// Encoded bytes that are not yet written to the socket.
     output: Vec<u8>,
 }
 
 impl Connection {
-    /// Starts the protocol on a connected stream: the router's hello is the first output.
+    /// Starts the protocol on a connected stream, with the router's hello as the first output.
     pub(super) fn new(
         stream: TcpStream,
         expected_name: Name,
         own_name: Name,
         incarnation: Incarnation,
     ) -> Self {
-        // Only reduces latency: a failure is ignored.
+        // A failure is ignored: the option only reduces latency.
         let _ = stream.set_nodelay(true);
         let mut output = vec![];
         encode_hello::<RouterMessage>(&mut output, &Hello::new::<RouterMessage>(own_name, incarnation));
@@ -51,8 +54,8 @@
         Connection { stream, sender, reader, expected_name, is_greeted: false, output }
     }
 
-    /// Whether the next message may be passed to [`Self::send`]: one at a time, and none before the control server's
-    /// hello.
+    /// Whether [`Self::send`] can be called: the control server's hello has arrived, and the previous message is
+    /// written.
     pub(super) fn is_ready_to_send(&self) -> bool {
         self.is_greeted && self.output.is_empty()
     }
@@ -61,12 +64,12 @@
         !self.output.is_empty()
     }
 
-    /// Sets an encoded message as the next output.
+    /// Queues an encoded message, which [`Self::write`] writes to the socket.
     pub(super) fn send(&mut self, message: Vec<u8>) {
         self.output = message;
     }
 
-    /// Writes as much of the output as the socket accepts; returns the number of bytes.
+    /// Writes as much of the queued output as the socket accepts; returns the number of bytes written.
     pub(super) fn write(&mut self) -> Result<usize, ConnectionError> {
         let written = self.sender.write(&self.stream, &self.output);
         let count = written.map_err(|_| ConnectionError::Closed)?;
@@ -74,7 +77,7 @@
         Ok(count)
     }
 
-    /// Reads available bytes, at most the size of `buffer`; returns the number of bytes.
+    /// Reads the available bytes, but not more than `buffer` holds; returns the number of bytes read.
     pub(super) fn read(&mut self, buffer: &mut [u8]) -> Result<usize, ConnectionError> {
         match alderway_sockets::read(&self.stream, buffer) {
             Ok(Some(0)) | Err(_) => Err(ConnectionError::Closed),
@@ -86,7 +89,8 @@
         }
     }
 
-    /// The next frame in the bytes read so far; none where no further one is complete.
+    /// Returns the next frame in the bytes read so far, or `None` if no further frame is complete. Returns an error
+    /// if a hello does not have the expected name.
     pub(super) fn next_incoming(&mut self) -> Result<Option<Incoming>, ConnectionError> {
         match self.reader.next_frame()? {
             Some(Received::Hello(hello)) if hello.name == self.expected_name => {
@@ -99,12 +103,12 @@
         }
     }
 
-    /// Waits until the connection is readable; false where it has failed.
+    /// Waits until the socket is readable; returns false if the socket has failed.
     pub(super) async fn readable(&self) -> bool {
         self.stream.readable().await.is_ok()
     }
 
-    /// Waits until the connection is writable.
+    /// Waits until the socket is writable.
     pub(super) async fn writable(&self) {
         self.sender.ready(&self.stream).await;
     }
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -1,4 +1,5 @@
-//! Drives a subscription: executes the subscriber's commands and passes it their results.
+//! Runs a subscription: executes the commands of the [`Subscriber`], such as connecting to a control server or
+//! applying settings, and passes the results to the subscriber.
 use super::connection::{Connection, ConnectionError, Incoming};
 use alderway_control_plane::messages::ApplyOutcome;
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
@@ -15,56 +16,56 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// The driver does not read while the rate limit allows fewer bytes than this.
+/// The driver does not read from the control server while the rate limit allows fewer bytes than this.
 const MIN_READ_BYTES: usize = 200;
-/// Interval between two calls of [`SubscribedRouter::observe`].
+/// Interval between two calls of [`SubscribedRouter::observe`], in seconds.
 const OBSERVE_INTERVAL_S: f64 = 0.5;
-/// Longest time that the driver waits for an event before it runs again.
+/// Longest time that the driver waits for an event before it calls the subscriber again, in seconds.
 const MAX_WAIT_S: f64 = 1.0;
-/// Shortest time that the driver waits if no event occurs.
+/// Shortest time that the driver waits for an event before it calls the subscriber again, in seconds.
 const MIN_WAIT_S: f64 = 0.0005;
 
 type BoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Applies settings with their version number, and returns the outcome.
+/// A function that applies the settings of a version, and returns the outcome.
 pub type ApplyCallback = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
-/// Called every `OBSERVE_INTERVAL_S` with the subscription, the traffic so far, and the time in seconds of the router's
-/// clock.
+/// A function that is called every `OBSERVE_INTERVAL_S` with the subscriber, the bytes transferred so far, and the
+/// time in seconds of [`SubscribedRouter::clock`].
 pub type ObserveCallback = Box<dyn FnMut(&Subscriber, ControlTraffic, f64)>;
-/// Persists the version that the next start begins with, and when it was last known to be the latest, in seconds of
-/// the router's clock, if that is known.
+/// A function that persists a version for the next start, with the time at which the version was last confirmed as
+/// the latest, in seconds of [`SubscribedRouter::clock`]; `None` if that time is unknown.
 pub type PersistCallback = Box<dyn Fn(ConfigVersion, Option<f64>)>;
 
-/// Bytes transferred on all connections so far.
+/// Number of bytes transferred on all connections to control servers since the program started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ControlTraffic {
-    /// From control servers.
+    /// Bytes received from control servers.
     pub received_bytes: u64,
-    /// To control servers.
+    /// Bytes sent to control servers.
     pub sent_bytes: u64,
 }
 
-/// The router that a subscription belongs to.
+/// The router that subscribes: its identity, its control servers, and the functions that the driver calls.
 pub struct SubscribedRouter {
-    /// The name of the router in its hello.
+    /// The name that the router sends to control servers.
     pub name: Name,
-    /// The incarnation of this process.
+    /// A number that identifies this process among all runs of the router.
     pub incarnation: Incarnation,
-    /// Name and address of each control server, in the order of the subscriber's list.
+    /// The name and address of each control server, in the same order as in the subscriber.
     pub control_servers: Vec<(Name, SocketAddr)>,
-    /// The clock of all times that are passed to the subscriber.
+    /// The clock whose time is passed to the subscriber and the callbacks.
     pub clock: Clock,
-    /// Applies a version.
+    /// Applies the settings of a version.
     pub apply: ApplyCallback,
-    /// Persists a version.
+    /// Persists a version for the next start.
     pub persist: PersistCallback,
-    /// Observes the subscription.
+    /// Is called regularly with the subscriber, to publish metrics.
     pub observe: ObserveCallback,
-    /// Whether the subscriber's events are written to the log.
+    /// Whether the events of the subscriber are logged.
     pub log_events: bool,
 }
 
-/// Runs a subscription. Never returns; abort the task to end the subscription.
+/// Runs a subscription for ever; abort the task to end the subscription.
 pub async fn run(subscriber: Subscriber, router: SubscribedRouter) {
     let read_limit = TokenBucket::empty(ROUTER_READ, router.clock.now());
     let driver = Driver {
@@ -91,11 +92,11 @@
     outcome: BoxFuture<ApplyOutcome>,
 }
 
-/// An event that wakes the driver.
+/// An event for which the driver waits.
 enum Event {
     Connected(io::Result<TcpStream>),
     Applied(ApplyOutcome),
-    /// False where the connection has failed.
+    /// The connection to the control server is readable; false if the connection has failed.
     Readable(bool),
     Writable,
     DeadlineReached,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Sends the subscriber's messages, as far as the socket accepts them.
+    /// Sends the subscriber's messages to the control server, as many as the socket accepts.
     fn send_messages(&mut self, now: f64) {
         let Some(connection) = &mut self.connection else { return };
         while connection.is_ready_to_send()
@@ -166,7 +167,7 @@
             connection.send(message);
             match connection.write() {
                 Ok(count) => self.traffic.sent_bytes += count as u64,
-                // The output stays pending: the next write fails too, and closes the connection.
+                // The message stays queued; the next write also fails, and that failure closes the connection.
                 Err(_) => return,
             }
         }
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Seconds until the subscriber has to be ticked, or until bytes may be read again.
+    /// Returns how long to wait for an event, in seconds: until the subscriber's next deadline, or until the rate
+    /// limit allows reading again.
     fn wait_s(&self, now: f64, may_read: bool) -> f64 {
         let waits_for_limit = !may_read && self.connection.is_some();
         let read_at = if waits_for_limit { self.read_limit.ready_at(MIN_READ_BYTES) } else { f64::INFINITY };
@@ -225,7 +227,7 @@
         self.connection = Some(Connection::new(stream, server_name, own_name, incarnation));
     }
 
-    /// Reads up to `max_bytes`, and passes all complete messages to the subscriber.
+    /// Reads at most `max_bytes` from the control server, and passes all complete messages to the subscriber.
     fn receive(&mut self, max_bytes: usize) -> Result<(), ConnectionError> {
         let Some(connection) = &mut self.connection else { return Ok(()) };
         let count = connection.read(&mut self.buffer[..max_bytes])?;
@@ -249,9 +251,9 @@
 
     fn close_on_error(&mut self, result: Result<(), ConnectionError>) {
         let Err(error) = result else { return };
-        // The subscriber itself logs that a connection was closed.
+        // The subscriber logs closed connections.
         if !matches!(error, ConnectionError::Closed) {
-            tracing::warn!(target: "control", "{error}");
+            tracing::warn!(target: "control", "the connection to a control server is closed: {error}");
         }
         if self.connection.take().is_some() {
             self.subscriber.connection_closed(self.router.clock.now());
--- a/crates/router/src/control/metrics.rs
+++ b/crates/router/src/control/metrics.rs
@@ -1,10 +1,11 @@
-//! The counters and gauges of a subscription, under their names in `/counters`.
+//! The counters and gauges of a subscription to control servers, with their names in `/counters`.
 use super::driver::ControlTraffic;
 use crate::state::counters::Counters;
 use crate::state::metrics::MetricsSnapshot;
 use alderway_control_plane::subscriber::Subscriber;
 
-/// All counters and gauges; `now` is in seconds of the subscriber's clock.
+/// Returns the current values of all counters and gauges of the subscription; `now` is in seconds of the monotonic
+/// clock.
 pub(super) fn snapshot(subscriber: &Subscriber, traffic: ControlTraffic, now: f64) -> MetricsSnapshot {
     let (metrics, mut counters) = (subscriber.metrics, Counters::default());
     for (name, count) in [
@@ -32,7 +33,7 @@
         ("control_connected", u64::from(subscriber.connected_to().is_some())),
         ("control_quiet_ms", milliseconds(subscriber.unconfirmed_s(now))),
     ];
-    // Omitted where the age of the version is unknown.
+    // The gauge is omitted if the age of the version is unknown.
     let age = subscriber.staleness_s(now).map(milliseconds);
     gauges.extend(age.map(|age_ms| ("control_version_age_ms", age_ms)));
     MetricsSnapshot { counters, gauges }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,20 +1,21 @@
-//! The router's subscription to control servers, on sockets and disk.
+//! The router's subscription to control servers, from which the router receives settings. Each state of the settings
+//! has a version number.
 //!
 //! [`alderway_control_plane::subscriber`] decides to which control server the router connects, how it handles
-//! received messages, and which messages it sends when. This module does the input and output:
+//! received messages, and which messages it sends when. This module reads and writes the sockets and the file:
 //!
-//! - `driver`: executes the subscriber's commands and passes it their results;
+//! - `driver`: executes the subscriber's commands and passes the results to the subscriber;
 //! - `connection`: reads and writes frames on one connection;
-//! - [`persisted_version`]: the file with the version that the next start begins with;
-//! - `metrics`: the counters;
-//! - [`settings`]: applies versions to the router.
+//! - [`persisted_version`]: reads and writes the file with the version that the next start uses;
+//! - `metrics`: returns the counters and gauges;
+//! - [`settings`]: applies the settings of a version to the router.
 mod connection;
 mod driver;
 mod metrics;
 pub mod persisted_version;
 pub mod settings;
 
-pub use driver::{ApplyCallback, ObserveCallback, PersistCallback, SubscribedRouter, ControlTraffic, run};
+pub use driver::{ApplyCallback, ControlTraffic, ObserveCallback, PersistCallback, SubscribedRouter, run};
 
 use crate::state::shared::SharedState;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, Subscriber, SubscriptionConfig};
@@ -26,26 +27,28 @@
 use std::sync::atomic::Ordering::Relaxed;
 use tokio::task::spawn_local;
 
-/// Descriptors that a subscription takes: its connection, and a file with its directory while a version is written.
+/// Number of file descriptors that a subscription uses: one for the connection, and two for the file and its
+/// directory while a version is written.
 pub const SUBSCRIPTION_DESCRIPTORS: usize = 3;
 
-/// A router's subscription: its configuration in the operator's file, and the persisted version.
+/// The configuration of a router's subscription, and the persisted version with which the router starts.
 pub struct Subscription {
     /// The control servers, each with the address at which it listens for routers.
     pub control_servers: Vec<(ControlEndpoint, SocketAddr)>,
-    /// The router's own zone.
+    /// The zone of this router.
     pub zone: String,
-    /// Intervals and timeouts.
+    /// Intervals and timeouts of the subscription.
     pub config: SubscriptionConfig,
-    /// The file in which versions are persisted; none where they are not.
+    /// The file in which the latest version is persisted; `None` if versions are not persisted.
     pub persist_path: Option<PathBuf>,
-    /// The persisted version that this router starts with.
+    /// The persisted version with which this router starts; `None` if it starts with the configuration file's
+    /// settings.
     pub persisted: Option<PersistedVersion>,
-    /// Why the persisted version cannot be used, if there is one that cannot.
+    /// Why a persisted version exists but cannot be used; `None` otherwise.
     pub startup_error: Option<UnusablePersistedVersion>,
 }
 
-/// Starts the subscription of a router on the current thread, for as long as the program runs.
+/// Starts the task of a router's subscription on the current thread; the task runs for as long as the program.
 pub fn start(
     subscription: Subscription,
     name: &str,
@@ -84,12 +87,13 @@
     spawn_local(run(subscriber, router));
 }
 
-/// Marks the persisted version, with which the router has started, as the version in force.
+/// Publishes the number of the persisted version with which the router has started. Returns the version, and when it
+/// was last confirmed as the latest, in seconds of the monotonic clock.
 fn resume(persisted: PersistedVersion, shared: &SharedState, clock: Clock) -> (ConfigVersion, Option<f64>) {
     let PersistedVersion { version, confirmed_at_unix_ms } = persisted;
-    tracing::info!(target: "control", "started with persisted version {}", version.number);
+    tracing::info!(target: "control", "started with the settings of persisted version {}", version.number);
     shared.config_version.store(version.number, Relaxed);
     let confirmed_at = confirmed_at_unix_ms.and_then(|unix_ms| clock.from_unix_ms(unix_ms));
-    // The wall clock may have been ahead when the version was persisted: the time must not be in the future.
+    // The time must not be in the future, even if the wall clock was ahead when the version was persisted.
     (version, confirmed_at.map(|confirmed_at| confirmed_at.min(clock.now())))
 }
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,9 +1,10 @@
-//! The file with the version that a router starts with while no control server can be reached.
+//! Reads and writes the file with the latest version of the settings from control servers, with which the router
+//! starts the next time. This allows a start while no control server is reachable.
 //!
-//! One line `alderway-version 1 NUMBER DIGEST CONFIRMED`, then the settings as text: the version's number, the digest
-//! of the text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The
-//! digest detects a damaged file. A version is applied before it is written: after a crash in between, the next start
-//! uses the version before it.
+//! The first line of the file is `alderway-version 1 NUMBER DIGEST CONFIRMED`: the version's number, the digest of
+//! the settings text in hexadecimal, and the time at which the version was last confirmed as the latest, in
+//! milliseconds of Unix time, or `-` if unknown. The settings text follows. The digest detects a damaged file. A
+//! version is applied before it is written; after a crash in between, the next start uses the previous version.
 use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_control_plane::version::VersionNumber;
@@ -17,43 +18,44 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::timeout;
 
-/// Start of the file, which identifies its format.
+/// The start of the file, which identifies the format.
 const FORMAT: &str = "alderway-version 1";
-/// Upper bound of the length of the first line.
+/// Upper bound of the length of the file's first line, in bytes.
 const MAX_HEADER_BYTES: u64 = 200;
 const MAX_FILE_BYTES: u64 = MAX_SETTINGS_BYTES as u64 + MAX_HEADER_BYTES;
-/// Represents an unknown time in the first line.
+/// Stands for an unknown time in the file's first line.
 const UNKNOWN_TIME: &str = "-";
-/// Pause before a version that could not be written is written again.
+/// Pause before writing is retried, after a version could not be written.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The content of the file.
+/// The content of the file: a version of the settings and the time of its last confirmation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistedVersion {
-    /// The version with its settings.
+    /// The version's number, digest and settings text.
     pub version: ConfigVersion,
-    /// When the version was last known to be the latest, in milliseconds of Unix time, by the wall clock at that time.
+    /// When a control server last confirmed the version as the latest, in milliseconds of Unix time; `None` if
+    /// unknown.
     pub confirmed_at_unix_ms: Option<u64>,
 }
 
-/// Why the file cannot be read or written.
+/// Why the file with the persisted version cannot be read or written.
 #[derive(Debug, Error)]
 pub enum PersistedVersionError {
-    /// The system reported an error.
+    /// The operating system reported an error.
     #[error("{path}: {source}", path = path.display())]
     Io {
         /// The file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is longer than `MAX_FILE_BYTES`.
-    #[error("{path}: longer than any version", path = path.display())]
+    /// The file is longer than any valid file, which has at most `MAX_FILE_BYTES`.
+    #[error("{path}: the file is longer than any version can be", path = path.display())]
     TooLong {
         /// The file.
         path: PathBuf,
     },
-    /// The file is damaged, or has another format.
+    /// The file is damaged, or has a different format.
     #[error("{path}: torn or not of this program", path = path.display())]
     Corrupt {
         /// The file.
@@ -61,13 +63,13 @@
     },
 }
 
-/// Why a router does not start with its persisted version, as one line for the log.
+/// Why a router does not use its persisted version at the start. The message is one line.
 #[derive(Debug, Error)]
 pub enum UnusablePersistedVersion {
-    /// The file cannot be read.
+    /// The file with the version cannot be read.
     #[error("persisted version {0}; ignored")]
     File(#[from] PersistedVersionError),
-    /// This program rejects the settings of the version.
+    /// This program rejects the settings of the persisted version.
     #[error("persisted version {number}: {reason}; ignored")]
     InvalidSettings {
         /// The number of the version.
@@ -78,10 +80,10 @@
 }
 
 impl PersistedVersion {
-    /// Reads the file; none where it does not exist.
+    /// Reads the persisted version from `path`; returns `None` if the file does not exist.
     ///
     /// # Errors
-    /// The file cannot be read, is damaged, or has another format.
+    /// The file cannot be read, is damaged, or has a different format.
     pub fn load(path: &Path) -> Result<Option<PersistedVersion>, PersistedVersionError> {
         let io_error = |source| PersistedVersionError::Io { path: path.into(), source };
         match fs::metadata(path) {
@@ -99,11 +101,12 @@
         }
     }
 
-    /// Replaces the file atomically: writes a temporary file next to it, syncs that, renames it over the file, and
-    /// syncs the directory. After a crash at any time, the file is either the previous one or the new one.
+    /// Replaces the file at `path` atomically: writes and syncs a temporary file in the same directory, renames it to
+    /// `path`, and syncs the directory. After a crash at any time, `path` has either its previous content or the new
+    /// one.
     ///
     /// # Errors
-    /// The system reported an error; the file is either the previous one or the new one.
+    /// The operating system reported an error; the file has either its previous content or the new one.
     pub fn store(&self, path: &Path) -> Result<(), PersistedVersionError> {
         let stored = self.replace(path);
         stored.map_err(|source| PersistedVersionError::Io { path: path.into(), source })
@@ -141,27 +144,29 @@
     }
 }
 
-/// The version to write next.
+/// The version that has to be written next.
 #[derive(Clone)]
 struct Pending {
     version: ConfigVersion,
-    /// When the version was last known to be the latest, in seconds of the clock.
+    /// When a control server last confirmed the version as the latest, in seconds of the monotonic clock; `None` if
+    /// unknown.
     confirmed_at: Option<f64>,
 }
 
-/// Writes versions to the file on a separate thread, so that the serving thread does not wait for the disk.
+/// Writes versions to the file with the persisted version, on a separate thread, so that the current thread does not
+/// wait for the disk.
 pub struct VersionWriter(watch::Sender<Option<Pending>>);
 
 impl VersionWriter {
-    /// Starts the task that writes versions; it ends when the writer is dropped.
+    /// Starts the task that writes versions to `path`. The task ends when the returned writer is dropped.
     pub fn spawn(path: PathBuf, clock: Clock) -> VersionWriter {
         let (sender, pending) = watch::channel(None);
         spawn_local(write_all(pending, path, clock));
         VersionWriter(sender)
     }
 
-    /// Queues a version to be written. It replaces an earlier version that is not written yet. `confirmed_at` is when
-    /// the version was last known to be the latest, in seconds of the clock.
+    /// Queues a version to be written; an earlier version that is not yet written is dropped. `confirmed_at` is when
+    /// a control server last confirmed the version as the latest, in seconds of the monotonic clock.
     pub fn persist(&self, version: ConfigVersion, confirmed_at: Option<f64>) {
         self.0.send_replace(Some(Pending { version, confirmed_at }));
     }
@@ -169,10 +174,10 @@
 
 async fn write_all(mut pending: watch::Receiver<Option<Pending>>, path: PathBuf, clock: Clock) {
     while pending.changed().await.is_ok() {
-        // A disk error may be temporary: writing the latest version is retried until it succeeds.
+        // Disk errors may be temporary, so writing is retried until it succeeds, always with the latest version.
         while let Err((number, error)) = write_latest(&mut pending, &path, clock).await {
             let delay_s = RETRY_DELAY.as_secs();
-            tracing::error!(target: "control", "version {number} could not be persisted: {error}; retrying in {delay_s} s");
+            tracing::error!(target: "control", "settings version {number} could not be written to the disk: {error}; retrying in {delay_s} s");
             let is_writer_gone = matches!(timeout(RETRY_DELAY, pending.changed()).await, Ok(Err(_)));
             if is_writer_gone {
                 return;
@@ -181,7 +186,7 @@
     }
 }
 
-/// Writes the latest version; the error names the version that could not be written.
+/// Writes the latest queued version to `path`; the error includes the number of the version that could not be written.
 async fn write_latest(
     pending: &mut watch::Receiver<Option<Pending>>,
     path: &Path,
--- a/crates/router/src/control/settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -1,4 +1,5 @@
-//! Settings from control servers: the persisted version at the start, and later versions while the router serves.
+//! Applies versions of the settings from control servers: the persisted version at the start of the router, and later
+//! versions while the router serves.
 use super::persisted_version::{PersistedVersion, UnusablePersistedVersion};
 use super::{ApplyCallback, Subscription};
 use crate::lifecycle::live_config::{ConfigError, LiveConfig};
@@ -8,12 +9,12 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// The configuration that a subscribed router starts with: the configuration file, with the settings of the persisted
-/// version instead of its own if there is a version that this program accepts. `router_count` is the number of
-/// programs that share the quotas, if it overrides that of the settings.
+/// Returns the configuration with which a subscribed router starts. The settings of the persisted version replace
+/// those of the configuration file, if there is a persisted version and this program accepts it. `router_count`
+/// replaces the settings' number of programs between which the quotas are divided, unless it is `None`.
 ///
 /// # Errors
-/// The configuration file cannot be used.
+/// The configuration file cannot be read or is invalid.
 pub fn startup_config(
     mut subscription: Subscription,
     config: &Path,
@@ -32,7 +33,8 @@
     Ok((config, subscription))
 }
 
-/// The persisted version, and the configuration for a start with it; none where no version is persisted.
+/// Returns the persisted version and the configuration of a router that starts with it, or `None` if no version is
+/// persisted.
 fn read_persisted(
     subscription: &Subscription,
     config: &Path,
@@ -51,8 +53,9 @@
     Ok(Some((persisted, config)))
 }
 
-/// Returns a function that applies versions to a running router. A version that changes only what can change while
-/// the router serves is in force once all serving cores have applied it.
+/// Returns a function that applies a version to a running router and returns the outcome once all serving cores have
+/// applied the settings. If a changed key needs a restart, nothing is applied and the outcome is
+/// [`ApplyOutcome::PendingRestart`]; invalid settings are rejected.
 pub fn apply_to_running(live_config: LiveConfig) -> ApplyCallback {
     Box::new(move |settings, number| {
         let live_config = live_config.clone();
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! A router's subscription over sockets, to control servers whose versions the test commits. The tests wait for the
-//! router's counters.
+//! Tests of a router's subscription to control servers over sockets. The tests commit versions of the settings on the
+//! control servers and wait for counters of the router.
 use alderway_control_plane::messages::{ApplyOutcome, RouterMessage};
 use alderway_control_plane::publisher;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, SubscriptionConfig};
@@ -57,7 +57,7 @@
     settings
 }
 
-/// A control server that reports a majority until it is dropped.
+/// A control server that always reports that it can reach a majority of the control servers. It stops when dropped.
 struct TestControlServer {
     subscriptions: Subscriptions,
     ticks: JoinHandle<()>,
@@ -98,7 +98,7 @@
 
 struct Router {
     shared: Arc<SharedState>,
-    /// The versions that the subscription has applied or tried to apply.
+    /// The number and settings of each version that the subscription passed to the apply callback.
     offered: Rc<RefCell<Vec<(VersionNumber, Value)>>>,
 }
 
@@ -118,7 +118,7 @@
 }
 
 impl Router {
-    /// Accepts every version except those in `rejected`.
+    /// Creates a router whose apply callback accepts every version except those in `rejected`.
     fn new(
         control_servers: Vec<(ControlEndpoint, SocketAddr)>,
         persist_path: Option<PathBuf>,
@@ -179,12 +179,12 @@
     move |metrics| metric(metrics, name).is_some_and(|value| value > 0)
 }
 
-/// A temporary folder that is removed at the end of the test.
+/// A temporary folder, which is deleted when the value is dropped.
 struct TempFolder(PathBuf);
 
 impl TempFolder {
     fn new(name: &str) -> TempFolder {
-        // The tests of one process run concurrently.
+        // Tests of one process run concurrently, so each folder has a number.
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder = format!("alderway-{}-{number}-{name}", std::process::id());
@@ -204,7 +204,7 @@
     }
 }
 
-/// Waits until a condition holds that is not in the counters; `run_local` limits the time.
+/// Waits until `condition` returns true; the timeout of `run_local` applies.
 async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         sleep(Duration::from_millis(2)).await;
@@ -216,8 +216,8 @@
     listener.local_addr().expect("its address")
 }
 
-/// Applies settings of a router whose settings can only change with a restart: valid settings that differ from
-/// `current` need a restart.
+/// Returns an apply callback of a router that can only change its settings with a restart: the outcome for valid
+/// settings that differ from `current` is that a restart is required.
 fn apply_with_restart(current: Value) -> ApplyCallback {
     Box::new(move |settings, _| {
         let outcome = match alderway_deployment::policy(0, &settings) {
@@ -240,7 +240,7 @@
         router.wait_until(metric_is("control_version", 2)).await;
         control_server.commit(3);
         router.wait_until(metric_is("control_versions_refused", 1)).await;
-        // The report of the router is on its way to the control server.
+        // Waits until the router's report has arrived at the control server.
         wait_until(|| {
             control_server.subscriptions.summary().lagging.iter().any(|l| l.reason.contains("key `x`"))
         })
@@ -395,7 +395,7 @@
         };
         router.wait_until(metric_is_positive("control_dials")).await;
         assert_eq!(metric(&router.shared.control_metrics.borrow(), "control_version"), Some(2));
-        // A changed version needs a restart of this router, and is persisted for it.
+        // This router needs a restart to apply the new version, and persists the version for the next start.
         let control_server = TestControlServer::at("c1", at, 3).await;
         router.wait_until(metric_is("control_versions_waiting", 1)).await;
         wait_until(|| {
@@ -420,7 +420,7 @@
     assert_eq!(startup.settings_json, settings(3));
 }
 
-/// Writes a configuration file with the settings of version 0.
+/// Writes a configuration file with the settings of version 0; returns the path.
 fn write_config(folder: &TempFolder) -> PathBuf {
     let config = folder.file("config");
     let start = r#"{"name": "r", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": "#;
@@ -428,7 +428,8 @@
     config
 }
 
-/// The startup configuration of a router with that file and a persisted version.
+/// Returns the startup configuration of a router with the file of [`write_config`] and the persisted version in
+/// `persist_path`.
 fn startup_from(
     folder: &TempFolder,
     persist_path: PathBuf,
@@ -451,7 +452,7 @@
 #[case::cut_short(|text: &str| text[..text.len() - 9].to_string(), "torn or not of this program")]
 #[case::a_byte_changed(|text: &str| text.replace("site-search", "site-saerch"), "torn or not of this program")]
 #[case::empty(|_: &str| String::new(), "torn or not of this program")]
-#[case::too_long(|_: &str| "x".repeat(100_000), "longer than any version")]
+#[case::too_long(|_: &str| "x".repeat(100_000), "the file is longer than any version can be")]
 fn a_damaged_persisted_version_is_logged_and_ignored(
     #[case] damage: fn(&str) -> String,
     #[case] error: &str,
@@ -494,7 +495,7 @@
         let _ = std::fs::remove_dir_all(&folder);
         let path = folder.join("version");
         let writer = VersionWriter::spawn(path.clone(), Clock::default());
-        // There is no such folder yet, so nothing can be written.
+        // The folder does not exist yet, so writing fails.
         let version = ConfigVersion::new(7, "{}");
         writer.persist(version.clone(), None);
         sleep(Duration::from_millis(200)).await;
