--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -1,6 +1,6 @@
-//! Settings that change while the router serves. They come from the configuration file at SIGHUP or from the control
-//! plane, and go through [`LiveConfig::apply`]: they are checked as at a start, and are either rejected completely or
-//! applied completely, by every core between two policy rounds.
+//! Applies new settings to a running router. The settings come from the configuration file at SIGHUP or from a
+//! control server. [`LiveConfig::apply`] checks the settings like those of a starting router, and either rejects or
+//! applies all of them; each core applies them between two policy rounds, which are the calls of the policy.
 use super::startup::ProgramRole;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shared::SharedState;
@@ -15,18 +15,18 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long [`LiveConfig::apply`] waits for a serving core that does not apply new settings.
+/// How long [`LiveConfig::apply`] waits for the serving cores to apply new settings.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often [`LiveConfig::apply`] checks whether a core that it waits for still serves.
+/// Interval at which [`LiveConfig::apply`] checks whether a core that has not yet applied the settings still serves.
 const SERVING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why settings cannot be applied. None of them is applied, and the settings in force stay.
+/// Why new settings cannot be applied. The current settings stay in force, without any change.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The settings would also be rejected at a start.
+    /// A starting router would also reject the settings.
     #[error("key `settings`: expected {0}")]
     Invalid(String),
-    /// These keys differ, and can only change with a restart.
+    /// These keys differ from the settings in force, and can only change with a restart.
     #[error("`{}` can't change while serving: a restart is required", .0.join("`, `"))]
     RestartRequired(Vec<String>),
 }
@@ -34,27 +34,27 @@
 /// Settings that passed the checks.
 #[derive(Clone, Debug)]
 pub struct CheckedSettings {
-    /// The settings as read.
+    /// The parsed settings.
     pub settings: Settings,
     /// Keys that differ from the settings in force.
     pub changed_keys: Vec<&'static str>,
 }
 
-/// The result of applying settings.
+/// The result of applying new settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// Every serving core has applied the settings. A core that hangs, has failed or is starting applies them before
-    /// the next request that it reads and the next policy round that it runs.
+    /// Every serving core has applied the settings. A core that hangs, has failed or is starting applies the settings
+    /// before its next request and policy round.
     Changed,
-    /// The settings equal those in force.
+    /// The new settings are equal to the settings in force.
     Unchanged,
 }
 
-/// Checks settings as at a start. Given the settings in force, also checks whether a running router can change to the
-/// new ones.
+/// Checks settings like those of a starting router. If `in_force` is given, also checks that a running router can
+/// change from `in_force` to the new settings.
 ///
 /// # Errors
-/// A key is invalid, or differs and can only change with a restart.
+/// A key is invalid, or a key differs from `in_force` and can only change with a restart.
 pub fn check(settings: &Value, in_force: Option<&Value>) -> Result<CheckedSettings, ConfigError> {
     let parsed = Settings::read(settings).map_err(|error| ConfigError::Invalid(error.to_string()))?;
     let changed = in_force.map_or(Changes::default(), |in_force| changes(in_force, settings));
@@ -64,32 +64,33 @@
     Ok(CheckedSettings { settings: parsed, changed_keys: changed.live })
 }
 
-/// Increments a counter of this program by its name.
+/// A function that increments the counter with this name in `/counters`.
 pub type IncrementCounter = Box<dyn Fn(&'static str)>;
-/// Whether a core serves; the others are not waited for.
+/// A function that returns whether the core with this number serves; other cores are not waited for.
 pub type IsServing = Box<dyn Fn(usize) -> bool>;
 
 struct Inner {
     shared: Arc<SharedState>,
     role: ProgramRole,
-    /// Upper limit of the deadline of a query class, in seconds; none where there is no limit.
+    /// Upper limit of the query deadlines in new settings, in seconds; `None` if there is no limit.
     max_deadline_limit_s: Option<f64>,
     in_force: RefCell<Arc<Value>>,
     updates: watch::Sender<Arc<ConfigGeneration>>,
-    /// The longest deadline of all settings that were in force since the start, in seconds.
+    /// The longest query deadline of all settings that were in force since the program started, in seconds.
     max_deadline_s: Cell<f64>,
     increment_counter: RefCell<Option<IncrementCounter>>,
     is_serving: RefCell<Option<IsServing>>,
 }
 
-/// The settings in force in the running router; on several cores, the supervising thread holds them. Clones share one
-/// state.
+/// The settings in force in a running router. Clones share one state; with several cores, the supervising thread uses
+/// them.
 #[derive(Clone)]
 pub struct LiveConfig(Rc<Inner>);
 
 impl LiveConfig {
-    /// For a router that starts with `settings`, which were read from `settings_json`. Later settings are rejected if
-    /// they have a deadline longer than `max_deadline_limit_s`, in seconds, if there is a limit.
+    /// Creates the live configuration of a router that starts with `settings`, which were parsed from
+    /// `settings_json`. Later settings are rejected if a query deadline is longer than `max_deadline_limit_s`, in
+    /// seconds; `None` means no limit.
     pub fn new(
         shared: Arc<SharedState>,
         role: ProgramRole,
@@ -109,52 +110,55 @@
         }))
     }
 
-    /// Sets the function that increments counters, and the one that says which cores serve; without the latter, all
-    /// serve.
+    /// Sets the function that increments a counter and the function that returns whether a core serves. Without
+    /// `is_serving`, every core counts as serving.
     pub fn set_callbacks(&self, increment_counter: IncrementCounter, is_serving: Option<IsServing>) {
         *self.0.increment_counter.borrow_mut() = Some(increment_counter);
         *self.0.is_serving.borrow_mut() = is_serving;
     }
 
-    /// The newest settings, for a core's dispatcher.
+    /// Returns a receiver of the newest settings, for the dispatcher of one core.
     pub fn subscribe(&self) -> watch::Receiver<Arc<ConfigGeneration>> {
         self.0.updates.subscribe()
     }
 
-    /// The settings in force as JSON.
+    /// The JSON value of the settings in force.
     pub fn settings_in_force(&self) -> Arc<Value> {
         self.0.in_force.borrow().clone()
     }
 
-    /// The version of the settings in force, if they have one.
+    /// The version number of the settings in force; `None` if they come from the configuration file.
     pub fn version(&self) -> Option<u64> {
         Some(self.0.shared.config_version.load(Relaxed)).filter(|version| *version > 0)
     }
 
-    /// The longest deadline of any query that may be open, in seconds.
+    /// The longest deadline that an open query can have, in seconds, including queries opened under earlier settings.
     pub fn max_deadline_s(&self) -> f64 {
         self.0.max_deadline_s.get()
     }
 
-    /// Counts settings that were rejected while reading the configuration file.
+    /// Adds 1 to the counter of rejected settings, for settings that could not even be parsed at a reload.
     pub fn count_rejected_settings(&self) {
         self.count("settings_refused");
     }
 
-    /// Applies settings, with their version if they have one. Returns once every serving core has applied them, which
-    /// takes one policy round; a core that does not serve is not waited for. A later call does not wait for an
-    /// earlier one: the newest settings are in force, and the earlier call returns once they are applied.
+    /// Checks and applies new settings; `version` is `None` for settings from the configuration file. Returns once
+    /// every serving core has applied the settings, which takes one policy round, or after `APPLY_TIMEOUT`. A
+    /// second call may start before the first returns: the newest settings replace the earlier ones, and both calls
+    /// return once the newest are applied.
     ///
     /// # Errors
-    /// The settings cannot be applied; those in force stay, and the rejection is logged and counted.
+    /// The settings cannot be applied. The current settings stay in force, and the rejection is logged and counted.
     pub async fn apply(&self, settings: Value, version: Option<u64>) -> Result<ApplyResult, ConfigError> {
-        let name = version.map_or("settings".to_string(), |version| format!("version {version}"));
+        let name = version.map_or("settings of the configuration file".to_string(), |version| {
+            format!("settings version {version}")
+        });
         let checked =
             self.check_against_in_force(&settings).inspect_err(|error| self.log_rejected(&name, error))?;
         self.0.shared.config_version.store(version.unwrap_or(0), Relaxed);
         *self.0.in_force.borrow_mut() = Arc::new(settings);
         if checked.changed_keys.is_empty() {
-            tracing::info!(target: "settings", "{name}: no change, equal to the settings in force");
+            tracing::info!(target: "settings", "{name}: nothing changed, as they are equal to the settings in force");
             return Ok(ApplyResult::Unchanged);
         }
         let serial = self.publish(checked.settings);
@@ -166,7 +170,8 @@
 
     fn check_against_in_force(&self, settings: &Value) -> Result<CheckedSettings, ConfigError> {
         if self.0.role != ProgramRole::Router {
-            // Forwarders and planners divide the quotas by numbers that a single program does not know.
+            // Forwarders and planners divide the quotas by the number of all forwarders and planners, which is only
+            // configured at the start.
             return Err(ConfigError::RestartRequired(vec!["settings".into()]));
         }
         let checked = check(settings, Some(&self.settings_in_force()))?;
@@ -177,7 +182,8 @@
         Ok(checked)
     }
 
-    /// Publishes settings to every core. Returns the serial that a core reports once it has applied them.
+    /// Publishes settings to all cores. Returns the serial number that a core reports once the core has applied the
+    /// settings.
     fn publish(&self, settings: Settings) -> u64 {
         let longest_s = self.0.max_deadline_s.get().max(settings.admission.max_deadline_s);
         self.0.max_deadline_s.set(longest_s);
@@ -186,8 +192,8 @@
         serial
     }
 
-    /// Waits until the cores have applied the settings. Returns the cores that have not, because they do not serve or
-    /// took longer than [`APPLY_TIMEOUT`].
+    /// Waits until the cores have applied the settings with this serial number. Returns the numbers of the cores that
+    /// have not, because they do not serve or [`APPLY_TIMEOUT`] has passed.
     async fn wait_until_applied(&self, serial: u64) -> Vec<usize> {
         let deadline = Instant::now() + APPLY_TIMEOUT;
         let mut late_cores = vec![];
@@ -203,7 +209,7 @@
                 }
             }
         }
-        // Guards against a caller that applies settings in a loop and never lets other tasks of this thread run.
+        // Lets the other tasks of this thread run, even if the caller applies settings in a loop.
         sleep(Duration::ZERO).await;
         late_cores
     }
@@ -220,7 +226,7 @@
 
     fn log_rejected(&self, name: &str, error: &ConfigError) {
         self.count_rejected_settings();
-        tracing::warn!(target: "settings", "refused: {name}: {error}; the settings in force stay");
+        tracing::warn!(target: "settings", "refused: {name}: {error}; the current settings stay in force");
     }
 }
 
@@ -229,7 +235,7 @@
     let late = if late_cores.is_empty() {
         String::new()
     } else {
-        format!("; cores {late_cores:?} do not serve, and apply it when they do")
+        format!("; cores {late_cores:?} do not serve, and apply the settings when they do")
     };
     tracing::info!(target: "settings", "{name}: in force, `{keys}` changed{late}");
 }
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -1,7 +1,8 @@
-//! Reads the configuration file again at SIGHUP, and applies what can change while the program serves. A file that is
-//! missing, incomplete or invalid changes nothing.
+//! Reads the configuration file again at SIGHUP, and applies the changes that do not need a restart. A file that is
+//! missing, incomplete or invalid changes nothing. The operator's file, a second file that describes the deployment,
+//! is only checked for changes.
 use super::live_config::LiveConfig;
-use super::startup::{RestartOnlyKeys, OperatorFileChangeCheck, Overrides, StartupConfig, StartupError};
+use super::startup::{OperatorFileChangeCheck, Overrides, RestartOnlyKeys, StartupConfig, StartupError};
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use serde_json::Value;
@@ -10,13 +11,15 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// The configuration last read, to find what has changed in the file.
+/// The values of the configuration that was last read, for finding changes at a reload.
 pub struct PreviousConfig {
-    /// The configuration file.
+    /// The path of the configuration file.
     pub path: PathBuf,
-    /// Compares the operator's file with its content at the start; none where there is no such file.
+    /// Checks whether a value of the operator's file has changed that needs a restart; `None` if the program was
+    /// started without an operator's file.
     pub operator_file_check: Option<OperatorFileChangeCheck>,
-    /// Keys that can only change with a restart, with their values, and the settings last applied from the file.
+    /// Values of the keys that can only change with a restart. The value of `settings` is the last one applied from
+    /// the file.
     pub restart_only_keys: RestartOnlyKeys,
 }
 
@@ -25,14 +28,15 @@
 enum ReloadError {
     #[error(transparent)]
     Config(#[from] StartupError),
-    /// The operator's file cannot be used; the text names the file and the line.
+    /// The operator's file cannot be used; the text names the path and the line.
     #[error("{0}")]
     OperatorFile(String),
 }
 
-/// Reads the configuration again at each SIGHUP, for as long as the program runs. Sends the address of discovery to
-/// `discovery`. If there is a `live_config`, applies the settings to it when they differ from those last applied from
-/// the file, so that a reload for another reason does not undo settings that came from another source since.
+/// Reads the configuration file again at each SIGHUP, for as long as the program runs. Sends the address of the
+/// discovery server to `discovery`. If `live_config` is given, applies the file's settings to it, but only if they
+/// have changed in the file since they were last applied: a reload for another reason must not undo settings from
+/// another source.
 pub async fn reload_at_sighup(
     mut hangups: Signals,
     mut previous: PreviousConfig,
@@ -51,7 +55,7 @@
                 }
             }
             Err(error) => {
-                tracing::warn!(target: "reload", "{error}; the old configuration holds");
+                tracing::warn!(target: "reload", "configuration not changed: {error}; the old configuration holds");
                 if let (ReloadError::Config(error), Some(live_config)) = (&error, &live_config)
                     && error.is_settings_error()
                 {
@@ -63,7 +67,7 @@
 }
 
 impl PreviousConfig {
-    /// The configuration of a program that starts with `config`.
+    /// The values of the configuration with which the program starts.
     pub fn of(config: &StartupConfig) -> Self {
         PreviousConfig {
             path: config.path.clone(),
@@ -76,7 +80,7 @@
         let operator_file = self.operator_file_check.as_ref().map_or(Ok(false), |check| check());
         let config = StartupConfig::read(&self.path, Overrides::default(), clock)?;
         if operator_file.map_err(ReloadError::OperatorFile)? {
-            tracing::warn!(target: "reload", "operator's file: its change takes effect with a restart");
+            tracing::warn!(target: "reload", "the operator's file has changed: the change takes effect with a restart");
         }
         Ok(config)
     }
@@ -85,13 +89,14 @@
         for ((key, new), (_, previous)) in config.restart_only_keys.iter().zip(&self.restart_only_keys) {
             let is_applied = can_apply_settings && *key == "settings";
             if new != previous && !is_applied {
-                tracing::warn!(target: "reload", "key `{key}`: its change takes effect with a restart");
+                tracing::warn!(target: "reload", "configuration key `{key}` has changed: the change takes effect with a restart");
             }
         }
     }
 
     async fn apply_settings(&mut self, settings: Value, live_config: &LiveConfig) {
-        let Some((_, previous)) = self.restart_only_keys.iter_mut().find(|(key, _)| *key == "settings") else {
+        let Some((_, previous)) = self.restart_only_keys.iter_mut().find(|(key, _)| *key == "settings")
+        else {
             return;
         };
         if *previous != settings && live_config.apply(settings.clone(), None).await.is_ok() {
@@ -102,6 +107,9 @@
 
 fn move_discovery(discovery: &watch::Sender<SocketAddr>, address: SocketAddr) {
     let moved = discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
-    let verb = if moved { "moves to" } else { "stays at" };
-    tracing::info!(target: "reload", "configuration read: discovery {verb} {address}");
+    if moved {
+        tracing::info!(target: "reload", "configuration read: discovery moves to {address}");
+    } else {
+        tracing::info!(target: "reload", "configuration read: discovery stays at {address}");
+    }
 }
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,5 +1,9 @@
-//! The configuration at the start: reads the file that `PROXY_CONFIG` names, checks it, and fills in defaults. Each
-//! error names the invalid key.
+//! Reads and checks the configuration file in JSON at the start of the program, and fills in defaults. Each error
+//! message names the invalid key.
+//!
+//! A router can also have an operator's file, which `--operator` names: it is not JSON and describes how routers work
+//! together, for example the number of cores, planners and control servers. The `alderway` program reads it, and
+//! fills in the fields of [`StartupConfig`] that depend on it.
 use crate::gossip::Circle;
 use crate::state::endpoints::EndpointTable;
 use crate::state::query_classes::ClassRules;
@@ -14,50 +18,53 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The environment variable that names the configuration file.
+/// The environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// Default of `limits.sockets`: the descriptor limit of a usual small machine.
+/// Default of `limits.sockets`, the number of file descriptors that the program may use: a common default limit of
+/// Linux.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Minimum of `limits.sockets`: enough for the runtime's own descriptors, the listener, discovery, and a few clients
-/// and data nodes.
+/// Minimum of `limits.sockets`: the file descriptors of the async runtime, the listener, the watch of discovery, and
+/// a few connections to clients and data nodes.
 const MIN_DESCRIPTORS: u64 = 20;
 /// Default of `limits.memory_mb`, in MiB.
 const DEFAULT_MEMORY_MB: u64 = 192;
 const BYTES_PER_MB: usize = 1024 * 1024;
 
-/// The complete configuration that a program starts with.
+/// The complete configuration with which the program starts.
 pub struct StartupConfig {
     /// The configuration file, which is read again at SIGHUP.
     pub path: PathBuf,
-    /// Compares the operator's file with its content at the start; none where the program was started without one.
+    /// Checks at a reload whether a value of the operator's file has changed that needs a restart; `None` if the
+    /// program was started without an operator's file.
     pub operator_file_check: Option<OperatorFileChangeCheck>,
-    /// The router's name among its peers.
+    /// The name of this router, which is unique among the routers.
     pub name: String,
-    /// Address of the listener for clients, or of a planner for forwarders.
+    /// Address at which the program listens: a planner for connections of forwarders, any other program for clients.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery server.
     pub discovery: SocketAddr,
-    /// Descriptors that the program may have open at once.
+    /// Maximum number of file descriptors that the program may have open at once.
     pub max_descriptors: usize,
-    /// Memory that connections may take, in bytes.
+    /// Maximum memory for the buffers of connections, in bytes.
     pub max_memory_bytes: usize,
-    /// The data nodes that an earlier run of this router knew, until discovery sends its list.
+    /// The endpoint list of an earlier run, which is used until discovery sends its list.
     pub endpoints: EndpointTable,
     /// Seed of the policy's random choices.
     pub seed: u64,
-    /// The settings as JSON, unchanged.
+    /// The JSON value from which `settings` was parsed.
     pub settings_json: Value,
     /// The parsed settings.
     pub settings: Settings,
-    /// The query classes of the settings, in their order.
+    /// The query classes of the settings, in the order of the settings.
     pub query_classes: Vec<ClassRules>,
     /// Keys that can only change with a restart, with their values in the file.
     pub restart_only_keys: RestartOnlyKeys,
-    /// How changes of the shard map are followed; none where shards lie in the fixed ring of the settings.
+    /// Grace periods for changes of the shard map that discovery sends; `None` if the settings assign the shards to
+    /// data nodes.
     pub shard_map: Option<ShardMapConfig>,
     /// The role of the program among the routers, forwarders and planners.
     pub role: ProgramRole,
-    /// The routers with which this one exchanges observations; none where gossip is off.
+    /// The routers with which this router exchanges observations of data nodes; `None` if gossip is disabled.
     pub gossip: Option<Circle>,
 }
 
@@ -67,21 +74,21 @@
     /// Serves clients and makes all decisions itself.
     #[default]
     Router,
-    /// Serves clients; planners make its decisions while one of them is available.
+    /// Serves clients. Planners make the decisions; while none is available, the forwarder decides itself.
     Forwarder {
-        /// Addresses of the planners.
+        /// The address of each planner.
         planners: Vec<SocketAddr>,
-        /// Seconds between two heartbeats to a planner.
+        /// Interval of the heartbeats to each planner, in seconds.
         heartbeat_interval_s: f64,
-        /// A planner that does not answer a heartbeat within this time, in seconds, counts as unavailable.
+        /// Time without an answer to a heartbeat after which a planner counts as unavailable, in seconds.
         heartbeat_timeout_s: f64,
     },
     /// Makes decisions for forwarders.
     Planner,
 }
 
-/// Reads the operator's file again. Returns whether a value has changed that can only change with a restart, or one
-/// line that says why the file cannot be used.
+/// A function that reads the operator's file again. Returns whether a value that can only change with a restart
+/// differs from the file at the start. The error is one line that says why the file cannot be used.
 pub type OperatorFileChangeCheck = Arc<dyn Fn() -> Result<bool, String> + Send + Sync>;
 
 /// The keys of the configuration file that can only change with a restart, with their values in the file.
@@ -90,26 +97,26 @@
 /// Why the program cannot start with a configuration.
 #[derive(Debug, Error)]
 pub enum StartupError {
-    /// The environment variable is not set.
-    #[error("environment `{CONFIG_VARIABLE}`: not set")]
+    /// The environment variable `PROXY_CONFIG` is not set.
+    #[error("the environment variable `{CONFIG_VARIABLE}`, which names the configuration file, is not set")]
     NoConfigPath,
-    /// The file cannot be read.
-    #[error("`{CONFIG_VARIABLE}` {}: {source}", path.display())]
+    /// The configuration file cannot be read.
+    #[error("cannot read the configuration file {} of `{CONFIG_VARIABLE}`: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the configuration file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is not JSON.
-    #[error("configuration: not JSON ({0})")]
+    /// The configuration file is not JSON.
+    #[error("the configuration file is not JSON ({0})")]
     NotJson(#[from] serde_json::Error),
     /// A key is missing or has an invalid value.
-    #[error("key `{key}`: {problem}")]
+    #[error("configuration key `{key}`: {problem}")]
     Key {
-        /// The key, with its path.
+        /// The path of the key in the configuration file, for example `limits.sockets`.
         key: &'static str,
-        /// What was expected or found.
+        /// What is wrong with the value, for example `expected text`.
         problem: String,
     },
 }
@@ -119,40 +126,40 @@
         StartupError::Key { key, problem: problem.into() }
     }
 
-    /// Whether the invalid key is in the settings, rather than in the rest of the configuration.
+    /// Whether the error concerns the value of the key `settings`, rather than another key or the whole file.
     pub fn is_settings_error(&self) -> bool {
         matches!(self, StartupError::Key { key: "settings", .. })
     }
 }
 
-/// Values that replace those of the configuration file.
+/// Values that replace values of the configuration file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// How many programs share the quotas, instead of `ReplicasOfMe` of the settings.
+    /// Replaces `ReplicasOfMe` of the settings: the number of programs between which the quotas are divided.
     pub router_count: Option<u64>,
-    /// Settings instead of those in the file.
+    /// Replaces the key `settings` of the configuration file.
     pub settings: Option<Value>,
 }
 
 impl StartupConfig {
-    /// Reads the file that the environment variable `PROXY_CONFIG` names.
+    /// Reads the configuration file that the environment variable `PROXY_CONFIG` names.
     ///
     /// # Errors
-    /// The variable is not set, or the file cannot be used; see [`StartupError`].
+    /// The environment variable is not set, or the configuration file is missing or invalid.
     pub fn from_env(clock: Clock) -> Result<Self, StartupError> {
         let path = std::env::var(CONFIG_VARIABLE).map_err(|_| StartupError::NoConfigPath)?;
         StartupConfig::read(Path::new(&path), Overrides::default(), clock)
     }
 
-    /// Reads one file.
+    /// Reads and checks the configuration file at `path`; `overrides` replace values of the file.
     ///
     /// # Errors
-    /// The file cannot be read, is not JSON, or has an invalid key; see [`StartupError`].
+    /// The configuration file cannot be read, is not JSON, or has an invalid key.
     pub fn read(path: &Path, overrides: Overrides, clock: Clock) -> Result<Self, StartupError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| StartupError::Unreadable { path: path.into(), source })?;
         let mut document: Value = serde_json::from_str(&text)?;
-        // Taken before the overrides: a reload compares the file with its earlier content.
+        // The overrides are not included, because a reload compares the file with its earlier content.
         let restart_only_keys = RESTART_ONLY_KEYS.map(|key| (key, document[key].clone()));
         if let (Some(settings), Some(keys)) = (overrides.settings, document.as_object_mut()) {
             keys.insert("settings".into(), settings);
@@ -191,7 +198,8 @@
     Settings::read(json).map_err(|error| StartupError::key("settings", format!("expected {error}")))
 }
 
-/// Reads the keys of a configuration file. Some keys are read from an environment variable where the file lacks them.
+/// Reads the keys of a configuration file. Some keys are read from an environment variable if they are missing in the
+/// file.
 struct ConfigKeys<'a> {
     document: &'a Value,
 }
@@ -211,12 +219,13 @@
         text.parse().map_err(invalid)
     }
 
-    /// Reads a whole number of the object `limits`; `key` is the path of the key.
+    /// Reads a whole number of at least `min` from the object `limits`, or `default` if the number is missing. `key`
+    /// is the path of the number.
     fn limit(&self, key: &'static str, default: u64, min: u64) -> Result<usize, StartupError> {
         let given = key.split('.').try_fold(self.document, |value, key| value.get(key));
         let value = given.map_or(Some(default), Value::as_u64).filter(|value| *value >= min);
-        let value =
-            value.ok_or_else(|| StartupError::key(key, format!("expected a whole number from {min}")))?;
+        let value = value
+            .ok_or_else(|| StartupError::key(key, format!("expected a whole number of at least {min}")))?;
         Ok(value as usize)
     }
 
@@ -230,8 +239,8 @@
         self.document.get("settings").ok_or_else(|| StartupError::key("settings", "missing"))
     }
 
-    /// The endpoint list that an earlier run of this router last knew, in discovery's format. It may be outdated or
-    /// empty.
+    /// Reads the endpoint list that an earlier run of this router last received, in the format of discovery. The list
+    /// may be outdated or empty.
     fn known_endpoints(&self, clock: Clock) -> Result<EndpointTable, StartupError> {
         let known = self.document.get("known").filter(|list| !list.is_null());
         let endpoints = known.map_or(Ok(EndpointTable::default()), |list| parse_endpoints(list, clock));
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the program in the role that its configuration gives it: a router on one core in this thread, a router on several
-//! cores, or a planner.
+//! Runs the program as its configuration says: a router on one core, which uses this thread only, a router on several
+//! cores, or a planner, which makes decisions for other routers.
 
 mod several_cores;
 
@@ -33,8 +33,8 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Serves until the shutdown after SIGTERM is complete. With a `subscription`, the settings come from the control
-/// plane, and a reload does not change them.
+/// Runs the program until the shutdown after SIGTERM is complete. With a `subscription`, new settings come from
+/// control servers, and a reload of the configuration file does not change the settings.
 ///
 /// # Errors
 /// A socket, signal handler or thread could not be created, or the policy could not be created.
@@ -61,7 +61,7 @@
     multicore: MulticoreConfig,
     clock: Clock,
 ) -> io::Result<()> {
-    // Handlers are installed before the program is reachable: an unhandled signal would end it.
+    // Signal handlers are installed before the listener is opened: without a handler, a signal would kill the program.
     let (terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let (client_descriptors, node_descriptors) = split_descriptors(&config, subscription.is_some());
     let shared = SharedState::new(config.settings.admission.max_open, multicore, f64::INFINITY).0;
@@ -86,7 +86,8 @@
         spawn_local(policy_loop::run(dispatcher.clone(), forwarder, make_policy, node_descriptors));
     spawn_local(wake_on_new_settings(dispatcher.clone(), live_config.subscribe()));
     let counting_dispatcher = dispatcher.clone();
-    live_config.set_callbacks(Box::new(move |name| counting_dispatcher.borrow_mut().counters.increment(name)), None);
+    live_config
+        .set_callbacks(Box::new(move |name| counting_dispatcher.borrow_mut().counters.increment(name)), None);
     let (discovery, discovery_address) = watch::channel(discovery);
     spawn_local(discovery::run(dispatcher.clone(), discovery_address));
     let reloadable = subscribe(subscription, &live_config, &name, shared, clock);
@@ -99,17 +100,21 @@
         client_descriptors,
         Rc::clone(&close),
     ));
-    // A router whose policy task has ended cannot answer any query, so the program ends.
+    // Without the policy task, the router cannot answer any query, so the program exits with an error.
     tokio::select! {
         () = graceful_shutdown::shut_down_at_sigterm(terminations, dispatcher.clone(), close, listening) => {}
-        ended = policy_task => return Err(io::Error::other(format!("the policy task ended: {ended:?}"))),
+        ended = policy_task => return Err(io::Error::other(match ended {
+            Ok(Err(reason)) => format!("the policy could not be created: {reason}"),
+            _ => "the policy task panicked".into(),
+        })),
     }
     log::write_unlimited(&dispatcher.borrow().metrics_text());
     Ok(())
 }
 
-/// Subscribes to the control plane, if the operator's file names it. Returns the configuration to which a reload may
-/// apply settings: none where settings come from the control plane, as the file's would silently replace its version.
+/// Starts the subscription to control servers, if there is one. Returns the live configuration to which a reload may
+/// apply settings; `None` with a subscription, because the settings of the configuration file would replace the
+/// version from the control servers without notice.
 fn subscribe(
     subscription: Option<Subscription>,
     live_config: &LiveConfig,
@@ -123,7 +128,8 @@
     None
 }
 
-/// Splits the descriptors that gossip and the control plane leave into those for clients and those for data nodes.
+/// Splits the file descriptors that gossip and the subscription do not use into a pool for client connections and a
+/// pool for connections to data nodes.
 fn split_descriptors(
     config: &StartupConfig,
     has_subscription: bool,
@@ -150,7 +156,7 @@
     dispatcher
 }
 
-/// Connects a forwarder to its planners; none for a router that makes its own decisions.
+/// Connects a forwarder to its planners; returns `None` for a router that makes its own decisions.
 fn connect_to_planners(
     dispatcher: &DispatcherHandle,
     role: &ProgramRole,
@@ -158,7 +164,9 @@
     node_descriptors: &Arc<DescriptorPool>,
     clock: Clock,
 ) -> Option<Tier> {
-    let ProgramRole::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return None };
+    let ProgramRole::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else {
+        return None;
+    };
     let watch = Watch { beat: *heartbeat_interval_s, patience: *heartbeat_timeout_s };
     let work_ready = dispatcher.borrow().work_ready.clone();
     let forwarder = Forwarder::new(name, post::incarnation(), watch, clock, work_ready);
@@ -168,7 +176,7 @@
     Some(forwarder)
 }
 
-/// Requests a policy round for each change of the settings, as a round applies them.
+/// Wakes the policy task for each change of the settings, because the next call of the policy applies them.
 async fn wake_on_new_settings(
     dispatcher: DispatcherHandle,
     mut updates: watch::Receiver<Arc<ConfigGeneration>>,
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -1,6 +1,7 @@
-//! A router on several cores. This thread, the supervising thread, watches discovery for all cores, accepts
-//! connections and distributes them, supervises the cores, and handles reload and shutdown. It serves no query
-//! itself.
+//! Runs a router on several cores, each of which is a thread that serves client connections. The current thread,
+//! called the supervising thread, receives endpoint lists from discovery for all cores, accepts client connections
+//! and distributes them, supervises the cores, and handles reload and shutdown. The supervising thread serves no
+//! query.
 use super::subscribe;
 use crate::control::{self, Subscription};
 use crate::io::connection_balancer::ConnectionBalancer;
@@ -29,14 +30,15 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Longest time since discovery was last checked, in seconds, for a core to start attempts. Half the grace period of
-/// a drain: after a longer pause a data node may already have stopped.
+/// A core starts no attempt if the supervising thread last checked discovery longer ago than this, in seconds. This
+/// is half the grace period for which a draining data node still answers; after a longer time, a data node of the
+/// endpoint list may have stopped.
 const MAX_DISCOVERY_AGE_S: f64 = 1.0;
-/// Time that the cores may take after their open queries have failed, in seconds: for the last answers, and for
-/// answers on connections that were assigned late.
+/// Time for the cores to shut down after the time limit of open queries, in seconds: to write the last responses, and
+/// to reject requests on connections that were assigned during the shutdown.
 const CORES_MARGIN_S: f64 = 0.25;
 
-/// Serves until the shutdown after SIGTERM is complete.
+/// Runs the router until the shutdown after SIGTERM is complete.
 pub async fn run(
     config: StartupConfig,
     subscription: Option<Subscription>,
@@ -108,7 +110,7 @@
     let supervised = supervisor.supervise(terminations).await;
     if supervised.is_ok() {
         let _ = phase.send(ProgramPhase::Stopping);
-        // The shutdown has the same time limit as on one core, even if a core hangs.
+        // The time limit applies even if a core hangs.
         let limit_s = graceful_shutdown::shutdown_time_limit_s(live_config.max_deadline_s()) + CORES_MARGIN_S;
         let deadline = clock.now() + limit_s;
         tokio::select! {
@@ -125,14 +127,15 @@
     supervised
 }
 
-/// Lengthens the grace period of retired shards by the longest time that a shard request can be open, so that this
-/// thread remembers a retired shard for longer than any core does. Guards against a layout that passes the check on
-/// this thread, and is then rejected by a core that still remembers a shard which this thread has dropped.
+/// Extends the grace period of retired shards by the longest time that a shard request can be open. The supervising
+/// thread then keeps a retired shard for longer than any core does. Guards against a layout that passes the
+/// supervising thread's check and is then rejected by a core, because only the core still has a shard that the layout
+/// uses again.
 fn with_longer_grace(map: ShardMapConfig, max_deadline_s: f64) -> ShardMapConfig {
     ShardMapConfig { retired_shard_grace_s: map.retired_shard_grace_s + max_deadline_s + 1.0, ..map }
 }
 
-/// Gives the live configuration its counters, and tells it which cores serve.
+/// Sets the callbacks of the live configuration, which increment its counters and return whether a core serves.
 fn set_callbacks(
     live_config: &LiveConfig,
     publisher: &Rc<RefCell<EndpointPublisher>>,
--- a/crates/router/tests/common/suspended_shutdown.rs
+++ b/crates/router/tests/common/suspended_shutdown.rs
@@ -1,15 +1,17 @@
-//! Runs shutdowns that are suspended at different times of their last part, for tests on one core and on several.
+//! Runs shutdowns in which the process is suspended shortly before its end, each at another time. Tests of routers on
+//! one core and on several cores use this module.
 use std::thread;
 
-/// Time for which the users' acceptance tests suspend a router, in seconds.
+/// How long the process is suspended, in seconds, as in the users' acceptance tests.
 pub const SUSPENSION_S: f64 = 0.15;
 
-/// By the client protocol, SIGKILL follows SIGTERM no sooner than after the longest deadline plus this time, in seconds.
+/// Minimum time between the longest query deadline, counted from SIGTERM, and SIGKILL by the client protocol, in
+/// seconds.
 pub const KILL_AFTER_DEADLINE_S: f64 = 0.7;
 
-/// Runs `count` shutdowns at once and asserts that none has an error. `errors_of_shutdown` runs one of them,
-/// suspended at the given time in seconds after SIGTERM; the times are spread over the last `last_part_s` seconds
-/// before the earliest SIGKILL.
+/// Runs `count` shutdowns concurrently and asserts that none has an error. `errors_of_shutdown` runs one shutdown,
+/// suspends the process at the given time in seconds after SIGTERM, and returns the errors. The times are evenly
+/// distributed over the last `last_part_s` seconds before `earliest_kill_s`.
 pub fn run_suspended_shutdowns(
     earliest_kill_s: f64,
     last_part_s: f64,
@@ -27,8 +29,9 @@
     assert!(errors.is_empty(), "{errors:#?}");
 }
 
-/// Errors of a shutdown that was suspended at `suspended_at_s`: each client must have received exactly one response,
-/// and the process must have ended before the earliest SIGKILL. All times are in seconds after SIGTERM.
+/// Returns the errors of a shutdown in which the process was suspended at `suspended_at_s`: each client must have
+/// received exactly one response, and the process must have exited before the earliest SIGKILL. All times are in
+/// seconds after SIGTERM.
 pub fn shutdown_errors(
     suspended_at_s: f64,
     received: &[String],
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings that change while the router serves: how they are checked, how a dispatcher applies them, how
-//! `LiveConfig` publishes them, and how the program applies them at a reload.
+//! Tests of settings that change while the router serves: the checks of new settings, a dispatcher that applies them,
+//! their publication by `LiveConfig`, and a reload of the program.
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
@@ -28,14 +28,14 @@
     serde_json::from_str(&settings_json(1000, 180)).expect("settings")
 }
 
-/// The current settings with another value at one path.
+/// The current settings with `value` at the JSON pointer `path`.
 fn settings_with(path: &str, value: Value) -> Value {
     let mut settings = current_settings();
     *settings.pointer_mut(path).unwrap_or_else(|| panic!("no {path}")) = value;
     settings
 }
 
-// Checks.
+// Tests of the checks of new settings.
 
 #[rstest]
 #[case("/Services/0/PromiseUs", json!("soon"), "PromiseUs")]
@@ -94,7 +94,7 @@
     assert_eq!(changes(&current_settings(), &new), Changes::default());
 }
 
-// The dispatcher.
+// Tests of a dispatcher that applies new settings.
 
 struct Harness {
     dispatcher: Dispatcher,
@@ -106,7 +106,7 @@
     Arc::new(ConfigGeneration { serial, settings: Settings::read(settings).expect("valid") })
 }
 
-/// A dispatcher and its policy, with one data node.
+/// Creates a dispatcher with its policy and one data node.
 fn start_dispatcher() -> Harness {
     let first = generation(0, &current_settings());
     let (connections, admission) = (first.settings.connections, first.settings.admission);
@@ -122,7 +122,7 @@
     harness
 }
 
-/// The decisions of a round, which the dispatcher carries out after it.
+/// Records the decisions of one call of the policy; the test executes them on the dispatcher afterwards.
 #[derive(Default)]
 struct RecordedDecisions(Vec<(String, String)>);
 
@@ -175,7 +175,8 @@
         self.updates.send_replace(generation(serial, settings));
     }
 
-    /// Opens a query as a request does; returns the slot of its class, or none if the class is unknown.
+    /// Opens a query like an HTTP request does. Returns the index of its service class and its client connection, or
+    /// `None` if the class is unknown.
     fn open_query(&mut self, id: &str, class_name: &str) -> Option<(usize, Rc<ClientConnection>)> {
         self.dispatcher.refresh_config();
         let class = self.dispatcher.class_slot(class_name)?;
@@ -186,7 +187,7 @@
         Some((class, client))
     }
 
-    /// Ends the first attempt of a shard request, and runs a round; returns its decisions.
+    /// Reports `outcome` for the first attempt of a shard request and calls the policy; returns the decisions.
     fn end_attempt(&mut self, request: &str, outcome: AttemptOutcome) -> Vec<String> {
         let id = AttemptId::new(request, 0);
         let node = self.dispatcher.attempts.get(&id).expect("in flight").node.clone();
@@ -205,7 +206,7 @@
     let mut harness = start_dispatcher();
     let (old, _client) = harness.open_query("a", "site-search").expect("known");
     harness.run_round();
-    // From here on the class is `at_most_once`; shard requests of earlier queries may still be retried.
+    // Queries opened from now on are `at_most_once`; shard requests of earlier queries can still be retried.
     harness.publish(1, &settings_with("/Services/0/Effect", json!("at_most_once")));
     let (new, _other) = harness.open_query("b", "site-search").expect("known");
     assert_ne!(old, new, "a request uses the newest settings even before the next round");
@@ -239,7 +240,7 @@
     harness.run_round();
     for n in 1..=650 {
         harness.publish(n, &settings_with("/Services/0/PromiseUs", json!(1_000_000 + n)));
-        // Every third change is followed by another before the next round.
+        // After every third change, the next change follows before the policy is called.
         if n % 3 > 0 {
             harness.run_round();
         } else {
@@ -293,7 +294,7 @@
     assert_eq!(harness.end_attempt("b.1", AttemptOutcome::Error), ["fail b"]);
 }
 
-// `LiveConfig`.
+// Tests of `LiveConfig`, which publishes new settings to the cores.
 
 fn new_live_config(role: ProgramRole) -> (LiveConfig, Arc<SharedState>) {
     let shared = SharedState::new(180, MulticoreConfig { cores: 2, ..MulticoreConfig::default() }, 1.0).0;
@@ -331,10 +332,13 @@
             outcome = &mut apply => panic!("{outcome:?} although core 1 has not applied the settings"),
             () = tokio::task::yield_now() => {}
         }
-        // A core that hangs is not waited for.
+        // From now on, core 1 hangs; `apply` does not wait for a core that hangs.
         hangs.set(true);
         assert_eq!(apply.await, Ok(ApplyResult::Changed));
-        assert_eq!((live_config.version(), live_config.settings_in_force()), (Some(7), Arc::new(new.clone())));
+        assert_eq!(
+            (live_config.version(), live_config.settings_in_force()),
+            (Some(7), Arc::new(new.clone()))
+        );
         assert_eq!(live_config.apply(new, Some(8)).await, Ok(ApplyResult::Unchanged));
         assert_eq!(live_config.version(), Some(8));
     });
@@ -347,7 +351,7 @@
     block_on(async {
         let invalid = live_config.apply(settings_with("/TickUs", json!(0)), Some(3)).await;
         assert!(matches!(invalid, Err(ConfigError::Invalid(error)) if error.contains("TickUs")));
-        // Settings are applied completely or not at all: a key that could change does not change either.
+        // One of the two changed keys needs a restart, so the other key does not change either.
         let mut both = settings_with("/Extra/Cells", json!(2));
         both["Services"][0]["Worth"] = json!(9);
         assert_eq!(
@@ -355,7 +359,10 @@
             Err(ConfigError::RestartRequired(vec!["Extra.Cells".into()]))
         );
     });
-    assert_eq!((live_config.version(), live_config.settings_in_force()), (None, Arc::new(current_settings())));
+    assert_eq!(
+        (live_config.version(), live_config.settings_in_force()),
+        (None, Arc::new(current_settings()))
+    );
     assert!(!updates.has_changed().expect("open"));
 }
 
@@ -368,7 +375,7 @@
     assert_eq!(outcome, Err(ConfigError::RestartRequired(vec!["settings".into()])));
 }
 
-// The program.
+// Tests of a reload of the running program.
 
 fn reload(program: &Program, change: impl Fn(&mut Value)) {
     let text = std::fs::read_to_string(&program.config).expect("readable");
@@ -401,7 +408,7 @@
     assert_eq!(after.read_status(), "200");
     let counters = program.counters();
     assert_eq!((counters["settings_taken"], counters.get("settings_refused")), (2, None));
-    // Settings from a file have no version.
+    // Settings from the configuration file have no version, so the gauge is missing.
     assert_eq!(counters.get("settings_version"), None);
 }
 
@@ -426,7 +433,7 @@
 fn a_hundred_changes_under_load_fail_no_query() {
     let (program, nodes, _discovery) = start_router_with(2, 2000, 180, r#"{"sockets":256}"#);
     let (done, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-    // The data nodes answer each frame at once, until the last query is answered.
+    // This thread answers each frame to a data node at once, until the last query is answered.
     let all_answered = Arc::new(AtomicBool::new(false));
     let (frames, stop) = (nodes.frames, all_answered.clone());
     let node_thread = thread::spawn(move || {
@@ -465,13 +472,13 @@
             settings["Obligations"] = json!({"ResendRatio": 0.01 * (n % 9) as f64, "ExtraFree": n % 11});
         });
         loop {
-            // A new connection each time: an idle one is closed after two seconds.
+            // Each request uses a new connection, because the router closes an idle connection after 2 s.
             let mut up = program.connect();
             up.send("GET /up HTTP/1.1\r\n\r\n");
             assert_eq!(up.read_status(), "200");
             up.send("GET /counters HTTP/1.1\r\n\r\n");
             let applied = parse_counters(up.read_response().1.lines()).get("settings_taken") == Some(&n);
-            // Some query is answered between any two changes.
+            // Waits until at least one query was answered since the previous change.
             if applied && answered.load(Ordering::Relaxed) > before {
                 break;
             }
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdowns of a process that is suspended during the shutdown: every query that was read is answered, and
-//! the process ends before the earliest SIGKILL.
+//! Tests of a graceful shutdown during which the process is suspended: every query that was read is answered, and the
+//! process exits before the earliest SIGKILL.
 mod common;
 #[path = "common/suspended_shutdown.rs"]
 mod suspended_shutdown;
@@ -13,29 +13,32 @@
 use std::time::{Duration, Instant};
 use suspended_shutdown::{KILL_AFTER_DEADLINE_S, SUSPENSION_S, run_suspended_shutdowns, shutdown_errors};
 
-/// The longest deadline of the settings below, in seconds.
+/// The longest query deadline in the settings of these tests, in seconds.
 const LONGEST_DEADLINE_S: f64 = 1.0;
+/// Earliest time of SIGKILL by the client protocol, in seconds after SIGTERM.
 const EARLIEST_KILL_S: f64 = LONGEST_DEADLINE_S + KILL_AFTER_DEADLINE_S;
-/// The last part of a shutdown, in seconds before the earliest SIGKILL, in which the process is suspended.
+/// The process is suspended at most this long before the earliest SIGKILL, in seconds.
 const LAST_PART_S: f64 = 0.7;
+/// Number of shutdowns that run concurrently, each suspended at another time.
 const SHUTDOWNS: usize = 20;
 const CLIENTS: usize = 4;
 
-/// Everything that a client receives until its connection ends.
+/// Returns everything that a client receives until its connection is closed.
 fn received(client: Client) -> String {
     let mut bytes = client.0.buffer().to_vec();
     let mut stream: TcpStream = client.0.into_inner();
-    // A reset ends the connection too.
+    // An error is ignored: a reset also closes the connection.
     let _ = stream.read_to_end(&mut bytes);
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Runs a shutdown in which the process is suspended at a time in seconds after SIGTERM; returns the errors.
+/// Runs a shutdown in which the process is suspended at `suspended_at_s`, in seconds after SIGTERM; returns the
+/// errors.
 fn errors_of_suspended_shutdown(suspended_at_s: f64) -> Vec<String> {
     let settings = settings_json(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
-    // The data node does not answer after SIGTERM, so that queries are open until the end.
-    let (nodes, agent) = (FakeNodes::new(1), FakeDiscovery::new());
-    let mut program = Program::start(&nodes.addresses, agent.address, &settings, r#"{"sockets":256}"#);
+    // The data node does not answer after SIGTERM, so the queries stay open until the shutdown fails them.
+    let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
+    let mut program = Program::start(&nodes.addresses, discovery.address, &settings, r#"{"sockets":256}"#);
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| program.connect()).collect();
     let process = Pid::from_raw(program.child.id() as i32);
     for (number, client) in clients.iter_mut().enumerate() {
@@ -48,7 +51,7 @@
         sleep((terminated + Duration::from_secs_f64(since_s)).saturating_duration_since(Instant::now()));
     };
     kill(process, Signal::SIGTERM).expect("it runs");
-    // Sent early enough to be admitted, and with a time limit longer than the shutdown.
+    // The queries are sent early enough to be admitted, with a time limit that is longer than the shutdown.
     at(0.6);
     for (number, client) in clients.iter_mut().enumerate() {
         client.send_query(&format!("open{number}"), &[number as u32], 5000);
@@ -63,21 +66,21 @@
     shutdown_errors(suspended_at_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
-/// Guards against queries that are read and never answered, because a process that was suspended ends before it has
-/// written its last answers.
+/// Guards against queries that were read and are never answered, because a process that was suspended exits before
+/// its tasks have written the last responses.
 #[rstest]
 fn a_shutdown_suspended_at_any_time_of_its_last_part_answers_every_read_query() {
     run_suspended_shutdowns(EARLIEST_KILL_S, LAST_PART_S, SHUTDOWNS, errors_of_suspended_shutdown);
 }
 
-/// Guards against a client that completes its request just as the program ends and gets no answer.
+/// Guards against a client that completes its request just before the program exits and gets no response.
 #[rstest]
 #[case::the_rest_never_arrives(None)]
 #[case::the_rest_arrives_at_the_end(Some(1.35))]
 fn an_incomplete_request_at_the_end_of_the_program_is_answered(#[case] rest_at_s: Option<f64>) {
     let settings = settings_json(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
-    let (nodes, agent) = (FakeNodes::new(1), FakeDiscovery::new());
-    let program = Program::start(&nodes.addresses, agent.address, &settings, r#"{"sockets":256}"#);
+    let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
+    let program = Program::start(&nodes.addresses, discovery.address, &settings, r#"{"sockets":256}"#);
     let mut client = program.connect();
     client.send_query("before", &[1], 900);
     nodes.answer_next();
@@ -86,12 +89,12 @@
     let (first, rest) = request.split_at(request.len() / 2);
     let terminated = Instant::now();
     kill(Pid::from_raw(program.child.id() as i32), Signal::SIGTERM).expect("it runs");
-    // While idle connections are still served.
+    // At this time, the router still serves idle connections.
     sleep(Duration::from_secs_f64(0.3));
     client.send(first);
     if let Some(at_s) = rest_at_s {
         sleep((terminated + Duration::from_secs_f64(at_s)).saturating_duration_since(Instant::now()));
-        // The connection may have ended by then, with the answer sent.
+        // A failure is ignored: the router may already have sent its response and closed the connection.
         let _ = client.0.get_mut().write_all(rest.as_bytes());
     }
     let received = received(client);
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -1,4 +1,5 @@
-//! The configuration file at the start: the values that are read from it, and the error messages.
+//! Tests of the configuration file at the start: which values are read from the file, and the messages for invalid
+//! files.
 mod common;
 use alderway_router::lifecycle::startup::{Overrides, ProgramRole, StartupConfig, StartupError};
 use alderway_telemetry::clock::Clock;
@@ -7,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A configuration file with every key.
+/// The content of a configuration file that has every key.
 fn document() -> Value {
     let settings: Value = serde_json::from_str(&common::settings_json(1000, 180)).expect("settings");
     let known = format!(
@@ -25,7 +26,7 @@
     })
 }
 
-/// A temporary file that is removed at the end of the test.
+/// A temporary configuration file, which is deleted when the value is dropped.
 struct ConfigFile(PathBuf);
 
 impl ConfigFile {
@@ -102,21 +103,21 @@
     .expect("valid");
     assert_eq!((&config.settings_json, config.settings.policy.router_count), (&settings, 9));
     assert_eq!(config.settings.admission.min_round_interval_s, 0.007);
-    // A reload compares the file with its own earlier content, not with the overrides.
+    // A reload compares the file with its earlier content, so the overrides are not included.
     assert_eq!(config.restart_only_keys[3], ("settings", document()["settings"].clone()));
 }
 
 #[rstest]
-#[case::invalid_name("/name", json!(7), "key `name`: expected text")]
-#[case::invalid_address("/listen", json!("here"), "key `listen`: expected address:port, found `here`")]
-#[case::null_address("/discovery", json!(null), "key `discovery`: expected text")]
-#[case::too_few_descriptors("/limits/sockets", json!(19), "key `limits.sockets`: expected a whole number from 20")]
-#[case::invalid_memory("/limits/memory_mb", json!("64"), "key `limits.memory_mb`: expected a whole number from 1")]
-#[case::invalid_seed("/seed", json!("xyz"), "key `seed`: expected up to 16 hex digits")]
+#[case::invalid_name("/name", json!(7), "configuration key `name`: expected text")]
+#[case::invalid_address("/listen", json!("here"), "configuration key `listen`: expected address:port, found `here`")]
+#[case::null_address("/discovery", json!(null), "configuration key `discovery`: expected text")]
+#[case::too_few_descriptors("/limits/sockets", json!(19), "configuration key `limits.sockets`: expected a whole number of at least 20")]
+#[case::invalid_memory("/limits/memory_mb", json!("64"), "configuration key `limits.memory_mb`: expected a whole number of at least 1")]
+#[case::invalid_seed("/seed", json!("xyz"), "configuration key `seed`: expected up to 16 hex digits")]
 #[case::invalid_settings(
     "/settings/TickUs",
     json!("soon"),
-    "key `settings`: expected a number in setting `TickUs`"
+    "configuration key `settings`: expected a number in setting `TickUs`"
 )]
 fn an_error_names_the_invalid_key(#[case] path: &str, #[case] value: Value, #[case] message: &str) {
     let mut document = document();
@@ -129,14 +130,15 @@
     let mut document = document();
     document["known"] = json!({"index": "x"});
     let error = error_of(&document.to_string());
-    assert!(error.starts_with("key `known`: "), "{error}");
+    assert!(error.starts_with("configuration key `known`: "), "{error}");
 }
 
 #[rstest]
 fn a_file_that_is_no_configuration_is_rejected() {
-    assert!(error_of("{").starts_with("configuration: not JSON ("));
-    assert_eq!(error_of("{}"), "key `settings`: missing");
+    assert!(error_of("{").starts_with("the configuration file is not JSON ("));
+    assert_eq!(error_of("{}"), "configuration key `settings`: missing");
     let missing = Path::new("/nowhere/at/all.json");
     let error = read(missing).err().expect("rejected").to_string();
-    assert!(error.starts_with("`PROXY_CONFIG` /nowhere/at/all.json: "), "{error}");
+    let expected = "cannot read the configuration file /nowhere/at/all.json of `PROXY_CONFIG`: ";
+    assert!(error.starts_with(expected), "{error}");
 }
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -485,7 +485,7 @@
     let (startup, control) = startup_from(&folder, persist_path, vec![]);
     assert_eq!(startup.settings_json, settings(0));
     let line = control.startup_error.expect("an error").to_string();
-    assert!(line.starts_with("persisted version 7: key `settings`: expected "), "{line}");
+    assert!(line.starts_with("persisted version 7: configuration key `settings`: expected "), "{line}");
 }
 
 #[rstest]
