--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the router program, and fake clients, data nodes and discovery that connect to it over loopback.
+//! Runs the router program with fake clients, data nodes and a fake discovery server over loopback connections.
 #![allow(dead_code)] // Each test file uses a part of this module.
 pub mod dispatcher;
 pub mod tier;
@@ -14,11 +14,11 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a test waits for an event before it fails.
+/// How long a test waits for an event before the test fails.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings with two service classes and one replica group, in which every data node holds every shard. `max_open`
-/// limits the open queries and shard requests.
+/// Settings in JSON with two service classes and one replica group, in which every data node has every shard.
+/// `latency_objective_ms` applies to both classes; `max_open` limits the number of open queries and shard requests.
 pub fn settings_json(latency_objective_ms: u64, max_open: usize) -> String {
     let service = |name: &str| {
         format!(
@@ -38,37 +38,38 @@
     )
 }
 
-/// An entry of an endpoint list.
+/// An entry of an endpoint list in JSON: a data node with its address and status.
 pub fn endpoint_entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"z","type":"m","group":0,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-/// A message of discovery: a whole endpoint list or a change of it.
+/// A message of discovery in JSON: an endpoint list if `whole`, otherwise a change of the list. `index` is its
+/// version.
 pub fn endpoint_update(index: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-/// Waits for the next event; panics after [`TIMEOUT`].
+/// Receives the next event; panics if none arrives within [`TIMEOUT`]. `what` names the event in the panic message.
 pub fn receive<T>(events: &Receiver<T>, what: &str) -> T {
     events.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
 
-/// Data nodes that pass every received frame to the test, which answers it.
+/// Fake data nodes, which pass every received frame to the test. The test sends the replies.
 pub struct FakeNodes {
     pub addresses: Vec<SocketAddr>,
     pub frames: Receiver<ReceivedFrame>,
 }
 
-/// A frame that a data node has received.
+/// A frame that a fake data node has received.
 pub struct ReceivedFrame {
     /// Index of the data node.
     pub node: usize,
-    /// `S` starts attempts, `C` cancels one.
+    /// The type of the frame: `S` starts attempts, `C` cancels an attempt.
     pub frame_type: char,
     pub text: String,
-    /// The connection, for replies.
+    /// The connection on which the frame arrived, for sending replies.
     pub stream: TcpStream,
 }
 
@@ -103,14 +104,15 @@
         }
     }
 
-    /// Waits for the next frame at any node, and asserts its type.
+    /// Waits for the next frame at any data node, and asserts the frame's type.
     pub fn next_frame(&self, frame_type: char) -> ReceivedFrame {
         let frame = receive(&self.frames, "a frame at a data node");
         assert_eq!(frame.frame_type, frame_type, "{}", frame.text);
         frame
     }
 
-    /// Answers every shard request of the next frame; returns their ids and the node.
+    /// Waits for the next frame and answers every shard request in the frame. Returns the ids of the shard requests
+    /// and the index of the data node.
     pub fn answer_next(&self) -> (Vec<String>, usize) {
         let mut frame = self.next_frame('S');
         let ids = request_ids(&frame.text);
@@ -121,7 +123,7 @@
     }
 }
 
-/// The ids of the shard requests in a frame. The query text of all tests is `c41e77d0`.
+/// Returns the ids of the shard requests in a frame, which are separated by the query text `c41e77d0` of all tests.
 pub fn request_ids(frame: &str) -> Vec<String> {
     frame.split("c41e77d0").filter_map(|request| Some(request.split_once(' ')?.0.to_string())).collect()
 }
@@ -131,11 +133,12 @@
     let mut frame = (text.len() as u32 + 1).to_be_bytes().to_vec();
     frame.push(b'R');
     frame.extend_from_slice(text.as_bytes());
-    // The router may have closed the connection already.
+    // A failure is ignored, because the router may have closed the connection already.
     let _ = stream.write_all(&frame);
 }
 
-/// A discovery server that passes each request of a watch to the test, with the connection to write to.
+/// A fake discovery server. Passes the request line of each watch to the test, with the connection for sending
+/// endpoint lists.
 pub struct FakeDiscovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, TcpStream)>,
@@ -160,18 +163,18 @@
         FakeDiscovery { address, watches }
     }
 
-    /// Waits for the next watch; returns its request line and its connection.
+    /// Waits until the router opens a watch; returns the watch's request line and its connection.
     pub fn accept_watch(&self) -> (String, TcpStream) {
         receive(&self.watches, "a watch")
     }
 }
 
-/// Sends one line on a watch.
+/// Sends one line to the router on a watch, as one HTTP chunk.
 pub fn send_update(watch: &mut TcpStream, line: &str) {
     write!(watch, "{:x}\r\n{line}\n\r\n", line.len() + 1).expect("written");
 }
 
-/// A configuration file that lists the data nodes.
+/// The content of a configuration file with `nodes` as the known data nodes.
 pub fn config_json(nodes: &[SocketAddr], discovery: SocketAddr, settings: &str, limits: &str) -> String {
     let serving = |(i, address): (usize, &SocketAddr)| endpoint_entry(&format!("s-{i}"), *address, "SERVING");
     let known: Vec<String> = nodes.iter().enumerate().map(serving).collect();
@@ -182,7 +185,7 @@
     )
 }
 
-/// The program under test, with its log lines.
+/// The running router program, with its log lines and its listen address.
 pub struct Program {
     pub child: Child,
     pub log: Receiver<String>,
@@ -199,7 +202,8 @@
         Program::from_child(spawn(config))
     }
 
-    /// Starts the program with system calls and clocks that fail by a plan.
+    /// Starts the router with a library that injects faults into its system calls and clocks, as the plan `faults`
+    /// says.
     pub fn with_faults(nodes: &[SocketAddr], discovery: SocketAddr, settings: &str, faults: &str) -> Program {
         let plan = Plan::parse(faults).expect("a plan");
         let config = config_json(nodes, discovery, settings, r#"{"sockets":256}"#);
@@ -245,7 +249,7 @@
         parse_counters(client.read_response().1.lines())
     }
 
-    /// Waits until the program ends; returns its exit status and the counters that it logs at exit.
+    /// Waits until the program exits; returns the exit status and the counters that the program logs at its exit.
     pub fn wait_for_exit(mut self) -> (ExitStatus, BTreeMap<String, u64>) {
         let status = self.child.wait().expect("the program ends");
         let mut lines = vec![];
@@ -268,7 +272,8 @@
     spawn_with(config, |_| {})
 }
 
-/// Starts the program with `config` as its file; `prepare` changes the command before.
+/// Starts the router program with the configuration `config`, after `prepare` has changed the command. Returns the
+/// process and the path of the configuration file.
 pub fn spawn_with(config: &str, prepare: impl FnOnce(&mut Command)) -> (Child, PathBuf) {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("alderway-{}-{}.json", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
@@ -280,7 +285,7 @@
     (command.spawn().expect("the program starts"), path)
 }
 
-/// Parses lines of the form `NAME VALUE`; other lines are ignored.
+/// Parses counters from lines of the form `NAME VALUE`; other lines are ignored.
 pub fn parse_counters<'a>(lines: impl Iterator<Item = &'a str>) -> BTreeMap<String, u64> {
     let counter = |line: &str| {
         let (name, value) = line.rsplit_once(' ')?;
@@ -289,7 +294,7 @@
     lines.filter_map(counter).collect()
 }
 
-/// The sum of all counters whose name begins with `prefix`.
+/// Returns the sum of all counters whose names start with `prefix`.
 pub fn sum_by_prefix(counters: &BTreeMap<String, u64>, prefix: &str) -> u64 {
     counters.iter().filter(|(name, _)| name.starts_with(prefix)).map(|(_, value)| value).sum()
 }
@@ -301,12 +306,12 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("written");
     }
 
-    /// Sends a query of the class `site-search`.
+    /// Sends a query of the service class `site-search`, which times out after `time_left_ms`.
     pub fn send_query(&mut self, id: &str, shards: &[u32], time_left_ms: u64) {
         self.send(&query_request(id, "site-search", shards, time_left_ms));
     }
 
-    /// Reads the next response; returns its head and its body.
+    /// Reads the next response; returns the head and the body.
     pub fn read_response(&mut self) -> (String, String) {
         let (mut head, mut body) = (String::new(), vec![]);
         while !head.ends_with("\r\n\r\n") {
@@ -318,21 +323,21 @@
         (head, String::from_utf8(body).expect("text"))
     }
 
-    /// Reads the next response; returns its status code.
+    /// Reads the next response; returns the status code.
     pub fn read_status(&mut self) -> String {
         self.read_response().0.split(' ').nth(1).expect("a status").to_string()
     }
 
-    /// Waits until the router closes the connection, and asserts that it sends nothing before.
+    /// Waits until the router closes the connection, and asserts that the router sends nothing before.
     pub fn wait_for_close(mut self) {
         let mut rest = vec![];
-        // A reset ends the connection too.
+        // An error is ignored: a reset also closes the connection.
         let _ = self.0.read_to_end(&mut rest);
         assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
     }
 }
 
-/// The HTTP request of a query with equal weights for `shards`.
+/// The HTTP request of a query to `shards`, which have equal weights.
 pub fn query_request(id: &str, class: &str, shards: &[u32], time_left_ms: u64) -> String {
     let share = 1.0 / shards.len() as f64;
     let targets: Vec<String> =
@@ -345,11 +350,12 @@
     )
 }
 
-/// Starts a router with `count` data nodes. Discovery sends only what the test sends.
+/// Starts a router, `count` fake data nodes and a fake discovery server. Discovery sends nothing until the test does.
 pub fn start_router(count: usize) -> (Program, FakeNodes, FakeDiscovery) {
     start_router_with(count, 1000, 180, r#"{"sockets":256}"#)
 }
 
+/// Like [`start_router`], with settings by [`settings_json`] and the key `limits` of the configuration file.
 pub fn start_router_with(
     count: usize,
     latency_objective_ms: u64,
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Pairs of events that happen at the same time, over sockets: each test triggers both and checks the rule that must
-//! hold. All such pairs are listed in docs/crossings.md.
+//! Tests of pairs of events that occur at the same time, for example a client that disconnects while its query is
+//! sent. Each test triggers both events over sockets and checks the result. docs/crossings.md lists all pairs.
 mod common;
 use common::*;
 use rstest::rstest;
@@ -13,7 +13,8 @@
 fn attempts_are_cancelled_for_a_client_that_fills_the_buffer_and_disconnects() {
     let (program, nodes, _discovery) = start_router_with(1, 4000, 180, "{}");
     let mut client = program.connect();
-    // More bytes than the read buffer holds follow the query, and the client's close follows them.
+    // After the query, the client sends more bytes than the router's read buffer holds, and then closes the
+    // connection.
     client
         .send(&(query_request("q", "site-search", &[0], 4900) + &"GET /up HTTP/1.1\r\n\r\n".repeat(20_000)));
     nodes.next_frame('S');
@@ -53,7 +54,7 @@
     program.signal("STOP");
     let mut client = program.connect();
     client.send_query("q", &[0], 4000);
-    // Longer than the listener stays open after SIGTERM.
+    // Suspends the process for longer than the listener stays open after SIGTERM.
     thread::sleep(Duration::from_millis(700));
     program.signal("CONT");
     assert_eq!(nodes.answer_next().0, ["q.0"]);
@@ -73,7 +74,8 @@
     first.write_all(response).expect("written");
     let started = Instant::now();
     let _second = receive(&watches, "another watch");
-    // 1.25 s: the response timeout and the pause before the next watch. The timeout between messages alone is 3 s.
+    // The second watch opens after 1.25 s, the sum of the response timeout and the pause between watches. After the
+    // timeout between messages, it would be 3 s.
     assert!(started.elapsed() < Duration::from_millis(2900), "{:?}", started.elapsed());
 }
 
@@ -130,7 +132,7 @@
         assert_eq!(nodes.answer_next(), (vec![format!("{id}.0")], 0));
         assert_eq!(client.read_status(), "200");
     }
-    // The status of an entry applies even if its address cannot be read.
+    // The router applies the status of an entry even if the address is invalid.
     let draining = endpoint_entry("s-0", nodes.addresses[0], "DRAINING").replace("127.0.0.1", "nowhere");
     send_update(&mut watch, &endpoint_update(46, false, &[draining]));
     program.wait_for_log("change 46: 0 entries");
@@ -144,7 +146,8 @@
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let limits = r#"{"sockets":32}"#;
     let program = Program::start(&nodes.addresses, discovery.address, &settings_json(1000, 180), limits);
-    // Each client has had an answer, so all have the same priority for being closed. None closes its own side.
+    // Each client has received a response, so the router may close any of their connections. No client closes its
+    // connection.
     let mut idle: Vec<Client> = vec![];
     for _ in 0..40 {
         let mut client = program.connect();
@@ -172,7 +175,7 @@
     let mut frame = nodes.next_frame('S');
     program.signal("TERM");
     program.wait_for_log("SIGTERM");
-    // Once the listener is closed, each connection closes after its current answer.
+    // Waits for the listener to close: from then on, the router closes each connection after the current response.
     let deadline = Instant::now() + TIMEOUT;
     while TcpStream::connect(program.address).is_ok() {
         assert!(Instant::now() < deadline, "the listener stays open");
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Runs the program against clients, data nodes and discovery over loopback. The system chooses the ports. The tests
-//! wait for events of the program instead of sleeping for a fixed time.
+//! Tests of the router program with fake clients, data nodes and discovery over loopback connections. The operating
+//! system chooses the ports. The tests wait for events of the program instead of sleeping for a fixed time.
 mod common;
 use common::*;
 use rstest::rstest;
@@ -114,7 +114,7 @@
     assert_eq!(program.counters()["leaf_calls_ended{reset}"], 1);
 }
 
-/// Sends two queries one after the other, of which exactly one tries the unreachable node first.
+/// Sends two queries one after the other. The router tries the unreachable data node first for exactly one of them.
 fn send_two_queries_past_an_unreachable_node(program: &Program, nodes: &FakeNodes) {
     let mut client = program.connect();
     for id in ["a", "b"] {
@@ -136,7 +136,7 @@
 
 #[rstest]
 fn a_connection_that_is_never_accepted_times_out() {
-    // This listener does not accept: once the system's queue is full, connecting hangs.
+    // This listener never accepts, so connecting hangs once the listener's queue in the kernel is full.
     let full = TcpListener::bind("127.0.0.1:0").expect("a port");
     let hangs = full.local_addr().expect("an address");
     let connect_timeout = Duration::from_millis(50);
@@ -236,7 +236,8 @@
 
 #[rstest]
 fn a_new_connection_waits_for_a_descriptor_instead_of_failing_its_attempts() {
-    // Descriptors for two connections, but four data nodes: most attempts wait until another connection is closed.
+    // The router has file descriptors for connections to two of the four data nodes, so most attempts wait until
+    // another connection is closed.
     let (program, nodes, _discovery) = start_router_with(4, 4000, 180, r#"{"sockets":20}"#);
     let mut client = program.connect();
     for id in 0..8 {
@@ -262,7 +263,8 @@
     client.send_query("q", &[0], 4000);
     assert_eq!(nodes.answer_next().0, ["q.0"]);
     assert_eq!(client.read_status(), "200");
-    // Otherwise the query would wait for the longest deadline of 5 s.
+    // If the router did not close the incomplete requests' connections, the query would wait for the longest deadline
+    // of 5 s.
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
 }
 
@@ -270,7 +272,8 @@
 fn a_client_that_does_not_read_delays_no_other_client() {
     let (program, nodes, _discovery) = start_router(1);
     let mut slow = program.connect();
-    // Unread answers accumulate until the socket accepts no more requests.
+    // The client reads no responses, so the router stops reading requests and the client's socket accepts no more
+    // bytes.
     slow.0.get_mut().set_nonblocking(true).expect("set");
     let (requests, mut full) = ("GET /counters HTTP/1.1\r\n\r\n".repeat(1000), 0);
     while full < 20 {
@@ -282,7 +285,7 @@
     client.send_query("q", &[0], 4000);
     assert_eq!(nodes.answer_next().0, ["q.0"]);
     assert_eq!(client.read_status(), "200");
-    // The connection whose answer is not read is closed after a timeout.
+    // The router closes the connection whose responses are not read after a timeout.
     let began = Instant::now();
     while program.counters()["clients_open"] > 2 {
         assert!(began.elapsed() < Duration::from_millis(4500));
@@ -305,7 +308,7 @@
     program.signal("CONT");
     nodes.next_frame('S');
     assert_eq!(client.read_status(), "503");
-    // Counted from when the router reads the request, the time limit would end after 2.5 s.
+    // If the time limit started when the router reads the request, the response would arrive after 2.5 s.
     let took = sent.elapsed();
     assert!(took < Duration::from_millis(2000), "{took:?}");
 }
@@ -403,7 +406,7 @@
     let (request, mut new_watch) = new.accept_watch();
     assert!(request.contains("since=42 "), "{request}");
     assert_eq!(watch.read(&mut [0; 100]).unwrap_or_default(), 0, "the old watch is closed");
-    // Neither watch has sent a list since: the last list stays in force.
+    // The watches have sent no data node, so the router still uses the data node of the configuration file.
     let mut client = program.connect();
     client.send_query("a", &[0], 4000);
     assert_eq!(nodes.answer_next().0, ["a.0"]);
@@ -431,7 +434,8 @@
     let mut late = program.connect();
     late.send("GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(late.read_status(), "503");
-    // SIGKILL follows after 3.7 s at the earliest, and other routers may be down as well.
+    // The router serves queries until shortly before its end, because other routers may be down; SIGKILL follows 3.7
+    // s after SIGTERM at the earliest.
     while began.elapsed() < Duration::from_millis(2000) {
         kept.send_query("b", &[1], 4000);
         assert_eq!(nodes.answer_next().0, ["b.1"]);
@@ -483,7 +487,8 @@
     let program = Program::start(&nodes.addresses, discovery.address, &asked, "{}");
     drop(discovery.accept_watch());
     program.wait_for_log("the watch is lost");
-    // The policy is notified that polling failed, and asks again.
+    // The router notifies the policy that the request for the endpoint list failed, and the policy requests the list
+    // again.
     let (_, mut watch) = discovery.accept_watch();
     send_update(&mut watch, &endpoint_update(45, true, &[]));
     program.wait_for_log("whole list 45: 0 entries");
@@ -555,7 +560,7 @@
     assert_eq!(half.read_status(), "408");
     half.wait_for_close();
     let took = began.elapsed();
-    // The longest deadline is 5 s.
+    // The timeouts closed the connections, before the longest query deadline of 5 s.
     assert!((2.0..4.5).contains(&took.as_secs_f64()), "{took:?}");
     send_reply(&mut held.stream, "a.0 done 1 -\nv");
     assert_eq!(open.read_status(), "200", "a connection with an open query stays open");
--- a/crates/router/tests/system_faults.rs
+++ b/crates/router/tests/system_faults.rs
@@ -1,5 +1,5 @@
-//! The program under system calls that fail in ways that Linux documents, and under a wall clock that steps, while it
-//! serves and shuts down.
+//! Tests of the router program while system calls fail in ways that Linux documents, or the wall clock jumps. The
+//! faults occur while the program serves and while it shuts down.
 mod common;
 use alderway_fault_injection::HELD_IN_SEND;
 use common::*;
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Starts a router under a plan of faults, with one data node that answers every shard request at once.
+/// Starts a router with the fault injection plan `faults` and one data node that answers every shard request at once.
 fn start_with_faults(faults: &str) -> (Program, FakeDiscovery) {
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let program =
@@ -25,7 +25,8 @@
     (program, discovery)
 }
 
-/// Sends `count` queries one after the other on one connection; returns how many did not get status 200.
+/// Sends `count` queries one after the other on one connection; returns the number of responses with another status
+/// than 200.
 fn send_queries_in_turn(program: &Program, count: usize) -> usize {
     let mut client = program.connect();
     let mut failed = 0;
@@ -57,7 +58,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send_query(&format!("q{number}"), &[1], 4000);
     }
-    // Longer than the listener stays open after SIGTERM.
+    // Suspends the process for longer than the listener stays open after SIGTERM.
     thread::sleep(Duration::from_millis(700));
     program.signal("CONT");
     for client in &mut clients {
@@ -74,7 +75,7 @@
     assert_eq!(send_queries_in_turn(&program, 200), 0, "queries without status 200");
 }
 
-/// How long the answer is waited for, as the frame of a single attempt says to the data node.
+/// Returns the time limit that the router sends to the data node in a frame with a single attempt.
 fn time_left_in_frame(frame: &str) -> Duration {
     let time_left_ms = frame.split("d=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a wait");
     Duration::from_millis(time_left_ms.parse().expect("a number"))
@@ -116,7 +117,8 @@
     }
 }
 
-/// A data node to which connecting does not complete until it accepts: its queue of connections is full.
+/// A fake data node whose listener's queue in the kernel is full, so that connecting hangs until
+/// [`FullListener::accept`] is called.
 struct FullListener {
     listener: TcpListener,
     queued: Vec<TcpStream>,
@@ -132,21 +134,21 @@
         FullListener { listener, queued }
     }
 
-    /// Accepts all queued connections and then the program's connection, which the system has kept retrying.
+    /// Accepts all queued connections, and then the router's connection, for which the kernel has retried connecting.
     fn accept(self) -> TcpStream {
         self.queued.iter().for_each(|_| drop(self.listener.accept().expect("a queued connection")));
         self.listener.accept().expect("the program's connection").0
     }
 }
 
-/// Settings under which connecting may take seconds.
+/// Settings in which the timeout for connecting to a data node is several seconds.
 fn settings_with_long_dial_timeout() -> String {
     settings_json(8000, 180)
         .replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":9000000")
         .replace("\"DialTimeoutUs\":250000", "\"DialTimeoutUs\":6000000")
 }
 
-/// Waits until a counter is 1.
+/// Waits until the router's counter `name` is 1; panics after [`TIMEOUT`].
 fn wait_for_counter(program: &Program, name: &str) {
     let deadline = Instant::now() + TIMEOUT;
     while program.counters().get(name) != Some(&1) {
@@ -155,7 +157,7 @@
     }
 }
 
-/// While the process is suspended, the connection to the data node is accepted and then the client disconnects.
+/// While the process is suspended, the data node accepts the router's connection, and then the client disconnects.
 #[rstest]
 fn no_attempt_starts_for_a_client_that_disconnected_while_the_process_was_suspended() {
     let (node, discovery) = (FullListener::new(), FakeDiscovery::new());
@@ -175,7 +177,8 @@
     assert!(!matches!(received, Ok(1..)), "an attempt started for a client that had disconnected");
 }
 
-/// While the process is suspended, the connection to the data node is accepted and then the node begins to drain.
+/// While the process is suspended, the data node accepts the router's connection, and then discovery reports that the
+/// data node is draining.
 #[rstest]
 fn no_attempt_starts_on_a_node_that_began_to_drain_while_the_process_was_suspended() {
     let (node, discovery) = (FullListener::new(), FakeDiscovery::new());
@@ -211,7 +214,7 @@
     assert!(status.success(), "{status}");
 }
 
-/// A data node that starts while the program serves is in slow start, whatever the wall clock showed when the program
+/// A data node that starts while the router serves is in slow start, even if the wall clock was wrong when the router
 /// started.
 #[rstest]
 #[case::right("seed=6")]
@@ -250,8 +253,8 @@
     assert!(sent <= 5, "{sent} of 30 queries were sent to a node in slow start that 200 routers share");
 }
 
-/// The system has no buffers for two seconds while an attempt is ready to be written. Whether the attempt may still
-/// be sent, and its time left, are determined when its first byte is written.
+/// Send calls fail for lack of kernel buffers for 2 s while an attempt is ready to be written. When the first byte is
+/// finally written, the router checks whether the attempt may still be sent, and computes the remaining time.
 #[rstest]
 #[case::node_drains(true)]
 #[case::client_still_waits(false)]
@@ -260,7 +263,7 @@
     let settings = settings_json(4000, 180);
     let program =
         Program::with_faults(&nodes.addresses, discovery.address, &settings, "seed=9 nobufs=1@1.5-3.5");
-    // The times of the plan count from shortly before the program logs its address.
+    // The plan's times start shortly before the program logs its address.
     let started_at = Instant::now();
     let (_, mut watch) = discovery.accept_watch();
     send_update(
@@ -292,15 +295,15 @@
     }
 }
 
-/// The oracle of the soak test relies on this log line: without it, a SIGSTOP during a held call would look like a
-/// frame that was encoded too early.
+/// The fault injection library logs each system call that it has delayed. The soak test needs this line: otherwise, a
+/// SIGSTOP during a delayed send call would look like a frame that the router encoded too early.
 #[rstest]
 fn a_held_call_that_a_suspension_prolongs_is_logged_with_its_times() {
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let program =
         Program::with_faults(&nodes.addresses, discovery.address, &settings_json(1000, 180), "hold=1");
-    // The send call of the answer is held for 0.15 s. A process that answers slowly, for example on a busy machine,
-    // is stopped before the call, so the test tries several times.
+    // The library delays the send call of the response for 0.15 s. On a busy machine, the process may be stopped
+    // before it makes the call, so the test tries several times.
     let line_of_held_call = || {
         let mut client = program.connect();
         client.send("GET /up HTTP/1.1\r\n\r\n");
