--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -9,7 +9,7 @@
 use alderway_peers::GossipConfig;
 use alderway_router::control::{Subscription, settings as control_settings};
 use alderway_router::gossip::{GossipGroup, MemberAddresses};
-use alderway_router::lifecycle::startup::{Overrides, Role, StartupConfig, StartupError};
+use alderway_router::lifecycle::startup::{Overrides, ProgramRole, StartupConfig, StartupError};
 use alderway_router::server::serve;
 use alderway_router::state::descriptors;
 use alderway_router::state::shard_map::ShardMapConfig;
@@ -137,7 +137,7 @@
         (ControlEndpoint { name, zone }, *at)
     });
     Some(Subscription {
-        machines: servers.collect(),
+        control_servers: servers.collect(),
         zone,
         config,
         persist_path,
@@ -189,11 +189,11 @@
         lagging_node_grace_s: l.lagging_node_grace_s,
     });
     config.role = match operator.tier.clone() {
-        Tier::Standalone => Role::Router,
+        Tier::Standalone => ProgramRole::Router,
         Tier::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s, .. } => {
-            Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s }
+            ProgramRole::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s }
         }
-        Tier::Planner { .. } => Role::Planner,
+        Tier::Planner { .. } => ProgramRole::Planner,
     };
     let cores = match operator.cores.count {
         CoreCount::Fixed(cores) => cores,
@@ -202,7 +202,7 @@
         }
     };
     let for_peers = config.gossip.as_ref().map_or(0, GossipGroup::max_descriptors);
-    let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::DESCRIPTORS);
+    let for_control = subscription.as_ref().map_or(0, |_| alderway_router::control::SUBSCRIPTION_DESCRIPTORS);
     let min_descriptors = descriptors::minimum(cores) + for_peers + for_control;
     if config.max_descriptors < min_descriptors {
         let peers = if for_peers > 0 { " and the peers" } else { "" };
--- a/crates/alderway/tests/shutdown.rs
+++ b/crates/alderway/tests/shutdown.rs
@@ -1,20 +1,20 @@
 //! Graceful shutdowns on several cores of a process that is stopped for a while during one: every query that was read is
 //! answered, and the process ends before the earliest SIGKILL.
 mod common;
-#[path = "../../router/tests/common/held_shutdown.rs"]
-mod held_shutdown;
+#[path = "../../router/tests/common/suspended_shutdown.rs"]
+mod suspended_shutdown;
 use alderway_lab::Clock;
 use alderway_lab::agent::Agent;
 use alderway_lab::fleet::Fleet;
 use alderway_lab::model::{Fault, Make};
 use alderway_lab::program::{Build, Program, Setting};
 use common::{Client, TIMEOUT, wait_until};
-use held_shutdown::{HELD_UP_S, KILL_AFTER_DEADLINE_S, faults, play_moments};
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use std::sync::mpsc::RecvTimeoutError;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use suspended_shutdown::{KILL_AFTER_DEADLINE_S, SUSPENSION_S, run_suspended_shutdowns, shutdown_errors};
 
 const CORES: u64 = 3;
 /// The longest deadline of the settings below, in milliseconds.
@@ -85,16 +85,16 @@
         .for_each(|(number, client)| client.send_query(&format!("open{number}"), 5000));
     sleep_until(held_from_s);
     router.program.signal(Signal::SIGSTOP);
-    sleep_until(held_from_s + HELD_UP_S);
+    sleep_until(held_from_s + SUSPENSION_S);
     router.program.signal(Signal::SIGCONT);
 
     let received: Vec<String> = clients.iter_mut().map(Client::read_to_end).collect();
     router.wait_for_end();
-    faults(held_from_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
+    shutdown_errors(held_from_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
 /// Guards against queries that a core has read and not answered because the process, stopped for a while, ends first.
 #[rstest]
 fn a_shutdown_on_several_cores_stopped_at_any_late_moment_answers_all_queries_read() {
-    play_moments(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_stopped_at);
+    run_suspended_shutdowns(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_stopped_at);
 }
--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -1,25 +1,28 @@
-//! A connection to a control server: frames in, frames out, nothing decided.
+//! Reads and writes frames on a connection to a control server. The first frame in each direction is a hello with the
+//! sender's name; messages follow.
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_sockets::Sender;
 use alderway_transport::{FrameError, FrameReader, Hello, Incarnation, Name, Received, encode_hello};
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Why a connection is of no further use.
+/// Why a connection to a control server has to be closed.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionError {
-    #[error("the connection was closed")]
+    #[error("the connection to the control server was closed or failed")]
     Closed,
-    /// The list of control servers names this address otherwise than the machine there calls itself.
-    #[error("`{0}` answers where another control machine is")]
-    UnexpectedMachine(Name),
+    /// The control server's hello has a different name than the configuration has for this address.
+    #[error(
+        "the control server that answers calls itself `{0}`, but the configuration has another name for its address"
+    )]
+    UnexpectedServer(Name),
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// What a control server sent.
+/// A frame from a control server.
 pub(super) enum Incoming {
-    /// Its hello: messages may be sent from now on.
+    /// The control server's hello, which has the expected name. Messages can be sent from now on.
     Greeted,
     Message(ControlMessage),
 }
@@ -28,22 +31,22 @@
     stream: TcpStream,
     sender: Sender,
     reader: FrameReader<ControlMessage>,
-    /// What the list of control servers calls the one at this address.
+    /// The name that the configuration has for the control server.
     expected_name: Name,
     is_greeted: bool,
-    /// Encoded and not written yet.
+    /// Encoded bytes that are not yet written to the socket.
     output: Vec<u8>,
 }
 
 impl Connection {
-    /// Takes over a stream that has just been connected. The own hello is the first thing to be written.
+    /// Starts the protocol on a connected stream, with the router's hello as the first output.
     pub(super) fn new(
         stream: TcpStream,
         expected_name: Name,
         own_name: Name,
         incarnation: Incarnation,
     ) -> Self {
-        // Only a matter of latency: the connection works without it.
+        // A failure is ignored: the option only reduces latency.
         let _ = stream.set_nodelay(true);
         let mut output = vec![];
         encode_hello::<RouterMessage>(&mut output, &Hello::new::<RouterMessage>(own_name, incarnation));
@@ -51,7 +54,8 @@
         Connection { stream, sender, reader, expected_name, is_greeted: false, output }
     }
 
-    /// Whether the next message may be given to [`Self::send`]: one at a time, and none before the control server's hello.
+    /// Whether [`Self::send`] can be called: the control server's hello has arrived, and the previous message is
+    /// written.
     pub(super) fn is_ready_to_send(&self) -> bool {
         self.is_greeted && self.output.is_empty()
     }
@@ -60,12 +64,12 @@
         !self.output.is_empty()
     }
 
-    /// Makes an encoded message the next output.
+    /// Queues an encoded message, which [`Self::write`] writes to the socket.
     pub(super) fn send(&mut self, message: Vec<u8>) {
         self.output = message;
     }
 
-    /// Writes what the socket takes of the output now, and returns how many bytes that were.
+    /// Writes as much of the queued output as the socket accepts; returns the number of bytes written.
     pub(super) fn write(&mut self) -> Result<usize, ConnectionError> {
         let written = self.sender.write(&self.stream, &self.output);
         let count = written.map_err(|_| ConnectionError::Closed)?;
@@ -73,7 +77,7 @@
         Ok(count)
     }
 
-    /// Reads what has arrived, as far as `buffer` holds it, and returns how many bytes that were.
+    /// Reads the available bytes, but not more than `buffer` holds; returns the number of bytes read.
     pub(super) fn read(&mut self, buffer: &mut [u8]) -> Result<usize, ConnectionError> {
         match alderway_sockets::read(&self.stream, buffer) {
             Ok(Some(0)) | Err(_) => Err(ConnectionError::Closed),
@@ -85,25 +89,26 @@
         }
     }
 
-    /// The next frame among the bytes that were read.
+    /// Returns the next frame in the bytes read so far, or `None` if no further frame is complete. Returns an error
+    /// if a hello does not have the expected name.
     pub(super) fn next_incoming(&mut self) -> Result<Option<Incoming>, ConnectionError> {
         match self.reader.next_frame()? {
             Some(Received::Hello(hello)) if hello.name == self.expected_name => {
                 self.is_greeted = true;
                 Ok(Some(Incoming::Greeted))
             }
-            Some(Received::Hello(hello)) => Err(ConnectionError::UnexpectedMachine(hello.name)),
+            Some(Received::Hello(hello)) => Err(ConnectionError::UnexpectedServer(hello.name)),
             Some(Received::Message(message)) => Ok(Some(Incoming::Message(message))),
             None => Ok(None),
         }
     }
 
-    /// Waits until something can be read; false where the connection is known to have failed.
+    /// Waits until the socket is readable; returns false if the socket has failed.
     pub(super) async fn readable(&self) -> bool {
         self.stream.readable().await.is_ok()
     }
 
-    /// Waits until another write may get further.
+    /// Waits until the socket is writable.
     pub(super) async fn writable(&self) {
         self.sender.ready(&self.stream).await;
     }
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -1,4 +1,5 @@
-//! The driver of a subscription: carries out the subscriber's commands and tells it what came of them.
+//! Runs a subscription: executes the commands of the [`Subscriber`], such as connecting to a control server or
+//! applying settings, and passes the results to the subscriber.
 use super::connection::{Connection, ConnectionError, Incoming};
 use alderway_control_plane::messages::ApplyOutcome;
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
@@ -15,72 +16,74 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// While the rate limit allows fewer bytes than this, nothing is read.
+/// The driver does not read from the control server while the rate limit allows fewer bytes than this.
 const MIN_READ_BYTES: usize = 200;
-/// Between two calls of [`SubscriptionHost::observe`].
+/// Interval between two calls of [`SubscribedRouter::observe`], in seconds.
 const OBSERVE_INTERVAL_S: f64 = 0.5;
-/// The driver wakes at least so often, and at most so often without an event.
+/// Longest time that the driver waits for an event before it calls the subscriber again, in seconds.
 const MAX_WAIT_S: f64 = 1.0;
+/// Shortest time that the driver waits for an event before it calls the subscriber again, in seconds.
 const MIN_WAIT_S: f64 = 0.0005;
 
 type BoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Applies settings under their version number, and says what came of it.
-pub type ApplySettings = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
-/// Is shown the subscription twice a second, with the traffic so far and the time in seconds of the host's clock.
-pub type ObserveSubscriber = Box<dyn FnMut(&Subscriber, Traffic, f64)>;
-/// Persists the version that the next start is to begin with, and when it was last known to be the latest, in seconds of the
-/// host's clock, if that is known.
-pub type PersistVersion = Box<dyn Fn(ConfigVersion, Option<f64>)>;
+/// A function that applies the settings of a version, and returns the outcome.
+pub type ApplyCallback = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
+/// A function that is called every `OBSERVE_INTERVAL_S` with the subscriber, the bytes transferred so far, and the
+/// time in seconds of [`SubscribedRouter::clock`].
+pub type ObserveCallback = Box<dyn FnMut(&Subscriber, ControlTraffic, f64)>;
+/// A function that persists a version for the next start, with the time at which the version was last confirmed as
+/// the latest, in seconds of [`SubscribedRouter::clock`]; `None` if that time is unknown.
+pub type PersistCallback = Box<dyn Fn(ConfigVersion, Option<f64>)>;
 
-/// Bytes of all connections so far.
+/// Number of bytes transferred on all connections to control servers since the program started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traffic {
-    /// From control servers.
+pub struct ControlTraffic {
+    /// Bytes received from control servers.
     pub received_bytes: u64,
-    /// To control servers.
+    /// Bytes sent to control servers.
     pub sent_bytes: u64,
 }
 
-/// The router that a subscription belongs to.
-pub struct SubscriptionHost {
-    /// Its name in the hello.
+/// The router that subscribes: its identity, its control servers, and the functions that the driver calls.
+pub struct SubscribedRouter {
+    /// The name that the router sends to control servers.
     pub name: Name,
-    /// Which of its starts this is.
+    /// A number that identifies this process among all runs of the router.
     pub incarnation: Incarnation,
-    /// Name and address of each control server, in the order of the subscriber's list.
-    pub machines: Vec<(Name, SocketAddr)>,
-    /// The clock of all times that the subscriber is given.
+    /// The name and address of each control server, in the same order as in the subscriber.
+    pub control_servers: Vec<(Name, SocketAddr)>,
+    /// The clock whose time is passed to the subscriber and the callbacks.
     pub clock: Clock,
-    /// Brings a version into force.
-    pub apply: ApplySettings,
-    /// Persists a version.
-    pub persist: PersistVersion,
-    /// Watches the subscription.
-    pub observe: ObserveSubscriber,
-    /// Whether the subscriber's events are written to the log.
+    /// Applies the settings of a version.
+    pub apply: ApplyCallback,
+    /// Persists a version for the next start.
+    pub persist: PersistCallback,
+    /// Is called regularly with the subscriber, to publish metrics.
+    pub observe: ObserveCallback,
+    /// Whether the events of the subscriber are logged.
     pub log_events: bool,
 }
 
-/// Runs a subscription. Never returns; the task is aborted where the subscription has to end.
-pub async fn run(subscriber: Subscriber, host: SubscriptionHost) {
-    let read_limit = TokenBucket::empty(ROUTER_READ, host.clock.now());
+/// Runs a subscription for ever; abort the task to end the subscription.
+pub async fn run(subscriber: Subscriber, router: SubscribedRouter) {
+    let read_limit = TokenBucket::empty(ROUTER_READ, router.clock.now());
     let driver = Driver {
         subscriber,
-        host,
+        router,
         connecting: None,
         connection: None,
         applying: None,
         read_limit,
         buffer: vec![0; ROUTER_READ.burst_bytes as usize],
-        traffic: Traffic::default(),
+        traffic: ControlTraffic::default(),
         next_observation: 0.0,
     };
     driver.run().await;
 }
 
 struct Connecting {
-    machine_name: Name,
+    server_name: Name,
     stream: BoxFuture<io::Result<TcpStream>>,
 }
 
@@ -89,11 +92,11 @@
     outcome: BoxFuture<ApplyOutcome>,
 }
 
-/// What the driver waits for.
+/// An event for which the driver waits.
 enum Event {
     Connected(io::Result<TcpStream>),
     Applied(ApplyOutcome),
-    /// False where the connection is known to have failed.
+    /// The connection to the control server is readable; false if the connection has failed.
     Readable(bool),
     Writable,
     DeadlineReached,
@@ -101,20 +104,20 @@
 
 struct Driver {
     subscriber: Subscriber,
-    host: SubscriptionHost,
+    router: SubscribedRouter,
     connecting: Option<Connecting>,
     connection: Option<Connection>,
     applying: Option<Applying>,
     read_limit: TokenBucket,
     buffer: Vec<u8>,
-    traffic: Traffic,
+    traffic: ControlTraffic,
     next_observation: f64,
 }
 
 impl Driver {
     async fn run(mut self) {
         loop {
-            let now = self.host.clock.now();
+            let now = self.router.clock.now();
             self.subscriber.tick(now);
             self.execute_commands();
             self.observe(now);
@@ -131,11 +134,11 @@
                 Command::Connect(index) => self.connect(index),
                 Command::Disconnect => (self.connection, self.connecting) = (None, None),
                 Command::Apply { number, settings } => {
-                    let outcome = (self.host.apply)(settings, number);
+                    let outcome = (self.router.apply)(settings, number);
                     self.applying = Some(Applying { number, outcome });
                 }
-                Command::Persist(version) => (self.host.persist)(version, self.subscriber.confirmed_at()),
-                Command::Log(event) if self.host.log_events => log(&event),
+                Command::Persist(version) => (self.router.persist)(version, self.subscriber.confirmed_at()),
+                Command::Log(event) if self.router.log_events => log(&event),
                 Command::Log(_) => {}
             }
         }
@@ -143,19 +146,19 @@
 
     fn connect(&mut self, index: usize) {
         self.connection = None;
-        let Some((machine_name, address)) = self.host.machines.get(index).cloned() else { return };
+        let Some((server_name, address)) = self.router.control_servers.get(index).cloned() else { return };
         let stream = Box::pin(alderway_sockets::dial(address));
-        self.connecting = Some(Connecting { machine_name, stream });
+        self.connecting = Some(Connecting { server_name, stream });
     }
 
     fn observe(&mut self, now: f64) {
         if now >= self.next_observation {
-            (self.host.observe)(&self.subscriber, self.traffic, now);
+            (self.router.observe)(&self.subscriber, self.traffic, now);
             self.next_observation = now + OBSERVE_INTERVAL_S;
         }
     }
 
-    /// Sends what the subscriber has to say, as far as the socket takes it.
+    /// Sends the subscriber's messages to the control server, as many as the socket accepts.
     fn send_messages(&mut self, now: f64) {
         let Some(connection) = &mut self.connection else { return };
         while connection.is_ready_to_send()
@@ -164,7 +167,7 @@
             connection.send(message);
             match connection.write() {
                 Ok(count) => self.traffic.sent_bytes += count as u64,
-                // The output is left: the next write ends the connection.
+                // The message stays queued; the next write also fails, and that failure closes the connection.
                 Err(_) => return,
             }
         }
@@ -184,7 +187,8 @@
         }
     }
 
-    /// Until the subscriber has to be ticked, or bytes may be read again.
+    /// Returns how long to wait for an event, in seconds: until the subscriber's next deadline, or until the rate
+    /// limit allows reading again.
     fn wait_s(&self, now: f64, may_read: bool) -> f64 {
         let waits_for_limit = !may_read && self.connection.is_some();
         let read_at = if waits_for_limit { self.read_limit.ready_at(MIN_READ_BYTES) } else { f64::INFINITY };
@@ -197,7 +201,7 @@
             Event::Connected(Ok(stream)) => self.open(stream),
             Event::Connected(Err(_)) => {
                 self.connecting = None;
-                self.subscriber.connection_closed(self.host.clock.now());
+                self.subscriber.connection_closed(self.router.clock.now());
             }
             Event::Applied(outcome) => {
                 if let Some(Applying { number, .. }) = self.applying.take() {
@@ -218,19 +222,19 @@
     }
 
     fn open(&mut self, stream: TcpStream) {
-        let Some(Connecting { machine_name, .. }) = self.connecting.take() else { return };
-        let (own_name, incarnation) = (self.host.name.clone(), self.host.incarnation);
-        self.connection = Some(Connection::new(stream, machine_name, own_name, incarnation));
+        let Some(Connecting { server_name, .. }) = self.connecting.take() else { return };
+        let (own_name, incarnation) = (self.router.name.clone(), self.router.incarnation);
+        self.connection = Some(Connection::new(stream, server_name, own_name, incarnation));
     }
 
-    /// Reads up to `max_bytes`, and hands the subscriber all whole messages.
+    /// Reads at most `max_bytes` from the control server, and passes all complete messages to the subscriber.
     fn receive(&mut self, max_bytes: usize) -> Result<(), ConnectionError> {
         let Some(connection) = &mut self.connection else { return Ok(()) };
         let count = connection.read(&mut self.buffer[..max_bytes])?;
-        self.read_limit.try_take(count, self.host.clock.now());
+        self.read_limit.try_take(count, self.router.clock.now());
         self.traffic.received_bytes += count as u64;
         while let Some(incoming) = connection.next_incoming()? {
-            let now = self.host.clock.now();
+            let now = self.router.clock.now();
             match incoming {
                 Incoming::Greeted => self.subscriber.connection_opened(now),
                 Incoming::Message(message) => self.subscriber.receive(message, now),
@@ -247,12 +251,12 @@
 
     fn close_on_error(&mut self, result: Result<(), ConnectionError>) {
         let Err(error) = result else { return };
-        // The subscriber's own event tells of a connection that ended.
+        // The subscriber logs closed connections.
         if !matches!(error, ConnectionError::Closed) {
-            tracing::warn!(target: "control", "{error}");
+            tracing::warn!(target: "control", "the connection to a control server is closed: {error}");
         }
         if self.connection.take().is_some() {
-            self.subscriber.connection_closed(self.host.clock.now());
+            self.subscriber.connection_closed(self.router.clock.now());
         }
     }
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,72 +1,77 @@
-//! The router's subscription to control servers, on sockets and disk.
+//! The router's subscription to control servers, from which the router receives settings. Each state of the settings
+//! has a version number.
 //!
-//! [`alderway_control_plane::subscriber`] decides which control server the router is connected to, what it takes of the
-//! messages that come and when it sends what. Here are:
+//! [`alderway_control_plane::subscriber`] decides to which control server the router connects, how it handles
+//! received messages, and which messages it sends when. This module reads and writes the sockets and the file:
 //!
-//! - `driver`: carries out the subscriber's commands and tells it what came of them;
-//! - `connection`: frames on one connection;
-//! - [`persisted_version`]: the file with the version that the next start begins with;
-//! - `metrics`: the counters.
-//!
-//! How a version is applied is the host's: see [`settings`].
+//! - `driver`: executes the subscriber's commands and passes the results to the subscriber;
+//! - `connection`: reads and writes frames on one connection;
+//! - [`persisted_version`]: reads and writes the file with the version that the next start uses;
+//! - `metrics`: returns the counters and gauges;
+//! - [`settings`]: applies the settings of a version to the router.
 mod connection;
 mod driver;
 mod metrics;
 pub mod persisted_version;
 pub mod settings;
 
-pub use driver::{ApplySettings, ObserveSubscriber, PersistVersion, SubscriptionHost, Traffic, run};
+pub use driver::{ApplyCallback, ControlTraffic, ObserveCallback, PersistCallback, SubscribedRouter, run};
 
 use crate::state::shared::SharedState;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, Subscriber, SubscriptionConfig};
 use alderway_telemetry::clock::Clock;
-use persisted_version::{PersistedVersion, UnusableVersion, VersionWriter};
+use persisted_version::{PersistedVersion, UnusablePersistedVersion, VersionWriter};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 use tokio::task::spawn_local;
 
-/// Descriptors that a subscription takes: its connection, and a file with its directory while a version is written.
-pub const DESCRIPTORS: usize = 3;
+/// Number of file descriptors that a subscription uses: one for the connection, and two for the file and its
+/// directory while a version is written.
+pub const SUBSCRIPTION_DESCRIPTORS: usize = 3;
 
-/// A router's subscription: what the operator's file says of it, and what was persisted.
+/// The configuration of a router's subscription, and the persisted version with which the router starts.
 pub struct Subscription {
-    /// The control servers, and where each listens for routers.
-    pub machines: Vec<(ControlEndpoint, SocketAddr)>,
-    /// The router's own zone.
+    /// The control servers, each with the address at which it listens for routers.
+    pub control_servers: Vec<(ControlEndpoint, SocketAddr)>,
+    /// The zone of this router.
     pub zone: String,
-    /// Intervals and timeouts.
+    /// Intervals and timeouts of the subscription.
     pub config: SubscriptionConfig,
-    /// The file in which versions are persisted, if they are.
+    /// The file in which the latest version is persisted; `None` if versions are not persisted.
     pub persist_path: Option<PathBuf>,
-    /// The persisted version that this router starts with.
+    /// The persisted version with which this router starts; `None` if it starts with the configuration file's
+    /// settings.
     pub persisted: Option<PersistedVersion>,
-    /// Why it doesn't start with a persisted version, though there is one.
-    pub startup_error: Option<UnusableVersion>,
+    /// Why a persisted version exists but cannot be used; `None` otherwise.
+    pub startup_error: Option<UnusablePersistedVersion>,
 }
 
-/// Starts the subscription of a router on the current thread, for as long as the program runs.
+/// Starts the task of a router's subscription on the current thread; the task runs for as long as the program.
 pub fn start(
     subscription: Subscription,
     name: &str,
     incarnation: u64,
-    apply: ApplySettings,
+    apply: ApplyCallback,
     shared: Arc<SharedState>,
     clock: Clock,
 ) {
-    let Subscription { machines, zone, config, persist_path, persisted, startup_error } = subscription;
+    let Subscription { control_servers, zone, config, persist_path, persisted, startup_error } = subscription;
     if let Some(error) = startup_error {
         tracing::warn!(target: "control", "{error}");
     }
     let active = persisted.map(|persisted| resume(persisted, &shared, clock));
-    let list = machines.iter().map(|(machine, _)| machine.clone()).collect();
+    let list = control_servers.iter().map(|(server, _)| server.clone()).collect();
     let subscriber = Subscriber::new(config, list, &zone, active, incarnation, clock.now());
     let writer = persist_path.map(|path| VersionWriter::spawn(path, clock));
-    let host = SubscriptionHost {
+    let router = SubscribedRouter {
         name: name.into(),
         incarnation,
-        machines: machines.into_iter().map(|(machine, address)| (machine.name, address)).collect(),
+        control_servers: control_servers
+            .into_iter()
+            .map(|(server, address)| (server.name, address))
+            .collect(),
         clock,
         apply,
         persist: Box::new(move |version, confirmed_at| {
@@ -79,15 +84,16 @@
         }),
         log_events: true,
     };
-    spawn_local(run(subscriber, host));
+    spawn_local(run(subscriber, router));
 }
 
-/// Makes the persisted version, with which the router has started, the one in force.
+/// Publishes the number of the persisted version with which the router has started. Returns the version, and when it
+/// was last confirmed as the latest, in seconds of the monotonic clock.
 fn resume(persisted: PersistedVersion, shared: &SharedState, clock: Clock) -> (ConfigVersion, Option<f64>) {
     let PersistedVersion { version, confirmed_at_unix_ms } = persisted;
-    tracing::info!(target: "control", "version {} in force, as persisted", version.number);
+    tracing::info!(target: "control", "started with the settings of persisted version {}", version.number);
     shared.config_version.store(version.number, Relaxed);
     let confirmed_at = confirmed_at_unix_ms.and_then(|unix_ms| clock.from_unix_ms(unix_ms));
-    // A wall clock that was ahead when the version was persisted must not make it newer than now.
+    // The time must not be in the future, even if the wall clock was ahead when the version was persisted.
     (version, confirmed_at.map(|confirmed_at| confirmed_at.min(clock.now())))
 }
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,8 +1,10 @@
-//! The file that holds the version which a router starts with while no control server can be reached.
+//! Reads and writes the file with the latest version of the settings from control servers, with which the router
+//! starts the next time. This allows a start while no control server is reachable.
 //!
-//! One line `alderway-version 1 NUMBER DIGEST CONFIRMED`, then the settings as text: the version's number, the digest of the
-//! text in hexadecimal, and when it was last known to be the latest, in milliseconds of Unix time, or `-`. The digest tells
-//! a damaged file. A version is in force before it is on disk: what a crash can lose is only that the next start knows it.
+//! The first line of the file is `alderway-version 1 NUMBER DIGEST CONFIRMED`: the version's number, the digest of
+//! the settings text in hexadecimal, and the time at which the version was last confirmed as the latest, in
+//! milliseconds of Unix time, or `-` if unknown. The settings text follows. The digest detects a damaged file. A
+//! version is applied before it is written; after a crash in between, the next start uses the previous version.
 use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_control_plane::version::VersionNumber;
@@ -16,43 +18,44 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::timeout;
 
-/// Opens the file and tells its format.
+/// The start of the file, which identifies the format.
 const FORMAT: &str = "alderway-version 1";
-/// The longest first line, with room to spare.
+/// Upper bound of the length of the file's first line, in bytes.
 const MAX_HEADER_BYTES: u64 = 200;
 const MAX_FILE_BYTES: u64 = MAX_SETTINGS_BYTES as u64 + MAX_HEADER_BYTES;
-/// Stands for an unknown time in the first line.
+/// Stands for an unknown time in the file's first line.
 const UNKNOWN_TIME: &str = "-";
-/// Before a version that the disk refused is written again.
+/// Pause before writing is retried, after a version could not be written.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A version as the file holds it.
+/// The content of the file: a version of the settings and the time of its last confirmation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistedVersion {
-    /// The version with its settings.
+    /// The version's number, digest and settings text.
     pub version: ConfigVersion,
-    /// When it was last known to be the latest, in milliseconds of Unix time by the wall clock of then.
+    /// When a control server last confirmed the version as the latest, in milliseconds of Unix time; `None` if
+    /// unknown.
     pub confirmed_at_unix_ms: Option<u64>,
 }
 
-/// Why the file can't be read or written.
+/// Why the file with the persisted version cannot be read or written.
 #[derive(Debug, Error)]
 pub enum PersistedVersionError {
-    /// The system reported an error.
+    /// The operating system reported an error.
     #[error("{path}: {source}", path = path.display())]
     Io {
         /// The file.
         path: PathBuf,
-        /// As reported.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Longer than the longest version could make it.
-    #[error("{path}: longer than any version", path = path.display())]
+    /// The file is longer than any valid file, which has at most `MAX_FILE_BYTES`.
+    #[error("{path}: the file is longer than any version can be", path = path.display())]
     TooLong {
         /// The file.
         path: PathBuf,
     },
-    /// Damaged, or written by something else.
+    /// The file is damaged, or has a different format.
     #[error("{path}: torn or not of this program", path = path.display())]
     Corrupt {
         /// The file.
@@ -60,27 +63,27 @@
     },
 }
 
-/// Why a router doesn't start with its persisted version: a line for the log.
+/// Why a router does not use its persisted version at the start. The message is one line.
 #[derive(Debug, Error)]
-pub enum UnusableVersion {
-    /// There is none that can be read.
+pub enum UnusablePersistedVersion {
+    /// The file with the version cannot be read.
     #[error("persisted version {0}; ignored")]
     File(#[from] PersistedVersionError),
-    /// Its settings are refused by this program.
+    /// This program rejects the settings of the persisted version.
     #[error("persisted version {number}: {reason}; ignored")]
     InvalidSettings {
-        /// The version.
+        /// The number of the version.
         number: VersionNumber,
-        /// One line that names the key.
+        /// One line that names the invalid key.
         reason: String,
     },
 }
 
 impl PersistedVersion {
-    /// Reads the file; none where there is no such file.
+    /// Reads the persisted version from `path`; returns `None` if the file does not exist.
     ///
     /// # Errors
-    /// The file can't be read, or holds something else than a version.
+    /// The file cannot be read, is damaged, or has a different format.
     pub fn load(path: &Path) -> Result<Option<PersistedVersion>, PersistedVersionError> {
         let io_error = |source| PersistedVersionError::Io { path: path.into(), source };
         match fs::metadata(path) {
@@ -98,23 +101,24 @@
         }
     }
 
-    /// Replaces the file. After a crash at any moment either the former file is there whole or this one: it is written
-    /// beside the former, synced, renamed over it, and the directory is synced.
+    /// Replaces the file at `path` atomically: writes and syncs a temporary file in the same directory, renames it to
+    /// `path`, and syncs the directory. After a crash at any time, `path` has either its previous content or the new
+    /// one.
     ///
     /// # Errors
-    /// The system reported an error; the former file is still there, or this one.
+    /// The operating system reported an error; the file has either its previous content or the new one.
     pub fn store(&self, path: &Path) -> Result<(), PersistedVersionError> {
         let stored = self.replace(path);
         stored.map_err(|source| PersistedVersionError::Io { path: path.into(), source })
     }
 
     fn replace(&self, path: &Path) -> io::Result<()> {
-        let beside = path.with_extension("new");
-        let mut file = File::create(&beside)?;
+        let temporary = path.with_extension("new");
+        let mut file = File::create(&temporary)?;
         file.write_all(self.encode().as_bytes())?;
         file.sync_all()?;
         drop(file);
-        fs::rename(&beside, path)?;
+        fs::rename(&temporary, path)?;
         let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
         File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
     }
@@ -135,32 +139,34 @@
             ms => Some(ms.parse().ok()?),
         };
         let version = ConfigVersion::new(number, text);
-        let is_sound = version.digest == digest && fields.next().is_none();
-        is_sound.then_some(PersistedVersion { version, confirmed_at_unix_ms })
+        let is_intact = version.digest == digest && fields.next().is_none();
+        is_intact.then_some(PersistedVersion { version, confirmed_at_unix_ms })
     }
 }
 
-/// What the file is to hold next.
+/// The version that has to be written next.
 #[derive(Clone)]
 struct Pending {
     version: ConfigVersion,
-    /// In seconds of the clock.
+    /// When a control server last confirmed the version as the latest, in seconds of the monotonic clock; `None` if
+    /// unknown.
     confirmed_at: Option<f64>,
 }
 
-/// Writes versions to the file, off the thread that serves.
+/// Writes versions to the file with the persisted version, on a separate thread, so that the current thread does not
+/// wait for the disk.
 pub struct VersionWriter(watch::Sender<Option<Pending>>);
 
 impl VersionWriter {
-    /// Starts the task that writes; it ends when the writer is dropped.
+    /// Starts the task that writes versions to `path`. The task ends when the returned writer is dropped.
     pub fn spawn(path: PathBuf, clock: Clock) -> VersionWriter {
         let (sender, pending) = watch::channel(None);
         spawn_local(write_all(pending, path, clock));
         VersionWriter(sender)
     }
 
-    /// Has a version written, in place of an earlier one that has not been yet. `confirmed_at` is when it was last known to
-    /// be the latest, in seconds of the clock.
+    /// Queues a version to be written; an earlier version that is not yet written is dropped. `confirmed_at` is when
+    /// a control server last confirmed the version as the latest, in seconds of the monotonic clock.
     pub fn persist(&self, version: ConfigVersion, confirmed_at: Option<f64>) {
         self.0.send_replace(Some(Pending { version, confirmed_at }));
     }
@@ -168,10 +174,10 @@
 
 async fn write_all(mut pending: watch::Receiver<Option<Pending>>, path: PathBuf, clock: Clock) {
     while pending.changed().await.is_ok() {
-        // A disk may fail for a while: the latest version is tried again until it is written.
+        // Disk errors may be temporary, so writing is retried until it succeeds, always with the latest version.
         while let Err((number, error)) = write_latest(&mut pending, &path, clock).await {
             let delay_s = RETRY_DELAY.as_secs();
-            tracing::error!(target: "control", "version {number} is not persisted: {error}; tried again in {delay_s} s");
+            tracing::error!(target: "control", "settings version {number} could not be written to the disk: {error}; retrying in {delay_s} s");
             let is_writer_gone = matches!(timeout(RETRY_DELAY, pending.changed()).await, Ok(Err(_)));
             if is_writer_gone {
                 return;
@@ -180,7 +186,7 @@
     }
 }
 
-/// Writes the latest version, or says of which version that failed and why.
+/// Writes the latest queued version to `path`; the error includes the number of the version that could not be written.
 async fn write_latest(
     pending: &mut watch::Receiver<Option<Pending>>,
     path: &Path,
--- a/crates/router/src/control/settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -1,6 +1,7 @@
-//! Settings from control servers: those of the persisted version at the start, and later versions while the router serves.
-use super::persisted_version::{PersistedVersion, UnusableVersion};
-use super::{ApplySettings, Subscription};
+//! Applies versions of the settings from control servers: the persisted version at the start of the router, and later
+//! versions while the router serves.
+use super::persisted_version::{PersistedVersion, UnusablePersistedVersion};
+use super::{ApplyCallback, Subscription};
 use crate::lifecycle::live_config::{ConfigError, LiveConfig};
 use crate::lifecycle::startup::{Overrides, StartupConfig, StartupError};
 use alderway_control_plane::messages::ApplyOutcome;
@@ -8,12 +9,12 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// What a subscribed router starts with: the configuration file, with the persisted version in the place of its settings
-/// where there is one that this program accepts. `router_count` is how many programs share the quotas, where that is not
-/// what the settings say.
+/// Returns the configuration with which a subscribed router starts. The settings of the persisted version replace
+/// those of the configuration file, if there is a persisted version and this program accepts it. `router_count`
+/// replaces the settings' number of programs between which the quotas are divided, unless it is `None`.
 ///
 /// # Errors
-/// The configuration file cannot be used.
+/// The configuration file cannot be read or is invalid.
 pub fn startup_config(
     mut subscription: Subscription,
     config: &Path,
@@ -32,13 +33,14 @@
     Ok((config, subscription))
 }
 
-/// The persisted version and a start with it; none where nothing is persisted.
+/// Returns the persisted version and the configuration of a router that starts with it, or `None` if no version is
+/// persisted.
 fn read_persisted(
     subscription: &Subscription,
     config: &Path,
     clock: Clock,
     router_count: Option<u64>,
-) -> Result<Option<(PersistedVersion, StartupConfig)>, UnusableVersion> {
+) -> Result<Option<(PersistedVersion, StartupConfig)>, UnusablePersistedVersion> {
     let Some(path) = &subscription.persist_path else { return Ok(None) };
     let Some(persisted) = PersistedVersion::load(path)? else { return Ok(None) };
     let settings = serde_json::from_str::<Value>(&persisted.version.text).map_err(|error| error.to_string());
@@ -47,12 +49,14 @@
         StartupConfig::read(config, overrides, clock).map_err(|error| error.to_string())
     });
     let number = persisted.version.number;
-    let config = config.map_err(|reason| UnusableVersion::InvalidSettings { number, reason })?;
+    let config = config.map_err(|reason| UnusablePersistedVersion::InvalidSettings { number, reason })?;
     Ok(Some((persisted, config)))
 }
 
-/// Applies versions to a running router: one that can change while it serves is active once all cores have it.
-pub fn apply_to_running(live_config: LiveConfig) -> ApplySettings {
+/// Returns a function that applies a version to a running router and returns the outcome once all serving cores have
+/// applied the settings. If a changed key needs a restart, nothing is applied and the outcome is
+/// [`ApplyOutcome::PendingRestart`]; invalid settings are rejected.
+pub fn apply_to_running(live_config: LiveConfig) -> ApplyCallback {
     Box::new(move |settings, number| {
         let live_config = live_config.clone();
         Box::pin(async move {
--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -1,4 +1,5 @@
-//! The listener for clients: accepts connections for as long as there are descriptors, and hands them to whoever serves them.
+//! Accepts client connections while file descriptors are available, and passes each connection to a
+//! [`ConnectionAcceptor`].
 use super::client_session;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
@@ -11,24 +12,25 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Between two attempts where the system gives no descriptor, or all connections are busy.
+/// Pause before the next attempt to accept a connection, after an error or while no file descriptor is available.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Where accepted connections go.
+/// Serves accepted client connections, or distributes them to the cores that serve them.
 pub trait ConnectionAcceptor {
-    /// Closes an idle connection, so that a descriptor comes free.
-    fn make_room(&self);
+    /// Closes an idle client connection, if there is one, to release its file descriptor.
+    fn close_idle_connection(&self);
 
-    /// Takes an accepted connection over, with the permit for its descriptor.
+    /// Serves an accepted client connection, or passes the connection to a core. `permit` reserves the connection's
+    /// file descriptor.
     fn accept(&self, stream: TcpStream, permit: DescriptorPermit) -> impl Future<Output = ()>;
 }
 
-/// On one core, connections are served where they are accepted.
+/// Serves each accepted connection on the current thread.
 impl ConnectionAcceptor for DispatcherHandle {
-    fn make_room(&self) {
+    fn close_idle_connection(&self) {
         let dispatcher = self.borrow();
-        let half_sent_timeout_s = dispatcher.connection_config.dial_timeout_s;
-        dispatcher.clients.close_longest_idle(dispatcher.clock.now(), half_sent_timeout_s);
+        let partial_request_timeout_s = dispatcher.connection_config.dial_timeout_s;
+        dispatcher.clients.close_longest_idle(dispatcher.clock.now(), partial_request_timeout_s);
     }
 
     async fn accept(&self, stream: TcpStream, permit: DescriptorPermit) {
@@ -36,9 +38,9 @@
     }
 }
 
-/// Accepts connections until `close` is notified; what the system has accepted by then, whether or not the runtime has been
-/// told of it, is accepted before this returns. Where descriptors run out, idle connections make room.
-pub async fn listen(
+/// Accepts client connections until `close` is notified, then accepts the connections that are already in the
+/// listener's queue in the kernel and returns. Closes idle connections while no file descriptor is available.
+pub async fn accept_connections(
     acceptor: impl ConnectionAcceptor,
     listener: TcpListener,
     descriptors: Arc<DescriptorPool>,
@@ -54,7 +56,7 @@
         match accepted {
             Ok((stream, _)) => acceptor.accept(stream, permit).await,
             Err(error) => {
-                tracing::warn!(target: "accept", "no connection accepted: {error}");
+                tracing::warn!(target: "accept", "cannot accept a client connection: {error}");
                 sleep(RETRY_PAUSE).await;
             }
         }
@@ -64,7 +66,7 @@
     }
 }
 
-/// Accepts what waits in the system's queue of a listener that closes.
+/// Accepts the client connections that are in the kernel's queue of a closing listener.
 async fn accept_waiting(
     acceptor: &impl ConnectionAcceptor,
     listener: &std::net::TcpListener,
@@ -76,13 +78,13 @@
             Ok(Some(stream)) => acceptor.accept(stream, permit).await,
             Ok(None) => return,
             Err(error) => {
-                return tracing::warn!(target: "accept", "the listener failed as it closed: {error}");
+                return tracing::warn!(target: "accept", "cannot accept the client connections in the queue of the closing listener: {error}");
             }
         }
     }
 }
 
-/// Waits for a descriptor, for which idle connections make room.
+/// Waits for a free file descriptor, and closes idle client connections until there is one.
 async fn acquire_descriptor(
     acceptor: &impl ConnectionAcceptor,
     descriptors: &Arc<DescriptorPool>,
@@ -91,18 +93,21 @@
         if let Some(permit) = descriptors.acquire() {
             return permit;
         }
-        acceptor.make_room();
+        acceptor.close_idle_connection();
         let _ = timeout(RETRY_PAUSE, descriptors.released.notified()).await;
     }
 }
 
-/// Serves a connection that the acceptor's core has accepted, or another core hands over between two of its requests.
-pub fn take_over(dispatcher: &DispatcherHandle, connection: TransferredConnection) {
+/// Serves a client connection on this core that the supervising thread accepted, or that another core served until
+/// now.
+pub fn serve_transferred(dispatcher: &DispatcherHandle, connection: TransferredConnection) {
     let TransferredConnection { stream, permit, has_sent_request } = connection;
     match TcpStream::from_std(stream) {
         Ok(stream) => {
             drop(spawn_local(client_session::serve(dispatcher.clone(), stream, permit, has_sent_request)));
         }
-        Err(error) => tracing::warn!(target: "accept", "a connection could not be taken over: {error}"),
+        Err(error) => {
+            tracing::warn!(target: "accept", "cannot serve a client connection that another thread handed over to this core: {error}")
+        }
     }
 }
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -1,6 +1,6 @@
-//! The driver of a client's connection: reads requests one at a time, writes answers, and closes connections that say nothing,
-//! send half a request or do not read their answer.
-use super::{arrival, until};
+//! Serves one client connection: reads requests one at a time and writes the responses. Closes the connection if the
+//! client sends no request, leaves a request incomplete or does not read the response.
+use super::{arrival, sleep_until};
 use crate::requests;
 use crate::state::DispatcherHandle;
 use crate::state::clients::{ClientConnection, CloseRequest};
@@ -22,52 +22,55 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// The users' protocol, later edition: a connection with no open request on it may be closed after 2 s.
+/// Time after which an idle client connection is closed, in seconds: the client protocol allows closing a connection
+/// that has had no open request for 2 s.
 const IDLE_TIMEOUT_S: f64 = 2.0;
-/// The users' protocol, later edition: whoever sends no request is owed an error or a close within 3 s of connecting.
+/// Time from connecting within which a client must send its first complete request, in seconds: otherwise, the client
+/// protocol requires an error response or a close.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
-/// How long a connection that this side ends waits for the client to end it too, so that what the client still sends does
-/// not reset the answer on its way.
+/// How long the router waits for the client to close a connection after the last response. If the router closed
+/// first, bytes from the client would make the kernel reset the connection before the client has read the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// What is read at once where nothing is kept.
+/// Size of the buffer for bytes that are read and discarded.
 const DISCARD_BYTES: usize = 4096;
 
-/// Why a session on this core ended.
+/// Why this core stopped serving a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// The client closed the connection, or it broke.
-    ClientLeft,
-    /// The client never sent a request.
-    NeverAsked,
-    /// The client takes no byte of its answer.
-    ReadsNothing,
-    /// This side closes after an answer; what the client still sends must not reset that on its way.
+    /// The client closed the connection, or the connection failed.
+    ClientDisconnected,
+    /// The client sent no request before the timeout.
+    NoRequest,
+    /// The client did not read its response before the timeout.
+    AnswerNotRead,
+    /// The router has sent its last response, and closes the connection once the client has read the response.
     AfterAnswer,
-    /// Another core goes on with the connection.
+    /// The connection moves to the core with this number.
     MovesTo(usize),
 }
 
 impl CloseReason {
-    /// How counters name it.
+    /// The label of this reason in the counter `client_closes`.
     fn label(self) -> &'static str {
         match self {
-            CloseReason::ClientLeft => "left",
-            CloseReason::NeverAsked => "never_asked",
-            CloseReason::ReadsNothing => "reads_nothing",
+            CloseReason::ClientDisconnected => "left",
+            CloseReason::NoRequest => "never_asked",
+            CloseReason::AnswerNotRead => "reads_nothing",
             CloseReason::AfterAnswer => "in_order",
             CloseReason::MovesTo(_) => "moved",
         }
     }
 }
 
-/// Serves one connection from its first byte on this core to its last, or until another core takes it over.
+/// Serves a client connection on this core until the connection closes or moves to another core. `has_sent_request`
+/// says whether another core has already received a request on the connection.
 pub async fn serve(
     dispatcher: DispatcherHandle,
     mut stream: TcpStream,
     mut permit: DescriptorPermit,
     has_sent_request: bool,
 ) {
-    // Without it answers are late, not lost.
+    // A failure is ignored: without this option, small responses are only delayed.
     let _ = stream.set_nodelay(true);
     if !has_sent_request {
         dispatcher.borrow_mut().counters.increment("clients{accepted}");
@@ -78,7 +81,8 @@
             CloseReason::MovesTo(core) => core,
             reason => break reason,
         };
-        // Nothing of it is open or read here: what the client sends next waits in the system for the new core.
+        // This core has no open request and no buffered bytes of the connection, so the other core can read from
+        // where this core stopped.
         dispatcher.borrow_mut().clients.remove(id);
         let Some(returned) = transfer(&dispatcher, stream, permit, core) else { return };
         (stream, permit) = returned;
@@ -90,7 +94,8 @@
     if reason == CloseReason::AfterAnswer {
         linger(&mut stream).await;
     }
-    // In this order: another connection must not take the descriptor's place before it is free.
+    // The stream is dropped before its permit: another connection may use the permit only once this file descriptor
+    // is closed.
     drop(stream);
     drop(permit);
     let mut dispatcher = dispatcher.borrow_mut();
@@ -107,7 +112,8 @@
     (id, client)
 }
 
-/// Hands a connection to another core; returned where that takes no more.
+/// Hands a client connection over to the core with this number. Returns the connection if that core's command queue
+/// is full or closed.
 fn transfer(
     dispatcher: &DispatcherHandle,
     stream: TcpStream,
@@ -131,24 +137,25 @@
 fn end_open_query(dispatcher: &DispatcherHandle, client: &ClientConnection, reason: CloseReason) {
     let Some(query) = client.open_query.get() else { return };
     let mut dispatcher = dispatcher.borrow_mut();
-    if reason != CloseReason::ClientLeft {
+    if reason != CloseReason::ClientDisconnected {
         dispatcher.report_unanswered_close(query);
     }
     dispatcher.client_disconnected(query);
 }
 
-/// Ends this side and reads until the client ends its own. At most as much as the longest request, so that nobody's
-/// endless body takes the core.
+/// Closes the router's side of the connection, then discards the client's bytes until the client closes its side.
+/// Discards at most `MESSAGE` bytes, the size of the longest request, so that a client that never stops sending
+/// cannot occupy the core.
 async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
-    let (mut discarded, mut left_bytes) = ([0; DISCARD_BYTES], MAX_MESSAGE_BYTES);
+    let (mut discarded, mut remaining_bytes) = ([0; DISCARD_BYTES], MAX_MESSAGE_BYTES);
     let discard = async {
-        while left_bytes > 0 && stream.readable().await.is_ok() {
+        while remaining_bytes > 0 && stream.readable().await.is_ok() {
             match alderway_sockets::read(stream, &mut discarded) {
                 Ok(Some(0)) | Err(_) => break,
-                Ok(Some(count)) => left_bytes = left_bytes.saturating_sub(count),
+                Ok(Some(count)) => remaining_bytes = remaining_bytes.saturating_sub(count),
                 Ok(None) => {}
             }
         }
@@ -156,29 +163,31 @@
     let _ = timeout(LINGER_TIMEOUT, discard).await;
 }
 
-/// Since when a session has been in states that may last for a limited time only, in seconds of the clock.
+/// When a session entered each state that has a time limit, in seconds of the monotonic clock; `None` if the session
+/// is not in that state.
 #[derive(Default)]
 struct StateTimes {
-    /// Nothing is open or to be written.
+    /// No query is open, and no response has to be written.
     idle_since: Option<f64>,
-    /// Part of a request has come.
-    half_sent_since: Option<f64>,
-    /// The client has taken no byte of an answer.
+    /// Part of a request has arrived.
+    partial_request_since: Option<f64>,
+    /// A response is being written, and the client has read no byte of it.
     write_stalled_since: Option<f64>,
 }
 
-/// What a session waits for.
+/// The state of a session before it waits for the next event.
 struct Waiting {
     has_open_query: bool,
     is_writing: bool,
-    is_half_sent: bool,
-    /// Nothing is open or to be written.
+    has_partial_request: bool,
+    /// No query is open, and no response has to be written.
     is_idle: bool,
-    /// When the client has to have got further; infinite while a query is open.
+    /// When the session times out, in seconds of the monotonic clock; infinite while a query is open.
     deadline: f64,
 }
 
-/// A connection between two closes or moves: its unread bytes, and how far the present request and answer are.
+/// A client connection that this core serves, with the buffered bytes and the progress of the current request and
+/// response.
 struct ClientSession<'a> {
     dispatcher: &'a DispatcherHandle,
     client: &'a Rc<ClientConnection>,
@@ -187,19 +196,20 @@
     buffer: ReadBuffer,
     messages: MessageReader,
     sender: Sender,
-    /// Bytes of the present answer that are out.
+    /// Number of bytes of the current response that were written to the socket.
     written_bytes: usize,
-    /// No further request can be made out, or is waited for.
+    /// The rest of the input is not parsed: an earlier request was malformed, or too many bytes arrived at once.
     is_unreadable: bool,
-    /// More came behind an open query than is kept: what followed is gone, so nothing after it can be made out.
+    /// While a query was open, the client sent more bytes than the buffer holds. The surplus was discarded, so no
+    /// later request can be parsed.
     has_overrun: bool,
-    /// The client has been told to send the body of the present request.
+    /// `100 Continue` was sent to the client for the current request.
     has_sent_continue: bool,
-    /// By when the first request has to be complete.
+    /// Deadline for receiving the first complete request, in seconds of the monotonic clock.
     first_request_by: f64,
-    /// When the last byte came.
+    /// When the last byte from the client arrived, in seconds of the monotonic clock.
     read_at: f64,
-    /// When nothing of the connection was unread.
+    /// When the socket last had no unread bytes, in seconds of the monotonic clock.
     drained_at: f64,
     times: StateTimes,
 }
@@ -212,7 +222,8 @@
     ) -> Self {
         let clock = dispatcher.borrow().clock;
         let accepted_at = clock.now();
-        // The error for half a request has to reach the client in time, however long its network takes.
+        // The error response for an incomplete request has to reach the client within `FIRST_REQUEST_TIMEOUT_S`. The
+        // timeout for connecting to a data node serves as the upper bound of the network delay to the client.
         let network_s = dispatcher.borrow().connection_config.dial_timeout_s;
         let error_by = accepted_at + FIRST_REQUEST_TIMEOUT_S - network_s;
         ClientSession {
@@ -229,17 +240,18 @@
             has_sent_continue: false,
             first_request_by: error_by.max(accepted_at + IDLE_TIMEOUT_S),
             read_at: accepted_at,
-            // It may have waited for this side, but not for longer than a client is owed anything.
+            // Bytes may have arrived before the connection was accepted, but no longer ago than a client waits for
+            // its first response.
             drained_at: accepted_at - FIRST_REQUEST_TIMEOUT_S,
             times: StateTimes::default(),
         }
     }
 
-    /// Reads requests and writes answers until the session ends.
+    /// Reads requests and writes responses until the session ends; returns why the session ended.
     async fn run(mut self) -> CloseReason {
         let (client, stream, clock) = (self.client, self.stream, self.clock);
         loop {
-            self.take_requests();
+            self.handle_requests();
             match self.write_answer() {
                 ControlFlow::Break(reason) => return reason,
                 ControlFlow::Continue(Progress::Complete) => continue,
@@ -251,32 +263,32 @@
             let now = clock.now();
             let waiting = self.waiting(now);
             let has_room = !self.buffer.unfilled().is_empty();
-            let is_overdue = waiting.deadline <= now && !waiting.is_half_sent;
+            let is_overdue = waiting.deadline <= now && !waiting.has_partial_request;
             let should_close = waiting.is_idle && (client.should_close() || is_overdue);
             tokio::select! {
                 biased;
                 _ = stream.readable(), if has_room || waiting.has_open_query => {
                     if !self.read() {
-                        return CloseReason::ClientLeft;
+                        return CloseReason::ClientDisconnected;
                     }
                 }
                 () = self.sender.ready(stream), if waiting.is_writing => {}
                 () = client.wake.notified() => {}
                 () = ready(()), if should_close => {
-                    // Guards against closing on a request that has come and is not read yet: it counts as taken.
-                    if !has_room || !arrival::waits(stream) {
-                        if !self.must_reject_half_sent() {
+                    // A connection with unread bytes is not closed: they may be a request, which has to be answered.
+                    if !has_room || !arrival::has_unread_bytes(stream) {
+                        if !self.must_reject_partial_request() {
                             return self.closed_while_idle();
                         }
                         self.reject_unreadable("requests{half_sent}", (503, "not served any more"));
                     }
                     yield_now().await;
                 }
-                () = until(clock, waiting.deadline), if waiting.deadline.is_finite() && !should_close => {
+                () = sleep_until(clock, waiting.deadline), if waiting.deadline.is_finite() && !should_close => {
                     if waiting.is_writing {
-                        return CloseReason::ReadsNothing;
+                        return CloseReason::AnswerNotRead;
                     }
-                    if waiting.is_half_sent {
+                    if waiting.has_partial_request {
                         let refusal = (408, "the request did not come in time");
                         self.reject_unreadable("requests{half_sent}", refusal);
                     }
@@ -285,21 +297,22 @@
         }
     }
 
-    /// Whether the client of half a request is owed an answer, as the program or its core ends before the rest can come.
-    /// Guards against a rest that comes in the last moment, with nobody to read it.
-    fn must_reject_half_sent(&self) -> bool {
+    /// Whether an incomplete request has to be rejected because the program or this core shuts down. Guards against a
+    /// client that completes its request just before the shutdown and gets no response.
+    fn must_reject_partial_request(&self) -> bool {
         self.client.has_partial_request.get() && self.client.close_request.get() == CloseRequest::AtShutdown
     }
 
     fn closed_while_idle(&self) -> CloseReason {
-        if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NeverAsked }
+        if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NoRequest }
     }
 
-    /// Takes the requests that have come, one at a time: the next waits unread until the answer is out.
-    fn take_requests(&mut self) {
+    /// Handles the requests in the buffer one at a time: a request is parsed only once the previous response is
+    /// written.
+    fn handle_requests(&mut self) {
         while !self.is_unreadable && self.client.open_query.get().is_none() && !self.has_output() {
             match self.messages.find_message(&mut self.buffer) {
-                Ok(true) => self.take_request(),
+                Ok(true) => self.handle_request(),
                 Ok(false) => {
                     self.send_continue_if_awaited();
                     if !self.has_overrun {
@@ -313,17 +326,17 @@
         }
     }
 
-    /// Whether bytes wait to be written, those of a response that has just come among them.
+    /// Whether part of a response is not yet written to the socket; encodes a pending response first.
     fn has_output(&self) -> bool {
         response::encode_pending(self.client);
         !self.client.output.borrow().is_empty()
     }
 
-    fn take_request(&mut self) {
+    fn handle_request(&mut self) {
         let (head, body) = self.messages.message(&self.buffer);
-        let has_bytes_behind = self.buffer.data().len() > self.messages.message_end();
-        self.client.has_pipelined_bytes.set(has_bytes_behind);
-        requests::take(self.dispatcher, self.client, head, body, self.read_at);
+        let has_pipelined_bytes = self.buffer.data().len() > self.messages.message_end();
+        self.client.has_pipelined_bytes.set(has_pipelined_bytes);
+        requests::handle(self.dispatcher, self.client, head, body, self.read_at);
         self.messages.consume_message(&mut self.buffer);
         self.client.has_sent_request.set(true);
         self.has_sent_continue = false;
@@ -336,7 +349,7 @@
         }
     }
 
-    /// Writes the last answer on this connection, as nothing more can be made out on it.
+    /// Sends an error as the last response of this connection; further input is not parsed. Increments `counter`.
     fn reject_unreadable(&mut self, counter: &str, refusal: HttpError) {
         self.dispatcher.borrow_mut().counters.increment(counter);
         response::write_http_error(&mut self.client.output.borrow_mut(), refusal);
@@ -344,7 +357,7 @@
         self.client.close_after_response.set(true);
     }
 
-    /// Writes what the socket takes of the answer, if there is one.
+    /// Writes as much of the current response as the socket accepts, if there is a response.
     fn write_answer(&mut self) -> ControlFlow<CloseReason, Progress> {
         if !self.has_output() {
             return ControlFlow::Continue(Progress::NothingToWrite);
@@ -359,7 +372,7 @@
                     self.times.write_stalled_since = None;
                 }
             }
-            Err(_) => return ControlFlow::Break(CloseReason::ClientLeft),
+            Err(_) => return ControlFlow::Break(CloseReason::ClientDisconnected),
         }
         if self.written_bytes < output.len() {
             return ControlFlow::Continue(Progress::Blocked);
@@ -372,8 +385,8 @@
         ControlFlow::Continue(Progress::Complete)
     }
 
-    /// Reads once what has come; false when the client has ended the connection. Guards against a client that sends
-    /// more than is kept and goes, whose end stands behind it: past a full buffer what comes is read and dropped.
+    /// Reads from the socket once; returns false if the connection is closed or failed. While the buffer is full,
+    /// bytes are read and discarded, so that the close of a client that has sent too much is still detected.
     fn read(&mut self) -> bool {
         let mut discarded = [0; DISCARD_BYTES];
         self.has_overrun |= self.buffer.unfilled().is_empty();
@@ -381,7 +394,8 @@
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.stall_detector.check(self.clock.now());
         let estimator = &mut dispatcher.arrival_times;
-        match arrival::read(self.stream, space, self.clock, estimator, &mut self.drained_at) {
+        match arrival::read_with_arrival_time(self.stream, space, self.clock, estimator, &mut self.drained_at)
+        {
             Ok(Some((0, _))) | Err(_) => return false,
             Ok(Some((count, at))) => {
                 if !self.has_overrun {
@@ -396,8 +410,8 @@
         true
     }
 
-    /// The core that this connection is to be served by from here on, if connections are being moved; only between two
-    /// requests.
+    /// The number of the core to which this connection has to move: `None` if no connection is to be handed over, or
+    /// this connection is not between two requests.
     fn core_to_move_to(&self) -> Option<usize> {
         let is_between_requests = self.client.open_query.get().is_none()
             && !self.has_output()
@@ -408,7 +422,7 @@
             return None;
         }
         let mut dispatcher = self.dispatcher.borrow_mut();
-        // Guards against a connection that would reach a core as its shutdown ends.
+        // During a shutdown, the other core may end before the connection reaches it.
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
@@ -418,43 +432,46 @@
         Some(to)
     }
 
-    /// What the session waits for from `now` on, and until when.
+    /// Updates the times of the session's states at `now`, in seconds of the monotonic clock, and returns what the
+    /// session waits for.
     fn waiting(&mut self, now: f64) -> Waiting {
         let has_open_query = self.client.open_query.get().is_some();
         let is_writing = self.has_output();
         let is_idle = !has_open_query && !is_writing;
-        let is_half_sent = is_idle && !self.buffer.is_empty();
+        let has_partial_request = is_idle && !self.buffer.is_empty();
         let times = &mut self.times;
         times.idle_since = since(times.idle_since, is_idle, now);
-        times.half_sent_since = since(times.half_sent_since, is_half_sent, now);
+        times.partial_request_since = since(times.partial_request_since, has_partial_request, now);
         times.write_stalled_since = since(times.write_stalled_since, is_writing, now);
         self.client.idle_since.set(times.idle_since);
-        self.client.has_partial_request.set(is_half_sent);
-        Waiting { has_open_query, is_writing, is_half_sent, is_idle, deadline: self.deadline() }
+        self.client.has_partial_request.set(has_partial_request);
+        Waiting { has_open_query, is_writing, has_partial_request, is_idle, deadline: self.deadline() }
     }
 
-    /// Guards against connections that say nothing, send half a request, or read half an answer.
+    /// When the session times out, in seconds of the monotonic clock. Guards against clients that send no request,
+    /// leave a request incomplete or do not read their response.
     fn deadline(&self) -> f64 {
-        if self.times.half_sent_since.is_some() && !self.client.has_sent_request.get() {
+        if self.times.partial_request_since.is_some() && !self.client.has_sent_request.get() {
             return self.first_request_by;
         }
-        let StateTimes { idle_since, half_sent_since, write_stalled_since } = self.times;
-        let since = half_sent_since.or(idle_since).or(write_stalled_since);
+        let StateTimes { idle_since, partial_request_since, write_stalled_since } = self.times;
+        let since = partial_request_since.or(idle_since).or(write_stalled_since);
         since.map_or(f64::INFINITY, |since| since + IDLE_TIMEOUT_S)
     }
 }
 
-/// How far writing an answer has got.
+/// Progress of writing a response.
 enum Progress {
-    /// No answer waits.
+    /// There is no response to write.
     NothingToWrite,
-    /// The socket takes no more for now.
+    /// The socket's send buffer is full.
     Blocked,
-    /// All of it is out.
+    /// The whole response is written.
     Complete,
 }
 
-/// Since when a state holds, given since when it held before; none where it does not.
+/// When a condition became true: `before`, or `now` if the condition was false until now; `None` if the condition is
+/// false.
 fn since(before: Option<f64>, holds: bool, now: f64) -> Option<f64> {
     holds.then(|| before.unwrap_or(now))
 }
--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -1,4 +1,4 @@
-//! Spreads accepted connections over the cores.
+//! Distributes accepted client connections over the cores.
 use super::acceptor::ConnectionAcceptor;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::shared::{CoreCommand, SharedState, TransferredConnection};
@@ -10,26 +10,26 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Between two attempts to hand over a connection while no core takes any.
+/// Pause before the next attempt to assign a client connection that no core accepts.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Hands each accepted connection to the core that has the fewest.
+/// Assigns each accepted client connection to the serving core with the fewest client connections.
 pub struct ConnectionBalancer {
     shared: Arc<SharedState>,
-    crew: Rc<RefCell<CoreTable>>,
-    /// The core that was last asked to make room.
+    core_table: Rc<RefCell<CoreTable>>,
+    /// The number of the core that was last asked to close an idle connection.
     last_asked: Cell<usize>,
 }
 
 impl ConnectionBalancer {
-    /// Over the cores of `crew`.
-    pub fn new(shared: Arc<SharedState>, crew: Rc<RefCell<CoreTable>>) -> Rc<Self> {
-        Rc::new(ConnectionBalancer { shared, crew, last_asked: Cell::new(0) })
+    /// Creates a balancer that distributes client connections over the cores of `core_table`.
+    pub fn new(shared: Arc<SharedState>, core_table: Rc<RefCell<CoreTable>>) -> Rc<Self> {
+        Rc::new(ConnectionBalancer { shared, core_table, last_asked: Cell::new(0) })
     }
 }
 
 impl ConnectionAcceptor for Rc<ConnectionBalancer> {
-    fn make_room(&self) {
+    fn close_idle_connection(&self) {
         let core = (self.last_asked.get() + 1) % self.shared.cores.len();
         self.last_asked.set(core);
         let _ = self.shared.send_command(core, CoreCommand::CloseLongestIdle);
@@ -40,15 +40,15 @@
         let mut command =
             CoreCommand::Serve(TransferredConnection { stream, permit, has_sent_request: false });
         loop {
-            let core = self.crew.borrow_mut().assign_connection();
+            let core = self.core_table.borrow_mut().assign_connection();
             if let Some(core) = core {
                 match self.shared.send_command(core, command) {
                     Ok(()) => return,
                     Err(returned) => command = returned,
                 }
             }
-            // Guards against clients that are turned away while every core hangs or starts anew.
-            // Nobody serves, or all are full: what comes meanwhile waits in the system's queue.
+            // While every core hangs, restarts or has a full command queue, the connection is kept and assigned
+            // later, and further connections wait in the listener's queue in the kernel.
             sleep(RETRY_PAUSE).await;
         }
     }
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -1,4 +1,5 @@
-//! Watches over the cores of a program by their heartbeats and reports.
+//! Supervises the cores of a router: detects cores that hang or fail by their heartbeats and reports, and permits
+//! restarts. A core is a thread that serves client connections.
 use super::core::{CoreReport, HEARTBEAT_INTERVAL};
 use super::endpoint_publisher::EndpointPublisher;
 use crate::state::metrics::MetricsSnapshot;
@@ -16,128 +17,137 @@
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-/// How long a report of a core that shuts down is waited for at the least.
+/// Minimum timeout for receiving each report of a core during a shutdown, even if the shutdown's deadline has passed.
 const REPORT_WAIT_MIN: Duration = Duration::from_millis(50);
 
-/// Watches over the cores: starts failed ones anew, finds those that hang, and evens out their load.
+/// Restarts cores that failed, detects cores that hang, and moves connections from busy cores to idle ones.
 pub struct CoreSupervisor {
     shared: Arc<SharedState>,
     clock: Clock,
     publisher: Rc<RefCell<EndpointPublisher>>,
-    crew: Rc<RefCell<CoreTable>>,
+    core_table: Rc<RefCell<CoreTable>>,
     balance: Rebalancer,
-    /// What the cores report.
+    /// Messages from the cores.
     reports: mpsc::UnboundedReceiver<CoreReport>,
-    /// Lets each core start again after a failure.
+    /// For each core, a channel; a message permits the core to restart after a failure.
     restarts: Vec<mpsc::Sender<()>>,
-    /// When the cores were last looked at.
-    looked_at: Cell<f64>,
+    /// When the heartbeats were last checked, in seconds of the monotonic clock.
+    last_check_s: Cell<f64>,
 }
 
 impl CoreSupervisor {
-    /// Over the cores of `crew`, each of which has an entry in `restarts`.
+    /// Creates a supervisor for the cores of `core_table`. `restarts` has one channel for each core.
     pub fn new(
         shared: Arc<SharedState>,
         clock: Clock,
         publisher: Rc<RefCell<EndpointPublisher>>,
-        crew: Rc<RefCell<CoreTable>>,
+        core_table: Rc<RefCell<CoreTable>>,
         reports: mpsc::UnboundedReceiver<CoreReport>,
         restarts: Vec<mpsc::Sender<()>>,
     ) -> Self {
-        let (balance, looked_at) = (Rebalancer::new(restarts.len()), Cell::new(clock.now()));
-        CoreSupervisor { shared, clock, publisher, crew, balance, reports, restarts, looked_at }
+        let (balance, last_check_s) = (Rebalancer::new(restarts.len()), Cell::new(clock.now()));
+        CoreSupervisor { shared, clock, publisher, core_table, balance, reports, restarts, last_check_s }
     }
 
-    /// Watches until SIGTERM.
+    /// Supervises the cores until SIGTERM is received.
     ///
     /// # Errors
-    /// No core is left that will ever serve.
-    pub async fn watch(&mut self, mut terminations: Signals) -> io::Result<()> {
-        let mut looks = interval(HEARTBEAT_INTERVAL);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    /// Every core has failed too often and is not restarted any more.
+    pub async fn supervise(&mut self, mut terminations: Signals) -> io::Result<()> {
+        let mut checks = interval(HEARTBEAT_INTERVAL);
+        checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
                 _ = terminations.recv() => return Ok(()),
                 Some(report) = self.reports.recv() => {
-                    if let CoreReport::Failed(core, why) = report {
-                        tracing::error!(target: "failure", "core {core}: {why}");
-                        let change = self.crew.borrow_mut().record_failure(core, self.clock.now());
+                    if let CoreReport::Failed(core, reason) = report {
+                        tracing::error!(target: "failure", "core {core} record_failure: {reason}");
+                        let change = self.core_table.borrow_mut().record_failure(core, self.clock.now());
                         change.iter().for_each(log_change);
                     }
                 }
-                _ = looks.tick() => {
-                    let starts = self.crew.borrow_mut().take_due_restarts(self.clock.now());
-                    for core in starts {
+                _ = checks.tick() => {
+                    let due_restarts = self.core_table.borrow_mut().take_due_restarts(self.clock.now());
+                    for core in due_restarts {
                         let _ = self.restarts[core].try_send(());
                     }
-                    self.look();
+                    self.check_cores();
                 }
             }
-            if self.crew.borrow().are_all_lost() {
+            if self.core_table.borrow().are_all_lost() {
                 return Err(io::Error::other("every core has failed too often"));
             }
         }
     }
 
-    /// Goes on looking at the cores while connections are still accepted in a shutdown: one that was silent may beat again.
-    pub async fn look_on(&self) {
+    /// Checks heartbeats in the first part of a shutdown, in which the listener is still open: a core that recovers
+    /// from hanging gets new connections again. Never returns.
+    pub async fn monitor_heartbeats(&self) {
         loop {
             sleep(HEARTBEAT_INTERVAL).await;
-            self.see_beats().iter().for_each(log_change);
+            self.check_heartbeats().iter().for_each(log_change);
         }
     }
 
-    /// Waits until the cores that are still there have shut down, until a time at the latest; how many have not. Guards
-    /// against a process that stands still past that time: what the cores have reported by then is read all the same.
-    pub async fn wait_for_shutdown(&mut self, until: f64) -> usize {
-        let is_there = |state| !matches!(state, CoreStatus::Failed(_) | CoreStatus::Lost);
-        let mut left = self.crew.borrow().count(is_there);
-        while left > 0 {
-            let remaining = Duration::from_secs_f64((until - self.clock.now()).max(0.0)).max(REPORT_WAIT_MIN);
+    /// Waits until every core that has not failed has shut down, or until `deadline_s`, in seconds of the monotonic
+    /// clock. Returns the number of cores that still run. Each wait lasts at least `REPORT_WAIT_MIN`, so that reports
+    /// are still read if the process was suspended past the deadline.
+    pub async fn wait_and_count_running(&mut self, deadline_s: f64) -> usize {
+        let is_running = |state| !matches!(state, CoreStatus::Failed(_) | CoreStatus::Lost);
+        let mut running = self.core_table.borrow().count(is_running);
+        while running > 0 {
+            let remaining =
+                Duration::from_secs_f64((deadline_s - self.clock.now()).max(0.0)).max(REPORT_WAIT_MIN);
             match timeout(remaining, self.reports.recv()).await {
-                Ok(Some(CoreReport::Ended(_) | CoreReport::Failed(..))) => left -= 1,
+                Ok(Some(CoreReport::Ended(_) | CoreReport::Failed(..))) => running -= 1,
                 _ => break,
             }
         }
-        left
+        running
     }
 
-    /// Takes in how the cores have beaten, and finds those that hang.
-    fn see_beats(&self) -> Vec<StatusChange> {
-        let (now, mut crew) = (self.clock.now(), self.crew.borrow_mut());
+    /// Reads the heartbeats of all cores and updates the cores' states; returns the changes.
+    fn check_heartbeats(&self) -> Vec<StatusChange> {
+        let (now, mut core_table) = (self.clock.now(), self.core_table.borrow_mut());
         let mut changes = vec![];
         for (core, core_state) in self.shared.cores.iter().enumerate() {
-            let at = core_state.heartbeat_ms.load(Relaxed) as f64 / 1e3;
-            changes.extend(crew.record_heartbeat(core, at, core_state.client_count.load(Relaxed)));
+            let heartbeat_s = core_state.heartbeat_ms.load(Relaxed) as f64 / 1e3;
+            changes.extend(core_table.record_heartbeat(
+                core,
+                heartbeat_s,
+                core_state.client_count.load(Relaxed),
+            ));
         }
-        crew.acceptor_paused(self.looked_at.replace(now), now);
-        changes.extend(crew.mark_hung(now));
+        core_table.acceptor_paused(self.last_check_s.replace(now), now);
+        changes.extend(core_table.mark_hung(now));
         changes
     }
 
-    fn look(&mut self) {
-        let changes = self.see_beats();
-        let (now, crew) = (self.clock.now(), self.crew.borrow());
+    /// Checks the heartbeats, publishes the numbers of serving, hung and lost cores, and moves client connections
+    /// from a busy core to an idle core.
+    fn check_cores(&mut self) {
+        let changes = self.check_heartbeats();
+        let (now, core_table) = (self.clock.now(), self.core_table.borrow());
         let counters = self.publisher.borrow().counters.clone();
         self.shared.acceptor_metrics.send_replace(Arc::new(MetricsSnapshot { counters, gauges: vec![] }));
         changes.iter().for_each(log_change);
-        self.shared.cores_serving.store(crew.serving_count(), Relaxed);
-        self.shared.cores_hung.store(crew.count(|s| matches!(s, CoreStatus::Hung(_))), Relaxed);
+        self.shared.cores_serving.store(core_table.serving_count(), Relaxed);
+        self.shared.cores_hung.store(core_table.count(|s| matches!(s, CoreStatus::Hung(_))), Relaxed);
         self.shared
             .cores_lost
-            .store(crew.count(|s| matches!(s, CoreStatus::Failed(_) | CoreStatus::Lost)), Relaxed);
+            .store(core_table.count(|s| matches!(s, CoreStatus::Failed(_) | CoreStatus::Lost)), Relaxed);
         let load = |(core, core_state): (usize, &CoreState)| CoreLoad {
             utilization: core_state.busy_permille.load(Relaxed) as f64 / 1e3,
             active_clients: core_state.active_clients.load(Relaxed),
-            is_serving: crew.status(core) == CoreStatus::Serving,
+            is_serving: core_table.status(core) == CoreStatus::Serving,
         };
         let loads: Vec<CoreLoad> = self.shared.cores.iter().enumerate().map(load).collect();
-        if let Some(going) = self.balance.next_move(now, &loads) {
-            let (from, to, connections) = (going.from, going.to, going.connections);
+        if let Some(transfer) = self.balance.next_move(now, &loads) {
+            let (from, to, connections) = (transfer.from, transfer.to, transfer.connections);
             tracing::info!(
                 target: "balance",
-                "core {from} ({:.2} busy) gives {connections} connections to core {to} ({:.2} busy)",
+                "core {from} (CPU usage {:.2}) hands {connections} client connections over to core {to} (CPU usage {:.2})",
                 loads[from].utilization,
                 loads[to].utilization
             );
@@ -149,14 +159,20 @@
 fn log_change(change: &StatusChange) {
     let StatusChange { core, status: state, serving } = change;
     match state {
-        CoreStatus::Serving => tracing::info!(target: "cores", "core {core} serves; {serving} serve"),
-        CoreStatus::Starting => tracing::info!(target: "cores", "core {core} starts; {serving} serve"),
+        CoreStatus::Serving => {
+            tracing::info!(target: "cores", "core {core} is serving; {serving} cores are serving")
+        }
+        CoreStatus::Starting => {
+            tracing::info!(target: "cores", "core {core} is starting; {serving} cores are serving")
+        }
         CoreStatus::Hung(since) => {
-            tracing::error!(target: "cores", "core {core} hangs since {since:.3}; {serving} serve")
+            tracing::error!(target: "cores", "core {core} hangs since {since:.3} s after program start; {serving} cores are serving")
+        }
+        CoreStatus::Failed(_) => {
+            tracing::error!(target: "cores", "core {core} failed; {serving} serve until it restarts")
         }
-        CoreStatus::Failed(_) => tracing::error!(target: "cores", "core {core} failed; {serving} serve"),
         CoreStatus::Lost => {
-            tracing::error!(target: "cores", "core {core} failed too often and stays out; {serving} serve");
+            tracing::error!(target: "cores", "core {core} failed too often and is not restarted; {serving} cores are serving");
         }
     }
 }
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,6 +1,9 @@
-//! The driver of discovery's watch: through losses and silences to a new watch, while the old list holds.
-use super::arrival;
-use super::until;
+//! Keeps a watch open: a connection to the discovery server on which the router receives endpoint lists, layouts and
+//! changes of both. Reconnects after errors and timeouts; the last endpoint list received stays in use meanwhile.
+//!
+//! An endpoint list names the data nodes with their addresses and states. A layout is a version of the assignment of
+//! shards to data nodes.
+use super::{arrival, sleep_until};
 use crate::state::dispatcher::Dispatcher;
 use crate::state::endpoints::EndpointTable;
 use crate::state::watch_state::{WatchPhase, WatchState};
@@ -21,49 +24,61 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-/// Whoever keeps the list: a core's dispatcher, or the lead of several.
-pub trait Follower {
+/// Handles what a watch receives from discovery: holds the endpoint list, and the layout if the router uses layouts.
+/// Implemented by the dispatcher of a router on one core, by
+/// [`EndpointPublisher`](super::endpoint_publisher::EndpointPublisher) for a router on several cores, and by a
+/// planner.
+pub trait DiscoveryHandler {
     fn clock(&self) -> Clock;
-    /// Whether changes come only when the module asks to follow the list.
-    fn follows(&self) -> bool;
-    fn asked(&self) -> Arc<Notify>;
+    /// Whether a watch opens only when the policy requests the endpoint list; otherwise, a watch is always open.
+    fn polls_on_request(&self) -> bool;
+    /// Notified when the policy requests the endpoint list.
+    fn poll_requested(&self) -> Arc<Notify>;
     fn endpoints(&mut self) -> &mut EndpointTable;
-    fn changed(&mut self);
-    /// A watch is lost, whether or not it had answered.
+    /// Called after each update of [`Self::endpoints`], and after the update of the layout if the same message held
+    /// one.
+    fn endpoints_updated(&mut self);
+    /// Called when a watch has failed or timed out; `answered` says whether discovery had begun its response.
     fn watch_lost(&mut self, answered: bool);
-    /// So long there was no watch that had answered, or it said nothing; until now.
-    fn quiet(&mut self, span: f64);
-    fn moved(&mut self);
-    /// Whether `looked` is waited for: by other cores, which must not send by a list that may be out of date.
-    fn leads(&self) -> bool {
+    /// Called for each message from discovery, with the seconds since the previous message, which may have arrived on
+    /// an earlier watch.
+    fn record_silence(&mut self, gap_s: f64);
+    /// Called when a reload of the configuration changes the address of discovery.
+    fn discovery_moved(&mut self);
+    /// Whether [`Self::discovery_checked`] has to be called. It is needed if other threads use the endpoint list:
+    /// they must not start attempts with a list that may be out of date.
+    fn tracks_checks(&self) -> bool {
         false
     }
-    /// Nothing that discovery had sent by then is unread, or there is no watch.
-    fn looked(&mut self, _at: f64) {}
-    /// Where layouts are followed, the version to ask for changes to: 0 for the whole layout.
-    fn layout_since(&self) -> Option<u64> {
+    /// Called every `CHECK_INTERVAL` if every byte that arrived from discovery before `_at_s` has been read, or no
+    /// watch is open. `_at_s` is in seconds of the monotonic clock.
+    fn discovery_checked(&mut self, _at_s: f64) {}
+    /// The version of the current layout, 0 if no layout was received yet, or `None` if the router does not use
+    /// layouts. The next watch requests the changes since this version.
+    fn layout_version(&self) -> Option<u64> {
         None
     }
-    /// News of the layout, taken in whole or not at all; `changed` follows.
-    fn layout(&mut self, _news: LayoutUpdate) -> Result<(), LayoutError> {
+    /// Applies a whole layout or a change of the current layout, completely or not at all.
+    /// [`Self::endpoints_updated`] is called afterwards.
+    fn apply_layout(&mut self, _news: LayoutUpdate) -> Result<(), LayoutError> {
         Ok(())
     }
 }
 
-impl Follower for Dispatcher {
+impl DiscoveryHandler for Dispatcher {
     fn clock(&self) -> Clock {
         self.clock
     }
-    fn follows(&self) -> bool {
+    fn polls_on_request(&self) -> bool {
         self.admission.polls_endpoints
     }
-    fn asked(&self) -> Arc<Notify> {
+    fn poll_requested(&self) -> Arc<Notify> {
         self.poll_requested.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
-    fn changed(&mut self) {
+    fn endpoints_updated(&mut self) {
         self.endpoints_changed();
     }
     fn watch_lost(&mut self, answered: bool) {
@@ -72,16 +87,16 @@
             self.endpoint_poll_failed();
         }
     }
-    fn quiet(&mut self, span: f64) {
-        self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
+    fn record_silence(&mut self, gap_s: f64) {
+        self.counters.record_max("discovery_quiet_ms_most", (gap_s * 1e3) as u64);
     }
-    fn moved(&mut self) {
+    fn discovery_moved(&mut self) {
         self.counters.increment("discovery_moves");
     }
-    fn layout_since(&self) -> Option<u64> {
+    fn layout_version(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
-    fn layout(&mut self, news: LayoutUpdate) -> Result<(), LayoutError> {
+    fn apply_layout(&mut self, news: LayoutUpdate) -> Result<(), LayoutError> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
         let shards =
@@ -93,197 +108,210 @@
     }
 }
 
-pub type SharedFollower = Rc<RefCell<dyn Follower>>;
+/// A handler that the watch shares with the thread's other tasks.
+pub type SharedDiscoveryHandler = Rc<RefCell<dyn DiscoveryHandler>>;
 
-/// How often a follower hears that nothing is unread.
-const LOOKS: Duration = Duration::from_millis(100);
+/// Interval between calls of [`DiscoveryHandler::discovery_checked`].
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits for something while there is no watch that could tell anything: the old list holds.
-async fn unwatched<T>(list: &SharedFollower, what: impl Future<Output = T>) -> T {
-    if !list.borrow().leads() {
-        return what.await;
+/// Waits for a future while no watch is open. No newer endpoint list can arrive then, so
+/// [`DiscoveryHandler::discovery_checked`] is called every [`CHECK_INTERVAL`].
+async fn wait_without_watch<T>(handler: &SharedDiscoveryHandler, future: impl Future<Output = T>) -> T {
+    if !handler.borrow().tracks_checks() {
+        return future.await;
     }
-    let mut what = pin!(what);
+    let mut future = pin!(future);
     loop {
-        let now = list.borrow().clock().now();
-        list.borrow_mut().looked(now);
-        if let Ok(done) = timeout(LOOKS, what.as_mut()).await {
-            return done;
+        let now = handler.borrow().clock().now();
+        handler.borrow_mut().discovery_checked(now);
+        if let Ok(output) = timeout(CHECK_INTERVAL, future.as_mut()).await {
+            return output;
         }
     }
 }
 
-/// Watches for as long as the program runs, at the address that `agent` holds. Where that changes the old watch
-/// ends at once and the new one begins; until it tells something, the old list holds.
-pub async fn run(list: SharedFollower, mut agent: Receiver<SocketAddr>) {
-    let (clock, follows, asked) = {
-        let list = list.borrow();
-        (list.clock(), list.follows(), list.asked())
+/// Keeps a watch open to the newest address in `addresses`, for as long as the program runs. A new address closes the
+/// current watch at once; the last endpoint list stays in use until the new watch receives one.
+pub async fn run(handler: SharedDiscoveryHandler, mut addresses: Receiver<SocketAddr>) {
+    let (clock, polls_on_request, poll_requested) = {
+        let handler = handler.borrow();
+        (handler.clock(), handler.polls_on_request(), handler.poll_requested())
     };
-    let (mut state, mut whole, mut heard) = (WatchState::new(follows), false, clock.now());
+    let mut state = WatchState::new(polls_on_request);
+    let (mut needs_whole_layout, mut last_message_s) = (false, clock.now());
     loop {
-        let due = state.deadline();
-        let rest = async {
+        let open_at_s = state.deadline();
+        let next_watch_due = async {
             tokio::select! {
-                () = asked.notified(), if state.phase == WatchPhase::NotRequested => {}
-                () = until(clock, due), if due.is_finite() => {}
-                Ok(()) = agent.changed() => {}
+                () = poll_requested.notified(), if state.phase == WatchPhase::NotRequested => {}
+                () = sleep_until(clock, open_at_s), if open_at_s.is_finite() => {}
+                Ok(()) = addresses.changed() => {}
             }
         };
-        unwatched(&list, rest).await;
-        let address = *agent.borrow_and_update();
+        wait_without_watch(&handler, next_watch_due).await;
+        let address = *addresses.borrow_and_update();
         state.open(clock.now());
-        let why = tokio::select! {
-            why = watch(&list, address, &mut state, &mut whole, &mut heard) => why,
-            Ok(()) = agent.changed() => {
-                list.borrow_mut().moved();
+        let reason = tokio::select! {
+            reason = watch(&handler, address, &mut state, &mut needs_whole_layout, &mut last_message_s) => reason,
+            Ok(()) = addresses.changed() => {
+                handler.borrow_mut().discovery_moved();
                 state.phase = WatchPhase::Waiting { opens_at_s: clock.now() };
                 continue;
             }
         };
-        tracing::warn!(target: "discovery", "the watch is lost: {why}; the old list holds");
+        tracing::warn!(target: "discovery", "the watch is lost: {reason}; the last endpoint list stays in use");
         let answered = state.lost(clock.now());
-        list.borrow_mut().watch_lost(answered);
+        handler.borrow_mut().watch_lost(answered);
     }
 }
 
-/// One watch; returns why it ended.
+/// Opens one watch and reads from the watch until it fails or times out; returns the reason. Sets
+/// `needs_whole_layout` if discovery sent a change that could not be applied to the current layout; the next watch
+/// then requests the whole layout.
 async fn watch(
-    list: &SharedFollower,
+    handler: &SharedDiscoveryHandler,
     address: SocketAddr,
     state: &mut WatchState,
-    whole: &mut bool,
-    heard: &mut f64,
+    needs_whole_layout: &mut bool,
+    last_message_s: &mut f64,
 ) -> String {
     let (clock, since, mut layout) = {
-        let mut list = list.borrow_mut();
-        let layout = list.layout_since();
-        (list.clock(), list.endpoints().version, layout)
+        let mut handler = handler.borrow_mut();
+        let layout = handler.layout_version();
+        (handler.clock(), handler.endpoints().version, layout)
     };
-    // Changes could not be followed from the version held: guards against asking for them for ever.
-    if std::mem::take(whole) {
+    // If changes since the current version cannot be applied, requesting them again would fail for ever: version 0
+    // requests the whole layout.
+    if std::mem::take(needs_whole_layout) {
         layout = layout.map(|_| 0);
     }
     let limit = Duration::from_secs_f64((state.deadline() - clock.now()).max(0.0));
-    let stream = match unwatched(list, timeout(limit, alderway_sockets::dial(address))).await {
+    let stream = match wait_without_watch(handler, timeout(limit, alderway_sockets::dial(address))).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(why)) => return format!("no connection ({why})"),
-        Err(_) => return "no connection in time".into(),
+        Ok(Err(error)) => return format!("cannot connect to discovery: {error}"),
+        Err(_) => return "connecting to discovery timed out".into(),
     };
     let _ = stream.set_nodelay(true);
-    let leads = list.borrow().leads();
-    let mut out = Vec::new();
-    discovery::write_watch_request(&mut out, &address.to_string(), since, layout);
+    let tracks_checks = handler.borrow().tracks_checks();
+    let mut request = Vec::new();
+    discovery::write_watch_request(&mut request, &address.to_string(), since, layout);
     let (mut sender, mut written) = (Sender::default(), 0);
     let (mut buffer, mut watch) = (ReadBuffer::new(discovery::MAX_OBJECT_BYTES), WatchReader::default());
     loop {
-        if written < out.len() {
-            match sender.write(&stream, &out[written..]) {
+        if written < request.len() {
+            match sender.write(&stream, &request[written..]) {
                 Ok(count) => written += count,
-                Err(why) => return format!("not written ({why})"),
+                Err(error) => return format!("sending the request to discovery failed: {error}"),
             }
         }
         tokio::select! {
             biased;
             _ = stream.readable() => {}
-            () = sender.ready(&stream), if written < out.len() => {}
-            () = until(clock, state.deadline()) => return "silence".into(),
-            () = sleep(LOOKS), if leads => {
-                // The time is read first: what comes after it may be missed by this look.
+            () = sender.ready(&stream), if written < request.len() => {}
+            () = sleep_until(clock, state.deadline()) => return "silence: discovery sent no complete message in time".into(),
+            () = sleep(CHECK_INTERVAL), if tracks_checks => {
+                // The clock is read before the socket, as bytes may arrive in between.
                 let now = clock.now();
-                if !arrival::waits(&stream) {
-                    list.borrow_mut().looked(now);
+                if !arrival::has_unread_bytes(&stream) {
+                    handler.borrow_mut().discovery_checked(now);
                 }
                 continue;
             }
         }
         match alderway_sockets::read(&stream, buffer.unfilled()) {
-            Ok(Some(0)) => return "it ended".into(),
+            Ok(Some(0)) => return "discovery closed the connection".into(),
             Ok(Some(count)) => buffer.add_filled(count),
             Ok(None) => continue,
-            Err(why) => return format!("not read ({why})"),
+            Err(error) => return format!("reading from discovery failed: {error}"),
         }
         loop {
             match watch.next_event(&mut buffer) {
-                Err(why) => return why.into(),
+                Err(problem) => return problem.into(),
                 Ok(None) => break,
-                Ok(Some(word)) => {
+                Ok(Some(message)) => {
                     let now = clock.now();
-                    if word == WatchEvent::ResponseHead {
+                    if message == WatchEvent::ResponseHead {
                         state.response_started();
                         continue;
                     }
                     state.update_received(now);
-                    list.borrow_mut().quiet(now - std::mem::replace(heard, now));
-                    if let WatchEvent::Object(end) = word
-                        && let Err(why) = take(list, &buffer.data()[..end], whole)
+                    handler.borrow_mut().record_silence(now - std::mem::replace(last_message_s, now));
+                    if let WatchEvent::Object(end) = message
+                        && let Err(problem) = apply(handler, &buffer.data()[..end], needs_whole_layout)
                     {
-                        return why.into();
+                        return problem.into();
                     }
-                    list.borrow_mut().endpoints().last_contact_s = Some(now);
+                    handler.borrow_mut().endpoints().last_contact_s = Some(now);
                 }
             }
         }
-        // Guards against bytes that keep coming and make nothing whole.
+        // Guards against a discovery server that keeps sending bytes but never completes a message.
         if clock.now() >= state.deadline() {
-            return "silence".into();
+            return "silence: discovery sent no complete message in time".into();
         }
     }
 }
 
-/// One object of the watch: a list or a change.
-fn take(list: &SharedFollower, line: &[u8], whole_layout: &mut bool) -> Result<(), &'static str> {
-    let (index, whole) = discovery::read_version(line)?;
-    let mut list = list.borrow_mut();
-    let (clock, endpoints) = (list.clock(), list.endpoints());
+/// Applies one JSON object from discovery: a whole endpoint list or a change of the list, and the layout or change of
+/// the layout in the object, if any. Returns the reason if the watch has to be reopened.
+fn apply(
+    handler: &SharedDiscoveryHandler,
+    object: &[u8],
+    needs_whole_layout: &mut bool,
+) -> Result<(), &'static str> {
+    let (version, is_whole) = discovery::read_version(object)?;
+    let mut handler = handler.borrow_mut();
+    let (clock, endpoints) = (handler.clock(), handler.endpoints());
     let now = clock.now();
-    if !whole && endpoints.version.is_none_or(|held| index < held) {
-        // Not a change to the list held: the next watch asks for the whole one.
+    if !is_whole && endpoints.version.is_none_or(|current| version < current) {
+        // The change cannot be applied to the current list: without a version, the next watch requests the whole list.
         endpoints.version = None;
-        return Err("a change to an older list");
+        return Err("discovery sent a change of an older endpoint list than the current one");
     }
-    endpoints.begin_update(index, whole);
-    let (mut entries, mut unusable, mut wrong) = (0, 0, None);
-    discovery::read_entries(line, |name, told| match told {
+    endpoints.begin_update(version, is_whole);
+    let (mut usable, mut unusable, mut first_error) = (0, 0, None);
+    discovery::read_entries(object, |name, entry| match entry {
         Ok(node) => {
-            entries += 1;
+            usable += 1;
             let started = clock.from_unix_ms(node.started_at_unix_ms);
             endpoints.update_from_discovery(name, node.address, node.replica_group, node.state, started, now);
         }
-        Err((state, why)) => {
+        Err((state, problem)) => {
             unusable += 1;
-            wrong.get_or_insert_with(|| format!("that of node `{name}`: {why}"));
+            first_error.get_or_insert_with(|| format!("`{name}`: {problem}"));
             endpoints.mark_unreadable(name, state);
         }
     })?;
-    if let Some(first) = wrong {
-        tracing::warn!(target: "roster", "list {index}: {unusable} entries cannot be used, first {first}");
+    if let Some(first) = first_error {
+        tracing::warn!(target: "roster", "endpoint list {version}: {unusable} entries cannot be used, the first is data node {first}");
     }
-    let told = if list.layout_since().is_some() { shard_map::read_update(line) } else { Ok(None) };
-    let (mut refused, held) = (None, list.layout_since());
-    match told {
+    let layout = if handler.layout_version().is_some() { shard_map::read_update(object) } else { Ok(None) };
+    let (mut layout_error, former_layout) = (None, handler.layout_version());
+    match layout {
         Ok(Some(news)) => {
-            if let Err(why) = list.layout(news) {
-                *whole_layout = matches!(why, LayoutError::UnknownBase { .. });
-                refused = Some(why.to_string());
+            if let Err(error) = handler.apply_layout(news) {
+                *needs_whole_layout = matches!(error, LayoutError::UnknownBase { .. });
+                layout_error = Some(error.to_string());
             }
         }
         Ok(None) => {}
-        Err(why) => refused = Some(why.to_string()),
+        Err(problem) => layout_error = Some(problem.to_string()),
     }
-    list.changed();
-    match (refused, list.layout_since()) {
-        (Some(why), held) => {
-            let held = held.unwrap_or(0);
-            tracing::warn!(target: "layout", "refused: {why}; version {held} holds");
+    handler.endpoints_updated();
+    match (layout_error, handler.layout_version()) {
+        (Some(reason), current) => {
+            let current = current.unwrap_or(0);
+            tracing::warn!(target: "layout", "refused: {reason}; version {current} holds");
+        }
+        (None, layout) if layout != former_layout => {
+            tracing::info!(target: "layout", "version {} is applied", layout.unwrap_or(0))
         }
-        (None, now) if now != held => tracing::info!(target: "layout", "version {}", now.unwrap_or(0)),
         _ => {}
     }
-    if *whole_layout {
-        return Err("a change to a layout that is not held");
+    if *needs_whole_layout {
+        return Err("discovery sent a change of a layout version that this router does not have");
     }
-    let kind = if whole { "whole list" } else { "change" };
-    tracing::info!(target: "roster", "{kind} {index}: {entries} entries");
+    let kind = if is_whole { "whole list" } else { "change" };
+    tracing::info!(target: "roster", "applied {kind} {version}: {usable} entries can be used");
     Ok(())
 }
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -1,4 +1,6 @@
-//! Follows discovery for all cores of a program and publishes what each of them is to take over.
+//! Holds the endpoint list and the layout on the supervising thread of a router on several cores, and publishes
+//! snapshots of both to all cores. An endpoint list names the data nodes; a layout is a version of the assignment of
+//! shards to data nodes.
 use super::discovery;
 use crate::state::counters::Counters;
 use crate::state::endpoints::{Endpoint, EndpointTable};
@@ -10,31 +12,35 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, watch};
 
-/// The endpoint list and the shard map, complete, for the cores.
+/// A complete copy of the endpoint list and the layout, which all cores apply.
 #[derive(Clone, Default)]
 pub struct EndpointSnapshot {
-    /// Grows with each snapshot.
-    pub number: u64,
+    /// Number of the snapshot, which increases with each snapshot.
+    pub generation: u64,
     pub entries: Arc<Vec<Endpoint>>,
     pub layout: Option<Layout>,
-    /// How often the watch of discovery has failed.
-    pub failures: u64,
+    /// Number of watches that were lost after discovery had begun its response; counted only if the policy polls the
+    /// endpoint list.
+    pub watch_failures: u64,
 }
 
-/// The endpoint list and the shard map as the supervising thread keeps them for the cores.
+/// Applies the updates of discovery to the supervising thread's endpoint list and shard map, and publishes them to
+/// the cores.
 pub struct EndpointPublisher {
     clock: Clock,
     polls_endpoints: bool,
     endpoints: EndpointTable,
     shared: Arc<SharedState>,
     pub counters: Counters,
-    /// Where a changing shard map is followed: nothing is open here, it only checks what the cores take over.
+    /// Checks each layout before the cores apply the layout; `None` if the settings assign the shards to data nodes.
+    /// This thread has no open queries.
     shard_map: Option<ShardMapView>,
     snapshots: watch::Sender<EndpointSnapshot>,
 }
 
 impl EndpointPublisher {
-    /// Publishes `endpoints` as the first snapshot. `shard_map` where a changing shard map is followed.
+    /// Creates a publisher whose first snapshot holds `endpoints`. `shard_map` is `None` if the settings assign the
+    /// shards to data nodes.
     pub fn new(
         clock: Clock,
         polls_endpoints: bool,
@@ -50,68 +56,69 @@
         publisher
     }
 
-    /// For a core: the newest snapshot.
+    /// Returns a receiver of the newest snapshot, for one core.
     pub fn subscribe(&self) -> watch::Receiver<EndpointSnapshot> {
         self.snapshots.subscribe()
     }
 
-    /// Shuts the fence first: whoever has not taken in the new list sends nothing new from here on.
+    /// Publishes a snapshot. First raises the generation in the fence, the check that cores share: from then on, a
+    /// core starts no attempt until the core has applied this snapshot.
     fn publish(&mut self) {
-        let number = self.shared.fence.publish();
+        let generation = self.shared.fence.publish();
         let entries = Arc::new(self.endpoints.endpoints());
         let layout =
             self.shard_map.as_ref().and_then(|shard_map| Some(shard_map.history()?.latest().clone()));
         self.snapshots.send_modify(|snapshot| {
-            (snapshot.number, snapshot.entries, snapshot.layout) = (number, entries, layout);
+            (snapshot.generation, snapshot.entries, snapshot.layout) = (generation, entries, layout);
         });
         self.endpoints.drop_removed();
     }
 }
 
-impl discovery::Follower for EndpointPublisher {
+impl discovery::DiscoveryHandler for EndpointPublisher {
     fn clock(&self) -> Clock {
         self.clock
     }
-    fn follows(&self) -> bool {
+    fn polls_on_request(&self) -> bool {
         self.polls_endpoints
     }
-    fn asked(&self) -> Arc<Notify> {
+    fn poll_requested(&self) -> Arc<Notify> {
         self.shared.poll_requested.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
-    fn changed(&mut self) {
+    fn endpoints_updated(&mut self) {
         self.counters.increment("roster_lists");
         self.publish();
     }
-    fn quiet(&mut self, span: f64) {
-        self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
+    fn record_silence(&mut self, gap_s: f64) {
+        self.counters.record_max("discovery_quiet_ms_most", (gap_s * 1e3) as u64);
     }
     fn watch_lost(&mut self, answered: bool) {
         self.counters.increment("discovery_watches_lost");
         if self.polls_endpoints && answered {
-            self.snapshots.send_modify(|snapshot| snapshot.failures += 1);
+            self.snapshots.send_modify(|snapshot| snapshot.watch_failures += 1);
         }
     }
-    fn moved(&mut self) {
+    fn discovery_moved(&mut self) {
         self.counters.increment("discovery_moves");
     }
-    fn leads(&self) -> bool {
+    fn tracks_checks(&self) -> bool {
         true
     }
-    fn looked(&mut self, at: f64) {
-        self.shared.fence.record_discovery_read(at);
+    fn discovery_checked(&mut self, at_s: f64) {
+        self.shared.fence.record_discovery_read(at_s);
     }
-    fn layout_since(&self) -> Option<u64> {
+    fn layout_version(&self) -> Option<u64> {
         self.shard_map.as_ref().map(|shard_map| shard_map.version().unwrap_or(0))
     }
-    fn layout(&mut self, news: LayoutUpdate) -> Result<(), LayoutError> {
+    fn apply_layout(&mut self, news: LayoutUpdate) -> Result<(), LayoutError> {
         let now = self.clock.now();
         let Some(shard_map) = &mut self.shard_map else { return Ok(()) };
-        let taken = shard_map.apply(news, now).map(drop);
+        let applied = shard_map.apply(news, now).map(drop);
         shard_map.discard_notifications(now);
-        self.counters.increment(if taken.is_ok() { "layouts_taken" } else { "layouts_refused" });
-        taken
+        self.counters.increment(if applied.is_ok() { "layouts_taken" } else { "layouts_refused" });
+        applied
     }
 }
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -1,6 +1,7 @@
-//! The driver of a connection to a data node: dials, writes attempts and reads their answers, and closes connections that are
-//! idle, blocked or corrupted.
-use super::{arrival, rounds, until};
+//! Serves one connection to a data node: connects, writes frames with attempts, and reads reply frames. Closes the
+//! connection if it is idle, blocked or corrupted. An attempt is one transmission of a shard request to one data
+//! node; a frame is a message with a length prefix.
+use super::{arrival, policy_loop, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
 use crate::state::node_connection::DialRequest;
@@ -23,31 +24,32 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Bytes of a frame's length, which stand before it.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a connection was closed.
+/// Why a connection to a data node was closed.
 #[derive(Debug)]
 enum CloseReason {
-    /// The dispatcher knows of it no more.
+    /// The dispatcher has removed the connection from its state.
     Forgotten,
-    /// The node had closed it before an attempt was written to it.
+    /// The data node closed the connection while it was idle, as was detected before the next frame was written.
     EndedWhileIdle,
-    /// It broke, or was cut to keep the rest of a frame from going out.
+    /// Writing failed, or the router closed the connection to stop a partly written frame.
     CutOrBroken,
-    /// It was idle, and its descriptor was needed elsewhere.
+    /// The connection was idle, and its file descriptor was needed for another connection.
     Retired,
-    /// It was idle for longer than the node would keep it.
+    /// The connection was idle for longer than the idle timeout.
     Idle,
+    /// The data node closed the connection, or reading failed.
     EndedByNode,
-    /// The node's machine takes no byte of a frame.
-    TakesNothing,
-    /// The node sent what cannot be read.
+    /// No byte of a frame could be written within the idle timeout, as the data node did not read.
+    WriteTimeout,
+    /// The data node sent a malformed or unexpected frame.
     Corrupted(CorruptedFrame),
 }
 
 impl CloseReason {
-    /// How counters name it.
+    /// The label of this reason in the counter `connection_closes`.
     fn label(&self) -> &'static str {
         match self {
             CloseReason::Forgotten => "forgotten",
@@ -56,13 +58,14 @@
             CloseReason::Retired => "retired",
             CloseReason::Idle => "idle",
             CloseReason::EndedByNode => "ended_by_node",
-            CloseReason::TakesNothing => "takes_nothing",
+            CloseReason::WriteTimeout => "takes_nothing",
             CloseReason::Corrupted(_) => "spoilt",
         }
     }
 }
 
-/// A frame that cannot be used, and the shard request that it names, if that could be read.
+/// A malformed or unexpected frame from a data node, with the id of the shard request that the frame answers, if the
+/// id could be read.
 #[derive(Debug)]
 struct CorruptedFrame {
     problem: ParseError,
@@ -75,14 +78,15 @@
     }
 }
 
-/// Dials a data node, serves the connection until it ends, and gives everything back.
+/// Connects to a data node, serves the connection until it closes, and reports the close to the dispatcher.
 pub async fn run(dispatcher: DispatcherHandle, dial: DialRequest, descriptors: Arc<DescriptorPool>) {
     let DialRequest { node, connection, address } = dial;
     let dial_timeout = Duration::from_secs_f64(dispatcher.borrow().connection_config.dial_timeout_s);
     let is_short_of_resources = Cell::new(false);
-    let dialled = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
-    match timeout(dial_timeout, dialled).await {
-        // In this order: the stream closes before its permit is given back, or another takes that in between.
+    let connecting = connect(&dispatcher, address, &descriptors, &is_short_of_resources);
+    match timeout(dial_timeout, connecting).await {
+        // The stream is dropped before its permit: another connection may use the permit only once this file
+        // descriptor is closed.
         Ok(Ok((_permit, stream))) => {
             dispatcher.borrow_mut().counters.increment("connections{opened}");
             let reason = match NodeSession::open(&dispatcher, &node, connection, &stream) {
@@ -93,35 +97,37 @@
         }
         Ok(Err(_)) => dispatcher.borrow_mut().counters.increment("connections{refused}"),
         Err(_) if is_short_of_resources.get() => {
-            // Guards against blaming a data node for what this machine or this program lacks.
+            // Connecting timed out because this machine lacks descriptors, ports or buffers, which is not a failure
+            // of the data node.
             dispatcher.borrow_mut().counters.increment("connections{short_of_resources}");
             dispatcher.borrow_mut().connection_not_opened(&node, connection);
         }
         Err(_) => dispatcher.borrow_mut().counters.increment("connections{dial_timed_out}"),
     }
     dispatcher.borrow_mut().connection_lost(&node, connection);
-    rounds::post(&dispatcher, &descriptors);
+    policy_loop::send_queued_attempts(&dispatcher, &descriptors);
 }
 
 fn log_close(dispatcher: &DispatcherHandle, node: &str, connection: u64, reason: &CloseReason) {
     let mut dispatcher = dispatcher.borrow_mut();
     if let CloseReason::Corrupted(CorruptedFrame { problem, shard_request }) = reason {
-        tracing::warn!(target: "frame", "node {node}: {problem}; its connection is closed");
+        tracing::warn!(target: "frame", "data node {node}: {problem}; its connection is closed");
         dispatcher.connection_corrupted(node, connection, shard_request.as_deref());
     }
     dispatcher.counters.increment("connections{closed}");
     dispatcher.counters.increment(&format!("connection_closes{{{}}}", reason.label()));
 }
 
-/// Waits for a descriptor, making room where all are taken, and dials. `is_short_of_resources` tells meanwhile whether it
-/// is this machine or program that lacks something.
+/// Waits for a free file descriptor and connects to a data node. While no descriptor is free, closes idle connections
+/// to data nodes. Sets `is_short_of_resources` to true while the connection waits for a descriptor, port or buffer of
+/// this machine.
 async fn connect(
     dispatcher: &DispatcherHandle,
     address: SocketAddr,
     descriptors: &Arc<DescriptorPool>,
     is_short_of_resources: &Cell<bool>,
 ) -> io::Result<(DescriptorPermit, TcpStream)> {
-    let mut waiting = None;
+    let mut waiter = None;
     let permit = loop {
         if let Some(permit) = descriptors.acquire() {
             break permit;
@@ -129,14 +135,15 @@
         is_short_of_resources.set(true);
         dispatcher.borrow_mut().counters.increment("dials_short_of_descriptors");
         dispatcher.borrow_mut().endpoints.retire_longest_idle();
-        // Guards against idle connections of other cores that hold what this one lacks: they let some go.
-        waiting.get_or_insert_with(|| descriptors.pool.register_waiter());
+        // While the pool has a waiter, the other cores close their idle connections too, as these may hold all
+        // descriptors.
+        waiter.get_or_insert_with(|| descriptors.pool.register_waiter());
         descriptors.released.notified().await;
     };
-    drop(waiting);
+    drop(waiter);
     is_short_of_resources.set(false);
     let stream = alderway_sockets::dial_telling(address, is_short_of_resources).await?;
-    // Without it small frames would wait for the acknowledgement of those before.
+    // Without this option, a small frame would wait until the data node has acknowledged earlier frames.
     stream.set_nodelay(true)?;
     Ok((permit, stream))
 }
@@ -148,44 +155,46 @@
     connection: u64,
     stream: &'a TcpStream,
     clock: Clock,
-    /// The dispatcher has something for this connection.
+    /// Notified when the dispatcher has a frame for this connection, or requests its close.
     wake: Rc<Notify>,
-    /// An idle connection is closed after so many seconds.
+    /// Time after which an idle connection is closed, in seconds.
     idle_timeout_s: f64,
-    /// An answer that has begun to come has to be complete within so many seconds.
+    /// Timeout from the first byte of a reply until the reply is complete, in seconds.
     answer_timeout_s: f64,
     incoming: ReadBuffer,
     outgoing: Outgoing,
-    /// By when the present frame has to get further; infinite where none is blocked.
+    /// Deadline for writing more of the current frame, in seconds of the monotonic clock; infinite if no frame is
+    /// blocked.
     write_by: f64,
-    /// By when a frame that has begun to come has to be complete; infinite where none has.
+    /// Deadline for receiving the rest of a partly received frame, in seconds of the monotonic clock; infinite if
+    /// there is no such frame.
     read_by: f64,
-    /// The last stall of this thread that was waited out.
-    known_stall: u64,
+    /// Number of the last suspension of this thread after which pending input was read.
+    handled_stall: u64,
 }
 
-/// The frame that is being written.
+/// The frame that is being written, and the number of bytes written.
 #[derive(Default)]
 struct Outgoing {
     sender: Sender,
     frame: Vec<u8>,
-    /// Bytes of the frame that the socket has taken.
+    /// Number of bytes of the current frame that were written to the socket.
     written_bytes: usize,
-    /// Bytes of all frames that the socket has taken.
+    /// Number of bytes that were written to the socket since the connection was opened.
     total_bytes: u64,
 }
 
-/// How far writing has got.
+/// Progress of writing frames to a data node.
 #[derive(Clone, Copy, PartialEq)]
 enum WriteProgress {
-    /// No frame waits.
+    /// All frames are written.
     Complete,
-    /// The socket takes no more for now.
+    /// The socket's send buffer is full.
     Blocked,
 }
 
 impl<'a> NodeSession<'a> {
-    /// None where the dispatcher has forgotten the connection.
+    /// Creates the session of an established connection; `None` if the dispatcher has removed the connection.
     fn open(
         dispatcher: &'a DispatcherHandle,
         node: &'a str,
@@ -197,7 +206,8 @@
         let node_connection = state.endpoints.connection(node, connection)?;
         node_connection.is_open = true;
         let wake = node_connection.wake.clone();
-        // Idle connections close a dial's length before the node's machine would.
+        // The router closes an idle connection one dial timeout before the data node would, but not before half of
+        // the data node's idle timeout.
         let idle_timeout_s = (config.idle_timeout_s - config.dial_timeout_s).max(0.5 * config.idle_timeout_s);
         Some(NodeSession {
             dispatcher,
@@ -212,11 +222,11 @@
             outgoing: Outgoing::default(),
             write_by: f64::INFINITY,
             read_by: f64::INFINITY,
-            known_stall: 0,
+            handled_stall: 0,
         })
     }
 
-    /// Writes what waits and reads what comes until the connection is to be closed.
+    /// Writes frames and reads replies until the connection has to be closed; returns the reason.
     async fn run(mut self) -> CloseReason {
         loop {
             if let Err(reason) = self.step().await {
@@ -226,7 +236,7 @@
     }
 
     async fn step(&mut self) -> Result<(), CloseReason> {
-        self.wait_out_stall().await;
+        self.read_pending_input_after_stall().await;
         self.check_still_open_before_reuse()?;
         let progress = self.write_frames()?;
         let idle_since = self.check_idle()?;
@@ -240,27 +250,29 @@
                 self.limit_incomplete_answer(frames);
             }
             () = self.outgoing.sender.ready(stream), if progress == WriteProgress::Blocked => {}
-            () = until(clock, self.write_by), if self.write_by.is_finite() => {
-                return Err(CloseReason::TakesNothing);
+            () = sleep_until(clock, self.write_by), if self.write_by.is_finite() => {
+                return Err(CloseReason::WriteTimeout);
             }
-            () = until(clock, self.read_by), if self.read_by.is_finite() => {
-                let problem = "an answer that does not end";
+            () = sleep_until(clock, self.read_by), if self.read_by.is_finite() => {
+                let problem = "a reply was not complete in time";
                 return Err(CloseReason::Corrupted(CorruptedFrame::unnamed(problem)));
             }
             () = wake.notified() => {}
-            () = until(clock, idle_since.unwrap_or_default() + self.idle_timeout_s), if idle_since.is_some() => {}
+            () = sleep_until(clock, idle_since.unwrap_or_default() + self.idle_timeout_s), if idle_since.is_some() => {}
         }
         Ok(())
     }
 
-    /// Calls `act` on the state of this connection; none where the dispatcher has forgotten it.
+    /// Calls `act` on the dispatcher's state of this connection; returns `None` if the dispatcher has removed the
+    /// connection.
     fn with_state<T>(&self, act: impl FnOnce(&mut NodeConnection) -> T) -> Option<T> {
         self.dispatcher.borrow_mut().endpoints.connection(self.node, self.connection).map(act)
     }
 
-    /// Has what came while this thread stood still read before an attempt begins. Guards against attempts for clients
-    /// that have left, or to data nodes that drain, where the word of it waits unread behind this connection.
-    async fn wait_out_stall(&mut self) {
+    /// After a suspension of this thread, lets other tasks read their sockets before this connection writes an
+    /// attempt. Guards against attempts for a client whose disconnect, or on a data node whose draining state, has
+    /// arrived but is not read yet.
+    async fn read_pending_input_after_stall(&mut self) {
         loop {
             let stall = {
                 let mut dispatcher = self.dispatcher.borrow_mut();
@@ -270,27 +282,27 @@
             if !self.with_state(|state| state.next_starts_attempts()).unwrap_or(false) {
                 return;
             }
-            if replace(&mut self.known_stall, stall) == stall {
+            if replace(&mut self.handled_stall, stall) == stall {
                 return;
             }
-            // The runtime asks the system what has come, and whoever that is for goes first.
+            // Yielding lets the runtime poll the sockets, and run the tasks that have input, before this task.
             yield_now().await;
         }
     }
 
-    /// Guards against an attempt written to a connection that its node has closed as idle, which would count as one that
-    /// may have run.
+    /// Before an idle connection is reused, returns an error if the data node has closed the connection. Guards
+    /// against writing an attempt to a closed connection: the attempt would count as possibly executed.
     fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
         let is_reuse = self.with_state(|state| state.will_reuse_after_idle()).unwrap_or(false);
-        if is_reuse && arrival::ended(self.stream) {
+        if is_reuse && arrival::is_closed_by_peer(self.stream) {
             self.dispatcher.borrow_mut().requeue_unsent(self.node, self.connection);
             return Err(CloseReason::EndedWhileIdle);
         }
         Ok(())
     }
 
-    /// Writes frame after frame until none waits or the socket takes no more. A silent machine never closes: a frame
-    /// that gets no further for long ends the connection.
+    /// Writes frames until none is left or the socket's send buffer is full. Sets a deadline for a blocked frame,
+    /// because a machine that has crashed never closes its connections.
     fn write_frames(&mut self) -> Result<WriteProgress, CloseReason> {
         let before = self.outgoing.total_bytes;
         let progress = self.write_until_blocked()?;
@@ -304,7 +316,7 @@
 
     fn write_until_blocked(&mut self) -> Result<WriteProgress, CloseReason> {
         loop {
-            // Guards against the rest of a frame going out after the final answer of a query in it.
+            // The rest of a frame must not be sent once a query in the frame has got its final response.
             if self.with_state(|state| state.is_aborted).unwrap_or(true) {
                 return Err(CloseReason::CutOrBroken);
             }
@@ -317,7 +329,7 @@
         }
     }
 
-    /// False where no frame waits.
+    /// Begins the next frame; returns false if there is no frame to write.
     fn begin_next_frame(&mut self) -> bool {
         let Outgoing { frame, written_bytes, .. } = &mut self.outgoing;
         let mut dispatcher = self.dispatcher.borrow_mut();
@@ -332,7 +344,7 @@
         dispatcher.encode_next_frame(self.node, self.connection, frame)
     }
 
-    /// Writes what the socket takes of the present frame: how many bytes.
+    /// Writes as much of the current frame as the socket accepts; returns the number of bytes written.
     fn write_some(&mut self) -> Result<usize, CloseReason> {
         let (node, connection) = (self.node, self.connection);
         let Outgoing { sender, frame, written_bytes, total_bytes } = &mut self.outgoing;
@@ -356,7 +368,9 @@
         Ok(count)
     }
 
-    /// Since when the connection is idle; an end where it has been so for too long, or is not wanted any more.
+    /// Returns when the connection became idle, in seconds of the monotonic clock, or `None` if the connection is in
+    /// use. Returns an error if the connection was idle for too long, or its file descriptor is needed for another
+    /// connection.
     fn check_idle(&self) -> Result<Option<f64>, CloseReason> {
         let now = self.clock.now();
         let checked = self.with_state(|state| {
@@ -370,8 +384,8 @@
         checked.unwrap_or(Err(CloseReason::Forgotten))
     }
 
-    /// Reads once what has come and says how many frames that made. Whoever has more to say waits for its next turn, so
-    /// that no data node can keep the core to itself.
+    /// Reads from the socket once and handles the complete frames; returns the number of frames. A single read
+    /// prevents one data node from occupying the core.
     fn read(&mut self) -> Result<usize, CloseReason> {
         match alderway_sockets::read(self.stream, self.incoming.unfilled()) {
             Ok(Some(0)) | Err(_) => return Err(CloseReason::EndedByNode),
@@ -385,49 +399,52 @@
         loop {
             let next = frames::read_frame(self.incoming.data());
             let next = next.map_err(|problem| CloseReason::Corrupted(CorruptedFrame::unnamed(problem)))?;
-            let Some((letter, body, used_bytes)) = next else { return Ok(frames_read) };
-            self.receive(letter, body)?;
+            let Some((frame_type, body, used_bytes)) = next else { return Ok(frames_read) };
+            self.receive(frame_type, body)?;
             self.incoming.consume(used_bytes);
             frames_read += 1;
         }
     }
 
-    fn receive(&self, letter: u8, body: &[u8]) -> Result<(), CloseReason> {
-        match letter {
+    fn receive(&self, frame_type: u8, body: &[u8]) -> Result<(), CloseReason> {
+        match frame_type {
             b'R' => self.receive_reply(body).map_err(CloseReason::Corrupted),
             b'F' => {
-                tracing::warn!(target: "frame", "node {}: it could not use a frame of ours", self.node);
+                tracing::warn!(target: "frame", "data node {} could not read a frame that this router sent; its connection is closed", self.node);
                 Err(CloseReason::EndedByNode)
             }
-            // Answers to health checks, which this router does not send.
+            // Replies to health checks, which this router does not send, are ignored.
             b'H' | b'M' => Ok(()),
-            _ => Err(CloseReason::Corrupted(CorruptedFrame::unnamed("a frame with an unknown letter"))),
+            _ => Err(CloseReason::Corrupted(CorruptedFrame::unnamed("a frame of an unknown type"))),
         }
     }
 
     fn receive_reply(&self, body: &[u8]) -> Result<(), CorruptedFrame> {
-        let (shard_request, word, report, value) =
+        let (shard_request, status, report, value) =
             frames::parse_reply(body).map_err(CorruptedFrame::unnamed)?;
-        let outcome = match word {
+        let outcome = match status {
             "done" => AttemptOutcome::Success,
             "failed" => AttemptOutcome::Error,
             "full" => AttemptOutcome::Rejected,
             _ => {
                 let shard_request = Some(shard_request.to_string());
-                return Err(CorruptedFrame { problem: "a reply with an unknown ending", shard_request });
+                return Err(CorruptedFrame { problem: "a reply with an unknown status", shard_request });
             }
         };
         let mut dispatcher = self.dispatcher.borrow_mut();
         let report = frames::parse_shard_report(report);
         let reply = NodeReply { request_id: shard_request, outcome, report, value };
         if !dispatcher.reply_received(self.node, self.connection, &reply) {
-            return Err(CorruptedFrame::unnamed("a reply for a part not asked for"));
+            return Err(CorruptedFrame::unnamed(
+                "a reply to a shard request that was not sent on this connection",
+            ));
         }
         Ok(())
     }
 
-    /// A data node writes an answer in one go. Guards against a length that says more than comes, which would hold the
-    /// attempts out here, and take the next answer for its rest.
+    /// Sets a deadline for a partly received reply, as data nodes write each reply in one piece. Guards against a
+    /// frame whose length prefix is larger than its content: the attempts on the connection would wait for the
+    /// missing bytes, and the next reply would be read as part of this one.
     fn limit_incomplete_answer(&mut self, frames_read: usize) {
         if self.incoming.is_empty() {
             self.read_by = f64::INFINITY;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,18 @@
-//! The query router of alderway on real sockets. `wire` is the protocol, `state` what is kept, `lifecycle` how it starts and stops, `io` what reads and writes; `requests` is what clients may ask for.
-//! Every decision is made in the `alderway` crate's policy, once a round.
+//! The query router of alderway. The policy of the `alderway` crate decides which attempts to start, cancel and
+//! retry; this crate connects the policy to sockets, timers and the operating system.
+//!
+//! A policy round is one call of the policy: the call receives all events since the last round and returns decisions.
+//!
+//! - [`server`]: runs the program on one core, on several cores, or as a planner.
+//! - [`lifecycle`]: reads the configuration at the start, applies changes of the configuration while serving, and
+//!   shuts down.
+//! - [`io`]: the tasks that read and write sockets.
+//! - [`wire`]: the formats of HTTP requests, responses, data node frames and discovery.
+//! - [`state`]: open queries, attempts, connections, endpoints and counters.
+//! - [`requests`]: the HTTP requests of clients.
+//! - [`control`]: the subscription to control servers.
+//! - [`gossip`]: observations exchanged with other routers.
+//! - [`tier`]: forwarders and planners.
 pub mod control;
 pub mod gossip;
 pub mod io;
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -1,12 +1,15 @@
-//! Graceful shutdown after SIGTERM. Connections keep arriving for a while and clients keep the ones they have, as they may
-//! have nowhere else to go; every query that was admitted gets an answer before the platform's SIGKILL.
+//! Shuts the program down gracefully after SIGTERM. New client connections are accepted for
+//! [`LISTEN_TIME_AFTER_SIGTERM`], and existing ones stay open, because clients may have no other router. Every
+//! admitted query gets a response before the platform sends SIGKILL.
 //!
-//! The phases, as `ShutdownPhase` names them:
+//! The phases of [`ShutdownPhase`]:
 //!
-//! 1. Draining, from SIGTERM: the listener stays open for [`LISTEN_DURATION`], and connections are served as before.
-//! 2. Closing, as soon as a query that came now might find no time for its answer: idle connections are closed, busy ones
-//!    after their answer.
-//! 3. Ending, once all clients are gone or the time is over: open queries fail, and their answers go out.
+//! 1. Draining, from SIGTERM: the listener stays open for [`LISTEN_TIME_AFTER_SIGTERM`], and connections are served
+//!    as before.
+//! 2. Closing, as soon as a new query might not be answered before the time limit: idle connections are closed at
+//!    once, others after their current response.
+//! 3. Ending, once all clients are disconnected or the time limit is reached: open queries are answered with an
+//!    error, and the last responses are written.
 use crate::state::DispatcherHandle;
 use crate::state::shutdown_phase::ShutdownPhase;
 use alderway_sockets::signals::Signals;
@@ -16,30 +19,37 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// How long the listener stays open after SIGTERM. The users' protocol: new connections keep coming for 0.4 s.
-pub const LISTEN_DURATION: Duration = Duration::from_millis(500);
-/// The users' protocol: SIGKILL comes no sooner than the longest deadline, counted as 3 s where it is longer, and 0.7 s.
+/// How long the client listener stays open after SIGTERM. The client protocol allows new connections for 0.4 s.
+pub const LISTEN_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(500);
+/// The client protocol guarantees at least the longest query deadline plus [`KILL_AFTER_DEADLINE_S`] between SIGTERM
+/// and SIGKILL. A longer deadline counts as this one, in seconds.
 const MAX_DEADLINE_S: f64 = 3.0;
+/// Minimum time between the longest query deadline, counted from SIGTERM, and SIGKILL, in seconds.
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
-/// How long the last answers may take to go out.
+/// Time reserved for writing the last responses, in seconds.
 const LAST_ANSWERS_S: f64 = 0.1;
-/// The users' standing test: the process may be held up for so long at any moment.
+/// Longest suspension of the process that a shutdown has to tolerate, in seconds: the users' acceptance tests suspend
+/// the process for this long at any time.
 const STALL_S: f64 = 0.15;
-/// How long before SIGKILL the program has ended, even if it was held up.
+/// Time left between the end of the program and SIGKILL, in seconds, if the process was suspended for [`STALL_S`].
 const SAFETY_MARGIN_S: f64 = 0.15;
+/// Interval at which a shutdown checks whether all clients are disconnected.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Polls that a wait for the last answers makes at the least: one to read what has come, one to answer it, one to write.
+/// Minimum number of [`POLL_INTERVAL`]s for which the last responses are waited for. In each, the other tasks run
+/// once: they read pending requests, answer them, and write the responses.
 const POLLS_MIN: usize = 3;
-/// How long accepting the connections that wait as the listener closes may take at the least.
+/// Minimum timeout for accepting the connections that are in the kernel's queue of the closing listener.
 const ACCEPT_WAITING_MIN: Duration = Duration::from_millis(100);
 
-/// How long after SIGTERM the last open queries fail, in seconds, for a longest deadline in seconds.
-pub fn time_limit_s(longest_deadline_s: f64) -> f64 {
+/// Returns the time from SIGTERM until the router answers the remaining open queries with an error, in seconds.
+/// `longest_deadline_s` is the longest query deadline of the settings.
+pub fn shutdown_time_limit_s(longest_deadline_s: f64) -> f64 {
     let reserved_s = LAST_ANSWERS_S + STALL_S + SAFETY_MARGIN_S;
     longest_deadline_s.min(MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - reserved_s
 }
 
-/// Waits for SIGTERM and shuts one core down, whose listener ends with `close`; returns when the program may end.
+/// Waits for SIGTERM and shuts down a router on one core; returns when the program can exit. Notifying `close` stops
+/// `listening`, the task that accepts connections.
 pub async fn shut_down_at_sigterm(
     mut terminations: Signals,
     dispatcher: DispatcherHandle,
@@ -51,44 +61,47 @@
         let dispatcher = dispatcher.borrow();
         dispatcher.longest_deadline_s(dispatcher.clock.now())
     };
-    shut_down(dispatcher, listener_closed(close, listening, time_limit_s(longest_deadline_s))).await;
+    shut_down(dispatcher, close_listener(close, listening, shutdown_time_limit_s(longest_deadline_s))).await;
 }
 
-/// Closes the listener after [`LISTEN_DURATION`]; returns once no further connection is accepted, by the end of a shutdown
-/// of `limit_s` seconds where the descriptors for them come free too slowly. Guards against ending with connections that
-/// the system has accepted and this program has not looked at yet, as after standing still.
-pub async fn listener_closed(close: Rc<Notify>, listening: JoinHandle<()>, limit_s: f64) {
-    sleep(LISTEN_DURATION).await;
+/// Closes the client listener after [`LISTEN_TIME_AFTER_SIGTERM`], and waits until `listening` has accepted the
+/// connections in the kernel's queue. `limit_s` is the time limit of the shutdown from SIGTERM, in seconds; the wait
+/// ends by then if file descriptors are released too slowly. Guards against exiting while connections are in the
+/// queue, for example after the process was suspended.
+pub async fn close_listener(close: Rc<Notify>, listening: JoinHandle<()>, limit_s: f64) {
+    sleep(LISTEN_TIME_AFTER_SIGTERM).await;
     close.notify_one();
-    let remaining = Duration::from_secs_f64(limit_s.max(0.0)).saturating_sub(LISTEN_DURATION);
-    let _ = timeout(remaining.clamp(ACCEPT_WAITING_MIN, LISTEN_DURATION), listening).await;
+    let remaining = Duration::from_secs_f64(limit_s.max(0.0)).saturating_sub(LISTEN_TIME_AFTER_SIGTERM);
+    let _ = timeout(remaining.clamp(ACCEPT_WAITING_MIN, LISTEN_TIME_AFTER_SIGTERM), listening).await;
 }
 
-/// Shuts one core down; returns when the program may end. `listener_closed` ends when no further connection comes.
+/// Shuts down one core; returns when all its clients are disconnected or the time limit is reached. `listener_closed`
+/// completes when no further connection will arrive.
 pub async fn shut_down(dispatcher: DispatcherHandle, listener_closed: impl Future<Output = ()>) {
     let clock = dispatcher.borrow().clock;
-    let times = begin_draining(&dispatcher);
+    let phases = begin_draining(&dispatcher);
     listener_closed.await;
-    // Guards against ending before the task of the connection accepted last has run for the first time.
+    // The task of the last accepted connection runs for the first time during this pause; otherwise it would not be
+    // counted as a client below.
     sleep(POLL_INTERVAL).await;
-    while clock.now() < times.end && !dispatcher.borrow().clients.is_empty() {
-        if clock.now() >= times.close_at {
+    while clock.now() < phases.end && !dispatcher.borrow().clients.is_empty() {
+        if clock.now() >= phases.close_at {
             dispatcher.borrow_mut().shutdown_phase = ShutdownPhase::Closing;
             dispatcher.borrow().clients.close_idle();
         }
         sleep(POLL_INTERVAL).await;
     }
-    let open_queries = end_open_queries(&dispatcher).await;
-    let took_s = clock.now() - times.began;
-    tracing::info!(target: "stop", "ended after {took_s:.1} s: {open_queries} queries aborted");
+    let open_queries = fail_queries_and_disconnect(&dispatcher).await;
+    let took_s = clock.now() - phases.began;
+    tracing::info!(target: "stop", "shutdown ended after {took_s:.1} s: {open_queries} open queries were answered with an error");
 }
 
-/// When the phases of a shutdown begin, in seconds of the program's clock.
+/// When the phases of a shutdown begin, in seconds of the monotonic clock.
 struct PhaseTimes {
     began: f64,
-    /// Connections close from here on: a query that came now might not be answered by the end.
+    /// From this time on, connections are closed, because a new query might not be answered before `end`.
     close_at: f64,
-    /// Open queries fail.
+    /// When the remaining open queries are answered with an error.
     end: f64,
 }
 
@@ -97,12 +110,12 @@
     let began = dispatcher.clock.now();
     dispatcher.shutdown_phase = ShutdownPhase::Draining;
     let (queries, clients) = (dispatcher.queries.len(), dispatcher.clients.len());
-    tracing::info!(target: "stop", "SIGTERM: {queries} queries open, {clients} clients");
-    let end = began + time_limit_s(dispatcher.longest_deadline_s(began));
+    tracing::info!(target: "stop", "SIGTERM: shutdown begins with {queries} open queries and {clients} client connections");
+    let end = began + shutdown_time_limit_s(dispatcher.longest_deadline_s(began));
     PhaseTimes { began, close_at: end - dispatcher.admission.max_latency_objective_s, end }
 }
 
-/// Fails all open queries; how many there were.
+/// Fails all open queries, so that their clients get an error response; returns the number of these queries.
 fn fail_open_queries(dispatcher: &DispatcherHandle) -> usize {
     let mut dispatcher = dispatcher.borrow_mut();
     let open_queries = dispatcher.queries.len();
@@ -112,31 +125,33 @@
     open_queries
 }
 
-/// Ends what a core has open, at the end of a shutdown or as the core has failed: whatever it has read gets its final
-/// answer, also what comes or is behind an open query now. How many queries were open.
-pub async fn end_open_queries(dispatcher: &DispatcherHandle) -> usize {
+/// Answers all open queries of a core with an error and closes its client connections, at the end of a shutdown or
+/// after a failure of the core. Every request that was read gets a response, including pipelined requests and
+/// requests that arrive meanwhile. Returns the number of queries that were open.
+pub async fn fail_queries_and_disconnect(dispatcher: &DispatcherHandle) -> usize {
     let open_queries = fail_open_queries(dispatcher);
-    last_answers_written(dispatcher).await;
+    wait_for_last_answers(dispatcher).await;
     open_queries
 }
 
-/// Waits until the last answers have gone out and all clients with them, for [`LAST_ANSWERS_S`] at most. Guards against a
-/// process that stands still just before or meanwhile, and would end before its tasks have written an answer: the time
-/// counts from here, and passes only with some polls.
-async fn last_answers_written(dispatcher: &DispatcherHandle) {
+/// Waits until the last responses are written and all clients are disconnected, for at most [`LAST_ANSWERS_S`] but at
+/// least [`POLLS_MIN`] intervals. Without that minimum, a process that is suspended during the wait would exit before
+/// its tasks have written the responses.
+async fn wait_for_last_answers(dispatcher: &DispatcherHandle) {
     let clock = dispatcher.borrow().clock;
-    let until = clock.now() + LAST_ANSWERS_S;
+    let deadline = clock.now() + LAST_ANSWERS_S;
     let mut polls = 0;
-    while !dispatcher.borrow().clients.is_empty() && (clock.now() < until || polls < POLLS_MIN) {
+    while !dispatcher.borrow().clients.is_empty() && (clock.now() < deadline || polls < POLLS_MIN) {
         sleep(POLL_INTERVAL).await;
         polls += 1;
     }
 }
 
-/// Ends connections that came to a core which had shut down already: what they ask for is rejected at once.
-pub async fn end_late_connections(dispatcher: DispatcherHandle) {
-    // Their tasks have yet to run for the first time.
+/// Closes the client connections that were assigned to a core after its shutdown. Requests on them are rejected at
+/// once.
+pub async fn reject_late_connections(dispatcher: DispatcherHandle) {
+    // The tasks of these connections run for the first time during this pause.
     sleep(POLL_INTERVAL).await;
     dispatcher.borrow().clients.close_for_shutdown();
-    last_answers_written(&dispatcher).await;
+    wait_for_last_answers(&dispatcher).await;
 }
--- a/crates/router/src/lifecycle/mod.rs
+++ b/crates/router/src/lifecycle/mod.rs
@@ -1,11 +1,13 @@
-//! The life of a program: what it starts with, how its configuration changes while it serves, and how it shuts down.
+//! Reads the program's configuration at the start, applies changes of the configuration while the program serves, and
+//! shuts the program down.
 //!
-//! - [`startup`]: the configuration file, read and checked.
-//! - [`reload`]: the same file read again at SIGHUP.
-//! - [`live_config`]: settings applied to the running router, whole or not at all.
-//! - [`graceful_shutdown`]: from SIGTERM to the end of the program.
+//! - [`startup`]: reads and checks the configuration file.
+//! - [`reload`]: reads the configuration file again at SIGHUP.
+//! - [`live_config`]: applies new settings to the running router.
+//! - [`graceful_shutdown`]: shuts the program down after SIGTERM.
 //!
-//! Nothing here knows who brings a configuration beside the file; `control` and `server` build on these modules.
+//! These modules do not depend on `control`, which receives settings from control servers, or on `server`; both use
+//! these modules.
 pub mod graceful_shutdown;
 pub mod live_config;
 pub mod reload;
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -1,7 +1,8 @@
-//! The configuration file read again at SIGHUP. What may change while the program serves is applied; a file that is missing,
-//! half written or faulty changes nothing.
+//! Reads the configuration file again at SIGHUP, and applies the changes that do not need a restart. A file that is
+//! missing, incomplete or invalid changes nothing. The operator's file, a second file that describes the deployment,
+//! is only checked for changes.
 use super::live_config::LiveConfig;
-use super::startup::{FixedKeys, OperatorFileCheck, Overrides, StartupConfig, StartupError};
+use super::startup::{OperatorFileChangeCheck, Overrides, RestartOnlyKeys, StartupConfig, StartupError};
 use alderway_sockets::signals::Signals;
 use alderway_telemetry::clock::Clock;
 use serde_json::Value;
@@ -10,14 +11,16 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// What the program was last configured by, to tell what a file says anew.
+/// The values of the configuration that was last read, for finding changes at a reload.
 pub struct PreviousConfig {
-    /// The configuration file.
+    /// The path of the configuration file.
     pub path: PathBuf,
-    /// Compares the operator's file with the start; none where there is no such file.
-    pub operator_file_check: Option<OperatorFileCheck>,
-    /// Keys that only change with a start, with their values; settings as they were last applied from the file.
-    pub fixed_keys: FixedKeys,
+    /// Checks whether a value of the operator's file has changed that needs a restart; `None` if the program was
+    /// started without an operator's file.
+    pub operator_file_check: Option<OperatorFileChangeCheck>,
+    /// Values of the keys that can only change with a restart. The value of `settings` is the last one applied from
+    /// the file.
+    pub restart_only_keys: RestartOnlyKeys,
 }
 
 /// Why a reload changed nothing.
@@ -25,14 +28,15 @@
 enum ReloadError {
     #[error(transparent)]
     Config(#[from] StartupError),
-    /// The operator's file cannot be used; the text names the file and the line.
+    /// The operator's file cannot be used; the text names the path and the line.
     #[error("{0}")]
     OperatorFile(String),
 }
 
-/// Reads the configuration anew with every SIGHUP, for as long as the program runs. Discovery's address goes to
-/// `discovery`. Settings are applied to `live_config`, if the router can change them, when they differ from those last
-/// applied from the file: a reload for another reason does not undo what came another way since.
+/// Reads the configuration file again at each SIGHUP, for as long as the program runs. Sends the address of the
+/// discovery server to `discovery`. If `live_config` is given, applies the file's settings to it, but only if they
+/// have changed in the file since they were last applied: a reload for another reason must not undo settings from
+/// another source.
 pub async fn reload_at_sighup(
     mut hangups: Signals,
     mut previous: PreviousConfig,
@@ -44,18 +48,18 @@
         hangups.recv().await;
         match previous.read_again(clock) {
             Ok(config) => {
-                previous.log_fixed_keys_changed(&config, live_config.is_some());
+                previous.log_restart_only_changes(&config, live_config.is_some());
                 move_discovery(&discovery, config.discovery);
                 if let Some(live_config) = &live_config {
                     previous.apply_settings(config.settings_json, live_config).await;
                 }
             }
             Err(error) => {
-                tracing::warn!(target: "reload", "{error}; the old configuration holds");
+                tracing::warn!(target: "reload", "configuration not changed: {error}; the old configuration holds");
                 if let (ReloadError::Config(error), Some(live_config)) = (&error, &live_config)
-                    && error.is_of_settings()
+                    && error.is_settings_error()
                 {
-                    live_config.count_rejected();
+                    live_config.count_rejected_settings();
                 }
             }
         }
@@ -63,12 +67,12 @@
 }
 
 impl PreviousConfig {
-    /// What a program that starts with `config` is configured by.
+    /// The values of the configuration with which the program starts.
     pub fn of(config: &StartupConfig) -> Self {
         PreviousConfig {
             path: config.path.clone(),
             operator_file_check: config.operator_file_check.clone(),
-            fixed_keys: config.fixed_keys.clone(),
+            restart_only_keys: config.restart_only_keys.clone(),
         }
     }
 
@@ -76,22 +80,23 @@
         let operator_file = self.operator_file_check.as_ref().map_or(Ok(false), |check| check());
         let config = StartupConfig::read(&self.path, Overrides::default(), clock)?;
         if operator_file.map_err(ReloadError::OperatorFile)? {
-            tracing::warn!(target: "reload", "operator's file: its change waits for a start");
+            tracing::warn!(target: "reload", "the operator's file has changed: the change takes effect with a restart");
         }
         Ok(config)
     }
 
-    fn log_fixed_keys_changed(&self, config: &StartupConfig, can_apply_settings: bool) {
-        for ((key, new), (_, previous)) in config.fixed_keys.iter().zip(&self.fixed_keys) {
+    fn log_restart_only_changes(&self, config: &StartupConfig, can_apply_settings: bool) {
+        for ((key, new), (_, previous)) in config.restart_only_keys.iter().zip(&self.restart_only_keys) {
             let is_applied = can_apply_settings && *key == "settings";
             if new != previous && !is_applied {
-                tracing::warn!(target: "reload", "key `{key}`: its change waits for a start");
+                tracing::warn!(target: "reload", "configuration key `{key}` has changed: the change takes effect with a restart");
             }
         }
     }
 
     async fn apply_settings(&mut self, settings: Value, live_config: &LiveConfig) {
-        let Some((_, previous)) = self.fixed_keys.iter_mut().find(|(key, _)| *key == "settings") else {
+        let Some((_, previous)) = self.restart_only_keys.iter_mut().find(|(key, _)| *key == "settings")
+        else {
             return;
         };
         if *previous != settings && live_config.apply(settings.clone(), None).await.is_ok() {
@@ -102,6 +107,9 @@
 
 fn move_discovery(discovery: &watch::Sender<SocketAddr>, address: SocketAddr) {
     let moved = discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
-    let verb = if moved { "moves to" } else { "stays at" };
-    tracing::info!(target: "reload", "configuration read: discovery {verb} {address}");
+    if moved {
+        tracing::info!(target: "reload", "configuration read: discovery moves to {address}");
+    } else {
+        tracing::info!(target: "reload", "configuration read: discovery stays at {address}");
+    }
 }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -1,4 +1,5 @@
-//! What a request asks for: a query, readiness or the counters; anything else is told why not.
+//! Handles the HTTP requests of clients: queries (`POST /api`), readiness (`GET /up`) and counters (`GET /counters`).
+//! Any other request gets an error response.
 use crate::state::DispatcherHandle;
 use crate::state::clients::ClientConnection;
 use crate::state::queries::{Query, QueryError, ShardRequest};
@@ -10,17 +11,27 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Takes a whole request whose last byte came at `at`; it is answered now, or it is an open query then.
-pub fn take(dispatcher: &DispatcherHandle, client: &Rc<ClientConnection>, head: Head, body: &[u8], at: f64) {
-    // The answers here have a body, which an answer to HEAD must not: no further message could be told apart.
-    let closes = head.closes_connection() || head.first_line().starts_with("HEAD ");
-    client
-        .close_after_response
-        .set(client.close_after_response.get() || closes || dispatcher.borrow().closes_for_shutdown(client));
-    let mut words = head.first_line().split(' ');
-    let (method, target) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
+/// Handles a complete request: writes a response to `client`, or opens a query that is answered later. `arrived_at`
+/// is when the last byte of the request arrived, in seconds of the monotonic clock.
+pub fn handle(
+    dispatcher: &DispatcherHandle,
+    client: &Rc<ClientConnection>,
+    head: Head,
+    body: &[u8],
+    arrived_at: f64,
+) {
+    // The router sends a body even in the response to HEAD. The client expects no body there and would read this one
+    // as the start of the next response, so the router closes the connection after the response.
+    let closes_connection = head.closes_connection() || head.first_line().starts_with("HEAD ");
+    client.close_after_response.set(
+        client.close_after_response.get()
+            || closes_connection
+            || dispatcher.borrow().closes_for_shutdown(client),
+    );
+    let mut parts = head.first_line().split(' ');
+    let (method, target) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
     let path = target.split('?').next().unwrap_or_default();
-    let plain = |status, text: &str| {
+    let respond = |status, text: &str| {
         response::write_text(
             &mut client.output.borrow_mut(),
             status,
@@ -29,9 +40,9 @@
             client.close_after_response.get(),
         );
     };
-    if !words.next().unwrap_or_default().starts_with("HTTP/1.") || words.next().is_some() {
+    if !parts.next().unwrap_or_default().starts_with("HTTP/1.") || parts.next().is_some() {
         client.close_after_response.set(true);
-        return plain(505, "expected METHOD PATH HTTP/1.1");
+        return respond(505, "expected METHOD PATH HTTP/1.1");
     }
     #[cfg(feature = "faults")]
     if let Ok(Some(fault)) = head.field("X-Fault") {
@@ -43,64 +54,68 @@
     }
     match (method, path) {
         ("POST", "/api") => {
-            let taken = read(dispatcher, client, head, body, at);
-            if let Err((status, why)) = taken {
+            let opened = open_query(dispatcher, client, head, body, arrived_at);
+            if let Err((status, text)) = opened {
                 dispatcher.borrow_mut().counters.increment("requests{not_in_form}");
-                plain(status, why);
+                respond(status, text);
             }
         }
-        ("GET", "/up") if dispatcher.borrow().is_ready() => plain(200, "up"),
-        ("GET", "/up") => plain(503, "not able to serve"),
-        ("GET", "/counters") => plain(200, dispatcher.borrow().metrics_text().trim_end()),
-        (_, "/api" | "/up" | "/counters") => plain(405, "not that method here"),
-        _ => plain(404, "no such path"),
+        ("GET", "/up") if dispatcher.borrow().is_ready() => respond(200, "up"),
+        ("GET", "/up") => respond(503, "not able to serve"),
+        ("GET", "/counters") => respond(200, dispatcher.borrow().metrics_text().trim_end()),
+        (_, "/api" | "/up" | "/counters") => respond(405, "not that method here"),
+        _ => respond(404, "no such path"),
     }
 }
 
-/// Opens the query that a request asks for.
-fn read(
+/// Parses a query request and opens its query; returns the error response if the request is invalid.
+fn open_query(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
     head: Head,
     body: &[u8],
-    at: f64,
+    arrived_at: f64,
 ) -> Result<(), HttpError> {
-    let field = |name, lacking| head.field(name)?.filter(|v| !v.is_empty()).ok_or((400, lacking));
+    let field = |name, missing| head.field(name)?.filter(|v| !v.is_empty()).ok_or((400, missing));
     let id = field("X-Correlation-Id", "X-Correlation-Id is missing")?;
     if id.len() > MAX_QUERY_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
         return Err((400, "X-Correlation-Id is not a short word"));
     }
     let class = field("X-Service-Class", "X-Service-Class is missing")?;
-    let left = field("X-Time-Left-Ms", "X-Time-Left-Ms is missing")?;
-    let digits = left.bytes().all(|b| b.is_ascii_digit());
-    let left =
-        left.parse::<u32>().ok().filter(|_| digits).ok_or((400, "X-Time-Left-Ms is not a whole number"))?;
+    let time_left_ms = field("X-Time-Left-Ms", "X-Time-Left-Ms is missing")?;
+    let is_digits = time_left_ms.bytes().all(|b| b.is_ascii_digit());
+    let time_left_ms = time_left_ms
+        .parse::<u32>()
+        .ok()
+        .filter(|_| is_digits)
+        .ok_or((400, "X-Time-Left-Ms is not a whole number"))?;
     let mut dispatcher = dispatcher.borrow_mut();
     dispatcher.apply_newest_config();
     let class = dispatcher.class_slot(class).ok_or((400, "an unknown vertical"))?;
     if dispatcher.queries.is_open(id) {
-        return Err(refusal(QueryError::IdInUse));
+        return Err(error_response(QueryError::IdInUse));
     }
-    let not_after_s = at + (f64::from(left) / 1e3).min(dispatcher.admission.max_deadline_s);
+    let not_after_s = arrived_at + (f64::from(time_left_ms) / 1e3).min(dispatcher.admission.max_deadline_s);
     let ShardRequests { text, requests, coverage } = match &dispatcher.shard_map {
-        Some(shard_map) => requests_by_shard_map(shard_map, id, body)?,
-        None => requests_by_ring(dispatcher.admission.shard_count, id, body)?,
+        Some(shard_map) => shard_map_requests(shard_map, id, body)?,
+        None => ring_requests(dispatcher.admission.shard_count, id, body)?,
     };
     if requests.is_empty() {
         return Err((400, "`targets` is empty"));
     }
     let query = Query { id: id.into(), class, not_after_s, text, requests, client: client.clone(), coverage };
-    dispatcher.open_query(client, query).map_err(refusal)
+    dispatcher.open_query(client, query).map_err(error_response)
 }
 
-/// What a body asks for.
+/// The content of a query request's body: the query text and the shard requests.
 struct ShardRequests {
     text: String,
     requests: Vec<ShardRequest>,
+    /// The key ranges of the query, with the results so far; `None` if the router has no shard map.
     coverage: Option<AnswerCoverage>,
 }
 
-fn requests_by_shard_map(
+fn shard_map_requests(
     shard_map: &ShardMapView,
     query_id: &str,
     body: &[u8],
@@ -110,32 +125,32 @@
         targets.push(QueryTarget { shard, keys, weight });
         Ok(())
     });
-    let text = text.map_err(|why| (400, why))?.into_owned();
+    let text = text.map_err(|problem| (400, problem))?.into_owned();
     if targets.is_empty() {
         return Err((400, "`targets` is empty"));
     }
-    let (requests, coverage) = shard_map.requests_for(query_id, &targets).map_err(refusal)?;
+    let (requests, coverage) = shard_map.requests_for(query_id, &targets).map_err(error_response)?;
     Ok(ShardRequests { text, requests, coverage: Some(coverage) })
 }
 
-fn requests_by_ring(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, HttpError> {
-    let (mut requests, mut asked) = (Vec::new(), BTreeSet::new());
+fn ring_requests(shard_count: u32, query_id: &str, body: &[u8]) -> Result<ShardRequests, HttpError> {
+    let (mut requests, mut shards) = (Vec::new(), BTreeSet::new());
     let text = query::read_query_by_shards(body, |shard, weight| {
         if shard >= shard_count {
             return Err("`partition` is no shard here");
         }
-        if !asked.insert(shard) {
-            return Err("`partition` stands twice");
+        if !shards.insert(shard) {
+            return Err("`partition` is given twice");
         }
         requests.push(ShardRequest::new(format!("{query_id}.{shard}").into(), shard, weight));
         Ok(())
     });
-    let text = text.map_err(|why| (400, why))?.into_owned();
+    let text = text.map_err(|problem| (400, problem))?.into_owned();
     Ok(ShardRequests { text, requests, coverage: None })
 }
 
-/// Status and text for a query that cannot be opened.
-pub fn refusal(error: QueryError) -> HttpError {
+/// The HTTP status and text of the response to a query that cannot be opened.
+pub fn error_response(error: QueryError) -> HttpError {
     match error {
         QueryError::IdInUse => (400, "a query with this X-Correlation-Id is open"),
         QueryError::NoShardMap => (503, "no layout is known yet"),
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,14 +1,15 @@
-//! Runs a program as it was started: a router on one core in this thread, a router on several cores, or a planner.
+//! Runs the program as its configuration says: a router on one core, which uses this thread only, a router on several
+//! cores, or a planner, which makes decisions for other routers.
 
 mod several_cores;
 
 use crate::control::{self, Subscription};
 use crate::gossip::{self, GossipGroup};
-use crate::io::{acceptor, arrival, discovery, rounds};
+use crate::io::{acceptor, arrival, discovery, policy_loop};
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::live_config::LiveConfig;
 use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
-use crate::lifecycle::startup::{Role, StartupConfig};
+use crate::lifecycle::startup::{ProgramRole, StartupConfig};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{self, DescriptorPool};
 use crate::state::dispatcher::Dispatcher;
@@ -32,11 +33,11 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Serves until SIGTERM has been seen through. With a `subscription`, the control plane governs the settings and a reload
-/// leaves them alone.
+/// Runs the program until the shutdown after SIGTERM is complete. With a `subscription`, new settings come from
+/// control servers, and a reload of the configuration file does not change the settings.
 ///
 /// # Errors
-/// No socket, signal handler or thread could be had, or the decision module failed for good.
+/// A socket, signal handler or thread could not be created, or the policy could not be created.
 pub fn serve(
     config: StartupConfig,
     subscription: Option<Subscription>,
@@ -45,7 +46,7 @@
 ) -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let local = LocalSet::new();
-    if config.role == Role::Planner {
+    if config.role == ProgramRole::Planner {
         local.block_on(&runtime, planner_server::run(config, clock))
     } else if multicore.cores > 1 {
         local.block_on(&runtime, several_cores::run(config, subscription, multicore, clock))
@@ -60,9 +61,9 @@
     multicore: MulticoreConfig,
     clock: Clock,
 ) -> io::Result<()> {
-    // Before anybody can know that this program is up: unhandled, either signal would end it.
+    // Signal handlers are installed before the listener is opened: without a handler, a signal would kill the program.
     let (terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
-    let (for_clients, for_nodes) = split_descriptors(&config, subscription.is_some());
+    let (client_descriptors, node_descriptors) = split_descriptors(&config, subscription.is_some());
     let shared = SharedState::new(config.settings.admission.max_open, multicore, f64::INFINITY).0;
     let (role, settings) = (config.role.clone(), config.settings.clone());
     let live_config = LiveConfig::new(shared.clone(), role, config.settings_json.clone(), settings, None);
@@ -71,39 +72,49 @@
     let StartupConfig { name, listen, discovery, seed, role, gossip, .. } = config;
 
     let listener = TcpListener::bind(listen).await?;
-    arrival::stamp(&listener)?;
-    let (address, known) = (listener.local_addr()?, dispatcher.endpoints.nodes.len());
-    tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known");
+    arrival::enable_receive_timestamps(&listener)?;
+    let (address, node_count) = (listener.local_addr()?, dispatcher.endpoints.nodes.len());
+    tracing::info!(target: "start", "{name} listens at {address}: {node_count} data nodes known");
     let dispatcher = Rc::new(RefCell::new(dispatcher));
 
-    let forwarder = connect_to_planners(&dispatcher, &role, &name, &for_nodes, clock);
+    let forwarder = connect_to_planners(&dispatcher, &role, &name, &node_descriptors, clock);
     if let Some(gossip) = gossip {
         gossip::start(&dispatcher, gossip, &name, planner_server::incarnation()).await?;
     }
-    let policy = rounds::newest(&dispatcher, seed);
-    let rounds = spawn_local(rounds::run(dispatcher.clone(), forwarder, policy, for_nodes));
-    spawn_local(wake_at_new_settings(dispatcher.clone(), live_config.subscribe()));
-    let counting = dispatcher.clone();
-    live_config.attach(Box::new(move |name| counting.borrow_mut().counters.increment(name)), None);
+    let make_policy = policy_loop::policy_factory(&dispatcher, seed);
+    let policy_task =
+        spawn_local(policy_loop::run(dispatcher.clone(), forwarder, make_policy, node_descriptors));
+    spawn_local(wake_on_new_settings(dispatcher.clone(), live_config.subscribe()));
+    let counting_dispatcher = dispatcher.clone();
+    live_config
+        .set_callbacks(Box::new(move |name| counting_dispatcher.borrow_mut().counters.increment(name)), None);
     let (discovery, discovery_address) = watch::channel(discovery);
     spawn_local(discovery::run(dispatcher.clone(), discovery_address));
     let reloadable = subscribe(subscription, &live_config, &name, shared, clock);
     spawn_local(reload_at_sighup(hangups, previous, discovery, clock, reloadable));
 
     let close = Rc::default();
-    let listening =
-        spawn_local(acceptor::listen(dispatcher.clone(), listener, for_clients, Rc::clone(&close)));
-    // A router whose decision module has failed must not go on as if it served.
+    let listening = spawn_local(acceptor::accept_connections(
+        dispatcher.clone(),
+        listener,
+        client_descriptors,
+        Rc::clone(&close),
+    ));
+    // Without the policy task, the router cannot answer any query, so the program exits with an error.
     tokio::select! {
         () = graceful_shutdown::shut_down_at_sigterm(terminations, dispatcher.clone(), close, listening) => {}
-        failed = rounds => return Err(io::Error::other(format!("the rounds ended: {failed:?}"))),
+        ended = policy_task => return Err(io::Error::other(match ended {
+            Ok(Err(reason)) => format!("the policy could not be created: {reason}"),
+            _ => "the policy task panicked".into(),
+        })),
     }
     log::write_unlimited(&dispatcher.borrow().metrics_text());
     Ok(())
 }
 
-/// Subscribes to the control plane, if the operator's file names it. Returns what a reload may change: nothing where the
-/// control plane governs the settings, as a file would undo a version unseen.
+/// Starts the subscription to control servers, if there is one. Returns the live configuration to which a reload may
+/// apply settings; `None` with a subscription, because the settings of the configuration file would replace the
+/// version from the control servers without notice.
 fn subscribe(
     subscription: Option<Subscription>,
     live_config: &LiveConfig,
@@ -117,13 +128,14 @@
     None
 }
 
-/// Descriptors for clients and for data nodes, after those for gossip and the control plane.
+/// Splits the file descriptors that gossip and the subscription do not use into a pool for client connections and a
+/// pool for connections to data nodes.
 fn split_descriptors(
     config: &StartupConfig,
     has_subscription: bool,
 ) -> (Arc<DescriptorPool>, Arc<DescriptorPool>) {
     let for_gossip = config.gossip.as_ref().map_or(0, GossipGroup::max_descriptors);
-    let for_control = if has_subscription { control::DESCRIPTORS } else { 0 };
+    let for_control = if has_subscription { control::SUBSCRIPTION_DESCRIPTORS } else { 0 };
     let available = config.max_descriptors - for_gossip - for_control;
     descriptors::split(available, config.max_memory_bytes, 1)
 }
@@ -144,26 +156,28 @@
     dispatcher
 }
 
-/// A forwarder's links to its planners; nothing for a router that decides by itself.
+/// Connects a forwarder to its planners; returns `None` for a router that makes its own decisions.
 fn connect_to_planners(
     dispatcher: &DispatcherHandle,
-    role: &Role,
+    role: &ProgramRole,
     name: &str,
-    for_nodes: &Arc<DescriptorPool>,
+    node_descriptors: &Arc<DescriptorPool>,
     clock: Clock,
 ) -> Option<ForwarderHandle> {
-    let Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else { return None };
+    let ProgramRole::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s } = role else {
+        return None;
+    };
     let watch = HeartbeatConfig { interval_s: *heartbeat_interval_s, timeout_s: *heartbeat_timeout_s };
     let work_ready = dispatcher.borrow().work_ready.clone();
     let forwarder = Forwarder::new(name, planner_server::incarnation(), watch, clock, work_ready);
     let forwarder = Rc::new(RefCell::new(forwarder));
     dispatcher.borrow_mut().metrics_sources.push(forwarder.clone());
-    planner_links::start(dispatcher, &forwarder, planners, for_nodes, planner_server::incarnation());
+    planner_links::start(dispatcher, &forwarder, planners, node_descriptors, planner_server::incarnation());
     Some(forwarder)
 }
 
-/// Has a round played for new settings, where nothing else asks for one.
-async fn wake_at_new_settings(
+/// Wakes the policy task for each change of the settings, because the next call of the policy applies them.
+async fn wake_on_new_settings(
     dispatcher: DispatcherHandle,
     mut updates: watch::Receiver<Arc<ConfigGeneration>>,
 ) {
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -1,9 +1,11 @@
-//! A router on several cores: this thread follows discovery for all of them, accepts connections and hands them out, watches
-//! over the cores, and sees reload and shutdown through. It serves no query itself.
+//! Runs a router on several cores, each of which is a thread that serves client connections. The current thread,
+//! called the supervising thread, receives endpoint lists from discovery for all cores, accepts client connections
+//! and distributes them, supervises the cores, and handles reload and shutdown. The supervising thread serves no
+//! query.
 use super::subscribe;
 use crate::control::{self, Subscription};
 use crate::io::connection_balancer::ConnectionBalancer;
-use crate::io::core::{self, CoreSlot, Phase};
+use crate::io::core::{self, CoreInputs, ProgramPhase};
 use crate::io::core_supervisor::CoreSupervisor;
 use crate::io::endpoint_publisher::EndpointPublisher;
 use crate::io::{acceptor, arrival, discovery};
@@ -28,14 +30,15 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Half the grace period of a drain: a thread that has not looked at discovery for so many seconds may have missed one
-/// that is due.
+/// A core starts no attempt if the supervising thread last checked discovery longer ago than this, in seconds. This
+/// is half the grace period for which a draining data node still answers; after a longer time, a data node of the
+/// endpoint list may have stopped.
 const MAX_DISCOVERY_AGE_S: f64 = 1.0;
-/// How much longer than until their open queries fail the cores may take, in seconds: for their last answers, and for
-/// those to connections that came late.
+/// Time for the cores to shut down after the time limit of open queries, in seconds: to write the last responses, and
+/// to reject requests on connections that were assigned during the shutdown.
 const CORES_MARGIN_S: f64 = 0.25;
 
-/// Serves until SIGTERM has been seen through.
+/// Runs the router until the shutdown after SIGTERM is complete.
 pub async fn run(
     config: StartupConfig,
     subscription: Option<Subscription>,
@@ -46,27 +49,28 @@
     let previous = PreviousConfig::of(&config);
     let StartupConfig { name, listen, discovery, endpoints, seed, role, shard_map, settings, .. } = config;
     let (connections, admission) = (settings.connections, settings.admission);
-    let for_control = if subscription.is_some() { control::DESCRIPTORS } else { 0 };
+    let for_control = if subscription.is_some() { control::SUBSCRIPTION_DESCRIPTORS } else { 0 };
     let available = config.max_descriptors - for_control;
-    let (for_clients, for_nodes) = descriptors::split(available, config.max_memory_bytes, multicore.cores);
+    let (client_descriptors, node_descriptors) =
+        descriptors::split(available, config.max_memory_bytes, multicore.cores);
     let (shared, inboxes) = SharedState::new(admission.max_open, multicore, MAX_DISCOVERY_AGE_S);
     let max_deadline_limit_s = shard_map.map(|_| admission.max_deadline_s);
     let live_config =
         LiveConfig::new(shared.clone(), role, config.settings_json, settings, max_deadline_limit_s);
 
-    let known = endpoints.nodes.len();
-    let checked_map =
-        shard_map.map(|map| ShardMapView::new(outliving_requests(map, admission.max_deadline_s)));
+    let node_count = endpoints.nodes.len();
+    let shard_map_view =
+        shard_map.map(|map| ShardMapView::new(with_longer_grace(map, admission.max_deadline_s)));
     let polls_endpoints = admission.polls_endpoints;
-    let publisher = EndpointPublisher::new(clock, polls_endpoints, endpoints, shared.clone(), checked_map);
+    let publisher = EndpointPublisher::new(clock, polls_endpoints, endpoints, shared.clone(), shard_map_view);
     let publisher = Rc::new(RefCell::new(publisher));
-    let (phase, phase_updates) = watch::channel(Phase::Serving);
+    let (phase, phase_updates) = watch::channel(ProgramPhase::Serving);
     let (reports, received_reports) = mpsc::unbounded_channel();
     let mut restarts = vec![];
     for (core, commands) in inboxes.into_iter().enumerate() {
         let (restart, restart_permits) = mpsc::channel(1);
         restarts.push(restart);
-        let slot = CoreSlot {
+        let inputs = CoreInputs {
             core,
             shared: shared.clone(),
             clock,
@@ -76,70 +80,76 @@
             shard_map,
             seed,
             config_updates: live_config.subscribe(),
-            for_nodes: for_nodes.clone(),
+            node_descriptors: node_descriptors.clone(),
             commands,
             endpoints: publisher.borrow().subscribe(),
             phase: phase_updates.clone(),
             reports: reports.clone(),
             restart_permits,
         };
-        std::thread::Builder::new().name(format!("core {core}")).spawn(move || core::run(slot))?;
+        std::thread::Builder::new().name(format!("core {core}")).spawn(move || core::run(inputs))?;
     }
 
     let listener = TcpListener::bind(listen).await?;
-    arrival::stamp(&listener)?;
+    arrival::enable_receive_timestamps(&listener)?;
     let (address, cores) = (listener.local_addr()?, multicore.cores);
-    tracing::info!(target: "start", "{name} listens at {address}: {known} data nodes known, {cores} cores");
-    let crew = Rc::new(RefCell::new(CoreTable::new(cores, clock.now())));
-    attach(&live_config, &publisher, &crew);
+    tracing::info!(target: "start", "{name} listens at {address}: {node_count} data nodes known, {cores} cores");
+    let core_table = Rc::new(RefCell::new(CoreTable::new(cores, clock.now())));
+    set_callbacks(&live_config, &publisher, &core_table);
     let (discovery, discovery_address) = watch::channel(discovery);
     let reloadable = subscribe(subscription, &live_config, &name, shared.clone(), clock);
     spawn_local(reload_at_sighup(hangups, previous, discovery, clock, reloadable));
     spawn_local(discovery::run(publisher.clone(), discovery_address));
-    let balancer = ConnectionBalancer::new(shared.clone(), crew.clone());
+    let balancer = ConnectionBalancer::new(shared.clone(), core_table.clone());
     let close = Rc::new(Notify::new());
-    let listening = spawn_local(acceptor::listen(balancer, listener, for_clients, close.clone()));
+    let listening =
+        spawn_local(acceptor::accept_connections(balancer, listener, client_descriptors, close.clone()));
 
     let mut supervisor =
-        CoreSupervisor::new(shared.clone(), clock, publisher, crew, received_reports, restarts);
-    let watched = supervisor.watch(terminations).await;
-    if watched.is_ok() {
-        let _ = phase.send(Phase::Stopping);
-        // Whether a core is still there or not, the shutdown takes no longer than on one core.
-        let limit_s = graceful_shutdown::time_limit_s(live_config.max_deadline_s()) + CORES_MARGIN_S;
-        let until = clock.now() + limit_s;
+        CoreSupervisor::new(shared.clone(), clock, publisher, core_table, received_reports, restarts);
+    let supervised = supervisor.supervise(terminations).await;
+    if supervised.is_ok() {
+        let _ = phase.send(ProgramPhase::Stopping);
+        // The time limit applies even if a core hangs.
+        let limit_s = graceful_shutdown::shutdown_time_limit_s(live_config.max_deadline_s()) + CORES_MARGIN_S;
+        let deadline = clock.now() + limit_s;
         tokio::select! {
-            () = graceful_shutdown::listener_closed(close, listening, limit_s) => {}
-            () = supervisor.look_on() => {}
+            () = graceful_shutdown::close_listener(close, listening, limit_s) => {}
+            () = supervisor.monitor_heartbeats() => {}
         }
-        let _ = phase.send(Phase::Closed);
-        let left = supervisor.wait_for_shutdown(until).await;
-        if left > 0 {
-            tracing::error!(target: "stop", "{left} cores did not end in time");
+        let _ = phase.send(ProgramPhase::ListenerClosed);
+        let running = supervisor.wait_and_count_running(deadline).await;
+        if running > 0 {
+            tracing::error!(target: "stop", "{running} cores did not shut down in time");
         }
     }
     log::write_unlimited(&metrics_text(&shared));
-    watched
+    supervised
 }
 
-/// Guards against a shard that this thread has forgotten and a core has not: the cores take over what is checked here, so
-/// this thread remembers for longer than a shard request can be open.
-fn outliving_requests(map: ShardMapConfig, max_deadline_s: f64) -> ShardMapConfig {
+/// Extends the grace period of retired shards by the longest time that a shard request can be open. The supervising
+/// thread then keeps a retired shard for longer than any core does. Guards against a layout that passes the
+/// supervising thread's check and is then rejected by a core, because only the core still has a shard that the layout
+/// uses again.
+fn with_longer_grace(map: ShardMapConfig, max_deadline_s: f64) -> ShardMapConfig {
     ShardMapConfig { retired_shard_grace_s: map.retired_shard_grace_s + max_deadline_s + 1.0, ..map }
 }
 
-/// Tells the live configuration where to count, and which cores serve.
-fn attach(
+/// Sets the callbacks of the live configuration, which increment its counters and return whether a core serves.
+fn set_callbacks(
     live_config: &LiveConfig,
     publisher: &Rc<RefCell<EndpointPublisher>>,
-    crew: &Rc<RefCell<CoreTable>>,
+    core_table: &Rc<RefCell<CoreTable>>,
 ) {
-    let (publisher, crew) = (publisher.clone(), crew.clone());
+    let (publisher, core_table) = (publisher.clone(), core_table.clone());
     let increment = move |name: &'static str| publisher.borrow_mut().counters.increment(name);
     let is_serving = move |core| {
-        !matches!(crew.borrow().status(core), CoreStatus::Hung(_) | CoreStatus::Failed(_) | CoreStatus::Lost)
+        !matches!(
+            core_table.borrow().status(core),
+            CoreStatus::Hung(_) | CoreStatus::Failed(_) | CoreStatus::Lost
+        )
     };
-    live_config.attach(Box::new(increment), Some(Box::new(is_serving)));
+    live_config.set_callbacks(Box::new(increment), Some(Box::new(is_serving)));
 }
 
 fn metrics_text(shared: &Arc<SharedState>) -> String {
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -9,7 +9,7 @@
 pub use rounds::{PolicyPanicked, run_round};
 
 use super::{Outbox, received_observation};
-use crate::io::discovery::Follower;
+use crate::io::discovery::DiscoveryHandler;
 use crate::state::counters::Counters;
 use crate::state::endpoints::EndpointTable;
 use alderway::interface::{AttemptOutcome, NodeObservation, PolicyInput};
@@ -452,30 +452,30 @@
     }
 }
 
-impl Follower for Planner {
+impl DiscoveryHandler for Planner {
     fn clock(&self) -> Clock {
         self.clock
     }
-    fn follows(&self) -> bool {
+    fn polls_on_request(&self) -> bool {
         false
     }
-    fn asked(&self) -> Arc<Notify> {
+    fn poll_requested(&self) -> Arc<Notify> {
         self.poll_requested.clone()
     }
     fn endpoints(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
-    fn changed(&mut self) {
+    fn endpoints_updated(&mut self) {
         self.counters.increment("roster_changes");
         self.wake.notify_one();
     }
     fn watch_lost(&mut self, _answered: bool) {
         self.counters.increment("discovery_watches_lost");
     }
-    fn quiet(&mut self, span: f64) {
+    fn record_silence(&mut self, span: f64) {
         self.counters.record_max("discovery_quiet_ms_most", (span * 1e3) as u64);
     }
-    fn moved(&mut self) {
+    fn discovery_moved(&mut self) {
         self.counters.increment("discovery_moves");
     }
 }
--- a/crates/router/src/tier/planner_links.rs
+++ b/crates/router/src/tier/planner_links.rs
@@ -2,7 +2,7 @@
 //! randomized waits, so that forwarders don't all reconnect at the same moment to a planner that has just started.
 use super::Outbox;
 use super::forwarder::Forwarder;
-use crate::io::rounds::{self, Pen};
+use crate::io::policy_loop::{self, DispatcherDecisionSink};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
 use alderway_sockets::Sender;
@@ -134,7 +134,7 @@
                 match reader.next_frame() {
                     Ok(Some(Received::Message(message))) => {
                         has_received = true;
-                        let mut sink = Pen::bare(&self.dispatcher);
+                        let mut sink = DispatcherDecisionSink::for_planner_decisions(&self.dispatcher);
                         self.forwarder.borrow_mut().message_received(hello, message, &mut sink);
                     }
                     Ok(Some(Received::Hello(_))) => return Err("the peer sent a second hello".into()),
@@ -143,7 +143,7 @@
                 }
             }
             if has_received {
-                rounds::post(&self.dispatcher, &self.descriptors);
+                policy_loop::send_queued_attempts(&self.dispatcher, &self.descriptors);
                 continue;
             }
             tokio::select! {
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -1,7 +1,7 @@
 //! A planner's tasks: the listener for forwarders, one task for each connection, the watch of discovery, and the rounds
 //! of the policy. In a round the policy processes all input since the previous round and makes its decisions.
 use super::planner::{self, Planner};
-use crate::io::{discovery, until};
+use crate::io::{discovery, sleep_until};
 use crate::lifecycle::graceful_shutdown;
 use crate::lifecycle::reload::{PreviousConfig, reload_at_sighup};
 use crate::lifecycle::startup::StartupConfig;
@@ -85,7 +85,7 @@
     }
     planner.borrow_mut().is_stopping = true;
     planner.borrow_mut().send_heartbeats_and_check_timeouts(HEARTBEAT_TIMEOUT_S);
-    let until = clock.now() + graceful_shutdown::time_limit_s(max_deadline_s);
+    let until = clock.now() + graceful_shutdown::shutdown_time_limit_s(max_deadline_s);
     while planner.borrow().open_query_count() > 0 && clock.now() < until {
         sleep(SHUTDOWN_POLL).await;
     }
@@ -105,7 +105,7 @@
         let next_timer_at = planner.borrow().next_timer_at();
         tokio::select! {
             () = wake.notified() => {}
-            () = until(clock, next_timer_at), if next_timer_at.is_finite() => {}
+            () = sleep_until(clock, next_timer_at), if next_timer_at.is_finite() => {}
         }
         // Lets other tasks add received messages to the input of this round.
         yield_now().await;
--- a/crates/router/tests/dispatcher/client_connections.rs
+++ b/crates/router/tests/dispatcher/client_connections.rs
@@ -15,7 +15,12 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let descriptors = descriptors::split(64, usize::MAX, 1).0;
-    tokio::task::spawn_local(acceptor::listen(dispatcher.clone(), listener, descriptors, Rc::default()));
+    tokio::task::spawn_local(acceptor::accept_connections(
+        dispatcher.clone(),
+        listener,
+        descriptors,
+        Rc::default(),
+    ));
     tokio::net::TcpStream::connect(address).await.expect("connected")
 }
 
@@ -52,7 +57,7 @@
         let (descriptors, close) =
             (descriptors::split(64, usize::MAX, 1).0, Rc::new(tokio::sync::Notify::new()));
         close.notify_one();
-        acceptor::listen(dispatcher, listener, descriptors, close).await;
+        acceptor::accept_connections(dispatcher, listener, descriptors, close).await;
         let mut answer = [0; 200];
         let mut client = tokio::net::TcpStream::from_std(client).expect("a stream");
         let count = client.read(&mut answer).await.expect("an answer");
--- a/crates/router/tests/dispatcher/queries.rs
+++ b/crates/router/tests/dispatcher/queries.rs
@@ -1,7 +1,7 @@
 //! Queries in the last phase of a shutdown and after a failure of the policy.
 use crate::common::dispatcher::{one_class_policy, response_text, run_in_local_runtime};
 use crate::{dispatcher, policy_events};
-use alderway_router::io::rounds;
+use alderway_router::io::policy_loop;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::descriptors;
 use alderway_router::state::queries::Query;
@@ -52,7 +52,7 @@
     };
     run_in_local_runtime(async {
         let descriptors = descriptors::split(64, usize::MAX, 1).1;
-        tokio::task::spawn_local(rounds::run(dispatcher.clone(), None, new_policy, descriptors));
+        tokio::task::spawn_local(policy_loop::run(dispatcher.clone(), None, new_policy, descriptors));
         let bad = open("bad", 1);
         bad.wake.notified().await;
         assert!(response_text(&bad).starts_with("HTTP/1.1 504 "));
--- a/crates/router/tests/shard_map/changes.rs
+++ b/crates/router/tests/shard_map/changes.rs
@@ -3,7 +3,7 @@
     apply_changes, dispatcher, full_map, move_shard, open_query_for_keys, policy_events, start_attempts,
 };
 use alderway_layouts::history::LayoutUpdate;
-use alderway_router::io::discovery::Follower;
+use alderway_router::io::discovery::DiscoveryHandler;
 use rstest::rstest;
 
 #[rstest]
@@ -36,9 +36,9 @@
 fn invalid_updates_change_nothing() {
     let mut dispatcher = dispatcher(100);
     let gap = full_map(2, &[(1, 0, 50, &[0, 1])]);
-    assert_eq!(dispatcher.layout(gap).expect_err("a gap").to_string(), "no shard covers key 50");
+    assert_eq!(dispatcher.apply_layout(gap).expect_err("a gap").to_string(), "no shard covers key 50");
     let unknown_base = LayoutUpdate::Changes { version: 3, base: 2, changes: vec![move_shard(1, &[4])] };
-    assert!(dispatcher.layout(unknown_base).is_err());
-    assert_eq!(dispatcher.layout_since(), Some(1));
+    assert!(dispatcher.apply_layout(unknown_base).is_err());
+    assert_eq!(dispatcher.layout_version(), Some(1));
     assert!(policy_events(&mut dispatcher).is_empty());
 }
