--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -13,7 +13,7 @@
 use alderway_layouts::history::LayoutUpdate;
 use alderway_layouts::layout::{Change, Shard};
 use alderway_layouts::{Key, KeyRange, ShardId};
-use alderway_router::io::discovery::Follower;
+use alderway_router::io::discovery::DiscoveryHandler;
 use alderway_router::requests;
 use alderway_router::state::clients::ClientConnection;
 use alderway_router::state::dispatcher::Dispatcher;
@@ -42,7 +42,9 @@
 
 /// Applies changes to the previous version of the shard map.
 fn apply_changes(dispatcher: &mut Dispatcher, version: u64, changes: Vec<Change>) {
-    dispatcher.layout(LayoutUpdate::Changes { version, base: version - 1, changes }).expect("a valid change");
+    dispatcher
+        .apply_layout(LayoutUpdate::Changes { version, base: version - 1, changes })
+        .expect("a valid change");
 }
 
 fn split_shard(parent: ShardId, children: &[(ShardId, Key)]) -> Change {
@@ -69,7 +71,9 @@
         dispatcher.endpoints.update(&format!("n{group}"), address, group, NodeState::Serving, None);
     }
     assert!(!dispatcher.is_ready(), "there is no shard map yet");
-    dispatcher.layout(full_map(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])])).expect("a valid shard map");
+    dispatcher
+        .apply_layout(full_map(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])]))
+        .expect("a valid shard map");
     assert!(dispatcher.is_ready());
     policy_events(&mut dispatcher);
     dispatcher
@@ -104,7 +108,7 @@
 ) -> Result<Rc<ClientConnection>, &'static str> {
     let target = |&(shard, keys, weight): &Target| QueryTarget { shard, keys, weight };
     let targets: Vec<QueryTarget> = targets.iter().map(target).collect();
-    let text = |error: QueryError| requests::refusal(error).1;
+    let text = |error: QueryError| requests::error_response(error).1;
     let shard_map = dispatcher.shard_map.as_ref().expect("a shard map");
     let (requests, coverage) = shard_map.requests_for(id, &targets).map_err(text)?;
     open_query(dispatcher, id, 0, 5.0, requests, Some(coverage)).map_err(text)
