--- a/crates/router/src/io/rounds.rs
+++ b/crates/router/src/io/rounds.rs
@@ -100,7 +100,7 @@
     };
     let module = || {
         let mut router = module()?;
-        router.join(common.clone());
+        router.use_shared_limits(common.clone());
         Ok(router)
     };
     let mut router = module()?;
--- a/crates/router/src/tier/post.rs
+++ b/crates/router/src/tier/post.rs
@@ -43,7 +43,7 @@
     let make_policy = move || {
         let mut policy = Policy::new(seed, policy_config.clone());
         // It tells forwarders what it sees of data nodes, as one core tells others.
-        policy.join(SharedLimits::new(2).for_core(0));
+        policy.use_shared_limits(SharedLimits::new(2).for_core(0));
         policy
     };
     let verticals = config.query_classes.len();
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -125,7 +125,7 @@
     }
 
     /// Makes this the policy of one core among several, which share `limits`; to be called before the first round.
-    pub fn join(&mut self, limits: SharedLimits) {
+    pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.shared_limits = limits;
         self.apply_retry_token_capacity();
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -182,8 +182,8 @@
     }
 
     /// Makes this host's policy one core's.
-    pub fn join(&mut self, limits: SharedLimits) {
-        self.policy.join(limits);
+    pub fn use_shared_limits(&mut self, limits: SharedLimits) {
+        self.policy.use_shared_limits(limits);
     }
 
     /// Receives what another core shared.
--- a/tests/config_changes.rs
+++ b/tests/config_changes.rs
@@ -278,7 +278,7 @@
 ) {
     let mut host = Host::with(budget(before));
     let common = SharedLimits::new(1);
-    host.join(common.clone());
+    host.use_shared_limits(common.clone());
     (0..spent).for_each(|_| assert!(common.try_withdraw()));
     host.round(|r| r.change_config(&config(budget(after)), &STAYS));
     let made: usize = (0..8).map(|n| further(&mut host, n)).sum();
@@ -297,7 +297,7 @@
     let common = SharedLimits::new(3);
     let core = |at: u8| {
         let mut core = Host::with(budget(9.0));
-        core.join(common.for_core(at));
+        core.use_shared_limits(common.for_core(at));
         core
     };
     let mut cores = [core(0), core(1), core(2)];
--- a/tests/config_changes_random.rs
+++ b/tests/config_changes_random.rs
@@ -156,7 +156,7 @@
     let mut all: Vec<Core> = (0..cores)
         .map(|core| {
             let mut host = Host::new(deployment());
-            host.join(common.for_core(core as u8));
+            host.use_shared_limits(common.for_core(core as u8));
             let of = first.query_classes.iter().cloned().enumerate().map(|(at, v)| (at, (v, 0))).collect();
             let (config, current) = (first.clone(), (0..first.query_classes.len()).collect());
             Core { host, config, current, of, left: BTreeSet::new(), not_applied: vec![], over: vec![] }
--- a/tests/several_cores.rs
+++ b/tests/several_cores.rs
@@ -15,7 +15,7 @@
         deployment.capabilities.can_hedge = false;
         change(&mut deployment);
         let mut host = Host::new(deployment);
-        host.join(common.for_core(core as u8));
+        host.use_shared_limits(common.for_core(core as u8));
         host
     };
     (0..count).map(core).collect()
