--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -2,8 +2,8 @@
 
 use serde_json::Value;
 
-/// The keys by which settings differ. Keys that no router on sockets reads are left out, and so is how a number is
-/// written.
+/// The keys whose values differ between two versions of the settings. Keys that routers on sockets do not read are left
+/// out, and `1` and `1.0` are the same number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
     /// Keys that a running router applies between two rounds.
@@ -12,9 +12,10 @@
     pub restart: Vec<&'static str>,
 }
 
-/// `Cells`, `Reach` and `Slices` say where data lies, which no change of settings moves; many routers would disagree
-/// on it for a while. `ClassFetch` would change the phases of open queries. `Discovery` is how the watch is opened.
-/// `MaxOpen` sizes tables that all cores share from the start.
+/// `Cells`, `Reach` and `Slices` determine which replica group holds a shard; a change of settings moves no data, and
+/// the routers would disagree until all have applied it. `ClassFetch` would change the phases of open queries.
+/// `Discovery` determines how the endpoint list is watched. `MaxOpen` is the size of tables that all cores share from
+/// the start.
 const RESTART_KEYS: [&str; 6] =
     ["Extra.Cells", "Extra.Reach", "Extra.Slices", "Extra.ClassFetch", "Discovery", "Limits.MaxOpen"];
 
@@ -44,7 +45,7 @@
     "Obligations.ExtraFree",
 ];
 
-/// The keys by which `new` differs from `active`; both are settings that [`crate::Settings::read`] accepts.
+/// The keys whose values differ between `active` and `new`, both accepted by [`crate::Settings::read`].
 pub fn changes(active: &Value, new: &Value) -> Changes {
     let differs = |key: &&'static str| !is_same(value_at(active, key), value_at(new, key));
     let differing = |keys: &[&'static str]| keys.iter().copied().filter(differs).collect();
--- a/crates/deployment/src/error.rs
+++ b/crates/deployment/src/error.rs
@@ -1,8 +1,8 @@
-//! What is wrong with a deployment's settings.
+//! Errors of reading a deployment's settings.
 
 use thiserror::Error;
 
-/// What was expected of the settings and not found. Its text completes a sentence that begins with "expected".
+/// Why settings cannot be used. Its text is what was expected and completes a sentence that begins with "expected".
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The text is not JSON.
@@ -29,16 +29,16 @@
     /// A value is not a list.
     #[error("a list in setting `{0}`")]
     NotAList(&'static str),
-    /// A list does not have a number for each query class.
-    #[error("a number for each vertical in setting `{0}`")]
+    /// A list does not contain a number for each query class.
+    #[error("a number for each query class in setting `{0}`")]
     NotANumberPerClass(&'static str),
-    /// The idempotency of a query class is unknown.
-    #[error("a known effect in setting `Effect`")]
+    /// The setting `Effect` of a query class is none of the known kinds of idempotency.
+    #[error("`idempotent`, `deduplicated` or `at_most_once` in setting `Effect`")]
     UnknownIdempotency,
-    /// A query class has a second phase, which routers on sockets do not serve.
-    #[error("only queries of one step on sockets, 0 in setting `ClassFetch`")]
+    /// A query class has a second phase, which routers on sockets do not support.
+    #[error("0 in setting `ClassFetch`, as routers on sockets support queries with a single phase only")]
     SecondPhaseUnsupported,
     /// There is no query class.
-    #[error("at least one vertical in setting `Services`")]
+    #[error("at least one query class in setting `Services`")]
     NoQueryClass,
 }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads a deployment's settings: the one place where their keys become the types of the policy and of the router on
-//! sockets. The simulator's host uses it too.
+//! Reads a deployment's settings from JSON into the configuration of the policy and of the router on sockets. No other
+//! crate reads the keys of these settings; the host for the simulator uses this crate too.
 //!
-//! The keys are those of the platform; `docs/configuration.md` lists them.
+//! The platform defines the keys; `docs/configuration.md` lists them.
 #![warn(missing_docs, clippy::missing_errors_doc)]
 
 mod changes;
@@ -19,21 +19,21 @@
 pub use policy_config::policy_config;
 pub use router_config::{AdmissionConfig, ConnectionConfig, router_config};
 
-/// All that settings say to a router on sockets.
+/// The configuration of a router on sockets.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the policy is started with.
+    /// The configuration of the policy.
     pub policy: PolicyConfig,
     /// The names of the query classes, in the order of `policy`.
     pub class_names: Vec<String>,
     /// Limits of the connections to data nodes.
     pub connections: ConnectionConfig,
-    /// What is admitted and how rounds are paced.
+    /// Limits of admission and the pace of rounds.
     pub admission: AdmissionConfig,
 }
 
 impl Settings {
-    /// Reads settings with all checks of a start.
+    /// Reads settings and checks them completely, as at the start of a router.
     ///
     /// # Errors
     /// The first setting that is absent or unusable.
@@ -55,12 +55,13 @@
 /// Whether query routers may send each other messages.
 ///
 /// # Errors
-/// `Limits` is absent, or `Peers` is there and not a boolean.
+/// `Limits` is absent, or `Peers` is present and not a boolean.
 pub fn allows_gossip(settings: &Value) -> Result<bool, SettingsError> {
-    values::or_default(false, values::item(settings, "Limits")?, "Peers", values::boolean)
+    values::or_default(false, values::required(settings, "Limits")?, "Peers", values::boolean)
 }
 
-/// A policy as the settings describe it, and the names of its query classes in their order.
+/// Creates a policy with the configuration in the settings. Returns it with the names of its query classes, in the
+/// order of their indices. `seed` determines its random choices.
 ///
 /// # Errors
 /// The first setting that is absent or unusable.
--- a/crates/deployment/src/policy_config.rs
+++ b/crates/deployment/src/policy_config.rs
@@ -1,8 +1,9 @@
-//! The part of the settings that the policy is started with.
+//! Reads the configuration of the policy.
 
 use crate::SettingsError;
 use crate::values::{
-    boolean, item, list, number, number_of_class, or_default, positive_whole, seconds, text, whole,
+    boolean, list, number, number_for_class, or_default, positive_whole_number, required, seconds, text,
+    whole_number,
 };
 use alderway::interface::{
     Idempotency, PolicyConfig, QueryClass, RetryBudget, RouterCapabilities, ShardPlacement, SlowStartConfig,
@@ -12,14 +13,14 @@
 
 type Result<T> = std::result::Result<T, SettingsError>;
 
-/// Reads what a policy is started with, and the names of its query classes in their order.
+/// Reads the configuration of a policy, and the names of its query classes in the order of their indices.
 ///
 /// # Errors
 /// The first setting that is absent or unusable.
 pub fn policy_config(settings: &Value) -> Result<(PolicyConfig, Vec<String>)> {
-    let extra = item(settings, "Extra")?;
-    let limits = item(settings, "Limits")?;
-    let obligations = item(settings, "Obligations")?;
+    let extra = required(settings, "Extra")?;
+    let limits = required(settings, "Limits")?;
+    let obligations = required(settings, "Obligations")?;
     let mut class_names = Vec::new();
     let mut query_classes = Vec::new();
     for (class, service) in list(settings, "Services")?.iter().enumerate() {
@@ -33,7 +34,7 @@
         capabilities: capabilities(settings, limits)?,
         retry_budget: retry_budget(obligations)?,
         slow_start: slow_start(obligations)?,
-        router_count: whole(settings, "ReplicasOfMe")?,
+        router_count: whole_number(settings, "ReplicasOfMe")?,
     };
     Ok((config, class_names))
 }
@@ -45,9 +46,9 @@
         idempotency: idempotency(service)?,
         priority_weight: number(service, "Worth")?,
         late_weight_fraction: number(service, "LateShare")?,
-        complete_fraction: number_of_class(extra, "ClassNeed", class, 1.0)?,
-        minimum_fraction: number_of_class(extra, "FloorByClass", class, 1.0)?,
-        second_phase_requests: number_of_class(extra, "ClassFetch", class, 0.0)? as usize,
+        complete_fraction: number_for_class(extra, "ClassNeed", class, 1.0)?,
+        minimum_fraction: number_for_class(extra, "FloorByClass", class, 1.0)?,
+        second_phase_requests: number_for_class(extra, "ClassFetch", class, 0.0)? as usize,
     })
 }
 
@@ -72,9 +73,9 @@
 
 fn placement(extra: &Value) -> Result<ShardPlacement> {
     Ok(ShardPlacement {
-        replica_groups: positive_whole(extra, "Cells")? as u32,
-        groups_per_shard: positive_whole(extra, "Reach")? as u32,
-        max_batch: or_default(1, extra, "BundleMax", positive_whole)?,
+        replica_groups: positive_whole_number(extra, "Cells")? as u32,
+        groups_per_shard: positive_whole_number(extra, "Reach")? as u32,
+        max_batch: or_default(1, extra, "BundleMax", positive_whole_number)?,
         attempt_overhead_s: or_default(0.0, extra, "PerCallWorkUs", seconds)?,
         explicit_holders: None,
     })
@@ -85,7 +86,7 @@
     Ok(RouterCapabilities {
         can_cancel: boolean(limits, "MayCancel")?,
         can_hedge: boolean(limits, "ParallelTries")?,
-        max_attempts: whole(limits, "MaxAttempts")?,
+        max_attempts: whole_number(limits, "MaxAttempts")?,
         max_retry_after_s: if sends_retry_after { Some(seconds(limits, "MaxRetryAfterUs")?) } else { None },
         polls_endpoints: text(settings, "Discovery")? == "subscribe",
         over_quota_weight_fraction: or_default(1.0, settings, "OverShareWorth", number)?,
--- a/crates/deployment/src/router_config.rs
+++ b/crates/deployment/src/router_config.rs
@@ -1,8 +1,10 @@
-//! The part of the settings that a router on sockets needs beside the policy's: its connections to data nodes and its
-//! capacity.
+//! Reads the configuration that a router on sockets needs in addition to that of the policy: the limits of its
+//! connections to data nodes and of what it admits.
 
 use crate::SettingsError;
-use crate::values::{item, list, number_of_class, or_default, positive_seconds, positive_whole, text};
+use crate::values::{
+    list, number_for_class, or_default, positive_seconds, positive_whole_number, required, text,
+};
 use serde_json::Value;
 
 /// Limits of the connections to data nodes.
@@ -12,20 +14,20 @@
     pub streams_per_connection: usize,
     /// Most shard requests in one attempt.
     pub max_batch: usize,
-    /// Seconds after which opening a connection has failed.
+    /// Seconds after which an attempt to open a connection fails.
     pub dial_timeout_s: f64,
     /// Seconds after which a data node closes an idle connection.
     pub idle_timeout_s: f64,
 }
 
-/// What a router on sockets admits and how it paces its rounds.
+/// How much a router on sockets admits, and how often it runs rounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Most queries and shard requests open at once.
+    /// Most queries and shard requests that may be open at once.
     pub max_open: usize,
-    /// Shards are numbered from 0 to below this.
+    /// Number of shards, which are numbered from 0.
     pub shard_count: u32,
-    /// Least seconds between two rounds.
+    /// Shortest time between two rounds, in seconds.
     pub min_round_interval_s: f64,
     /// The longest latency objective of any query class, in seconds.
     pub max_latency_objective_s: f64,
@@ -40,17 +42,17 @@
 /// # Errors
 /// The first setting that is absent or unusable, a query class with a second phase, or no query class at all.
 pub fn router_config(settings: &Value) -> Result<(ConnectionConfig, AdmissionConfig), SettingsError> {
-    let (extra, limits) = (item(settings, "Extra")?, item(settings, "Limits")?);
+    let (extra, limits) = (required(settings, "Extra")?, required(settings, "Limits")?);
     let connections = ConnectionConfig {
-        streams_per_connection: positive_whole(limits, "StreamsPerConn")?,
-        max_batch: or_default(1, extra, "BundleMax", positive_whole)?,
+        streams_per_connection: positive_whole_number(limits, "StreamsPerConn")?,
+        max_batch: or_default(1, extra, "BundleMax", positive_whole_number)?,
         dial_timeout_s: positive_seconds(limits, "DialTimeoutUs")?,
         idle_timeout_s: positive_seconds(limits, "KeepaliveUs")?,
     };
     let (max_latency_objective_s, max_deadline_s) = longest_times(settings, extra)?;
     let admission = AdmissionConfig {
-        max_open: positive_whole(limits, "MaxOpen")?,
-        shard_count: positive_whole(extra, "Slices")? as u32,
+        max_open: positive_whole_number(limits, "MaxOpen")?,
+        shard_count: positive_whole_number(extra, "Slices")? as u32,
         min_round_interval_s: positive_seconds(settings, "TickUs")?,
         max_latency_objective_s,
         max_deadline_s,
@@ -65,7 +67,7 @@
     for (class, service) in list(settings, "Services")?.iter().enumerate() {
         objective_s = objective_s.max(positive_seconds(service, "PromiseUs")?);
         deadline_s = deadline_s.max(positive_seconds(service, "DeadlineUs")?);
-        if number_of_class(extra, "ClassFetch", class, 0.0)? > 0.0 {
+        if number_for_class(extra, "ClassFetch", class, 0.0)? > 0.0 {
             return Err(SettingsError::SecondPhaseUnsupported);
         }
     }
--- a/crates/deployment/tests/settings.rs
+++ b/crates/deployment/tests/settings.rs
@@ -1,11 +1,11 @@
-//! What settings are read as, and what is said of faulty ones.
+//! How settings are read, and the errors for invalid ones.
 
 use alderway::interface::Idempotency;
 use alderway_deployment::{AdmissionConfig, Changes, ConnectionConfig, Settings, changes, parse};
 use rstest::rstest;
 use serde_json::{Value, json};
 
-fn sound() -> Value {
+fn valid_settings() -> Value {
     json!({
         "Extra": {"Cells": 3, "Reach": 2, "Slices": 12, "ClassNeed": [0.9], "FloorByClass": [0.5]},
         "Limits": {"MayCancel": true, "ParallelTries": true, "MaxAttempts": 3, "StreamsPerConn": 8,
@@ -20,23 +20,23 @@
     })
 }
 
-/// The sound settings with the value at a path replaced.
-fn with(path: &str, value: Value) -> Value {
-    let mut settings = sound();
-    *settings.pointer_mut(path).expect("a path of the sound settings") = value;
+/// The valid settings with the value at a JSON pointer replaced.
+fn settings_with(path: &str, value: Value) -> Value {
+    let mut settings = valid_settings();
+    *settings.pointer_mut(path).expect("a path of the valid settings") = value;
     settings
 }
 
 #[rstest]
 fn settings_become_typed_values_in_seconds() {
-    let settings = Settings::read(&sound()).expect("sound");
+    let settings = Settings::read(&valid_settings()).expect("valid");
     assert_eq!(settings.class_names, ["search"]);
     let class = &settings.policy.query_classes[0];
     assert_eq!((class.latency_objective_s, class.deadline_s), (1.0, 4.0));
     assert_eq!(class.idempotency, Idempotency::IdempotentWithKey { window_s: 0.5 });
     assert_eq!((class.complete_fraction, class.minimum_fraction), (0.9, 0.5));
     assert_eq!(settings.policy.tenants[0].quota_per_s, 5.0);
-    let budget = settings.policy.retry_budget.expect("stated");
+    let budget = settings.policy.retry_budget.expect("a retry budget");
     assert_eq!((budget.burst, budget.ratio), (10.0, 0.1));
     let connections = ConnectionConfig {
         streams_per_connection: 8,
@@ -61,28 +61,31 @@
 #[case::not_a_number("/Services/0/Worth", json!("high"), "a number in setting `Worth`")]
 #[case::not_a_whole_number("/Limits/MaxAttempts", json!(1.5), "a whole number in setting `MaxAttempts`")]
 #[case::not_positive("/Extra/Cells", json!(0), "more than 0 in setting `Cells`")]
-#[case::no_span("/TickUs", json!(0), "more than 0 in setting `TickUs`")]
+#[case::zero_interval("/TickUs", json!(0), "more than 0 in setting `TickUs`")]
 #[case::not_a_boolean("/Limits/MayCancel", json!(1), "true or false in setting `MayCancel`")]
 #[case::not_text("/Discovery", json!(7), "text in setting `Discovery`")]
 #[case::not_a_list("/Services", json!({}), "a list in setting `Services`")]
-#[case::no_number_for_a_class("/Extra/ClassNeed", json!([]), "a number for each vertical in setting `ClassNeed`")]
-#[case::unknown_effect("/Services/0/Effect", json!("none"), "a known effect in setting `Effect`")]
-#[case::no_class("/Services", json!([]), "at least one vertical in setting `Services`")]
+#[case::no_number_for_a_class("/Extra/ClassNeed", json!([]), "a number for each query class in setting `ClassNeed`")]
+#[case::unknown_effect("/Services/0/Effect", json!("none"), "`idempotent`, `deduplicated` or `at_most_once` in setting `Effect`")]
+#[case::no_class("/Services", json!([]), "at least one query class in setting `Services`")]
 fn the_error_names_the_key(#[case] path: &str, #[case] value: Value, #[case] expected: &str) {
-    let error = Settings::read(&with(path, value)).expect_err("faulty");
+    let error = Settings::read(&settings_with(path, value)).expect_err("invalid");
     assert_eq!(error.to_string(), expected);
 }
 
 #[rstest]
-fn a_second_phase_is_not_served_on_sockets() {
-    let mut settings = sound();
+fn a_query_class_with_a_second_phase_is_an_error() {
+    let mut settings = valid_settings();
     settings["Extra"]["ClassFetch"] = json!([2]);
     let error = Settings::read(&settings).expect_err("a second phase");
-    assert_eq!(error.to_string(), "only queries of one step on sockets, 0 in setting `ClassFetch`");
+    assert_eq!(
+        error.to_string(),
+        "0 in setting `ClassFetch`, as routers on sockets support queries with a single phase only"
+    );
 }
 
 #[rstest]
-fn settings_that_are_not_json_are_refused() {
+fn settings_that_are_not_json_are_an_error() {
     let error = parse("{").expect_err("not JSON");
     assert!(error.to_string().starts_with("settings in JSON (EOF while parsing"), "{error}");
 }
@@ -90,13 +93,13 @@
 #[rstest]
 #[case::live("/Limits/MaxAttempts", json!(5), &["Limits.MaxAttempts"], &[])]
 #[case::restart("/Extra/Slices", json!(24), &[], &["Extra.Slices"])]
-#[case::written_otherwise("/TickUs", json!(1000.0), &[], &[])]
-fn changes_are_named_by_key(
+#[case::same_number_in_another_notation("/TickUs", json!(1000.0), &[], &[])]
+fn changed_keys_are_listed(
     #[case] path: &str,
     #[case] value: Value,
     #[case] live: &[&'static str],
     #[case] restart: &[&'static str],
 ) {
     let expected = Changes { live: live.to_vec(), restart: restart.to_vec() };
-    assert_eq!(changes(&sound(), &with(path, value)), expected);
+    assert_eq!(changes(&valid_settings(), &settings_with(path, value)), expected);
 }
