--- a/crates/simhost/tests/pipe.rs
+++ b/crates/simhost/tests/pipe.rs
@@ -1,4 +1,5 @@
-//! The adapter as the bench sees it: lines in, lines out, a plain message where a line is malformed.
+//! The process as the simulator runs it: batches on standard input, replies on standard output, and an error message on
+//! standard error where a line is malformed.
 use rstest::rstest;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,13 +15,13 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // A malformed line may end the adapter before it has read everything.
+        .expect("the process starts");
+    // A malformed line may end the process before it has read all of its input.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the process ends")
 }
 
-/// A first batch that starts `router_0` with two nodes, then `rest`.
+/// Input whose first batch starts `router_0` with two data nodes, followed by `rest`.
 fn after_start(rest: &str) -> String {
     let settings = SETTINGS.replace('\n', "");
     format!(
@@ -39,12 +40,12 @@
 const QUERY: &str = "req q v - - 7000000 - 3 -1 1 0\nreq p v 0 k 7000000 - 3 0 1 0\n";
 
 #[rstest]
-fn an_empty_batch_is_answered_and_the_end_of_input_ends() {
+fn an_empty_batch_gets_a_reply_and_the_end_of_input_ends_the_process() {
     assert_eq!(reply("frame 5 1\neob\n"), "ready 1\n");
 }
 
 #[rstest]
-fn a_query_is_sent_and_answered_under_its_instance() {
+fn decisions_are_written_under_the_id_of_their_router() {
     let rest = format!(
         "frame 1010000 2\nto router_0\n{QUERY}eob\n\
          frame 1110000 3\nto router_0\nfinished p 1 100000 0 pass a backlog:3,new:x\ntimeout_fired 1\neob\n"
@@ -55,7 +56,7 @@
 }
 
 #[rstest]
-fn a_list_number_is_resolved_by_the_order_of_events() {
+fn an_event_refers_to_the_latest_list_of_its_number_so_far() {
     let rest = format!(
         "frame 1010000 2\nto router_0\nmanifest 3 1\nentry a z k cordoned 1 - 0\n\
          directory_update 3 update 5\n\
@@ -66,7 +67,7 @@
 }
 
 #[rstest]
-fn a_restart_in_one_batch_forgets_what_came_before() {
+fn a_restart_within_a_batch_drops_the_events_before_it() {
     let settings = SETTINGS.replace('\n', "");
     let rest = format!(
         "frame 1010000 2\nto router_0\n{QUERY}down\nboot 8 {settings}\ndirectory_update 0 restored 4\neob\n\
@@ -76,13 +77,13 @@
 }
 
 #[rstest]
-fn instances_act_alike_alone_and_together() {
+fn a_second_router_in_the_process_does_not_change_the_decisions() {
     let settings = SETTINGS.replace('\n', "");
     let second = format!("to router_1\nboot 7 {settings}\ndirectory_update 0 restored 4\neob\n");
     let both = after_start("").replace("eob\n", &second)
         + &format!("frame 1010000 2\nto router_0\n{QUERY}to router_1\n{QUERY}eob\n");
-    let acts = "transmit p a 5990000\nset_alarm 10000 1\n";
-    let expected = format!("ready 1\nas router_0\n{acts}as router_1\n{acts}ready 2\n");
+    let decisions = "transmit p a 5990000\nset_alarm 10000 1\n";
+    let expected = format!("ready 1\nas router_0\n{decisions}as router_1\n{decisions}ready 2\n");
     assert_eq!(reply(&both), expected);
 }
 
@@ -91,21 +92,21 @@
 #[case::missing_value("frame 2000000 2\nto router_0\ntimeout_fired\neob\n", "field Tag")]
 #[case::unreadable_value("frame 2000000 2\nto router_0\ntimeout_fired x\neob\n", "found `x`")]
 #[case::absent_value("frame 2000000 2\nto router_0\nvanished -\neob\n", "field OpId")]
-#[case::too_much("frame 2000000 2\nto router_0\nvanished q 1\neob\n", "the end of the line")]
-#[case::unknown_vertical("frame 2000000 2\nto router_0\nreq q w - - 1 - 3 -1 1 0\neob\n", "field Type")]
+#[case::trailing_field("frame 2000000 2\nto router_0\nvanished q 1\neob\n", "the end of the line")]
+#[case::unknown_query_class("frame 2000000 2\nto router_0\nreq q w - - 1 - 3 -1 1 0\neob\n", "field Type")]
 #[case::unknown_outcome("frame 2000000 2\nto router_0\nfinished p 1 1 0 fine a -\neob\n", "field Reason")]
 #[case::count_of_entries("frame 2000000 2\nmanifest 1 2\nentry a z k healthy 1 - 0\neob\n", "field Hosts")]
 #[case::unknown_list("frame 2000000 2\nto router_0\ndirectory_update 9 update 1\neob\n", "field Buffer")]
-#[case::no_instance("frame 2000000 2\nvanished q\neob\n", "a `to` line")]
+#[case::no_router("frame 2000000 2\nvanished q\neob\n", "a `to` line")]
 #[case::not_started("frame 2000000 2\nto router_5\nvanished q\neob\n", "`boot` before")]
 #[case::no_frame("to router_0\neob\n", "`frame` at the start")]
 #[case::not_json("frame 2000000 2\nto router_0\nboot 7 {oops\neob\n", "settings in JSON")]
-#[case::lacking_setting("frame 2000000 2\nto router_0\nboot 7 {\"Extra\": {}}\neob\n", "a setting `Limits`")]
-#[case::ends_inside("frame 2000000 2\nto router_0\n", "ended inside a batch")]
-fn a_malformed_line_ends_the_adapter_with_one_plain_message(#[case] rest: &str, #[case] says: &str) {
+#[case::missing_setting("frame 2000000 2\nto router_0\nboot 7 {\"Extra\": {}}\neob\n", "a setting `Limits`")]
+#[case::incomplete_batch("frame 2000000 2\nto router_0\n", "ended inside a batch")]
+fn a_malformed_line_ends_the_process_with_one_error_line(#[case] rest: &str, #[case] expected: &str) {
     let output = run(&after_start(rest));
     let errors = String::from_utf8_lossy(&output.stderr).to_string();
     assert_eq!(output.status.code(), Some(2), "{errors}");
-    assert!(errors.contains(says) && errors.contains("line "), "{errors}");
+    assert!(errors.contains(expected) && errors.contains("line "), "{errors}");
     assert_eq!(errors.lines().count(), 1);
 }
