--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -91,7 +91,7 @@
             hedges: 0,
             attempts: vec![],
         });
-        self.earn_retry_tokens();
+        self.deposit_retry_tokens();
     }
 
     fn attempt_ended(
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -71,7 +71,7 @@
     /// Sends a hedge past a late node to another, if the budget pays and a hedge past the late one does.
     fn hedge(&mut self, position: RequestPosition, past: String, to: &str, sink: &mut dyn DecisionSink) {
         let pays = self.hedge_win_rate(&past).pays();
-        if !pays && !self.hedge_success.trial_is_due(self.now_s) || !self.try_pay_for_hedge() {
+        if !pays && !self.hedge_success.trial_is_due(self.now_s) || !self.try_charge_hedge() {
             return;
         }
         if !pays {
@@ -106,7 +106,7 @@
         let newest = request.attempts.iter().rfind(|attempt| attempt.is_live())?;
         let late_after_s = self.late_after_s(ShardClass { shard: request.shard, class: query.class });
         let is_late = self.now_stall_free_s - newest.started_at_stall_free_s > late_after_s;
-        if !is_late || !self.may_attempt(query, request) || !self.can_pay_for_retry() {
+        if !is_late || !self.may_attempt(query, request) || !self.can_afford_retry() {
             return None;
         }
         if self.may_hedge(query, request) && self.has_retry_token() {
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -215,8 +215,8 @@
         let key = ShardClass { shard: first.shard, class: query.class };
         let is_first_attempt = first.attempts.is_empty();
         // Checked first, as the search for a node costs more.
-        let unpaid = !is_first_attempt && !self.can_pay_for_retry();
-        if unpaid || self.exhausted_shards.contains(&key) {
+        let lacks_token = !is_first_attempt && !self.can_afford_retry();
+        if lacks_token || self.exhausted_shards.contains(&key) {
             return started;
         }
         let shards: Vec<u32> = group.iter().map(|&index| query.requests[index].shard).collect();
@@ -233,7 +233,7 @@
             if fits && self.placement.holds(&selected.id, replica_group, shard) {
                 started.insert(index);
                 let is_retry = !self.queries[&number].requests[index].attempts.is_empty();
-                if !is_retry || self.try_pay_for_retry() {
+                if !is_retry || self.try_charge_retry() {
                     self.start_attempt(RequestPosition { query: number, index }, &selected.id, sink);
                 }
             }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,37 +1,38 @@
-//! Decides who pays for attempts past a shard request's first one: a token bucket that each shard request adds to.
+//! Limits the attempts after the first one of each shard request with a token bucket. Each shard request adds tokens.
 //!
-//! A hedge always costs one token. With a stated budget every attempt past a first one does, so that in any window at
-//! most the bucket's capacity plus the ratio times the window's shard requests are spent. This guards against retries
-//! that multiply an overload; it costs a late answer where the bucket is empty. The tokens are shared by all cores of
-//! a router ([`crate::interface::SharedLimits`]).
+//! A hedge always costs one token. If a retry budget is configured, every attempt after a first one costs a token, so
+//! that any window has at most as many as the bucket's capacity plus the ratio times the window's shard requests. This
+//! keeps retries from multiplying an overload. The cost: while the bucket is empty, an answer may be late. All cores of
+//! a router share the tokens ([`crate::interface::SharedLimits`]).
 
 use super::Policy;
 use crate::interface::RetryBudget;
 
-/// The most that the bucket is filled by, whatever budget is stated.
+/// Upper limits for the tokens that a shard request adds and for the capacity of the bucket; a larger configured budget
+/// is cut to them.
 const TOKENS_PER_REQUEST_MAX: f64 = 0.1;
 const CAPACITY_MAX_TOKENS: f64 = 40.0;
 /// Cost of an attempt.
 const ATTEMPT_COST_TOKENS: f64 = 1.0;
 
-/// How the token bucket is filled and what it pays for.
+/// How the token bucket is filled, and which attempts cost a token.
 #[derive(Default)]
 pub(super) struct RetryTokenConfig {
     /// Tokens that each shard request adds.
     pub tokens_per_request: f64,
     pub capacity_tokens: f64,
-    /// Whether every attempt past a first one costs a token, not only hedges.
+    /// Whether every attempt after a first one costs a token, not only hedges.
     pub charges_retries: bool,
 }
 
 impl RetryTokenConfig {
-    pub fn new(stated: Option<RetryBudget>) -> Self {
+    pub fn new(configured: Option<RetryBudget>) -> Self {
         RetryTokenConfig {
-            tokens_per_request: stated
+            tokens_per_request: configured
                 .map_or(TOKENS_PER_REQUEST_MAX, |budget| budget.ratio.min(TOKENS_PER_REQUEST_MAX)),
-            capacity_tokens: stated
+            capacity_tokens: configured
                 .map_or(CAPACITY_MAX_TOKENS, |budget| budget.burst.min(CAPACITY_MAX_TOKENS)),
-            charges_retries: stated.is_some(),
+            charges_retries: configured.is_some(),
         }
     }
 }
@@ -44,12 +45,12 @@
     }
 
     /// Adds the tokens of a new shard request.
-    pub(super) fn earn_retry_tokens(&self) {
+    pub(super) fn deposit_retry_tokens(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(config.tokens_per_request, config.capacity_tokens);
     }
 
-    /// Takes back the tokens of a shard request that has earned them at another host.
+    /// Removes the tokens of a shard request that already added tokens on another host.
     pub(super) fn return_retry_tokens(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(-config.tokens_per_request, config.capacity_tokens);
@@ -60,18 +61,18 @@
         self.shared_limits.tokens() >= ATTEMPT_COST_TOKENS
     }
 
-    /// Whether a further attempt could be paid for, if it has to be.
-    pub(super) fn can_pay_for_retry(&self) -> bool {
+    /// Whether there is a token for a retry, or retries cost none.
+    pub(super) fn can_afford_retry(&self) -> bool {
         !self.retry_tokens.charges_retries || self.has_retry_token()
     }
 
-    /// Pays for an attempt that follows a failed one, if it has to be paid for.
-    pub(super) fn try_pay_for_retry(&self) -> bool {
+    /// Takes a token for a retry if retries cost one; returns false if there is none.
+    pub(super) fn try_charge_retry(&self) -> bool {
         !self.retry_tokens.charges_retries || self.shared_limits.try_withdraw()
     }
 
-    /// Pays for a hedge.
-    pub(super) fn try_pay_for_hedge(&self) -> bool {
+    /// Takes a token for a hedge; returns false if there is none.
+    pub(super) fn try_charge_hedge(&self) -> bool {
         self.shared_limits.try_withdraw()
     }
 }
--- a/src/shared_limits.rs
+++ b/src/shared_limits.rs
@@ -1,16 +1,17 @@
-//! Limits that the cores of one router share: the retry tokens, and whose turn it is at a warming data node.
+//! Limits that the cores of one router share: the retry tokens, and which core may send to a data node that is warming
+//! up.
 //!
-//! Each limit is a single atomic, so that its stated sum holds for all cores at every instant and no core keeps a part
-//! of it unused. Free of I/O.
+//! Each limit is a single atomic, so that the configured total holds for all cores at every instant and no core
+//! reserves a part that it does not use. This module does no I/O.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Slots for turns at warming data nodes. Nodes whose hashes meet in a slot take turns with each other, which costs
-/// throughput and breaks no limit.
+/// Slots for turns at warming data nodes. Nodes whose hashes collide share a slot, so that only one of them is sent to
+/// at a time; that reduces throughput and exceeds no limit.
 const SLOW_START_SLOTS: usize = 1024;
-/// The low bits of a slot that hold the core's number; the others hold the end of its turn, in milliseconds.
+/// The low bits of a slot contain the number of the core; the others contain the end of its turn in milliseconds.
 const CORE_BITS: u32 = 8;
 const CORE_MASK: u64 = (1 << CORE_BITS) - 1;
 
@@ -19,16 +20,17 @@
 pub struct SharedLimits {
     core: u8,
     several_cores: bool,
-    /// Tokens, as the bits of their negative: an empty bucket (-0.0) differs from one that was never filled (0).
+    /// Number of tokens, stored as the bits of the negated value: an empty bucket (-0.0) then differs from one that was
+    /// never filled (0).
     tokens: Arc<AtomicU64>,
-    /// Capacity by the stated budget, in the same form; infinite where none is stated.
-    stated_capacity: Arc<AtomicU64>,
-    /// Turns at warming nodes, by a hash of their ids.
+    /// Capacity by the configured retry budget, stored in the same form; infinite if none is configured.
+    budget_capacity: Arc<AtomicU64>,
+    /// Turns at warming nodes, indexed by a hash of the node id.
     slow_start_turns: Arc<[AtomicU64]>,
 }
 
 impl SharedLimits {
-    /// Limits for `cores` cores, 255 at most; each core takes its own clone with [`SharedLimits::for_core`].
+    /// Creates limits for `cores` cores, at most 255; each core uses its own clone from [`SharedLimits::for_core`].
     pub fn new(cores: usize) -> Self {
         let slots = if cores > 1 { SLOW_START_SLOTS } else { 0 };
         SharedLimits {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// The clone for one core.
+    /// Returns the clone for one core.
     pub fn for_core(&self, core: u8) -> Self {
         SharedLimits { core, ..self.clone() }
     }
@@ -56,64 +58,65 @@
         -f64::from_bits(bits)
     }
 
-    /// Tokens in the bucket; negative while it is in debt.
+    /// Number of tokens in the bucket; negative while it is in debt.
     pub fn tokens(&self) -> f64 {
         Self::decode(self.tokens.load(Relaxed))
     }
 
-    /// Fills a bucket that was never filled. A core that restarts finds what is left.
+    /// Fills the bucket if it was never filled. A core that restarts does not change it.
     pub fn fill(&self, tokens: f64) {
         let _ = self.tokens.compare_exchange(0, Self::encode(tokens), Relaxed, Relaxed);
     }
 
-    /// Fills a bucket that was never filled; one with another capacity is brought to this one, once, by the first core
-    /// that applies the new configuration. `stated` is whether the budget is a promise.
+    /// Fills the bucket if it was never filled. If the bucket has another capacity, the first core that applies the new
+    /// configuration adjusts the tokens, once. `is_budget` is whether a retry budget is configured, which is then
+    /// guaranteed.
     ///
-    /// A stated budget allows in any window as many attempts as the bucket holds when the window begins plus those that
-    /// its shard requests earn. Across a change from capacity a to capacity b:
-    /// - nothing is filled up, so a window that begins before the change still begins with a at most, and what b has
-    ///   more than a has to be earned after it;
-    /// - where b is less, the difference is taken away, into debt if it has been spent: with s spent in a window before
-    ///   the change, b - s at most is left for the rest of it, beside what its shard requests earn, or nothing where s
-    ///   is more.
+    /// A retry budget allows in any window as many attempts as there are tokens at the start of the window plus those
+    /// that the window's shard requests add. On a change from capacity a to capacity b:
+    /// - No tokens are added, so that a window that starts before the change starts with at most a, and shard requests
+    ///   after the change have to add what b exceeds a by.
+    /// - If b is less than a, the difference is subtracted, into debt if the tokens have been spent. If s tokens were
+    ///   spent in a window before the change, at most b - s are left for the rest of the window (none if s exceeds b),
+    ///   plus those that its shard requests add.
     ///
-    /// So in every window across it, the attempts past what had been spent at the change are within the lesser capacity
-    /// plus what the window's shard requests earn, each by the ratio that held when it arrived. Where no budget was
-    /// stated before, none was promised until here: the bucket holds b at most from here on.
-    pub fn change_capacity(&self, capacity: f64, stated: bool) {
-        let promised = if stated { capacity } else { f64::INFINITY };
-        let previous_bits = self.stated_capacity.swap(Self::encode(promised), Relaxed);
+    /// In every window that includes the change, the attempts beyond those made before the change are therefore at most
+    /// the smaller capacity plus what the window's shard requests add, each by the ratio in use when it arrived. If no
+    /// budget was configured before, nothing was guaranteed until the change, and the bucket holds at most b after it.
+    pub fn change_capacity(&self, capacity: f64, is_budget: bool) {
+        let guaranteed = if is_budget { capacity } else { f64::INFINITY };
+        let previous_bits = self.budget_capacity.swap(Self::encode(guaranteed), Relaxed);
         self.fill(capacity);
         if previous_bits == 0 {
             return;
         }
         let previous = Self::decode(previous_bits);
-        let reduction = if previous.is_finite() { (previous - promised).max(0.0) } else { 0.0 };
-        // Adding zero turns -0.0 into 0.0, so that an empty bucket is not taken for one that was never filled.
+        let reduction = if previous.is_finite() { (previous - guaranteed).max(0.0) } else { 0.0 };
+        // Adding 0.0 turns -0.0 into 0.0, as -0.0 would be encoded like a bucket that was never filled.
         let changed = |bits| Some(Self::encode((Self::decode(bits) - reduction).min(capacity) + 0.0));
         let _ = self.tokens.fetch_update(Relaxed, Relaxed, changed);
     }
 
-    /// Adds tokens up to `capacity`, and never past the newest stated capacity, which the calling core may not have
-    /// applied yet.
+    /// Adds tokens up to `capacity`, and never beyond the capacity of the newest retry budget, which the calling core
+    /// may not have applied yet.
     pub fn deposit(&self, tokens: f64, capacity: f64) {
-        let stated = self.stated_capacity.load(Relaxed);
-        let limit = if stated == 0 { capacity } else { capacity.min(Self::decode(stated)) };
+        let budget_bits = self.budget_capacity.load(Relaxed);
+        let limit = if budget_bits == 0 { capacity } else { capacity.min(Self::decode(budget_bits)) };
         let add = |bits| Some(Self::encode((Self::decode(bits) + tokens).min(limit)));
         let _ = self.tokens.fetch_update(Relaxed, Relaxed, add);
     }
 
-    /// Takes one whole token; false if there is none.
+    /// Removes one whole token; returns false if there is none.
     pub fn try_withdraw(&self) -> bool {
         let take = |bits| Some(Self::decode(bits) - 1.0).filter(|left| *left >= 0.0).map(Self::encode);
         self.tokens.fetch_update(Relaxed, Relaxed, take).is_ok()
     }
 
-    /// Takes, or extends, this core's exclusive turn at a warming node for `span_s` seconds from `now_s` on; false
-    /// while another core has it.
+    /// Acquires or extends this core's exclusive turn to send to a warming node, for `span_s` seconds from `now_s` on;
+    /// returns false while another core has the turn.
     ///
-    /// Guards against cores that each spend the router's whole slow-start quota on one node: no other core may send
-    /// until everything that the last holder sent has left the window that the quota is stated for.
+    /// Without turns, each core could use up the router's whole slow-start quota for a node. No other core may send
+    /// until everything that the last one sent is outside the window of the quota.
     pub fn try_slow_start_turn(&self, node: &str, now_s: f64, span_s: f64) -> bool {
         if self.slow_start_turns.is_empty() {
             return true;
@@ -126,9 +129,9 @@
         let core = u64::from(self.core);
         let take = |turn: u64| {
             let held_until_ms = turn >> CORE_BITS;
-            let mine = turn & CORE_MASK == core;
-            let end_ms = if mine { until_ms.max(held_until_ms) } else { until_ms };
-            (mine || held_until_ms <= now_ms).then_some(end_ms << CORE_BITS | core)
+            let is_own = turn & CORE_MASK == core;
+            let end_ms = if is_own { until_ms.max(held_until_ms) } else { until_ms };
+            (is_own || held_until_ms <= now_ms).then_some(end_ms << CORE_BITS | core)
         };
         slot.fetch_update(Relaxed, Relaxed, take).is_ok()
     }
