--- a/src/policy.rs
+++ b/src/policy.rs
@@ -87,7 +87,7 @@
     poll_endpoints_at_s: f64,
     timer_set: bool,
     /// Until when a node may be warming up that crashed under an attempt.
-    careful_until_s: f64,
+    single_attempts_until_s: f64,
 }
 
 /// What has been observed of a shard.
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -112,7 +112,7 @@
             self.record_request_outcome(position, attempt, outcome, latency_s);
         }
         if let Some(in_flight) = in_flight {
-            self.note_lost_node(outcome);
+            self.record_connection_loss(outcome);
             self.record_node_outcome(node_id, outcome, latency_s, in_flight.late_after_s);
         }
     }
--- a/src/policy/query.rs
+++ b/src/policy/query.rs
@@ -104,7 +104,7 @@
     }
 
     /// Nodes whose connection broke under an attempt of this query.
-    pub fn nodes_lost(&self) -> BTreeSet<&str> {
+    pub fn nodes_with_lost_connections(&self) -> BTreeSet<&str> {
         let lost = self.attempts().filter(|attempt| attempt.connection_lost);
         lost.map(|attempt| attempt.node.as_str()).collect()
     }
