--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -165,7 +165,7 @@
     fn close(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         if let Some(mut query) = self.queries.remove(&number) {
             let attempts = query.requests.iter_mut().flat_map(|request| &mut request.attempts);
-            let lost: Vec<String> = attempts.filter_map(|attempt| attempt.hedges_past.take()).collect();
+            let lost: Vec<String> = attempts.filter_map(|attempt| attempt.bypassed_node.take()).collect();
             lost.iter().for_each(|past| self.record_hedge(past, false));
             self.cancel_requests(&query.requests, sink);
         }
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -161,7 +161,7 @@
         self.attempts_in_flight.remove(ShardClass { shard: request.shard, class }, age_position);
         let is_first_success = outcome == AttemptOutcome::Success && !request.succeeded;
         request.succeeded |= outcome == AttemptOutcome::Success;
-        let settled = settled_hedges(request, number, is_first_success);
+        let decided = decided_hedges(request, number, is_first_success);
         if let Some(attempt) = request.attempts.get_mut(number) {
             attempt.in_flight = false;
             attempt.possible_effect = !outcome.had_no_effect();
@@ -176,22 +176,22 @@
             let shard = self.shards.entry(request.shard).or_default();
             shard.latencies.record(latency_s, SHARD_SAMPLES_MAX);
         }
-        for (past, won) in settled {
-            self.record_hedge(&past, won);
+        for (bypassed_node, won) in decided {
+            self.record_hedge(&bypassed_node, won);
         }
     }
 }
 
 /// Hedges that have won or lost as an attempt ended: the first success decides for all, and a hedge that ends without
 /// one has lost. Each with the late node that it was to get past.
-fn settled_hedges(request: &mut ShardRequest, ended: usize, is_first_success: bool) -> Vec<(String, bool)> {
-    let mut settled = vec![];
+fn decided_hedges(request: &mut ShardRequest, ended: usize, is_first_success: bool) -> Vec<(String, bool)> {
+    let mut decided = vec![];
     for (number, attempt) in request.attempts.iter_mut().enumerate() {
         if (number == ended || is_first_success)
-            && let Some(past) = attempt.hedges_past.take()
+            && let Some(bypassed_node) = attempt.bypassed_node.take()
         {
-            settled.push((past, number == ended && is_first_success));
+            decided.push((bypassed_node, number == ended && is_first_success));
         }
     }
-    settled
+    decided
 }
--- a/src/policy/hedge_success.rs
+++ b/src/policy/hedge_success.rs
@@ -1,21 +1,21 @@
-//! Decides whether hedges past a late data node pay.
+//! Decides whether hedges that bypass a late data node are worth their work.
 //!
-//! Inputs are how earlier hedges ended, past that node and past any: one that brings its shard request's answer has won.
-//! Past a node that is slow or cut off alone hedges win; where slowness is correlated, as in an overload, they lose past
-//! all nodes and only add to it, which this guards against. A hedge is sent where they win often enough, and one in a
-//! while as a trial elsewhere. It costs the first hedges past a node that fails while hedges lose past all others. Times
-//! are in seconds.
+//! Inputs are the results of earlier hedges, for that node and for all nodes: a hedge wins if its attempt is the first
+//! of its shard request to succeed. Hedges win if a single node is slow or disconnected. If slowness is correlated, as
+//! in an overload, hedges lose for all nodes and only add load. Hedges are therefore sent if they win often enough, and
+//! as an occasional trial otherwise. The cost: if a node fails while hedges lose for all others, its first hedges are
+//! not sent. Times are in seconds.
 
-/// Weight of the latest hedge in a running win rate.
+/// Weight of the latest hedge in the moving average.
 const LATEST_WEIGHT: f64 = 0.3;
-/// Win rate before any hedge has ended: even odds.
+/// Win rate before any hedge has ended.
 const INITIAL_WIN_RATE: f64 = 0.5;
-/// Hedges that win less often cost more work than they save.
-const PAYING_WIN_RATE: f64 = 0.4;
-/// Time between two trials where hedges do not pay.
+/// Hedges with a lower win rate cost more work than they save.
+const WORTHWHILE_WIN_RATE: f64 = 0.4;
+/// Shortest time between two trials while hedges are not worthwhile.
 const TRIAL_INTERVAL_S: f64 = 0.25;
 
-/// A running share of hedges that have won.
+/// A moving average of the fraction of hedges that have won.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct WinRate(f64);
 
@@ -26,18 +26,18 @@
 }
 
 impl WinRate {
-    /// Takes a hedge that has ended into account.
+    /// Records the result of a hedge.
     pub fn record(&mut self, won: bool) {
         self.0 += LATEST_WEIGHT * (f64::from(u8::from(won)) - self.0);
     }
 
-    /// Whether further hedges are worth their work.
-    pub fn pays(self) -> bool {
-        self.0 >= PAYING_WIN_RATE
+    /// Whether hedges save more work than they cost.
+    pub fn is_worthwhile(self) -> bool {
+        self.0 >= WORTHWHILE_WIN_RATE
     }
 }
 
-/// What is known of hedges past any node.
+/// The results of the hedges of all nodes.
 #[derive(Default)]
 pub(super) struct HedgeSuccess {
     pub win_rate: WinRate,
@@ -45,12 +45,12 @@
 }
 
 impl HedgeSuccess {
-    /// Whether a trial is due.
+    /// Whether a hedge may be sent as a trial.
     pub fn trial_is_due(&self, now_s: f64) -> bool {
         self.last_trial_at_s.is_none_or(|at_s| now_s - at_s >= TRIAL_INTERVAL_S)
     }
 
-    /// Records a hedge that goes out as a trial.
+    /// Records that a hedge is sent as a trial.
     pub fn record_trial(&mut self, now_s: f64) {
         self.last_trial_at_s = Some(now_s);
     }
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,9 +1,10 @@
-//! Decides when a late attempt is hedged, when a stuck one is replaced, and when losers are cancelled.
+//! Decides when a late attempt is hedged, when a stuck one is replaced, and when attempts are cancelled because another
+//! attempt of their shard request has succeeded.
 //!
 //! Inputs are the age of a shard request's newest attempt and the delay after which it is late, in seconds, the health
-//! of the nodes asked, and the tokens of the retry budget. Hedges guard against rare slow or silent nodes; each costs a
-//! token and a node's work. Attempts stuck at unresponsive nodes are replaced even without a token; that costs an
-//! attempt that was about to succeed.
+//! of the nodes that have its attempts, and the tokens of the retry budget. Hedges reduce the latency caused by rare
+//! slow or silent nodes; each costs a token and work of a node. Attempts stuck at unresponsive nodes are replaced even
+//! without a token; the cost is that an attempt may be cancelled that was about to succeed.
 
 use super::Policy;
 use super::attempts_by_age::AttemptPosition;
@@ -14,21 +15,22 @@
 use crate::interface::{DecisionSink, Idempotency};
 use std::collections::BTreeSet;
 
-/// Most hedges of a shard request: two holders of a shard are slow at once for some shard of a large query.
+/// Most hedges of a shard request. One is not enough, as two holders of some shard of a large query can be slow at
+/// once.
 const HEDGES_MAX: usize = 2;
-/// A replacement is started only while this fraction of the usual latency is left before the latency objective.
+/// An attempt is replaced only while at least this fraction of the usual latency is left before the latency objective.
 const REPLACEMENT_TIME_FRACTION: f64 = 0.5;
 
-/// What is done about a late shard request.
+/// What to do about a late shard request.
 enum LateAction {
-    /// Another attempt beside those in flight, to get past the node of the newest.
-    Hedge { past: String },
-    /// The attempts in flight are cancelled; another one follows in the next round.
+    /// Start another attempt in parallel, which bypasses the node of the newest attempt.
+    Hedge { bypassed_node: String },
+    /// Cancel the attempts in flight; another one starts in the next round.
     Replace,
 }
 
 impl Policy {
-    /// Queries with an attempt that is late.
+    /// Returns the queries with a late attempt.
     pub(super) fn queries_with_late_attempts(&mut self) -> BTreeSet<u64> {
         let mut attempts = std::mem::take(&mut self.attempts_in_flight);
         let is_live = |position: AttemptPosition| {
@@ -42,7 +44,8 @@
         late.into_iter().map(|position| position.query).collect()
     }
 
-    /// Cancels losers, hedges late shard requests while the retry budget pays, and replaces stuck attempts.
+    /// Cancels attempts of shard requests that have succeeded, hedges late shard requests while the retry budget has
+    /// tokens, and replaces stuck attempts.
     pub(super) fn hedge_late_requests(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         let Some(query) = self.queries.get(&number) else { return };
         let may_have_crashed_nodes = query.may_have_crashed_nodes();
@@ -63,45 +66,52 @@
         let Some(action) = self.late_action(query, request) else { return };
         let Some(node) = self.select_node(position, &[request.shard], 1) else { return };
         match action {
-            LateAction::Hedge { past } => self.hedge(position, past, &node.id, sink),
+            LateAction::Hedge { bypassed_node } => self.hedge(position, bypassed_node, &node.id, sink),
             LateAction::Replace => self.cancel_live_attempts(position, sink),
         }
     }
 
-    /// Sends a hedge past a late node to another, if the budget pays and a hedge past the late one does.
-    fn hedge(&mut self, position: RequestPosition, past: String, to: &str, sink: &mut dyn DecisionSink) {
-        let pays = self.hedge_win_rate(&past).pays();
-        if !pays && !self.hedge_success.trial_is_due(self.now_s) || !self.try_charge_hedge() {
+    /// Sends a hedge to a node, if the retry budget has a token and hedges that bypass the late node are worthwhile or
+    /// a trial is due.
+    fn hedge(
+        &mut self,
+        position: RequestPosition,
+        bypassed_node: String,
+        to: &str,
+        sink: &mut dyn DecisionSink,
+    ) {
+        let is_worthwhile = self.hedge_win_rate(&bypassed_node).is_worthwhile();
+        if !is_worthwhile && !self.hedge_success.trial_is_due(self.now_s) || !self.try_charge_hedge() {
             return;
         }
-        if !pays {
+        if !is_worthwhile {
             self.hedge_success.record_trial(self.now_s);
         }
         self.start_attempt(position, to, sink);
         let query = self.queries.get_mut(&position.query);
         let hedge = query.and_then(|query| query.requests[position.index].attempts.last_mut());
         if let Some(hedge) = hedge {
-            hedge.hedges_past = Some(past);
+            hedge.bypassed_node = Some(bypassed_node);
         }
     }
 
-    /// The win rate of hedges past a node: its own if any has ended, else that past any node.
-    fn hedge_win_rate(&self, past: &str) -> WinRate {
-        let own = self.nodes.get(past).and_then(|node| node.hedge_win_rate);
+    /// The win rate of hedges that bypass a node. If none of them has ended yet, that of the hedges of all nodes.
+    fn hedge_win_rate(&self, bypassed_node: &str) -> WinRate {
+        let own = self.nodes.get(bypassed_node).and_then(|node| node.hedge_win_rate);
         own.unwrap_or(self.hedge_success.win_rate)
     }
 
-    /// Records that a hedge past a node has won or lost.
-    pub(super) fn record_hedge(&mut self, past: &str, won: bool) {
-        let mut win_rate = self.hedge_win_rate(past);
+    /// Records that a hedge that bypassed a node has won or lost.
+    pub(super) fn record_hedge(&mut self, bypassed_node: &str, won: bool) {
+        let mut win_rate = self.hedge_win_rate(bypassed_node);
         win_rate.record(won);
-        if let Some(node) = self.nodes.get_mut(past) {
+        if let Some(node) = self.nodes.get_mut(bypassed_node) {
             node.hedge_win_rate = Some(win_rate);
         }
         self.hedge_success.win_rate.record(won);
     }
 
-    /// What is to be done about a shard request, if another node can be found for it.
+    /// What to do about a shard request if it is late, provided that another node is available.
     fn late_action(&self, query: &Query, request: &ShardRequest) -> Option<LateAction> {
         let newest = request.attempts.iter().rfind(|attempt| attempt.is_live())?;
         let late_after_s = self.late_after_s(ShardClass { shard: request.shard, class: query.class });
@@ -110,7 +120,7 @@
             return None;
         }
         if self.may_hedge(query, request) && self.has_retry_token() {
-            return Some(LateAction::Hedge { past: newest.node.clone() });
+            return Some(LateAction::Hedge { bypassed_node: newest.node.clone() });
         }
         let replacement_s = REPLACEMENT_TIME_FRACTION * self.typical_latency_s(query.class);
         let in_time = self.now_s + replacement_s < query.objective_at_s;
@@ -119,8 +129,8 @@
         (in_time && stuck).then_some(LateAction::Replace)
     }
 
-    /// Whether a hedge is allowed and worth its token: an answer without the shard request would not do. Hedges of what
-    /// may be left out would only add to an overload.
+    /// Whether a hedge is allowed, and the query cannot be answered without the shard request. Hedges of shard requests
+    /// that an answer may omit would only add to an overload.
     fn may_hedge(&self, query: &Query, request: &ShardRequest) -> bool {
         let class = &self.classes[query.class].config;
         let is_needed = class.minimum_fraction >= class.complete_fraction
@@ -131,8 +141,8 @@
             && is_needed
     }
 
-    /// Whether an attempt waits for an unresponsive node. Age alone is no reason to give it up: one shard request of
-    /// many takes long by nature. A node without a record has nothing in flight, so no answer comes from it.
+    /// Whether an attempt waits for an unresponsive node. Age alone is not sufficient, as a few shard requests take
+    /// long on any node. A node without a record has no attempt in flight, so that no answer will arrive from it.
     fn is_stuck(&self, attempt: &Attempt, late_after_s: f64) -> bool {
         let age_s = self.now_stall_free_s - attempt.started_at_stall_free_s;
         let unresponsive = |node: &Node| node.health == Health::Unresponsive;
--- a/src/policy/query.rs
+++ b/src/policy/query.rs
@@ -55,7 +55,7 @@
     /// Whether the node took nothing in, being at capacity or unreachable.
     pub rejected: bool,
     /// The late node that it is a hedge past, until it has won or lost.
-    pub hedges_past: Option<String>,
+    pub bypassed_node: Option<String>,
     /// Whether its connection broke while it was in flight.
     pub connection_lost: bool,
 }
--- a/src/policy/shard_changes.rs
+++ b/src/policy/shard_changes.rs
@@ -59,7 +59,7 @@
             let mut attempts = attempts.clone();
             if nth > 0 {
                 // A hedge wins or loses once.
-                attempts.iter_mut().for_each(|attempt| attempt.hedges_past = None);
+                attempts.iter_mut().for_each(|attempt| attempt.bypassed_node = None);
             }
             let successor = ShardRequest { id: id.into(), shard, weight, succeeded, hedges, attempts };
             // The first successor takes the old one's place.
@@ -135,7 +135,7 @@
             started_at_stall_free_s,
             in_flight: outcome.is_none(),
             cancelled: false,
-            hedges_past: None,
+            bypassed_node: None,
             possible_effect: outcome.is_none_or(|outcome| !outcome.had_no_effect()),
             rejected: outcome.is_some_and(AttemptOutcome::was_rejected),
             connection_lost: outcome == Some(AttemptOutcome::ConnectionReset),
