--- a/src/policy/config_changes.rs
+++ b/src/policy/config_changes.rs
@@ -79,8 +79,8 @@
     fn change_tenants(&mut self, tenants: &[Tenant], router_count: f64) {
         let previous = std::mem::take(&mut self.tenants);
         let (now_s, old_routers) = (self.now_s, self.router_count);
-        let changed = |tenant: &Tenant| match previous.iter().find(|quota| quota.is_of(&tenant.name)) {
-            Some(quota) => quota.changed(tenant.clone(), now_s, old_routers, router_count),
+        let changed = |tenant: &Tenant| match previous.iter().find(|quota| quota.is_for(&tenant.name)) {
+            Some(quota) => quota.reconfigured(tenant.clone(), now_s, old_routers, router_count),
             None => TenantQuota::new(tenant.clone(), now_s),
         };
         self.tenants = tenants.iter().map(changed).collect();
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -59,7 +59,7 @@
         let counts_from_s = if is_client_retry { not_after_s - config.deadline_s } else { self.now_s };
         let objective_at_s = config.latency_objective_s + counts_from_s;
         let (now_s, router_count) = (self.now_s, self.router_count);
-        let quota = self.tenants.iter_mut().find(|quota| quota.is_of(tenant));
+        let quota = self.tenants.iter_mut().find(|quota| quota.is_for(tenant));
         let over_quota = quota.is_some_and(|quota| !quota.try_take(now_s, router_count));
         let query = Query {
             id: id.into(),
