--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions of alderway, which reads many shards for one request. Free of I/O.
+//! The request policy of alderway, whose query routers read many shards for one query. This crate does no I/O.
 //!
-//! [`policy`] decides, [`permits`] says what may happen at this moment, [`interface`] is how a host calls the policy.
+//! [`policy`] makes the decisions, [`permits`] checks whether an action is still allowed when it is carried out, and
+//! [`interface`] is how a host program calls the policy.
 #![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod interface;
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -1,27 +1,27 @@
-//! Decides whether an action may happen at this very moment: an attempt may start, a connection may be closed, a query
-//! may be admitted or rejected.
+//! Checks whether an action is allowed at the moment at which it is carried out: starting an attempt, closing a
+//! connection, admitting or rejecting a query.
 //!
-//! The policy's decisions can be some time old when they are carried out, for example when an attempt has waited for a
-//! connection. Whoever carries one out therefore asks here at the moment of the action, with the facts of that moment.
-//! This guards against effects that happen twice and attempts that nobody waits for. Times are seconds on the
+//! The policy may have decided on an action some time before, for example if an attempt has waited for a connection.
+//! The code that carries out the action therefore calls these functions immediately before it, with the current state.
+//! This prevents effects that happen twice and attempts whose result no client waits for. Times are seconds on the
 //! monotonic clock.
 
 use crate::interface::{Idempotency, NodeState};
 
-/// Why an action may not happen now.
+/// Why an action is not allowed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The shard request's query has had its final answer, or its client has disconnected.
+    /// The shard request's query has its final answer, or its client has disconnected.
     QueryEnded,
     /// The attempt's time-out or its client's deadline has passed.
     DeadlinePassed,
-    /// The window in which repeats are dropped has passed since the first attempt that may have had an effect.
+    /// The time in which data nodes discard repeats has passed since the first attempt that may have had an effect.
     IdempotencyWindowPassed,
     /// An earlier attempt of a non-idempotent shard request may have had an effect.
     PossibleEffect,
     /// The data node is draining or removed.
     NodeNotServing,
-    /// Bytes that have not been read yet are waiting on the connection.
+    /// Bytes have arrived on the connection that have not been read yet.
     UnreadBytes,
     /// A query is open on the connection.
     QueryOpen,
@@ -29,12 +29,12 @@
     UnwrittenBytes,
     /// The router has shut down.
     ShutDown,
-    /// There is no capacity for the query and its shard requests.
+    /// The router has no capacity for the query and its shard requests.
     NoCapacity,
 }
 
 impl Denial {
-    /// Its label in counters.
+    /// The label in counters.
     pub fn label(self) -> &'static str {
         match self {
             Denial::QueryEnded => "query_over",
@@ -54,19 +54,19 @@
 /// An attempt whose frame is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptStart {
-    /// The time now.
+    /// The current time.
     pub now_s: f64,
-    /// When its time-out or its client's deadline passes, whichever is first.
+    /// When the attempt's time-out or the client's deadline passes, whichever is first.
     pub deadline_s: f64,
     /// Whether the shard request may be repeated.
     pub idempotency: Idempotency,
-    /// Start of the shard request's first earlier attempt that may have had an effect.
+    /// Start of the first earlier attempt of the shard request that may have had an effect.
     pub first_effect_at_s: Option<f64>,
     /// The data node's state.
     pub node_state: NodeState,
 }
 
-/// Whether an attempt may start.
+/// Checks whether an attempt may start.
 ///
 /// # Errors
 /// `NodeNotServing`, `DeadlinePassed`, `IdempotencyWindowPassed` or `PossibleEffect`.
@@ -87,29 +87,29 @@
     }
 }
 
-/// The time-out told to a data node ends this long before the client's deadline: the frame takes time to arrive, and a
-/// final answer is sent ahead of its limit.
+/// The time-out sent to a data node ends this long before the client's deadline, as the frame takes time to arrive and
+/// the query's final answer is sent before the deadline.
 const TRANSIT_MARGIN_S: f64 = 0.01;
 
-/// Milliseconds, 1 at least, that an attempt which starts now tells its data node as its time-out. `timeout_at_s` is
-/// the end of the attempt's own time-out, `not_after_s` the client's deadline.
+/// The time-out in milliseconds, at least 1, that an attempt which starts now sends to its data node. `timeout_at_s` is
+/// when the attempt times out, `not_after_s` is the client's deadline.
 pub fn advertised_timeout_ms(now_s: f64, timeout_at_s: f64, not_after_s: f64) -> u64 {
     let left_s = timeout_at_s.min(not_after_s - TRANSIT_MARGIN_S) - now_s;
     (left_s * 1e3).max(1.0) as u64
 }
 
-/// A client's connection that the router wants to close.
+/// The state of a client connection that the router wants to close.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionClose {
     /// Whether a query is open on it.
     pub query_open: bool,
     /// Whether bytes of an answer have not been written yet.
     pub unwritten: bool,
-    /// Whether bytes have arrived that could still be read.
+    /// Whether bytes have arrived that have not been read yet.
     pub unread: bool,
 }
 
-/// Whether a connection may be closed without losing a query or an answer.
+/// Checks whether a connection can be closed without losing a query or an answer.
 ///
 /// # Errors
 /// `QueryOpen`, `UnwrittenBytes` or `UnreadBytes`.
@@ -122,7 +122,7 @@
     }
 }
 
-/// Whether a query may be admitted; otherwise it is rejected at once.
+/// Checks whether a query may be admitted; otherwise it is rejected immediately.
 ///
 /// # Errors
 /// `ShutDown` or `NoCapacity`.
@@ -134,8 +134,8 @@
     }
 }
 
-/// Whether a query may be rejected, which promises its client that a retry is harmless. `possible_effect` is whether any
-/// attempt of it may have had an effect.
+/// Checks whether a query may be rejected. A rejection guarantees the client that a retry is harmless.
+/// `possible_effect` is whether any attempt of the query may have had an effect.
 ///
 /// # Errors
 /// `PossibleEffect`.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,9 +1,10 @@
 //! The decisions of a query router, or of one of its cores: which queries are admitted, which data node each attempt
-//! goes to, when it is hedged or retried, and when a query is answered.
+//! goes to, when an attempt is hedged or retried, and when a query is answered.
 //!
-//! The host tells what came in through [`PolicyInput`] and calls [`Policy::round`], which writes every decision to a
-//! [`DecisionSink`]. This file holds the order of the steps; each step is in a module of its own that opens with what
-//! it decides, from which inputs, and why. The whole design is in `docs/design.md`. Times are in seconds.
+//! The host calls [`Policy::round`], in which it delivers events through [`PolicyInput`] and receives every decision
+//! through a [`DecisionSink`]. This file defines the order of the steps of a round. Each step has a module of its own,
+//! whose documentation says what it decides, from which inputs, and why. `docs/design.md` describes the whole design.
+//! Times are in seconds.
 
 mod admission;
 mod attempts_by_age;
@@ -43,21 +44,20 @@
 
 /// Time between two checks of the open queries.
 const CHECK_INTERVAL_S: f64 = 0.010;
-/// How far ahead of a time limit a decision is made that has to take effect before it.
+/// How long before a time limit a decision is made that has to take effect before the limit.
 const ANSWER_MARGIN_S: f64 = 0.030;
-/// What sums of weights may fall short by through rounding.
+/// By how much a sum of weights may be too small because of rounding.
 const WEIGHT_TOLERANCE_FRACTION: f64 = 0.00005;
-/// Longest time between two rounds, in check intervals, that does not count as a stall of the router while a timer is
-/// set.
+/// While a timer is set, a longer time between two rounds, in check intervals, counts as a stall of the router.
 const STALL_CHECK_INTERVALS: f64 = 5.0;
-/// Tag of the one timer.
+/// Tag of the only timer.
 const CHECK_TIMER_TAG: u64 = 1;
 
 /// The decisions of one query router, or of one core of it.
 #[derive(Default)]
 pub struct Policy {
     now_s: f64,
-    /// A clock that leaves out the router's own stalls, which would make every node look late.
+    /// A clock that excludes the router's own stalls. With them every node would look late.
     now_stall_free_s: f64,
     random: Pcg,
     router_count: f64,
@@ -73,7 +73,7 @@
     /// Ids of serving nodes by replica group; empty after a change of the endpoint list.
     serving_nodes: BTreeMap<u32, Vec<String>>,
     shards: BTreeMap<u32, ShardState>,
-    /// Shards without a holder that could take a first attempt of a query class in this round.
+    /// Shards and query classes for which no holder can take a first attempt in this round.
     exhausted_shards: BTreeSet<ShardClass>,
     queries: BTreeMap<u64, Query>,
     shard_requests: BTreeMap<String, RequestPosition>,
@@ -81,19 +81,20 @@
     hedge_success: HedgeSuccess,
     /// Attempts started so far.
     attempts_started: u64,
-    /// Queries that were not answered, whose clients may come again.
+    /// Estimated number of client retries to expect after queries that were not answered.
     unserved_queries: f64,
     load_shedding: LoadShedding,
     poll_endpoints_at_s: f64,
     timer_set: bool,
-    /// Until when a node may be warming up that crashed under an attempt.
+    /// Until then a query without a successful shard request has one attempt in flight at most, as a node that crashed
+    /// during an attempt may be warming up.
     single_attempts_until_s: f64,
 }
 
 /// What has been observed of a shard.
 #[derive(Default)]
 struct ShardState {
-    /// The holder, counted modulo their number, at which round robin begins.
+    /// Index of the holder at which round robin begins, modulo the number of holders.
     round_robin_offset: usize,
     latencies: LatencyWindow,
 }
@@ -105,7 +106,7 @@
 }
 
 impl Policy {
-    /// A policy at its start, with an empty endpoint list. `seed` determines its random choices.
+    /// Creates a policy with an empty endpoint list. `seed` determines its random choices.
     pub fn new(seed: u64, config: PolicyConfig) -> Self {
         let polls_endpoints = config.capabilities.polls_endpoints;
         let policy = Policy {
@@ -124,16 +125,18 @@
         policy
     }
 
-    /// Makes this the policy of one core among several, which share `limits`; to be called before the first round.
+    /// Makes this policy use limits that it shares with the other cores of its router. Has to be called before the
+    /// first round.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.shared_limits = limits;
         self.apply_retry_token_capacity();
     }
 
-    /// One round at `now_s`: `deliver_events` tells all that came in, then every decision is written to `sink`.
+    /// Runs one round at `now_s`: calls `deliver_events` for the events since the last round, then writes every
+    /// decision to `sink`.
     ///
     /// # Errors
-    /// An error of `deliver_events` ends the round before anything is decided.
+    /// Returns an error of `deliver_events`, without having decided anything.
     pub fn round<E>(
         &mut self,
         now_s: f64,
@@ -162,8 +165,8 @@
         Ok(())
     }
 
-    /// With a timer set, rounds far apart mean that the router itself stood still. Deadlines and windows go by the
-    /// monotonic clock all the same.
+    /// Advances both clocks. A long time between two rounds while a timer is set means that the router itself stalled.
+    /// Deadlines and windows use the monotonic clock, stalls included.
     fn advance_clocks(&mut self, now_s: f64) {
         let elapsed_s = now_s - self.now_s;
         let longest_s = STALL_CHECK_INTERVALS * CHECK_INTERVAL_S;
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Queries that something may be decided for in this round: nothing has changed for the others.
+    /// Queries to decide about in this round. Nothing has changed for the others.
     fn due_queries(&mut self) -> Vec<u64> {
         let late = self.queries_with_late_attempts();
         let is_due =
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,11 +1,11 @@
 //! Decides which queries are admitted, and which are rejected to shed load.
 //!
-//! Inputs are the expected latency of a query against the time left to it in seconds, how long its shard requests may
-//! wait for their holders, the fraction of the whole fleet's queries that end late, and the priority weight for the
-//! work that a query costs. Above a load pressure queries are rejected at random, those of less value more often. This
-//! guards against an overload in which everybody waits and nobody is answered in time. It costs queries that would have
-//! been answered where latencies are high for another reason than load. Some queries are always admitted, as without
-//! answers the end of an overload could not be observed.
+//! Inputs are the expected latency of a query and the time left to it in seconds, the time that its shard requests may
+//! wait for their holders, the fraction of the queries of all routers that end late, and the query's priority weight
+//! per second of work. Above a threshold of load pressure, queries are rejected at random, those of less value more
+//! often. This prevents an overload in which all queries wait and none is answered in time. The cost: if latencies are
+//! high for another reason than load, queries are rejected that would have been answered. While the usual latency fits
+//! into the time left, some queries are admitted at any pressure, as the end of an overload shows in answers only.
 
 use super::latency::{CLASS_SAMPLES_MIN, UNKNOWN_LATENCY_FRACTION};
 use super::query::{Query, ShardRequest};
@@ -13,32 +13,32 @@
 use crate::interface::DecisionSink;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Load pressure from which queries are rejected, and the range above it in which the probability rises to 1.
+/// Load pressure from which queries are rejected, and the range above it in which the rejection probability rises to 1.
 const PRESSURE_MIN: f64 = 0.3;
 const PRESSURE_RANGE: f64 = 0.4;
-/// Load pressure of a query whose holders are not expected to serve the least fraction in time.
+/// Load pressure of a query whose holders are not expected to serve the minimum fraction in time.
 const PRESSURE_UNSERVABLE: f64 = 1.0;
-/// Fraction of the time left that a wait for a holder may take without counting as pressure.
+/// Fraction of the time left that a wait for a holder may take without raising the load pressure.
 const WAIT_TOLERANCE_FRACTION: f64 = 0.2;
-/// Highest rejection probability while the usual latency still fits into the time left, and otherwise.
+/// Highest rejection probability if the usual latency fits into the time left, and if it does not.
 const REJECTION_PROBABILITY_MAX: f64 = 0.85;
 const REJECTION_PROBABILITY_MAX_LATE: f64 = 1.0;
-/// A query of no value is rejected this many times as often as the most valuable one.
-const CHEAPEST_REJECTION_FACTOR: f64 = 2.0;
+/// A query of value 0 is rejected this many times as often as the most valuable one.
+const ZERO_VALUE_REJECTION_FACTOR: f64 = 2.0;
 /// The highest value seen decays by this factor with each query.
 const HIGHEST_VALUE_DECAY: f64 = 0.99;
-/// Weight of a new rejection probability in the smoothed one.
+/// Weight of the newest rejection probability in the exponential moving average.
 const SMOOTHING_FRACTION: f64 = 0.1;
-/// Smoothed rejection probability at which load shedding is on, and at which it is off again. The gap keeps it from
-/// switching with every query.
+/// Smoothed rejection probabilities above which load shedding switches on, and below which it switches off. The
+/// distance between them prevents a switch with every query.
 const SHEDDING_ON_PROBABILITY: f64 = 0.15;
 const SHEDDING_OFF_PROBABILITY: f64 = 0.03;
-/// Time over which the fleet's queries are counted, and how many are needed to tell a fraction.
+/// Time in which the queries of all routers are counted, and the number of queries from which a fraction is computed.
 const FLEET_WINDOW_S: f64 = 2.0;
 const FLEET_QUERIES_MIN: u32 = 8;
 /// Retry-After of a query rejected on arrival, as a fraction of the time left to it.
 const RETRY_AFTER_FRACTION: f64 = 0.2;
-/// Shortest time left that a pressure is worked out with.
+/// Shortest time left that load pressure is computed with, to avoid a division by zero.
 const TIME_LEFT_MIN_S: f64 = 0.001;
 /// Expected wait of a shard request without a serving holder.
 const NO_HOLDER_WAIT_S: f64 = 9e9;
@@ -46,15 +46,15 @@
 /// State of load shedding.
 #[derive(Default)]
 pub(super) struct LoadShedding {
-    /// Whether queries are rejected often enough to say so, and to give up late answers of little value.
+    /// Whether queries are rejected so often that late answers of little value are not waited for.
     pub active: bool,
     smoothed_rejection_probability: f64,
-    /// The highest value of a query for its work, slowly decaying.
+    /// The highest value of a query per second of work, slowly decaying.
     highest_value: f64,
     fleet_counts: VecDeque<FleetLatencyCounts>,
 }
 
-/// Queries of the whole fleet that ended late and in time.
+/// Number of queries of all routers that ended late and in time, as reported at one time.
 struct FleetLatencyCounts {
     at_s: f64,
     late: u32,
@@ -66,13 +66,14 @@
         self.fleet_counts.push_back(FleetLatencyCounts { at_s, late, in_time });
     }
 
-    /// Forgets the highest value, as after a start: with other priority weights it says nothing.
+    /// Resets the highest value, which does not apply to other priority weights.
     pub fn reset_highest_value(&mut self) {
         self.highest_value = 0.0;
     }
 
-    /// Fraction of the fleet's queries that ended late, 0 while there are too few to tell. A single router of many
-    /// observes too little of an overload. It costs queries where nodes fail without an overload.
+    /// Fraction of the queries of all routers that ended late; 0 while there are too few. A single router of many
+    /// observes too few late queries to detect an overload. The cost: if nodes fail without an overload, queries are
+    /// rejected.
     fn fleet_late_fraction(&mut self, now_s: f64) -> f64 {
         self.fleet_counts.retain(|counts| counts.at_s > now_s - FLEET_WINDOW_S);
         let late: u32 = self.fleet_counts.iter().map(|counts| counts.late).sum();
@@ -81,14 +82,15 @@
         if all < FLEET_QUERIES_MIN { 0.0 } else { f64::from(late) / f64::from(all) }
     }
 
-    /// Takes a query's value for its work in seconds into account; returns how much more often than the most valuable
-    /// one it is rejected.
+    /// Updates the highest value with that of a new query. Returns the factor by which this query is rejected more
+    /// often than the most valuable one.
     fn rejection_factor(&mut self, value: f64) -> f64 {
         self.highest_value = (self.highest_value * HIGHEST_VALUE_DECAY).max(value);
-        CHEAPEST_REJECTION_FACTOR - value / self.highest_value
+        ZERO_VALUE_REJECTION_FACTOR - value / self.highest_value
     }
 
-    /// Takes a query's rejection probability into account; returns whether load shedding has gone on or off.
+    /// Updates the smoothed rejection probability with that of a new query. Returns whether load shedding switched on
+    /// or off.
     fn update(&mut self, rejection_probability: f64) -> bool {
         let change = rejection_probability.min(1.0) - self.smoothed_rejection_probability;
         self.smoothed_rejection_probability += SMOOTHING_FRACTION * change;
@@ -111,7 +113,7 @@
             let query = &self.queries[&number];
             let time_left_s = (query.in_time_until_s() - self.now_s).max(TIME_LEFT_MIN_S);
             let load_pressure = self.load_pressure(query, time_left_s, fleet_late_fraction);
-            let (class, value) = (query.class, self.value_for_work(query));
+            let (class, value) = (query.class, self.value_per_work_second(query));
             let probability = self.rejection_probability(class, load_pressure, value, time_left_s);
             if self.load_shedding.update(probability) {
                 sink.log(&self.load_shedding_log_line(load_pressure));
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Raises the expected wait of nodes to that of the oldest shard request that waits for them. Guards against new
-    /// queries that take capacity for nothing while one of their shard requests waits in vain.
+    /// Raises the expected wait of nodes to the age of the oldest shard request that waits for them. Otherwise new
+    /// queries would use capacity although one of their shard requests cannot be served in time.
     fn raise_expected_waits(&mut self) {
         let mut oldest_at_s = BTreeMap::new();
         let checked = |query: &&Query| query.admitted && query.next_check_at_s <= self.now_s;
@@ -153,7 +155,7 @@
         holders.iter().map(|id| self.nodes[*id].expected_wait_s).fold(NO_HOLDER_WAIT_S, f64::min)
     }
 
-    /// How much of the time left a query is expected to take, as a fraction: 1 and more is too late.
+    /// The fraction of the time left that a query is expected to take. From 1 on its answer would be late.
     fn load_pressure(&self, query: &Query, time_left_s: f64, fleet_late_fraction: f64) -> f64 {
         let class = &self.classes[query.class].config;
         let (mut servable, mut servable_weight, mut longest_wait_s) = (0, 0.0, 0.0f64);
@@ -165,8 +167,8 @@
                 longest_wait_s = longest_wait_s.max(wait_s);
             }
         }
-        let least = class.minimum_fraction - WEIGHT_TOLERANCE_FRACTION;
-        if servable < query.requests.len() && servable_weight < least {
+        let minimum = class.minimum_fraction - WEIGHT_TOLERANCE_FRACTION;
+        if servable < query.requests.len() && servable_weight < minimum {
             return PRESSURE_UNSERVABLE;
         }
         let expected_s = self.expected_latency_s(query);
@@ -174,9 +176,10 @@
         (expected_s / time_left_s).max(with_wait).max(fleet_late_fraction)
     }
 
-    /// The expected latency of a query in seconds: that of the slowest shard request it needs, which of n is the one
-    /// that a fraction of 1 / (n + 1) exceeds. Where all are needed it is the geometric mean with the usual latency:
-    /// an overload raises both, a few slow nodes only the first.
+    /// The expected latency of a query in seconds: that of the slowest shard request that its answer needs. The slowest
+    /// of n is estimated by the latency that a fraction of 1 / (n + 1) exceeds. If all shard requests are needed, the
+    /// result is the geometric mean of this estimate and the usual latency: an overload raises both, a few slow nodes
+    /// raise only the first.
     fn expected_latency_s(&self, query: &Query) -> f64 {
         let class = &self.classes[query.class];
         let minimum_fraction = class.config.minimum_fraction;
@@ -193,8 +196,8 @@
         }
     }
 
-    /// The priority weight of a query for each second of its work.
-    fn value_for_work(&self, query: &Query) -> f64 {
+    /// The priority weight of a query per second of its work.
+    fn value_per_work_second(&self, query: &Query) -> f64 {
         let quota_fraction =
             if query.over_quota { self.capabilities.over_quota_weight_fraction } else { 1.0 };
         let weight = self.classes[query.class].config.priority_weight * quota_fraction;
@@ -209,12 +212,12 @@
         time_left_s: f64,
     ) -> f64 {
         let factor = self.load_shedding.rejection_factor(value);
-        let most = if time_left_s < self.typical_latency_s(class) {
+        let max_probability = if time_left_s < self.typical_latency_s(class) {
             REJECTION_PROBABILITY_MAX_LATE
         } else {
             REJECTION_PROBABILITY_MAX
         };
-        (((load_pressure - PRESSURE_MIN) / PRESSURE_RANGE).clamp(0.0, 1.0) * factor).min(most)
+        (((load_pressure - PRESSURE_MIN) / PRESSURE_RANGE).clamp(0.0, 1.0) * factor).min(max_probability)
     }
 
     fn load_shedding_log_line(&self, load_pressure: f64) -> String {
--- a/src/policy/attempts_by_age.rs
+++ b/src/policy/attempts_by_age.rs
@@ -1,16 +1,16 @@
-//! An index of attempts in flight by age, so that finding the late ones costs a look at those and not at all that are
-//! in flight. Kept apart by shard and query class, as attempts of one such pair are late after the same delay.
+//! An index of attempts in flight by age, which finds the late ones without visiting the others. It has a separate
+//! queue for each pair of shard and query class, as all attempts of a pair are late after the same delay.
 
 use super::query::ShardClass;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Where an attempt is found.
+/// The position of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct AttemptPosition {
     pub query: u64,
     /// Index of the shard request in the query.
     pub request: usize,
-    /// Its number among the shard request's attempts.
+    /// Number of the attempt within the shard request.
     pub attempt: usize,
 }
 
@@ -20,15 +20,15 @@
     position: AttemptPosition,
 }
 
-/// Attempts in the order in which they started. Those that have ended but were not removed are dropped when they are
-/// found late.
+/// Attempts in the order in which they started. An attempt that has ended without being removed is dropped when it is
+/// late.
 #[derive(Default)]
 pub(super) struct AttemptsByAge {
     by_key: BTreeMap<ShardClass, VecDeque<StartedAttempt>>,
 }
 
 impl AttemptsByAge {
-    /// Adds an attempt that started no earlier than any other of its key.
+    /// Adds an attempt that did not start before any other of its key.
     pub fn push(&mut self, key: ShardClass, started_at_s: f64, position: AttemptPosition) {
         self.by_key.entry(key).or_default().push_back(StartedAttempt { started_at_s, position });
     }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Attempts that have been in flight for longer than their key's delay and are still live.
+    /// Returns the attempts that have been in flight for longer than the delay of their key and are live.
     pub fn late(
         &mut self,
         now_s: f64,
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -1,22 +1,22 @@
 //! Decides when a query is answered, completely or partially, and when it is abandoned.
 //!
 //! Inputs are the fractions of the query's weight that have succeeded and that could still succeed, the class's
-//! fractions for a complete and for the least answer, the latency objective and the client's deadline in seconds. A
-//! query that cannot be answered in time is abandoned at once, which guards against work that nobody waits for. It
-//! costs an answer where a holder was about to recover. A query has one final answer and is closed in the same step.
+//! complete and minimum fractions, the latency objective and the client's deadline in seconds. A query that cannot be
+//! answered in time is abandoned immediately, which saves work that no client waits for. The cost: if a holder was
+//! about to recover, an answer is lost. A query gets one final answer and is closed in the same step.
 
 use super::latency::CLASS_SAMPLES_MAX;
 use super::query::{Query, ShardRequest, weight_fraction};
 use super::{ANSWER_MARGIN_S, Policy, WEIGHT_TOLERANCE_FRACTION};
 use crate::interface::{DecisionSink, Idempotency, QueryClass};
 
-/// While load is shed, a late answer worth less than this fraction of the priority weight is not waited for.
+/// During load shedding, a late answer worth less than this fraction of the priority weight is not waited for.
 const LATE_VALUE_MIN_FRACTION: f64 = 0.27;
-/// An abandoned query counts as overload in the fleet's figures if more than one in this many of its shard requests did
-/// not succeed; fewer tell of one bad node.
+/// An abandoned query counts as late in the latency counts that routers exchange if more than one in this many of its
+/// shard requests did not succeed. Fewer are the sign of a single bad node.
 const OVERLOAD_UNANSWERED_DIVISOR: usize = 10;
 
-/// What is done about an open query.
+/// What to do about an open query.
 enum Completion {
     Answer { complete: bool },
     Abandon,
@@ -24,7 +24,7 @@
 }
 
 impl Policy {
-    /// Answers a query if that is due, abandons it if it cannot be answered any more, or lets it wait.
+    /// Answers a query if its answer is due, abandons it if it can no longer be answered, or sets its next check.
     pub(super) fn complete_or_abandon(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         let Some(query) = self.queries.get(&number) else { return };
         match self.completion(query) {
@@ -41,29 +41,30 @@
     fn completion(&self, query: &Query) -> Completion {
         let class = &self.classes[query.class].config;
         let succeeded = weight_fraction(&query.requests, &|request| request.succeeded);
-        let least = least_fraction(query, class) - WEIGHT_TOLERANCE_FRACTION;
+        let minimum = minimum_fraction(query, class) - WEIGHT_TOLERANCE_FRACTION;
         let answers_now_at_s = query.in_time_until_s() - ANSWER_MARGIN_S;
         let is_late = self.now_s >= answers_now_at_s;
         let is_complete = is_complete(query, class, succeeded);
-        if succeeded >= least && query.has_success() && (is_complete || is_late) {
+        if succeeded >= minimum && query.has_success() && (is_complete || is_late) {
             let complete = is_complete && (!query.in_second_phase || query.first_phase_complete);
             return Completion::Answer { complete };
         }
         let all_arrived = query.requests.len() >= query.expected_requests;
         if self.has_no_value_left(query, succeeded, is_late)
-            || all_arrived && self.is_out_of_reach(query, least)
-            || all_arrived && self.is_out_of_time(query, least)
+            || all_arrived && self.is_out_of_reach(query, minimum)
+            || all_arrived && self.is_out_of_time(query, minimum)
         {
             return Completion::Abandon;
         }
         // Without an event nothing changes before the latency objective.
-        let settled = |request: &ShardRequest| request.succeeded || request.is_in_flight();
-        let is_idle = all_arrived && query.admitted && !is_late && query.requests.iter().all(settled);
+        let needs_no_attempt = |request: &ShardRequest| request.succeeded || request.is_in_flight();
+        let is_idle =
+            all_arrived && query.admitted && !is_late && query.requests.iter().all(needs_no_attempt);
         Completion::Wait { next_check_at_s: if is_idle { answers_now_at_s } else { 0.0 } }
     }
 
     /// Whether an answer has no value any more: the client's deadline is close, or the answer is late and late answers
-    /// are worth nothing, or too little while load is shed.
+    /// have no value, or too little during load shedding.
     fn has_no_value_left(&self, query: &Query, succeeded: f64, is_late: bool) -> bool {
         let late_fraction = self.classes[query.class].config.late_weight_fraction;
         let is_worthless = late_fraction <= 0.0
@@ -71,8 +72,8 @@
         self.now_s >= query.not_after_s - ANSWER_MARGIN_S || is_late && is_worthless
     }
 
-    /// Whether the least fraction cannot be reached with the attempts that are still allowed.
-    fn is_out_of_reach(&self, query: &Query, least: f64) -> bool {
+    /// Whether the minimum fraction cannot be reached with the attempts that are still allowed.
+    fn is_out_of_reach(&self, query: &Query, minimum: f64) -> bool {
         let may_have_crashed_nodes = query.may_have_crashed_nodes();
         if may_have_crashed_nodes && query.requests.iter().any(ShardRequest::is_in_flight) {
             return false;
@@ -84,20 +85,21 @@
                     && self.may_attempt(query, request)
                     && self.has_holder_in_time(query, request)
         };
-        weight_fraction(&query.requests, &reachable) < least
+        weight_fraction(&query.requests, &reachable) < minimum
     }
 
-    /// Whether the least fraction needs attempts that have not started, and they would end after the latency objective.
-    fn is_out_of_time(&self, query: &Query, least: f64) -> bool {
+    /// Whether the minimum fraction needs attempts that have not started and that would end after the latency
+    /// objective.
+    fn is_out_of_time(&self, query: &Query, minimum: f64) -> bool {
         let started = |request: &ShardRequest| request.succeeded || request.is_in_flight();
         query.admitted
             && self.now_s + self.typical_latency_s(query.class) > query.in_time_until_s()
-            && weight_fraction(&query.requests, &started) < least
+            && weight_fraction(&query.requests, &started) < minimum
     }
 
-    /// Until when an answer to a shard request still has a value: the latency objective where late answers are worth
-    /// nothing, or too little while load is shed, or where the query is answered by then with what has succeeded.
-    /// Guards against nodes at work for nobody.
+    /// The time until which an answer to a shard request has a value. This is the latency objective if late answers
+    /// have no value, or too little during load shedding, or if the query is then answered partially; otherwise the
+    /// deadline. Attempts time out at this time, so that nodes do no work that no client waits for.
     pub(super) fn useful_until_s(&self, query: &Query) -> f64 {
         let class = &self.classes[query.class].config;
         let ends_at_objective = class.late_weight_fraction <= 0.0
@@ -143,16 +145,16 @@
         self.close(number, sink);
     }
 
-    /// Records shard requests that were never answered as latencies of their class, as an overload would otherwise look
-    /// like a quiet time. Ages below the usual latency tell nothing: queries abandoned within milliseconds would make
-    /// all look fast.
+    /// Records the ages of shard requests that were never answered as latencies of their class; otherwise an overload,
+    /// in which few are answered, would not show. Ages below the usual latency are ignored, as queries that are
+    /// abandoned within milliseconds would make the class look fast.
     fn record_unanswered_requests(&mut self, number: u64) {
         let query = &self.queries[&number];
         let class = &mut self.classes[query.class];
         let (typical_s, objective_s) = (class.typical_latency_s(), class.config.latency_objective_s);
         for request in query.requests.iter().filter(|request| !request.succeeded) {
             let Some(first) = request.attempts.first() else { continue };
-            // Nodes at capacity tell of queues that the shard request would not have left in time.
+            // If all nodes were at capacity, the shard request would not have been answered within the objective.
             let all_rejected = request.attempts.iter().all(|attempt| attempt.rejected);
             let age_s = self.now_stall_free_s - first.started_at_stall_free_s;
             let latency_s = if all_rejected { objective_s } else { age_s };
@@ -165,13 +167,14 @@
     fn close(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         if let Some(mut query) = self.queries.remove(&number) {
             let attempts = query.requests.iter_mut().flat_map(|request| &mut request.attempts);
-            let lost: Vec<String> = attempts.filter_map(|attempt| attempt.bypassed_node.take()).collect();
-            lost.iter().for_each(|past| self.record_hedge(past, false));
+            let lost_hedges: Vec<String> =
+                attempts.filter_map(|attempt| attempt.bypassed_node.take()).collect();
+            lost_hedges.iter().for_each(|bypassed_node| self.record_hedge(bypassed_node, false));
             self.cancel_requests(&query.requests, sink);
         }
     }
 
-    /// Forgets shard requests and cancels their attempts in flight.
+    /// Removes shard requests and cancels their attempts in flight.
     fn cancel_requests(&mut self, requests: &[ShardRequest], sink: &mut dyn DecisionSink) {
         for request in requests {
             self.shard_requests.remove(&request.id);
@@ -187,8 +190,9 @@
     }
 }
 
-/// The least fraction of the weight that a query may be answered with. A second phase without partial answers needs all.
-fn least_fraction(query: &Query, class: &QueryClass) -> f64 {
+/// The smallest fraction of the weight that a query may be answered with. A second phase without partial answers needs
+/// all of it.
+fn minimum_fraction(query: &Query, class: &QueryClass) -> f64 {
     if query.in_second_phase && class.minimum_fraction >= class.complete_fraction {
         1.0
     } else {
@@ -196,7 +200,7 @@
     }
 }
 
-/// Whether what has succeeded makes a complete answer; in a second phase that is everything.
+/// Whether the shard requests that have succeeded make a complete answer. A second phase needs all of them.
 fn is_complete(query: &Query, class: &QueryClass, succeeded: f64) -> bool {
     let all_succeeded = query.requests.iter().all(|request| request.succeeded)
         && query.requests.len() >= query.expected_requests;
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,20 +1,21 @@
 //! Decides how many shard requests one data node may have in flight from this router.
 //!
-//! Inputs are the outcomes and latencies of its attempts. Additive increase and multiplicative decrease keep requests
-//! queueing at the router, where they can still go to another node, and not at the node. It costs throughput where
-//! requests take long by nature.
+//! Inputs are the outcomes and latencies of the node's attempts. The limit uses additive increase and multiplicative
+//! decrease, so that requests queue at the router, where they can still go to another node, and not at the node. The
+//! cost: throughput is lower if requests take long even on an idle node.
 
 use crate::interface::AttemptOutcome;
 
-/// Limit of a node when it appears in the endpoint list, and of one that has just started.
+/// Initial limit of a node that is warm when it appears in the endpoint list, and of one that is warming up.
 const INITIAL_LIMIT: f64 = 4.0;
 const INITIAL_LIMIT_WARMING_UP: f64 = 1.0;
 const LIMIT_MIN: f64 = 1.0;
 const LIMIT_MAX: f64 = 24.0;
-/// Below this fraction of the shortest latency objective an answer raises the limit; above the other it lowers it.
+/// An answer raises the limit if its latency is below the first fraction of the shortest latency objective, and lowers
+/// it if its latency is above the second.
 const FAST_ANSWER_FRACTION: f64 = 0.15;
 const SLOW_ANSWER_FRACTION: f64 = 0.25;
-/// The limit is multiplied by these.
+/// Factors on the limit after a slow answer and after a rejection.
 const DECREASE_WHEN_SLOW: f64 = 0.85;
 const DECREASE_WHEN_REJECTED: f64 = 0.6;
 
@@ -23,7 +24,7 @@
     limit: f64,
 }
 
-/// What an ended attempt tells of its node's load.
+/// An ended attempt as a sample of its node's load.
 pub(super) struct LoadSample {
     pub outcome: AttemptOutcome,
     pub latency_s: f64,
@@ -44,7 +45,7 @@
         self.limit
     }
 
-    /// Shard requests that may start beside those in flight.
+    /// Number of shard requests that may start in addition to those in flight.
     pub fn free_slots(&self, in_flight: usize) -> usize {
         (self.limit - in_flight as f64).max(0.0).floor() as usize
     }
@@ -63,7 +64,7 @@
                 if sample.answered_since {
                     self.decrease(DECREASE_WHEN_SLOW);
                 } else {
-                    // A node that may be down is tried with a single request next.
+                    // The node may be down and is tried with a single request next.
                     self.limit = LIMIT_MIN;
                 }
             }
--- a/src/policy/config_changes.rs
+++ b/src/policy/config_changes.rs
@@ -1,19 +1,20 @@
-//! Carries state across a change of the configuration between two rounds: a changed query class starts in a slot of its
-//! own with the latencies that it had, open queries keep their old one, tenants' quotas and the retry budget go on from
-//! where they stand. It carries state only and decides nothing.
+//! Carries state across a change of the configuration between two rounds. A changed query class gets a new slot, with
+//! the latencies observed so far, while open queries keep the old slot. Tenants keep their tokens, and the retry budget
+//! is adjusted. This module makes no decisions.
 
 use super::Policy;
 use super::latency::{ClassState, LatencyWindow};
 use super::retry_budget::RetryTokenConfig;
-use super::slow_start::warm_up_memory_s;
+use super::slow_start::warm_up_history_s;
 use super::tenant_quota::TenantQuota;
 use crate::interface::{ClassSlot, PolicyConfig, QueryClass, SlowStartConfig, Tenant};
 
-/// Latency objective of a slot without open queries: never the shortest one, and its work never the heaviest.
+/// Latency objective of an unused slot: it is never the shortest objective, and the slot's work never the largest
+/// fraction of its objective.
 const UNUSED_SLOT_OBJECTIVE_S: f64 = f64::INFINITY;
 
 impl Policy {
-    /// Applies a configuration as a whole, so that no round decides by parts of two.
+    /// Applies a configuration as a whole, so that no round uses parts of two configurations.
     pub(super) fn apply_config(&mut self, config: &PolicyConfig, slots: &[ClassSlot]) {
         let mut keeps_priorities = self.capabilities.over_quota_weight_fraction.to_bits()
             == config.capabilities.over_quota_weight_fraction.to_bits();
@@ -28,7 +29,7 @@
         self.change_tenants(&config.tenants, router_count);
         self.router_count = router_count;
         self.capabilities = config.capabilities;
-        // The ring stays as it is, and so do the explicit holders that replaced it.
+        // The ring and the explicit holders that replace it are not part of a change.
         self.placement.max_batch = config.placement.max_batch;
         self.placement.attempt_overhead_s = config.placement.attempt_overhead_s;
         self.retry_tokens = RetryTokenConfig::new(config.retry_budget);
@@ -37,7 +38,7 @@
         self.change_slow_start(previous);
     }
 
-    /// Whether a query class keeps the priority weight of its previous slot, to the bit.
+    /// Whether the priority weight of a query class is the same, bit by bit, as in its previous slot.
     fn keeps_priority_weight(&self, class: &QueryClass, slot: &ClassSlot) -> bool {
         let previous = slot.previous_slot.and_then(|slot| self.classes.get(slot));
         previous.is_some_and(|previous| {
@@ -45,8 +46,8 @@
         })
     }
 
-    /// Puts a query class into its slot. In a new slot it starts with the latencies that it had in the previous one,
-    /// where open queries go on with a copy.
+    /// Assigns a query class to its slot. A new slot gets the latencies of the previous one, which keeps a copy for its
+    /// open queries.
     fn place_class(&mut self, config: &QueryClass, slot: &ClassSlot) {
         let ClassSlot { slot, previous_slot } = *slot;
         while self.classes.len() <= slot {
@@ -57,17 +58,17 @@
             let previous = &mut self.classes[from];
             let copy = LatencyWindow::inherit(&[&previous.latencies], usize::MAX);
             let latencies = std::mem::replace(&mut previous.latencies, copy);
-            let (lowest_median_s, longest_patience_s) =
-                (previous.lowest_median_s, previous.longest_patience_s);
+            let (lowest_median_s, longest_time_left_s) =
+                (previous.lowest_median_s, previous.longest_time_left_s);
             let class = &mut self.classes[slot];
             class.latencies = latencies;
             class.lowest_median_s = lowest_median_s;
-            class.longest_patience_s = longest_patience_s;
+            class.longest_time_left_s = longest_time_left_s;
         }
         self.classes[slot].config = config.clone();
     }
 
-    /// Forgets the class of a slot without open queries.
+    /// Removes the class of a slot without open queries.
     pub(super) fn retire_class(&mut self, slot: usize) {
         if let Some(class) = self.classes.get_mut(slot) {
             let config = QueryClass { latency_objective_s: UNUSED_SLOT_OBJECTIVE_S, ..class.config.clone() };
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Sets the tenants and their quotas; known ones keep what they have saved, new ones begin as at a start.
+    /// Sets the tenants and their quotas. Known tenants keep their tokens, new ones start with those of a new tenant.
     fn change_tenants(&mut self, tenants: &[Tenant], router_count: f64) {
         let previous = std::mem::take(&mut self.tenants);
         let (now_s, old_routers) = (self.now_s, self.router_count);
@@ -86,13 +87,15 @@
         self.tenants = tenants.iter().map(changed).collect();
     }
 
-    /// Work sent to nodes that are warming up is known as far back as the previous rule looked. Where the new one looks
-    /// back further, their quota counts as used up until that time has passed.
+    /// The work sent to nodes that are warming up has been recorded only for as long as the previous rule needed. If
+    /// that is too short for the window of the new rule, the quota of these nodes counts as used up until the new
+    /// window has passed.
     fn change_slow_start(&mut self, previous: Option<SlowStartConfig>) {
         let Some(rule) = self.slow_start else { return };
-        let known_s = warm_up_memory_s(previous);
+        let known_s = warm_up_history_s(previous);
         let knows_window = known_s >= rule.window_s && !self.shared_limits.is_shared();
-        // On several cores each knows only its own turns, which lasted as long as the previous window.
+        // With several cores, a core has recorded only the work of its own turns, which lasted as long as the previous
+        // window.
         if knows_window || previous.is_some_and(|previous| previous.window_s >= rule.window_s) {
             return;
         }
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -1,5 +1,5 @@
-//! Takes in what the host tells of one moment, before the round decides: changes of the endpoint list, new queries and
-//! their shard requests, ended attempts. It updates records and decides nothing.
+//! Handles the events that the host delivers at the start of a round: changes of the endpoint list, new queries and
+//! their shard requests, ended attempts. This module updates records and makes no decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::SHARD_SAMPLES_MAX;
@@ -10,7 +10,7 @@
 
 /// Time until the endpoint list is polled again after a failure.
 const POLL_RETRY_S: f64 = 1.0;
-/// Turns drawn for a shard's round robin offset, for each of its replica groups.
+/// Number of values from which a shard's round robin offset is drawn, for each replica group that holds the shard.
 const OFFSET_DRAWS_PER_GROUP: f64 = 64.0;
 
 impl PolicyInput for Policy {
@@ -36,7 +36,7 @@
                 node.state = state;
             }
             Some(node) => {
-                // Another process: only the attempts in flight are the old one's.
+                // Another process: of the old one's state only the attempts in flight are kept.
                 let in_flight = std::mem::take(&mut node.in_flight);
                 *node = Node::new(replica_group, state, started_at_s, warm_up_phase);
                 node.in_flight = in_flight;
@@ -76,7 +76,7 @@
 
     fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
         let Some(query) = self.queries.get_mut(&number) else { return };
-        // Routers that all began at a shard's first holder would overload it.
+        // Random, as a shard's first holder would be overloaded if all routers started with it.
         let groups = f64::from(self.placement.groups_per_shard);
         let round_robin_offset = (self.random.next_fraction() * groups * OFFSET_DRAWS_PER_GROUP) as usize;
         self.shards.entry(shard).or_insert_with(|| ShardState::new(round_robin_offset));
@@ -105,7 +105,7 @@
         let node = self.nodes.get_mut(node_id);
         let in_flight = node.and_then(|node| node.in_flight.remove(&(request.to_string(), attempt)));
         let latency_s = in_flight.map_or(latency_s, |in_flight| {
-            // The router's own stalls are no latency of the node.
+            // Excludes the router's own stalls from the latency of the node.
             latency_s.min(self.now_stall_free_s - in_flight.started_at_stall_free_s)
         });
         if let Some(&position) = self.shard_requests.get(request) {
@@ -144,7 +144,7 @@
 }
 
 impl Policy {
-    /// Records at its shard request how an attempt ended, and what it tells of latencies.
+    /// Records the end of an attempt for its shard request, and its latency.
     fn record_request_outcome(
         &mut self,
         position: RequestPosition,
@@ -171,7 +171,8 @@
         if outcome == AttemptOutcome::Success {
             self.classes[class].record_success(latency_s);
         }
-        // A cancelled attempt took at least this long. Without it hedges would shorten the delay that they wait for.
+        // A cancelled attempt took at least this long. If it did not count, hedges would shorten the delay after which
+        // attempts are hedged.
         if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Cancelled) {
             let shard = self.shards.entry(request.shard).or_default();
             shard.latencies.record(latency_s, SHARD_SAMPLES_MAX);
@@ -182,8 +183,8 @@
     }
 }
 
-/// Hedges that have won or lost as an attempt ended: the first success decides for all, and a hedge that ends without
-/// one has lost. Each with the late node that it was to get past.
+/// Returns the hedges whose result the end of an attempt decides, each with the late node that it bypasses and whether
+/// it has won. The first success decides all hedges; a hedge that ends without being the first success has lost.
 fn decided_hedges(request: &mut ShardRequest, ended: usize, is_first_success: bool) -> Vec<(String, bool)> {
     let mut decided = vec![];
     for (number, attempt) in request.attempts.iter_mut().enumerate() {
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,45 +1,46 @@
 //! Estimates latencies: how long a shard request usually takes, and after which delay an attempt is late.
 //!
-//! Inputs are the latencies of ended attempts in seconds, by shard and by query class. At full size a router rarely
-//! observes a given shard, so each estimate falls back from the shard to the class and from the class to a fraction of
-//! the latency objective.
+//! Inputs are the latencies of ended attempts in seconds, by shard and by query class. In a large deployment a router
+//! observes a given shard rarely, so that estimates fall back from the shard to the query class, and from the class to
+//! a fraction of the latency objective.
 
 use super::Policy;
 use super::query::ShardClass;
 use crate::interface::QueryClass;
 use std::collections::VecDeque;
 
-/// Latencies kept of each query class and of each shard.
+/// Number of latencies that are kept for each query class and for each shard.
 pub(super) const CLASS_SAMPLES_MAX: usize = 256;
 pub(super) const SHARD_SAMPLES_MAX: usize = 40;
-/// Latencies of a shard from which its own quantile is used; no more are inherited by a successor shard.
+/// Number of latencies of a shard from which its own quantile is used. A successor shard inherits at most this many.
 pub(super) const SHARD_SAMPLES_MIN: usize = 12;
-/// Latencies of a class from which its quantiles are used.
+/// Number of latencies of a class from which its quantiles are used.
 pub(super) const CLASS_SAMPLES_MIN: usize = 16;
-/// Latencies of a class from which its median stands for the usual latency.
+/// Number of latencies of a class from which its median is used as the usual latency.
 const TYPICAL_SAMPLES_MIN: usize = 5;
 
 const MEDIAN: f64 = 0.5;
 /// Quantile of a shard's latencies after which an attempt is late.
 const LATE_QUANTILE: f64 = 0.95;
-/// Multiple of the class's median after which an attempt to an unknown shard is late. A higher quantile over all shards
-/// would be raised by the very nodes that hedges are for.
+/// Multiple of the class's median after which an attempt to a shard without enough latencies is late. A high quantile
+/// over all shards would be raised by the slow nodes that hedges are meant to bypass.
 const LATE_MEDIAN_MULTIPLE: f64 = 2.0;
 /// Latency of a class without samples, as a fraction of its latency objective.
 pub(super) const UNKNOWN_LATENCY_FRACTION: f64 = 0.25;
-/// Longest delay, as a fraction of the latency objective: a later hedge could not succeed in time.
+/// Longest delay after which an attempt is late, as a fraction of the latency objective: a later hedge could not
+/// succeed in time.
 const LATE_MAX_FRACTION: f64 = 0.5;
-/// Most work of a shard request, as a fraction of the latency objective.
+/// Upper limit for the estimated work of a shard request, as a fraction of the latency objective.
 const WORK_MAX_FRACTION: f64 = 0.15;
-/// Shortest latency that estimates return, as they are divided by.
+/// Shortest usual latency that is returned, as callers divide by it.
 const LATENCY_MIN_S: f64 = 0.001;
 
-/// The latest latencies, in order of arrival and sorted.
+/// The latest latencies, in order of arrival and in sorted order.
 #[derive(Default)]
 pub(super) struct LatencyWindow {
     by_arrival: VecDeque<f64>,
     sorted: Vec<f64>,
-    /// How many of them are inherited and give way to the first own ones.
+    /// Number of inherited latencies. Each new latency replaces one of them.
     inherited: usize,
 }
 
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The window that a successor starts with: the latest latencies of its parents, taken from each in turn.
+    /// Returns the window that a successor starts with: the latest latencies of its parents, taken from each in turn.
     pub fn inherit(parents: &[&LatencyWindow], max_samples: usize) -> LatencyWindow {
         let mut latest = Vec::new();
         let longest = parents.iter().map(|parent| parent.by_arrival.len()).max().unwrap_or(0);
@@ -71,21 +72,22 @@
         window
     }
 
-    /// The latency that a fraction of the samples does not exceed; none below `min_samples`.
+    /// The latency that a fraction of the samples does not exceed; `None` if there are fewer than `min_samples`.
     pub fn quantile(&self, fraction: f64, min_samples: usize) -> Option<f64> {
         let index = (self.sorted.len().saturating_sub(1) as f64 * fraction).round() as usize;
         self.sorted.get(index).copied().filter(|_| self.sorted.len() >= min_samples)
     }
 }
 
-/// A query class and what has been observed of it.
+/// A query class and the latencies observed for it.
 pub(super) struct ClassState {
     pub config: QueryClass,
     pub latencies: LatencyWindow,
-    /// The lowest median so far, infinite while there is none: latency under overload is mostly queueing.
+    /// The lowest median so far, infinite while there is none. It estimates the work, as latency under overload is
+    /// mostly queueing.
     pub lowest_median_s: f64,
-    /// The longest time to the deadline with which a query of this class arrived.
-    pub longest_patience_s: f64,
+    /// The longest time between the arrival and the deadline of a query of this class.
+    pub longest_time_left_s: f64,
 }
 
 impl ClassState {
@@ -94,7 +96,7 @@
             config,
             latencies: LatencyWindow::default(),
             lowest_median_s: f64::INFINITY,
-            longest_patience_s: 0.0,
+            longest_time_left_s: 0.0,
         }
     }
 
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The usual latency of a shard request, queueing included.
+    /// The usual latency of a shard request in seconds, queueing included.
     pub fn typical_latency_s(&self) -> f64 {
         let unknown_s = UNKNOWN_LATENCY_FRACTION * self.config.latency_objective_s;
         self.latencies.quantile(MEDIAN, TYPICAL_SAMPLES_MIN).unwrap_or(unknown_s).max(LATENCY_MIN_S)
@@ -138,12 +140,12 @@
         self.classes[class].typical_latency_s()
     }
 
-    /// The work of one shard request in seconds, without queueing. A class without samples is taken to need the same
-    /// fraction of its latency objective as the heaviest known one.
+    /// The work of one shard request in seconds, without queueing. A class without samples is assumed to need the same
+    /// fraction of its latency objective as the class with the largest known fraction.
     pub(super) fn request_work_s(&self, class: usize) -> f64 {
-        let heaviest = || self.classes.iter().filter_map(ClassState::work_fraction).reduce(f64::max);
+        let largest = || self.classes.iter().filter_map(ClassState::work_fraction).reduce(f64::max);
         let class = &self.classes[class];
-        let fraction = class.work_fraction().or_else(heaviest).unwrap_or(WORK_MAX_FRACTION);
+        let fraction = class.work_fraction().or_else(largest).unwrap_or(WORK_MAX_FRACTION);
         fraction.min(WORK_MAX_FRACTION) * class.config.latency_objective_s
     }
 }
--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -1,4 +1,4 @@
-//! The record of one data node: what is in flight at it, and the state that the decisions about it keep.
+//! The record of one data node: its attempts in flight, and the state of the decisions about it.
 
 use super::concurrency_limit::{ConcurrencyLimit, LoadSample};
 use super::hedge_success::WinRate;
@@ -7,23 +7,24 @@
 use crate::interface::NodeState;
 use std::collections::BTreeMap;
 
-/// A data node of the endpoint list, or a removed one with attempts in flight.
+/// A data node in the endpoint list, or a removed one that has attempts in flight.
 pub(super) struct Node {
     pub replica_group: u32,
     pub state: NodeState,
-    /// When its process started, if that is known.
+    /// When the node's process started, if known.
     pub started_at_s: Option<f64>,
     pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
     pub concurrency: ConcurrencyLimit,
     pub health_record: HealthRecord,
     pub warm_up_load: WarmUpLoad,
-    /// Of hedges past it, if any has ended.
+    /// Win rate of the hedges that bypass this node, if any of them has ended.
     pub hedge_win_rate: Option<WinRate>,
-    /// Number of this router's latest attempt at it; the lowest is next in round robin.
+    /// Sequence number of this router's latest attempt to the node; the node with the lowest is next in round robin.
     pub last_attempt: u64,
-    /// Its health as of the start of this round.
+    /// The node's health at the start of this round.
     pub health: Health,
-    /// How long a shard request may have to wait for it: as the oldest one does, or until it is no longer ejected.
+    /// Time in seconds that a shard request may have to wait for the node: as long as the oldest one already waits, or
+    /// until the node is readmitted.
     pub expected_wait_s: f64,
 }
 
@@ -31,8 +32,8 @@
 pub(super) type AttemptKey = (String, usize);
 
 impl Node {
-    /// A node that has just appeared. `warm_up_phase` is set for one that is warming up: its place, from 0 to 1, among
-    /// the routers that send to it in turn.
+    /// Creates the record of a node that has just appeared in the endpoint list. `warm_up_phase` is set for a node that
+    /// is warming up: this router's position, from 0 to 1, among the routers that send to the node in turn.
     pub fn new(
         replica_group: u32,
         state: NodeState,
@@ -54,13 +55,13 @@
         }
     }
 
-    /// A node that the endpoint list does not name, at which another host made an attempt. Nothing is sent to it; if the
-    /// list names it later, that entry says what it is.
+    /// Creates the record of a node that is not in the endpoint list but has an attempt of another host. No attempts
+    /// are sent to the node. If the list contains it later, that entry replaces these values.
     pub fn unlisted() -> Self {
         Node::new(0, NodeState::Removed, None, None)
     }
 
-    /// Records how an attempt ended, for the node's health and for its concurrency limit.
+    /// Records the end of an attempt for the node's health and for its concurrency limit.
     pub fn record_outcome(&mut self, now_s: f64, attempt: &EndedAttempt) {
         self.concurrency.record(&LoadSample {
             outcome: attempt.outcome,
@@ -72,7 +73,7 @@
         self.health_record.record(now_s, attempt);
     }
 
-    /// What the log says as it is ejected, or readmitted.
+    /// The log line for the ejection or readmission of the node.
     pub fn ejection_log_line(&self, id: &str, ejected: bool) -> String {
         let change = if ejected { "ejected" } else { "readmitted" };
         let (in_flight, failures) = (self.in_flight.len(), self.health_record.consecutive_failures());
@@ -83,20 +84,20 @@
         )
     }
 
-    /// Age in seconds of its oldest attempt in flight, 0 if there is none.
+    /// Age in seconds of the oldest attempt in flight, 0 if there is none.
     pub fn oldest_attempt_age_s(&self, now_stall_free_s: f64) -> f64 {
         let ages = self.in_flight.values().map(|attempt| now_stall_free_s - attempt.started_at_stall_free_s);
         ages.fold(0.0, f64::max)
     }
 
-    /// How much it may be sent now.
+    /// How much work the node may be sent now.
     pub fn capacity(&self, inputs: &CapacityInputs) -> NodeCapacity {
         let free = self.concurrency.free_slots(self.in_flight.len());
         self.warm_up_load.capacity(inputs, self.started_at_s, free)
     }
 
-    /// Whether it is removed and nothing is in flight at it.
-    pub fn is_gone(&self) -> bool {
+    /// Whether the node has been removed and has no attempt in flight, so that its record can be dropped.
+    pub fn is_removable(&self) -> bool {
         self.state == NodeState::Removed && self.in_flight.is_empty()
     }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,33 +1,36 @@
-//! Decides how healthy each data node is, and with that which nodes are passed over or ejected.
+//! Decides how healthy each data node is, and thereby which nodes are avoided or ejected.
 //!
-//! Inputs are the outcomes, latencies and ages in seconds of this core's own attempts, and observations that other cores
-//! or routers share. A late node is passed over for a time that doubles while it stays late; one that cannot be reached,
-//! fails repeatedly or answers nothing is ejected. This guards against crashed, hung, silent and slow nodes. It costs the
-//! capacity of a sound node that paused, or that recovers while it is passed over. Times are on the clock that excludes
-//! the router's own stalls.
+//! Inputs are the outcomes, latencies and ages in seconds of this core's own attempts, and observations that other
+//! cores or routers share. A late node is avoided for a time that doubles while it stays late. A node that cannot be
+//! reached, fails repeatedly or answers nothing is ejected. This limits the damage of crashed, hung, silent and slow
+//! nodes. The cost: the capacity of a healthy node that paused for a moment, or that recovers while it is avoided, is
+//! not used. Times are on the clock that excludes the router's own stalls.
 
 use super::Policy;
 use crate::interface::{AttemptOutcome, DecisionSink, NodeObservation, NodeState};
 
-/// An answer, or an attempt without one, that takes this many times the delay for late attempts is far too late.
+/// An attempt that takes this many times the delay after which attempts are late is very late.
 pub(super) const VERY_LATE_MULTIPLE: f64 = 2.5;
 /// Consecutive failures from which a node is ejected.
 const EJECTION_FAILURES: i32 = 2;
-/// Ejection grows by this factor with each failure, up to the maximum factor.
+/// The duration of an ejection grows by this factor with each failure, up to the maximum factor.
 const EJECTION_GROWTH: f64 = 1.6;
 const EJECTION_FACTOR_MAX: f64 = 16.0;
+/// Shortest duration that the factor applies to.
 const EJECTION_UNIT_MIN_S: f64 = 0.25;
-/// By then discovery has reported a node that is really gone.
+/// Longest ejection. After this time discovery has reported a node that no longer exists.
 const EJECTION_MAX_S: f64 = 6.0;
-/// A late node is passed over for this long for each router, as more routers try it more often in sum.
+/// Time for which a late node is avoided, multiplied by the number of routers: together, more routers would try the
+/// node more often.
 const AVOIDANCE_PER_ROUTER_S: f64 = 0.25;
 const AVOIDANCE_PER_ROUTER_MAX_S: f64 = 15.0;
-/// It grows by this factor while the node stays late, up to this far past its shortest time.
+/// The avoidance time grows by this factor while the node stays late, up to this much more than its shortest value.
 const AVOIDANCE_GROWTH: f64 = 2.0;
 const AVOIDANCE_GROWTH_MAX_S: f64 = 10.0;
-/// How long an unanswered attempt makes a node unresponsive for other cores; it is shared again while it lasts.
+/// Time for which other cores take a node to be unresponsive after an observation of an unanswered attempt. The
+/// observation is repeated while the attempt stays unanswered.
 const UNANSWERED_SHARED_FOR_S: f64 = 0.5;
-/// A finding is shared again when it lasts longer than was shared by this fraction.
+/// An observation is shared again when the state lasts longer than was shared by this fraction of its duration.
 const UNANSWERED_RESHARE_FRACTION: f64 = 0.5;
 const RESHARE_FRACTION: f64 = 0.1;
 /// Longest time for which a remote observation counts.
@@ -36,33 +39,33 @@
 /// How healthy a data node is, the best first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Health {
-    /// Takes its turn.
+    /// Selected in turn.
     #[default]
     Healthy,
-    /// Passed over while another holder is healthy.
+    /// Avoided while another holder is healthy.
     Slow,
-    /// Passed over while another holder is healthy or slow.
+    /// Avoided while another holder is healthy or slow.
     VerySlow,
-    /// Ejected: the last resort, for shard requests whose holders are all unresponsive.
+    /// Ejected: used only for shard requests whose holders are all unresponsive.
     Unresponsive,
 }
 
 impl Health {
-    /// Its rank in replica selection; the lowest goes first.
+    /// The rank in replica selection; the lowest is preferred.
     pub fn rank(self) -> u8 {
         self as u8
     }
 }
 
-/// An attempt in flight at a node.
+/// An attempt in flight to a node.
 #[derive(Clone, Copy)]
 pub(super) struct InFlightAttempt {
     pub started_at_stall_free_s: f64,
-    /// The delay after which it is late, as of its start.
+    /// The delay after which the attempt is late, as estimated at its start.
     pub late_after_s: f64,
 }
 
-/// What this core's own attempts showed of a node.
+/// What this core's own attempts have shown about a node.
 #[derive(Default)]
 struct OwnObservations {
     /// When the node last answered.
@@ -72,7 +75,7 @@
     slow_until_s: f64,
     very_slow_until_s: f64,
     ejected_until_s: f64,
-    /// For how long the node is passed over for being late.
+    /// Time for which the node is avoided for being late.
     avoidance_s: f64,
     consecutive_failures: i32,
     last_connection_loss_at_s: f64,
@@ -81,14 +84,14 @@
     shared: SharedHealth,
 }
 
-/// The health that was last shared, and until when it was said to hold.
+/// The health that was shared last, and the time until which it was declared to last.
 #[derive(Clone, Copy, Default)]
 struct SharedHealth {
     health: Health,
     until_s: f64,
 }
 
-/// What another core or router observed, when, and until when it counts. It is never shared on.
+/// The observation of another core or router, and the times until which it counts. It is never forwarded.
 #[derive(Clone, Copy, Default)]
 struct RemoteObservation {
     observed_at_s: f64,
@@ -98,7 +101,7 @@
 }
 
 impl RemoteObservation {
-    /// The health that the observation shows.
+    /// The health by this observation.
     pub fn health(&self, now_s: f64) -> Health {
         match () {
             _ if self.unresponsive_until_s > now_s => Health::Unresponsive,
@@ -113,7 +116,7 @@
 pub(super) struct EndedAttempt {
     pub outcome: AttemptOutcome,
     pub latency_s: f64,
-    /// The delay after which it was late.
+    /// The delay after which the attempt was late.
     pub late_after_s: f64,
     /// The shortest latency objective of all query classes.
     pub shortest_objective_s: f64,
@@ -125,14 +128,14 @@
         self.latency_s > self.late_after_s
     }
 
-    /// The shortest time for which a late node is passed over.
+    /// The shortest time for which a late node is avoided.
     fn avoidance_min_s(&self) -> f64 {
         (AVOIDANCE_PER_ROUTER_S * self.router_count).min(AVOIDANCE_PER_ROUTER_MAX_S)
     }
 }
 
 impl OwnObservations {
-    /// Records how an attempt ended.
+    /// Records the end of an attempt.
     pub fn record(&mut self, now_s: f64, attempt: &EndedAttempt) {
         (self.changed_since_shared, self.last_outcome_at_s) = (true, now_s);
         match attempt.outcome {
@@ -151,7 +154,7 @@
     }
 
     fn record_failure(&mut self, now_s: f64, attempt: &EndedAttempt) {
-        // A connection breaks with all its attempts, which is one failure.
+        // All attempts on a connection end when it breaks; together they are one failure.
         let already_counted = attempt.outcome != AttemptOutcome::Error
             && std::mem::replace(&mut self.last_connection_loss_at_s, now_s) == now_s;
         if !already_counted {
@@ -172,7 +175,7 @@
             self.avoidance_s =
                 (self.avoidance_s * AVOIDANCE_GROWTH).clamp(shortest_s, shortest_s + AVOIDANCE_GROWTH_MAX_S);
             self.slow_until_s = now_s + self.avoidance_s;
-            // Where all holders are late at times, only being far too late tells a slow node from a sound one.
+            // If all holders are late at times, only a very late attempt distinguishes a slow node from a healthy one.
             if attempt.latency_s > VERY_LATE_MULTIPLE * attempt.late_after_s {
                 self.very_slow_until_s = self.slow_until_s;
             }
@@ -182,7 +185,8 @@
         }
     }
 
-    /// Ends all that own attempts have shown, as another core has since seen the node healthy.
+    /// Discards the effects of this core's own observations, as another core has since observed that the node is
+    /// healthy.
     fn clear(&mut self, now_s: f64) {
         (self.avoidance_s, self.consecutive_failures) = (0.0, 0);
         self.shared = SharedHealth { health: Health::Healthy, until_s: now_s };
@@ -192,22 +196,22 @@
     }
 }
 
-/// What is known of a node's health.
+/// The observations of a node's health.
 #[derive(Default)]
 pub(super) struct HealthRecord {
-    /// What this core's own attempts showed.
+    /// By this core's own attempts.
     own: OwnObservations,
-    /// What other cores or routers observed.
+    /// By other cores or routers.
     remote: RemoteObservation,
 }
 
 impl HealthRecord {
-    /// Records how an attempt ended.
+    /// Records the end of an attempt.
     pub fn record(&mut self, now_s: f64, attempt: &EndedAttempt) {
         self.own.record(now_s, attempt);
     }
 
-    /// When the node last answered here.
+    /// When the node last answered this core.
     pub fn last_answer_at_s(&self) -> f64 {
         self.own.last_answer_at_s
     }
@@ -216,7 +220,7 @@
         self.own.consecutive_failures
     }
 
-    /// The health that own attempts show, those in flight included.
+    /// The health by this core's own attempts, those in flight included.
     pub fn own_health<'a>(
         &self,
         now_s: f64,
@@ -238,14 +242,14 @@
         }
     }
 
-    /// The health that other cores or routers observed.
+    /// The health by the observations of other cores or routers.
     pub fn remote_health(&self, now_s: f64) -> Health {
         self.remote.health(now_s)
     }
 
-    /// Takes in what another core or router observed, `age_s` seconds ago. What this core has observed itself since
-    /// outranks it, which guards against wrong observations of a node that answers here. An observation of a healthy
-    /// node ends what was held against it.
+    /// Records an observation that another core or router made `age_s` seconds ago. It is ignored if this core has made
+    /// a newer observation of its own, so that a wrong observation does not eject a node that answers this core. An
+    /// observation that the node is healthy clears this core's own observations.
     pub fn record_remote(&mut self, now_s: f64, age_s: f64, observation: NodeObservation) {
         let observed_at_s = now_s - age_s;
         let NodeObservation { slow_for_s, very_slow_for_s, unresponsive_for_s, .. } = observation;
@@ -266,8 +270,9 @@
         }
     }
 
-    /// What other cores should know: own attempts show another health than was shared, or the same for longer, or the
-    /// node answers here though others observed that it does not. `started_at_s` is its start, `clock_s` the monotonic clock.
+    /// Returns an observation to share with other cores if the health by this core's own attempts differs from what was
+    /// shared, lasts longer, or contradicts the observation of another core. `started_at_s` is the node's start,
+    /// `clock_s` the time on the monotonic clock.
     pub fn observation_to_share(
         &mut self,
         started_at_s: Option<f64>,
@@ -311,10 +316,10 @@
         })
     }
 
-    /// How long a shard request may have to wait for this node while it is unresponsive; `own` is the health that own
-    /// attempts show, `oldest_age_s` the age of the oldest in flight.
+    /// Expected time until this unresponsive node is used again. `own` is the health by this core's own attempts,
+    /// `oldest_age_s` the age of the oldest attempt in flight.
     fn time_until_readmission_s(&self, now_s: f64, own: Health, oldest_age_s: f64) -> f64 {
-        // A node that answers nothing is expected to do so for as long again as it has.
+        // A node that leaves attempts unanswered is expected to do so for as long again as it already has.
         let unanswered_s = if own == Health::Unresponsive { oldest_age_s } else { 0.0 };
         let ejected_until_s = self.own.ejected_until_s.max(self.remote.unresponsive_until_s);
         (ejected_until_s - now_s).max(unanswered_s)
@@ -322,13 +327,14 @@
 }
 
 impl Policy {
-    /// Updates the health of all nodes, shares and logs what changed, and forgets removed nodes with nothing in flight.
+    /// Updates the health of all nodes, shares and logs changes, and drops removed nodes that have no attempt in
+    /// flight.
     pub(super) fn update_node_health(&mut self, sink: &mut dyn DecisionSink) {
         let (now_s, clock_s) = (self.now_stall_free_s, self.now_s);
         let shares_observations = self.shared_limits.is_shared();
-        let mut any_gone = false;
+        let mut any_removable = false;
         for (id, node) in &mut self.nodes {
-            any_gone |= node.is_gone();
+            any_removable |= node.is_removable();
             let record = &mut node.health_record;
             let own = record.own_health(now_s, node.in_flight.values());
             let health = own.max(record.remote_health(now_s));
@@ -349,12 +355,12 @@
                 0.0
             };
         }
-        if any_gone {
-            self.nodes.retain(|_, node| !node.is_gone());
+        if any_removable {
+            self.nodes.retain(|_, node| !node.is_removable());
         }
     }
 
-    /// Records at its node how an attempt ended.
+    /// Records the end of an attempt for its node.
     pub(super) fn record_node_outcome(
         &mut self,
         node: &str,
--- a/src/policy/query.rs
+++ b/src/policy/query.rs
@@ -9,23 +9,23 @@
     pub id: String,
     /// Index of its query class.
     pub class: usize,
-    /// Whether it is beyond its tenant's quota.
+    /// Whether the query is beyond its tenant's quota.
     pub over_quota: bool,
-    /// Whether it is taken for a client's retry of an earlier query.
+    /// Whether the query is regarded as a client's retry of an earlier one.
     pub is_client_retry: bool,
     pub arrived_at_s: f64,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub not_after_s: f64,
-    /// When its latency objective passes.
+    /// When the latency objective passes.
     pub objective_at_s: f64,
-    /// Whether admission control has let it in.
+    /// Whether admission control has admitted the query.
     pub admitted: bool,
     pub in_second_phase: bool,
     /// Whether the first phase was answered completely.
     pub first_phase_complete: bool,
-    /// Shard requests expected in the second phase.
+    /// Number of shard requests expected in the second phase.
     pub expected_requests: usize,
-    /// When it is checked next, unless an event arrives for it or an attempt of it becomes late before.
+    /// When the query is checked next, unless an event for it arrives or one of its attempts becomes late before.
     pub next_check_at_s: f64,
     pub requests: Vec<ShardRequest>,
 }
@@ -34,10 +34,10 @@
 pub(super) struct ShardRequest {
     pub id: String,
     pub shard: u32,
-    /// Its fraction of the query's whole.
+    /// Fraction of the whole query.
     pub weight: f64,
     pub succeeded: bool,
-    /// Hedges started so far.
+    /// Number of hedges started so far.
     pub hedges: usize,
     pub attempts: Vec<Attempt>,
 }
@@ -50,25 +50,25 @@
     pub started_at_stall_free_s: f64,
     pub in_flight: bool,
     pub cancelled: bool,
-    /// Whether it may have had an effect.
+    /// Whether the attempt may have had an effect.
     pub possible_effect: bool,
-    /// Whether the node took nothing in, being at capacity or unreachable.
+    /// Whether the node did not accept the attempt, as it was at capacity or unreachable.
     pub rejected: bool,
-    /// The late node that it is a hedge past, until it has won or lost.
+    /// The late node that this hedge bypasses; `None` once the hedge has won or lost, and for other attempts.
     pub bypassed_node: Option<String>,
-    /// Whether its connection broke while it was in flight.
+    /// Whether the connection broke while the attempt was in flight.
     pub connection_lost: bool,
 }
 
-/// Where a shard request is found.
+/// The position of a shard request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct RequestPosition {
     pub query: u64,
-    /// Its index among the query's shard requests.
+    /// Index among the query's shard requests.
     pub index: usize,
 }
 
-/// What latencies and capacity are looked up by: a shard and a query class.
+/// A shard and a query class, the key of latencies and capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ShardClass {
     pub shard: u32,
@@ -76,7 +76,7 @@
 }
 
 impl Attempt {
-    /// Whether an answer is still waited for.
+    /// Whether the attempt is in flight and not cancelled.
     pub fn is_live(&self) -> bool {
         self.in_flight && !self.cancelled
     }
@@ -93,7 +93,7 @@
         self.requests.iter().flat_map(|request| &request.attempts)
     }
 
-    /// The last moment at which an answer is in time: the latency objective or the client's deadline.
+    /// The last time at which an answer is in time: the latency objective or the client's deadline, whichever is first.
     pub fn in_time_until_s(&self) -> f64 {
         self.objective_at_s.min(self.not_after_s)
     }
@@ -103,15 +103,15 @@
         self.requests.iter().any(|request| request.succeeded)
     }
 
-    /// Nodes whose connection broke under an attempt of this query.
+    /// Nodes to which a connection broke during an attempt of this query.
     pub fn nodes_with_lost_connections(&self) -> BTreeSet<&str> {
         let lost = self.attempts().filter(|attempt| attempt.connection_lost);
         lost.map(|attempt| attempt.node.as_str()).collect()
     }
 }
 
-/// The fraction of a query's weight in the shard requests for which `holds` is true. All of them make 1, whatever their
-/// rounded weights add up to.
+/// The fraction of a query's weight in the shard requests for which `holds` is true. It is 1 for all of them, even if
+/// the sum of their rounded weights differs from 1.
 pub(super) fn weight_fraction(requests: &[ShardRequest], holds: &dyn Fn(&ShardRequest) -> bool) -> f64 {
     if !requests.is_empty() && requests.iter().all(holds) {
         return 1.0;
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -1,9 +1,9 @@
-//! The pseudo-random generator behind every random choice of the policy, so that a seed determines all its decisions.
+//! The pseudo-random number generator for all random choices of the policy, so that a seed determines its decisions.
 
 const MULTIPLIER: u64 = 6364136223846793005;
 const INCREMENT: u64 = 1442695040888963407;
 
-/// Values of 32 bits.
+/// Number of values of the 32-bit output.
 const OUTPUT_VALUES: f64 = 4294967296.0;
 
 /// PCG-XSH-RR with 64 bits of state and 32 bits of output.
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -1,15 +1,16 @@
-//! Decides which data node of a shard's replica groups an attempt goes to, and which shard requests of a query travel
+//! Decides which data node of a shard's replica groups an attempt goes to, and which shard requests of a query are sent
 //! together in one batch.
 //!
 //! Inputs are the health of the shard's holders, their capacity in shard requests, which of them were tried before, and
-//! when this router last sent to each. Among equals the node that was sent to longest ago goes first, whatever the
-//! shard: turns by shard would let neighbouring shards of a query meet at one node. Times are in seconds.
+//! when this router last sent to each. Among equal nodes the least recently used one is selected, over all shards: with
+//! a separate round robin for each shard, neighbouring shards of a query would often select the same node. Times are in
+//! seconds.
 
 use super::Policy;
 use super::attempts_by_age::AttemptPosition;
 use super::outlier_detection::{Health, InFlightAttempt};
 use super::query::{Attempt, Query, RequestPosition, ShardClass, ShardRequest};
-use super::slow_start::{CapacityInputs, NodeCapacity, warm_up_memory_s};
+use super::slow_start::{CapacityInputs, NodeCapacity, warm_up_history_s};
 use crate::interface::{DecisionSink, Idempotency, NodeState};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -18,34 +19,34 @@
 
 /// A holder that could take an attempt.
 struct Candidate {
-    /// The lowest goes first.
+    /// The lowest is preferred.
     rank: CandidateRank,
     /// Its index among the shard's holders.
     holder: usize,
     capacity: NodeCapacity,
 }
 
-/// The order in which holders are tried: by health, one that was tried before a step behind; then the one that can take
-/// more of the query's waiting shard requests; then round robin.
+/// The order in which holders are tried: by health, where a holder that was tried before ranks one step lower; then by
+/// how many of the query's waiting shard requests the holder can take; then round robin.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
     health: u8,
-    /// The most possible less the shard requests that it can take.
+    /// `usize::MAX` minus the number of waiting shard requests that the holder can take.
     not_batched: usize,
     last_attempt: u64,
-    /// Steps from the shard's round robin offset, for nodes that were never sent to.
+    /// Distance from the shard's round robin offset; orders nodes that this router has never sent to.
     step: usize,
 }
 
 /// The node chosen for an attempt.
 pub(super) struct SelectedNode {
     pub id: String,
-    /// Shard requests that it may be sent now.
+    /// Number of shard requests that the node may be sent now.
     pub capacity_requests: usize,
 }
 
 impl Policy {
-    /// Makes the index of serving nodes anew after a change of the endpoint list or of the shards.
+    /// Rebuilds the index of serving nodes after a change of the endpoint list or of the shards.
     pub(super) fn refresh_serving_nodes(&mut self) {
         if !self.serving_nodes.is_empty() {
             return;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Serving nodes that hold a shard, in their order of round robin.
+    /// Serving nodes that hold a shard, in round robin order.
     pub(super) fn serving_holders(&self, shard: u32) -> Vec<&str> {
         let excluded = self.placement.excluded_nodes(shard);
         let groups = self.placement.holding_groups(shard);
@@ -66,7 +67,8 @@
         members.filter(|id| excluded.is_none_or(|excluded| !excluded.contains(*id))).collect()
     }
 
-    /// Most shard requests in one attempt. Batching pays only where an attempt costs work of its own.
+    /// Most shard requests in one attempt. Batching is useful only if an attempt costs work in addition to that of its
+    /// shard requests.
     fn max_batch(&self) -> usize {
         if self.placement.attempt_overhead_s > 0.0 { self.placement.max_batch } else { 1 }
     }
@@ -81,9 +83,10 @@
         }
     }
 
-    /// Which holders may be tried for a shard request: none with an attempt of it in flight; none that rejected it less
-    /// than its work ago, which guards against attempts all spent on one full node; unresponsive ones only for a first
-    /// attempt where all holders are.
+    /// Returns whether a holder may be tried for a shard request. Not eligible are holders with an attempt of it in
+    /// flight, and holders whose rejected attempt of it started less than `work_s` ago, so that not all attempts go to
+    /// the same full node. Unresponsive holders are eligible only for a first attempt, and only if all holders are
+    /// unresponsive.
     fn is_eligible(&self, request: &ShardRequest, holders: &[&str], work_s: f64) -> impl Fn(&str) -> bool {
         let unresponsive = move |id: &str| self.nodes[id].health == Health::Unresponsive;
         let last_resort = request.attempts.is_empty() && holders.iter().all(|id| unresponsive(id));
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Whether any holder could still take a shard request before the deadline. Guards against queries that keep nodes
-    /// at work where a shard's last holder is full.
+    /// Whether any holder could still take a shard request before the deadline. If not, the query is abandoned, so that
+    /// it does not cause work on other nodes while the last holder of one shard is full.
     pub(super) fn has_holder_in_time(&self, query: &Query, request: &ShardRequest) -> bool {
         let inputs = self.capacity_inputs(query.class, 1);
         let holders = self.serving_holders(request.shard);
@@ -109,8 +112,8 @@
         holders.is_empty() || holders.iter().any(|id| is_eligible(id) && in_time(id))
     }
 
-    /// The node for a shard request's next attempt, if any holder can take it now. `waiting_shards` are the shards of
-    /// the query's waiting requests, this one's included.
+    /// Selects the node for a shard request's next attempt, if any holder can take it now. `waiting_shards` are the
+    /// shards of the query's waiting shard requests, this one included.
     pub(super) fn select_node(
         &self,
         position: RequestPosition,
@@ -169,8 +172,7 @@
         candidates
     }
 
-    /// Starts attempts for a query's shard requests that have none in flight: the first one, or the next after a failed
-    /// one.
+    /// Starts attempts for those of a query's shard requests that have none in flight: a first attempt, or a retry.
     pub(super) fn start_waiting_requests(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         let Some(query) = self.queries.get(&number).filter(|query| !query.may_have_crashed_nodes()) else {
             return;
@@ -200,8 +202,9 @@
         }
     }
 
-    /// Sends the first shard request of a group to a node, and with it those that the node holds too. Returns those that
-    /// need not be tried again in this round; none if no node can take the first one.
+    /// Sends the first shard request of a group to a node, together with the others of the group whose shards the node
+    /// holds. Returns the shard requests that need not be tried again in this round; none if no node can take the first
+    /// one.
     fn start_batch(
         &mut self,
         number: u64,
@@ -214,7 +217,7 @@
         let first = &query.requests[group[0]];
         let key = ShardClass { shard: first.shard, class: query.class };
         let is_first_attempt = first.attempts.is_empty();
-        // Checked first, as the search for a node costs more.
+        // Checked first, as node selection is more expensive.
         let lacks_token = !is_first_attempt && !self.can_afford_retry();
         if lacks_token || self.exhausted_shards.contains(&key) {
             return started;
@@ -241,7 +244,7 @@
         started
     }
 
-    /// The time-out of a query's next attempt: until its answer has no value any more.
+    /// The time-out of a shard request's next attempt: the time until its answer has no value.
     fn attempt_timeout_s(&self, query: &Query, request: &ShardRequest) -> f64 {
         let class = &self.classes[query.class].config;
         let retryable = class.idempotency == Idempotency::Idempotent
@@ -254,7 +257,7 @@
         limit_s.min(self.useful_until_s(query) - self.now_s)
     }
 
-    /// Starts an attempt of a shard request at a node.
+    /// Starts an attempt of a shard request to a node.
     pub(super) fn start_attempt(
         &mut self,
         position: RequestPosition,
@@ -277,7 +280,7 @@
         node.in_flight.insert((request.id.clone(), attempt), in_flight);
         self.attempts_started += 1;
         node.last_attempt = self.attempts_started;
-        node.warm_up_load.record(now_s, work_s, warm_up_memory_s(self.slow_start));
+        node.warm_up_load.record(now_s, work_s, warm_up_history_s(self.slow_start));
         sink.start_attempt(&request.id, node_id, timeout_s);
         request.hedges += usize::from(request.is_in_flight());
         request.attempts.push(Attempt {
--- a/src/policy/shard_changes.rs
+++ b/src/policy/shard_changes.rs
@@ -1,6 +1,6 @@
-//! Carries state across changes of the shards: a successor starts with what its parents showed, a split shard request
-//! leaves its attempts to its successors, and a query that another host decided for brings its attempts along. It
-//! carries state only and decides nothing.
+//! Carries state across changes of the shards: a new shard starts with the observations of its parents, the successors
+//! of a split shard request inherit its attempts, and a query taken over from another host keeps its attempts. This
+//! module makes no decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::{LatencyWindow, SHARD_SAMPLES_MIN};
@@ -18,8 +18,8 @@
         }
     }
 
-    /// The successor starts with its parents' latest latencies and round robin offset. A shard that was seen already
-    /// keeps its own.
+    /// The new shard starts with the latest latencies of its parents and the round robin offset of the first. A shard
+    /// that already has state keeps it.
     fn inherit_shard(&mut self, shard: u32, parents: &[u32]) {
         let known: Vec<&ShardState> = parents.iter().filter_map(|parent| self.shards.get(parent)).collect();
         let Some(first) = known.first() else { return };
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Each successor has the old shard request's attempts as its own, so that possible effects, hedges and the number
-    /// of attempts count for it. Guards against a second effect or a fresh retry budget by way of a split. An attempt in
-    /// flight takes its node's capacity once, whatever waits for it.
+    /// Each successor has a copy of the old shard request's attempts, so that their possible effects, hedges and number
+    /// count for it. Otherwise a split would allow a second effect or more than the most attempts. An attempt in flight
+    /// uses its node's capacity once, even if several successors wait for it.
     fn shard_request_split(&mut self, number: u64, request: &str, into: &[(&str, u32, f64)]) {
         let is_of_query = |position: &RequestPosition| position.query == number;
         let position = self.shard_requests.get(request).copied().filter(is_of_query);
@@ -58,11 +58,11 @@
         for (nth, &(id, shard, weight)) in into.iter().enumerate() {
             let mut attempts = attempts.clone();
             if nth > 0 {
-                // A hedge wins or loses once.
+                // The result of a hedge is recorded once.
                 attempts.iter_mut().for_each(|attempt| attempt.bypassed_node = None);
             }
             let successor = ShardRequest { id: id.into(), shard, weight, succeeded, hedges, attempts };
-            // The first successor takes the old one's place.
+            // The first successor replaces the old shard request.
             self.place_successor(number, successor, (nth == 0).then_some(position.index));
         }
     }
@@ -85,7 +85,7 @@
 }
 
 impl Policy {
-    /// Takes a shard request's attempts in flight out of the index by age.
+    /// Removes a shard request's attempts in flight from the index by age.
     fn remove_from_index(&mut self, key: ShardClass, position: RequestPosition, attempts: &[Attempt]) {
         for (attempt, _) in in_flight(attempts) {
             let position = AttemptPosition { query: position.query, request: position.index, attempt };
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Moves attempts in flight at their nodes from one shard request to another.
+    /// Moves attempts in flight from one shard request to another in the records of their nodes.
     fn rename_in_flight(&mut self, from: &str, to: &str, attempts: &[Attempt]) {
         for (number, attempt) in in_flight(attempts) {
             if let Some(node) = self.nodes.get_mut(&attempt.node)
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Puts a successor at an index of its query's shard requests, or after them, and its attempts into the index by age.
+    /// Stores a successor at an index of its query's shard requests, or after the last one, and adds its attempts in
+    /// flight to the index by age.
     fn place_successor(&mut self, number: u64, successor: ShardRequest, index: Option<usize>) {
         let Some(query) = self.queries.get_mut(&number) else { return };
         let index = index.unwrap_or(query.requests.len());
@@ -120,9 +121,9 @@
         }
     }
 
-    /// An attempt made by another host counts against the most attempts and for its possible effect; one in flight also
-    /// for its lateness and its node's capacity. Its node gets a record where this host's endpoint list does not name
-    /// it: every attempt in flight has one.
+    /// Adds an attempt made by another host. It counts toward the most attempts, and as a possible effect. One in
+    /// flight can also become late and uses its node's capacity. A node that this host's endpoint list does not contain
+    /// gets a record, as every attempt in flight needs one.
     fn adopt(&mut self, request_id: &str, node_id: &str, age_s: f64, outcome: Option<AttemptOutcome>) {
         let Some(&position) = self.shard_requests.get(request_id) else { return };
         let Some(query) = self.queries.get(&position.query) else { return };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,31 +1,31 @@
-//! Decides how much a data node that has just started may be sent while it warms up.
+//! Decides how much work a data node that has just started may be sent while it warms up.
 //!
-//! Inputs are the node's age in seconds, the stated rule ([`SlowStartConfig`]), the number of routers that share the
-//! node, and the work in seconds already sent to it. Each router keeps to its fraction of the load that would overload
-//! the node, counted for a node of one core, so that all routers together stay below it. It costs a node with more
-//! cores some load until it is warm. On several cores of a router only one sends at a time
-//! ([`crate::interface::SharedLimits::try_slow_start_turn`]).
+//! Inputs are the node's age in seconds, the configured rule ([`SlowStartConfig`]), the number of routers that share
+//! the node, and the seconds of work already sent to it. Each router sends at most its fraction of the load that would
+//! overload a node with one core, so that all routers together stay below that load. The cost: a node with more cores
+//! gets less load than it could take until it is warm. Of several cores of a router, only one sends to the node at a
+//! time ([`crate::interface::SharedLimits::try_slow_start_turn`]).
 
 use super::CHECK_INTERVAL_S;
 use crate::interface::SlowStartConfig;
 use std::collections::VecDeque;
 
-/// Factor on the quota of a window. Work is estimated from latencies, which contain some queueing.
+/// Factor on the quota of a window, as the work is estimated from latencies, which include some queueing.
 const WINDOW_QUOTA_FACTOR: f64 = 1.3;
-/// Factor on the work of a single request in its interval, for rounding.
+/// Factor on the work of a single request, as a tolerance for rounding.
 const SINGLE_REQUEST_FACTOR: f64 = 1.001;
 
-/// Work that was sent to a node.
+/// Work sent to a node.
 struct SentWork {
     at_s: f64,
     work_s: f64,
 }
 
-/// What a node that may be warming up has been sent.
+/// The work sent to a node that may be warming up.
 pub(super) struct WarmUpLoad {
     sent: VecDeque<SentWork>,
-    /// This router's place, from 0 to 1, among the routers that send single requests in turn, so that they do not all
-    /// send at once.
+    /// This router's position, from 0 to 1, among the routers that send single requests in turn, so that they do not
+    /// all send at the same time.
     phase: f64,
 }
 
@@ -34,50 +34,50 @@
         WarmUpLoad { sent: VecDeque::new(), phase }
     }
 
-    /// Records work sent now; what is older than `keep_s` seconds is dropped.
+    /// Records work sent now; drops entries older than `keep_s` seconds.
     pub fn record(&mut self, now_s: f64, work_s: f64, keep_s: f64) {
         self.sent.retain(|sent| sent.at_s >= now_s - keep_s);
         self.sent.push_back(SentWork { at_s: now_s, work_s });
     }
 
-    /// Takes all of the node's quota as used now.
+    /// Treats the node's whole quota as used now.
     pub fn mark_exhausted(&mut self, now_s: f64) {
         self.sent.push_back(SentWork { at_s: now_s, work_s: f64::INFINITY });
     }
 
-    /// Seconds of work sent since a moment.
+    /// Seconds of work sent since `since_s`.
     fn sent_since(&self, since_s: f64) -> f64 {
         self.sent.iter().filter(|sent| sent.at_s >= since_s).map(|sent| sent.work_s).sum()
     }
 }
 
-/// How much a node may be sent now.
+/// How much work a node may be sent now.
 pub(super) struct NodeCapacity {
-    /// Shard requests.
+    /// Number of shard requests.
     pub requests: usize,
-    /// For how many seconds no other core of this router may send to it; 0 for a node that is not warming up.
+    /// Seconds for which no other core of this router may send to the node; 0 for a node that is not warming up.
     pub exclusive_for_s: f64,
 }
 
-/// What a warming node's capacity is worked out from.
+/// The inputs of a node's capacity.
 #[derive(Clone, Copy)]
 pub(super) struct CapacityInputs {
     pub now_s: f64,
-    /// Work of one shard request.
+    /// Seconds of work of one shard request.
     pub request_work_s: f64,
-    /// Routers that share the node.
+    /// Number of routers that share the node.
     pub router_count: f64,
     pub slow_start: Option<SlowStartConfig>,
     /// Most shard requests in one attempt.
     pub max_batch: usize,
 }
 
-/// Seconds for which work sent to a node counts by the rule.
-pub(super) fn warm_up_memory_s(slow_start: Option<SlowStartConfig>) -> f64 {
+/// Seconds for which work sent to a node has to be remembered for the rule.
+pub(super) fn warm_up_history_s(slow_start: Option<SlowStartConfig>) -> f64 {
     slow_start.map_or(0.0, |rule| rule.warm_up_s + rule.window_s)
 }
 
-/// This router's quota in seconds of work a second, of a node that started `age_s` seconds ago.
+/// This router's quota for a node that started `age_s` seconds ago, in seconds of work per second.
 fn quota(rule: &SlowStartConfig, age_s: f64, router_count: f64) -> f64 {
     let cold_fraction = 1.0 - rule.initial_fraction;
     let warm_fraction =
@@ -85,7 +85,7 @@
     rule.capacity_multiple * warm_fraction.min(1.0) / router_count
 }
 
-/// The rule, and the age in seconds of a node that is warming up.
+/// The slow-start rule and the node's age in seconds, if the node is warming up.
 fn warm_up(inputs: &CapacityInputs, started_at_s: Option<f64>) -> Option<(SlowStartConfig, f64)> {
     let (rule, started_at_s) = (inputs.slow_start?, started_at_s?);
     let age_s = (inputs.now_s - started_at_s).max(0.0);
@@ -93,16 +93,17 @@
 }
 
 impl WarmUpLoad {
-    /// How much a node may be sent now that started at `started_at_s` and whose concurrency limit leaves `free` slots. A
-    /// node that is warm takes a whole batch where it takes anything, past its concurrency limit: under overload single
-    /// requests would each pay for an attempt.
+    /// The capacity of a node that started at `started_at_s` and whose concurrency limit leaves `free` slots. A warm
+    /// node with any free slot takes a whole batch, even beyond its concurrency limit: under overload requests would
+    /// otherwise be sent singly, each with the overhead of an attempt.
     pub fn capacity(&self, inputs: &CapacityInputs, started_at_s: Option<f64>, free: usize) -> NodeCapacity {
         let Some((rule, age_s)) = warm_up(inputs, started_at_s) else {
             let requests = if free > 0 { inputs.max_batch } else { 0 };
             return NodeCapacity { requests, exclusive_for_s: 0.0 };
         };
         let (work_s, quota) = (inputs.request_work_s, quota(&rule, age_s, inputs.router_count));
-        // A quota below one request a window is one request in as long as the quota takes to earn it.
+        // A quota of less than one request per window allows a single request per interval in which the quota covers
+        // it.
         let single_requests = work_s > quota * rule.window_s;
         let (interval_s, limit_s) = if single_requests {
             (work_s / quota, SINGLE_REQUEST_FACTOR * work_s)
--- a/src/shard_placement.rs
+++ b/src/shard_placement.rs
@@ -1,41 +1,41 @@
-//! Which replica groups and data nodes hold a shard: by their place in a ring, or by an explicit list where shards move
-//! while queries run.
+//! Determines which replica groups and data nodes hold a shard: by their position in a ring, or by an explicit list if
+//! shards move while queries run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where shards lie. In the ring, shard s is held by the replica groups (s + j) mod `replica_groups` for each j below
-/// `groups_per_shard`.
+/// The placement of shards on replica groups. In the ring, shard s is held by the replica groups (s + j) mod
+/// `replica_groups` for each j below `groups_per_shard`.
 #[derive(Clone, Debug, Default)]
 pub struct ShardPlacement {
-    /// Replica groups in the ring.
+    /// Number of replica groups in the ring.
     pub replica_groups: u32,
-    /// Replica groups that hold one shard.
+    /// Number of replica groups that hold one shard.
     pub groups_per_shard: u32,
     /// Most shard requests in one attempt.
     pub max_batch: usize,
-    /// Seconds of work that an attempt costs beside its shard requests.
+    /// Seconds of a data node's work for an attempt, in addition to the work for its shard requests.
     pub attempt_overhead_s: f64,
-    /// The holders of each shard, in place of the ring.
+    /// The holders of each shard. If set, the ring is not used.
     pub explicit_holders: Option<BTreeMap<u32, ShardHolders>>,
 }
 
-/// Who holds a shard: all nodes of these replica groups but the excluded ones.
+/// The holders of a shard: all nodes of the replica groups except the excluded ones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardHolders {
     /// Replica groups that hold it.
     pub replica_groups: Vec<u32>,
-    /// Nodes of these groups that have answered that they do not hold it.
+    /// Nodes of these groups that have answered that they do not hold the shard.
     pub excluded_nodes: BTreeSet<String>,
 }
 
 impl ShardPlacement {
-    /// How many groups a replica group lies past the first holder of a shard in the ring.
+    /// How many positions a replica group is after the first holder of a shard in the ring.
     pub fn group_offset(&self, group: u32, shard: u32) -> u32 {
         (group % self.replica_groups + self.replica_groups - shard % self.replica_groups)
             % self.replica_groups
     }
 
-    /// The replica group that a node's group number stands for.
+    /// The replica group of a node with this group number. In the ring, group numbers wrap around.
     pub fn group_of(&self, group: u32) -> u32 {
         if self.explicit_holders.is_some() { group } else { group % self.replica_groups }
     }
@@ -45,7 +45,7 @@
         Some(listed.get(&shard).map_or(&[], |holders| &holders.replica_groups))
     }
 
-    /// The replica groups that hold a shard, from its first holder on.
+    /// The replica groups that hold a shard, in order from its first holder.
     pub fn holding_groups(&self, shard: u32) -> impl Iterator<Item = u32> + '_ {
         let groups = self.replica_groups;
         let first = shard % groups;
@@ -54,7 +54,7 @@
         (0..count).map(move |step| listed.map_or((first + step) % groups, |listed| listed[step as usize]))
     }
 
-    /// The nodes of the holding groups that do not hold a shard.
+    /// The nodes of the holding groups that do not hold the shard themselves.
     pub fn excluded_nodes(&self, shard: u32) -> Option<&BTreeSet<String>> {
         Some(&self.explicit_holders.as_ref()?.get(&shard)?.excluded_nodes)
     }
