--- a/examples/event_cost.rs
+++ b/examples/event_cost.rs
@@ -1,6 +1,7 @@
-//! What a round costs the module while many queries are open: 270 nodes, 8 parts a query, a stated budget that is
-//! used up, one leaf call in two turned away. Prints microseconds a round, each with one call's end, the median of
-//! 400 rounds, for 100, 1,000 and 6,000 open queries. `alderway-lab scale rounds` measures by nodes and parts.
+//! Measures how long a round of the policy takes while many queries are open: 270 nodes, 8 shard requests per query, a
+//! retry budget that is used up, and every second attempt rejected. Prints the median of 400 rounds in microseconds for
+//! 100, 1,000 and 6,000 open queries; one attempt ends in each round. `alderway-lab scale rounds` varies the number of
+//! nodes and of shard requests.
 use alderway::interface::RetryBudget;
 use rounds::{Shape, measure};
 
@@ -25,6 +26,8 @@
             seed: 7,
         });
         let (median, rounds, waiting) = (measured.quantile(0.5), measured.spent.len(), measured.waiting);
-        println!("{open} open: {median:.1} us a round, {rounds} rounds, {waiting} parts waited at first");
+        println!(
+            "{open} open queries: {median:.1} us per round, {rounds} rounds, {waiting} shard requests waited on arrival"
+        );
     }
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which queries are admitted and which are rejected to shed load.
+//! Which queries are admitted, and which are rejected to shed load.
 
 mod common;
 use alderway::interface::*;
@@ -6,19 +6,19 @@
 use rstest::rstest;
 
 #[rstest]
-fn overload_rejects_at_random_with_advice_and_cheap_queries_more_often() {
-    let few = vec![
+fn an_overload_rejects_at_random_and_queries_beyond_their_quota_more_often() {
+    let tenants = vec![
         Tenant { name: "over".into(), quota_per_s: 0.0 },
         Tenant { name: "in".into(), quota_per_s: 1e6 },
     ];
-    let mut host = Host::with(|d| (d.node_count, d.tenants, d.class.latency_objective_s) = (1, few, 2.0));
+    let mut host = Host::with(|d| (d.node_count, d.tenants, d.class.latency_objective_s) = (1, tenants, 2.0));
     host.answer_queries(1000, 16, 0.9);
     let mut rejected = [0, 0];
     for n in 0..200u64 {
-        let who = (n % 2) as usize;
+        let tenant = (n % 2) as usize;
         let end = host.now + 6.0;
-        host.query_until(n, &[0], end, ["in", "over"][who]);
-        rejected[who] += host.count(&format!("reject q{n} "));
+        host.query_until(n, &[0], end, ["in", "over"][tenant]);
+        rejected[tenant] += host.count(&format!("reject q{n} "));
         if n > 12 {
             host.round(|r| r.client_disconnected(&format!("q{}", n - 12)));
         }
@@ -29,19 +29,20 @@
 
 #[rstest]
 fn queries_that_would_wait_at_their_only_holder_are_rejected_and_others_are_not() {
-    let apart = ShardPlacement {
+    let disjoint = ShardPlacement {
         replica_groups: 2,
         groups_per_shard: 1,
         max_batch: 1,
         attempt_overhead_s: 0.0,
         explicit_holders: None,
     };
-    let mut host = Host::with(|d| (d.placement, d.node_count, d.capabilities.can_hedge) = (apart, 2, false));
+    let mut host =
+        Host::with(|d| (d.placement, d.node_count, d.capabilities.can_hedge) = (disjoint, 2, false));
     host.answer_queries(1000, 16, 0.1);
     for n in 0..30 {
         host.query(n, &[0]);
     }
-    // The node answers all along, so it is neither silent nor late: only the requests that wait tell.
+    // The node keeps answering, so that it is neither silent nor late: only the waiting requests show the overload.
     for n in 0..11 {
         host.wait(0.15);
         host.attempt_ended(&format!("p{n}.0"), 0, "n0", AttemptOutcome::Success, 0.1);
@@ -51,7 +52,7 @@
         host.query(n, &[1]);
         host.attempt_ended(&format!("p{n}.0"), 0, "n1", AttemptOutcome::Success, 0.1);
     }
-    assert_eq!(host.count("reject"), rejected, "the other node has room");
+    assert_eq!(host.count("reject"), rejected, "the other node has capacity");
     for n in 200..220 {
         host.query(n, &[0, 1]);
     }
@@ -64,53 +65,53 @@
     assert!(host.query(0, &[0]).contains(&"reject q0 0.40".to_string()));
 }
 
-/// Guards against queries rejected for the slowest of many requests though their answers would leave those
-/// out.
+/// Guards against rejecting queries for the latency of their slowest shard requests if their answers would omit these.
 #[rstest]
-#[case::needs_every_part(1.0, true)]
-#[case::may_be_answered_in_part(0.7, false)]
-fn a_query_is_as_late_as_the_request_that_its_minimum_fraction_needs(
-    #[case] floor: f64,
+#[case::every_request_is_needed(1.0, true)]
+#[case::partial_answers_are_allowed(0.7, false)]
+fn the_expected_latency_is_that_of_the_requests_that_the_minimum_fraction_needs(
+    #[case] minimum_fraction: f64,
     #[case] rejects: bool,
 ) {
-    let mut host = Host::with(|d| (d.capabilities.can_hedge, d.class.minimum_fraction) = (false, floor));
+    let mut host =
+        Host::with(|d| (d.capabilities.can_hedge, d.class.minimum_fraction) = (false, minimum_fraction));
     for n in 0..40 {
-        let asked = last_node(&host.query(n, &[n as u32]), &format!("p{n}.0"));
+        let node = last_node(&host.query(n, &[n as u32]), &format!("p{n}.0"));
         let latency = if n % 5 == 0 { 1.9 } else { 0.4 };
         host.wait(latency);
-        host.attempt_ended(&format!("p{n}.0"), 0, &asked, AttemptOutcome::Success, latency);
+        host.attempt_ended(&format!("p{n}.0"), 0, &node, AttemptOutcome::Success, latency);
     }
     let before = host.count("reject");
     for n in 100..120 {
-        host.query(n, &(0..10).map(|part| 100 + part).collect::<Vec<u32>>());
+        host.query(n, &(0..10).map(|index| 100 + index).collect::<Vec<u32>>());
     }
     assert_eq!(host.count("reject") > before, rejects);
 }
 
-/// Guards against an overload that looks like a quiet hour because its queries end within milliseconds: nodes
-/// stayed full of requests of queries that were abandoned.
+/// Guards against an overload that is not detected because its queries end within milliseconds: the nodes stayed full
+/// of shard requests of abandoned queries.
 #[rstest]
-fn requests_that_full_nodes_rejected_show_an_overload() {
+fn requests_rejected_by_full_nodes_indicate_an_overload() {
     let mut host = Host::with(|_| ());
     for n in 0..60 {
         host.query(n, &[0]);
         for attempt in 0..3 {
-            let asked = host.decisions.iter().rev().find_map(|c| c.strip_prefix(&format!("attempt p{n}.0 ")));
-            if let Some(node) = asked.map(String::from) {
+            let node = host.decisions.iter().rev().find_map(|c| c.strip_prefix(&format!("attempt p{n}.0 ")));
+            if let Some(node) = node.map(String::from) {
                 host.attempt_ended(&format!("p{n}.0"), attempt, &node, AttemptOutcome::Rejected, 0.002);
             }
         }
     }
     let unsent = (30..60).filter(|n| host.count(&format!("attempt p{n}.0")) == 0).count();
-    assert!(unsent >= 10, "{unsent} of 30 rejected before any node was asked");
+    assert!(unsent >= 10, "{unsent} of 30 rejected without an attempt");
 }
 
-/// Guards against an overload of many routers, each of which sees too little of it to shed anything by itself.
+/// Guards against an overload of many routers, each of which observes too few late queries to shed load by itself.
 #[rstest]
-#[case::the_fleet_is_late(80, 20, true)]
-#[case::the_fleet_is_in_time(20, 80, false)]
-#[case::too_few_to_tell(6, 1, false)]
-fn a_router_that_observed_nothing_sheds_load_while_the_fleet_is_late(
+#[case::late_on_all_routers(80, 20, true)]
+#[case::in_time_on_all_routers(20, 80, false)]
+#[case::too_few_queries(6, 1, false)]
+fn a_router_without_observations_sheds_load_by_the_counts_of_all_routers(
     #[case] late: u32,
     #[case] in_time: u32,
     #[case] sheds: bool,
@@ -129,7 +130,7 @@
     assert_eq!(
         attempts(&short(&mut host, 7)).len(),
         1,
-        "no query is unserved: clients have turned impatient"
+        "no query is unserved, so that clients must have shortened their deadlines"
     );
     host.round(|r| r.client_disconnected("q7"));
     assert_eq!(short(&mut host, 8), ["reject q8 0.50"]);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! A host for tests of the policy: it starts one, feeds it rounds and records what it decides.
+//! A host for tests of the policy: it creates a policy, runs rounds and records the decisions.
 //!
-//! Each decision is recorded as a line: `attempt REQUEST NODE`, `cancel REQUEST ATTEMPT`, `answer QUERY complete` or
+//! Each decision is recorded as text: `attempt REQUEST NODE`, `cancel REQUEST ATTEMPT`, `answer QUERY complete` or
 //! `partial`, `reject QUERY RETRY_AFTER_S`, `fail QUERY`, `poll`, `log TEXT`.
-#![allow(dead_code)] // Each test file uses some of it.
+#![allow(dead_code)] // Each test file uses a part of this module.
 
 use alderway::interface::*;
 use alderway::policy::Policy;
@@ -27,8 +27,8 @@
         self.decisions.push(format!("answer {query} {}", if complete { "complete" } else { "partial" }));
     }
     fn reject(&mut self, query: &str, retry_after_s: Option<f64>) {
-        let advice = retry_after_s.map_or("-".into(), |span_s| format!("{span_s:.2}"));
-        self.decisions.push(format!("reject {query} {advice}"));
+        let retry_after = retry_after_s.map_or("-".into(), |span_s| format!("{span_s:.2}"));
+        self.decisions.push(format!("reject {query} {retry_after}"));
     }
     fn fail(&mut self, query: &str) {
         self.decisions.push(format!("fail {query}"));
@@ -45,18 +45,18 @@
     }
 }
 
-/// A policy with its clock and all that it has decided so far, in order.
+/// A policy with its clock and all of its decisions so far, in order.
 pub struct Host {
     policy: Policy,
     pub now: f64,
     pub decisions: Vec<String>,
-    /// What it shared with other cores.
+    /// The observations that it shared with other cores.
     pub shared_observations: Vec<(String, NodeObservation)>,
-    /// Time-outs of all attempts.
+    /// The time-outs of all attempts, in the order of their starts.
     pub timeouts_s: Vec<f64>,
 }
 
-/// What a test's policy is started with; a test changes what it is about.
+/// The configuration and data nodes of a test. A test changes the values that it depends on.
 pub struct Deployment {
     pub router_count: usize,
     pub class: QueryClass,
@@ -114,14 +114,14 @@
 }
 
 impl Deployment {
-    /// The default one with some changes.
+    /// The default deployment with some changes.
     pub fn with(change: impl FnOnce(&mut Deployment)) -> Self {
         let mut deployment = Deployment::default();
         change(&mut deployment);
         deployment
     }
 
-    /// One node that takes eight shard requests in an attempt, which costs work of its own.
+    /// One node that takes up to eight shard requests in one attempt, with a cost per attempt.
     pub fn of_one_node() -> Self {
         let placement = ShardPlacement {
             replica_groups: 1,
@@ -167,26 +167,26 @@
         Host::new(Deployment::with(change))
     }
 
-    /// One round with all events that `deliver` tells; returns what was decided in it.
+    /// Runs one round with the events that `deliver` passes on; returns its decisions.
     pub fn round(&mut self, deliver: impl FnOnce(&mut dyn PolicyInput)) -> Vec<String> {
         let mut recorder = Recorder::default();
         let deliver = |input: &mut dyn PolicyInput| {
             deliver(input);
             Ok::<(), ()>(())
         };
-        self.policy.round(self.now, deliver, &mut recorder).expect("nothing here can be malformed");
+        self.policy.round(self.now, deliver, &mut recorder).expect("delivery does not fail");
         self.decisions.extend(recorder.decisions.clone());
         self.shared_observations.extend(recorder.shared_observations);
         self.timeouts_s.extend(recorder.timeouts_s);
         recorder.decisions
     }
 
-    /// Makes this host's policy one core's.
+    /// Makes this host's policy that of one core among several.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.policy.use_shared_limits(limits);
     }
 
-    /// Receives what another core shared.
+    /// Delivers the observations that another core shared.
     pub fn receive_observations(&mut self, shared: &[(String, NodeObservation)]) -> Vec<String> {
         self.round(|r| shared.iter().for_each(|(node, observation)| r.node_observed(node, *observation)))
     }
@@ -201,7 +201,7 @@
         self.round(|r| r.endpoint_updated(node, group, state, started))
     }
 
-    /// Query `q{n}` with shard requests `p{n}.0`, `p{n}.1` ... of equal weight, one for each shard.
+    /// Delivers query `q{n}` with shard requests `p{n}.0`, `p{n}.1` ... of equal weight, one for each shard.
     pub fn query(&mut self, n: u64, shards: &[u32]) -> Vec<String> {
         let not_after = self.now + 6.0;
         self.query_until(n, shards, not_after, "")
@@ -238,7 +238,7 @@
         self.round(|r| r.attempt_ended(request, attempt, node, outcome, latency))
     }
 
-    /// Lets time pass in steps of the policy's timer.
+    /// Advances the clock by `span` seconds in steps of the policy's timer.
     pub fn wait(&mut self, span: f64) -> Vec<String> {
         let (end, from) = (self.now + span, self.decisions.len());
         while self.now < end - 1e-9 {
@@ -248,7 +248,7 @@
         self.decisions[from..].to_vec()
     }
 
-    /// `count` queries of one shard request each, which the selected node answers after `latency`.
+    /// Runs `count` queries of one shard request each, which the selected node answers after `latency` seconds.
     pub fn answer_queries(&mut self, first: u64, count: u64, latency: f64) {
         for n in first..first + count {
             let node = last_node(&self.query(n, &[0]), &format!("p{n}.0"));
@@ -257,7 +257,7 @@
         }
     }
 
-    /// How many decisions begin with `start`.
+    /// Number of decisions that start with `start`.
     pub fn count(&self, start: &str) -> usize {
         self.decisions.iter().filter(|decision| decision.starts_with(start)).count()
     }
--- a/tests/config_changes_random.rs
+++ b/tests/config_changes_random.rs
@@ -1,5 +1,5 @@
-//! A property of any order of configuration changes, queries, ended attempts and timers: no query is lost, and each keeps
-//! what it was admitted with.
+//! Property test: for any order of configuration changes, queries, ended attempts and timers, no query is lost, and
+//! each keeps the objective, minimum fraction and idempotency with which it arrived.
 
 mod common;
 use alderway::interface::*;
@@ -8,329 +8,399 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Longer than any deadline, in steps of the policy's timer.
+const STEPS_AFTER_ALL_DEADLINES: usize = 700;
+const STEP_S: f64 = 0.01;
+/// The most tokens that the retry budget's bucket can have.
+const TOKENS_MAX: f64 = 40.0;
+/// The most tokens that a shard request can add to the retry budget.
+const TOKENS_PER_REQUEST_MAX: f64 = 0.1;
+
 #[derive(Clone, Debug)]
 enum Event {
-    /// Settings are offered_config; the cores come to them one after the other, in this order, by `Apply`.
+    /// The configuration of `config_of` is published. Each core applies it at a later `Apply`.
     Change {
-        slo: u8,
-        floor: bool,
-        effect: u8,
-        free: u8,
+        objective: u8,
+        allows_partial_answers: bool,
+        idempotency: u8,
+        burst: u8,
         ratio: u8,
-        gone: bool,
-        calls: u8,
+        removes_class: bool,
+        max_attempts: u8,
         router_count: u8,
     },
     Apply(u8),
     Query {
         core: u8,
         class: u8,
-        parts: u8,
+        request_count: u8,
     },
-    /// One of the attempts that are out ends.
+    /// One of the attempts in flight ends.
     AttemptEnds {
         which: u16,
-        how: u8,
+        outcome: u8,
     },
     Disconnected(u16),
     Wait(u8),
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let change =
-        (any::<[u8; 4]>(), any::<(bool, bool)>(), any::<[u8; 2]>()).prop_map(|(a, (floor, gone), b)| {
-            Event::Change {
-                slo: a[0],
-                floor,
-                effect: a[1],
-                free: a[2],
-                ratio: a[3],
-                gone,
-                calls: b[0],
-                router_count: b[1],
-            }
-        });
+    let change = (any::<[u8; 4]>(), any::<(bool, bool)>(), any::<[u8; 2]>()).prop_map(
+        |(a, (allows_partial_answers, removes_class), b)| Event::Change {
+            objective: a[0],
+            allows_partial_answers,
+            idempotency: a[1],
+            burst: a[2],
+            ratio: a[3],
+            removes_class,
+            max_attempts: b[0],
+            router_count: b[1],
+        },
+    );
     prop_oneof![
         2 => change,
         4 => any::<u8>().prop_map(Event::Apply),
-        8 => any::<[u8; 3]>().prop_map(|a| Event::Query { core: a[0], class: a[1], parts: a[2] % 5 + 1 }),
-        12 => any::<(u16, u8)>().prop_map(|(which, how)| Event::AttemptEnds { which, how }),
+        8 => any::<[u8; 3]>()
+            .prop_map(|a| Event::Query { core: a[0], class: a[1], request_count: a[2] % 5 + 1 }),
+        12 => any::<(u16, u8)>().prop_map(|(which, outcome)| Event::AttemptEnds { which, outcome }),
         1 => any::<u16>().prop_map(Event::Disconnected),
         8 => any::<u8>().prop_map(|steps| Event::Wait(steps % 60 + 1)),
     ]
 }
 
-/// What the property knows of an open query: its core, its class's config when it was taken, and until when.
-struct Open {
+/// An open query: its core, the class as of its arrival and that class's slot, and its progress.
+struct OpenQuery {
     core: usize,
     class: QueryClass,
+    slot: usize,
     objective_at: f64,
     not_after: f64,
     succeeded: usize,
-    parts: usize,
-    ran: BTreeSet<String>,
+    request_count: usize,
+    /// Shard requests with an attempt that may have had an effect.
+    possible_effects: BTreeSet<String>,
+}
+
+/// An attempt in flight.
+struct InFlight {
+    query: u64,
+    core: usize,
+    node: String,
+    started_at: f64,
+}
+
+/// A window that started at one of the events, for the limit on attempts after first ones.
+struct BudgetWindow {
+    /// The smallest burst of a retry budget in use during the window.
+    burst: f64,
+    /// Attempts that the shard requests of the window added to the budget.
+    added: f64,
+    /// Attempts after first ones in the window.
+    attempts: f64,
 }
 
-/// A core with the places of its two classes, as a desk keeps them.
+/// A core, with the slots of its query classes as a host assigns them.
 struct Core {
     host: Host,
     config: PolicyConfig,
-    current: Vec<usize>,
-    of: BTreeMap<usize, (QueryClass, usize)>,
-    left: BTreeSet<usize>,
-    not_applied: Vec<PolicyConfig>,
-    over: Vec<usize>,
+    /// The slots of the classes of `config`.
+    current_slots: Vec<usize>,
+    /// The class of each slot in use, and its number of open queries.
+    classes: BTreeMap<usize, (QueryClass, usize)>,
+    /// Slots whose class has been replaced or removed and that may have open queries.
+    replaced_slots: BTreeSet<usize>,
+    /// Published configurations that have not been applied yet.
+    pending_configs: Vec<PolicyConfig>,
+    /// Slots without open queries. The next round calls `class_retired` for them.
+    retired_slots: Vec<usize>,
 }
 
 impl Core {
-    fn apply(&mut self, new: PolicyConfig) -> Vec<String> {
-        let mut placed = vec![];
-        for (i, class) in new.query_classes.iter().enumerate() {
-            let follows = self.current.get(i).copied();
-            let stays = follows.filter(|at| self.of[at].0 == *class);
-            let used = |at: &usize| self.of.contains_key(at) || self.over.contains(at);
-            let at = stays.or_else(|| (0..).find(|at| !used(at))).expect("one is free");
-            self.of.entry(at).or_insert((class.clone(), 0));
-            placed.push(ClassSlot { slot: at, previous_slot: follows });
+    fn apply(&mut self, config: PolicyConfig) -> Vec<String> {
+        let mut slots = vec![];
+        for (index, class) in config.query_classes.iter().enumerate() {
+            let previous_slot = self.current_slots.get(index).copied();
+            let unchanged_slot = previous_slot.filter(|slot| self.classes[slot].0 == *class);
+            let is_used = |slot: &usize| self.classes.contains_key(slot) || self.retired_slots.contains(slot);
+            let slot = unchanged_slot.or_else(|| (0..).find(|slot| !is_used(slot))).expect("a free slot");
+            self.classes.entry(slot).or_insert((class.clone(), 0));
+            slots.push(ClassSlot { slot, previous_slot });
         }
-        let current: Vec<usize> = placed.iter().map(|p| p.slot).collect();
-        self.left.extend(self.current.iter().filter(|at| !current.contains(at)));
-        self.current = current;
-        self.config = new;
+        let current_slots: Vec<usize> = slots.iter().map(|class| class.slot).collect();
+        self.replaced_slots.extend(self.current_slots.iter().filter(|slot| !current_slots.contains(slot)));
+        self.current_slots = current_slots;
+        self.config = config;
         let config = &self.config;
-        self.host.round(|r| r.change_config(config, &placed))
+        self.host.round(|r| r.change_config(config, &slots))
     }
 
-    fn forget(&mut self) {
-        let over: Vec<usize> = self.left.iter().copied().filter(|at| self.of[at].1 == 0).collect();
-        for at in over {
-            self.left.remove(&at);
-            self.of.remove(&at);
-            // With the next round, as a desk tells it.
-            self.over.push(at);
+    /// Marks replaced slots without open queries as retired.
+    fn retire_slots(&mut self) {
+        let retired: Vec<usize> =
+            self.replaced_slots.iter().copied().filter(|slot| self.classes[slot].1 == 0).collect();
+        for slot in retired {
+            self.replaced_slots.remove(&slot);
+            self.classes.remove(&slot);
+            self.retired_slots.push(slot);
         }
     }
+
+    fn query_ended(&mut self, slot: usize) {
+        self.classes.get_mut(&slot).expect("a slot in use").1 -= 1;
+    }
 }
 
-fn offered_config(event: &Event) -> Option<PolicyConfig> {
-    let Event::Change { slo, floor, effect, free, ratio, gone, calls, router_count } = event else {
+/// The configuration of a `Change`.
+fn config_of(event: &Event) -> Option<PolicyConfig> {
+    let Event::Change {
+        objective,
+        allows_partial_answers,
+        idempotency,
+        burst,
+        ratio,
+        removes_class,
+        max_attempts,
+        router_count,
+    } = event
+    else {
         return None;
     };
     let deployment = Deployment::with(|d| {
-        d.class.latency_objective_s = 0.5 + f64::from(slo % 4) * 0.5;
-        d.class.minimum_fraction = if *floor { 0.4 } else { 1.0 };
-        d.class.idempotency = match effect % 3 {
+        d.class.latency_objective_s = 0.5 + f64::from(objective % 4) * 0.5;
+        d.class.minimum_fraction = if *allows_partial_answers { 0.4 } else { 1.0 };
+        d.class.idempotency = match idempotency % 3 {
             0 => Idempotency::Idempotent,
             1 => Idempotency::NonIdempotent,
             _ => Idempotency::IdempotentWithKey { window_s: 1.0 },
         };
-        d.other_classes = if *gone { vec![] } else { vec![Deployment::default().class] };
-        d.retry_budget = Some(RetryBudget { burst: f64::from(free % 6), ratio: f64::from(ratio % 3) * 0.05 });
+        d.other_classes = if *removes_class { vec![] } else { vec![Deployment::default().class] };
+        d.retry_budget =
+            Some(RetryBudget { burst: f64::from(burst % 6), ratio: f64::from(ratio % 3) * 0.05 });
         (d.capabilities.max_attempts, d.router_count) =
-            (usize::from(calls % 4) + 1, usize::from(router_count % 4) + 1);
+            (usize::from(max_attempts % 4) + 1, usize::from(router_count % 4) + 1);
     });
     Some(deployment.policy_config())
 }
 
-fn play(cores: usize, events: &[Event]) -> Result<(), TestCaseError> {
-    let common = SharedLimits::new(cores);
-    let first = offered_config(&Event::Change {
-        slo: 3,
-        floor: true,
-        effect: 0,
-        free: 5,
+fn burst_of(config: &PolicyConfig) -> f64 {
+    config.retry_budget.expect("a retry budget").burst
+}
+
+fn initial_config() -> PolicyConfig {
+    config_of(&Event::Change {
+        objective: 3,
+        allows_partial_answers: true,
+        idempotency: 0,
+        burst: 5,
         ratio: 1,
-        gone: false,
-        calls: 3,
+        removes_class: false,
+        max_attempts: 3,
         router_count: 1,
     })
-    .expect("terms");
-    let deployment = || Deployment {
-        class: first.query_classes[0].clone(),
-        other_classes: first.query_classes[1..].to_vec(),
-        router_count: first.router_count,
-        capabilities: first.capabilities,
-        retry_budget: first.retry_budget,
+    .expect("the configuration of a change")
+}
+
+fn new_core(config: &PolicyConfig, limits: SharedLimits) -> Core {
+    let mut host = Host::new(Deployment {
+        class: config.query_classes[0].clone(),
+        other_classes: config.query_classes[1..].to_vec(),
+        router_count: config.router_count,
+        capabilities: config.capabilities,
+        retry_budget: config.retry_budget,
         ..Deployment::default()
-    };
-    let mut all: Vec<Core> = (0..cores)
-        .map(|core| {
-            let mut host = Host::new(deployment());
-            host.use_shared_limits(common.for_core(core as u8));
-            let of = first.query_classes.iter().cloned().enumerate().map(|(at, v)| (at, (v, 0))).collect();
-            let (config, current) = (first.clone(), (0..first.query_classes.len()).collect());
-            Core { host, config, current, of, left: BTreeSet::new(), not_applied: vec![], over: vec![] }
-        })
-        .collect();
-    let (mut open, mut last): (BTreeMap<u64, (Open, usize)>, u64) = (BTreeMap::new(), 0);
-    let mut out: BTreeMap<(String, usize), (u64, usize, String, f64)> = BTreeMap::new();
-    let mut hops: BTreeMap<String, usize> = BTreeMap::new();
-    // For every window that began at one of the events so far: the least that was free in it, what its requests have
-    // earned, and the attempts past first ones that it has seen.
-    let mut windows: Vec<(f64, f64, f64)> = vec![];
-    let mut free = first.retry_budget.expect("stated").burst;
-    let closing = [Event::Apply(0), Event::Wait(0)];
+    });
+    host.use_shared_limits(limits);
+    Core {
+        host,
+        config: config.clone(),
+        current_slots: (0..config.query_classes.len()).collect(),
+        classes: config.query_classes.iter().cloned().map(|class| (class, 0)).enumerate().collect(),
+        replaced_slots: BTreeSet::new(),
+        pending_configs: vec![],
+        retired_slots: vec![],
+    }
+}
+
+fn play(core_count: usize, events: &[Event]) -> Result<(), TestCaseError> {
+    let limits = SharedLimits::new(core_count);
+    let initial = initial_config();
+    let mut cores: Vec<Core> =
+        (0..core_count).map(|core| new_core(&initial, limits.for_core(core as u8))).collect();
+    let (mut open, mut last_query): (BTreeMap<u64, OpenQuery>, u64) = (BTreeMap::new(), 0);
+    let mut in_flight: BTreeMap<(String, usize), InFlight> = BTreeMap::new();
+    let mut attempt_counts: BTreeMap<String, usize> = BTreeMap::new();
+    let mut windows: Vec<BudgetWindow> = vec![];
+    let mut burst = burst_of(&initial);
+    let final_events = [Event::Apply(0), Event::Wait(0)];
     let mut now = 100.0;
-    let events = events.iter().cloned().chain(closing);
-    for (step, what) in events.enumerate() {
-        let ended = step > 0 && matches!(what, Event::Wait(0));
-        windows.push((free, 0.0, 0.0));
+    let events = events.iter().cloned().chain(final_events);
+    for (step, event) in events.enumerate() {
+        let is_last = step > 0 && matches!(event, Event::Wait(0));
+        windows.push(BudgetWindow { burst, added: 0.0, attempts: 0.0 });
         let mut decisions: Vec<(usize, f64, Vec<String>)> = vec![];
-        match &what {
+        match &event {
             Event::Change { .. } => {
-                let new = offered_config(&what).expect("terms");
-                all.iter_mut().for_each(|core| core.not_applied.push(new.clone()));
+                let config = config_of(&event).expect("the configuration of a change");
+                cores.iter_mut().for_each(|core| core.pending_configs.push(config.clone()));
             }
-            &Event::Apply(at) => {
-                let core = &mut all[usize::from(at) % cores];
-                // A core that comes to them late comes to the current at once.
-                if let Some(new) = core.not_applied.pop() {
-                    core.not_applied.clear();
+            &Event::Apply(core) => {
+                let index = usize::from(core) % core_count;
+                let core = &mut cores[index];
+                // A core with several pending configurations applies only the newest one.
+                if let Some(config) = core.pending_configs.pop() {
+                    core.pending_configs.clear();
                     core.host.now = now;
-                    free = new.retry_budget.expect("stated").burst;
-                    windows.iter_mut().for_each(|w| w.0 = w.0.min(free));
-                    let shared = core.apply(new);
-                    decisions.push((usize::from(at) % cores, now, shared));
+                    burst = burst_of(&config);
+                    windows.iter_mut().for_each(|window| window.burst = window.burst.min(burst));
+                    decisions.push((index, now, core.apply(config)));
                 }
             }
-            Event::Query { core, class, parts } => {
-                let at = usize::from(*core) % cores;
-                let core = &mut all[at];
+            Event::Query { core, class, request_count } => {
+                let index = usize::from(*core) % core_count;
+                let core = &mut cores[index];
                 core.host.now = now;
-                let place = core.current[usize::from(*class) % core.current.len()];
-                let (class, count) = core.of.get_mut(&place).expect("it is there");
-                *count += 1;
-                last += 1;
-                let (n, parts, not_after) = (last, usize::from(*parts), now + class.deadline_s);
-                let objective_at = now + class.latency_objective_s;
-                let (class, succeeded) = (class.clone(), 0);
-                let ran = BTreeSet::new();
-                open.insert(
-                    n,
-                    (Open { core: at, class, objective_at, not_after, succeeded, parts, ran }, place),
-                );
-                let ratio = core.config.retry_budget.expect("stated").ratio.min(0.1);
-                windows.iter_mut().for_each(|w| w.1 += ratio * parts as f64);
-                let shards: Vec<u32> = (0..parts as u32).collect();
-                let shared = core.host.round(|r| {
-                    r.query_arrived(n, &format!("q{n}"), place, "", not_after);
-                    for shard in &shards {
-                        r.shard_request_added(n, &format!("p{n}.{shard}"), *shard, 1.0 / parts as f64);
+                let slot = core.current_slots[usize::from(*class) % core.current_slots.len()];
+                let (class, open_queries) = core.classes.get_mut(&slot).expect("a slot in use");
+                *open_queries += 1;
+                last_query += 1;
+                let (n, request_count) = (last_query, usize::from(*request_count));
+                let not_after = now + class.deadline_s;
+                let query = OpenQuery {
+                    core: index,
+                    class: class.clone(),
+                    slot,
+                    objective_at: now + class.latency_objective_s,
+                    not_after,
+                    succeeded: 0,
+                    request_count,
+                    possible_effects: BTreeSet::new(),
+                };
+                open.insert(n, query);
+                let ratio = core.config.retry_budget.expect("a retry budget").ratio;
+                let added = ratio.min(TOKENS_PER_REQUEST_MAX) * request_count as f64;
+                windows.iter_mut().for_each(|window| window.added += added);
+                let made = core.host.round(|r| {
+                    r.query_arrived(n, &format!("q{n}"), slot, "", not_after);
+                    for shard in 0..request_count as u32 {
+                        let weight = 1.0 / request_count as f64;
+                        r.shard_request_added(n, &format!("p{n}.{shard}"), shard, weight);
                     }
                 });
-                decisions.push((at, now, shared));
+                decisions.push((index, now, made));
             }
-            Event::AttemptEnds { which, how } => {
-                let key = out.keys().nth(usize::from(*which) % out.len().max(1)).cloned();
-                if let Some((key, (n, at, node, since))) = key.and_then(|key| out.remove_entry(&key)) {
+            Event::AttemptEnds { which, outcome } => {
+                let key = in_flight.keys().nth(usize::from(*which) % in_flight.len().max(1)).cloned();
+                if let Some((key, attempt)) = key.and_then(|key| in_flight.remove_entry(&key)) {
                     let outcome = [
                         AttemptOutcome::Success,
                         AttemptOutcome::Success,
                         AttemptOutcome::Rejected,
                         AttemptOutcome::Error,
                         AttemptOutcome::Unreachable,
-                    ][usize::from(*how) % 5];
-                    if let Some((query, _)) = open.get_mut(&n) {
+                    ][usize::from(*outcome) % 5];
+                    if let Some(query) = open.get_mut(&attempt.query) {
                         query.succeeded += usize::from(outcome == AttemptOutcome::Success);
                         if !outcome.had_no_effect() {
-                            query.ran.insert(key.0.clone());
+                            query.possible_effects.insert(key.0.clone());
                         }
                     }
-                    all[at].host.now = now;
-                    let shared = all[at].host.attempt_ended(&key.0, key.1, &node, outcome, now - since);
-                    decisions.push((at, now, shared));
+                    let host = &mut cores[attempt.core].host;
+                    host.now = now;
+                    let latency = now - attempt.started_at;
+                    let made = host.attempt_ended(&key.0, key.1, &attempt.node, outcome, latency);
+                    decisions.push((attempt.core, now, made));
                 }
             }
             Event::Disconnected(which) => {
                 let n = open.keys().nth(usize::from(*which) % open.len().max(1)).copied();
-                if let Some((n, (query, place))) = n.and_then(|n| open.remove_entry(&n)) {
-                    let core = &mut all[query.core];
+                if let Some((n, query)) = n.and_then(|n| open.remove_entry(&n)) {
+                    let core = &mut cores[query.core];
                     core.host.now = now;
-                    core.of.get_mut(&place).expect("it is there").1 -= 1;
-                    decisions.push((
-                        query.core,
-                        now,
-                        core.host.round(|r| r.client_disconnected(&format!("q{n}"))),
-                    ));
+                    core.query_ended(query.slot);
+                    let made = core.host.round(|r| r.client_disconnected(&format!("q{n}")));
+                    decisions.push((query.core, now, made));
                 }
             }
             Event::Wait(steps) => {
-                // At the end, for longer than any deadline.
-                for _ in 0..if ended { 700 } else { usize::from(*steps) } {
-                    now += 0.01;
-                    for (at, core) in all.iter_mut().enumerate() {
+                for _ in 0..if is_last { STEPS_AFTER_ALL_DEADLINES } else { usize::from(*steps) } {
+                    now += STEP_S;
+                    for (index, core) in cores.iter_mut().enumerate() {
                         core.host.now = now;
-                        let over = std::mem::take(&mut core.over);
-                        let shared = core.host.round(|r| {
-                            over.iter().for_each(|at| r.class_retired(*at));
+                        let retired_slots = std::mem::take(&mut core.retired_slots);
+                        let made = core.host.round(|r| {
+                            retired_slots.iter().for_each(|slot| r.class_retired(*slot));
                             r.timer_fired(1);
                         });
-                        decisions.push((at, now, shared));
+                        decisions.push((index, now, made));
                     }
                 }
             }
         }
-        let shared = decisions
-            .into_iter()
-            .flat_map(|(at, now, decisions)| decisions.into_iter().map(move |n| (at, now, n)));
-        for (at, now, note) in shared {
-            let words: Vec<&str> = note.split(' ').collect();
-            let number =
+        let decisions = decisions.into_iter().flat_map(|(core, at, decisions)| {
+            decisions.into_iter().map(move |decision| (core, at, decision))
+        });
+        for (core, at, decision) in decisions {
+            let words: Vec<&str> = decision.split(' ').collect();
+            let query_number =
                 |id: &str| id[1..].split('.').next().and_then(|n| n.parse::<u64>().ok()).expect("a number");
             match words[0] {
                 "attempt" => {
-                    let (n, attempt) = (number(words[1]), *hops.get(words[1]).unwrap_or(&0));
-                    hops.insert(words[1].into(), attempt + 1);
-                    out.insert((words[1].into(), attempt), (n, at, words[2].into(), now));
-                    let query = &open.get(&n).ok_or_else(|| TestCaseError::fail("a call of nobody"))?.0;
+                    let (n, request) = (query_number(words[1]), words[1]);
+                    let attempt = *attempt_counts.get(request).unwrap_or(&0);
+                    attempt_counts.insert(request.into(), attempt + 1);
+                    let started = InFlight { query: n, core, node: words[2].into(), started_at: at };
+                    in_flight.insert((request.into(), attempt), started);
+                    let query =
+                        open.get(&n).ok_or_else(|| TestCaseError::fail("an attempt of no open query"))?;
                     if attempt > 0 {
-                        let effect = query.class.idempotency;
                         prop_assert!(
-                            effect != Idempotency::NonIdempotent || !query.ran.contains(words[1]),
+                            query.class.idempotency != Idempotency::NonIdempotent
+                                || !query.possible_effects.contains(request),
                             "a second effect: {}",
-                            note
+                            decision
                         );
-                        for (free, earned, seen) in &mut windows {
-                            *seen += 1.0;
-                            let within = *seen <= *free + *earned + 1e-6;
-                            prop_assert!(within, "{} of {} and {} earned", seen, free, earned);
+                        for BudgetWindow { burst, added, attempts } in &mut windows {
+                            *attempts += 1.0;
+                            let is_within = *attempts <= *burst + *added + 1e-6;
+                            prop_assert!(is_within, "{} attempts of {} and {} added", attempts, burst, added);
                         }
                     }
                 }
                 "cancel" => {
-                    out.remove(&(words[1].into(), words[2].parse().expect("a attempt")));
+                    in_flight.remove(&(words[1].into(), words[2].parse().expect("an attempt")));
                 }
                 "answer" | "reject" | "fail" => {
-                    let found = open.remove(&number(words[1]));
-                    let (query, place) = found.ok_or_else(|| TestCaseError::fail("a second answer"))?;
-                    all[at].of.get_mut(&place).expect("it is there").1 -= 1;
-                    prop_assert!(now <= query.not_after + 1e-6, "past its deadline: {}", note);
-                    let share = query.succeeded as f64 / query.parts as f64;
+                    let ended = open.remove(&query_number(words[1]));
+                    let query = ended.ok_or_else(|| TestCaseError::fail("a second response"))?;
+                    cores[core].query_ended(query.slot);
+                    prop_assert!(at <= query.not_after + 1e-6, "after its deadline: {}", decision);
+                    let fraction = query.succeeded as f64 / query.request_count as f64;
                     if words[0] == "answer" {
                         prop_assert!(
-                            share >= query.class.minimum_fraction - 1e-3,
-                            "under its floor: {}",
-                            note
+                            fraction >= query.class.minimum_fraction - 1e-3,
+                            "below its minimum fraction: {}",
+                            decision
                         );
-                        let early = share < 1.0 - 1e-3 && now < query.objective_at - 0.05;
-                        prop_assert!(!early, "in part, and early: {}", note);
+                        let is_early = fraction < 1.0 - 1e-3 && at < query.objective_at - 0.05;
+                        prop_assert!(!is_early, "partial before its objective: {}", decision);
                     }
-                    let once = query.class.idempotency == Idempotency::NonIdempotent;
-                    prop_assert!(words[0] != "fail" || once, "an abort of what may be sent again");
+                    let may_fail = query.class.idempotency == Idempotency::NonIdempotent;
+                    prop_assert!(words[0] != "fail" || may_fail, "a failure of a query that may be retried");
                 }
                 _ => {}
             }
         }
-        for core in &mut all {
+        for core in &mut cores {
             core.host.now = now;
-            core.forget();
-            let most = core.current.len() + core.left.len();
-            prop_assert!(core.of.len() <= most, "{} places for {}", core.of.len(), most);
+            core.retire_slots();
+            let needed = core.current_slots.len() + core.replaced_slots.len();
+            let used = core.classes.len();
+            prop_assert!(used <= needed, "{} slots in use, {} needed", used, needed);
         }
-        prop_assert!(common.tokens() <= 40.0);
+        prop_assert!(limits.tokens() <= TOKENS_MAX);
     }
-    prop_assert!(open.is_empty(), "{} queries without an answer", open.len());
-    prop_assert!(all.iter().all(|core| core.left.is_empty()), "places left not_applied");
+    prop_assert!(open.is_empty(), "{} queries without a response", open.len());
+    prop_assert!(cores.iter().all(|core| core.replaced_slots.is_empty()), "slots that were not retired");
     Ok(())
 }
 
@@ -340,10 +410,10 @@
     })]
 
     #[test]
-    fn any_order_of_changes_loses_no_query_and_keeps_what_was_promised(
-        cores in 1usize..4,
+    fn changes_in_any_order_lose_no_query_and_keep_the_terms_of_open_ones(
+        core_count in 1usize..4,
         events in prop::collection::vec(event(), 1..120),
     ) {
-        play(cores, &events)?;
+        play(core_count, &events)?;
     }
 }
--- a/tests/events.rs
+++ b/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events of the endpoint list, and odd ones.
+//! Events of the endpoint list, and events that refer to unknown queries or nodes.
 
 mod common;
 use alderway::interface::*;
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn a_replaced_endpoint_list_drops_nodes_that_it_does_not_name() {
+fn a_replaced_endpoint_list_removes_nodes_that_it_does_not_contain() {
     let mut host = Host::with(|_| ());
     host.round(|r| {
         r.endpoint_list_replaced();
@@ -26,11 +26,11 @@
 }
 
 #[rstest]
-fn odd_but_legal_events_are_harmless() {
+fn events_for_unknown_queries_and_nodes_are_ignored() {
     let mut host = Host::with(|_| ());
     host.round(|r| {
-        r.attempt_ended("nobody", 3, "nowhere", AttemptOutcome::Success, 0.1);
-        r.client_disconnected("nobody");
+        r.attempt_ended("unknown", 3, "unknown", AttemptOutcome::Success, 0.1);
+        r.client_disconnected("unknown");
         r.timer_fired(99);
         r.shard_request_added(5, "orphan", 0, 1.0);
         r.endpoint_list_replaced();
--- a/tests/events_in_any_order.rs
+++ b/tests/events_in_any_order.rs
@@ -1,5 +1,5 @@
-//! A property of any order of queries, adopted attempts, ended attempts, splits, clients that leave, and data nodes that
-//! come, drain, restart and go: every query gets one final response, and nothing breaks on what another event removed.
+//! Property test: for any order of queries, adopted attempts, ended attempts, splits, disconnected clients, and data
+//! nodes that appear, drain, restart and are removed, every query gets one final response.
 
 mod common;
 use alderway::interface::*;
@@ -8,7 +8,7 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// Nodes that the endpoint list names at the start; as many again are unlisted until an event lists them.
+/// Number of nodes in the endpoint list at the start. As many others are unlisted until an event adds them.
 const LISTED_NODES: u8 = 3;
 const NODES: u8 = 2 * LISTED_NODES;
 /// Longer than any deadline, in seconds.
@@ -23,14 +23,36 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Query { class: bool, requests: Vec<Vec<Adopted>> },
-    AttemptEnds { which: u16, outcome: u8 },
-    Split { which: u16 },
-    Disconnected { which: u16 },
-    EndpointUpdated { node: u8, state: u8, started: u8 },
-    ListReplaced { named: u8 },
-    Observed { node: u8, unresponsive: bool },
-    Wait { steps: u8 },
+    Query {
+        class: bool,
+        requests: Vec<Vec<Adopted>>,
+    },
+    AttemptEnds {
+        which: u16,
+        outcome: u8,
+    },
+    Split {
+        which: u16,
+    },
+    Disconnected {
+        which: u16,
+    },
+    EndpointUpdated {
+        node: u8,
+        state: u8,
+        started: u8,
+    },
+    /// The endpoint list is replaced by the nodes whose bits are set.
+    ListReplaced {
+        listed: u8,
+    },
+    Observed {
+        node: u8,
+        unresponsive: bool,
+    },
+    Wait {
+        steps: u8,
+    },
 }
 
 fn adopted() -> impl Strategy<Value = Adopted> {
@@ -46,7 +68,7 @@
         1 => any::<u16>().prop_map(|which| Event::Disconnected { which }),
         4 => any::<(u8, u8, u8)>()
             .prop_map(|(node, state, started)| Event::EndpointUpdated { node, state, started }),
-        1 => any::<u8>().prop_map(|named| Event::ListReplaced { named }),
+        1 => any::<u8>().prop_map(|listed| Event::ListReplaced { listed }),
         2 => any::<(u8, bool)>().prop_map(|(node, unresponsive)| Event::Observed { node, unresponsive }),
         6 => (1u8..120).prop_map(|steps| Event::Wait { steps }),
     ]
@@ -70,17 +92,17 @@
     format!("n{}", node % NODES)
 }
 
-/// An attempt in flight, as a host knows it.
+/// An attempt in flight, as recorded by the host.
 struct InFlight {
     query: u64,
     node: String,
     started_at: f64,
 }
 
-/// What the host knows of an open query.
+/// An open query, as recorded by the host.
 struct OpenQuery {
     non_idempotent: bool,
-    /// Requests by id; for each of its attempts so far, whether that may have had an effect.
+    /// Shard requests by id; for each of the attempts so far, whether it may have had an effect.
     requests: BTreeMap<String, Vec<bool>>,
 }
 
@@ -111,7 +133,7 @@
             Event::Split { which } => self.split(*which),
             Event::Disconnected { which } => self.disconnect(*which),
             Event::EndpointUpdated { node, state, started } => self.update_endpoint(*node, *state, *started),
-            Event::ListReplaced { named } => self.replace_list(*named),
+            Event::ListReplaced { listed } => self.replace_list(*listed),
             Event::Observed { node, unresponsive } => {
                 let observation = NodeObservation {
                     observed_at_s: self.host.now,
@@ -179,7 +201,7 @@
         self.host.attempt_ended(&key.0, key.1, &ended.node, outcome, latency_s)
     }
 
-    /// Splits a shard request in two; each has the attempts in flight, which end for each on its own.
+    /// Splits a shard request in two. Each successor has the attempts in flight, which end separately for each.
     fn split(&mut self, which: u16) -> Vec<String> {
         let number = self.open.keys().nth(usize::from(which) % self.open.len().max(1)).copied();
         let Some(number) = number else { return vec![] };
@@ -215,17 +237,18 @@
         self.host.update_endpoint(&node_id(node), u32::from(node % NODES), state, started_at_s)
     }
 
-    fn replace_list(&mut self, named: u8) -> Vec<String> {
-        let is_named = |node: &u8| named & (1 << node) != 0;
-        self.states = (0..NODES).filter(is_named).map(|node| (node_id(node), NodeState::Serving)).collect();
+    fn replace_list(&mut self, listed: u8) -> Vec<String> {
+        let is_listed = |node: &u8| listed & (1 << node) != 0;
+        self.states = (0..NODES).filter(is_listed).map(|node| (node_id(node), NodeState::Serving)).collect();
         self.host.round(|r| {
             r.endpoint_list_replaced();
-            for node in (0..NODES).filter(is_named) {
+            for node in (0..NODES).filter(is_listed) {
                 r.endpoint_updated(&node_id(node), u32::from(node), NodeState::Serving, None);
             }
         })
     }
 
+    /// Checks decisions and updates the host's records.
     fn carry_out(&mut self, decisions: &[String]) -> Result<(), TestCaseError> {
         for decision in decisions {
             let words: Vec<&str> = decision.split(' ').collect();
@@ -246,11 +269,16 @@
     }
 
     fn check_attempt(&mut self, request: &str, node: &str) -> Result<(), TestCaseError> {
-        prop_assert_eq!(self.states.get(node), Some(&NodeState::Serving), "an attempt at {}", node);
+        prop_assert_eq!(
+            self.states.get(node),
+            Some(&NodeState::Serving),
+            "an attempt to {}, which is not serving",
+            node
+        );
         let now = self.host.now;
         let owner = self.open.iter_mut().find(|(_, query)| query.requests.contains_key(request));
-        let (&number, query) =
-            owner.ok_or_else(|| TestCaseError::fail(format!("an attempt of nobody: {request}")))?;
+        let (&number, query) = owner
+            .ok_or_else(|| TestCaseError::fail(format!("an attempt of an unknown request: {request}")))?;
         let effects = query.requests.entry(request.to_string()).or_default();
         let repeats_effect = query.non_idempotent && effects.contains(&true);
         prop_assert!(!repeats_effect, "a second effect of {}", request);
@@ -267,7 +295,8 @@
         cases: 150, rng_seed: RngSeed::Fixed(5701), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Guards against a panic or a lost query where an event refers to what an earlier one removed.
+    /// Guards against a panic or a lost query if an event refers to a query, request or node that an earlier one
+    /// removed.
     #[test]
     fn events_in_any_order_leave_every_query_with_one_final_response(
         can_hedge in any::<bool>(),
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which nodes are passed over or ejected.
+//! Which nodes are avoided or ejected.
 
 mod common;
 use alderway::interface::*;
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn a_slow_node_is_passed_over_until_its_avoidance_ends() {
+fn a_slow_node_is_avoided_for_a_while() {
     let mut host = Host::with(|d| d.capabilities.can_hedge = false);
     host.query(0, &[0]);
     host.wait(0.6);
@@ -29,13 +29,13 @@
     for (n, latency) in [(0, 1.4), (1, 0.6), (2, 0.6)] {
         host.query(n, &[0]);
         host.wait(0.01);
-        let asked = last_node(&host.decisions, &format!("p{n}.0"));
+        let node = last_node(&host.decisions, &format!("p{n}.0"));
         host.wait(latency - 0.01);
-        host.attempt_ended(&format!("p{n}.0"), 0, &asked, AttemptOutcome::Success, latency);
+        host.attempt_ended(&format!("p{n}.0"), 0, &node, AttemptOutcome::Success, latency);
     }
-    let far = last_node(&host.decisions, "p0.0");
+    let very_slow = last_node(&host.decisions, "p0.0");
     for n in 3..6 {
-        assert!(!attempts(&host.query(n, &[0])).iter().any(|c| c.ends_with(&far)));
+        assert!(!attempts(&host.query(n, &[0])).iter().any(|c| c.ends_with(&very_slow)));
     }
 }
 
@@ -48,8 +48,8 @@
     }
     let silent = last_node(&host.decisions, "p50.0");
     for n in 51..53 {
-        let asked = last_node(&host.decisions, &format!("p{n}.0"));
-        host.attempt_ended(&format!("p{n}.0"), 0, &asked, AttemptOutcome::Success, 0.01);
+        let node = last_node(&host.decisions, &format!("p{n}.0"));
+        host.attempt_ended(&format!("p{n}.0"), 0, &node, AttemptOutcome::Success, 0.01);
     }
     host.wait(0.4);
     assert_eq!(host.count(&format!("log node {silent} ejected")), 1);
@@ -72,37 +72,37 @@
 }
 
 #[rstest]
-fn a_stall_of_the_router_blames_no_node() {
+fn a_stall_of_the_router_does_not_make_a_node_late() {
     let mut host = Host::with(|_| ());
     host.answer_queries(0, 21, 0.1);
     host.query(50, &[0]);
-    let asked = last_node(&host.decisions, "p50.0");
+    let node = last_node(&host.decisions, "p50.0");
     host.now += 3.0;
     let after = host.round(|r| r.timer_fired(1));
     assert!(!after.iter().any(|n| n.contains("ejected") || n.starts_with("cancel")), "{after:?}");
-    host.attempt_ended("p50.0", 0, &asked, AttemptOutcome::Success, 3.0);
+    host.attempt_ended("p50.0", 0, &node, AttemptOutcome::Success, 3.0);
     host.wait(0.01);
     let from = host.decisions.len();
     host.answer_queries(60, 3, 0.05);
     assert!(
-        host.decisions[from..].iter().any(|n| n.starts_with("attempt") && n.ends_with(&asked)),
-        "not late"
+        host.decisions[from..].iter().any(|n| n.starts_with("attempt") && n.ends_with(&node)),
+        "the node is not avoided"
     );
 }
 
 #[rstest]
-fn refused_connections_eject_a_node_for_a_while() {
+fn an_unreachable_node_is_ejected_for_a_while() {
     let mut host = Host::with(|_| ());
     host.query(0, &[0]);
     host.attempt_ended("p0.0", 0, "n0", AttemptOutcome::Unreachable, 0.001);
-    assert_eq!(last_node(&host.decisions, "p0.0"), "n1", "its request moves on at once");
+    assert_eq!(last_node(&host.decisions, "p0.0"), "n1", "its request is retried at once");
     assert_eq!(host.count("log node n0 ejected"), 1);
     host.wait(1.5);
     assert_eq!(host.count("log node n0 readmitted"), 1);
 }
 
 #[rstest]
-fn an_unreachable_node_is_tried_again_after_six_seconds_however_many_routers_there_are() {
+fn an_unreachable_node_is_readmitted_after_six_seconds_for_any_number_of_routers() {
     let mut host = Host::with(|d| (d.node_count, d.router_count) = (1, 300));
     host.query(0, &[0]);
     for attempt in 0..2 {
@@ -111,13 +111,13 @@
     }
     assert_eq!((host.count("log node n0 ejected"), host.count("log node n0 readmitted")), (1, 0));
     host.wait(6.0);
-    assert_eq!(host.count("log node n0 readmitted"), 1, "hundreds of routers make no outage longer");
+    assert_eq!(host.count("log node n0 readmitted"), 1, "the number of routers does not extend the ejection");
 }
 
 #[rstest]
-#[case::broken(AttemptOutcome::ConnectionReset, 0)]
-#[case::refused(AttemptOutcome::Unreachable, 1)]
-fn a_connection_that_breaks_under_many_attempts_is_one_failure(
+#[case::connection_reset(AttemptOutcome::ConnectionReset, 0)]
+#[case::unreachable(AttemptOutcome::Unreachable, 1)]
+fn the_loss_of_a_connection_with_many_attempts_is_one_failure(
     #[case] outcome: AttemptOutcome,
     #[case] ejections: usize,
 ) {
@@ -130,12 +130,13 @@
     assert_eq!(host.count("log node n0 ejected"), ejections);
     host.round(|r| r.attempt_ended("p0.0", 1, "n0", outcome, 0.1));
     host.wait(0.05);
-    assert_eq!(host.count("log node n0 ejected"), 1, "with two in a row it is left out");
+    assert_eq!(host.count("log node n0 ejected"), 1, "two consecutive failures eject the node");
 }
 
-/// Guards against a node taken to be away for as long as nobody had asked it: at full size that is many seconds.
+/// Guards against counting the time in which a node had no attempts as time in which it did not answer. In a large
+/// deployment this can be many seconds.
 #[rstest]
-fn a_silent_node_is_expected_away_as_long_as_it_left_an_attempt_unanswered() {
+fn the_expected_wait_for_a_silent_node_is_the_age_of_its_oldest_attempt() {
     let mut host = Host::with(|d| (d.placement.groups_per_shard, d.class.deadline_s) = (1, 9.0));
     host.answer_queries(0, 20, 0.1);
     host.wait(60.0);
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Whether an action may happen now.
+//! Whether an action is allowed now.
 use alderway::interface::{Idempotency, NodeState};
 use alderway::permits::{self, AttemptStart, ConnectionClose, Denial};
 use rstest::rstest;
@@ -20,7 +20,7 @@
     NodeState::Serving,
     Err(Denial::PossibleEffect)
 )]
-fn an_attempt_starts_only_within_the_rules(
+fn an_attempt_starts_only_if_it_is_allowed(
     #[case] idempotency: Idempotency,
     #[case] first_effect_at_s: Option<f64>,
     #[case] deadline_s: f64,
@@ -64,7 +64,7 @@
 #[case(1.0, 2.0, 9.0, 1000)]
 #[case(1.0, 9.0, 2.0, 990)]
 #[case(1.0, 9.0, 1.0, 1)]
-fn the_advertised_timeout_is_shorter_than_what_the_client_has_left(
+fn the_advertised_timeout_ends_before_the_clients_deadline(
     #[case] now_s: f64,
     #[case] timeout_at_s: f64,
     #[case] not_after_s: f64,
--- a/tests/replica_selection.rs
+++ b/tests/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Which node an attempt goes to.
+//! Which data node an attempt goes to.
 
 mod common;
 use alderway::interface::*;
@@ -6,17 +6,17 @@
 use rstest::rstest;
 
 #[rstest]
-fn first_attempts_go_round_robin() {
+fn first_attempts_use_round_robin() {
     let mut host = Host::with(|_| ());
     for n in 0..6 {
-        let asked = last_node(&host.query(n, &[0]), &format!("p{n}.0"));
-        assert_eq!(asked, format!("n{}", n % 3));
-        host.attempt_ended(&format!("p{n}.0"), 0, &asked, AttemptOutcome::Success, 0.1);
+        let node = last_node(&host.query(n, &[0]), &format!("p{n}.0"));
+        assert_eq!(node, format!("n{}", n % 3));
+        host.attempt_ended(&format!("p{n}.0"), 0, &node, AttemptOutcome::Success, 0.1);
     }
 }
 
 #[rstest]
-fn the_next_in_round_robin_goes_when_all_are_slow() {
+fn round_robin_is_used_if_all_nodes_are_slow() {
     let mut host = Host::with(|d| d.capabilities.can_hedge = false);
     for n in 0..3 {
         host.query(n, &[0]);
@@ -36,7 +36,7 @@
 }
 
 #[rstest]
-fn requests_with_a_common_holder_are_batched_where_attempts_cost_work() {
+fn requests_with_a_common_holder_are_batched_if_attempts_cost_work() {
     let ring = ShardPlacement {
         replica_groups: 6,
         groups_per_shard: 3,
@@ -49,21 +49,26 @@
 }
 
 #[rstest]
-fn a_warm_node_with_any_capacity_takes_a_whole_batch() {
+fn a_warm_node_with_a_free_slot_takes_a_whole_batch() {
     let mut host = Host::new(Deployment::of_one_node());
     assert_eq!(attempts(&host.query(0, &[0, 1, 2])).len(), 3);
-    assert_eq!(attempts(&host.query(1, &[0, 1, 2])).len(), 3, "three of four places taken, three more sent");
+    assert_eq!(
+        attempts(&host.query(1, &[0, 1, 2])).len(),
+        3,
+        "three of four slots are in use, three more requests are sent"
+    );
     assert_eq!(attempts(&host.query(2, &[0])).len(), 0);
 }
 
-/// Guards against turns kept by shard: neighbouring shards of a query met on one of their holders by chance.
+/// Guards against a separate round robin for each shard, with which neighbouring shards of a query selected the same
+/// node by chance.
 #[rstest]
 fn shards_with_the_same_holders_share_round_robin() {
     let mut host = Host::with(|_| ());
-    let mut asked: Vec<String> = attempts(&host.query(0, &[0, 3, 6]))
+    let mut nodes: Vec<String> = attempts(&host.query(0, &[0, 3, 6]))
         .iter()
-        .map(|c| c.rsplit_once(' ').expect("a call").1.into())
+        .map(|c| c.rsplit_once(' ').expect("an attempt").1.into())
         .collect();
-    asked.sort();
-    assert_eq!(asked, ["n0", "n1", "n2"]);
+    nodes.sort();
+    assert_eq!(nodes, ["n0", "n1", "n2"]);
 }
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! What the token bucket pays for.
+//! Which attempts cost a token of the retry budget.
 
 mod common;
 use alderway::interface::*;
@@ -14,25 +14,28 @@
         for i in 0..3 {
             for attempt in 0..3 {
                 let decisions = host.decisions.clone();
-                let asked: Vec<_> =
+                let nodes: Vec<_> =
                     decisions.iter().filter_map(|c| c.strip_prefix(&format!("attempt p{n}.{i} "))).collect();
-                if let Some(node) = asked.get(attempt) {
+                if let Some(node) = nodes.get(attempt) {
                     host.attempt_ended(&format!("p{n}.{i}"), attempt, node, AttemptOutcome::Success, 0.05);
                 }
             }
         }
     }
     let hedges = host.count("attempt") - 72;
-    assert!((40..=47).contains(&hedges), "40 tokens and a tenth for each of 72 requests, not {hedges}");
+    assert!(
+        (40..=47).contains(&hedges),
+        "expected 40 tokens and 0.1 for each of 72 requests, found {hedges} hedges"
+    );
 }
 
 #[rstest]
-fn a_stated_budget_pays_for_every_further_attempt() {
+fn with_a_configured_budget_every_further_attempt_costs_a_token() {
     let mut host = Host::with(|d| d.retry_budget = Some(RetryBudget { burst: 2.0, ratio: 0.0 }));
     host.query(0, &[0, 1, 2, 0]);
     for request in ["p0.0", "p0.1", "p0.2", "p0.3"] {
-        let asked = last_node(&host.decisions, request);
-        host.attempt_ended(request, 0, &asked, AttemptOutcome::Error, 0.01);
+        let node = last_node(&host.decisions, request);
+        host.attempt_ended(request, 0, &node, AttemptOutcome::Error, 0.01);
     }
     host.wait(0.3);
     assert_eq!(host.count("attempt"), 4 + 2);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a node that is warming up may get.
+//! How much load a node that is warming up is sent.
 
 mod common;
 use alderway::interface::*;
@@ -20,13 +20,13 @@
     }
     let sent = attempts(&host.decisions[from..]).len() as f64;
     let bound = 2.5 * 0.2 * (host.now - start);
-    assert!(sent >= 1.0, "a warming node is not left idle");
-    // Of the 0.2 s that an answer takes on a quiet day, 0.15 s is work.
-    assert!(sent * 0.15 * 2.0 <= bound, "{sent} requests of 0.15 s by each of two routers, over {bound}");
+    assert!(sent >= 1.0, "a warming node gets some load");
+    // An answer takes 0.2 s without load, of which 0.15 s counts as work.
+    assert!(sent * 0.15 * 2.0 <= bound, "{sent} requests of 0.15 s by each of two routers exceed {bound} s");
 }
 
 #[rstest]
-fn a_warming_node_gets_single_requests_where_quotas_are_below_one() {
+fn a_warming_node_gets_single_requests_if_quotas_are_less_than_one() {
     let mut host = Host::with(|d| (d.node_count, d.router_count) = (1, 100));
     host.answer_queries(0, 20, 0.2);
     host.update_endpoint("n0", 0, NodeState::Serving, Some(host.now));
@@ -41,12 +41,12 @@
     let sent = attempts(&host.decisions[from..]).len();
     assert!(
         (1..=4).contains(&sent),
-        "{sent} requests of 0.2 s in 15 s, where a hundredth of 0.5 to 2.5 a second may"
+        "{sent} requests of 0.2 s in 15 s; the quota is a hundredth of 0.5 to 2.5 s of work per second"
     );
 }
 
 #[rstest]
-fn a_new_node_gets_one_request_at_first_and_more_with_its_answers() {
+fn a_new_node_gets_one_request_at_first_and_more_after_its_answers() {
     let mut host = Host::with(|d| {
         (d.node_count, d.slow_start) = (
             1,
@@ -61,11 +61,11 @@
     host.update_endpoint("n0", 0, NodeState::Serving, Some(host.now));
     assert_eq!(attempts(&host.query(0, &[0, 1, 2])).len(), 1);
     let next = host.attempt_ended("p0.0", 0, "n0", AttemptOutcome::Success, 0.05);
-    assert_eq!(attempts(&next).len(), 2, "its cap has grown to two");
+    assert_eq!(attempts(&next).len(), 2, "its concurrency limit has risen to two");
 }
 
 #[rstest]
-fn a_warming_node_gets_requests_of_an_unknown_class_by_what_is_known_of_others() {
+fn the_work_of_a_class_without_samples_is_estimated_from_other_classes() {
     let mut host =
         Host::with(|d| (d.node_count, d.router_count, d.other_classes) = (1, 100, vec![d.class.clone()]));
     host.answer_queries(0, 20, 0.02);
@@ -84,13 +84,13 @@
         host.round(|r| r.client_disconnected(&format!("q{n}")));
     }
     let sent = attempts(&host.decisions[from..]).len();
-    assert!((4..=12).contains(&sent), "{sent} requests, where at most 0.5 to 2.5 s of work in 100 s may go");
+    assert!((4..=12).contains(&sent), "{sent} requests; the quota is 0.5 to 2.5 s of work per 100 s");
 }
 
-/// Guards against ends within milliseconds that count as quick requests: a warming node was then sent one every
-/// few milliseconds.
+/// Guards against a flood of requests to a warming node: queries that were abandoned within milliseconds counted as
+/// quick requests, so that the node was sent one every few milliseconds.
 #[rstest]
-fn queries_abandoned_at_once_do_not_make_requests_look_light_to_a_warming_node() {
+fn queries_abandoned_at_once_do_not_lower_the_estimated_work_for_a_warming_node() {
     let mut host = Host::with(|d| {
         (d.router_count, d.placement.replica_groups, d.placement.groups_per_shard, d.node_count) =
             (20, 2, 1, 2)
@@ -103,9 +103,9 @@
         assert_eq!(host.attempt_ended(&format!("p{n}.0"), 0, "n0", AttemptOutcome::Cancelled, 0.01).len(), 0);
     }
     for n in 120..140 {
-        let asked = host.query(n, &[0]);
+        let decisions = host.query(n, &[0]);
         host.wait(0.2);
-        if !attempts(&asked).is_empty() {
+        if !attempts(&decisions).is_empty() {
             host.attempt_ended(&format!("p{n}.0"), 0, "n0", AttemptOutcome::Success, 0.2);
         }
     }
@@ -114,13 +114,13 @@
     host.update_endpoint("n0", 0, NodeState::Serving, Some(now));
     let from = host.decisions.len();
     for n in 140..240 {
-        let asked = host.query(n, &[0]);
+        let decisions = host.query(n, &[0]);
         host.wait(0.05);
-        if !attempts(&asked).is_empty() {
+        if !attempts(&decisions).is_empty() {
             host.attempt_ended(&format!("p{n}.0"), 0, "n0", AttemptOutcome::Success, 0.05);
         }
     }
     let sent = host.decisions[from..].iter().filter(|note| note.starts_with("attempt")).count();
-    // A request of 0.2 s; one router's share of 2.5 times a fifth of a core, twenty sharing, is a request in 8 s.
+    // Twenty routers share 2.5 times a fifth of a core, so that one router may send a request of 0.2 s every 8 s.
     assert!(sent <= 1, "{sent} requests in five seconds");
 }
