--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -178,7 +178,7 @@
         let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
             return Some(Denial::QueryEnded);
         };
-        let start = permits::AttemptStart {
+        let start = permits::AttemptToStart {
             now_s: now,
             deadline_s: self.attempts.get(id).map_or(now, |attempt| attempt.timeout_at_s),
             idempotency: self.query_classes[class].idempotency,
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -37,7 +37,7 @@
         let not_after_s =
             self.queries.requested(&id.request_id).map_or(now, |requested| requested.not_after_s);
         // The frame was allowed to begin a moment ago: time that passed since is the system's.
-        let start = permits::AttemptStart {
+        let start = permits::AttemptToStart {
             now_s: now,
             deadline_s: not_after_s + LATE_RESPONSE_S,
             idempotency,
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -146,7 +146,7 @@
     /// Whether this side ends a connection with its present response. Guards against dropping what has been read behind
     /// the request: it is owed a response as well.
     pub fn closes_connection(&self, client: &ClientConnection) -> bool {
-        let closing = permits::ConnectionClose {
+        let closing = permits::ConnectionToClose {
             query_open: false,
             unwritten: false,
             unread: client.has_bytes_behind.get(),
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -53,7 +53,7 @@
 
 /// An attempt whose frame is about to be written.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptStart {
+pub struct AttemptToStart {
     /// The current time.
     pub now_s: f64,
     /// When the attempt's time-out or the client's deadline passes, whichever is first.
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// `NodeNotServing`, `DeadlinePassed`, `IdempotencyWindowPassed` or `PossibleEffect`.
-pub fn may_start_attempt(attempt: &AttemptStart) -> Result<(), Denial> {
+pub fn may_start_attempt(attempt: &AttemptToStart) -> Result<(), Denial> {
     if attempt.node_state != NodeState::Serving {
         return Err(Denial::NodeNotServing);
     }
@@ -100,7 +100,7 @@
 
 /// The state of a client connection that the router wants to close.
 #[derive(Clone, Copy, Debug)]
-pub struct ConnectionClose {
+pub struct ConnectionToClose {
     /// Whether a query is open on it.
     pub query_open: bool,
     /// Whether bytes of an answer have not been written yet.
@@ -113,11 +113,11 @@
 ///
 /// # Errors
 /// `QueryOpen`, `UnwrittenBytes` or `UnreadBytes`.
-pub fn may_close_connection(connection: &ConnectionClose) -> Result<(), Denial> {
+pub fn may_close_connection(connection: &ConnectionToClose) -> Result<(), Denial> {
     match connection {
-        ConnectionClose { query_open: true, .. } => Err(Denial::QueryOpen),
-        ConnectionClose { unwritten: true, .. } => Err(Denial::UnwrittenBytes),
-        ConnectionClose { unread: true, .. } => Err(Denial::UnreadBytes),
+        ConnectionToClose { query_open: true, .. } => Err(Denial::QueryOpen),
+        ConnectionToClose { unwritten: true, .. } => Err(Denial::UnwrittenBytes),
+        ConnectionToClose { unread: true, .. } => Err(Denial::UnreadBytes),
         _ => Ok(()),
     }
 }
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,6 +1,6 @@
 //! Whether an action is allowed now.
 use alderway::interface::{Idempotency, NodeState};
-use alderway::permits::{self, AttemptStart, ConnectionClose, Denial};
+use alderway::permits::{self, AttemptToStart, ConnectionToClose, Denial};
 use rstest::rstest;
 
 const KEYED: Idempotency = Idempotency::IdempotentWithKey { window_s: 1.0 };
@@ -28,7 +28,7 @@
     #[case] expected: Result<(), Denial>,
 ) {
     assert_eq!(
-        permits::may_start_attempt(&AttemptStart {
+        permits::may_start_attempt(&AttemptToStart {
             now_s: 1.0,
             deadline_s,
             idempotency,
@@ -50,7 +50,7 @@
     #[case] unread: bool,
     #[case] expected: Result<(), Denial>,
 ) {
-    assert_eq!(permits::may_close_connection(&ConnectionClose { query_open, unwritten, unread }), expected);
+    assert_eq!(permits::may_close_connection(&ConnectionToClose { query_open, unwritten, unread }), expected);
 }
 
 #[rstest]
