--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -135,7 +135,7 @@
         Some(AttemptRequest {
             request_id: &id.request_id,
             shard: requested.shard,
-            timeout_ms: permits::advertised_timeout_ms(now, timeout_at_s, requested.not_after_s),
+            timeout_ms: permits::attempt_timeout_for_node_ms(now, timeout_at_s, requested.not_after_s),
             text: requested.text,
             keys: requested.keys.map(|keys| KeysAtVersion { version, keys }),
         })
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -93,7 +93,7 @@
 
 /// The time-out in milliseconds, at least 1, that an attempt which starts now sends to its data node. `timeout_at_s` is
 /// when the attempt times out, `not_after_s` is the client's deadline.
-pub fn advertised_timeout_ms(now_s: f64, timeout_at_s: f64, not_after_s: f64) -> u64 {
+pub fn attempt_timeout_for_node_ms(now_s: f64, timeout_at_s: f64, not_after_s: f64) -> u64 {
     let left_s = timeout_at_s.min(not_after_s - TRANSIT_MARGIN_S) - now_s;
     (left_s * 1e3).max(1.0) as u64
 }
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -70,5 +70,5 @@
     #[case] not_after_s: f64,
     #[case] expected_ms: u64,
 ) {
-    assert_eq!(permits::advertised_timeout_ms(now_s, timeout_at_s, not_after_s), expected_ms);
+    assert_eq!(permits::attempt_timeout_for_node_ms(now_s, timeout_at_s, not_after_s), expected_ms);
 }
