--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -113,7 +113,7 @@
         let started_at_s = match (known, reported_start_s) {
             (Some(record), _) => record.started_at_s,
             (None, reported) => {
-                reported.map(|start| start_time::bounded_start_time(start, now, self.last_contact_s))
+                reported.map(|start| start_time::estimated_process_start_s(start, now, self.last_contact_s))
             }
         };
         self.update(name, address, replica_group, state, started_at_s);
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -12,7 +12,7 @@
 ///
 /// After an estimate that is too late the node gets less load than it could take for a while; one that is too early may
 /// overload it.
-pub fn bounded_start_time(reported_s: f64, now_s: f64, last_list_at_s: Option<f64>) -> f64 {
+pub fn estimated_process_start_s(reported_s: f64, now_s: f64, last_list_at_s: Option<f64>) -> f64 {
     let earliest_s = last_list_at_s.map_or(f64::NEG_INFINITY, |at_s| at_s - LISTING_DELAY_MAX_S);
     reported_s.max(earliest_s).min(now_s)
 }
--- a/tests/start_time.rs
+++ b/tests/start_time.rs
@@ -1,5 +1,5 @@
 //! The estimated start of a data node's process.
-use alderway::start_time::bounded_start_time;
+use alderway::start_time::estimated_process_start_s;
 use rstest::rstest;
 
 #[rstest]
@@ -13,5 +13,5 @@
     #[case] last_list_at_s: Option<f64>,
     #[case] expected_s: f64,
 ) {
-    assert_eq!(bounded_start_time(reported_s, 100.0, last_list_at_s), expected_s);
+    assert_eq!(estimated_process_start_s(reported_s, 100.0, last_list_at_s), expected_s);
 }
