--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -5,7 +5,7 @@
 /// The keys whose values differ between two versions of the settings. Keys that routers on sockets do not read are left
 /// out, and `1` and `1.0` are the same number.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Changes {
+pub struct ChangedKeys {
     /// Keys that a running router applies between two rounds.
     pub live: Vec<&'static str>,
     /// Keys that need a restart.
@@ -46,10 +46,10 @@
 ];
 
 /// The keys whose values differ between `active` and `new`, both accepted by [`crate::Settings::read`].
-pub fn changes(active: &Value, new: &Value) -> Changes {
+pub fn changes(active: &Value, new: &Value) -> ChangedKeys {
     let differs = |key: &&'static str| !is_same(value_at(active, key), value_at(new, key));
     let differing = |keys: &[&'static str]| keys.iter().copied().filter(differs).collect();
-    Changes { live: differing(&LIVE_KEYS), restart: differing(&RESTART_KEYS) }
+    ChangedKeys { live: differing(&LIVE_KEYS), restart: differing(&RESTART_KEYS) }
 }
 
 /// The value at a path of keys joined by dots.
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -14,7 +14,7 @@
 use alderway::policy::Policy;
 use serde_json::Value;
 
-pub use changes::{Changes, changes};
+pub use changes::{ChangedKeys, changes};
 pub use error::SettingsError;
 pub use policy_config::policy_config;
 pub use router_config::{AdmissionConfig, ConnectionConfig, router_config};
--- a/crates/deployment/tests/settings.rs
+++ b/crates/deployment/tests/settings.rs
@@ -1,7 +1,7 @@
 //! How settings are read, and the errors for invalid ones.
 
 use alderway::interface::Idempotency;
-use alderway_deployment::{AdmissionConfig, Changes, ConnectionConfig, Settings, changes, parse};
+use alderway_deployment::{AdmissionConfig, ChangedKeys, ConnectionConfig, Settings, changes, parse};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -100,6 +100,6 @@
     #[case] live: &[&'static str],
     #[case] restart: &[&'static str],
 ) {
-    let expected = Changes { live: live.to_vec(), restart: restart.to_vec() };
+    let expected = ChangedKeys { live: live.to_vec(), restart: restart.to_vec() };
     assert_eq!(changes(&valid_settings(), &settings_with(path, value)), expected);
 }
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -4,7 +4,7 @@
 use super::startup::Role;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shared::SharedState;
-use alderway_deployment::{Changes, Settings, changes};
+use alderway_deployment::{ChangedKeys, Settings, changes};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -56,7 +56,7 @@
 /// A key is at fault, or differs and only changes with a start.
 pub fn check(settings: &Value, in_force: Option<&Value>) -> Result<CheckedSettings, ConfigError> {
     let parsed = Settings::read(settings).map_err(|error| ConfigError::Invalid(error.to_string()))?;
-    let changed = in_force.map_or(Changes::default(), |in_force| changes(in_force, settings));
+    let changed = in_force.map_or(ChangedKeys::default(), |in_force| changes(in_force, settings));
     if !changed.restart.is_empty() {
         return Err(ConfigError::RestartRequired(changed.restart.into_iter().map(str::to_string).collect()));
     }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -3,7 +3,7 @@
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
-use alderway_deployment::{Changes, Settings, changes};
+use alderway_deployment::{ChangedKeys, Settings, changes};
 use alderway_router::lifecycle::live_config::{Applied, ConfigError, LiveConfig, check};
 use alderway_router::lifecycle::startup::Role;
 use alderway_router::state::attempts::AttemptId;
@@ -90,7 +90,7 @@
 fn how_a_number_is_written_and_what_nobody_reads_is_no_change() {
     let mut new = with("/Services/0/Worth", json!(1.0));
     new["Comment"] = json!("as before");
-    assert_eq!(changes(&held(), &new), Changes::default());
+    assert_eq!(changes(&held(), &new), ChangedKeys::default());
 }
 
 // The dispatcher.
