--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -9,7 +9,7 @@
 use alderway::interface::{AttemptOutcome, NodeState, PolicyInput};
 use alderway::policy::Policy;
 use alderway_deployment as deployment;
-use line::{Line, NAME_FIELD, Result};
+use line::{Line, MESSAGE_NAME_FIELD, Result};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -59,7 +59,7 @@
             Err(_) => return line.malformed("StartedAtUs", "a time in microseconds or `-`"),
         },
     };
-    let replica_group = line.parsed("SlotNo", "a whole number")?;
+    let replica_group = line.read_parsed("SlotNo", "a whole number")?;
     line.expect_end()?;
     input.endpoint_updated(node, replica_group, state, started_at_s);
     Ok(())
@@ -155,7 +155,7 @@
                 input.fleet_latency_counts(u32::from(*late), u32::from(*in_time));
             }
         }
-        _ => return line.malformed(NAME_FIELD, "a message of the protocol"),
+        _ => return line.malformed(MESSAGE_NAME_FIELD, "a message of the protocol"),
     }
     line.expect_end()
 }
@@ -251,7 +251,7 @@
             lines.iter().enumerate().map(|(index, text)| Line::new(first_line_number + index, text));
         let mut frame = lines.next().unwrap_or(Line::new(first_line_number, "eob"));
         if frame.message != "frame" {
-            return frame.malformed(NAME_FIELD, "`frame` at the start of a batch");
+            return frame.malformed(MESSAGE_NAME_FIELD, "`frame` at the start of a batch");
         }
         let now_s = frame.seconds("(clock)")?;
         let serial = frame.whole_number("(batch number)")?;
@@ -299,7 +299,7 @@
             let current =
                 current_router.and_then(|name| events_by_router.get_mut(name).map(|events| (name, events)));
             let Some((name, events)) = current else {
-                return line.malformed(NAME_FIELD, "a `to` line before the first event");
+                return line.malformed(MESSAGE_NAME_FIELD, "a `to` line before the first event");
             };
             match line.message {
                 "down" => {
@@ -316,7 +316,7 @@
                     self.routers.insert(name.to_string(), router);
                 }
                 _ if !self.routers.contains_key(name) => {
-                    return line.malformed(NAME_FIELD, "`boot` before the other events of a router");
+                    return line.malformed(MESSAGE_NAME_FIELD, "`boot` before the other events of a router");
                 }
                 "directory_update" => {
                     // Resolved here, as a later `manifest` of the batch may reuse the number.
--- a/crates/simhost/src/wire/line.rs
+++ b/crates/simhost/src/wire/line.rs
@@ -22,7 +22,7 @@
 pub(super) type Result<T> = std::result::Result<T, MalformedLine>;
 
 /// Field that errors about a message's name refer to.
-pub(super) const NAME_FIELD: &str = "(message name)";
+pub(super) const MESSAGE_NAME_FIELD: &str = "(message name)";
 
 /// One line: the name of a message, followed by its fields.
 #[derive(Clone)]
@@ -65,22 +65,22 @@
         value.map_or_else(|| self.malformed(field, "a value, found `-`"), Ok)
     }
 
-    pub fn parsed<T: std::str::FromStr>(&mut self, field: &'static str, expected: &str) -> Result<T> {
+    pub fn read_parsed<T: std::str::FromStr>(&mut self, field: &'static str, expected: &str) -> Result<T> {
         let value = self.required(field)?;
         value.parse().or_else(|_| self.malformed(field, format!("{expected}, found `{value}`")))
     }
 
     pub fn whole_number(&mut self, field: &'static str) -> Result<u64> {
-        self.parsed(field, "a whole number")
+        self.read_parsed(field, "a whole number")
     }
 
     pub fn finite_number(&mut self, field: &'static str) -> Result<f64> {
-        let value: f64 = self.parsed(field, "a number")?;
+        let value: f64 = self.read_parsed(field, "a number")?;
         if value.is_finite() { Ok(value) } else { self.malformed(field, "a finite number") }
     }
 
     pub fn seconds(&mut self, field: &'static str) -> Result<f64> {
-        Ok(self.parsed::<i64>(field, "a time in microseconds")? as f64 / MICROSECONDS_PER_SECOND)
+        Ok(self.read_parsed::<i64>(field, "a time in microseconds")? as f64 / MICROSECONDS_PER_SECOND)
     }
 
     /// Checks a field that the policy does not use: a number or `-`.
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -33,8 +33,8 @@
     }
 }
 
-fn microseconds(span_s: f64) -> i64 {
-    (span_s * MICROSECONDS_PER_SECOND).round() as i64
+fn microseconds(duration_s: f64) -> i64 {
+    (duration_s * MICROSECONDS_PER_SECOND).round() as i64
 }
 
 impl DecisionSink for ReplyWriter {
@@ -60,8 +60,8 @@
         self.write_line(format_args!("surrender {query}"));
     }
 
-    fn set_timer(&mut self, span_s: f64, tag: u64) {
-        self.write_line(format_args!("set_alarm {} {tag}", microseconds(span_s)));
+    fn set_timer(&mut self, duration_s: f64, tag: u64) {
+        self.write_line(format_args!("set_alarm {} {tag}", microseconds(duration_s)));
     }
 
     fn poll_endpoints(&mut self) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -259,8 +259,8 @@
     fn reject(&mut self, query: &str, retry_after_s: Option<f64>);
     /// Fails a query that may have had an effect.
     fn fail(&mut self, query: &str);
-    /// Sets a timer that fires after `span_s` seconds.
-    fn set_timer(&mut self, span_s: f64, tag: u64);
+    /// Sets a timer that fires after `duration_s` seconds.
+    fn set_timer(&mut self, duration_s: f64, tag: u64);
     /// Polls discovery for changes of the endpoint list.
     fn poll_endpoints(&mut self);
     /// Writes a line to the log.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -33,10 +33,10 @@
 };
 use admission::LoadShedding;
 use attempts_by_age::AttemptsByAge;
-use hedge_success::HedgeSuccess;
+use hedge_success::HedgeStats;
 use latency::{ClassState, LatencyWindow};
 use node::Node;
-use query::{Query, RequestPosition, ShardClass};
+use query::{Query, ShardAndClass, ShardRequestPosition};
 use random::Pcg;
 use retry_budget::RetryTokenConfig;
 use std::collections::{BTreeMap, BTreeSet};
@@ -74,11 +74,11 @@
     serving_nodes: BTreeMap<u32, Vec<String>>,
     shards: BTreeMap<u32, ShardState>,
     /// Shards and query classes for which no holder can take a first attempt in this round.
-    exhausted_shards: BTreeSet<ShardClass>,
+    exhausted_shards: BTreeSet<ShardAndClass>,
     queries: BTreeMap<u64, Query>,
-    shard_requests: BTreeMap<String, RequestPosition>,
+    shard_requests: BTreeMap<String, ShardRequestPosition>,
     attempts_in_flight: AttemptsByAge,
-    hedge_success: HedgeSuccess,
+    hedge_stats: HedgeStats,
     /// Attempts started so far.
     attempts_started: u64,
     /// Estimated number of client retries to expect after queries that were not answered.
@@ -121,7 +121,7 @@
             poll_endpoints_at_s: if polls_endpoints { 0.0 } else { f64::INFINITY },
             ..Policy::default()
         };
-        policy.apply_retry_token_capacity();
+        policy.apply_capacity_to_token_bucket();
         policy
     }
 
@@ -129,7 +129,7 @@
     /// first round.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.shared_limits = limits;
-        self.apply_retry_token_capacity();
+        self.apply_capacity_to_token_bucket();
     }
 
     /// Runs one round at `now_s`: calls `deliver_events` for the events since the last round, then writes every
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,23 +2,23 @@
 //!
 //! Inputs are the expected latency of a query and the time left to it in seconds, the time that its shard requests may
 //! wait for their holders, the fraction of the queries of all routers that end late, and the query's priority weight
-//! per second of work. Above a threshold of load pressure, queries are rejected at random, those of less value more
+//! per second of work. Above a threshold of load estimate, queries are rejected at random, those of less value more
 //! often. This prevents an overload in which all queries wait and none is answered in time. The cost: if latencies are
 //! high for another reason than load, queries are rejected that would have been answered. While the usual latency fits
 //! into the time left, some queries are admitted at any pressure, as the end of an overload shows in answers only.
 
-use super::latency::{CLASS_SAMPLES_MIN, UNKNOWN_LATENCY_FRACTION};
+use super::latency::{CLASS_SAMPLES_MIN, DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE};
 use super::query::{Query, ShardRequest};
 use super::{Policy, WEIGHT_TOLERANCE_FRACTION};
 use crate::interface::DecisionSink;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Load pressure from which queries are rejected, and the range above it in which the rejection probability rises to 1.
-const PRESSURE_MIN: f64 = 0.3;
-const PRESSURE_RANGE: f64 = 0.4;
-/// Load pressure of a query whose holders are not expected to serve the minimum fraction in time.
-const PRESSURE_UNSERVABLE: f64 = 1.0;
-/// Fraction of the time left that a wait for a holder may take without raising the load pressure.
+/// Load estimate from which queries are rejected, and the range above it in which the rejection probability rises to 1.
+const LOAD_ESTIMATE_MIN: f64 = 0.3;
+const LOAD_ESTIMATE_RANGE: f64 = 0.4;
+/// Load estimate of a query whose holders are not expected to serve the minimum fraction in time.
+const LOAD_ESTIMATE_UNSERVABLE: f64 = 1.0;
+/// Fraction of the time left that a wait for a holder may take without raising the load estimate.
 const WAIT_TOLERANCE_FRACTION: f64 = 0.2;
 /// Highest rejection probability if the usual latency fits into the time left, and if it does not.
 const REJECTION_PROBABILITY_MAX: f64 = 0.85;
@@ -38,7 +38,7 @@
 const FLEET_QUERIES_MIN: u32 = 8;
 /// Retry-After of a query rejected on arrival, as a fraction of the time left to it.
 const RETRY_AFTER_FRACTION: f64 = 0.2;
-/// Shortest time left that load pressure is computed with, to avoid a division by zero.
+/// Shortest time left that load estimate is computed with, to avoid a division by zero.
 const TIME_LEFT_MIN_S: f64 = 0.001;
 /// Expected wait of a shard request without a serving holder.
 const NO_HOLDER_WAIT_S: f64 = 9e9;
@@ -62,7 +62,7 @@
 }
 
 impl LoadShedding {
-    pub fn record_fleet_counts(&mut self, at_s: f64, late: u32, in_time: u32) {
+    pub fn record_fleet_latency_counts(&mut self, at_s: f64, late: u32, in_time: u32) {
         self.fleet_counts.push_back(FleetLatencyCounts { at_s, late, in_time });
     }
 
@@ -112,16 +112,16 @@
         for number in new {
             let query = &self.queries[&number];
             let time_left_s = (query.in_time_until_s() - self.now_s).max(TIME_LEFT_MIN_S);
-            let load_pressure = self.load_pressure(query, time_left_s, fleet_late_fraction);
+            let load_estimate = self.load_estimate(query, time_left_s, fleet_late_fraction);
             let (class, value) = (query.class, self.value_per_work_second(query));
-            let probability = self.rejection_probability(class, load_pressure, value, time_left_s);
+            let probability = self.rejection_probability(class, load_estimate, value, time_left_s);
             if self.load_shedding.update(probability) {
-                sink.log(&self.load_shedding_log_line(load_pressure));
+                sink.log(&self.load_shedding_log_line(load_estimate));
             }
             if self.random.next_fraction() < probability {
                 let advice_s = RETRY_AFTER_FRACTION * time_left_s;
                 let retry_after_s = self.capabilities.max_retry_after_s.map(|most_s| most_s.min(advice_s));
-                self.abandon(number, retry_after_s, sink);
+                self.abandon_query(number, retry_after_s, sink);
             } else if let Some(query) = self.queries.get_mut(&number) {
                 query.admitted = true;
             }
@@ -156,7 +156,7 @@
     }
 
     /// The fraction of the time left that a query is expected to take. From 1 on its answer would be late.
-    fn load_pressure(&self, query: &Query, time_left_s: f64, fleet_late_fraction: f64) -> f64 {
+    fn load_estimate(&self, query: &Query, time_left_s: f64, fleet_late_fraction: f64) -> f64 {
         let class = &self.classes[query.class].config;
         let (mut servable, mut servable_weight, mut longest_wait_s) = (0, 0.0, 0.0f64);
         for request in &query.requests {
@@ -169,7 +169,7 @@
         }
         let minimum = class.minimum_fraction - WEIGHT_TOLERANCE_FRACTION;
         if servable < query.requests.len() && servable_weight < minimum {
-            return PRESSURE_UNSERVABLE;
+            return LOAD_ESTIMATE_UNSERVABLE;
         }
         let expected_s = self.expected_latency_s(query);
         let with_wait = (expected_s + longest_wait_s) / time_left_s - WAIT_TOLERANCE_FRACTION;
@@ -184,15 +184,15 @@
         let class = &self.classes[query.class];
         let minimum_fraction = class.config.minimum_fraction;
         let slowest_fraction = 1.0 - 1.0 / (1.0 + query.requests.len() as f64);
-        let unknown_s = UNKNOWN_LATENCY_FRACTION * class.config.latency_objective_s;
+        let default_s = DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE * class.config.latency_objective_s;
         let slowest_s = class
             .latencies
             .quantile(slowest_fraction.min(minimum_fraction), CLASS_SAMPLES_MIN)
-            .unwrap_or(unknown_s);
+            .unwrap_or(default_s);
         if minimum_fraction < class.config.complete_fraction {
             slowest_s
         } else {
-            (slowest_s * class.typical_latency_s()).sqrt()
+            (slowest_s * class.median_latency_s()).sqrt()
         }
     }
 
@@ -207,26 +207,27 @@
     fn rejection_probability(
         &mut self,
         class: usize,
-        load_pressure: f64,
+        load_estimate: f64,
         value: f64,
         time_left_s: f64,
     ) -> f64 {
         let factor = self.load_shedding.rejection_factor(value);
-        let max_probability = if time_left_s < self.typical_latency_s(class) {
+        let max_probability = if time_left_s < self.median_latency_s(class) {
             REJECTION_PROBABILITY_MAX_LATE
         } else {
             REJECTION_PROBABILITY_MAX
         };
-        (((load_pressure - PRESSURE_MIN) / PRESSURE_RANGE).clamp(0.0, 1.0) * factor).min(max_probability)
+        (((load_estimate - LOAD_ESTIMATE_MIN) / LOAD_ESTIMATE_RANGE).clamp(0.0, 1.0) * factor)
+            .min(max_probability)
     }
 
-    fn load_shedding_log_line(&self, load_pressure: f64) -> String {
+    fn load_shedding_log_line(&self, load_estimate: f64) -> String {
         let change = if self.load_shedding.active { "on" } else { "off" };
         let probability = self.load_shedding.smoothed_rejection_probability;
         let open = self.queries.len();
         format!(
             "load shedding {change}: rejection probability {probability:.2}, \
-             load pressure {load_pressure:.2}, {open} queries open"
+             load estimate {load_estimate:.2}, {open} queries open"
         )
     }
 }
--- a/src/policy/attempts_by_age.rs
+++ b/src/policy/attempts_by_age.rs
@@ -1,7 +1,7 @@
 //! An index of attempts in flight by age, which finds the late ones without visiting the others. It has a separate
 //! queue for each pair of shard and query class, as all attempts of a pair are late after the same delay.
 
-use super::query::ShardClass;
+use super::query::ShardAndClass;
 use std::collections::{BTreeMap, VecDeque};
 
 /// The position of an attempt.
@@ -24,23 +24,23 @@
 /// late.
 #[derive(Default)]
 pub(super) struct AttemptsByAge {
-    by_key: BTreeMap<ShardClass, VecDeque<StartedAttempt>>,
+    by_key: BTreeMap<ShardAndClass, VecDeque<StartedAttempt>>,
 }
 
 impl AttemptsByAge {
     /// Adds an attempt that did not start before any other of its key.
-    pub fn push(&mut self, key: ShardClass, started_at_s: f64, position: AttemptPosition) {
+    pub fn push(&mut self, key: ShardAndClass, started_at_s: f64, position: AttemptPosition) {
         self.by_key.entry(key).or_default().push_back(StartedAttempt { started_at_s, position });
     }
 
     /// Adds an attempt that may have started before others of its key.
-    pub fn insert(&mut self, key: ShardClass, started_at_s: f64, position: AttemptPosition) {
+    pub fn insert(&mut self, key: ShardAndClass, started_at_s: f64, position: AttemptPosition) {
         let attempts = self.by_key.entry(key).or_default();
         let at = attempts.partition_point(|other| other.started_at_s <= started_at_s);
         attempts.insert(at, StartedAttempt { started_at_s, position });
     }
 
-    pub fn remove(&mut self, key: ShardClass, position: AttemptPosition) {
+    pub fn remove(&mut self, key: ShardAndClass, position: AttemptPosition) {
         let Some(attempts) = self.by_key.get_mut(&key) else { return };
         if let Some(at) = attempts.iter().position(|attempt| attempt.position == position) {
             attempts.remove(at);
@@ -54,14 +54,17 @@
     pub fn late(
         &mut self,
         now_s: f64,
-        delay_s: impl Fn(ShardClass) -> f64,
-        is_live: impl Fn(AttemptPosition) -> bool,
+        delay_s: impl Fn(ShardAndClass) -> f64,
+        is_in_flight_uncancelled: impl Fn(AttemptPosition) -> bool,
     ) -> Vec<AttemptPosition> {
         let mut late = Vec::new();
         for (&key, attempts) in &mut self.by_key {
             let delay_s = delay_s(key);
             let count = attempts.partition_point(|attempt| now_s - attempt.started_at_s > delay_s);
-            let live: Vec<_> = attempts.drain(..count).filter(|attempt| is_live(attempt.position)).collect();
+            let live: Vec<_> = attempts
+                .drain(..count)
+                .filter(|attempt| is_in_flight_uncancelled(attempt.position))
+                .collect();
             late.extend(live.iter().map(|attempt| attempt.position));
             live.into_iter().rev().for_each(|attempt| attempts.push_front(attempt));
         }
--- a/src/policy/client_retry.rs
+++ b/src/policy/client_retry.rs
@@ -18,7 +18,7 @@
 
 impl Policy {
     /// Whether a new query is regarded as a client's retry.
-    pub(super) fn is_client_retry(&mut self, class: usize, not_after_s: f64) -> bool {
+    pub(super) fn detect_client_retry(&mut self, class: usize, not_after_s: f64) -> bool {
         let time_left_s = not_after_s - self.now_s;
         let longest_s = &mut self.classes[class].longest_time_left_s;
         *longest_s = longest_s.max(time_left_s);
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -29,7 +29,7 @@
         let Some(query) = self.queries.get(&number) else { return };
         match self.completion(query) {
             Completion::Answer { complete } => self.answer(number, complete, sink),
-            Completion::Abandon => self.abandon(number, self.capabilities.max_retry_after_s, sink),
+            Completion::Abandon => self.abandon_query(number, self.capabilities.max_retry_after_s, sink),
             Completion::Wait { next_check_at_s } => {
                 if let Some(query) = self.queries.get_mut(&number) {
                     query.next_check_at_s = next_check_at_s;
@@ -82,8 +82,8 @@
             request.succeeded
                 || request.is_in_flight()
                 || !may_have_crashed_nodes
-                    && self.may_attempt(query, request)
-                    && self.has_holder_in_time(query, request)
+                    && self.may_attempt_again(query, request)
+                    && self.has_holder_available_before_deadline(query, request)
         };
         weight_fraction(&query.requests, &reachable) < minimum
     }
@@ -93,14 +93,14 @@
     fn is_out_of_time(&self, query: &Query, minimum: f64) -> bool {
         let started = |request: &ShardRequest| request.succeeded || request.is_in_flight();
         query.admitted
-            && self.now_s + self.typical_latency_s(query.class) > query.in_time_until_s()
+            && self.now_s + self.median_latency_s(query.class) > query.in_time_until_s()
             && weight_fraction(&query.requests, &started) < minimum
     }
 
     /// The time until which an answer to a shard request has a value. This is the latency objective if late answers
     /// have no value, or too little during load shedding, or if the query is then answered partially; otherwise the
     /// deadline. Attempts time out at this time, so that nodes do no work that no client waits for.
-    pub(super) fn useful_until_s(&self, query: &Query) -> f64 {
+    pub(super) fn answer_useful_until_s(&self, query: &Query) -> f64 {
         let class = &self.classes[query.class].config;
         let ends_at_objective = class.late_weight_fraction <= 0.0
             || class.minimum_fraction < class.complete_fraction
@@ -127,7 +127,12 @@
     }
 
     /// Ends a query without an answer: rejects it if a retry is harmless, fails it if it may have had an effect.
-    pub(super) fn abandon(&mut self, number: u64, retry_after_s: Option<f64>, sink: &mut dyn DecisionSink) {
+    pub(super) fn abandon_query(
+        &mut self,
+        number: u64,
+        retry_after_s: Option<f64>,
+        sink: &mut dyn DecisionSink,
+    ) {
         self.record_unanswered_requests(number);
         self.record_unserved(self.queries[&number].is_client_retry);
         let query = &self.queries[&number];
@@ -151,14 +156,14 @@
     fn record_unanswered_requests(&mut self, number: u64) {
         let query = &self.queries[&number];
         let class = &mut self.classes[query.class];
-        let (typical_s, objective_s) = (class.typical_latency_s(), class.config.latency_objective_s);
+        let (median_s, objective_s) = (class.median_latency_s(), class.config.latency_objective_s);
         for request in query.requests.iter().filter(|request| !request.succeeded) {
             let Some(first) = request.attempts.first() else { continue };
             // If all nodes were at capacity, the shard request would not have been answered within the objective.
             let all_rejected = request.attempts.iter().all(|attempt| attempt.rejected);
             let age_s = self.now_stall_free_s - first.started_at_stall_free_s;
             let latency_s = if all_rejected { objective_s } else { age_s };
-            if latency_s > typical_s {
+            if latency_s > median_s {
                 class.latencies.record(latency_s, CLASS_SAMPLES_MAX);
             }
         }
@@ -182,7 +187,7 @@
                 continue;
             }
             for (number, attempt) in request.attempts.iter().enumerate() {
-                if attempt.is_live() {
+                if attempt.is_in_flight_uncancelled() {
                     sink.cancel_attempt(&request.id, number);
                 }
             }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -46,7 +46,7 @@
     }
 
     /// Number of shard requests that may start in addition to those in flight.
-    pub fn free_slots(&self, in_flight: usize) -> usize {
+    pub fn additional_requests_allowed(&self, in_flight: usize) -> usize {
         (self.limit - in_flight as f64).max(0.0).floor() as usize
     }
 
--- a/src/policy/config_changes.rs
+++ b/src/policy/config_changes.rs
@@ -33,7 +33,7 @@
         self.placement.max_batch = config.placement.max_batch;
         self.placement.attempt_overhead_s = config.placement.attempt_overhead_s;
         self.retry_tokens = RetryTokenConfig::new(config.retry_budget);
-        self.apply_retry_token_capacity();
+        self.apply_capacity_to_token_bucket();
         let previous = std::mem::replace(&mut self.slow_start, config.slow_start);
         self.change_slow_start(previous);
     }
@@ -93,7 +93,7 @@
     fn change_slow_start(&mut self, previous: Option<SlowStartConfig>) {
         let Some(rule) = self.slow_start else { return };
         let known_s = warm_up_history_s(previous);
-        let knows_window = known_s >= rule.window_s && !self.shared_limits.is_shared();
+        let knows_window = known_s >= rule.window_s && !self.shared_limits.has_several_cores();
         // With several cores, a core has recorded only the work of its own turns, which lasted as long as the previous
         // window.
         if knows_window || previous.is_some_and(|previous| previous.window_s >= rule.window_s) {
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -4,7 +4,7 @@
 use super::attempts_by_age::AttemptPosition;
 use super::latency::SHARD_SAMPLES_MAX;
 use super::node::Node;
-use super::query::{Query, RequestPosition, ShardClass, ShardRequest};
+use super::query::{Query, ShardAndClass, ShardRequest, ShardRequestPosition};
 use super::{Policy, ShardState};
 use crate::interface::{AttemptOutcome, NodeObservation, NodeState, PolicyInput};
 
@@ -53,7 +53,7 @@
     }
 
     fn query_arrived(&mut self, number: u64, id: &str, class: usize, tenant: &str, not_after_s: f64) {
-        let is_client_retry = self.is_client_retry(class, not_after_s);
+        let is_client_retry = self.detect_client_retry(class, not_after_s);
         let config = &self.classes[class].config;
         // The latency objective of a retry counts from the client's first query.
         let counts_from_s = if is_client_retry { not_after_s - config.deadline_s } else { self.now_s };
@@ -80,7 +80,7 @@
         let groups = f64::from(self.placement.groups_per_shard);
         let round_robin_offset = (self.random.next_fraction() * groups * OFFSET_DRAWS_PER_GROUP) as usize;
         self.shards.entry(shard).or_insert_with(|| ShardState::new(round_robin_offset));
-        let position = RequestPosition { query: number, index: query.requests.len() };
+        let position = ShardRequestPosition { query: number, index: query.requests.len() };
         self.shard_requests.insert(id.into(), position);
         query.next_check_at_s = 0.0;
         query.requests.push(ShardRequest {
@@ -91,7 +91,7 @@
             hedges: 0,
             attempts: vec![],
         });
-        self.deposit_retry_tokens();
+        self.deposit_tokens_for_new_request();
     }
 
     fn attempt_ended(
@@ -112,7 +112,7 @@
             self.record_request_outcome(position, attempt, outcome, latency_s);
         }
         if let Some(in_flight) = in_flight {
-            self.record_connection_loss(outcome);
+            self.record_if_connection_lost(outcome);
             self.record_node_outcome(node_id, outcome, latency_s, in_flight.late_after_s);
         }
     }
@@ -131,7 +131,7 @@
     }
 
     fn fleet_latency_counts(&mut self, late: u32, in_time: u32) {
-        self.load_shedding.record_fleet_counts(self.now_s, late, in_time);
+        self.load_shedding.record_fleet_latency_counts(self.now_s, late, in_time);
     }
 
     fn node_observed(&mut self, id: &str, observation: NodeObservation) {
@@ -147,7 +147,7 @@
     /// Records the end of an attempt for its shard request, and its latency.
     fn record_request_outcome(
         &mut self,
-        position: RequestPosition,
+        position: ShardRequestPosition,
         number: usize,
         outcome: AttemptOutcome,
         latency_s: f64,
@@ -158,7 +158,7 @@
         let request = &mut query.requests[position.index];
         let age_position =
             AttemptPosition { query: position.query, request: position.index, attempt: number };
-        self.attempts_in_flight.remove(ShardClass { shard: request.shard, class }, age_position);
+        self.attempts_in_flight.remove(ShardAndClass { shard: request.shard, class }, age_position);
         let is_first_success = outcome == AttemptOutcome::Success && !request.succeeded;
         request.succeeded |= outcome == AttemptOutcome::Success;
         let decided = decided_hedges(request, number, is_first_success);
--- a/src/policy/hedge_success.rs
+++ b/src/policy/hedge_success.rs
@@ -13,7 +13,7 @@
 /// Hedges with a lower win rate cost more work than they save.
 const WORTHWHILE_WIN_RATE: f64 = 0.4;
 /// Shortest time between two trials while hedges are not worthwhile.
-const TRIAL_INTERVAL_S: f64 = 0.25;
+const TRIAL_HEDGE_INTERVAL_S: f64 = 0.25;
 
 /// A moving average of the fraction of hedges that have won.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,19 +39,19 @@
 
 /// The results of the hedges of all nodes.
 #[derive(Default)]
-pub(super) struct HedgeSuccess {
+pub(super) struct HedgeStats {
     pub win_rate: WinRate,
-    last_trial_at_s: Option<f64>,
+    last_trial_hedge_at_s: Option<f64>,
 }
 
-impl HedgeSuccess {
+impl HedgeStats {
     /// Whether a hedge may be sent as a trial.
-    pub fn trial_is_due(&self, now_s: f64) -> bool {
-        self.last_trial_at_s.is_none_or(|at_s| now_s - at_s >= TRIAL_INTERVAL_S)
+    pub fn trial_hedge_is_due(&self, now_s: f64) -> bool {
+        self.last_trial_hedge_at_s.is_none_or(|at_s| now_s - at_s >= TRIAL_HEDGE_INTERVAL_S)
     }
 
     /// Records that a hedge is sent as a trial.
-    pub fn record_trial(&mut self, now_s: f64) {
-        self.last_trial_at_s = Some(now_s);
+    pub fn record_trial_hedge(&mut self, now_s: f64) {
+        self.last_trial_hedge_at_s = Some(now_s);
     }
 }
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -11,7 +11,7 @@
 use super::hedge_success::WinRate;
 use super::node::Node;
 use super::outlier_detection::{Health, VERY_LATE_MULTIPLE};
-use super::query::{Attempt, Query, RequestPosition, ShardClass, ShardRequest};
+use super::query::{Attempt, Query, ShardAndClass, ShardRequest, ShardRequestPosition};
 use crate::interface::{DecisionSink, Idempotency};
 use std::collections::BTreeSet;
 
@@ -33,13 +33,14 @@
     /// Returns the queries with a late attempt.
     pub(super) fn queries_with_late_attempts(&mut self) -> BTreeSet<u64> {
         let mut attempts = std::mem::take(&mut self.attempts_in_flight);
-        let is_live = |position: AttemptPosition| {
+        let is_in_flight_uncancelled = |position: AttemptPosition| {
             let query = self.queries.get(&position.query);
             let request = query.and_then(|query| query.requests.get(position.request));
             let attempt = request.and_then(|request| request.attempts.get(position.attempt));
-            attempt.is_some_and(|attempt| attempt.is_live())
+            attempt.is_some_and(|attempt| attempt.is_in_flight_uncancelled())
         };
-        let late = attempts.late(self.now_stall_free_s, |key| self.late_after_s(key), is_live);
+        let late =
+            attempts.late(self.now_stall_free_s, |key| self.late_after_s(key), is_in_flight_uncancelled);
         self.attempts_in_flight = attempts;
         late.into_iter().map(|position| position.query).collect()
     }
@@ -50,24 +51,24 @@
         let Some(query) = self.queries.get(&number) else { return };
         let may_have_crashed_nodes = query.may_have_crashed_nodes();
         for index in 0..query.requests.len() {
-            let position = RequestPosition { query: number, index };
+            let position = ShardRequestPosition { query: number, index };
             let request = &self.queries[&number].requests[index];
             if request.succeeded {
-                self.cancel_live_attempts(position, sink);
+                self.cancel_attempts_in_flight(position, sink);
             } else if !may_have_crashed_nodes {
                 self.hedge_if_late(position, sink);
             }
         }
     }
 
-    fn hedge_if_late(&mut self, position: RequestPosition, sink: &mut dyn DecisionSink) {
+    fn hedge_if_late(&mut self, position: ShardRequestPosition, sink: &mut dyn DecisionSink) {
         let query = &self.queries[&position.query];
         let request = &query.requests[position.index];
         let Some(action) = self.late_action(query, request) else { return };
         let Some(node) = self.select_node(position, &[request.shard], 1) else { return };
         match action {
             LateAction::Hedge { bypassed_node } => self.hedge(position, bypassed_node, &node.id, sink),
-            LateAction::Replace => self.cancel_live_attempts(position, sink),
+            LateAction::Replace => self.cancel_attempts_in_flight(position, sink),
         }
     }
 
@@ -75,17 +76,19 @@
     /// a trial is due.
     fn hedge(
         &mut self,
-        position: RequestPosition,
+        position: ShardRequestPosition,
         bypassed_node: String,
         to: &str,
         sink: &mut dyn DecisionSink,
     ) {
         let is_worthwhile = self.hedge_win_rate(&bypassed_node).is_worthwhile();
-        if !is_worthwhile && !self.hedge_success.trial_is_due(self.now_s) || !self.try_charge_hedge() {
+        if !is_worthwhile && !self.hedge_stats.trial_hedge_is_due(self.now_s)
+            || !self.try_take_token_for_hedge()
+        {
             return;
         }
         if !is_worthwhile {
-            self.hedge_success.record_trial(self.now_s);
+            self.hedge_stats.record_trial_hedge(self.now_s);
         }
         self.start_attempt(position, to, sink);
         let query = self.queries.get_mut(&position.query);
@@ -98,7 +101,7 @@
     /// The win rate of hedges that bypass a node. If none of them has ended yet, that of the hedges of all nodes.
     fn hedge_win_rate(&self, bypassed_node: &str) -> WinRate {
         let own = self.nodes.get(bypassed_node).and_then(|node| node.hedge_win_rate);
-        own.unwrap_or(self.hedge_success.win_rate)
+        own.unwrap_or(self.hedge_stats.win_rate)
     }
 
     /// Records that a hedge that bypassed a node has won or lost.
@@ -108,23 +111,23 @@
         if let Some(node) = self.nodes.get_mut(bypassed_node) {
             node.hedge_win_rate = Some(win_rate);
         }
-        self.hedge_success.win_rate.record(won);
+        self.hedge_stats.win_rate.record(won);
     }
 
     /// What to do about a shard request if it is late, provided that another node is available.
     fn late_action(&self, query: &Query, request: &ShardRequest) -> Option<LateAction> {
-        let newest = request.attempts.iter().rfind(|attempt| attempt.is_live())?;
-        let late_after_s = self.late_after_s(ShardClass { shard: request.shard, class: query.class });
+        let newest = request.attempts.iter().rfind(|attempt| attempt.is_in_flight_uncancelled())?;
+        let late_after_s = self.late_after_s(ShardAndClass { shard: request.shard, class: query.class });
         let is_late = self.now_stall_free_s - newest.started_at_stall_free_s > late_after_s;
-        if !is_late || !self.may_attempt(query, request) || !self.can_afford_retry() {
+        if !is_late || !self.may_attempt_again(query, request) || !self.budget_allows_retry() {
             return None;
         }
-        if self.may_hedge(query, request) && self.has_retry_token() {
+        if self.may_hedge(query, request) && self.bucket_has_token() {
             return Some(LateAction::Hedge { bypassed_node: newest.node.clone() });
         }
-        let replacement_s = REPLACEMENT_TIME_FRACTION * self.typical_latency_s(query.class);
+        let replacement_s = REPLACEMENT_TIME_FRACTION * self.median_latency_s(query.class);
         let in_time = self.now_s + replacement_s < query.objective_at_s;
-        let mut live = request.attempts.iter().filter(|attempt| attempt.is_live());
+        let mut live = request.attempts.iter().filter(|attempt| attempt.is_in_flight_uncancelled());
         let stuck = live.all(|attempt| self.is_stuck(attempt, late_after_s));
         (in_time && stuck).then_some(LateAction::Replace)
     }
@@ -149,14 +152,14 @@
         age_s > VERY_LATE_MULTIPLE * late_after_s && self.nodes.get(&attempt.node).is_none_or(unresponsive)
     }
 
-    fn cancel_live_attempts(&mut self, position: RequestPosition, sink: &mut dyn DecisionSink) {
+    fn cancel_attempts_in_flight(&mut self, position: ShardRequestPosition, sink: &mut dyn DecisionSink) {
         if !self.capabilities.can_cancel {
             return;
         }
         let Some(query) = self.queries.get_mut(&position.query) else { return };
         let request = &mut query.requests[position.index];
         for (number, attempt) in request.attempts.iter_mut().enumerate() {
-            if attempt.is_live() {
+            if attempt.is_in_flight_uncancelled() {
                 attempt.cancelled = true;
                 sink.cancel_attempt(&request.id, number);
             }
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -5,7 +5,7 @@
 //! a fraction of the latency objective.
 
 use super::Policy;
-use super::query::ShardClass;
+use super::query::ShardAndClass;
 use crate::interface::QueryClass;
 use std::collections::VecDeque;
 
@@ -17,7 +17,7 @@
 /// Number of latencies of a class from which its quantiles are used.
 pub(super) const CLASS_SAMPLES_MIN: usize = 16;
 /// Number of latencies of a class from which its median is used as the usual latency.
-const TYPICAL_SAMPLES_MIN: usize = 5;
+const MEDIAN_SAMPLES_MIN: usize = 5;
 
 const MEDIAN: f64 = 0.5;
 /// Quantile of a shard's latencies after which an attempt is late.
@@ -26,7 +26,7 @@
 /// over all shards would be raised by the slow nodes that hedges are meant to bypass.
 const LATE_MEDIAN_MULTIPLE: f64 = 2.0;
 /// Latency of a class without samples, as a fraction of its latency objective.
-pub(super) const UNKNOWN_LATENCY_FRACTION: f64 = 0.25;
+pub(super) const DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE: f64 = 0.25;
 /// Longest delay after which an attempt is late, as a fraction of the latency objective: a later hedge could not
 /// succeed in time.
 const LATE_MAX_FRACTION: f64 = 0.5;
@@ -109,20 +109,20 @@
     }
 
     /// The usual latency of a shard request in seconds, queueing included.
-    pub fn typical_latency_s(&self) -> f64 {
-        let unknown_s = UNKNOWN_LATENCY_FRACTION * self.config.latency_objective_s;
-        self.latencies.quantile(MEDIAN, TYPICAL_SAMPLES_MIN).unwrap_or(unknown_s).max(LATENCY_MIN_S)
+    pub fn median_latency_s(&self) -> f64 {
+        let default_s = DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE * self.config.latency_objective_s;
+        self.latencies.quantile(MEDIAN, MEDIAN_SAMPLES_MIN).unwrap_or(default_s).max(LATENCY_MIN_S)
     }
 
     /// The lowest median as a fraction of the latency objective.
-    fn work_fraction(&self) -> Option<f64> {
+    fn lowest_median_fraction(&self) -> Option<f64> {
         Some(self.lowest_median_s / self.config.latency_objective_s).filter(|fraction| fraction.is_finite())
     }
 }
 
 impl Policy {
     /// The delay in seconds after which an attempt is late.
-    pub(super) fn late_after_s(&self, key: ShardClass) -> f64 {
+    pub(super) fn late_after_s(&self, key: ShardAndClass) -> f64 {
         let class = &self.classes[key.class];
         let objective_s = class.config.latency_objective_s;
         let of_shard =
@@ -130,22 +130,22 @@
         let of_class = || {
             let median_s = class.latencies.quantile(MEDIAN, CLASS_SAMPLES_MIN);
             let multiple_s = median_s.map_or(0.0, |median_s| LATE_MEDIAN_MULTIPLE * median_s);
-            multiple_s.max(UNKNOWN_LATENCY_FRACTION * objective_s)
+            multiple_s.max(DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE * objective_s)
         };
         of_shard.unwrap_or_else(of_class).min(LATE_MAX_FRACTION * objective_s)
     }
 
     /// The usual latency of a shard request in seconds, queueing included.
-    pub(super) fn typical_latency_s(&self, class: usize) -> f64 {
-        self.classes[class].typical_latency_s()
+    pub(super) fn median_latency_s(&self, class: usize) -> f64 {
+        self.classes[class].median_latency_s()
     }
 
     /// The work of one shard request in seconds, without queueing. A class without samples is assumed to need the same
     /// fraction of its latency objective as the class with the largest known fraction.
     pub(super) fn request_work_s(&self, class: usize) -> f64 {
-        let largest = || self.classes.iter().filter_map(ClassState::work_fraction).reduce(f64::max);
+        let largest = || self.classes.iter().filter_map(ClassState::lowest_median_fraction).reduce(f64::max);
         let class = &self.classes[class];
-        let fraction = class.work_fraction().or_else(largest).unwrap_or(WORK_MAX_FRACTION);
+        let fraction = class.lowest_median_fraction().or_else(largest).unwrap_or(WORK_MAX_FRACTION);
         fraction.min(WORK_MAX_FRACTION) * class.config.latency_objective_s
     }
 }
--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -57,7 +57,7 @@
 
     /// Creates the record of a node that is not in the endpoint list but has an attempt of another host. No attempts
     /// are sent to the node. If the list contains it later, that entry replaces these values.
-    pub fn unlisted() -> Self {
+    pub fn without_endpoint_entry() -> Self {
         Node::new(0, NodeState::Removed, None, None)
     }
 
@@ -92,7 +92,7 @@
 
     /// How much work the node may be sent now.
     pub fn capacity(&self, inputs: &CapacityInputs) -> NodeCapacity {
-        let free = self.concurrency.free_slots(self.in_flight.len());
+        let free = self.concurrency.additional_requests_allowed(self.in_flight.len());
         self.warm_up_load.capacity(inputs, self.started_at_s, free)
     }
 
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -12,7 +12,7 @@
 /// An attempt that takes this many times the delay after which attempts are late is very late.
 pub(super) const VERY_LATE_MULTIPLE: f64 = 2.5;
 /// Consecutive failures from which a node is ejected.
-const EJECTION_FAILURES: i32 = 2;
+const EJECTION_FAILURES: u32 = 2;
 /// The duration of an ejection grows by this factor with each failure, up to the maximum factor.
 const EJECTION_GROWTH: f64 = 1.6;
 const EJECTION_FACTOR_MAX: f64 = 16.0;
@@ -77,7 +77,7 @@
     ejected_until_s: f64,
     /// Time for which the node is avoided for being late.
     avoidance_s: f64,
-    consecutive_failures: i32,
+    consecutive_failures: u32,
     last_connection_loss_at_s: f64,
     /// Whether an attempt has ended since the health was last shared.
     changed_since_shared: bool,
@@ -163,7 +163,7 @@
             self.consecutive_failures += failures;
         }
         if self.consecutive_failures >= EJECTION_FAILURES {
-            let factor = EJECTION_GROWTH.powi(self.consecutive_failures).min(EJECTION_FACTOR_MAX);
+            let factor = EJECTION_GROWTH.powi(self.consecutive_failures as i32).min(EJECTION_FACTOR_MAX);
             let unit_s = attempt.avoidance_min_s().max(EJECTION_UNIT_MIN_S);
             self.ejected_until_s = now_s + (factor * unit_s).min(EJECTION_MAX_S);
         }
@@ -216,7 +216,7 @@
         self.own.last_answer_at_s
     }
 
-    pub fn consecutive_failures(&self) -> i32 {
+    pub fn consecutive_failures(&self) -> u32 {
         self.own.consecutive_failures
     }
 
@@ -258,7 +258,7 @@
         if age_s < 0.0 || observed_at_s <= own_at_s || observed_at_s <= self.remote.observed_at_s {
             return;
         }
-        let until_s = |span_s: f64| observed_at_s + span_s.clamp(0.0, REMOTE_MAX_S);
+        let until_s = |duration_s: f64| observed_at_s + duration_s.clamp(0.0, REMOTE_MAX_S);
         self.remote = RemoteObservation {
             observed_at_s,
             slow_until_s: until_s(slow_for_s),
@@ -331,7 +331,7 @@
     /// flight.
     pub(super) fn update_node_health(&mut self, sink: &mut dyn DecisionSink) {
         let (now_s, clock_s) = (self.now_stall_free_s, self.now_s);
-        let shares_observations = self.shared_limits.is_shared();
+        let shares_observations = self.shared_limits.has_several_cores();
         let mut any_removable = false;
         for (id, node) in &mut self.nodes {
             any_removable |= node.is_removable();
--- a/src/policy/query.rs
+++ b/src/policy/query.rs
@@ -62,7 +62,7 @@
 
 /// The position of a shard request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct RequestPosition {
+pub(super) struct ShardRequestPosition {
     pub query: u64,
     /// Index among the query's shard requests.
     pub index: usize,
@@ -70,14 +70,14 @@
 
 /// A shard and a query class, the key of latencies and capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ShardClass {
+pub(super) struct ShardAndClass {
     pub shard: u32,
     pub class: usize,
 }
 
 impl Attempt {
     /// Whether the attempt is in flight and not cancelled.
-    pub fn is_live(&self) -> bool {
+    pub fn is_in_flight_uncancelled(&self) -> bool {
         self.in_flight && !self.cancelled
     }
 }
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -9,9 +9,10 @@
 use super::Policy;
 use super::attempts_by_age::AttemptPosition;
 use super::outlier_detection::{Health, InFlightAttempt};
-use super::query::{Attempt, Query, RequestPosition, ShardClass, ShardRequest};
+use super::query::{Attempt, Query, ShardAndClass, ShardRequest, ShardRequestPosition};
 use super::slow_start::{CapacityInputs, NodeCapacity, warm_up_history_s};
 use crate::interface::{DecisionSink, Idempotency, NodeState};
+use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
 
 /// Time-out of an attempt that can be retried but not cancelled, as a fraction of the latency objective.
@@ -32,7 +33,7 @@
 struct CandidateRank {
     health: u8,
     /// `usize::MAX` minus the number of waiting shard requests that the holder can take.
-    not_batched: usize,
+    batch_size: Reverse<usize>,
     last_attempt: u64,
     /// Distance from the shard's round robin offset; orders nodes that this router has never sent to.
     step: usize,
@@ -53,7 +54,7 @@
         }
         for (id, node) in &self.nodes {
             if node.state == NodeState::Serving {
-                let group = self.placement.group_of(node.replica_group);
+                let group = self.placement.replica_group_index(node.replica_group);
                 self.serving_nodes.entry(group).or_default().push(id.clone());
             }
         }
@@ -101,7 +102,7 @@
 
     /// Whether any holder could still take a shard request before the deadline. If not, the query is abandoned, so that
     /// it does not cause work on other nodes while the last holder of one shard is full.
-    pub(super) fn has_holder_in_time(&self, query: &Query, request: &ShardRequest) -> bool {
+    pub(super) fn has_holder_available_before_deadline(&self, query: &Query, request: &ShardRequest) -> bool {
         let inputs = self.capacity_inputs(query.class, 1);
         let holders = self.serving_holders(request.shard);
         let is_eligible = self.is_eligible(request, &holders, inputs.request_work_s);
@@ -116,7 +117,7 @@
     /// shards of the query's waiting shard requests, this one included.
     pub(super) fn select_node(
         &self,
-        position: RequestPosition,
+        position: ShardRequestPosition,
         waiting_shards: &[u32],
         max_batch: usize,
     ) -> Option<SelectedNode> {
@@ -163,7 +164,7 @@
             let batched = waiting_shards.iter().filter(held).count().min(capacity.requests);
             let rank = CandidateRank {
                 health: node.health.rank() + u8::from(tried),
-                not_batched: usize::MAX - batched,
+                batch_size: Reverse(batched),
                 last_attempt: node.last_attempt,
                 step,
             };
@@ -178,7 +179,7 @@
             return;
         };
         let waits = |request: &ShardRequest| {
-            !request.succeeded && !request.is_in_flight() && self.may_attempt(query, request)
+            !request.succeeded && !request.is_in_flight() && self.may_attempt_again(query, request)
         };
         let mut waiting: VecDeque<usize> =
             (0..query.requests.len()).filter(|&index| waits(&query.requests[index])).collect();
@@ -215,15 +216,15 @@
         let mut started = BTreeSet::new();
         let query = &self.queries[&number];
         let first = &query.requests[group[0]];
-        let key = ShardClass { shard: first.shard, class: query.class };
+        let key = ShardAndClass { shard: first.shard, class: query.class };
         let is_first_attempt = first.attempts.is_empty();
         // Checked first, as node selection is more expensive.
-        let lacks_token = !is_first_attempt && !self.can_afford_retry();
+        let lacks_token = !is_first_attempt && !self.budget_allows_retry();
         if lacks_token || self.exhausted_shards.contains(&key) {
             return started;
         }
         let shards: Vec<u32> = group.iter().map(|&index| query.requests[index].shard).collect();
-        let position = RequestPosition { query: number, index: group[0] };
+        let position = ShardRequestPosition { query: number, index: group[0] };
         let Some(selected) = self.select_node(position, &shards, max_batch) else {
             if is_first_attempt {
                 self.exhausted_shards.insert(key);
@@ -236,8 +237,8 @@
             if fits && self.placement.holds(&selected.id, replica_group, shard) {
                 started.insert(index);
                 let is_retry = !self.queries[&number].requests[index].attempts.is_empty();
-                if !is_retry || self.try_charge_retry() {
-                    self.start_attempt(RequestPosition { query: number, index }, &selected.id, sink);
+                if !is_retry || self.try_take_token_for_retry() {
+                    self.start_attempt(ShardRequestPosition { query: number, index }, &selected.id, sink);
                 }
             }
         }
@@ -254,19 +255,19 @@
         } else {
             f64::INFINITY
         };
-        limit_s.min(self.useful_until_s(query) - self.now_s)
+        limit_s.min(self.answer_useful_until_s(query) - self.now_s)
     }
 
     /// Starts an attempt of a shard request to a node.
     pub(super) fn start_attempt(
         &mut self,
-        position: RequestPosition,
+        position: ShardRequestPosition,
         node_id: &str,
         sink: &mut dyn DecisionSink,
     ) {
         let query = &self.queries[&position.query];
         let timeout_s = self.attempt_timeout_s(query, &query.requests[position.index]);
-        let key = ShardClass { shard: query.requests[position.index].shard, class: query.class };
+        let key = ShardAndClass { shard: query.requests[position.index].shard, class: query.class };
         let (late_after_s, work_s) = (self.late_after_s(key), self.request_work_s(key.class));
         let (now_s, now_stall_free_s) = (self.now_s, self.now_stall_free_s);
         let Some(query) = self.queries.get_mut(&position.query) else { return };
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -14,7 +14,7 @@
 
 impl ShardRequest {
     /// Whether idempotency and the most attempts allow one more attempt.
-    pub fn may_attempt(&self, now_s: f64, idempotency: Idempotency, max_attempts: usize) -> bool {
+    pub fn may_attempt_again(&self, now_s: f64, idempotency: Idempotency, max_attempts: usize) -> bool {
         let first_effect = self.attempts.iter().find(|attempt| attempt.possible_effect);
         self.attempts.len() < max_attempts
             && match (idempotency, first_effect) {
@@ -41,14 +41,14 @@
 
 impl Policy {
     /// Whether one more attempt of a shard request is allowed now.
-    pub(super) fn may_attempt(&self, query: &Query, request: &ShardRequest) -> bool {
+    pub(super) fn may_attempt_again(&self, query: &Query, request: &ShardRequest) -> bool {
         let idempotency = self.classes[query.class].config.idempotency;
-        request.may_attempt(self.now_s, idempotency, self.capabilities.max_attempts)
+        request.may_attempt_again(self.now_s, idempotency, self.capabilities.max_attempts)
     }
 
     /// Records the loss of a connection during an attempt. Queries then start with a single attempt until a node that
     /// crashed would have warmed up.
-    pub(super) fn record_connection_loss(&mut self, outcome: AttemptOutcome) {
+    pub(super) fn record_if_connection_lost(&mut self, outcome: AttemptOutcome) {
         if outcome == AttemptOutcome::ConnectionReset {
             self.single_attempts_until_s = self.now_s + self.slow_start.map_or(0.0, |rule| rule.warm_up_s);
         }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -22,7 +22,7 @@
     pub tokens_per_request: f64,
     pub capacity_tokens: f64,
     /// Whether every attempt after a first one costs a token, not only hedges.
-    pub charges_retries: bool,
+    pub retries_cost_tokens: bool,
 }
 
 impl RetryTokenConfig {
@@ -32,47 +32,47 @@
                 .map_or(TOKENS_PER_REQUEST_MAX, |budget| budget.ratio.min(TOKENS_PER_REQUEST_MAX)),
             capacity_tokens: configured
                 .map_or(CAPACITY_MAX_TOKENS, |budget| budget.burst.min(CAPACITY_MAX_TOKENS)),
-            charges_retries: configured.is_some(),
+            retries_cost_tokens: configured.is_some(),
         }
     }
 }
 
 impl Policy {
     /// Applies the configured capacity to the bucket that the cores share.
-    pub(super) fn apply_retry_token_capacity(&self) {
+    pub(super) fn apply_capacity_to_token_bucket(&self) {
         let config = &self.retry_tokens;
-        self.shared_limits.change_capacity(config.capacity_tokens, config.charges_retries);
+        self.shared_limits.change_capacity(config.capacity_tokens, config.retries_cost_tokens);
     }
 
     /// Adds the tokens of a new shard request.
-    pub(super) fn deposit_retry_tokens(&self) {
+    pub(super) fn deposit_tokens_for_new_request(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(config.tokens_per_request, config.capacity_tokens);
     }
 
     /// Removes the tokens of a shard request that already added tokens on another host.
-    pub(super) fn return_retry_tokens(&self) {
+    pub(super) fn undo_deposit_for_adopted_request(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(-config.tokens_per_request, config.capacity_tokens);
     }
 
     /// Whether the bucket holds a whole token.
-    pub(super) fn has_retry_token(&self) -> bool {
+    pub(super) fn bucket_has_token(&self) -> bool {
         self.shared_limits.tokens() >= ATTEMPT_COST_TOKENS
     }
 
     /// Whether there is a token for a retry, or retries cost none.
-    pub(super) fn can_afford_retry(&self) -> bool {
-        !self.retry_tokens.charges_retries || self.has_retry_token()
+    pub(super) fn budget_allows_retry(&self) -> bool {
+        !self.retry_tokens.retries_cost_tokens || self.bucket_has_token()
     }
 
     /// Takes a token for a retry if retries cost one; returns false if there is none.
-    pub(super) fn try_charge_retry(&self) -> bool {
-        !self.retry_tokens.charges_retries || self.shared_limits.try_withdraw()
+    pub(super) fn try_take_token_for_retry(&self) -> bool {
+        !self.retry_tokens.retries_cost_tokens || self.shared_limits.try_withdraw()
     }
 
     /// Takes a token for a hedge; returns false if there is none.
-    pub(super) fn try_charge_hedge(&self) -> bool {
+    pub(super) fn try_take_token_for_hedge(&self) -> bool {
         self.shared_limits.try_withdraw()
     }
 }
--- a/src/policy/shard_changes.rs
+++ b/src/policy/shard_changes.rs
@@ -6,7 +6,7 @@
 use super::latency::{LatencyWindow, SHARD_SAMPLES_MIN};
 use super::node::Node;
 use super::outlier_detection::InFlightAttempt;
-use super::query::{Attempt, RequestPosition, ShardClass, ShardRequest};
+use super::query::{Attempt, ShardAndClass, ShardRequest, ShardRequestPosition};
 use super::{Policy, ShardState};
 use crate::interface::{AttemptOutcome, ClassSlot, PolicyConfig, ShardHolders, StateTransfer};
 
@@ -42,14 +42,14 @@
     /// count for it. Otherwise a split would allow a second effect or more than the most attempts. An attempt in flight
     /// uses its node's capacity once, even if several successors wait for it.
     fn shard_request_split(&mut self, number: u64, request: &str, into: &[(&str, u32, f64)]) {
-        let is_of_query = |position: &RequestPosition| position.query == number;
+        let is_of_query = |position: &ShardRequestPosition| position.query == number;
         let position = self.shard_requests.get(request).copied().filter(is_of_query);
         let Some(position) = position else { return };
         let Some(query) = self.queries.get_mut(&number) else { return };
         self.shard_requests.remove(request);
         query.next_check_at_s = 0.0;
         let old = &query.requests[position.index];
-        let key = ShardClass { shard: old.shard, class: query.class };
+        let key = ShardAndClass { shard: old.shard, class: query.class };
         let (succeeded, hedges, attempts) = (old.succeeded, old.hedges, old.attempts.clone());
         self.remove_from_index(key, position, &attempts);
         if let Some(&(first, ..)) = into.first() {
@@ -86,7 +86,12 @@
 
 impl Policy {
     /// Removes a shard request's attempts in flight from the index by age.
-    fn remove_from_index(&mut self, key: ShardClass, position: RequestPosition, attempts: &[Attempt]) {
+    fn remove_from_index(
+        &mut self,
+        key: ShardAndClass,
+        position: ShardRequestPosition,
+        attempts: &[Attempt],
+    ) {
         for (attempt, _) in in_flight(attempts) {
             let position = AttemptPosition { query: position.query, request: position.index, attempt };
             self.attempts_in_flight.remove(key, position);
@@ -109,12 +114,12 @@
     fn place_successor(&mut self, number: u64, successor: ShardRequest, index: Option<usize>) {
         let Some(query) = self.queries.get_mut(&number) else { return };
         let index = index.unwrap_or(query.requests.len());
-        let key = ShardClass { shard: successor.shard, class: query.class };
+        let key = ShardAndClass { shard: successor.shard, class: query.class };
         for (attempt, started) in in_flight(&successor.attempts) {
             let position = AttemptPosition { query: number, request: index, attempt };
             self.attempts_in_flight.insert(key, started.started_at_stall_free_s, position);
         }
-        self.shard_requests.insert(successor.id.clone(), RequestPosition { query: number, index });
+        self.shard_requests.insert(successor.id.clone(), ShardRequestPosition { query: number, index });
         match query.requests.get_mut(index) {
             Some(request) => *request = successor,
             None => query.requests.push(successor),
@@ -127,7 +132,7 @@
     fn adopt(&mut self, request_id: &str, node_id: &str, age_s: f64, outcome: Option<AttemptOutcome>) {
         let Some(&position) = self.shard_requests.get(request_id) else { return };
         let Some(query) = self.queries.get(&position.query) else { return };
-        let key = ShardClass { shard: query.requests[position.index].shard, class: query.class };
+        let key = ShardAndClass { shard: query.requests[position.index].shard, class: query.class };
         let late_after_s = self.late_after_s(key);
         let started_at_stall_free_s = self.now_stall_free_s - age_s;
         let attempt = Attempt {
@@ -148,14 +153,14 @@
         request.succeeded |= outcome == Some(AttemptOutcome::Success);
         request.attempts.push(attempt);
         if number == 0 {
-            self.return_retry_tokens();
+            self.undo_deposit_for_adopted_request();
         }
         if outcome.is_none() {
             let age_position =
                 AttemptPosition { query: position.query, request: position.index, attempt: number };
             self.attempts_in_flight.insert(key, started_at_stall_free_s, age_position);
             let in_flight = InFlightAttempt { started_at_stall_free_s, late_after_s };
-            let node = self.nodes.entry(node_id.into()).or_insert_with(Node::unlisted);
+            let node = self.nodes.entry(node_id.into()).or_insert_with(Node::without_endpoint_entry);
             node.in_flight.insert((request_id.into(), number), in_flight);
         }
     }
--- a/src/shard_placement.rs
+++ b/src/shard_placement.rs
@@ -30,13 +30,13 @@
 
 impl ShardPlacement {
     /// How many positions a replica group is after the first holder of a shard in the ring.
-    pub fn group_offset(&self, group: u32, shard: u32) -> u32 {
+    pub fn positions_after_first_holder(&self, group: u32, shard: u32) -> u32 {
         (group % self.replica_groups + self.replica_groups - shard % self.replica_groups)
             % self.replica_groups
     }
 
     /// The replica group of a node with this group number. In the ring, group numbers wrap around.
-    pub fn group_of(&self, group: u32) -> u32 {
+    pub fn replica_group_index(&self, group: u32) -> u32 {
         if self.explicit_holders.is_some() { group } else { group % self.replica_groups }
     }
 
@@ -62,7 +62,7 @@
     /// Whether a node of a replica group holds a shard.
     pub fn holds(&self, node: &str, group: u32, shard: u32) -> bool {
         let Some(listed) = self.listed_groups(shard) else {
-            return self.group_offset(group, shard) < self.groups_per_shard;
+            return self.positions_after_first_holder(group, shard) < self.groups_per_shard;
         };
         let excluded = self.excluded_nodes(shard).is_some_and(|nodes| nodes.contains(node));
         listed.contains(&group) && !excluded
--- a/src/shared_limits.rs
+++ b/src/shared_limits.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether there are other cores.
-    pub fn is_shared(&self) -> bool {
+    pub fn has_several_cores(&self) -> bool {
         self.several_cores
     }
 
@@ -112,12 +112,12 @@
         self.tokens.fetch_update(Relaxed, Relaxed, take).is_ok()
     }
 
-    /// Acquires or extends this core's exclusive turn to send to a warming node, for `span_s` seconds from `now_s` on;
+    /// Acquires or extends this core's exclusive turn to send to a warming node, for `duration_s` seconds from `now_s` on;
     /// returns false while another core has the turn.
     ///
     /// Without turns, each core could use up the router's whole slow-start quota for a node. No other core may send
     /// until everything that the last one sent is outside the window of the quota.
-    pub fn try_slow_start_turn(&self, node: &str, now_s: f64, span_s: f64) -> bool {
+    pub fn try_slow_start_turn(&self, node: &str, now_s: f64, duration_s: f64) -> bool {
         if self.slow_start_turns.is_empty() {
             return true;
         }
@@ -125,7 +125,7 @@
         node.hash(&mut hash);
         let slot = &self.slow_start_turns[hash.finish() as usize % self.slow_start_turns.len()];
         let now_ms = (now_s * 1e3) as u64;
-        let until_ms = ((now_s + span_s) * 1e3).ceil() as u64 + 1;
+        let until_ms = ((now_s + duration_s) * 1e3).ceil() as u64 + 1;
         let core = u64::from(self.core);
         let take = |turn: u64| {
             let held_until_ms = turn >> CORE_BITS;
--- a/tests/events_in_any_order.rs
+++ b/tests/events_in_any_order.rs
@@ -145,7 +145,7 @@
             }
             Event::Wait { steps } => return self.wait(f64::from(*steps) * 0.01),
         };
-        self.carry_out(&decisions)
+        self.check_and_apply_decisions(&decisions)
     }
 
     fn wait(&mut self, span_s: f64) -> Result<(), TestCaseError> {
@@ -153,7 +153,7 @@
         while self.host.now < end {
             self.host.now += 0.01;
             let decisions = self.host.round(|r| r.timer_fired(1));
-            self.carry_out(&decisions)?;
+            self.check_and_apply_decisions(&decisions)?;
         }
         Ok(())
     }
@@ -249,7 +249,7 @@
     }
 
     /// Checks decisions and updates the host's records.
-    fn carry_out(&mut self, decisions: &[String]) -> Result<(), TestCaseError> {
+    fn check_and_apply_decisions(&mut self, decisions: &[String]) -> Result<(), TestCaseError> {
         for decision in decisions {
             let words: Vec<&str> = decision.split(' ').collect();
             match words[..] {
