--- a/src/interface.rs
+++ b/src/interface.rs
@@ -3,6 +3,10 @@
 //!
 //! Points in time are seconds on the host's monotonic clock, durations are seconds. The policy does not interpret the
 //! ids that the host passes.
+//!
+//! The host is the program that calls the policy, for example a query router. A round is one call of
+//! [`crate::policy::Policy::round`]. A slot is the index of a query class in the policy. The endpoint list is the list
+//! of data nodes that discovery reports. An attempt is late once its age exceeds a delay that the policy estimates.
 
 pub use crate::shard_placement::{ShardHolders, ShardPlacement};
 pub use crate::shared_limits::SharedLimits;
@@ -14,7 +18,8 @@
     Idempotent,
     /// Data nodes discard repeated attempts for a limited time.
     IdempotentWithKey {
-        /// Seconds from the first attempt that may have had an effect during which repeats are discarded.
+        /// Seconds for which data nodes discard repeated attempts, counted from the start of the first attempt that may
+        /// have had an effect.
         window_s: f64,
     },
     /// A second attempt would have a second effect.
@@ -24,19 +29,20 @@
 /// The service class of a query, with its objectives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryClass {
-    /// Seconds within which an answer has its full value.
+    /// Seconds after the query's arrival within which an answer has its full value.
     pub latency_objective_s: f64,
-    /// Seconds after which the client no longer waits.
+    /// Seconds after the query's arrival at which its client stops waiting.
     pub deadline_s: f64,
-    /// Whether its shard requests may be repeated.
+    /// Whether shard requests of the class may be attempted again.
     pub idempotency: Idempotency,
     /// Value of an answer, relative to the other classes.
     pub priority_weight: f64,
-    /// Fraction of the value that an answer after the latency objective has.
+    /// Value of an answer after the latency objective, as a fraction of the value of an answer within it.
     pub late_weight_fraction: f64,
-    /// Fraction of the shard requests' weight from which an answer is complete.
+    /// An answer is complete if the shard requests that succeeded have at least this fraction of the query's weight.
     pub complete_fraction: f64,
-    /// Smallest fraction of the weight that a partial answer may have.
+    /// A partial answer is allowed only if the shard requests that succeeded have at least this fraction of the query's
+    /// weight.
     pub minimum_fraction: f64,
     /// Number of shard requests of the second phase; 0 for classes with a single phase.
     pub second_phase_requests: usize,
@@ -45,7 +51,7 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name in the settings.
+    /// The tenant's name in the settings.
     pub name: String,
     /// Queries per second that all routers together serve at full priority.
     pub quota_per_s: f64,
@@ -58,7 +64,7 @@
     pub can_cancel: bool,
     /// Whether a shard request may have several attempts in flight.
     pub can_hedge: bool,
-    /// Most attempts of one shard request.
+    /// Maximum number of attempts of one shard request, the first one included.
     pub max_attempts: usize,
     /// The longest Retry-After that clients follow, in seconds; `None` if clients are not sent one.
     pub max_retry_after_s: Option<f64>,
@@ -68,33 +74,36 @@
     pub over_quota_weight_fraction: f64,
 }
 
-/// A limit for the attempts after the first one of each shard request: in any window at most `burst` plus `ratio` times
-/// the number of shard requests in that window.
+/// A limit for retries and hedges, which are the attempts after the first one of each shard request: in any period at
+/// most `burst` plus `ratio` times the number of shard requests that arrive in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Attempts that may be made at once.
+    /// Capacity of the budget's token bucket: the number of retries and hedges that may start without any new shard
+    /// request.
     pub burst: f64,
-    /// Attempts that each shard request adds to the budget.
+    /// Number of retries and hedges that each new shard request adds to the bucket, usually less than 1.
     pub ratio: f64,
 }
 
 /// How much load a data node that has just started can take before it is overloaded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartConfig {
-    /// Fraction of the full capacity that the node has right after its start.
+    /// Capacity of a node right after its start, as a fraction of its full capacity.
     pub initial_fraction: f64,
-    /// Seconds in which the capacity rises to full, counted from `window_s` after the start.
+    /// Seconds in which the capacity rises linearly from `initial_fraction` to full; the rise begins `window_s` after
+    /// the node's start.
     pub warm_up_s: f64,
-    /// Load, as a multiple of the node's capacity at that moment, that overloads it.
+    /// The load that overloads a node, as a multiple of its current capacity. The load is the seconds of work sent to
+    /// the node within the last `window_s`, divided by `window_s`; the policy sends less than this load.
     pub capacity_multiple: f64,
-    /// Length in seconds of the window in which the load is summed.
+    /// Seconds over which the work sent to the node is summed.
     pub window_s: f64,
 }
 
 /// The configuration of a policy. All of it but the ring of `placement` can change while the policy runs.
 #[derive(Clone, Debug, Default)]
 pub struct PolicyConfig {
-    /// Routers that share the data nodes.
+    /// Number of query routers that send requests to the same data nodes.
     pub router_count: usize,
     /// Query classes; a class is referred to by its index.
     pub query_classes: Vec<QueryClass>,
@@ -110,23 +119,24 @@
     pub slow_start: Option<SlowStartConfig>,
 }
 
-/// The slot, which is the index, that a query class of a new configuration gets. A class that has not changed keeps its
-/// slot; one that has changed gets another slot, as open queries continue with the old class.
+/// The slot that a query class of a new configuration gets. An unchanged class keeps its slot. A changed class gets
+/// another slot, as open queries continue with the old class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassSlot {
-    /// The index from this change on.
+    /// The index of the query class in all events that follow this change.
     pub slot: usize,
-    /// The index before this change, if the class existed. The latencies observed there are carried over.
+    /// The index of the same query class before this change, if the class existed. The latencies observed for the
+    /// previous index apply to the new one too.
     pub previous_slot: Option<usize>,
 }
 
 /// State of a data node in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum NodeState {
-    /// Takes new attempts.
+    /// Accepts new attempts.
     #[default]
     Serving,
-    /// Finishes the attempts in flight; takes no new ones.
+    /// Finishes the attempts in flight and accepts no new ones.
     Draining,
     /// No longer in the list.
     Removed,
@@ -139,17 +149,17 @@
     Success,
     /// The data node failed, possibly after an effect.
     Error,
-    /// The data node rejected it for lack of capacity.
+    /// The data node rejected the attempt for lack of capacity.
     Rejected,
-    /// Its time-out passed.
+    /// The attempt's time-out passed.
     TimedOut,
     /// No connection could be opened.
     Unreachable,
-    /// The connection broke while it was in flight.
+    /// The connection broke while the attempt was in flight.
     ConnectionReset,
-    /// The router cancelled it.
+    /// The router cancelled the attempt.
     Cancelled,
-    /// It ended before any part of it was written to a connection.
+    /// The attempt ended before any byte of its request was written to a connection.
     NeverSent,
     /// The data node answered that it does not hold the shard.
     ShardMoved,
@@ -167,52 +177,59 @@
     }
 }
 
-/// The health of a data node as one core observed it by its own attempts. Durations count from `observed_at_s`; 0 means
-/// that the node is healthy in that respect.
+/// The health of a data node according to the attempts of one core. Durations count from `observed_at_s`; a duration
+/// of 0 means that the node is not in that state.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeObservation {
-    /// When the observed process of the node started; the observation does not apply to another process.
+    /// When the node's process started, in seconds; `None` if unknown. Observations of another process of the node are
+    /// ignored.
     pub started_at_s: Option<f64>,
     /// When the observation was made, on the clock that all cores of a router share.
     pub observed_at_s: f64,
     /// Seconds for which the node counts as slow.
     pub slow_for_s: f64,
-    /// Seconds for which it counts as very slow.
+    /// Seconds for which the node counts as very slow.
     pub very_slow_for_s: f64,
-    /// Seconds for which it counts as unresponsive.
+    /// Seconds for which the node counts as unresponsive.
     pub unresponsive_for_s: f64,
 }
 
-/// Calls that carry state across changes of shards or settings, or from one host to another. A host calls none of them
-/// if its shards are placed in the ring, its settings never change, and it takes over no queries of other hosts.
+/// Calls that keep the policy's state when shards or settings change, and when this host continues queries that another
+/// host process started. A host calls none of these functions if its shards are placed in the ring, its settings never
+/// change, and it continues no queries of other hosts.
 pub trait StateTransfer {
-    /// Sets which replica groups and nodes hold a shard. The first call replaces the ring by an explicit list of
-    /// holders.
+    /// Sets which replica groups and nodes hold a shard. The first call, for any shard, disables the ring for all
+    /// shards: a shard without a call then has no holder.
     fn set_shard_holders(&mut self, _shard: u32, _holders: ShardHolders) {}
-    /// Starts a new shard with what has been observed of `parents`, the shards that held its keys before. They may have
-    /// been retired since.
+    /// Initializes a new shard with the latencies and the round robin position of `parents`, the shards that contained
+    /// its keys before. Parents that have been retired are skipped.
     fn inherit_shard(&mut self, _shard: u32, _parents: &[u32]) {}
-    /// Removes a shard that no shard request is open for and that no later one will name.
+    /// Removes a shard that has no open shard requests and gets no new ones.
     fn shard_retired(&mut self, _shard: u32) {}
-    /// Splits a shard request of an open query into several (id, shard, weight), as no node holds all of its keys any
-    /// more. Each inherits the attempts of the old one, whose outcomes the host reports for each.
+    /// Replaces a shard request of an open query by several, given as (id, shard, weight), after its shard was split.
+    /// Each new shard request gets a copy of the old one's attempts. The host reports the end of such an attempt once
+    /// for each new shard request.
     fn shard_request_split(&mut self, _query: u64, _request: &str, _into: &[(&str, u32, f64)]) {}
-    /// Adopts an attempt that another host started for a shard request `age_s` seconds ago. The attempts of a shard
-    /// request are adopted in the order of their starts. One without an outcome is in flight; the host reports its end
-    /// to this policy.
+    /// Adds an attempt that another host process started for a shard request `age_s` seconds ago. The host adds the
+    /// attempts of a shard request in the order of their starts. An attempt without an outcome is in flight; the host
+    /// reports its end to this policy.
     fn adopt_attempt(&mut self, _request: &str, _node: &str, _age_s: f64, _outcome: Option<AttemptOutcome>) {}
-    /// Applies a new configuration; `slots` has one entry for each of its query classes. A slot without an entry keeps
-    /// its class for the open queries, gets no new ones, and is released by `class_retired`.
+    /// Applies a new configuration; `slots` has one entry for each of its query classes, in the same order. A slot
+    /// without an entry keeps its class for the queries that are open and gets no new queries; `class_retired` releases
+    /// the slot.
     fn change_config(&mut self, _config: &PolicyConfig, _slots: &[ClassSlot]) {}
-    /// Releases a slot without open queries. None arrives for it until `change_config` assigns another class to it.
+    /// Releases a slot without open queries. The host delivers no query with this slot until `change_config` assigns
+    /// another class to the slot.
     fn class_retired(&mut self, _slot: usize) {}
 }
 
 /// Events that the host delivers to the policy: one call for each event, in the order in which they occurred.
 pub trait PolicyInput: StateTransfer {
-    /// The `endpoint_updated` calls that follow are the whole endpoint list; nodes without one are removed.
+    /// Marks all known nodes as removed. The host then calls `endpoint_updated` for every node of the new endpoint
+    /// list.
     fn endpoint_list_replaced(&mut self);
-    /// One entry of the endpoint list; `started_at_s` is when the node's process started, if that is known.
+    /// Adds or updates a node of the endpoint list. `started_at_s` is when the node's process started, in seconds on
+    /// the monotonic clock; `None` if unknown.
     fn endpoint_updated(
         &mut self,
         node: &str,
@@ -222,11 +239,12 @@
     );
     /// Watching or polling the endpoint list failed; the last list stays in use.
     fn endpoint_poll_failed(&mut self);
-    /// A query arrived, whose client stops waiting at `not_after_s`.
+    /// Adds a query that has just arrived and whose client stops waiting at `not_after_s`.
     fn query_arrived(&mut self, query: u64, id: &str, class: usize, tenant: &str, not_after_s: f64);
-    /// A shard request of a query; `weight` is its fraction of the whole query.
+    /// Adds a shard request to a query; `weight` is the shard request's fraction of the query's result, from 0 to 1.
     fn shard_request_added(&mut self, query: u64, id: &str, shard: u32, weight: f64);
-    /// Attempt number `attempt` of a shard request ended after `latency_s`.
+    /// Records that attempt number `attempt`, counted from 0, of a shard request ended `latency_s` seconds after its
+    /// start.
     fn attempt_ended(
         &mut self,
         request: &str,
@@ -235,14 +253,15 @@
         outcome: AttemptOutcome,
         latency_s: f64,
     );
-    /// The query ended without a decision of the policy: its client disconnected, or its deadline passed.
+    /// Removes a query that ended without a decision of the policy: its client disconnected, or the host ended the
+    /// query at its deadline.
     fn client_disconnected(&mut self, query: &str);
-    /// The timer that was set with this tag fired.
+    /// Records that the timer that was set with this tag has fired.
     fn timer_fired(&mut self, tag: u64);
-    /// Another core, or another router by gossip, observed the health of a data node.
+    /// Records the health of a data node that another core, or another router through gossip, observed.
     fn node_observed(&mut self, _node: &str, _observation: NodeObservation) {}
-    /// Number of queries that ended on all routers, this one included, since the last call: after their latency
-    /// objective (`late`), and within it (`in_time`).
+    /// Records how many queries have ended on all routers since the last call: `late` after their latency objective,
+    /// `in_time` within it. Queries of this router are included.
     fn fleet_latency_counts(&mut self, _late: u32, _in_time: u32) {}
 }
 
@@ -250,14 +269,14 @@
 pub trait DecisionSink {
     /// Starts the next attempt of a shard request, with a time-out of `timeout_s` seconds.
     fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64);
-    /// Cancels an attempt in flight.
+    /// Cancels attempt number `attempt`, counted from 0, of a shard request.
     fn cancel_attempt(&mut self, request: &str, attempt: usize);
     /// Answers a query with the results of the shard requests that have succeeded.
     fn answer(&mut self, query: &str, complete: bool);
-    /// Rejects a query: its client may retry it, as it had no effect or its class may be repeated. `retry_after_s` is
-    /// the Retry-After sent to the client.
+    /// Rejects a query. Its client may retry the query, as the query had no effect or is idempotent. `retry_after_s` is
+    /// the Retry-After in seconds that the host sends to the client; `None` if it sends none.
     fn reject(&mut self, query: &str, retry_after_s: Option<f64>);
-    /// Fails a query that may have had an effect.
+    /// Fails a query that may have had an effect and must not be retried.
     fn fail(&mut self, query: &str);
     /// Sets a timer that fires after `duration_s` seconds.
     fn set_timer(&mut self, duration_s: f64, tag: u64);
@@ -265,9 +284,9 @@
     fn poll_endpoints(&mut self);
     /// Writes a line to the log.
     fn log(&mut self, text: &str);
-    /// Shares an observation of a data node with the other cores, and with other routers where there is gossip.
+    /// Sends an observation of a data node to the other cores, and to other routers if gossip is enabled.
     fn share_observation(&mut self, _node: &str, _observation: NodeObservation) {}
-    /// A query that had attempts has ended; `late` is whether it counts as late in
+    /// Reports the end of a query that had attempts. `late` is whether the query counts as late in
     /// [`PolicyInput::fleet_latency_counts`].
     fn query_ended(&mut self, _late: bool) {}
 }
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -1,10 +1,9 @@
-//! Checks whether an action is allowed at the moment at which it is carried out: starting an attempt, closing a
-//! connection, admitting or rejecting a query.
+//! Checks whether a router may now start an attempt, close a connection, or admit or reject a query.
 //!
 //! The policy may have decided on an action some time before, for example if an attempt has waited for a connection.
 //! The code that carries out the action therefore calls these functions immediately before it, with the current state.
 //! This prevents effects that happen twice and attempts whose result no client waits for. Times are seconds on the
-//! monotonic clock.
+//! host's monotonic clock.
 
 use crate::interface::{Idempotency, NodeState};
 
@@ -15,7 +14,8 @@
     QueryEnded,
     /// The attempt's time-out or its client's deadline has passed.
     DeadlinePassed,
-    /// The time in which data nodes discard repeats has passed since the first attempt that may have had an effect.
+    /// The period in which data nodes discard repeated attempts has passed; it begins with the first attempt that may
+    /// have had an effect.
     IdempotencyWindowPassed,
     /// An earlier attempt of a non-idempotent shard request may have had an effect.
     PossibleEffect,
@@ -51,7 +51,7 @@
     }
 }
 
-/// An attempt whose frame is about to be written.
+/// The state of an attempt that is about to be sent; input of [`may_start_attempt`].
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptToStart {
     /// The current time.
@@ -60,7 +60,8 @@
     pub deadline_s: f64,
     /// Whether the shard request may be repeated.
     pub idempotency: Idempotency,
-    /// Start of the first earlier attempt of the shard request that may have had an effect.
+    /// When the first earlier attempt of the shard request that may have had an effect started; `None` if there is no
+    /// such attempt.
     pub first_effect_at_s: Option<f64>,
     /// The data node's state.
     pub node_state: NodeState,
@@ -87,21 +88,22 @@
     }
 }
 
-/// The time-out sent to a data node ends this long before the client's deadline, as the frame takes time to arrive and
-/// the query's final answer is sent before the deadline.
+/// The time-out sent to a data node ends this long before the client's deadline, as the request takes time to arrive
+/// at the node, and the router sends the query's final answer before the deadline.
 const TRANSIT_MARGIN_S: f64 = 0.01;
 
-/// The time-out in milliseconds, at least 1, that an attempt which starts now sends to its data node. `timeout_at_s` is
-/// when the attempt times out, `not_after_s` is the client's deadline.
+/// The time-out in milliseconds, at least 1, that the router sends to the data node with an attempt that starts at
+/// `now_s`. The time-out ends at `timeout_at_s` or shortly before the client's deadline `not_after_s`, whichever is
+/// first.
 pub fn attempt_timeout_for_node_ms(now_s: f64, timeout_at_s: f64, not_after_s: f64) -> u64 {
     let left_s = timeout_at_s.min(not_after_s - TRANSIT_MARGIN_S) - now_s;
     (left_s * 1e3).max(1.0) as u64
 }
 
-/// The state of a client connection that the router wants to close.
+/// The state of a client connection that the router is about to close; input of [`may_close_connection`].
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionToClose {
-    /// Whether a query is open on it.
+    /// Whether a query that arrived on the connection has not been answered yet.
     pub query_open: bool,
     /// Whether bytes of an answer have not been written yet.
     pub unwritten: bool,
@@ -122,7 +124,7 @@
     }
 }
 
-/// Checks whether a query may be admitted; otherwise it is rejected immediately.
+/// Checks whether a query may be admitted. The router rejects other queries on arrival.
 ///
 /// # Errors
 /// `ShutDown` or `NoCapacity`.
@@ -134,7 +136,8 @@
     }
 }
 
-/// Checks whether a query may be rejected. A rejection guarantees the client that a retry is harmless.
+/// Checks whether a query may be rejected. After a rejection the client may retry the query, so that a query that is
+/// not idempotent must not have had an effect.
 /// `possible_effect` is whether any attempt of the query may have had an effect.
 ///
 /// # Errors
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -2,9 +2,13 @@
 //! goes to, when an attempt is hedged or retried, and when a query is answered.
 //!
 //! The host calls [`Policy::round`], in which it delivers events through [`PolicyInput`] and receives every decision
-//! through a [`DecisionSink`]. This file defines the order of the steps of a round. Each step has a module of its own,
-//! whose documentation says what it decides, from which inputs, and why. `docs/design.md` describes the whole design.
-//! Times are in seconds.
+//! through a [`DecisionSink`]. This file defines the order of the steps of a round. Each step has its own module with
+//! documentation of its decisions, their inputs and their reasons. `docs/design.md` describes the whole design.
+//!
+//! Times are in seconds. Names that contain `stall_free` are on a clock that excludes the router's own stalls, all
+//! others on the host's monotonic clock. An attempt is late once its age exceeds a delay that the module `latency`
+//! estimates. Serving nodes that hold a shard are its holders. The work of a request is its processing time at the node
+//! in seconds, without queueing.
 
 mod admission;
 mod attempts_by_age;
@@ -44,20 +48,20 @@
 
 /// Time between two checks of the open queries.
 const CHECK_INTERVAL_S: f64 = 0.010;
-/// How long before a time limit a decision is made that has to take effect before the limit.
+/// A decision that has to take effect before a deadline or an objective is made this long before it.
 const ANSWER_MARGIN_S: f64 = 0.030;
 /// By how much a sum of weights may be too small because of rounding.
 const WEIGHT_TOLERANCE_FRACTION: f64 = 0.00005;
 /// While a timer is set, a longer time between two rounds, in check intervals, counts as a stall of the router.
 const STALL_CHECK_INTERVALS: f64 = 5.0;
-/// Tag of the only timer.
+/// Tag of the policy's only timer, which triggers the next check of open queries and polling of the endpoint list.
 const CHECK_TIMER_TAG: u64 = 1;
 
 /// The decisions of one query router, or of one core of it.
 #[derive(Default)]
 pub struct Policy {
     now_s: f64,
-    /// A clock that excludes the router's own stalls. With them every node would look late.
+    /// Time in seconds on a clock that excludes the router's own stalls, as a stall would make every attempt look late.
     now_stall_free_s: f64,
     random: Pcg,
     router_count: f64,
@@ -70,28 +74,28 @@
     shared_limits: SharedLimits,
     retry_tokens: RetryTokenConfig,
     nodes: BTreeMap<String, Node>,
-    /// Ids of serving nodes by replica group; empty after a change of the endpoint list.
+    /// Ids of serving nodes by replica group. Changes of the endpoint list clear this map; the next round fills it.
     serving_nodes: BTreeMap<u32, Vec<String>>,
     shards: BTreeMap<u32, ShardState>,
-    /// Shards and query classes for which no holder can take a first attempt in this round.
+    /// Pairs of shard and query class for which no holder has capacity for a first attempt in this round.
     exhausted_shards: BTreeSet<ShardAndClass>,
     queries: BTreeMap<u64, Query>,
     shard_requests: BTreeMap<String, ShardRequestPosition>,
     attempts_in_flight: AttemptsByAge,
     hedge_stats: HedgeStats,
-    /// Attempts started so far.
+    /// Number of attempts that this policy has started.
     attempts_started: u64,
     /// Estimated number of client retries to expect after queries that were not answered.
     unserved_queries: f64,
     load_shedding: LoadShedding,
     poll_endpoints_at_s: f64,
     timer_set: bool,
-    /// Until then a query without a successful shard request has one attempt in flight at most, as a node that crashed
-    /// during an attempt may be warming up.
+    /// Until this time a query has at most one attempt in flight while none of its shard requests has succeeded, as a
+    /// node that crashed during an attempt may be warming up.
     single_attempts_until_s: f64,
 }
 
-/// What has been observed of a shard.
+/// The latencies of a shard, and where round robin over its holders begins.
 #[derive(Default)]
 struct ShardState {
     /// Index of the holder at which round robin begins, modulo the number of holders.
@@ -106,7 +110,7 @@
 }
 
 impl Policy {
-    /// Creates a policy with an empty endpoint list. `seed` determines its random choices.
+    /// Creates a policy with an empty endpoint list. `seed` is the seed of the policy's random number generator.
     pub fn new(seed: u64, config: PolicyConfig) -> Self {
         let polls_endpoints = config.capabilities.polls_endpoints;
         let policy = Policy {
@@ -125,18 +129,18 @@
         policy
     }
 
-    /// Makes this policy use limits that it shares with the other cores of its router. Has to be called before the
-    /// first round.
+    /// Makes this policy use limits that it shares with the other cores of its router. The host has to call this
+    /// function before the first round.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.shared_limits = limits;
         self.apply_capacity_to_token_bucket();
     }
 
-    /// Runs one round at `now_s`: calls `deliver_events` for the events since the last round, then writes every
-    /// decision to `sink`.
+    /// Runs one round at `now_s` seconds on the host's monotonic clock: calls `deliver_events` for the events since the
+    /// last round, then writes every decision to `sink`.
     ///
     /// # Errors
-    /// Returns an error of `deliver_events`, without having decided anything.
+    /// The error of `deliver_events`; no decision is written in this case.
     pub fn round<E>(
         &mut self,
         now_s: f64,
@@ -181,7 +185,8 @@
         }
     }
 
-    /// Queries to decide about in this round. Nothing has changed for the others.
+    /// Numbers of the queries that are checked in this round: those whose next check is due and those with a late
+    /// attempt.
     fn due_queries(&mut self) -> Vec<u64> {
         let late = self.queries_with_late_attempts();
         let is_due =
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,11 +1,13 @@
 //! Decides which queries are admitted, and which are rejected to shed load.
 //!
-//! Inputs are the expected latency of a query and the time left to it in seconds, the time that its shard requests may
-//! wait for their holders, the fraction of the queries of all routers that end late, and the query's priority weight
-//! per second of work. Above a threshold of load estimate, queries are rejected at random, those of less value more
-//! often. This prevents an overload in which all queries wait and none is answered in time. The cost: if latencies are
-//! high for another reason than load, queries are rejected that would have been answered. While the usual latency fits
-//! into the time left, some queries are admitted at any pressure, as the end of an overload shows in answers only.
+//! Inputs are the expected latency of a query and the seconds left until its latency objective or deadline, the time
+//! that its shard requests may wait for their holders, the fraction of the queries of all routers (the fleet) that end
+//! late, and the query's value, which is its priority weight per second of work. They are combined into a load
+//! estimate: the fraction of the time left that the query needs. Above a threshold of the load estimate, queries are
+//! rejected at random, those of less value more often. This prevents an overload in which all queries wait and none is
+//! answered in time. The cost: if latencies are high for another reason than load, queries are rejected that would have
+//! been answered. While the median latency fits into the time left, some queries are admitted at any load estimate, as
+//! only answers show the end of an overload.
 
 use super::latency::{CLASS_SAMPLES_MIN, DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE};
 use super::query::{Query, ShardRequest};
@@ -13,14 +15,16 @@
 use crate::interface::DecisionSink;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Load estimate from which queries are rejected, and the range above it in which the rejection probability rises to 1.
+/// Load estimate above which queries are rejected, and the range above this value in which the rejection probability
+/// rises to 1.
 const LOAD_ESTIMATE_MIN: f64 = 0.3;
 const LOAD_ESTIMATE_RANGE: f64 = 0.4;
-/// Load estimate of a query whose holders are not expected to serve the minimum fraction in time.
+/// Load estimate of a query if the shard requests that are expected to be served in time have less than the minimum
+/// fraction of its weight.
 const LOAD_ESTIMATE_UNSERVABLE: f64 = 1.0;
 /// Fraction of the time left that a wait for a holder may take without raising the load estimate.
 const WAIT_TOLERANCE_FRACTION: f64 = 0.2;
-/// Highest rejection probability if the usual latency fits into the time left, and if it does not.
+/// Highest rejection probability if the median latency fits into the time left, and if it does not.
 const REJECTION_PROBABILITY_MAX: f64 = 0.85;
 const REJECTION_PROBABILITY_MAX_LATE: f64 = 1.0;
 /// A query of value 0 is rejected this many times as often as the most valuable one.
@@ -30,23 +34,24 @@
 /// Weight of the newest rejection probability in the exponential moving average.
 const SMOOTHING_FRACTION: f64 = 0.1;
 /// Smoothed rejection probabilities above which load shedding switches on, and below which it switches off. The
-/// distance between them prevents a switch with every query.
+/// distance between them prevents switching at every query.
 const SHEDDING_ON_PROBABILITY: f64 = 0.15;
 const SHEDDING_OFF_PROBABILITY: f64 = 0.03;
-/// Time in which the queries of all routers are counted, and the number of queries from which a fraction is computed.
+/// Period in which the ended queries of all routers are counted, and the minimum number of queries for which the late
+/// fraction is computed.
 const FLEET_WINDOW_S: f64 = 2.0;
 const FLEET_QUERIES_MIN: u32 = 8;
 /// Retry-After of a query rejected on arrival, as a fraction of the time left to it.
 const RETRY_AFTER_FRACTION: f64 = 0.2;
-/// Shortest time left that load estimate is computed with, to avoid a division by zero.
+/// Shortest time left with which the load estimate is computed, to avoid a division by zero.
 const TIME_LEFT_MIN_S: f64 = 0.001;
-/// Expected wait of a shard request without a serving holder.
+/// Expected wait of a shard request that has no serving holder.
 const NO_HOLDER_WAIT_S: f64 = 9e9;
 
 /// State of load shedding.
 #[derive(Default)]
 pub(super) struct LoadShedding {
-    /// Whether queries are rejected so often that late answers of little value are not waited for.
+    /// Whether load shedding is on. Queries whose late answers have little value are then abandoned.
     pub active: bool,
     smoothed_rejection_probability: f64,
     /// The highest value of a query per second of work, slowly decaying.
@@ -66,12 +71,13 @@
         self.fleet_counts.push_back(FleetLatencyCounts { at_s, late, in_time });
     }
 
-    /// Resets the highest value, which does not apply to other priority weights.
+    /// Resets the highest value. Called when priority weights change, as old and new values cannot be compared.
     pub fn reset_highest_value(&mut self) {
         self.highest_value = 0.0;
     }
 
-    /// Fraction of the queries of all routers that ended late; 0 while there are too few. A single router of many
+    /// Fraction of the queries of all routers that ended late within the last `FLEET_WINDOW_S`; 0 if fewer than
+    /// `FLEET_QUERIES_MIN` ended. A single router of many
     /// observes too few late queries to detect an overload. The cost: if nodes fail without an overload, queries are
     /// rejected.
     fn fleet_late_fraction(&mut self, now_s: f64) -> f64 {
@@ -83,7 +89,7 @@
     }
 
     /// Updates the highest value with that of a new query. Returns the factor by which this query is rejected more
-    /// often than the most valuable one.
+    /// often than a query with the highest value.
     fn rejection_factor(&mut self, value: f64) -> f64 {
         self.highest_value = (self.highest_value * HIGHEST_VALUE_DECAY).max(value);
         ZERO_VALUE_REJECTION_FACTOR - value / self.highest_value
@@ -155,7 +161,8 @@
         holders.iter().map(|id| self.nodes[*id].expected_wait_s).fold(NO_HOLDER_WAIT_S, f64::min)
     }
 
-    /// The fraction of the time left that a query is expected to take. From 1 on its answer would be late.
+    /// The fraction of the time left that a query is expected to take; at 1 or more its answer would be late. The
+    /// result is at least the fraction of the fleet's queries that end late.
     fn load_estimate(&self, query: &Query, time_left_s: f64, fleet_late_fraction: f64) -> f64 {
         let class = &self.classes[query.class].config;
         let (mut servable, mut servable_weight, mut longest_wait_s) = (0, 0.0, 0.0f64);
@@ -176,10 +183,10 @@
         (expected_s / time_left_s).max(with_wait).max(fleet_late_fraction)
     }
 
-    /// The expected latency of a query in seconds: that of the slowest shard request that its answer needs. The slowest
-    /// of n is estimated by the latency that a fraction of 1 / (n + 1) exceeds. If all shard requests are needed, the
-    /// result is the geometric mean of this estimate and the usual latency: an overload raises both, a few slow nodes
-    /// raise only the first.
+    /// The expected latency of a query in seconds: that of the slowest shard request that its answer needs. The latency
+    /// of the slowest of n is estimated as the quantile n / (n + 1). If all shard requests are needed, the result is
+    /// the geometric mean of this quantile and the median: an overload raises both, a few slow nodes raise only the
+    /// quantile.
     fn expected_latency_s(&self, query: &Query) -> f64 {
         let class = &self.classes[query.class];
         let minimum_fraction = class.config.minimum_fraction;
--- a/src/policy/attempts_by_age.rs
+++ b/src/policy/attempts_by_age.rs
@@ -1,16 +1,17 @@
 //! An index of attempts in flight by age, which finds the late ones without visiting the others. It has a separate
-//! queue for each pair of shard and query class, as all attempts of a pair are late after the same delay.
+//! queue for each pair of shard and query class, as all attempts of a pair are late after the same delay. Times are in
+//! seconds on the clock that excludes the router's own stalls.
 
 use super::query::ShardAndClass;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The position of an attempt.
+/// Identifies an attempt by its query, shard request and number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct AttemptPosition {
     pub query: u64,
-    /// Index of the shard request in the query.
+    /// Index of the shard request among those of the query, from 0.
     pub request: usize,
-    /// Number of the attempt within the shard request.
+    /// Index of the attempt among those of the shard request, from 0.
     pub attempt: usize,
 }
 
@@ -20,20 +21,20 @@
     position: AttemptPosition,
 }
 
-/// Attempts in the order in which they started. An attempt that has ended without being removed is dropped when it is
-/// late.
+/// Attempts in the order in which they started. An entry that was not removed when its attempt ended is removed once it
+/// is older than the delay after which attempts of its key are late.
 #[derive(Default)]
 pub(super) struct AttemptsByAge {
     by_key: BTreeMap<ShardAndClass, VecDeque<StartedAttempt>>,
 }
 
 impl AttemptsByAge {
-    /// Adds an attempt that did not start before any other of its key.
+    /// Adds an attempt that did not start before any other of its pair of shard and query class.
     pub fn push(&mut self, key: ShardAndClass, started_at_s: f64, position: AttemptPosition) {
         self.by_key.entry(key).or_default().push_back(StartedAttempt { started_at_s, position });
     }
 
-    /// Adds an attempt that may have started before others of its key.
+    /// Adds an attempt that may have started before others of its pair of shard and query class.
     pub fn insert(&mut self, key: ShardAndClass, started_at_s: f64, position: AttemptPosition) {
         let attempts = self.by_key.entry(key).or_default();
         let at = attempts.partition_point(|other| other.started_at_s <= started_at_s);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Returns the attempts that have been in flight for longer than the delay of their key and are live.
+    /// Returns the attempts that started more than `delay_s` of their key ago and are in flight and not cancelled.
     pub fn late(
         &mut self,
         now_s: f64,
@@ -61,12 +62,12 @@
         for (&key, attempts) in &mut self.by_key {
             let delay_s = delay_s(key);
             let count = attempts.partition_point(|attempt| now_s - attempt.started_at_s > delay_s);
-            let live: Vec<_> = attempts
+            let in_flight: Vec<_> = attempts
                 .drain(..count)
                 .filter(|attempt| is_in_flight_uncancelled(attempt.position))
                 .collect();
-            late.extend(live.iter().map(|attempt| attempt.position));
-            live.into_iter().rev().for_each(|attempt| attempts.push_front(attempt));
+            late.extend(in_flight.iter().map(|attempt| attempt.position));
+            in_flight.into_iter().rev().for_each(|attempt| attempts.push_front(attempt));
         }
         self.by_key.retain(|_, attempts| !attempts.is_empty());
         late
--- a/src/policy/client_retry.rs
+++ b/src/policy/client_retry.rs
@@ -1,23 +1,25 @@
 //! Decides whether a new query is regarded as a client's retry of an earlier one. The latency objective of a retry
 //! counts from the client's first query.
 //!
-//! Inputs are the time in seconds that the client still waits, compared with the longest of the query class, and the
-//! number of queries that ended unserved, whose clients may retry. A retry has less time left than a first query. The
-//! number of retries is bounded by the unserved queries; otherwise all queries would be regarded as retries once
-//! clients have shortened their deadlines.
+//! Inputs are the time left to the query, which is the seconds from its arrival to its client's deadline, the longest
+//! time left of any query of its class, and the number of unserved queries, which ended without an answer and may be
+//! retried by their clients. A retry has less time left than a first query. At most as many queries count as retries as
+//! are expected after the unserved ones; otherwise all queries would count as retries once clients have shortened their
+//! deadlines.
 
 use super::Policy;
 
-/// A query that has this much less time left than the longest of its class may be a retry.
+/// A query may be a retry if its time left is shorter by more than this than the longest time left of its class.
 const DEADLINE_TOLERANCE_S: f64 = 0.05;
-/// Highest count of unserved queries.
+/// Highest value of the estimate of client retries to expect.
 const UNSERVED_QUERIES_MAX: f64 = 100.0;
-/// Number of retries expected after an unserved query: a retry is retried less often than a first query.
+/// Number of retries expected after an unserved first query, and after an unserved retry.
 const RETRIES_OF_FIRST_QUERY: f64 = 1.0;
 const RETRIES_OF_RETRY: f64 = 0.5;
 
 impl Policy {
-    /// Whether a new query is regarded as a client's retry.
+    /// Returns whether a new query is regarded as a client's retry. If so, one retry less is expected. Updates the
+    /// longest time left of the query class.
     pub(super) fn detect_client_retry(&mut self, class: usize, not_after_s: f64) -> bool {
         let time_left_s = not_after_s - self.now_s;
         let longest_s = &mut self.classes[class].longest_time_left_s;
@@ -30,12 +32,12 @@
         is_retry
     }
 
-    /// Records that a query was abandoned.
+    /// Records that a query was abandoned, whose client may retry.
     pub(super) fn record_unserved(&mut self, was_client_retry: bool) {
         self.unserved_queries += if was_client_retry { RETRIES_OF_RETRY } else { RETRIES_OF_FIRST_QUERY };
     }
 
-    /// Records that a client disconnected before its query ended.
+    /// Records that a client disconnected before its query ended and may retry.
     pub(super) fn record_disconnected(&mut self) {
         self.unserved_queries += RETRIES_OF_FIRST_QUERY;
     }
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -2,7 +2,8 @@
 //!
 //! Inputs are the fractions of the query's weight that have succeeded and that could still succeed, the class's
 //! complete and minimum fractions, the latency objective and the client's deadline in seconds. A query that cannot be
-//! answered in time is abandoned immediately, which saves work that no client waits for. The cost: if a holder was
+//! answered in time is abandoned immediately, to save work for answers that no client waits for. To abandon a query is
+//! to end it without an answer, by a rejection or a failure. The cost: if a holder was
 //! about to recover, an answer is lost. A query gets one final answer and is closed in the same step.
 
 use super::latency::CLASS_SAMPLES_MAX;
@@ -10,10 +11,11 @@
 use super::{ANSWER_MARGIN_S, Policy, WEIGHT_TOLERANCE_FRACTION};
 use crate::interface::{DecisionSink, Idempotency, QueryClass};
 
-/// During load shedding, a late answer worth less than this fraction of the priority weight is not waited for.
+/// During load shedding, a late query is abandoned if its answer is worth less than this fraction of the priority
+/// weight.
 const LATE_VALUE_MIN_FRACTION: f64 = 0.27;
 /// An abandoned query counts as late in the latency counts that routers exchange if more than one in this many of its
-/// shard requests did not succeed. Fewer are the sign of a single bad node.
+/// shard requests did not succeed. Fewer unsuccessful shard requests indicate a single faulty node.
 const OVERLOAD_UNANSWERED_DIVISOR: usize = 10;
 
 /// What to do about an open query.
@@ -56,7 +58,7 @@
         {
             return Completion::Abandon;
         }
-        // Without an event nothing changes before the latency objective.
+        // No decision about the query is due before the latency objective unless an event occurs.
         let needs_no_attempt = |request: &ShardRequest| request.succeeded || request.is_in_flight();
         let is_idle =
             all_arrived && query.admitted && !is_late && query.requests.iter().all(needs_no_attempt);
@@ -97,9 +99,10 @@
             && weight_fraction(&query.requests, &started) < minimum
     }
 
-    /// The time until which an answer to a shard request has a value. This is the latency objective if late answers
-    /// have no value, or too little during load shedding, or if the query is then answered partially; otherwise the
-    /// deadline. Attempts time out at this time, so that nodes do no work that no client waits for.
+    /// The point in time after which an answer to a shard request has no value. It is the latency objective if late
+    /// answers have no value, or too little during load shedding, or if the query is answered partially at the
+    /// objective; otherwise it is the client's deadline. Attempts time out at this point, so that nodes do no work that
+    /// no client waits for.
     pub(super) fn answer_useful_until_s(&self, query: &Query) -> f64 {
         let class = &self.classes[query.class].config;
         let ends_at_objective = class.late_weight_fraction <= 0.0
@@ -126,7 +129,8 @@
         self.cancel_requests(&first_phase, sink);
     }
 
-    /// Ends a query without an answer: rejects it if a retry is harmless, fails it if it may have had an effect.
+    /// Ends a query without an answer: fails the query if it is not idempotent and may have had an effect, rejects it
+    /// otherwise. `retry_after_s` is the Retry-After in seconds for the client.
     pub(super) fn abandon_query(
         &mut self,
         number: u64,
@@ -150,9 +154,9 @@
         self.close(number, sink);
     }
 
-    /// Records the ages of shard requests that were never answered as latencies of their class; otherwise an overload,
-    /// in which few are answered, would not show. Ages below the usual latency are ignored, as queries that are
-    /// abandoned within milliseconds would make the class look fast.
+    /// Records the ages of a query's unanswered shard requests as latencies of the query class. In an overload few
+    /// shard requests are answered, so that answers alone would not show it. Ages below the median latency are ignored,
+    /// as queries that are abandoned within milliseconds would lower the latencies of the class.
     fn record_unanswered_requests(&mut self, number: u64) {
         let query = &self.queries[&number];
         let class = &mut self.classes[query.class];
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -6,7 +6,8 @@
 
 use crate::interface::AttemptOutcome;
 
-/// Initial limit of a node that is warm when it appears in the endpoint list, and of one that is warming up.
+/// Initial limit, in shard requests, of a node that is warm when it appears in the endpoint list, and of one that is
+/// warming up.
 const INITIAL_LIMIT: f64 = 4.0;
 const INITIAL_LIMIT_WARMING_UP: f64 = 1.0;
 const LIMIT_MIN: f64 = 1.0;
@@ -28,11 +29,11 @@
 pub(super) struct LoadSample {
     pub outcome: AttemptOutcome,
     pub latency_s: f64,
-    /// The shortest latency objective of all query classes.
+    /// The shortest latency objective of all query classes, in seconds.
     pub shortest_objective_s: f64,
-    /// Whether the attempt was late.
+    /// Whether the latency exceeded the delay after which an attempt is late.
     pub late: bool,
-    /// Whether the node has answered anything since the attempt started.
+    /// Whether the node has answered any attempt of this core since this attempt started.
     pub answered_since: bool,
 }
 
@@ -45,7 +46,7 @@
         self.limit
     }
 
-    /// Number of shard requests that may start in addition to those in flight.
+    /// Number of shard requests that the limit allows to start in addition to the `in_flight` ones.
     pub fn additional_requests_allowed(&self, in_flight: usize) -> usize {
         (self.limit - in_flight as f64).max(0.0).floor() as usize
     }
@@ -64,7 +65,7 @@
                 if sample.answered_since {
                     self.decrease(DECREASE_WHEN_SLOW);
                 } else {
-                    // The node may be down and is tried with a single request next.
+                    // The node may be down: only a single request is sent to it until an attempt succeeds.
                     self.limit = LIMIT_MIN;
                 }
             }
--- a/src/policy/config_changes.rs
+++ b/src/policy/config_changes.rs
@@ -1,6 +1,7 @@
-//! Carries state across a change of the configuration between two rounds. A changed query class gets a new slot, with
-//! the latencies observed so far, while open queries keep the old slot. Tenants keep their tokens, and the retry budget
-//! is adjusted. This module makes no decisions.
+//! Applies a change of the configuration between two rounds and keeps the state. A slot is the index of a query class.
+//! A changed query class gets a new slot with the latencies observed so far, while open queries keep the old slot.
+//! Tenants keep the tokens of their quotas, and the token bucket of the retry budget gets its new capacity. This module
+//! makes no decisions.
 
 use super::Policy;
 use super::latency::{ClassState, LatencyWindow};
@@ -9,12 +10,12 @@
 use super::tenant_quota::TenantQuota;
 use crate::interface::{ClassSlot, PolicyConfig, QueryClass, SlowStartConfig, Tenant};
 
-/// Latency objective of an unused slot: it is never the shortest objective, and the slot's work never the largest
-/// fraction of its objective.
+/// Latency objective of an unused slot. With an infinite objective the slot affects neither the shortest objective nor
+/// the largest fraction of work per objective.
 const UNUSED_SLOT_OBJECTIVE_S: f64 = f64::INFINITY;
 
 impl Policy {
-    /// Applies a configuration as a whole, so that no round uses parts of two configurations.
+    /// Applies all settings of a configuration at once, so that no round mixes two configurations.
     pub(super) fn apply_config(&mut self, config: &PolicyConfig, slots: &[ClassSlot]) {
         let mut keeps_priorities = self.capabilities.over_quota_weight_fraction.to_bits()
             == config.capabilities.over_quota_weight_fraction.to_bits();
@@ -29,7 +30,7 @@
         self.change_tenants(&config.tenants, router_count);
         self.router_count = router_count;
         self.capabilities = config.capabilities;
-        // The ring and the explicit holders that replace it are not part of a change.
+        // A change of the configuration changes neither the ring nor the explicit list of holders.
         self.placement.max_batch = config.placement.max_batch;
         self.placement.attempt_overhead_s = config.placement.attempt_overhead_s;
         self.retry_tokens = RetryTokenConfig::new(config.retry_budget);
@@ -38,7 +39,7 @@
         self.change_slow_start(previous);
     }
 
-    /// Whether the priority weight of a query class is the same, bit by bit, as in its previous slot.
+    /// Whether the priority weight of a query class equals that of its previous slot, bit by bit.
     fn keeps_priority_weight(&self, class: &QueryClass, slot: &ClassSlot) -> bool {
         let previous = slot.previous_slot.and_then(|slot| self.classes.get(slot));
         previous.is_some_and(|previous| {
@@ -46,8 +47,8 @@
         })
     }
 
-    /// Assigns a query class to its slot. A new slot gets the latencies of the previous one, which keeps a copy for its
-    /// open queries.
+    /// Assigns a query class to its slot. A new slot gets the latencies of the previous slot; the previous slot keeps a
+    /// copy for its open queries.
     fn place_class(&mut self, config: &QueryClass, slot: &ClassSlot) {
         let ClassSlot { slot, previous_slot } = *slot;
         while self.classes.len() <= slot {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Sets the tenants and their quotas. Known tenants keep their tokens, new ones start with those of a new tenant.
+    /// Sets the tenants and their quotas. Known tenants keep their tokens, up to the new capacity; new tenants start
+    /// with `INITIAL_TOKENS`.
     fn change_tenants(&mut self, tenants: &[Tenant], router_count: f64) {
         let previous = std::mem::take(&mut self.tenants);
         let (now_s, old_routers) = (self.now_s, self.router_count);
@@ -87,9 +89,9 @@
         self.tenants = tenants.iter().map(changed).collect();
     }
 
-    /// The work sent to nodes that are warming up has been recorded only for as long as the previous rule needed. If
-    /// that is too short for the window of the new rule, the quota of these nodes counts as used up until the new
-    /// window has passed.
+    /// Marks the quotas of nodes that are warming up as used up if the work sent to them was recorded for a shorter
+    /// time than the window of the new slow-start rule. They are free again after one new window. `previous` is the
+    /// rule before the change.
     fn change_slow_start(&mut self, previous: Option<SlowStartConfig>) {
         let Some(rule) = self.slow_start else { return };
         let known_s = warm_up_history_s(previous);
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -8,9 +8,9 @@
 use super::{Policy, ShardState};
 use crate::interface::{AttemptOutcome, NodeObservation, NodeState, PolicyInput};
 
-/// Time until the endpoint list is polled again after a failure.
+/// Seconds after which the endpoint list is polled again if polling failed.
 const POLL_RETRY_S: f64 = 1.0;
-/// Number of values from which a shard's round robin offset is drawn, for each replica group that holds the shard.
+/// A shard's round robin offset is drawn from this many values for each replica group that holds the shard.
 const OFFSET_DRAWS_PER_GROUP: f64 = 64.0;
 
 impl PolicyInput for Policy {
@@ -36,7 +36,7 @@
                 node.state = state;
             }
             Some(node) => {
-                // Another process: of the old one's state only the attempts in flight are kept.
+                // The node has restarted: only the attempts in flight are kept of the old process's state.
                 let in_flight = std::mem::take(&mut node.in_flight);
                 *node = Node::new(replica_group, state, started_at_s, warm_up_phase);
                 node.in_flight = in_flight;
@@ -76,7 +76,7 @@
 
     fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
         let Some(query) = self.queries.get_mut(&number) else { return };
-        // Random, as a shard's first holder would be overloaded if all routers started with it.
+        // The offset is random, as all routers would otherwise send first to the same holder and overload it.
         let groups = f64::from(self.placement.groups_per_shard);
         let round_robin_offset = (self.random.next_fraction() * groups * OFFSET_DRAWS_PER_GROUP) as usize;
         self.shards.entry(shard).or_insert_with(|| ShardState::new(round_robin_offset));
@@ -105,7 +105,7 @@
         let node = self.nodes.get_mut(node_id);
         let in_flight = node.and_then(|node| node.in_flight.remove(&(request.to_string(), attempt)));
         let latency_s = in_flight.map_or(latency_s, |in_flight| {
-            // Excludes the router's own stalls from the latency of the node.
+            // The router's own stalls do not count as latency of the node.
             latency_s.min(self.now_stall_free_s - in_flight.started_at_stall_free_s)
         });
         if let Some(&position) = self.shard_requests.get(request) {
@@ -144,7 +144,7 @@
 }
 
 impl Policy {
-    /// Records the end of an attempt for its shard request, and its latency.
+    /// Records the outcome of an attempt in its shard request, and its latency for the shard and the query class.
     fn record_request_outcome(
         &mut self,
         position: ShardRequestPosition,
@@ -171,8 +171,8 @@
         if outcome == AttemptOutcome::Success {
             self.classes[class].record_success(latency_s);
         }
-        // A cancelled attempt took at least this long. If it did not count, hedges would shorten the delay after which
-        // attempts are hedged.
+        // The latency of a cancelled attempt is a lower bound. Without these latencies, the cancellation of slow
+        // attempts after successful hedges would lower the delay after which attempts are hedged.
         if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Cancelled) {
             let shard = self.shards.entry(request.shard).or_default();
             shard.latencies.record(latency_s, SHARD_SAMPLES_MAX);
@@ -183,8 +183,9 @@
     }
 }
 
-/// Returns the hedges whose result the end of an attempt decides, each with the late node that it bypasses and whether
-/// it has won. The first success decides all hedges; a hedge that ends without being the first success has lost.
+/// Returns the hedges whose result the end of an attempt decides, each with the late node that the hedge bypasses and
+/// whether the hedge has won. The first success of a shard request decides all its hedges; a hedge that ends without
+/// being the first success has lost.
 fn decided_hedges(request: &mut ShardRequest, ended: usize, is_first_success: bool) -> Vec<(String, bool)> {
     let mut decided = vec![];
     for (number, attempt) in request.attempts.iter_mut().enumerate() {
--- a/src/policy/hedge_success.rs
+++ b/src/policy/hedge_success.rs
@@ -3,16 +3,17 @@
 //! Inputs are the results of earlier hedges, for that node and for all nodes: a hedge wins if its attempt is the first
 //! of its shard request to succeed. Hedges win if a single node is slow or disconnected. If slowness is correlated, as
 //! in an overload, hedges lose for all nodes and only add load. Hedges are therefore sent if they win often enough, and
-//! as an occasional trial otherwise. The cost: if a node fails while hedges lose for all others, its first hedges are
-//! not sent. Times are in seconds.
+//! as an occasional trial otherwise: a single hedge that shows whether hedges win again. The cost: if a node fails
+//! while hedges lose for all others, the first hedges that would bypass this node are not sent. Times are in seconds on
+//! the host's monotonic clock.
 
 /// Weight of the latest hedge in the moving average.
 const LATEST_WEIGHT: f64 = 0.3;
-/// Win rate before any hedge has ended.
+/// Win rate that is assumed before any hedge has ended.
 const INITIAL_WIN_RATE: f64 = 0.5;
 /// Hedges with a lower win rate cost more work than they save.
 const WORTHWHILE_WIN_RATE: f64 = 0.4;
-/// Shortest time between two trials while hedges are not worthwhile.
+/// Shortest time between two trial hedges, over all nodes, while hedges are not worthwhile.
 const TRIAL_HEDGE_INTERVAL_S: f64 = 0.25;
 
 /// A moving average of the fraction of hedges that have won.
@@ -37,7 +38,7 @@
     }
 }
 
-/// The results of the hedges of all nodes.
+/// The win rate of hedges over all nodes, and the time of the last trial hedge.
 #[derive(Default)]
 pub(super) struct HedgeStats {
     pub win_rate: WinRate,
@@ -45,12 +46,12 @@
 }
 
 impl HedgeStats {
-    /// Whether a hedge may be sent as a trial.
+    /// Whether enough time has passed since the last trial hedge for another one.
     pub fn trial_hedge_is_due(&self, now_s: f64) -> bool {
         self.last_trial_hedge_at_s.is_none_or(|at_s| now_s - at_s >= TRIAL_HEDGE_INTERVAL_S)
     }
 
-    /// Records that a hedge is sent as a trial.
+    /// Records that a hedge is sent as a trial at `now_s`.
     pub fn record_trial_hedge(&mut self, now_s: f64) {
         self.last_trial_hedge_at_s = Some(now_s);
     }
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -15,22 +15,22 @@
 use crate::interface::{DecisionSink, Idempotency};
 use std::collections::BTreeSet;
 
-/// Most hedges of a shard request. One is not enough, as two holders of some shard of a large query can be slow at
-/// once.
+/// Maximum number of hedges of a shard request. One hedge is not enough, as a query with many shards may contain a
+/// shard with two slow holders.
 const HEDGES_MAX: usize = 2;
-/// An attempt is replaced only while at least this fraction of the usual latency is left before the latency objective.
+/// An attempt is replaced only while at least this fraction of the median latency is left before the latency objective.
 const REPLACEMENT_TIME_FRACTION: f64 = 0.5;
 
 /// What to do about a late shard request.
 enum LateAction {
     /// Start another attempt in parallel, which bypasses the node of the newest attempt.
     Hedge { bypassed_node: String },
-    /// Cancel the attempts in flight; another one starts in the next round.
+    /// Cancel the attempts in flight; another attempt starts in the next round.
     Replace,
 }
 
 impl Policy {
-    /// Returns the queries with a late attempt.
+    /// Returns the numbers of the queries that have a late attempt in flight.
     pub(super) fn queries_with_late_attempts(&mut self) -> BTreeSet<u64> {
         let mut attempts = std::mem::take(&mut self.attempts_in_flight);
         let is_in_flight_uncancelled = |position: AttemptPosition| {
@@ -98,10 +98,10 @@
         }
     }
 
-    /// The win rate of hedges that bypass a node. If none of them has ended yet, that of the hedges of all nodes.
+    /// The win rate of the hedges that bypass a node, or that of all hedges if none that bypasses the node has ended.
     fn hedge_win_rate(&self, bypassed_node: &str) -> WinRate {
-        let own = self.nodes.get(bypassed_node).and_then(|node| node.hedge_win_rate);
-        own.unwrap_or(self.hedge_stats.win_rate)
+        let of_node = self.nodes.get(bypassed_node).and_then(|node| node.hedge_win_rate);
+        of_node.unwrap_or(self.hedge_stats.win_rate)
     }
 
     /// Records that a hedge that bypassed a node has won or lost.
@@ -114,7 +114,8 @@
         self.hedge_stats.win_rate.record(won);
     }
 
-    /// What to do about a shard request if it is late, provided that another node is available.
+    /// The action for a shard request; `None` if its newest attempt is not late or no action is allowed. Does not check
+    /// whether another node is available.
     fn late_action(&self, query: &Query, request: &ShardRequest) -> Option<LateAction> {
         let newest = request.attempts.iter().rfind(|attempt| attempt.is_in_flight_uncancelled())?;
         let late_after_s = self.late_after_s(ShardAndClass { shard: request.shard, class: query.class });
@@ -127,8 +128,8 @@
         }
         let replacement_s = REPLACEMENT_TIME_FRACTION * self.median_latency_s(query.class);
         let in_time = self.now_s + replacement_s < query.objective_at_s;
-        let mut live = request.attempts.iter().filter(|attempt| attempt.is_in_flight_uncancelled());
-        let stuck = live.all(|attempt| self.is_stuck(attempt, late_after_s));
+        let mut in_flight = request.attempts.iter().filter(|attempt| attempt.is_in_flight_uncancelled());
+        let stuck = in_flight.all(|attempt| self.is_stuck(attempt, late_after_s));
         (in_time && stuck).then_some(LateAction::Replace)
     }
 
@@ -144,8 +145,9 @@
             && is_needed
     }
 
-    /// Whether an attempt waits for an unresponsive node. Age alone is not sufficient, as a few shard requests take
-    /// long on any node. A node without a record has no attempt in flight, so that no answer will arrive from it.
+    /// Whether an attempt is very late and its node is unresponsive or no longer known. Age alone is not sufficient, as
+    /// a few shard requests take long on any node. The record of a removed node is dropped once all its attempts have
+    /// ended, so that no answer can arrive from a node without a record.
     fn is_stuck(&self, attempt: &Attempt, late_after_s: f64) -> bool {
         let age_s = self.now_stall_free_s - attempt.started_at_stall_free_s;
         let unresponsive = |node: &Node| node.health == Health::Unresponsive;
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,6 +1,7 @@
-//! Estimates latencies: how long a shard request usually takes, and after which delay an attempt is late.
+//! Estimates latencies: the median latency of a shard request, and the delay after which an attempt is late.
 //!
-//! Inputs are the latencies of ended attempts in seconds, by shard and by query class. In a large deployment a router
+//! Inputs are the latencies of ended attempts in seconds, by shard and by query class, measured from the start of an
+//! attempt to its end on the clock that excludes the router's own stalls. In a large deployment a router
 //! observes a given shard rarely, so that estimates fall back from the shard to the query class, and from the class to
 //! a fraction of the latency objective.
 
@@ -16,23 +17,23 @@
 pub(super) const SHARD_SAMPLES_MIN: usize = 12;
 /// Number of latencies of a class from which its quantiles are used.
 pub(super) const CLASS_SAMPLES_MIN: usize = 16;
-/// Number of latencies of a class from which its median is used as the usual latency.
+/// Number of latencies of a class from which their median is used.
 const MEDIAN_SAMPLES_MIN: usize = 5;
 
 const MEDIAN: f64 = 0.5;
 /// Quantile of a shard's latencies after which an attempt is late.
 const LATE_QUANTILE: f64 = 0.95;
-/// Multiple of the class's median after which an attempt to a shard without enough latencies is late. A high quantile
-/// over all shards would be raised by the slow nodes that hedges are meant to bypass.
+/// If a shard has too few latencies, its attempts are late after this multiple of the median of the query class. A high
+/// quantile over all shards would be raised by the slow nodes that hedges are meant to bypass.
 const LATE_MEDIAN_MULTIPLE: f64 = 2.0;
-/// Latency of a class without samples, as a fraction of its latency objective.
+/// Assumed median latency of a class with too few latencies, as a fraction of its latency objective.
 pub(super) const DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE: f64 = 0.25;
-/// Longest delay after which an attempt is late, as a fraction of the latency objective: a later hedge could not
-/// succeed in time.
+/// Upper limit for the delay after which an attempt is late, as a fraction of the latency objective. A later hedge
+/// would not succeed in time.
 const LATE_MAX_FRACTION: f64 = 0.5;
 /// Upper limit for the estimated work of a shard request, as a fraction of the latency objective.
 const WORK_MAX_FRACTION: f64 = 0.15;
-/// Shortest usual latency that is returned, as callers divide by it.
+/// Lower limit for the median latency that is returned, as callers divide by it.
 const LATENCY_MIN_S: f64 = 0.001;
 
 /// The latest latencies, in order of arrival and in sorted order.
@@ -45,7 +46,7 @@
 }
 
 impl LatencyWindow {
-    /// Adds a latency; the oldest beyond `max_samples` are dropped.
+    /// Adds a latency, and drops the oldest latencies beyond `max_samples`.
     pub fn record(&mut self, latency_s: f64, max_samples: usize) {
         self.by_arrival.push_back(latency_s);
         self.sorted.insert(self.sorted.partition_point(|&other_s| other_s < latency_s), latency_s);
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Returns the window that a successor starts with: the latest latencies of its parents, taken from each in turn.
+    /// Returns the initial window of a new shard or slot: the latest latencies of its parents, taken from each parent
+    /// in turn, at most `max_samples` in total.
     pub fn inherit(parents: &[&LatencyWindow], max_samples: usize) -> LatencyWindow {
         let mut latest = Vec::new();
         let longest = parents.iter().map(|parent| parent.by_arrival.len()).max().unwrap_or(0);
@@ -83,10 +85,10 @@
 pub(super) struct ClassState {
     pub config: QueryClass,
     pub latencies: LatencyWindow,
-    /// The lowest median so far, infinite while there is none. It estimates the work, as latency under overload is
-    /// mostly queueing.
+    /// The lowest median of the class's latencies so far; infinite while there are too few. It
+    /// estimates the work of a shard request, as it contains the least queueing.
     pub lowest_median_s: f64,
-    /// The longest time between the arrival and the deadline of a query of this class.
+    /// The longest time from a query's arrival to its client's deadline, over all queries of this class, in seconds.
     pub longest_time_left_s: f64,
 }
 
@@ -108,20 +110,21 @@
         }
     }
 
-    /// The usual latency of a shard request in seconds, queueing included.
+    /// The median latency of successful attempts in seconds, including queueing at the data node.
     pub fn median_latency_s(&self) -> f64 {
         let default_s = DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE * self.config.latency_objective_s;
         self.latencies.quantile(MEDIAN, MEDIAN_SAMPLES_MIN).unwrap_or(default_s).max(LATENCY_MIN_S)
     }
 
-    /// The lowest median as a fraction of the latency objective.
+    /// The estimated work of a shard request, which is the lowest median latency of the class so far, as a fraction of
+    /// the latency objective; `None` while there are too few latencies.
     fn lowest_median_fraction(&self) -> Option<f64> {
         Some(self.lowest_median_s / self.config.latency_objective_s).filter(|fraction| fraction.is_finite())
     }
 }
 
 impl Policy {
-    /// The delay in seconds after which an attempt is late.
+    /// The delay in seconds after which an attempt for this shard and query class is late.
     pub(super) fn late_after_s(&self, key: ShardAndClass) -> f64 {
         let class = &self.classes[key.class];
         let objective_s = class.config.latency_objective_s;
@@ -135,13 +138,13 @@
         of_shard.unwrap_or_else(of_class).min(LATE_MAX_FRACTION * objective_s)
     }
 
-    /// The usual latency of a shard request in seconds, queueing included.
+    /// The median latency of successful attempts in seconds, including queueing at the data node.
     pub(super) fn median_latency_s(&self, class: usize) -> f64 {
         self.classes[class].median_latency_s()
     }
 
-    /// The work of one shard request in seconds, without queueing. A class without samples is assumed to need the same
-    /// fraction of its latency objective as the class with the largest known fraction.
+    /// The estimated work of one shard request: its processing time at a data node in seconds, without queueing. For a
+    /// class with too few latencies, the largest fraction of work per latency objective of all other classes is used.
     pub(super) fn request_work_s(&self, class: usize) -> f64 {
         let largest = || self.classes.iter().filter_map(ClassState::lowest_median_fraction).reduce(f64::max);
         let class = &self.classes[class];
--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -1,4 +1,4 @@
-//! The record of one data node: its attempts in flight, and the state of the decisions about it.
+//! The record of one data node: its attempts in flight, its health, and its limits on concurrency and load.
 
 use super::concurrency_limit::{ConcurrencyLimit, LoadSample};
 use super::hedge_success::WinRate;
@@ -11,20 +11,20 @@
 pub(super) struct Node {
     pub replica_group: u32,
     pub state: NodeState,
-    /// When the node's process started, if known.
+    /// When the node's process started, in seconds on the monotonic clock; `None` if unknown.
     pub started_at_s: Option<f64>,
     pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
     pub concurrency: ConcurrencyLimit,
     pub health_record: HealthRecord,
     pub warm_up_load: WarmUpLoad,
-    /// Win rate of the hedges that bypass this node, if any of them has ended.
+    /// Win rate of the hedges that bypass this node; `None` if no such hedge has ended.
     pub hedge_win_rate: Option<WinRate>,
     /// Sequence number of this router's latest attempt to the node; the node with the lowest is next in round robin.
     pub last_attempt: u64,
     /// The node's health at the start of this round.
     pub health: Health,
-    /// Time in seconds that a shard request may have to wait for the node: as long as the oldest one already waits, or
-    /// until the node is readmitted.
+    /// Seconds that a new shard request may have to wait for the node: the time for which the oldest waiting shard
+    /// request has waited, or the time until the node's readmission.
     pub expected_wait_s: f64,
 }
 
@@ -55,13 +55,14 @@
         }
     }
 
-    /// Creates the record of a node that is not in the endpoint list but has an attempt of another host. No attempts
-    /// are sent to the node. If the list contains it later, that entry replaces these values.
+    /// Creates the record of a node that is not in the endpoint list but has an attempt in flight that another router
+    /// process started and this one adopted. No attempts are sent to the node unless an endpoint list contains it
+    /// later; the values of its list entry then replace those set here.
     pub fn without_endpoint_entry() -> Self {
         Node::new(0, NodeState::Removed, None, None)
     }
 
-    /// Records the end of an attempt for the node's health and for its concurrency limit.
+    /// Updates the node's health and its concurrency limit with an ended attempt.
     pub fn record_outcome(&mut self, now_s: f64, attempt: &EndedAttempt) {
         self.concurrency.record(&LoadSample {
             outcome: attempt.outcome,
@@ -84,13 +85,14 @@
         )
     }
 
-    /// Age in seconds of the oldest attempt in flight, 0 if there is none.
+    /// Age in seconds of the node's oldest attempt in flight; 0 if it has no attempt in flight.
     pub fn oldest_attempt_age_s(&self, now_stall_free_s: f64) -> f64 {
         let ages = self.in_flight.values().map(|attempt| now_stall_free_s - attempt.started_at_stall_free_s);
         ages.fold(0.0, f64::max)
     }
 
-    /// How much work the node may be sent now.
+    /// The number of shard requests that the node may be sent now, and for how long this core then has the turn at a
+    /// node that is warming up.
     pub fn capacity(&self, inputs: &CapacityInputs) -> NodeCapacity {
         let free = self.concurrency.additional_requests_allowed(self.in_flight.len());
         self.warm_up_load.capacity(inputs, self.started_at_s, free)
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,45 +1,46 @@
 //! Decides how healthy each data node is, and thereby which nodes are avoided or ejected.
 //!
 //! Inputs are the outcomes, latencies and ages in seconds of this core's own attempts, and observations that other
-//! cores or routers share. A late node is avoided for a time that doubles while it stays late. A node that cannot be
-//! reached, fails repeatedly or answers nothing is ejected. This limits the damage of crashed, hung, silent and slow
-//! nodes. The cost: the capacity of a healthy node that paused for a moment, or that recovers while it is avoided, is
-//! not used. Times are on the clock that excludes the router's own stalls.
+//! cores or routers share. A node with late attempts is avoided for a time that doubles while its attempts stay late. A
+//! node that cannot be reached, fails repeatedly or answers nothing is ejected. This limits the damage of crashed,
+//! hung, silent and slow nodes. The cost: the capacity of a healthy node that paused for a moment, or that recovers
+//! while it is avoided, is not used. Times are in seconds on the clock that excludes the router's own stalls.
 
 use super::Policy;
 use crate::interface::{AttemptOutcome, DecisionSink, NodeObservation, NodeState};
 
-/// An attempt that takes this many times the delay after which attempts are late is very late.
+/// An attempt is very late once its age exceeds the delay after which it is late by this factor.
 pub(super) const VERY_LATE_MULTIPLE: f64 = 2.5;
 /// Consecutive failures from which a node is ejected.
 const EJECTION_FAILURES: u32 = 2;
-/// The duration of an ejection grows by this factor with each failure, up to the maximum factor.
+/// The duration of an ejection grows by this factor with each consecutive failure, up to the maximum factor.
 const EJECTION_GROWTH: f64 = 1.6;
 const EJECTION_FACTOR_MAX: f64 = 16.0;
-/// Shortest duration that the factor applies to.
+/// Minimum of the duration that is multiplied by the factor.
 const EJECTION_UNIT_MIN_S: f64 = 0.25;
-/// Longest ejection. After this time discovery has reported a node that no longer exists.
+/// Longest ejection. Within this time discovery removes a node that no longer exists from the endpoint list.
 const EJECTION_MAX_S: f64 = 6.0;
-/// Time for which a late node is avoided, multiplied by the number of routers: together, more routers would try the
-/// node more often.
+/// Time per router for which a late node is avoided. The time is proportional to the number of routers, so that all
+/// routers together send to the node equally often whatever their number.
 const AVOIDANCE_PER_ROUTER_S: f64 = 0.25;
 const AVOIDANCE_PER_ROUTER_MAX_S: f64 = 15.0;
-/// The avoidance time grows by this factor while the node stays late, up to this much more than its shortest value.
+/// The avoidance time grows by this factor with each late attempt, up to this much above its minimum.
 const AVOIDANCE_GROWTH: f64 = 2.0;
 const AVOIDANCE_GROWTH_MAX_S: f64 = 10.0;
-/// Time for which other cores take a node to be unresponsive after an observation of an unanswered attempt. The
-/// observation is repeated while the attempt stays unanswered.
+/// Time for which other cores regard a node as unresponsive after this core has shared that an attempt is unanswered.
+/// The observation is shared again while the attempt stays unanswered.
 const UNANSWERED_SHARED_FOR_S: f64 = 0.5;
-/// An observation is shared again when the state lasts longer than was shared by this fraction of its duration.
+/// An observation is shared again if the new end of the state exceeds the end that was shared last by more than this
+/// fraction of the remaining time: first for unanswered attempts, then for other states.
 const UNANSWERED_RESHARE_FRACTION: f64 = 0.5;
 const RESHARE_FRACTION: f64 = 0.1;
-/// Longest time for which a remote observation counts.
+/// Longest time for which an observation of another core or router is used.
 const REMOTE_MAX_S: f64 = 30.0;
 
 /// How healthy a data node is, the best first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Health {
-    /// Selected in turn.
+    /// Selected by round robin.
     #[default]
     Healthy,
     /// Avoided while another holder is healthy.
@@ -65,33 +66,33 @@
     pub late_after_s: f64,
 }
 
-/// What this core's own attempts have shown about a node.
+/// The health of a node according to this core's own attempts.
 #[derive(Default)]
 struct OwnObservations {
-    /// When the node last answered.
+    /// When the node last answered this core, be it with a success or a rejection.
     last_answer_at_s: f64,
-    /// When an attempt last ended.
+    /// When an attempt of this core at the node last ended, with any outcome.
     last_outcome_at_s: f64,
     slow_until_s: f64,
     very_slow_until_s: f64,
     ejected_until_s: f64,
-    /// Time for which the node is avoided for being late.
+    /// Current avoidance time in seconds: how long the node is avoided after a late attempt.
     avoidance_s: f64,
     consecutive_failures: u32,
     last_connection_loss_at_s: f64,
-    /// Whether an attempt has ended since the health was last shared.
+    /// Whether an attempt has ended since [`HealthRecord::observation_to_share`] last checked for a change.
     changed_since_shared: bool,
     shared: SharedHealth,
 }
 
-/// The health that was shared last, and the time until which it was declared to last.
+/// The health that this core shared last, and the end of that state as shared.
 #[derive(Clone, Copy, Default)]
 struct SharedHealth {
     health: Health,
     until_s: f64,
 }
 
-/// The observation of another core or router, and the times until which it counts. It is never forwarded.
+/// The latest observation by another core or router, with the end of each state. The observation is not forwarded.
 #[derive(Clone, Copy, Default)]
 struct RemoteObservation {
     observed_at_s: f64,
@@ -101,7 +102,7 @@
 }
 
 impl RemoteObservation {
-    /// The health by this observation.
+    /// The node's health according to this observation.
     pub fn health(&self, now_s: f64) -> Health {
         match () {
             _ if self.unresponsive_until_s > now_s => Health::Unresponsive,
@@ -116,7 +117,7 @@
 pub(super) struct EndedAttempt {
     pub outcome: AttemptOutcome,
     pub latency_s: f64,
-    /// The delay after which the attempt was late.
+    /// The delay in seconds after which the attempt counts as late.
     pub late_after_s: f64,
     /// The shortest latency objective of all query classes.
     pub shortest_objective_s: f64,
@@ -158,7 +159,7 @@
         let already_counted = attempt.outcome != AttemptOutcome::Error
             && std::mem::replace(&mut self.last_connection_loss_at_s, now_s) == now_s;
         if !already_counted {
-            // A refused connection ejects the node at once.
+            // An unreachable node is ejected after a single failure.
             let failures = if attempt.outcome == AttemptOutcome::Unreachable { EJECTION_FAILURES } else { 1 };
             self.consecutive_failures += failures;
         }
@@ -185,8 +186,7 @@
         }
     }
 
-    /// Discards the effects of this core's own observations, as another core has since observed that the node is
-    /// healthy.
+    /// Resets the health to healthy, after another core has observed that the node is healthy.
     fn clear(&mut self, now_s: f64) {
         (self.avoidance_s, self.consecutive_failures) = (0.0, 0);
         self.shared = SharedHealth { health: Health::Healthy, until_s: now_s };
@@ -199,9 +199,9 @@
 /// The observations of a node's health.
 #[derive(Default)]
 pub(super) struct HealthRecord {
-    /// By this core's own attempts.
+    /// From this core's own attempts.
     own: OwnObservations,
-    /// By other cores or routers.
+    /// From another core or router.
     remote: RemoteObservation,
 }
 
@@ -220,13 +220,13 @@
         self.own.consecutive_failures
     }
 
-    /// The health by this core's own attempts, those in flight included.
+    /// The node's health according to this core's own attempts, including those in flight.
     pub fn own_health<'a>(
         &self,
         now_s: f64,
         mut in_flight: impl Iterator<Item = &'a InFlightAttempt> + Clone,
     ) -> Health {
-        // Age as a multiple of the delay after which the attempt is late.
+        // The attempt's age, as a multiple of the delay after which it is late.
         let multiple =
             |attempt: &InFlightAttempt| (now_s - attempt.started_at_stall_free_s) / attempt.late_after_s;
         let oldest = in_flight.clone().map(multiple).fold(0.0, f64::max);
@@ -242,14 +242,15 @@
         }
     }
 
-    /// The health by the observations of other cores or routers.
+    /// The node's health according to the latest observation of another core or router.
     pub fn remote_health(&self, now_s: f64) -> Health {
         self.remote.health(now_s)
     }
 
-    /// Records an observation that another core or router made `age_s` seconds ago. It is ignored if this core has made
-    /// a newer observation of its own, so that a wrong observation does not eject a node that answers this core. An
-    /// observation that the node is healthy clears this core's own observations.
+    /// Records an observation that another core or router made `age_s` seconds ago. The observation is ignored if
+    /// the node has answered this core since then, so that a wrong observation does not eject a node that answers this
+    /// core; an observation of a healthy node is ignored if any attempt of this core has ended since then. An
+    /// observation of a healthy node resets this core's own observations.
     pub fn record_remote(&mut self, now_s: f64, age_s: f64, observation: NodeObservation) {
         let observed_at_s = now_s - age_s;
         let NodeObservation { slow_for_s, very_slow_for_s, unresponsive_for_s, .. } = observation;
@@ -270,9 +271,9 @@
         }
     }
 
-    /// Returns an observation to share with other cores if the health by this core's own attempts differs from what was
-    /// shared, lasts longer, or contradicts the observation of another core. `started_at_s` is the node's start,
-    /// `clock_s` the time on the monotonic clock.
+    /// Returns an observation to share with other cores if the node's health according to this core's own
+    /// attempts differs from the health that was shared last, lasts longer, or contradicts the observation of another
+    /// core. `started_at_s` is when the node's process started, `clock_s` is the current time on the monotonic clock.
     pub fn observation_to_share(
         &mut self,
         started_at_s: Option<f64>,
@@ -316,10 +317,10 @@
         })
     }
 
-    /// Expected time until this unresponsive node is used again. `own` is the health by this core's own attempts,
-    /// `oldest_age_s` the age of the oldest attempt in flight.
+    /// Expected seconds until an unresponsive node is used again. `own` is the node's health according to this core's
+    /// own attempts, `oldest_age_s` is the age in seconds of the oldest attempt in flight.
     fn time_until_readmission_s(&self, now_s: f64, own: Health, oldest_age_s: f64) -> f64 {
-        // A node that leaves attempts unanswered is expected to do so for as long again as it already has.
+        // A node that has not answered for some time is expected not to answer for the same time again.
         let unanswered_s = if own == Health::Unresponsive { oldest_age_s } else { 0.0 };
         let ejected_until_s = self.own.ejected_until_s.max(self.remote.unresponsive_until_s);
         (ejected_until_s - now_s).max(unanswered_s)
@@ -360,7 +361,7 @@
         }
     }
 
-    /// Records the end of an attempt for its node.
+    /// Records the outcome and latency of an ended attempt in the record of its node.
     pub(super) fn record_node_outcome(
         &mut self,
         node: &str,
--- a/src/policy/query.rs
+++ b/src/policy/query.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-/// An open query.
+/// A query from its arrival until its final answer, rejection or failure.
 #[derive(Default)]
 pub(super) struct Query {
     pub id: String,
@@ -14,9 +14,9 @@
     /// Whether the query is regarded as a client's retry of an earlier one.
     pub is_client_retry: bool,
     pub arrived_at_s: f64,
-    /// When the client stops waiting.
+    /// The client's deadline, at which the client stops waiting.
     pub not_after_s: f64,
-    /// When the latency objective passes.
+    /// The point in time until which an answer is within the latency objective.
     pub objective_at_s: f64,
     /// Whether admission control has admitted the query.
     pub admitted: bool,
@@ -25,7 +25,7 @@
     pub first_phase_complete: bool,
     /// Number of shard requests expected in the second phase.
     pub expected_requests: usize,
-    /// When the query is checked next, unless an event for it arrives or one of its attempts becomes late before.
+    /// When the query is checked next. An event for the query or a late attempt causes an earlier check.
     pub next_check_at_s: f64,
     pub requests: Vec<ShardRequest>,
 }
@@ -34,7 +34,7 @@
 pub(super) struct ShardRequest {
     pub id: String,
     pub shard: u32,
-    /// Fraction of the whole query.
+    /// The shard request's fraction of the query's result, from 0 to 1.
     pub weight: f64,
     pub succeeded: bool,
     /// Number of hedges started so far.
@@ -60,15 +60,15 @@
     pub connection_lost: bool,
 }
 
-/// The position of a shard request.
+/// Identifies a shard request by its query and its index there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ShardRequestPosition {
     pub query: u64,
-    /// Index among the query's shard requests.
+    /// Index among the query's shard requests, from 0.
     pub index: usize,
 }
 
-/// A shard and a query class, the key of latencies and capacity.
+/// A pair of shard and query class. Attempts of the same pair are late after the same delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ShardAndClass {
     pub shard: u32,
@@ -103,15 +103,15 @@
         self.requests.iter().any(|request| request.succeeded)
     }
 
-    /// Nodes to which a connection broke during an attempt of this query.
+    /// Ids of the nodes whose connection broke during an attempt of this query.
     pub fn nodes_with_lost_connections(&self) -> BTreeSet<&str> {
         let lost = self.attempts().filter(|attempt| attempt.connection_lost);
         lost.map(|attempt| attempt.node.as_str()).collect()
     }
 }
 
-/// The fraction of a query's weight in the shard requests for which `holds` is true. It is 1 for all of them, even if
-/// the sum of their rounded weights differs from 1.
+/// The sum of the weights of the shard requests for which `holds` is true. The result is 1 if `holds` is true for all
+/// shard requests, even if the sum of their rounded weights differs from 1.
 pub(super) fn weight_fraction(requests: &[ShardRequest], holds: &dyn Fn(&ShardRequest) -> bool) -> f64 {
     if !requests.is_empty() && requests.iter().all(holds) {
         return 1.0;
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -1,10 +1,10 @@
 //! Decides which data node of a shard's replica groups an attempt goes to, and which shard requests of a query are sent
 //! together in one batch.
 //!
-//! Inputs are the health of the shard's holders, their capacity in shard requests, which of them were tried before, and
-//! when this router last sent to each. Among equal nodes the least recently used one is selected, over all shards: with
-//! a separate round robin for each shard, neighbouring shards of a query would often select the same node. Times are in
-//! seconds.
+//! Inputs are the health of the shard's holders, which are the serving nodes that hold it, their capacity in shard
+//! requests, which of them have had an attempt before, and when this core last sent an attempt to each. Among equal
+//! nodes the least recently used one is selected, over all shards: with a separate round robin for each shard,
+//! neighbouring shards of a query would often select the same node. Times are in seconds.
 
 use super::Policy;
 use super::attempts_by_age::AttemptPosition;
@@ -18,24 +18,25 @@
 /// Time-out of an attempt that can be retried but not cancelled, as a fraction of the latency objective.
 const UNCANCELLABLE_TIMEOUT_FRACTION: f64 = 0.5;
 
-/// A holder that could take an attempt.
+/// A holder that has capacity for an attempt.
 struct Candidate {
-    /// The lowest is preferred.
+    /// The candidate with the lowest rank is preferred.
     rank: CandidateRank,
-    /// Its index among the shard's holders.
+    /// Index among the shard's holders.
     holder: usize,
     capacity: NodeCapacity,
 }
 
-/// The order in which holders are tried: by health, where a holder that was tried before ranks one step lower; then by
-/// how many of the query's waiting shard requests the holder can take; then round robin.
+/// The order in which holders are preferred: by health, where a holder that has had an attempt of the shard request
+/// ranks one level lower; then by the number of the query's waiting shard requests that the holder can take; then by
+/// round robin.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
     health: u8,
-    /// `usize::MAX` minus the number of waiting shard requests that the holder can take.
+    /// Number of the query's waiting shard requests that the holder can take in one batch; more are preferred.
     batch_size: Reverse<usize>,
     last_attempt: u64,
-    /// Distance from the shard's round robin offset; orders nodes that this router has never sent to.
+    /// Number of holders from the shard's round robin offset to this one; orders nodes that have had no attempt yet.
     step: usize,
 }
 
@@ -47,7 +48,8 @@
 }
 
 impl Policy {
-    /// Rebuilds the index of serving nodes after a change of the endpoint list or of the shards.
+    /// Fills the map from replica groups to serving nodes if a change of the endpoint list or of the shards has cleared
+    /// it.
     pub(super) fn refresh_serving_nodes(&mut self) {
         if !self.serving_nodes.is_empty() {
             return;
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Serving nodes that hold a shard, in round robin order.
+    /// Ids of the serving nodes that hold a shard, by replica group in the order of the ring or of the explicit list.
     pub(super) fn serving_holders(&self, shard: u32) -> Vec<&str> {
         let excluded = self.placement.excluded_nodes(shard);
         let groups = self.placement.holding_groups(shard);
@@ -68,8 +70,8 @@
         members.filter(|id| excluded.is_none_or(|excluded| !excluded.contains(*id))).collect()
     }
 
-    /// Most shard requests in one attempt. Batching is useful only if an attempt costs work in addition to that of its
-    /// shard requests.
+    /// Maximum number of shard requests in one attempt. Batching is useful only if an attempt costs work in addition to
+    /// that of its shard requests.
     fn max_batch(&self) -> usize {
         if self.placement.attempt_overhead_s > 0.0 { self.placement.max_batch } else { 1 }
     }
@@ -84,10 +86,10 @@
         }
     }
 
-    /// Returns whether a holder may be tried for a shard request. Not eligible are holders with an attempt of it in
-    /// flight, and holders whose rejected attempt of it started less than `work_s` ago, so that not all attempts go to
-    /// the same full node. Unresponsive holders are eligible only for a first attempt, and only if all holders are
-    /// unresponsive.
+    /// Returns a function that decides whether a holder may get an attempt of a shard request. Not eligible are holders
+    /// with an attempt of the shard request in flight, and holders that rejected an attempt of it that started less
+    /// than `work_s` seconds ago, so that not all attempts go to the same full node. Unresponsive holders are eligible
+    /// only for a first attempt, and only if all holders are unresponsive.
     fn is_eligible(&self, request: &ShardRequest, holders: &[&str], work_s: f64) -> impl Fn(&str) -> bool {
         let unresponsive = move |id: &str| self.nodes[id].health == Health::Unresponsive;
         let last_resort = request.attempts.is_empty() && holders.iter().all(|id| unresponsive(id));
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Whether any holder could still take a shard request before the deadline. If not, the query is abandoned, so that
-    /// it does not cause work on other nodes while the last holder of one shard is full.
+    /// Whether any holder is expected to have capacity for a shard request before the client's deadline, or no holder
+    /// is serving. Otherwise the query is abandoned, so that its other shard requests cause no useless work.
     pub(super) fn has_holder_available_before_deadline(&self, query: &Query, request: &ShardRequest) -> bool {
         let inputs = self.capacity_inputs(query.class, 1);
         let holders = self.serving_holders(request.shard);
@@ -113,8 +115,8 @@
         holders.is_empty() || holders.iter().any(|id| is_eligible(id) && in_time(id))
     }
 
-    /// Selects the node for a shard request's next attempt, if any holder can take it now. `waiting_shards` are the
-    /// shards of the query's waiting shard requests, this one included.
+    /// Selects the node for a shard request's next attempt; `None` if no eligible holder has capacity now.
+    /// `waiting_shards` are the shards of the query's shard requests that wait for an attempt, including this one.
     pub(super) fn select_node(
         &self,
         position: ShardRequestPosition,
@@ -139,7 +141,7 @@
         })
     }
 
-    /// The eligible holders with capacity, with their ranks.
+    /// The eligible holders that have capacity, with their ranks.
     fn candidates(
         &self,
         class: usize,
@@ -173,7 +175,7 @@
         candidates
     }
 
-    /// Starts attempts for those of a query's shard requests that have none in flight: a first attempt, or a retry.
+    /// Starts first attempts or retries of a query's shard requests that have no attempt in flight.
     pub(super) fn start_waiting_requests(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         let Some(query) = self.queries.get(&number).filter(|query| !query.may_have_crashed_nodes()) else {
             return;
@@ -203,9 +205,9 @@
         }
     }
 
-    /// Sends the first shard request of a group to a node, together with the others of the group whose shards the node
-    /// holds. Returns the shard requests that need not be tried again in this round; none if no node can take the first
-    /// one.
+    /// Sends the first shard request of a group to a node, together with the other shard requests of the group whose
+    /// shards the node holds. Returns the indices of the shard requests that have been handled in this round, including
+    /// retries for which there was no token; the set is empty if no node can take the first shard request.
     fn start_batch(
         &mut self,
         number: u64,
@@ -245,7 +247,8 @@
         started
     }
 
-    /// The time-out of a shard request's next attempt: the time until its answer has no value.
+    /// The time-out in seconds of a shard request's next attempt. It ends when an answer to the shard request loses its
+    /// value, or earlier if the attempt can be retried but not cancelled.
     fn attempt_timeout_s(&self, query: &Query, request: &ShardRequest) -> f64 {
         let class = &self.classes[query.class].config;
         let retryable = class.idempotency == Idempotency::Idempotent
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,19 +1,20 @@
 //! Decides whether a further attempt of a shard request is allowed.
 //!
-//! Inputs are the idempotency of the query class, the most attempts of a shard request, and the outcomes of its earlier
-//! attempts. This prevents effects that happen twice, and limits the damage of a query that crashes every node that
-//! works on it, as retries would send it to all holders. Times are in seconds.
+//! Inputs are the idempotency of the query class, the maximum number of attempts of a shard request, and the outcomes
+//! of the earlier attempts. This prevents effects that happen twice, and limits the damage of a query that crashes
+//! every node that works on it, as retries would send it to all holders. Times are in seconds on the host's monotonic
+//! clock.
 
 use super::query::{Query, ShardRequest};
 use super::{ANSWER_MARGIN_S, Policy};
 use crate::interface::{AttemptOutcome, Idempotency};
 
-/// Number of nodes with broken connections from which a query is suspected of crashing nodes. One is enough while other
-/// attempts of the query are in flight.
+/// A query is suspected of crashing nodes if connections to this many nodes broke during its attempts. One such node is
+/// enough while other attempts of the query are in flight.
 const CRASHED_NODES_MIN: usize = 2;
 
 impl ShardRequest {
-    /// Whether idempotency and the most attempts allow one more attempt.
+    /// Whether idempotency and the maximum number of attempts allow one more attempt.
     pub fn may_attempt_again(&self, now_s: f64, idempotency: Idempotency, max_attempts: usize) -> bool {
         let first_effect = self.attempts.iter().find(|attempt| attempt.possible_effect);
         self.attempts.len() < max_attempts
@@ -46,8 +47,8 @@
         request.may_attempt_again(self.now_s, idempotency, self.capabilities.max_attempts)
     }
 
-    /// Records the loss of a connection during an attempt. Queries then start with a single attempt until a node that
-    /// crashed would have warmed up.
+    /// If the outcome of an attempt is a lost connection, restricts queries to a single attempt in flight for the time
+    /// that a node that has crashed and restarted takes to warm up.
     pub(super) fn record_if_connection_lost(&mut self, outcome: AttemptOutcome) {
         if outcome == AttemptOutcome::ConnectionReset {
             self.single_attempts_until_s = self.now_s + self.slow_start.map_or(0.0, |rule| rule.warm_up_s);
@@ -55,8 +56,8 @@
     }
 
     /// Whether this query may have only one attempt in flight, because a node may have crashed recently and no shard
-    /// request of the query has succeeded yet. If its cause was a query like this one, each attempt would crash a node.
-    /// The cost: the query takes longer by the time of one attempt if the node crashed for another reason.
+    /// request of the query has succeeded yet. If a query like this one caused the crash, each attempt would crash a
+    /// node. The cost: if the node crashed for another reason, the query takes longer by the latency of one attempt.
     pub(super) fn sends_single_attempt(&self, query: &Query) -> bool {
         self.now_s < self.single_attempts_until_s && !query.has_success()
     }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,4 +1,5 @@
-//! Limits the attempts after the first one of each shard request with a token bucket. Each shard request adds tokens.
+//! Limits retries and hedges, which are the attempts after the first one of each shard request, with a token bucket.
+//! Each new shard request adds a fraction of a token.
 //!
 //! A hedge always costs one token. If a retry budget is configured, every attempt after a first one costs a token, so
 //! that any window has at most as many as the bucket's capacity plus the ratio times the window's shard requests. This
@@ -12,7 +13,7 @@
 /// is cut to them.
 const TOKENS_PER_REQUEST_MAX: f64 = 0.1;
 const CAPACITY_MAX_TOKENS: f64 = 40.0;
-/// Cost of an attempt.
+/// Number of tokens that a hedge, or a retry if a retry budget is configured, costs.
 const ATTEMPT_COST_TOKENS: f64 = 1.0;
 
 /// How the token bucket is filled, and which attempts cost a token.
@@ -21,7 +22,7 @@
     /// Tokens that each shard request adds.
     pub tokens_per_request: f64,
     pub capacity_tokens: f64,
-    /// Whether every attempt after a first one costs a token, not only hedges.
+    /// Whether retries cost a token too, not only hedges. True if a retry budget is configured.
     pub retries_cost_tokens: bool,
 }
 
@@ -44,24 +45,25 @@
         self.shared_limits.change_capacity(config.capacity_tokens, config.retries_cost_tokens);
     }
 
-    /// Adds the tokens of a new shard request.
+    /// Adds the fraction of a token that a new shard request earns, up to the bucket's capacity.
     pub(super) fn deposit_tokens_for_new_request(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(config.tokens_per_request, config.capacity_tokens);
     }
 
-    /// Removes the tokens of a shard request that already added tokens on another host.
+    /// Removes what a shard request added on this host if it was adopted: it already added tokens on the host on which
+    /// the query arrived.
     pub(super) fn undo_deposit_for_adopted_request(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(-config.tokens_per_request, config.capacity_tokens);
     }
 
-    /// Whether the bucket holds a whole token.
+    /// Whether the bucket contains at least the token that an attempt costs.
     pub(super) fn bucket_has_token(&self) -> bool {
         self.shared_limits.tokens() >= ATTEMPT_COST_TOKENS
     }
 
-    /// Whether there is a token for a retry, or retries cost none.
+    /// Whether a retry may start: the bucket contains a token, or retries cost none.
     pub(super) fn budget_allows_retry(&self) -> bool {
         !self.retry_tokens.retries_cost_tokens || self.bucket_has_token()
     }
--- a/src/policy/shard_changes.rs
+++ b/src/policy/shard_changes.rs
@@ -1,6 +1,7 @@
-//! Carries state across changes of the shards: a new shard starts with the observations of its parents, the successors
-//! of a split shard request inherit its attempts, and a query taken over from another host keeps its attempts. This
-//! module makes no decisions.
+//! Keeps state when shards change. A new shard starts with the latencies of its parents, the shards that contained its
+//! keys before. The successors of a shard request, which replace it after its shard was split, get copies of its
+//! attempts. A query that this host continues for another host process keeps its attempts. This module makes no
+//! decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::{LatencyWindow, SHARD_SAMPLES_MIN};
@@ -38,9 +39,9 @@
         }
     }
 
-    /// Each successor has a copy of the old shard request's attempts, so that their possible effects, hedges and number
-    /// count for it. Otherwise a split would allow a second effect or more than the most attempts. An attempt in flight
-    /// uses its node's capacity once, even if several successors wait for it.
+    /// Each successor has a copy of the old shard request's attempts, so that a split allows neither a second effect
+    /// nor more than the maximum number of attempts or hedges. An attempt in flight uses its node's capacity once, even
+    /// if several successors wait for it.
     fn shard_request_split(&mut self, number: u64, request: &str, into: &[(&str, u32, f64)]) {
         let is_of_query = |position: &ShardRequestPosition| position.query == number;
         let position = self.shard_requests.get(request).copied().filter(is_of_query);
@@ -58,7 +59,7 @@
         for (nth, &(id, shard, weight)) in into.iter().enumerate() {
             let mut attempts = attempts.clone();
             if nth > 0 {
-                // The result of a hedge is recorded once.
+                // Only the first successor records whether a hedge has won.
                 attempts.iter_mut().for_each(|attempt| attempt.bypassed_node = None);
             }
             let successor = ShardRequest { id: id.into(), shard, weight, succeeded, hedges, attempts };
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Moves attempts in flight from one shard request to another in the records of their nodes.
+    /// Changes the shard request id of attempts in flight from `from` to `to` in the records of their nodes.
     fn rename_in_flight(&mut self, from: &str, to: &str, attempts: &[Attempt]) {
         for (number, attempt) in in_flight(attempts) {
             if let Some(node) = self.nodes.get_mut(&attempt.node)
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Stores a successor at an index of its query's shard requests, or after the last one, and adds its attempts in
-    /// flight to the index by age.
+    /// Stores a successor at `index` among its query's shard requests, or after the last one if `index` is `None`, and
+    /// adds the successor's attempts in flight to the index by age.
     fn place_successor(&mut self, number: u64, successor: ShardRequest, index: Option<usize>) {
         let Some(query) = self.queries.get_mut(&number) else { return };
         let index = index.unwrap_or(query.requests.len());
@@ -126,9 +127,9 @@
         }
     }
 
-    /// Adds an attempt made by another host. It counts toward the most attempts, and as a possible effect. One in
-    /// flight can also become late and uses its node's capacity. A node that this host's endpoint list does not contain
-    /// gets a record, as every attempt in flight needs one.
+    /// Adds an attempt that another host process started. The attempt counts toward the maximum number of attempts and
+    /// may have had an effect. An attempt in flight also uses its node's capacity and can become late. If this host's
+    /// endpoint list does not contain the node, a record of the node is created, as every attempt in flight needs one.
     fn adopt(&mut self, request_id: &str, node_id: &str, age_s: f64, outcome: Option<AttemptOutcome>) {
         let Some(&position) = self.shard_requests.get(request_id) else { return };
         let Some(query) = self.queries.get(&position.query) else { return };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,31 +1,33 @@
 //! Decides how much work a data node that has just started may be sent while it warms up.
 //!
 //! Inputs are the node's age in seconds, the configured rule ([`SlowStartConfig`]), the number of routers that share
-//! the node, and the seconds of work already sent to it. Each router sends at most its fraction of the load that would
-//! overload a node with one core, so that all routers together stay below that load. The cost: a node with more cores
-//! gets less load than it could take until it is warm. Of several cores of a router, only one sends to the node at a
-//! time ([`crate::interface::SharedLimits::try_slow_start_turn`]).
+//! the node, and the work already sent to it. Work is the estimated processing time of shard requests in seconds. A
+//! quota is the work that a router may send to the node per second. Each router sends at most its fraction of the load
+//! that would overload a node with one core, so that all routers together stay below that load. The cost: a node with
+//! more cores gets less load than it could take until it is warm. Of several cores of a router, only one sends to the
+//! node at a time ([`crate::interface::SharedLimits::try_slow_start_turn`]).
 
 use super::CHECK_INTERVAL_S;
 use crate::interface::SlowStartConfig;
 use std::collections::VecDeque;
 
-/// Factor on the quota of a window, as the work is estimated from latencies, which include some queueing.
+/// Factor on the work that may be sent within a window, as the estimate of work is based on latencies and therefore
+/// includes some queueing.
 const WINDOW_QUOTA_FACTOR: f64 = 1.3;
 /// Factor on the work of a single request, as a tolerance for rounding.
 const SINGLE_REQUEST_FACTOR: f64 = 1.001;
 
-/// Work sent to a node.
+/// Work sent to a node at one time.
 struct SentWork {
     at_s: f64,
     work_s: f64,
 }
 
-/// The work sent to a node that may be warming up.
+/// The work, in seconds, sent to a node within the period that the slow-start rule needs.
 pub(super) struct WarmUpLoad {
     sent: VecDeque<SentWork>,
-    /// This router's position, from 0 to 1, among the routers that send single requests in turn, so that they do not
-    /// all send at the same time.
+    /// Fraction of the interval between single requests that this router waits after the node's start before it sends
+    /// its first one, from 0 to 1. The fraction is random, so that not all routers send at the same time.
     phase: f64,
 }
 
@@ -40,20 +42,20 @@
         self.sent.push_back(SentWork { at_s: now_s, work_s });
     }
 
-    /// Treats the node's whole quota as used now.
+    /// Marks this router's quota at the node as used up at `now_s`.
     pub fn mark_exhausted(&mut self, now_s: f64) {
         self.sent.push_back(SentWork { at_s: now_s, work_s: f64::INFINITY });
     }
 
-    /// Seconds of work sent since `since_s`.
+    /// Work in seconds that was sent since `since_s`.
     fn sent_since(&self, since_s: f64) -> f64 {
         self.sent.iter().filter(|sent| sent.at_s >= since_s).map(|sent| sent.work_s).sum()
     }
 }
 
-/// How much work a node may be sent now.
+/// The number of shard requests that a node may be sent now, and the restriction on other cores that this implies.
 pub(super) struct NodeCapacity {
-    /// Number of shard requests.
+    /// Number of shard requests that this core may send to the node now.
     pub requests: usize,
     /// Seconds for which no other core of this router may send to the node; 0 for a node that is not warming up.
     pub exclusive_for_s: f64,
@@ -68,11 +70,11 @@
     /// Number of routers that share the node.
     pub router_count: f64,
     pub slow_start: Option<SlowStartConfig>,
-    /// Most shard requests in one attempt.
+    /// Maximum number of shard requests in one attempt.
     pub max_batch: usize,
 }
 
-/// Seconds for which work sent to a node has to be remembered for the rule.
+/// Seconds for which the slow-start rule needs the records of work sent to a node.
 pub(super) fn warm_up_history_s(slow_start: Option<SlowStartConfig>) -> f64 {
     slow_start.map_or(0.0, |rule| rule.warm_up_s + rule.window_s)
 }
@@ -93,8 +95,9 @@
 }
 
 impl WarmUpLoad {
-    /// The capacity of a node that started at `started_at_s` and whose concurrency limit leaves `free` slots. A warm
-    /// node with any free slot takes a whole batch, even beyond its concurrency limit: under overload requests would
+    /// The capacity of a node that started at `started_at_s` and whose concurrency limit allows
+    /// `free` further shard requests. A warm node for which `free` is not 0 may be sent a whole batch, even beyond its
+    /// concurrency limit: under overload requests would
     /// otherwise be sent singly, each with the overhead of an attempt.
     pub fn capacity(&self, inputs: &CapacityInputs, started_at_s: Option<f64>, free: usize) -> NodeCapacity {
         let Some((rule, age_s)) = warm_up(inputs, started_at_s) else {
@@ -102,8 +105,7 @@
             return NodeCapacity { requests, exclusive_for_s: 0.0 };
         };
         let (work_s, quota) = (inputs.request_work_s, quota(&rule, age_s, inputs.router_count));
-        // A quota of less than one request per window allows a single request per interval in which the quota covers
-        // it.
+        // If the quota allows less than one request per window, one request is sent every `work_s / quota` seconds.
         let single_requests = work_s > quota * rule.window_s;
         let (interval_s, limit_s) = if single_requests {
             (work_s / quota, SINGLE_REQUEST_FACTOR * work_s)
--- a/src/policy/tenant_quota.rs
+++ b/src/policy/tenant_quota.rs
@@ -1,15 +1,15 @@
 //! Decides whether a query is within its tenant's quota.
 //!
-//! Inputs are the quota in queries per second for all routers together, and the number of routers. Each router grants
-//! an equal part of the quota with a token bucket; a query costs one token. A query beyond the quota has a lower
-//! priority weight under overload, but is not rejected for this reason alone.
+//! Inputs are the quota in queries per second for all routers together, and the number of routers. Each router limits
+//! the tenant to an equal fraction of the quota with a token bucket; a query costs one token. A query beyond the quota
+//! has a lower priority weight under overload, but is not rejected for this reason alone.
 
 use crate::interface::Tenant;
 
-/// Capacity of the bucket: the quota of this much time, but at least this many tokens.
+/// Capacity of the bucket: the tokens that the quota adds in this many seconds, but at least this many tokens.
 const BURST_DURATION_S: f64 = 2.0;
 const BURST_MIN_TOKENS: f64 = 2.0;
-/// Tokens of a new tenant.
+/// Number of tokens in the bucket of a new tenant.
 const INITIAL_TOKENS: f64 = 1.0;
 
 /// The quota of one tenant at this router.
@@ -20,7 +20,7 @@
     updated_at_s: f64,
 }
 
-/// Capacity of the bucket for a rate in queries per second.
+/// Capacity of the bucket in tokens, for a rate in queries per second at this router.
 fn capacity_tokens(rate_per_s: f64) -> f64 {
     (BURST_DURATION_S * rate_per_s).max(BURST_MIN_TOKENS)
 }
@@ -50,7 +50,8 @@
         (self.tokens + (now_s - self.updated_at_s) * rate_per_s).min(capacity_tokens(rate_per_s))
     }
 
-    /// The quota after a change of the configuration. The tokens are kept, up to the new capacity of the bucket.
+    /// Returns the quota after a change of the tenant's settings or of the number of routers. The tokens are kept, up
+    /// to the new capacity of the bucket.
     pub fn reconfigured(&self, tenant: Tenant, now_s: f64, old_routers: f64, new_routers: f64) -> Self {
         let capacity = capacity_tokens(tenant.quota_per_s / new_routers);
         let tokens = self.tokens_at(now_s, old_routers).min(capacity);
--- a/src/shard_placement.rs
+++ b/src/shard_placement.rs
@@ -1,5 +1,5 @@
-//! Determines which replica groups and data nodes hold a shard: by their position in a ring, or by an explicit list if
-//! shards move while queries run.
+//! Determines which replica groups and data nodes hold a shard, which means that they store its data and can answer
+//! requests for it: by their position in a ring, or by an explicit list if shards move while queries run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,31 +11,32 @@
     pub replica_groups: u32,
     /// Number of replica groups that hold one shard.
     pub groups_per_shard: u32,
-    /// Most shard requests in one attempt.
+    /// Maximum number of shard requests in one attempt.
     pub max_batch: usize,
-    /// Seconds of a data node's work for an attempt, in addition to the work for its shard requests.
+    /// Processing time in seconds that an attempt costs the data node in addition to that of its shard requests.
     pub attempt_overhead_s: f64,
-    /// The holders of each shard. If set, the ring is not used.
+    /// The holders of each shard; `None` if the ring determines them.
     pub explicit_holders: Option<BTreeMap<u32, ShardHolders>>,
 }
 
 /// The holders of a shard: all nodes of the replica groups except the excluded ones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardHolders {
-    /// Replica groups that hold it.
+    /// Replica groups that hold the shard.
     pub replica_groups: Vec<u32>,
     /// Nodes of these groups that have answered that they do not hold the shard.
     pub excluded_nodes: BTreeSet<String>,
 }
 
 impl ShardPlacement {
-    /// How many positions a replica group is after the first holder of a shard in the ring.
+    /// Number of positions in the ring from the shard's first replica group to the given one.
     pub fn positions_after_first_holder(&self, group: u32, shard: u32) -> u32 {
         (group % self.replica_groups + self.replica_groups - shard % self.replica_groups)
             % self.replica_groups
     }
 
-    /// The replica group of a node with this group number. In the ring, group numbers wrap around.
+    /// The index of the replica group with this number: the number modulo the size of the ring, or the number itself if
+    /// holders are listed explicitly.
     pub fn replica_group_index(&self, group: u32) -> u32 {
         if self.explicit_holders.is_some() { group } else { group % self.replica_groups }
     }
@@ -45,7 +46,7 @@
         Some(listed.get(&shard).map_or(&[], |holders| &holders.replica_groups))
     }
 
-    /// The replica groups that hold a shard, in order from its first holder.
+    /// The replica groups that hold a shard, beginning with its first group in the ring or in the explicit list.
     pub fn holding_groups(&self, shard: u32) -> impl Iterator<Item = u32> + '_ {
         let groups = self.replica_groups;
         let first = shard % groups;
@@ -54,7 +55,8 @@
         (0..count).map(move |step| listed.map_or((first + step) % groups, |listed| listed[step as usize]))
     }
 
-    /// The nodes of the holding groups that do not hold the shard themselves.
+    /// The nodes that do not hold the shard although their replica group does; `None` if holders are not listed
+    /// explicitly.
     pub fn excluded_nodes(&self, shard: u32) -> Option<&BTreeSet<String>> {
         Some(&self.explicit_holders.as_ref()?.get(&shard)?.excluded_nodes)
     }
--- a/src/shared_limits.rs
+++ b/src/shared_limits.rs
@@ -1,17 +1,18 @@
-//! Limits that the cores of one router share: the retry tokens, and which core may send to a data node that is warming
-//! up.
+//! Limits that the cores of one router share: the token bucket for retries and hedges, and which core may send to a
+//! data node that is warming up. A core's turn is the period in which it alone may send to such a node.
 //!
 //! Each limit is a single atomic, so that the configured total holds for all cores at every instant and no core
-//! reserves a part that it does not use. This module does no I/O.
+//! reserves capacity that it does not use. This module does no I/O. Times are in seconds on the host's monotonic clock.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Slots for turns at warming data nodes. Nodes whose hashes collide share a slot, so that only one of them is sent to
-/// at a time; that reduces throughput and exceeds no limit.
-const SLOW_START_SLOTS: usize = 1024;
-/// The low bits of a slot contain the number of the core; the others contain the end of its turn in milliseconds.
+/// Number of entries in the table of turns. Nodes whose ids have the same hash share an entry, so that one turn covers
+/// both; this reduces throughput and exceeds no limit.
+const TURN_ENTRIES: usize = 1024;
+/// Number of low bits in an entry that contain the number of the core that has the turn. The other bits contain the end
+/// of that turn, in milliseconds on the host's monotonic clock.
 const CORE_BITS: u32 = 8;
 const CORE_MASK: u64 = (1 << CORE_BITS) - 1;
 
@@ -23,19 +24,19 @@
     /// Number of tokens, stored as the bits of the negated value: an empty bucket (-0.0) then differs from one that was
     /// never filled (0).
     tokens: Arc<AtomicU64>,
-    /// Capacity by the configured retry budget, stored in the same form; infinite if none is configured.
+    /// Capacity in tokens of the configured retry budget, stored in the same form; infinite if no budget is configured.
     budget_capacity: Arc<AtomicU64>,
-    /// Turns at warming nodes, indexed by a hash of the node id.
+    /// For each node that is warming up, the core that may send to it and until when; indexed by a hash of the node id.
     slow_start_turns: Arc<[AtomicU64]>,
 }
 
 impl SharedLimits {
     /// Creates limits for `cores` cores, at most 255; each core uses its own clone from [`SharedLimits::for_core`].
     pub fn new(cores: usize) -> Self {
-        let slots = if cores > 1 { SLOW_START_SLOTS } else { 0 };
+        let entries = if cores > 1 { TURN_ENTRIES } else { 0 };
         SharedLimits {
             several_cores: cores > 1,
-            slow_start_turns: (0..slots).map(|_| AtomicU64::new(0)).collect(),
+            slow_start_turns: (0..entries).map(|_| AtomicU64::new(0)).collect(),
             ..Self::default()
         }
     }
@@ -45,7 +46,7 @@
         SharedLimits { core, ..self.clone() }
     }
 
-    /// Whether there are other cores.
+    /// Whether the router has more than one core.
     pub fn has_several_cores(&self) -> bool {
         self.several_cores
     }
@@ -58,12 +59,13 @@
         -f64::from_bits(bits)
     }
 
-    /// Number of tokens in the bucket; negative while it is in debt.
+    /// Number of tokens in the bucket. The number is negative after a reduction of the capacity by more than the tokens
+    /// that were left.
     pub fn tokens(&self) -> f64 {
         Self::decode(self.tokens.load(Relaxed))
     }
 
-    /// Fills the bucket if it was never filled. A core that restarts does not change it.
+    /// Puts `tokens` into the bucket if it was never filled. A core that restarts does not change the bucket.
     pub fn fill(&self, tokens: f64) {
         let _ = self.tokens.compare_exchange(0, Self::encode(tokens), Relaxed, Relaxed);
     }
@@ -76,7 +78,7 @@
     /// that the window's shard requests add. On a change from capacity a to capacity b:
     /// - No tokens are added, so that a window that starts before the change starts with at most a, and shard requests
     ///   after the change have to add what b exceeds a by.
-    /// - If b is less than a, the difference is subtracted, into debt if the tokens have been spent. If s tokens were
+    /// - If b is less than a, the difference is subtracted, below 0 if the tokens have been spent. If s tokens were
     ///   spent in a window before the change, at most b - s are left for the rest of the window (none if s exceeds b),
     ///   plus those that its shard requests add.
     ///
@@ -112,27 +114,27 @@
         self.tokens.fetch_update(Relaxed, Relaxed, take).is_ok()
     }
 
-    /// Acquires or extends this core's exclusive turn to send to a warming node, for `duration_s` seconds from `now_s` on;
-    /// returns false while another core has the turn.
+    /// Acquires or extends this core's turn to send to a node that is warming up, for `duration_s` seconds from `now_s`
+    /// on. Returns false while another core has the turn.
     ///
-    /// Without turns, each core could use up the router's whole slow-start quota for a node. No other core may send
-    /// until everything that the last one sent is outside the window of the quota.
+    /// Without turns, each core could use up the router's whole slow-start quota for a node. Another core
+    /// may send only when all requests of the previous core are outside the window of the quota.
     pub fn try_slow_start_turn(&self, node: &str, now_s: f64, duration_s: f64) -> bool {
         if self.slow_start_turns.is_empty() {
             return true;
         }
         let mut hash = DefaultHasher::new();
         node.hash(&mut hash);
-        let slot = &self.slow_start_turns[hash.finish() as usize % self.slow_start_turns.len()];
+        let entry = &self.slow_start_turns[hash.finish() as usize % self.slow_start_turns.len()];
         let now_ms = (now_s * 1e3) as u64;
         let until_ms = ((now_s + duration_s) * 1e3).ceil() as u64 + 1;
         let core = u64::from(self.core);
         let take = |turn: u64| {
-            let held_until_ms = turn >> CORE_BITS;
+            let turn_ends_ms = turn >> CORE_BITS;
             let is_own = turn & CORE_MASK == core;
-            let end_ms = if is_own { until_ms.max(held_until_ms) } else { until_ms };
-            (is_own || held_until_ms <= now_ms).then_some(end_ms << CORE_BITS | core)
+            let end_ms = if is_own { until_ms.max(turn_ends_ms) } else { until_ms };
+            (is_own || turn_ends_ms <= now_ms).then_some(end_ms << CORE_BITS | core)
         };
-        slot.fetch_update(Relaxed, Relaxed, take).is_ok()
+        entry.fetch_update(Relaxed, Relaxed, take).is_ok()
     }
 }
