--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -1,24 +1,29 @@
-//! Which settings differ between two versions, and which of those a running router can apply.
+//! Determines which settings differ between two versions, and which of the changed settings a running router can apply.
 
 use serde_json::Value;
 
-/// The keys whose values differ between two versions of the settings. Keys that routers on sockets do not read are left
-/// out, and `1` and `1.0` are the same number.
+/// The keys whose values differ between two versions of the settings. Only keys that routers with network connections
+/// read are compared; `1` and `1.0` are equal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChangedKeys {
-    /// Keys that a running router applies between two rounds.
+    /// Changed keys that a running router applies without a restart.
     pub live: Vec<&'static str>,
-    /// Keys that need a restart.
+    /// Changed keys that the router applies only after a restart.
     pub restart: Vec<&'static str>,
 }
 
-/// `Cells`, `Reach` and `Slices` determine which replica group holds a shard; a change of settings moves no data, and
-/// the routers would disagree until all have applied it. `ClassFetch` would change the phases of open queries.
-/// `Discovery` determines how the endpoint list is watched. `MaxOpen` is the size of tables that all cores share from
-/// the start.
+/// Keys whose changes a router applies only after a restart:
+/// - `Cells` (number of replica groups), `Reach` (replica groups per shard) and `Slices` (number of shards) determine
+///   which replica group holds a shard. A change of settings moves no data, and routers would disagree until all of them
+///   have applied the change.
+/// - `ClassFetch` is the number of shard requests of a query's second phase; open queries would get another second
+///   phase than the one with which they arrived.
+/// - `Discovery` determines how the router receives changes of the endpoint list.
+/// - `MaxOpen` is the size of tables that all cores allocate together at the start.
 const RESTART_KEYS: [&str; 6] =
     ["Extra.Cells", "Extra.Reach", "Extra.Slices", "Extra.ClassFetch", "Discovery", "Limits.MaxOpen"];
 
+/// Keys whose changes a running router applies without a restart.
 const LIVE_KEYS: [&str; 23] = [
     "Services",
     "Tenants",
--- a/crates/deployment/src/policy_config.rs
+++ b/crates/deployment/src/policy_config.rs
@@ -1,10 +1,10 @@
-//! Reads the configuration of the policy.
+//! Reads the configuration of the request policy ([`PolicyConfig`]) from the settings.
 
-use crate::SettingsError;
 use crate::values::{
     boolean, list, number, number_for_class, or_default, positive_whole_number, required, seconds, text,
     whole_number,
 };
+use crate::{ClassNames, SettingsError};
 use alderway::interface::{
     Idempotency, PolicyConfig, QueryClass, RetryBudget, RouterCapabilities, ShardPlacement, SlowStartConfig,
     Tenant,
@@ -13,11 +13,12 @@
 
 type Result<T> = std::result::Result<T, SettingsError>;
 
-/// Reads the configuration of a policy, and the names of its query classes in the order of their indices.
+/// Reads the configuration of a policy from the settings. Returns the configuration and the names of its query classes,
+/// in the order of the classes' indices.
 ///
 /// # Errors
 /// The first setting that is absent or unusable.
-pub fn policy_config(settings: &Value) -> Result<(PolicyConfig, Vec<String>)> {
+pub fn policy_config(settings: &Value) -> Result<(PolicyConfig, ClassNames)> {
     let extra = required(settings, "Extra")?;
     let limits = required(settings, "Limits")?;
     let obligations = required(settings, "Obligations")?;
@@ -57,7 +58,7 @@
         "idempotent" => Ok(Idempotency::Idempotent),
         "deduplicated" => Ok(Idempotency::IdempotentWithKey { window_s: seconds(service, "WindowUs")? }),
         "at_most_once" => Ok(Idempotency::NonIdempotent),
-        _ => Err(SettingsError::UnknownIdempotency),
+        other => Err(SettingsError::UnknownIdempotency(other.to_string())),
     }
 }
 
--- a/crates/deployment/src/router_config.rs
+++ b/crates/deployment/src/router_config.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration that a router on sockets needs in addition to that of the policy: the limits of its
-//! connections to data nodes and of what it admits.
+//! Reads the configuration that a query router with network connections needs in addition to that of the policy: the
+//! limits of its connections to data nodes, and of the queries that it admits. The simulator does not need it.
 
 use crate::SettingsError;
 use crate::values::{
@@ -10,9 +10,9 @@
 /// Limits of the connections to data nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionConfig {
-    /// Shard requests in flight on one connection at once.
+    /// Maximum number of shard requests in flight on one connection.
     pub streams_per_connection: usize,
-    /// Most shard requests in one attempt.
+    /// Maximum number of shard requests in one attempt.
     pub max_batch: usize,
     /// Seconds after which an attempt to open a connection fails.
     pub dial_timeout_s: f64,
@@ -20,10 +20,10 @@
     pub idle_timeout_s: f64,
 }
 
-/// How much a router on sockets admits, and how often it runs rounds.
+/// How many queries a router admits, and how often it runs rounds, in which the policy handles events.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Most queries and shard requests that may be open at once.
+    /// Maximum number of open queries and shard requests together.
     pub max_open: usize,
     /// Number of shards, which are numbered from 0.
     pub shard_count: u32,
@@ -37,7 +37,7 @@
     pub polls_endpoints: bool,
 }
 
-/// Reads the limits of connections and of admission.
+/// Reads the limits of connections and of admission from the settings.
 ///
 /// # Errors
 /// The first setting that is absent or unusable, a query class with a second phase, or no query class at all.
@@ -67,8 +67,9 @@
     for (class, service) in list(settings, "Services")?.iter().enumerate() {
         objective_s = objective_s.max(positive_seconds(service, "PromiseUs")?);
         deadline_s = deadline_s.max(positive_seconds(service, "DeadlineUs")?);
-        if number_for_class(extra, "ClassFetch", class, 0.0)? > 0.0 {
-            return Err(SettingsError::SecondPhaseUnsupported);
+        let second_phase_requests = number_for_class(extra, "ClassFetch", class, 0.0)?;
+        if second_phase_requests > 0.0 {
+            return Err(SettingsError::SecondPhaseUnsupported(second_phase_requests));
         }
     }
     if deadline_s == 0.0 {
--- a/crates/deployment/src/values.rs
+++ b/crates/deployment/src/values.rs
@@ -6,7 +6,7 @@
 
 type Result<T> = std::result::Result<T, SettingsError>;
 
-/// Whole numbers have to be less than this.
+/// Upper limit, exclusive, of a whole number in the settings.
 const WHOLE_NUMBER_LIMIT: f64 = 4e9;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -28,22 +28,22 @@
     if value >= 0.0 && value.fract() == 0.0 && value < WHOLE_NUMBER_LIMIT {
         Ok(value as usize)
     } else {
-        Err(SettingsError::NotAWholeNumber(key))
+        Err(SettingsError::NotAWholeNumber(key, value))
     }
 }
 
 pub fn positive_whole_number(from: &Value, key: &'static str) -> Result<usize> {
     let value = whole_number(from, key)?;
-    if value > 0 { Ok(value) } else { Err(SettingsError::NotPositive(key)) }
+    if value > 0 { Ok(value) } else { Err(SettingsError::NotPositive(key, value as f64)) }
 }
 
 /// Reads a duration of more than 0 in microseconds; returns it in seconds.
 pub fn positive_seconds(from: &Value, key: &'static str) -> Result<f64> {
     let value_s = seconds(from, key)?;
-    if value_s > 0.0 { Ok(value_s) } else { Err(SettingsError::NotPositive(key)) }
+    if value_s > 0.0 { Ok(value_s) } else { Err(SettingsError::NotPositive(key, number(from, key)?)) }
 }
 
-/// Reads a value that may be absent or null. A value that is present has to be valid.
+/// Reads a value with `read`; returns `default` if the value is absent or null.
 pub fn or_default<T>(
     default: T,
     from: &Value,
@@ -54,15 +54,18 @@
 }
 
 pub fn boolean(from: &Value, key: &'static str) -> Result<bool> {
-    required(from, key)?.as_bool().ok_or(SettingsError::NotABoolean(key))
+    let value = required(from, key)?;
+    value.as_bool().ok_or_else(|| SettingsError::NotABoolean(key, value.clone()))
 }
 
 pub fn text<'a>(from: &'a Value, key: &'static str) -> Result<&'a str> {
-    required(from, key)?.as_str().ok_or(SettingsError::NotText(key))
+    let value = required(from, key)?;
+    value.as_str().ok_or_else(|| SettingsError::NotText(key, value.clone()))
 }
 
 pub fn list<'a>(from: &'a Value, key: &'static str) -> Result<&'a Vec<Value>> {
-    required(from, key)?.as_array().ok_or(SettingsError::NotAList(key))
+    let value = required(from, key)?;
+    value.as_array().ok_or_else(|| SettingsError::NotAList(key, value.clone()))
 }
 
 /// Reads the number of the query class with index `class` from a list with one number for each query class. Returns
@@ -72,5 +75,5 @@
         return Ok(default);
     }
     let number = list(from, key)?.get(class).and_then(Value::as_f64);
-    number.ok_or(SettingsError::NotANumberPerClass(key))
+    number.ok_or(SettingsError::NotANumberPerClass(key, class))
 }
--- a/crates/deployment/tests/settings.rs
+++ b/crates/deployment/tests/settings.rs
@@ -1,4 +1,4 @@
-//! How settings are read, and the errors for invalid ones.
+//! How settings are read, and the errors for invalid settings.
 
 use alderway::interface::Idempotency;
 use alderway_deployment::{AdmissionConfig, ChangedKeys, ConnectionConfig, Settings, changes, parse};
@@ -20,7 +20,7 @@
     })
 }
 
-/// The valid settings with the value at a JSON pointer replaced.
+/// The valid settings, in which `value` replaces the value at the JSON pointer `path`.
 fn settings_with(path: &str, value: Value) -> Value {
     let mut settings = valid_settings();
     *settings.pointer_mut(path).expect("a path of the valid settings") = value;
@@ -57,17 +57,17 @@
 }
 
 #[rstest]
-#[case::missing("/Limits", json!(null), "a setting `Limits`")]
+#[case::missing("/Limits", json!(null), "setting `Limits`, which is absent")]
 #[case::not_a_number("/Services/0/Worth", json!("high"), "a number in setting `Worth`")]
-#[case::not_a_whole_number("/Limits/MaxAttempts", json!(1.5), "a whole number in setting `MaxAttempts`")]
-#[case::not_positive("/Extra/Cells", json!(0), "more than 0 in setting `Cells`")]
-#[case::zero_interval("/TickUs", json!(0), "more than 0 in setting `TickUs`")]
-#[case::not_a_boolean("/Limits/MayCancel", json!(1), "true or false in setting `MayCancel`")]
-#[case::not_text("/Discovery", json!(7), "text in setting `Discovery`")]
-#[case::not_a_list("/Services", json!({}), "a list in setting `Services`")]
-#[case::no_number_for_a_class("/Extra/ClassNeed", json!([]), "a number for each query class in setting `ClassNeed`")]
-#[case::unknown_effect("/Services/0/Effect", json!("none"), "`idempotent`, `deduplicated` or `at_most_once` in setting `Effect`")]
-#[case::no_class("/Services", json!([]), "at least one query class in setting `Services`")]
+#[case::not_a_whole_number("/Limits/MaxAttempts", json!(1.5), "a whole number in setting `MaxAttempts`, found `1.5`")]
+#[case::not_positive("/Extra/Cells", json!(0), "more than 0 in setting `Cells`, found `0`")]
+#[case::zero_interval("/TickUs", json!(0), "more than 0 in setting `TickUs`, found `0`")]
+#[case::not_a_boolean("/Limits/MayCancel", json!(1), "true or false in setting `MayCancel`, found `1`")]
+#[case::not_text("/Discovery", json!(7), "a string in setting `Discovery`, found `7`")]
+#[case::not_a_list("/Services", json!({}), "a list in setting `Services`, found `{}`")]
+#[case::no_number_for_a_class("/Extra/ClassNeed", json!([]), "a number for each query class in setting `ClassNeed`, found none for the class with index 0")]
+#[case::unknown_effect("/Services/0/Effect", json!("none"), "`idempotent`, `deduplicated` or `at_most_once` in setting `Effect`, found `none`")]
+#[case::no_class("/Services", json!([]), "at least one query class in setting `Services`, found an empty list")]
 fn the_error_names_the_key(#[case] path: &str, #[case] value: Value, #[case] expected: &str) {
     let error = Settings::read(&settings_with(path, value)).expect_err("invalid");
     assert_eq!(error.to_string(), expected);
@@ -80,14 +80,19 @@
     let error = Settings::read(&settings).expect_err("a second phase");
     assert_eq!(
         error.to_string(),
-        "0 in setting `ClassFetch`, as routers on sockets support queries with a single phase only"
+        "0 in setting `ClassFetch`, found `2`: only the simulator supports a second phase of shard requests"
     );
 }
 
 #[rstest]
 fn settings_that_are_not_json_are_an_error() {
     let error = parse("{").expect_err("not JSON");
-    assert!(error.to_string().starts_with("settings in JSON (EOF while parsing"), "{error}");
+    assert!(
+        error
+            .to_string()
+            .starts_with("settings in JSON, found text that cannot be parsed (EOF while parsing"),
+        "{error}"
+    );
 }
 
 #[rstest]
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -8,7 +8,7 @@
 const MALFORMED_INPUT_STATUS: i32 = 2;
 
 fn main() {
-    // Panics of a policy are reported in the reply; standard error is for malformed input only.
+    // No panic messages on standard error: panics of a policy are reported in the reply.
     std::panic::set_hook(Box::new(|_| {}));
     let mut host = RouterHost::default();
     let (mut input, mut output) = (stdin().lock(), stdout().lock());
@@ -20,7 +20,7 @@
     loop {
         line.clear();
         match input.read_line(&mut line) {
-            Err(error) => exit_with(format!("line {}: cannot be read as text: {error}", line_number + 1)),
+            Err(error) => exit_with(format!("line {}: cannot be read: {error}", line_number + 1)),
             Ok(0) if batch.is_empty() => return,
             Ok(0) => exit_with(format!("line {line_number}: the input ended inside a batch, expected `eob`")),
             Ok(_) => line_number += 1,
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,5 +1,6 @@
 //! The simulator's line protocol: decodes the lines of a batch into calls of [`PolicyInput`], and encodes the decisions
-//! of each query router's policy as lines of the reply.
+//! of each query router's policy as lines of the reply. A batch is the lines up to `eob`; it contains the events of one
+//! point in time for several routers.
 //!
 //! The names of messages, fields and values are the simulator's. Times on the wire are in microseconds.
 
@@ -18,9 +19,10 @@
 pub use reply::{ReplyWriter, run_catching_panics};
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// Least time between two messages of a query router to the others.
+/// Shortest time between two gossip messages of a query router to the other routers.
 const GOSSIP_INTERVAL_S: f64 = 0.5;
-/// Most queries of one kind that a gossip message counts; both counts together fit into a byte.
+/// Maximum of each count in a gossip message: that of late queries and that of queries in time. Further queries are not
+/// counted. The sum of both counts fits into a byte, in which [`PendingLatencyCounts::take_due`] adds them.
 const GOSSIP_COUNT_MAX: u8 = 100;
 
 fn attempt_outcome(line: &mut Line) -> Result<AttemptOutcome> {
@@ -33,14 +35,15 @@
         "cut" => AttemptOutcome::ConnectionReset,
         "undone" => AttemptOutcome::Cancelled,
         "stale_send" => AttemptOutcome::NeverSent,
-        other => return line.malformed("Reason", format!("a known outcome, found `{other}`")),
+        other => return line.malformed("Reason", format!("the outcome of an attempt, found `{other}`")),
     })
 }
 
-/// The `entry` lines of an endpoint list as of one `manifest`; a later one with the same number does not change them.
+/// The `entry` lines of one `manifest` line, which is an endpoint list. A later `manifest` line with the same number
+/// does not change these lines.
 type EndpointLines<'a> = Rc<Vec<Line<'a>>>;
 
-/// Decodes one entry of an endpoint list.
+/// Decodes one `entry` line of an endpoint list and delivers it to the policy.
 fn deliver_endpoint(mut line: Line, input: &mut dyn PolicyInput) -> Result<()> {
     let node = line.required("Node")?;
     line.optional("RegionPart")?;
@@ -49,7 +52,10 @@
         "healthy" => NodeState::Serving,
         "cordoned" => NodeState::Draining,
         "deregistered" => NodeState::Removed,
-        other => return line.malformed("Status", format!("a known state, found `{other}`")),
+        other => {
+            return line
+                .malformed("Status", format!("`healthy`, `cordoned` or `deregistered`, found `{other}`"));
+        }
     };
     line.skip_number("Rating")?;
     let started_at_s = match line.optional("StartedAtUs")? {
@@ -71,7 +77,7 @@
 }
 
 /// Decodes one event and calls the corresponding function of the policy. `endpoints` is the endpoint list that the
-/// event refers to.
+/// event refers to; `None` if it refers to no list.
 fn deliver_event(
     mut line: Line,
     endpoints: Option<&EndpointLines>,
@@ -94,7 +100,12 @@
                         deliver_endpoint(line.clone(), input)?;
                     }
                 }
-                (other, _) => return line.malformed("Mode", format!("a known mode, found `{other}`")),
+                (other, _) => {
+                    return line.malformed(
+                        "Mode",
+                        format!("`update`, `replace`, `restored` or `unavailable`, found `{other}`"),
+                    );
+                }
             }
         }
         // Announces a query if `Shard` is negative, one of its shard requests otherwise.
@@ -102,7 +113,7 @@
             let id = line.required("OpId")?;
             let class_name = line.required("Type")?;
             let Some(class) = class_names.iter().position(|name| name == class_name) else {
-                let expected = format!("a query class of the settings, found `{class_name}`");
+                let expected = format!("the name of a query class in the settings, found `{class_name}`");
                 return line.malformed("Type", expected);
             };
             let tenant = line.optional("Customer")?.unwrap_or("");
@@ -131,7 +142,8 @@
         }
         "vanished" => input.client_disconnected(line.required("OpId")?),
         "timeout_fired" => input.timer_fired(line.whole_number("Tag")?),
-        // The policy uses neither streamed answers nor health checks; their fields are only checked.
+        // The policy uses neither the start of an answer nor health checks: the fields of these events are only
+        // checked.
         "started" => {
             line.required("OpId")?;
             line.whole_number("Hop")?;
@@ -150,22 +162,23 @@
             let Some(bytes) = decode_hex(text) else {
                 return line.malformed("Bytes", "pairs of hex digits");
             };
-            // A message of another length was not written by this program and is ignored.
+            // Messages of another length are ignored, as this program sends only messages of two bytes.
             if let (true, [late, in_time]) = (accepts_gossip, bytes.as_slice()) {
                 input.fleet_latency_counts(u32::from(*late), u32::from(*in_time));
             }
         }
-        _ => return line.malformed(MESSAGE_NAME_FIELD, "a message of the protocol"),
+        _ => return line.malformed(MESSAGE_NAME_FIELD, "the name of a message of the protocol"),
     }
     line.expect_end()
 }
 
-/// Queries that have ended since this router's last gossip message: after their latency objective, and within it.
+/// Numbers of this router's queries that have ended since its last gossip message: after their latency objective
+/// (`late`), and within it (`in_time`).
 #[derive(Default)]
 struct PendingLatencyCounts {
     late: u8,
     in_time: u8,
-    /// Earliest time of the next gossip message.
+    /// Earliest time of the next gossip message, in seconds on the simulator's clock.
     next_message_at_s: f64,
 }
 
@@ -175,7 +188,7 @@
         *count = (*count + 1).min(GOSSIP_COUNT_MAX);
     }
 
-    /// The counts of a gossip message that is due, if there are any; counting starts again from 0.
+    /// Returns the counts (late, in time) if a gossip message is due and a count is not 0, and resets both to 0.
     fn take_due(&mut self, now_s: f64) -> Option<(u8, u8)> {
         if now_s < self.next_message_at_s || self.late + self.in_time == 0 {
             return None;
@@ -186,15 +199,15 @@
     }
 }
 
-/// One event for a query router, and the endpoint list that it refers to.
+/// One event for a query router, and the endpoint list that the event refers to, if any.
 type RouterEvent<'a> = (Line<'a>, Option<EndpointLines<'a>>);
 
 /// One query router of the simulation.
 struct HostedRouter {
     policy: Policy,
-    /// Names of its query classes, in the order of their indices.
+    /// Names of the router's query classes, in the order of the classes' indices.
     class_names: Vec<String>,
-    /// Set where the settings allow gossip between routers.
+    /// Counts for the next gossip message; `None` if the settings do not allow gossip between routers.
     gossip: Option<PendingLatencyCounts>,
 }
 
@@ -206,7 +219,7 @@
         Ok(HostedRouter { policy, class_names, gossip })
     }
 
-    /// Delivers the events of a batch to the policy, and returns the lines of its decisions.
+    /// Runs one round of the policy with the events of a batch. Returns the policy's decisions as lines of the reply.
     fn run_round(&mut self, now_s: f64, events: Vec<RouterEvent>) -> Result<String> {
         let HostedRouter { policy, class_names, gossip } = self;
         let mut sent_counts = None;
@@ -236,16 +249,17 @@
 #[derive(Default)]
 pub struct RouterHost {
     routers: BTreeMap<String, HostedRouter>,
-    /// The latest endpoint list of each number, as numbers and texts of its lines: later batches may refer to it.
+    /// The latest endpoint list with each `manifest` number, as line numbers and texts. Later batches may refer to
+    /// these lists.
     endpoint_lists: BTreeMap<u64, Vec<(usize, String)>>,
 }
 
 impl RouterHost {
-    /// Runs one batch and returns the reply. `lines` are its lines without the closing `eob`, `first_line_number` is
-    /// where the batch starts in the input.
+    /// Runs one batch and returns the reply. `lines` are the lines of the batch without the closing `eob`;
+    /// `first_line_number` is the number of the first of them in the input, counted from 1.
     ///
     /// # Errors
-    /// The first line that is malformed.
+    /// The first malformed line.
     pub fn run_batch(&mut self, lines: &[String], first_line_number: usize) -> Result<String> {
         let mut lines =
             lines.iter().enumerate().map(|(index, text)| Line::new(first_line_number + index, text));
@@ -263,7 +277,7 @@
             endpoint_lists.insert(*number, Rc::new(entries.collect()));
         }
         let mut events_by_router: BTreeMap<&str, Vec<RouterEvent>> = BTreeMap::new();
-        // Routers in the order in which the batch first names them, which is their order in the reply.
+        // Ids of routers in the order in which the batch first names them; the reply has the same order.
         let mut router_order: Vec<&str> = Vec::new();
         let mut current_router: Option<&str> = None;
         while let Some(mut line) = lines.next() {
@@ -277,7 +291,8 @@
                         match lines.next() {
                             Some(entry) if entry.message == "entry" => entries.push(entry),
                             _ => {
-                                return line.malformed("Hosts", format!("{count} `entry` lines to follow"));
+                                return line
+                                    .malformed("Hosts", format!("{count} `entry` lines after this line"));
                             }
                         }
                     }
@@ -316,15 +331,16 @@
                     self.routers.insert(name.to_string(), router);
                 }
                 _ if !self.routers.contains_key(name) => {
-                    return line.malformed(MESSAGE_NAME_FIELD, "`boot` before the other events of a router");
+                    return line
+                        .malformed(MESSAGE_NAME_FIELD, "a `boot` line before the other events of a router");
                 }
                 "directory_update" => {
-                    // Resolved here, as a later `manifest` of the batch may reuse the number.
+                    // The list is looked up here, as a later `manifest` line of the batch may have the same number.
                     let mut fields = line.clone();
                     let number = fields.optional("Buffer")?.and_then(|number| number.parse::<u64>().ok());
                     let endpoints = number.and_then(|number| endpoint_lists.get(&number));
                     if endpoints.is_none() && fields.required("Mode")? != "unavailable" {
-                        return line.malformed("Buffer", "the number of an earlier `manifest`");
+                        return line.malformed("Buffer", "the number of an earlier `manifest` line");
                     }
                     events.push((line, endpoints.cloned()));
                 }
--- a/crates/simhost/src/wire/line.rs
+++ b/crates/simhost/src/wire/line.rs
@@ -3,7 +3,7 @@
 use super::MICROSECONDS_PER_SECOND;
 use std::fmt;
 
-/// Why a line of the input cannot be decoded.
+/// A line of the input that cannot be decoded, with the field concerned and the value that was expected there.
 #[derive(Debug)]
 pub struct MalformedLine {
     line: usize,
@@ -21,16 +21,16 @@
 
 pub(super) type Result<T> = std::result::Result<T, MalformedLine>;
 
-/// Field that errors about a message's name refer to.
+/// Stands for the field in errors about the name of a message.
 pub(super) const MESSAGE_NAME_FIELD: &str = "(message name)";
 
 /// One line: the name of a message, followed by its fields.
 #[derive(Clone)]
 pub(super) struct Line<'a> {
-    /// Its number in the whole input, from 1 on.
+    /// Number of the line in the whole input, counted from 1.
     pub number: usize,
     pub message: &'a str,
-    /// Fields that have not been read yet, separated by single spaces.
+    /// Fields that have not been read yet, separated by single spaces; `None` if all have been read.
     pub unread: Option<&'a str>,
 }
 
@@ -46,7 +46,7 @@
         Err(MalformedLine { line, message, field, expected: expected.into() })
     }
 
-    /// Reads the next field; `-` stands for an absent value.
+    /// Reads the next field; returns `None` if it is `-`, which stands for an absent value.
     pub fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>> {
         let Some(unread) = self.unread else {
             return self.malformed(field, "a value, but the line has no more fields");
@@ -65,6 +65,7 @@
         value.map_or_else(|| self.malformed(field, "a value, found `-`"), Ok)
     }
 
+    /// Reads the next field and parses it. `expected` describes the value in the error.
     pub fn read_parsed<T: std::str::FromStr>(&mut self, field: &'static str, expected: &str) -> Result<T> {
         let value = self.required(field)?;
         value.parse().or_else(|_| self.malformed(field, format!("{expected}, found `{value}`")))
@@ -79,11 +80,12 @@
         if value.is_finite() { Ok(value) } else { self.malformed(field, "a finite number") }
     }
 
+    /// Reads a time in microseconds; returns it in seconds.
     pub fn seconds(&mut self, field: &'static str) -> Result<f64> {
         Ok(self.read_parsed::<i64>(field, "a time in microseconds")? as f64 / MICROSECONDS_PER_SECOND)
     }
 
-    /// Checks a field that the policy does not use: a number or `-`.
+    /// Reads a field that the policy does not use, and checks that it is a number or `-`.
     pub fn skip_number(&mut self, field: &'static str) -> Result<()> {
         match self.optional(field)?.map(str::parse::<f64>) {
             Some(Err(_)) => self.malformed(field, "a number or `-`"),
@@ -95,11 +97,11 @@
         match self.required(field)? {
             "0" => Ok(false),
             "1" => Ok(true),
-            other => self.malformed(field, format!("0 or 1, found `{other}`")),
+            other => self.malformed(field, format!("`0` or `1`, found `{other}`")),
         }
     }
 
-    /// Reads everything up to the end of the line, spaces included.
+    /// Reads the rest of the line, including spaces.
     pub fn remaining_text(&mut self, field: &'static str) -> Result<&'a str> {
         self.unread.take().map_or_else(|| self.malformed(field, "text to the end of the line"), Ok)
     }
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -9,12 +9,12 @@
 #[derive(Default)]
 pub struct ReplyWriter {
     lines: String,
-    /// For each query that has ended, whether it counts as late.
+    /// Whether the query counts as late, for each query that has ended.
     ended_queries_late: Vec<bool>,
 }
 
 impl ReplyWriter {
-    /// The lines written so far.
+    /// The lines of the reply that have been written so far.
     pub fn lines(&self) -> &str {
         &self.lines
     }
@@ -23,7 +23,7 @@
         self.lines
     }
 
-    /// For each query that has ended since the last call, whether it counts as late.
+    /// Returns for each query that has ended since the last call whether the query counts as late.
     pub(super) fn take_ended_queries(&mut self) -> Vec<bool> {
         std::mem::take(&mut self.ended_queries_late)
     }
@@ -39,7 +39,7 @@
 
 impl DecisionSink for ReplyWriter {
     fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64) {
-        // 0 would mean no time-out on the wire.
+        // In the protocol, 0 stands for no time-out.
         let timeout_us = if microseconds(timeout_s) == 0 { -1 } else { microseconds(timeout_s) };
         self.write_line(format_args!("transmit {part} {node} {limit}", part = request, limit = timeout_us));
     }
@@ -77,8 +77,8 @@
     }
 }
 
-/// Runs one round of a policy. A panic in it adds an `internal_error` line to the reply, so that the other routers of
-/// the process continue.
+/// Runs one round of a policy. If the policy panics, adds an `internal_error` line to the reply, so that the process
+/// continues to run the other routers.
 ///
 /// # Errors
 /// The error that `round` returns.
--- a/crates/simhost/tests/panics.rs
+++ b/crates/simhost/tests/panics.rs
@@ -1,4 +1,4 @@
-//! A panic of a policy, which must not end the other routers of the process.
+//! A panic of one router's policy must not end the process, which also runs other routers.
 
 use alderway_simhost::wire::{ReplyWriter, run_catching_panics};
 
--- a/crates/simhost/tests/pipe.rs
+++ b/crates/simhost/tests/pipe.rs
@@ -98,10 +98,13 @@
 #[case::count_of_entries("frame 2000000 2\nmanifest 1 2\nentry a z k healthy 1 - 0\neob\n", "field Hosts")]
 #[case::unknown_list("frame 2000000 2\nto router_0\ndirectory_update 9 update 1\neob\n", "field Buffer")]
 #[case::no_router("frame 2000000 2\nvanished q\neob\n", "a `to` line")]
-#[case::not_started("frame 2000000 2\nto router_5\nvanished q\neob\n", "`boot` before")]
+#[case::not_started("frame 2000000 2\nto router_5\nvanished q\neob\n", "a `boot` line before")]
 #[case::no_frame("to router_0\neob\n", "`frame` at the start")]
 #[case::not_json("frame 2000000 2\nto router_0\nboot 7 {oops\neob\n", "settings in JSON")]
-#[case::missing_setting("frame 2000000 2\nto router_0\nboot 7 {\"Extra\": {}}\neob\n", "a setting `Limits`")]
+#[case::missing_setting(
+    "frame 2000000 2\nto router_0\nboot 7 {\"Extra\": {}}\neob\n",
+    "setting `Limits`, which is absent"
+)]
 #[case::incomplete_batch("frame 2000000 2\nto router_0\n", "ended inside a batch")]
 fn a_malformed_line_ends_the_process_with_one_error_line(#[case] rest: &str, #[case] expected: &str) {
     let output = run(&after_start(rest));
