--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -42,7 +42,7 @@
     for n in 0..30 {
         host.query(n, &[0]);
     }
-    // The node keeps answering, so that it is neither silent nor late: only the waiting requests show the overload.
+    // The node continues to answer in time: only the waiting shard requests indicate the overload.
     for n in 0..11 {
         host.wait(0.15);
         host.attempt_ended(&format!("p{n}.0"), 0, "n0", AttemptOutcome::Success, 0.1);
@@ -65,7 +65,7 @@
     assert!(host.query(0, &[0]).contains(&"reject q0 0.40".to_string()));
 }
 
-/// Guards against rejecting queries for the latency of their slowest shard requests if their answers would omit these.
+/// Guards against rejecting queries because of the latency of shard requests that their answers may omit.
 #[rstest]
 #[case::every_request_is_needed(1.0, true)]
 #[case::partial_answers_are_allowed(0.7, false)]
@@ -88,8 +88,8 @@
     assert_eq!(host.count("reject") > before, rejects);
 }
 
-/// Guards against an overload that is not detected because its queries end within milliseconds: the nodes stayed full
-/// of shard requests of abandoned queries.
+/// Guards against an undetected overload in which queries are abandoned within milliseconds while the nodes remain at
+/// capacity with shard requests of abandoned queries.
 #[rstest]
 fn requests_rejected_by_full_nodes_indicate_an_overload() {
     let mut host = Host::with(|_| ());
@@ -106,7 +106,8 @@
     assert!(unsent >= 10, "{unsent} of 30 rejected without an attempt");
 }
 
-/// Guards against an overload of many routers, each of which observes too few late queries to shed load by itself.
+/// Guards against an undetected overload in a deployment with many routers, in which each router observes too few late
+/// queries to start load shedding.
 #[rstest]
 #[case::late_on_all_routers(80, 20, true)]
 #[case::in_time_on_all_routers(20, 80, false)]
--- a/tests/adopted_attempts.rs
+++ b/tests/adopted_attempts.rs
@@ -1,9 +1,10 @@
-//! Attempts that another host started and this policy adopts.
+//! Attempts that another router process started and this policy adopts.
 mod common;
 use common::Host;
 use rstest::rstest;
 
-/// A planner may adopt an attempt to a data node that its own endpoint list does not contain.
+/// Guards against a panic or a lost attempt if a router adopts an attempt at a data node that its endpoint list does
+/// not contain.
 #[rstest]
 fn a_query_with_an_adopted_attempt_at_an_unlisted_node_gets_one_final_response() {
     let mut host = Host::with(|d| d.capabilities.can_hedge = false);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use alderway::interface::*;
 use alderway::policy::Policy;
 
-/// The decisions of one round.
+/// Receives the decisions of one round.
 #[derive(Default)]
 pub struct Recorder {
     pub decisions: Vec<String>,
@@ -50,9 +50,9 @@
     policy: Policy,
     pub now: f64,
     pub decisions: Vec<String>,
-    /// The observations that it shared with other cores.
+    /// The observations that the policy shared with other cores.
     pub shared_observations: Vec<(String, NodeObservation)>,
-    /// The time-outs of all attempts, in the order of their starts.
+    /// The time-outs in seconds of all attempts, in the order of their starts.
     pub timeouts_s: Vec<f64>,
 }
 
@@ -114,14 +114,14 @@
 }
 
 impl Deployment {
-    /// The default deployment with some changes.
+    /// The default deployment, modified by `change`.
     pub fn with(change: impl FnOnce(&mut Deployment)) -> Self {
         let mut deployment = Deployment::default();
         change(&mut deployment);
         deployment
     }
 
-    /// One node that takes up to eight shard requests in one attempt, with a cost per attempt.
+    /// One node with up to eight shard requests per attempt, and additional work for each attempt.
     pub fn of_one_node() -> Self {
         let placement = ShardPlacement {
             replica_groups: 1,
@@ -162,7 +162,7 @@
         host
     }
 
-    /// A host of the default deployment with some changes.
+    /// A host of the default deployment, modified by `change`.
     pub fn with(change: impl FnOnce(&mut Deployment)) -> Self {
         Host::new(Deployment::with(change))
     }
@@ -181,7 +181,7 @@
         recorder.decisions
     }
 
-    /// Makes this host's policy that of one core among several.
+    /// Makes this host's policy use the limits that the cores of a router share.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.policy.use_shared_limits(limits);
     }
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Number of decisions that start with `start`.
+    /// Number of decisions so far whose text starts with `start`.
     pub fn count(&self, start: &str) -> usize {
         self.decisions.iter().filter(|decision| decision.starts_with(start)).count()
     }
--- a/tests/config_changes.rs
+++ b/tests/config_changes.rs
@@ -9,9 +9,9 @@
     Deployment::with(change).policy_config()
 }
 
-/// The slots if the first class has changed: the host assigns it the new slot 1.
+/// Argument of `change_config` if the only query class has changed: the class gets the new slot 1.
 const CHANGED: [ClassSlot; 1] = [ClassSlot { slot: 1, previous_slot: Some(0) }];
-/// The slots if the first class has not changed.
+/// Argument of `change_config` if the only query class has not changed: the class keeps slot 0.
 const UNCHANGED: [ClassSlot; 1] = [ClassSlot { slot: 0, previous_slot: Some(0) }];
 
 fn query_class(host: &mut Host, n: u64, class: usize, shards: &[u32]) -> Vec<String> {
@@ -28,7 +28,8 @@
     }
 }
 
-/// Delivers a query of one request whose client disconnects at once. Returns whether the query was rejected before.
+/// Delivers a query with one shard request, then disconnects its client. Returns whether the policy rejected the query
+/// on arrival.
 fn is_rejected(host: &mut Host, n: u64, class: usize, tenant: &str) -> bool {
     host.now += 0.001;
     let not_after = host.now + 6.0;
@@ -57,8 +58,8 @@
     query_class(&mut host, 1, 1, &[0, 1]);
     let node = last_node(&host.decisions, "p1.0");
     host.attempt_ended("p1.0", 0, &node, AttemptOutcome::Success, 0.0);
-    // The first query is answered just before its objective of 2 s. The second one has an objective of 4 s and needs a
-    // complete answer.
+    // The first query is answered just before its latency objective of 2 s. The second query has an objective of 4 s
+    // and needs a complete answer.
     assert!(host.wait(1.9).iter().all(|n| !n.starts_with("answer")));
     assert!(host.wait(0.1).contains(&"answer q0 partial".into()));
     assert!(host.wait(3.0).iter().all(|n| !n.starts_with("answer")));
@@ -72,7 +73,7 @@
     one.round(|r| r.change_config(&config(|_| ()), &CHANGED));
     query_class(&mut one, 1, 1, &[0]);
     let (old, new) = (last_node(&one.decisions, "p0.0"), last_node(&one.decisions, "p1.0"));
-    // The first query may have had an effect: it is not retried, and fails instead of being rejected.
+    // The first query may have had an effect, so that it is not retried, and fails instead of being rejected.
     assert_eq!(one.attempt_ended("p0.0", 0, &old, AttemptOutcome::Error, 0.01), ["fail q0"]);
     assert_eq!(attempts(&one.attempt_ended("p1.0", 0, &new, AttemptOutcome::Error, 0.01)).len(), 1);
     let mut other = Host::with(|_| ());
@@ -95,7 +96,7 @@
     host.round(|r| r.change_config(&config(|d| d.capabilities.can_hedge = false), &UNCHANGED));
     let node = last_node(&host.decisions, "p50.0");
     assert_eq!(host.attempt_ended("p50.0", 0, &node, AttemptOutcome::Success, 0.01), ["answer q50 complete"]);
-    // The other query is not answered by its node: it gets one final response, at its own deadline.
+    // The node does not answer the other query, which gets one final response at its client's deadline.
     host.wait(6.1);
     assert_eq!(host.count("reject q51") + host.count("answer q51"), 1, "{:?}", host.decisions);
     let node = last_node(&host.decisions, "p51.0");
@@ -120,8 +121,8 @@
         answer_twenty_queries(&mut host, 0, 0.4);
         host
     };
-    // For a shard without latencies the delay is twice the median, which is more than a quarter of the latency
-    // objective.
+    // For a shard without latencies an attempt is late after twice the median latency, as this is more than a quarter
+    // of the latency objective.
     let mut host = host_with_latencies();
     host.round(|r| r.change_config(&config(|d| d.class.priority_weight = 2.0), &CHANGED));
     query_class(&mut host, 100, 1, &[1]);
@@ -256,12 +257,12 @@
     assert!(four > 0 && 2 * four < one, "{one} from a single router, {four} from one of four");
 }
 
-/// A change to a retry budget of `burst` tokens, to which shard requests add none.
+/// A change of the configuration to a retry budget of `burst` tokens, to which shard requests add no tokens.
 fn budget(burst: f64) -> impl Fn(&mut Deployment) {
     move |d| (d.retry_budget, d.capabilities.max_attempts) = (Some(RetryBudget { burst, ratio: 0.0 }), 20)
 }
 
-/// Number of attempts after the first one of a shard request that every node rejects.
+/// Delivers a shard request that every node rejects. Returns the number of its attempts after the first one.
 fn further_attempts(host: &mut Host, n: u64) -> usize {
     let mut decisions = query_class(host, n, 0, &[0]);
     let mut attempt = 0;
@@ -318,8 +319,8 @@
         core.round(|r| r.change_config(&config(budget(6.0)), &UNCHANGED));
         assert_eq!(limits.tokens(), 4.0);
     }
-    // A core that restarts with the new configuration adds no tokens, nor does a deposit by the old one exceed the new
-    // capacity.
+    // A core that restarts with the new configuration adds no tokens. A deposit by the core with the old configuration
+    // does not exceed the new capacity.
     core(1).round(|r| r.change_config(&config(budget(6.0)), &UNCHANGED));
     limits.deposit(20.0, 9.0);
     assert!(limits.tokens() <= 6.0, "{}", limits.tokens());
--- a/tests/config_changes_random.rs
+++ b/tests/config_changes_random.rs
@@ -1,5 +1,5 @@
 //! Property test: for any order of configuration changes, queries, ended attempts and timers, no query is lost, and
-//! each keeps the objective, minimum fraction and idempotency with which it arrived.
+//! each keeps the latency objective, the idempotency, and the minimum fraction of its weight with which it arrived.
 
 mod common;
 use alderway::interface::*;
@@ -8,17 +8,17 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longer than any deadline, in steps of the policy's timer.
+/// Number of steps of the policy's timer that take longer than any deadline.
 const STEPS_AFTER_ALL_DEADLINES: usize = 700;
 const STEP_S: f64 = 0.01;
-/// The most tokens that the retry budget's bucket can have.
+/// Highest capacity of the retry budget's bucket, in tokens.
 const TOKENS_MAX: f64 = 40.0;
-/// The most tokens that a shard request can add to the retry budget.
+/// Highest number of tokens that a shard request adds to the retry budget.
 const TOKENS_PER_REQUEST_MAX: f64 = 0.1;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// The configuration of `config_of` is published. Each core applies it at a later `Apply`.
+    /// Publishes the configuration that `config_of` returns. Each core applies it at a later `Apply`.
     Change {
         objective: u8,
         allows_partial_answers: bool,
@@ -35,7 +35,7 @@
         class: u8,
         request_count: u8,
     },
-    /// One of the attempts in flight ends.
+    /// Ends one of the attempts in flight.
     AttemptEnds {
         which: u16,
         outcome: u8,
@@ -68,7 +68,7 @@
     ]
 }
 
-/// An open query: its core, the class as of its arrival and that class's slot, and its progress.
+/// An open query with its core, its query class as of its arrival, and the slot of that class.
 struct OpenQuery {
     core: usize,
     class: QueryClass,
@@ -77,7 +77,7 @@
     not_after: f64,
     succeeded: usize,
     request_count: usize,
-    /// Shard requests with an attempt that may have had an effect.
+    /// Ids of shard requests with an attempt that may have had an effect.
     possible_effects: BTreeSet<String>,
 }
 
@@ -89,13 +89,13 @@
     started_at: f64,
 }
 
-/// A window that started at one of the events, for the limit on attempts after first ones.
+/// A period that started at one of the events, for which the limit on retries and hedges is checked.
 struct BudgetWindow {
-    /// The smallest burst of a retry budget in use during the window.
+    /// The smallest `burst` of all retry budgets in use during the period, in tokens.
     burst: f64,
-    /// Attempts that the shard requests of the window added to the budget.
+    /// Number of tokens that the shard requests of the period added to the budget.
     added: f64,
-    /// Attempts after first ones in the window.
+    /// Number of retries and hedges in the period.
     attempts: f64,
 }
 
@@ -105,7 +105,7 @@
     config: PolicyConfig,
     /// The slots of the classes of `config`.
     current_slots: Vec<usize>,
-    /// The class of each slot in use, and its number of open queries.
+    /// For each slot in use, its query class and the number of open queries.
     classes: BTreeMap<usize, (QueryClass, usize)>,
     /// Slots whose class has been replaced or removed and that may have open queries.
     replaced_slots: BTreeSet<usize>,
--- a/tests/events_in_any_order.rs
+++ b/tests/events_in_any_order.rs
@@ -8,7 +8,8 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// Number of nodes in the endpoint list at the start. As many others are unlisted until an event adds them.
+/// Number of nodes in the endpoint list at the start. The same number of further nodes is not in the list until an
+/// event adds them.
 const LISTED_NODES: u8 = 3;
 const NODES: u8 = 2 * LISTED_NODES;
 /// Longer than any deadline, in seconds.
@@ -42,7 +43,7 @@
         state: u8,
         started: u8,
     },
-    /// The endpoint list is replaced by the nodes whose bits are set.
+    /// Replaces the endpoint list by the nodes whose bits are set.
     ListReplaced {
         listed: u8,
     },
@@ -92,17 +93,17 @@
     format!("n{}", node % NODES)
 }
 
-/// An attempt in flight, as recorded by the host.
+/// An attempt in flight, as recorded by the test's host.
 struct InFlight {
     query: u64,
     node: String,
     started_at: f64,
 }
 
-/// An open query, as recorded by the host.
+/// An open query, as recorded by the test's host.
 struct OpenQuery {
     non_idempotent: bool,
-    /// Shard requests by id; for each of the attempts so far, whether it may have had an effect.
+    /// For each shard request id, whether each of its attempts may have had an effect.
     requests: BTreeMap<String, Vec<bool>>,
 }
 
@@ -201,7 +202,8 @@
         self.host.attempt_ended(&key.0, key.1, &ended.node, outcome, latency_s)
     }
 
-    /// Splits a shard request in two. Each successor has the attempts in flight, which end separately for each.
+    /// Splits a shard request into two. Each of the two has a copy of the attempts in flight; the copies end
+    /// separately.
     fn split(&mut self, which: u16) -> Vec<String> {
         let number = self.open.keys().nth(usize::from(which) % self.open.len().max(1)).copied();
         let Some(number) = number else { return vec![] };
@@ -248,7 +250,7 @@
         })
     }
 
-    /// Checks decisions and updates the host's records.
+    /// Checks that decisions are allowed, and applies them to the host's records.
     fn check_and_apply_decisions(&mut self, decisions: &[String]) -> Result<(), TestCaseError> {
         for decision in decisions {
             let words: Vec<&str> = decision.split(' ').collect();
@@ -295,8 +297,8 @@
         cases: 150, rng_seed: RngSeed::Fixed(5701), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Guards against a panic or a lost query if an event refers to a query, request or node that an earlier one
-    /// removed.
+    /// Guards against a panic or a lost query if an event refers to a query, shard request or node that an earlier
+    /// event removed.
     #[test]
     fn events_in_any_order_leave_every_query_with_one_final_response(
         can_hedge in any::<bool>(),
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -63,7 +63,7 @@
     );
 }
 
-/// Guards against hedges that add to an overload, for requests that an answer may omit.
+/// Guards against hedges of shard requests that an answer may omit, which would add load to an overload.
 #[rstest]
 #[case::each_request_may_be_omitted(4, 0)]
 #[case::each_request_is_needed_for_the_minimum_fraction(3, 3)]
@@ -74,7 +74,8 @@
     assert_eq!(attempts(&host.wait(0.52)).len(), hedges);
 }
 
-/// Guards against taking normal requests for late in a deployment in which a router rarely observes a given shard.
+/// Guards against regarding normal attempts as late in a large deployment, in which a router rarely observes a given
+/// shard.
 #[rstest]
 fn an_unknown_shard_is_late_after_twice_the_median_of_its_class() {
     let mut host = Host::with(|_| ());
@@ -88,8 +89,8 @@
     assert_eq!(attempts(&host.wait(0.04)).len(), 1);
 }
 
-/// Guards against work of nodes for answers that no client waits for, as a cancel does not remove requests that wait at
-/// a node.
+/// Guards against work of nodes for answers that no client waits for: a cancellation does not remove requests that are
+/// queued at a node, so that attempts need a time-out.
 #[rstest]
 #[case::late_answers_have_no_value(0.0, 1.0, 2.0)]
 #[case::answered_partially_at_the_objective(0.3, 0.7, 2.0)]
@@ -106,12 +107,12 @@
     assert_eq!(host.timeouts_s, [timeout_s]);
 }
 
-/// Longer than the longest delay after which an attempt is late.
+/// Latency of a late attempt in seconds: more than the longest delay after which an attempt is late.
 const LATE_S: f64 = 1.1;
 /// Latency of the other attempts, and the number of such queries between two late ones, which keeps load shedding off.
 const QUICK_S: f64 = 0.05;
 const QUICK_QUERIES: u64 = 5;
-/// Longer than the longest time for which a node is avoided.
+/// Seconds after which no node is avoided any more.
 const AVOIDANCE_ENDS_S: f64 = 16.0;
 
 /// Runs a query that becomes late, after some quick ones. Returns the node of its first attempt and the number of
@@ -144,7 +145,7 @@
     let decisions = host.query(number, &[0, 0, 0]);
     let requests: Vec<String> = (0..3).map(|index| format!("p{number}.{index}")).collect();
     let first: Vec<String> = requests.iter().map(|request| last_node(&decisions, request)).collect();
-    // Decisions of the round of the first hedge.
+    // Decisions of the round in which the first hedge is sent.
     let mut hedges = vec![];
     for _ in 0..(LATE_S / 0.01) as usize {
         hedges = host.wait(0.01);
@@ -157,7 +158,9 @@
     first.into_iter().zip(requests.iter().map(is_hedged)).collect()
 }
 
-/// Guards against hedges that prolong an overload, in which they lose for all nodes.
+/// Guards against hedges that prolong an overload: in an overload hedges lose for all nodes, and are then sent only as
+/// trials. `lost` is the number of queries whose hedges lost before; `expected` is the number of hedges that are then
+/// sent for three late shard requests.
 #[rstest]
 #[case::no_hedge_has_ended(0, 3)]
 #[case::all_have_lost(12, 1)]
@@ -168,7 +171,8 @@
     assert_eq!(requests.iter().filter(|(_, hedged)| *hedged).count(), expected, "{requests:?}");
 }
 
-/// Guards against a slow or silent node that is not bypassed by hedges because hedges lose for other nodes.
+/// Guards against one win rate for all nodes: if hedges win for attempts at the slow node n0 and lose for attempts at
+/// the other nodes, attempts at n0 are still hedged.
 #[rstest]
 fn hedges_go_on_for_a_node_for_which_they_win() {
     let mut host = Host::with(|d| d.capabilities.max_attempts = 2);
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Which attempts cost a token of the retry budget.
+//! Which attempts cost a token of the retry budget's bucket.
 
 mod common;
 use alderway::interface::*;
--- a/tests/several_cores.rs
+++ b/tests/several_cores.rs
@@ -1,4 +1,5 @@
-//! One router on several cores, each with a policy of its own: shared observations of data nodes, and shared limits.
+//! A router with several cores, each of which has a separate policy: shared observations of data nodes, and shared
+//! limits.
 
 mod common;
 use alderway::interface::*;
@@ -62,7 +63,7 @@
     all[0].wait(2.0);
     let shared = all[0].shared_observations.clone();
     let silent = shared.iter().filter(|(node, observed)| node == "n0" && observed.unresponsive_for_s > 0.0);
-    // Shared again while it lasts, as other cores use an observation for half a second.
+    // The observation is shared again while the attempt is unanswered, as other cores use it for half a second only.
     assert!(silent.count() >= 2, "{shared:?}");
     all[1].now = all[0].now;
     let after_observation = all[1].receive_observations(&shared);
@@ -211,7 +212,7 @@
                     all[core].wait(0.02);
                 }
             }
-            // All shared observations reach the other cores.
+            // Delivers all shared observations to the other cores.
             for from in 0..3 {
                 let shared: Vec<_> = all[from].shared_observations[delivered[from]..].to_vec();
                 delivered[from] += shared.len();
--- a/tests/shard_changes.rs
+++ b/tests/shard_changes.rs
@@ -1,4 +1,4 @@
-//! State across changes of the shards: explicit lists of holders, moves and splits while queries are open.
+//! How shards are moved and split while queries are open, and explicit lists of the nodes that hold a shard.
 
 mod common;
 use alderway::interface::*;
@@ -61,7 +61,7 @@
     for n in 1..4 {
         assert_eq!(last_node(&host.query(n, &[0]), &format!("p{n}.0")), other);
     }
-    // Both nodes do not hold the shard: the request waits for a holder, and is sent as soon as there is one.
+    // Neither node holds the shard: the shard request waits, and is sent as soon as a node holds the shard.
     host.round(|r| {
         r.set_shard_holders(0, holders(&[0, 1], &["n0", "n1"]));
         r.attempt_ended("p0.0", 1, other, AttemptOutcome::ShardMoved, 0.001);
@@ -113,7 +113,7 @@
     let decisions = host.wait(0.6);
     let [hedge] = attempts(&decisions)[..] else { panic!("one token, one hedge: {decisions:?}") };
     assert!(hedge.starts_with("attempt a n2") || hedge.starts_with("attempt a n3"), "{hedge}");
-    // After the hedge succeeds, the old attempt continues for the other successor only.
+    // After the hedge has succeeded, the first attempt continues only for the other successor of the split request.
     let hedge = last_node(&decisions, "a");
     assert_eq!(host.attempt_ended("a", 1, &hedge, AttemptOutcome::Success, 0.05), ["cancel a 0"]);
 }
@@ -191,7 +191,7 @@
         (last_node(&host.decisions[..host.decisions.len() - 1], "p100.0"), last_node(&decisions, "p100.0"));
     host.attempt_ended("p100.0", 1, &hedge, AttemptOutcome::Success, 0.03);
     host.attempt_ended("p100.0", 0, &first, AttemptOutcome::Cancelled, 0.1);
-    // Each answer of its own replaces an inherited latency; after twelve answers none is left.
+    // Each answer of the new shard replaces an inherited latency; after twelve answers no inherited latency is left.
     for n in 101..112 {
         let node = last_node(&host.query(n, &[10]), &format!("p{n}.0"));
         host.wait(0.02);
@@ -211,8 +211,8 @@
     assert!(attempts(&host.wait(0.4)).is_empty(), "its latencies are discarded");
 }
 
-/// Forty shards move to a warming node at once. The node is sent no more than this router's share of the load that it
-/// can take.
+/// Guards against overloading a node that is warming up when forty shards move to it at the same time: this router
+/// sends at most its fraction of the load that the node can take.
 #[rstest]
 fn shards_that_move_to_a_warming_node_do_not_overload_it() {
     let rule =
