--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -1,23 +1,29 @@
-//! Which settings differ between two versions, and which of those a running router can apply.
+//! Determines which settings differ between two versions, and which of the changed settings a running router can apply.
 
 use serde_json::Value;
 
-/// The keys by which settings differ. Keys that no router on sockets reads are left out, and so is how a number is
-/// written.
+/// The keys whose values differ between two versions of the settings. Only keys that routers with network connections
+/// read are compared; `1` and `1.0` are equal.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Changes {
-    /// Keys that a running router applies between two rounds.
+pub struct ChangedKeys {
+    /// Changed keys that a running router applies without a restart.
     pub live: Vec<&'static str>,
-    /// Keys that need a restart.
+    /// Changed keys that the router applies only after a restart.
     pub restart: Vec<&'static str>,
 }
 
-/// `Cells`, `Reach` and `Slices` say where data lies, which no change of settings moves; many routers would disagree
-/// on it for a while. `ClassFetch` would change the phases of open queries. `Discovery` is how the watch is opened.
-/// `MaxOpen` sizes tables that all cores share from the start.
+/// Keys whose changes a router applies only after a restart:
+/// - `Cells` (number of replica groups), `Reach` (replica groups per shard) and `Slices` (number of shards) determine
+///   which replica group holds a shard. A change of settings moves no data, and routers would disagree until all of them
+///   have applied the change.
+/// - `ClassFetch` is the number of shard requests of a query's second phase; open queries would get another second
+///   phase than the one with which they arrived.
+/// - `Discovery` determines how the router receives changes of the endpoint list.
+/// - `MaxOpen` is the size of tables that all cores allocate together at the start.
 const RESTART_KEYS: [&str; 6] =
     ["Extra.Cells", "Extra.Reach", "Extra.Slices", "Extra.ClassFetch", "Discovery", "Limits.MaxOpen"];
 
+/// Keys whose changes a running router applies without a restart.
 const LIVE_KEYS: [&str; 23] = [
     "Services",
     "Tenants",
@@ -44,11 +50,11 @@
     "Obligations.ExtraFree",
 ];
 
-/// The keys by which `new` differs from `active`; both are settings that [`crate::Settings::read`] accepts.
-pub fn changes(active: &Value, new: &Value) -> Changes {
+/// The keys whose values differ between `active` and `new`, both accepted by [`crate::Settings::read`].
+pub fn changes(active: &Value, new: &Value) -> ChangedKeys {
     let differs = |key: &&'static str| !is_same(value_at(active, key), value_at(new, key));
     let differing = |keys: &[&'static str]| keys.iter().copied().filter(differs).collect();
-    Changes { live: differing(&LIVE_KEYS), restart: differing(&RESTART_KEYS) }
+    ChangedKeys { live: differing(&LIVE_KEYS), restart: differing(&RESTART_KEYS) }
 }
 
 /// The value at a path of keys joined by dots.
--- a/crates/deployment/src/router_config.rs
+++ b/crates/deployment/src/router_config.rs
@@ -1,31 +1,33 @@
-//! The part of the settings that a router on sockets needs beside the policy's: its connections to data nodes and its
-//! capacity.
+//! Reads the configuration that a query router with network connections needs in addition to that of the policy: the
+//! limits of its connections to data nodes, and of the queries that it admits. The simulator does not need it.
 
 use crate::SettingsError;
-use crate::values::{item, list, number_of_class, or_default, positive_seconds, positive_whole, text};
+use crate::values::{
+    list, number_for_class, or_default, positive_seconds, positive_whole_number, required, text,
+};
 use serde_json::Value;
 
 /// Limits of the connections to data nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionConfig {
-    /// Shard requests in flight on one connection at once.
+    /// Maximum number of shard requests in flight on one connection.
     pub streams_per_connection: usize,
-    /// Most shard requests in one attempt.
+    /// Maximum number of shard requests in one attempt.
     pub max_batch: usize,
-    /// Seconds after which opening a connection has failed.
+    /// Seconds after which an attempt to open a connection fails.
     pub dial_timeout_s: f64,
     /// Seconds after which a data node closes an idle connection.
     pub idle_timeout_s: f64,
 }
 
-/// What a router on sockets admits and how it paces its rounds.
+/// How many queries a router admits, and how often it runs rounds, in which the policy handles events.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Most queries and shard requests open at once.
+    /// Maximum number of open queries and shard requests together.
     pub max_open: usize,
-    /// Shards are numbered from 0 to below this.
+    /// Number of shards, which are numbered from 0.
     pub shard_count: u32,
-    /// Least seconds between two rounds.
+    /// Shortest time between two rounds, in seconds.
     pub min_round_interval_s: f64,
     /// The longest latency objective of any query class, in seconds.
     pub max_latency_objective_s: f64,
@@ -35,22 +37,22 @@
     pub polls_endpoints: bool,
 }
 
-/// Reads the limits of connections and of admission.
+/// Reads the limits of connections and of admission from the settings.
 ///
 /// # Errors
 /// The first setting that is absent or unusable, a query class with a second phase, or no query class at all.
 pub fn router_config(settings: &Value) -> Result<(ConnectionConfig, AdmissionConfig), SettingsError> {
-    let (extra, limits) = (item(settings, "Extra")?, item(settings, "Limits")?);
+    let (extra, limits) = (required(settings, "Extra")?, required(settings, "Limits")?);
     let connections = ConnectionConfig {
-        streams_per_connection: positive_whole(limits, "StreamsPerConn")?,
-        max_batch: or_default(1, extra, "BundleMax", positive_whole)?,
+        streams_per_connection: positive_whole_number(limits, "StreamsPerConn")?,
+        max_batch: or_default(1, extra, "BundleMax", positive_whole_number)?,
         dial_timeout_s: positive_seconds(limits, "DialTimeoutUs")?,
         idle_timeout_s: positive_seconds(limits, "KeepaliveUs")?,
     };
     let (max_latency_objective_s, max_deadline_s) = longest_times(settings, extra)?;
     let admission = AdmissionConfig {
-        max_open: positive_whole(limits, "MaxOpen")?,
-        shard_count: positive_whole(extra, "Slices")? as u32,
+        max_open: positive_whole_number(limits, "MaxOpen")?,
+        shard_count: positive_whole_number(extra, "Slices")? as u32,
         min_round_interval_s: positive_seconds(settings, "TickUs")?,
         max_latency_objective_s,
         max_deadline_s,
@@ -65,8 +67,9 @@
     for (class, service) in list(settings, "Services")?.iter().enumerate() {
         objective_s = objective_s.max(positive_seconds(service, "PromiseUs")?);
         deadline_s = deadline_s.max(positive_seconds(service, "DeadlineUs")?);
-        if number_of_class(extra, "ClassFetch", class, 0.0)? > 0.0 {
-            return Err(SettingsError::SecondPhaseUnsupported);
+        let second_phase_requests = number_for_class(extra, "ClassFetch", class, 0.0)?;
+        if second_phase_requests > 0.0 {
+            return Err(SettingsError::SecondPhaseUnsupported(second_phase_requests));
         }
     }
     if deadline_s == 0.0 {
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -114,7 +114,7 @@
     };
     let new_policy = || {
         let mut policy = make_policy()?;
-        policy.join(limits.clone());
+        policy.use_shared_limits(limits.clone());
         Ok(policy)
     };
     let mut policy = new_policy()?;
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -147,7 +147,7 @@
         Some(AttemptRequest {
             request_id: &id.request_id,
             shard: requested.shard,
-            timeout_ms: permits::advertised_timeout_ms(now, timeout_at_s, requested.not_after_s),
+            timeout_ms: permits::attempt_timeout_for_node_ms(now, timeout_at_s, requested.not_after_s),
             text: requested.text,
             keys: requested.keys.map(|keys| KeysAtVersion { version, keys }),
         })
@@ -191,7 +191,7 @@
         let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
             return Some(Denial::QueryEnded);
         };
-        let start = permits::AttemptStart {
+        let start = permits::AttemptToStart {
             now_s: now,
             deadline_s: self.attempts.get(id).map_or(now, |attempt| attempt.timeout_at_s),
             idempotency: self.query_classes[class].idempotency,
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -44,7 +44,7 @@
             self.queries.request_content(&id.request_id).map_or(now, |requested| requested.not_after_s);
         // The same check allowed the frame before its first write. `LATE_RESPONSE_S` covers the time that the write
         // took.
-        let start = permits::AttemptStart {
+        let start = permits::AttemptToStart {
             now_s: now,
             deadline_s: not_after_s + LATE_RESPONSE_S,
             idempotency,
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -152,7 +152,7 @@
     /// dropping a pipelined request whose bytes have been read: the connection stays open until that request is
     /// answered.
     pub fn closes_for_shutdown(&self, client: &ClientConnection) -> bool {
-        let closing = permits::ConnectionClose {
+        let closing = permits::ConnectionToClose {
             query_open: false,
             unwritten: false,
             unread: client.has_pipelined_bytes.get(),
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -59,7 +59,7 @@
         let mut policy = Policy::new(seed, policy_config.clone());
         // Limits shared by two cores make the policy share its observations of data nodes, as on a router with several
         // cores.
-        policy.join(SharedLimits::new(2).for_core(0));
+        policy.use_shared_limits(SharedLimits::new(2).for_core(0));
         policy
     };
     let query_classes = config.query_classes.len();
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -3,7 +3,7 @@
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
-use alderway_deployment::{Changes, Settings, changes};
+use alderway_deployment::{ChangedKeys, Settings, changes};
 use alderway_router::lifecycle::live_config::{ApplyResult, ConfigError, LiveConfig, check};
 use alderway_router::lifecycle::startup::ProgramRole;
 use alderway_router::state::attempts::AttemptId;
@@ -91,7 +91,7 @@
 fn the_notation_of_a_number_and_unknown_keys_are_no_change() {
     let mut new = settings_with("/Services/0/Worth", json!(1.0));
     new["Comment"] = json!("as before");
-    assert_eq!(changes(&current_settings(), &new), Changes::default());
+    assert_eq!(changes(&current_settings(), &new), ChangedKeys::default());
 }
 
 // Tests of a dispatcher that applies new settings.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,12 @@
-//! The interface between the decisions and the program that hosts them: what the host tells ([`PolicyInput`]), what the
-//! policy decides ([`DecisionSink`]), and the types that both sides use.
+//! The interface between the policy and the program that hosts it: the events that the host delivers ([`PolicyInput`]),
+//! the decisions that the policy returns ([`DecisionSink`]), and the types that both use.
 //!
-//! Times are seconds on the host's monotonic clock, spans are seconds. Identifiers are kept as the host gives them.
+//! Points in time are seconds on the host's monotonic clock, durations are seconds. The policy does not interpret the
+//! ids that the host passes.
+//!
+//! The host is the program that calls the policy, for example a query router. A round is one call of
+//! [`crate::policy::Policy::round`]. A slot is the index of a query class in the policy. The endpoint list is the list
+//! of data nodes that discovery reports. An attempt is late once its age exceeds a delay that the policy estimates.
 
 pub use crate::shard_placement::{ShardHolders, ShardPlacement};
 pub use crate::shared_limits::SharedLimits;
@@ -11,9 +16,10 @@
 pub enum Idempotency {
     /// Any number of attempts has the effect of one.
     Idempotent,
-    /// Data nodes drop repeated attempts for a while.
+    /// Data nodes discard repeated attempts for a limited time.
     IdempotentWithKey {
-        /// Seconds from the first attempt that may have had an effect during which repeats are dropped.
+        /// Seconds for which data nodes discard repeated attempts, counted from the start of the first attempt that may
+        /// have had an effect.
         window_s: f64,
     },
     /// A second attempt would have a second effect.
@@ -23,109 +29,114 @@
 /// The service class of a query, with its objectives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryClass {
-    /// Seconds within which an answer earns its full value.
+    /// Seconds after the query's arrival within which an answer has its full value.
     pub latency_objective_s: f64,
-    /// Seconds after which the client no longer waits.
+    /// Seconds after the query's arrival at which its client stops waiting.
     pub deadline_s: f64,
-    /// Whether its shard requests may be repeated.
+    /// Whether shard requests of the class may be attempted again.
     pub idempotency: Idempotency,
     /// Value of an answer, relative to the other classes.
     pub priority_weight: f64,
-    /// Fraction of the value that is left when the answer comes after the latency objective.
+    /// Value of an answer after the latency objective, as a fraction of the value of an answer within it.
     pub late_weight_fraction: f64,
-    /// Fraction of the shard requests' weight that makes an answer complete.
+    /// An answer is complete if the shard requests that succeeded have at least this fraction of the query's weight.
     pub complete_fraction: f64,
-    /// Least fraction of the weight that may be answered.
+    /// A partial answer is allowed only if the shard requests that succeeded have at least this fraction of the query's
+    /// weight.
     pub minimum_fraction: f64,
-    /// Shard requests of a second phase; 0 for classes with a single phase.
+    /// Number of shard requests of the second phase; 0 for classes with a single phase.
     pub second_phase_requests: usize,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name in the settings.
+    /// The tenant's name in the settings.
     pub name: String,
-    /// Queries a second that all routers together serve at full priority.
+    /// Queries per second that all routers together serve at full priority.
     pub quota_per_s: f64,
 }
 
-/// What the deployment allows a router to do.
+/// What the deployment allows a router to do, and the limits on it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RouterCapabilities {
     /// Whether attempts in flight may be cancelled.
     pub can_cancel: bool,
     /// Whether a shard request may have several attempts in flight.
     pub can_hedge: bool,
-    /// Most attempts of one shard request.
+    /// Maximum number of attempts of one shard request, the first one included.
     pub max_attempts: usize,
-    /// The longest Retry-After that clients follow, in seconds; none where it is not passed on.
+    /// The longest Retry-After that clients follow, in seconds; `None` if clients are not sent one.
     pub max_retry_after_s: Option<f64>,
     /// Whether changes of the endpoint list arrive only after [`DecisionSink::poll_endpoints`].
     pub polls_endpoints: bool,
-    /// Fraction of the priority weight left to queries beyond their tenant's quota.
+    /// Factor on the priority weight of queries beyond their tenant's quota.
     pub over_quota_weight_fraction: f64,
 }
 
-/// A stated budget for the attempts past a shard request's first one. In any window at most `burst` plus `ratio` times
-/// the window's shard requests may be spent.
+/// A limit for retries and hedges, which are the attempts after the first one of each shard request: in any period at
+/// most `burst` plus `ratio` times the number of shard requests that arrive in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Attempts that may be spent at once.
+    /// Capacity of the budget's token bucket: the number of retries and hedges that may start without any new shard
+    /// request.
     pub burst: f64,
-    /// Attempts that each shard request adds.
+    /// Number of retries and hedges that each new shard request adds to the bucket, usually less than 1.
     pub ratio: f64,
 }
 
-/// How much a data node that has just started may be sent before it is overloaded.
+/// How much load a data node that has just started can take before it is overloaded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartConfig {
-    /// Fraction of its full capacity that it has right after its start.
+    /// Capacity of a node right after its start, as a fraction of its full capacity.
     pub initial_fraction: f64,
-    /// Seconds over which the capacity rises to full, counted from `window_s` after the start.
+    /// Seconds in which the capacity rises linearly from `initial_fraction` to full; the rise begins `window_s` after
+    /// the node's start.
     pub warm_up_s: f64,
-    /// Load, as a multiple of the node's capacity at that moment, that overloads it.
+    /// The load that overloads a node, as a multiple of its current capacity. The load is the seconds of work sent to
+    /// the node within the last `window_s`, divided by `window_s`; the policy sends less than this load.
     pub capacity_multiple: f64,
-    /// Seconds over which the load is summed up.
+    /// Seconds over which the work sent to the node is summed.
     pub window_s: f64,
 }
 
-/// All that a policy is started with. Everything but the ring of `placement` may change while it runs.
+/// The configuration of a policy. All of it but the ring of `placement` can change while the policy runs.
 #[derive(Clone, Debug, Default)]
 pub struct PolicyConfig {
-    /// Routers that share the data nodes.
+    /// Number of query routers that send requests to the same data nodes.
     pub router_count: usize,
-    /// Query classes, known by their index.
+    /// Query classes; a class is referred to by its index.
     pub query_classes: Vec<QueryClass>,
     /// Tenants with a quota.
     pub tenants: Vec<Tenant>,
     /// Which replica groups hold which shard.
     pub placement: ShardPlacement,
-    /// What the deployment allows.
+    /// What the deployment allows a router to do.
     pub capabilities: RouterCapabilities,
-    /// The stated retry budget, if there is one.
+    /// The configured retry budget, if there is one.
     pub retry_budget: Option<RetryBudget>,
-    /// The limit for warming data nodes, if there is one.
+    /// The load limit for data nodes that are warming up, if there is one.
     pub slow_start: Option<SlowStartConfig>,
 }
 
-/// Where a query class of a new configuration stands among the classes that the policy knows by index: in a slot of its
-/// own from here on, or unchanged in the slot that it has.
+/// The slot that a query class of a new configuration gets. An unchanged class keeps its slot. A changed class gets
+/// another slot, as open queries continue with the old class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassSlot {
-    /// Its index from here on.
+    /// The index of the query class in all events that follow this change.
     pub slot: usize,
-    /// The index that it had until now; the latencies observed there go with it.
+    /// The index of the same query class before this change, if the class existed. The latencies observed for the
+    /// previous index apply to the new one too.
     pub previous_slot: Option<usize>,
 }
 
 /// State of a data node in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum NodeState {
-    /// Takes new attempts.
+    /// Accepts new attempts.
     #[default]
     Serving,
-    /// Finishes what it has; takes nothing new.
+    /// Finishes the attempts in flight and accepts no new ones.
     Draining,
     /// No longer in the list.
     Removed,
@@ -138,17 +149,17 @@
     Success,
     /// The data node failed, possibly after an effect.
     Error,
-    /// The data node refused it for lack of capacity.
+    /// The data node rejected the attempt for lack of capacity.
     Rejected,
-    /// Its time-out passed.
+    /// The attempt's time-out passed.
     TimedOut,
     /// No connection could be opened.
     Unreachable,
-    /// The connection broke while it was in flight.
+    /// The connection broke while the attempt was in flight.
     ConnectionReset,
-    /// The router cancelled it.
+    /// The router cancelled the attempt.
     Cancelled,
-    /// It ended before anything of it was written.
+    /// The attempt ended before any byte of its request was written to a connection.
     NeverSent,
     /// The data node answered that it does not hold the shard.
     ShardMoved,
@@ -160,55 +171,65 @@
         self.was_rejected() || matches!(self, AttemptOutcome::NeverSent | AttemptOutcome::ShardMoved)
     }
 
-    /// Whether the data node took nothing in, be it at capacity or unreachable.
+    /// Whether the data node did not accept the attempt, as it was at capacity or unreachable.
     pub fn was_rejected(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::Unreachable)
     }
 }
 
-/// What one core observed of a data node by its own attempts. Spans count from `observed_at_s`; 0 says that the node is
-/// healthy in that respect.
+/// The health of a data node according to the attempts of one core. Durations count from `observed_at_s`; a duration
+/// of 0 means that the node is not in that state.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeObservation {
-    /// Start of the node's process that was observed; it says nothing of another process.
+    /// When the node's process started, in seconds; `None` if unknown. Observations of another process of the node are
+    /// ignored.
     pub started_at_s: Option<f64>,
-    /// When it was observed, on the clock that all cores of a router share.
+    /// When the observation was made, on the clock that all cores of a router share.
     pub observed_at_s: f64,
-    /// For how long the node counts as slow.
+    /// Seconds for which the node counts as slow.
     pub slow_for_s: f64,
-    /// For how long it counts as very slow.
+    /// Seconds for which the node counts as very slow.
     pub very_slow_for_s: f64,
-    /// For how long it counts as unresponsive.
+    /// Seconds for which the node counts as unresponsive.
     pub unresponsive_for_s: f64,
 }
 
-/// State that moves between hosts or outlives a change of shards or settings. A host whose shards lie in the ring, whose
-/// settings never change, and that takes over no queries of other hosts needs none of these.
+/// Calls that keep the policy's state when shards or settings change, and when this host continues queries that another
+/// host process started. A host calls none of these functions if its shards are placed in the ring, its settings never
+/// change, and it continues no queries of other hosts.
 pub trait StateTransfer {
-    /// Sets who holds a shard. The first call replaces the ring by the explicit list.
+    /// Sets which replica groups and nodes hold a shard. The first call, for any shard, disables the ring for all
+    /// shards: a shard without a call then has no holder.
     fn set_shard_holders(&mut self, _shard: u32, _holders: ShardHolders) {}
-    /// A new shard has keys of `parents`, which may be retired since: it starts from their observations.
+    /// Initializes a new shard with the latencies and the round robin position of `parents`, the shards that contained
+    /// its keys before. Parents that have been retired are skipped.
     fn inherit_shard(&mut self, _shard: u32, _parents: &[u32]) {}
-    /// No shard request is open for the shard, and none will be.
+    /// Removes a shard that has no open shard requests and gets no new ones.
     fn shard_retired(&mut self, _shard: u32) {}
-    /// Splits a shard request of an open query into several (id, shard, weight), as no node holds all of it any more.
-    /// Each inherits the attempts of the old one; how those end is told for each.
+    /// Replaces a shard request of an open query by several, given as (id, shard, weight), after its shard was split.
+    /// Each new shard request gets a copy of the old one's attempts. The host reports the end of such an attempt once
+    /// for each new shard request.
     fn shard_request_split(&mut self, _query: u64, _request: &str, _into: &[(&str, u32, f64)]) {}
-    /// Adopts an attempt that another host made for a shard request, `age_s` seconds ago; attempts come in their
-    /// order. One without an outcome is in flight and this policy's from here on.
+    /// Adds an attempt that another host process started for a shard request `age_s` seconds ago. The host adds the
+    /// attempts of a shard request in the order of their starts. An attempt without an outcome is in flight; the host
+    /// reports its end to this policy.
     fn adopt_attempt(&mut self, _request: &str, _node: &str, _age_s: f64, _outcome: Option<AttemptOutcome>) {}
-    /// Applies a new configuration; `slots` has one entry for each of its query classes. A slot without an entry stays
-    /// as it is for its open queries, gets no new ones, and ends with `class_retired`.
+    /// Applies a new configuration; `slots` has one entry for each of its query classes, in the same order. A slot
+    /// without an entry keeps its class for the queries that are open and gets no new queries; `class_retired` releases
+    /// the slot.
     fn change_config(&mut self, _config: &PolicyConfig, _slots: &[ClassSlot]) {}
-    /// No query is open in the slot, and none will be until another class is put there.
+    /// Releases a slot without open queries. The host delivers no query with this slot until `change_config` assigns
+    /// another class to the slot.
     fn class_retired(&mut self, _slot: usize) {}
 }
 
-/// What a host tells the policy: one call for each event, in their order.
+/// Events that the host delivers to the policy: one call for each event, in the order in which they occurred.
 pub trait PolicyInput: StateTransfer {
-    /// The updates that follow are the whole endpoint list: nodes that it does not name are removed.
+    /// Marks all known nodes as removed. The host then calls `endpoint_updated` for every node of the new endpoint
+    /// list.
     fn endpoint_list_replaced(&mut self);
-    /// One entry of the endpoint list; `started_at_s` is when the node's process started, if that is known.
+    /// Adds or updates a node of the endpoint list. `started_at_s` is when the node's process started, in seconds on
+    /// the monotonic clock; `None` if unknown.
     fn endpoint_updated(
         &mut self,
         node: &str,
@@ -216,13 +237,14 @@
         state: NodeState,
         started_at_s: Option<f64>,
     );
-    /// Watching or polling the endpoint list failed; the last list holds.
+    /// Watching or polling the endpoint list failed; the last list stays in use.
     fn endpoint_poll_failed(&mut self);
-    /// A query arrived, which nobody waits for after `not_after_s`.
+    /// Adds a query that has just arrived and whose client stops waiting at `not_after_s`.
     fn query_arrived(&mut self, query: u64, id: &str, class: usize, tenant: &str, not_after_s: f64);
-    /// One shard request of a query; `weight` is its fraction of the whole.
+    /// Adds a shard request to a query; `weight` is the shard request's fraction of the query's result, from 0 to 1.
     fn shard_request_added(&mut self, query: u64, id: &str, shard: u32, weight: f64);
-    /// Attempt number `attempt` of a shard request ended after `latency_s`.
+    /// Records that attempt number `attempt`, counted from 0, of a shard request ended `latency_s` seconds after its
+    /// start.
     fn attempt_ended(
         &mut self,
         request: &str,
@@ -231,38 +253,40 @@
         outcome: AttemptOutcome,
         latency_s: f64,
     );
-    /// The query ended without the policy: its client is gone, or its deadline passed.
+    /// Removes a query that ended without a decision of the policy: its client disconnected, or the host ended the
+    /// query at its deadline.
     fn client_disconnected(&mut self, query: &str);
-    /// The timer set with this tag fired.
+    /// Records that the timer that was set with this tag has fired.
     fn timer_fired(&mut self, tag: u64);
-    /// What another core, or another router by gossip, observed of a data node.
+    /// Records the health of a data node that another core, or another router through gossip, observed.
     fn node_observed(&mut self, _node: &str, _observation: NodeObservation) {}
-    /// Queries of the whole fleet, this router's included, that ended since the last call: after their latency
-    /// objective, and within it.
+    /// Records how many queries have ended on all routers since the last call: `late` after their latency objective,
+    /// `in_time` within it. Queries of this router are included.
     fn fleet_latency_counts(&mut self, _late: u32, _in_time: u32) {}
 }
 
-/// Where the policy writes its decisions, in the order in which the host carries them out.
+/// Receives the decisions of the policy, in the order in which the host carries them out.
 pub trait DecisionSink {
     /// Starts the next attempt of a shard request, with a time-out of `timeout_s` seconds.
     fn start_attempt(&mut self, request: &str, node: &str, timeout_s: f64);
-    /// Cancels an attempt in flight.
+    /// Cancels attempt number `attempt`, counted from 0, of a shard request.
     fn cancel_attempt(&mut self, request: &str, attempt: usize);
-    /// Answers a query with what has come in.
+    /// Answers a query with the results of the shard requests that have succeeded.
     fn answer(&mut self, query: &str, complete: bool);
-    /// Rejects a query: a retry by its client is harmless, as it had no effect or its class may be repeated.
-    /// `retry_after_s` is the advice to its client.
+    /// Rejects a query. Its client may retry the query, as the query had no effect or is idempotent. `retry_after_s` is
+    /// the Retry-After in seconds that the host sends to the client; `None` if it sends none.
     fn reject(&mut self, query: &str, retry_after_s: Option<f64>);
-    /// Fails a query that may have had an effect.
+    /// Fails a query that may have had an effect and must not be retried.
     fn fail(&mut self, query: &str);
-    /// Sets a timer.
-    fn set_timer(&mut self, span_s: f64, tag: u64);
-    /// Asks for changes of the endpoint list.
+    /// Sets a timer that fires after `duration_s` seconds.
+    fn set_timer(&mut self, duration_s: f64, tag: u64);
+    /// Polls discovery for changes of the endpoint list.
     fn poll_endpoints(&mut self);
     /// Writes a line to the log.
     fn log(&mut self, text: &str);
-    /// Shares an observation of a data node with the other cores, and with other routers where there is gossip.
+    /// Sends an observation of a data node to the other cores, and to other routers if gossip is enabled.
     fn share_observation(&mut self, _node: &str, _observation: NodeObservation) {}
-    /// A query that had attempts has ended; `late` is whether it counts as overload in the fleet's figures.
+    /// Reports the end of a query that had attempts. `late` is whether the query counts as late in
+    /// [`PolicyInput::fleet_latency_counts`].
     fn query_ended(&mut self, _late: bool) {}
 }
--- a/src/policy/attempts_by_age.rs
+++ b/src/policy/attempts_by_age.rs
@@ -1,16 +1,17 @@
-//! An index of attempts in flight by age, so that finding the late ones costs a look at those and not at all that are
-//! in flight. Kept apart by shard and query class, as attempts of one such pair are late after the same delay.
+//! An index of attempts in flight by age, which finds the late ones without visiting the others. It has a separate
+//! queue for each pair of shard and query class, as all attempts of a pair are late after the same delay. Times are in
+//! seconds on the clock that excludes the router's own stalls.
 
-use super::query::ShardClass;
+use super::query::ShardAndClass;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Where an attempt is found.
+/// Identifies an attempt by its query, shard request and number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct AttemptPosition {
     pub query: u64,
-    /// Index of the shard request in the query.
+    /// Index of the shard request among those of the query, from 0.
     pub request: usize,
-    /// Its number among the shard request's attempts.
+    /// Index of the attempt among those of the shard request, from 0.
     pub attempt: usize,
 }
 
@@ -20,27 +21,27 @@
     position: AttemptPosition,
 }
 
-/// Attempts in the order in which they started. Those that have ended but were not removed are dropped when they are
-/// found late.
+/// Attempts in the order in which they started. An entry that was not removed when its attempt ended is removed once it
+/// is older than the delay after which attempts of its key are late.
 #[derive(Default)]
 pub(super) struct AttemptsByAge {
-    by_key: BTreeMap<ShardClass, VecDeque<StartedAttempt>>,
+    by_key: BTreeMap<ShardAndClass, VecDeque<StartedAttempt>>,
 }
 
 impl AttemptsByAge {
-    /// Adds an attempt that started no earlier than any other of its key.
-    pub fn push(&mut self, key: ShardClass, started_at_s: f64, position: AttemptPosition) {
+    /// Adds an attempt that did not start before any other of its pair of shard and query class.
+    pub fn push(&mut self, key: ShardAndClass, started_at_s: f64, position: AttemptPosition) {
         self.by_key.entry(key).or_default().push_back(StartedAttempt { started_at_s, position });
     }
 
-    /// Adds an attempt that may have started before others of its key.
-    pub fn insert(&mut self, key: ShardClass, started_at_s: f64, position: AttemptPosition) {
+    /// Adds an attempt that may have started before others of its pair of shard and query class.
+    pub fn insert(&mut self, key: ShardAndClass, started_at_s: f64, position: AttemptPosition) {
         let attempts = self.by_key.entry(key).or_default();
         let at = attempts.partition_point(|other| other.started_at_s <= started_at_s);
         attempts.insert(at, StartedAttempt { started_at_s, position });
     }
 
-    pub fn remove(&mut self, key: ShardClass, position: AttemptPosition) {
+    pub fn remove(&mut self, key: ShardAndClass, position: AttemptPosition) {
         let Some(attempts) = self.by_key.get_mut(&key) else { return };
         if let Some(at) = attempts.iter().position(|attempt| attempt.position == position) {
             attempts.remove(at);
@@ -50,20 +51,23 @@
         }
     }
 
-    /// Attempts that have been in flight for longer than their key's delay and are still live.
+    /// Returns the attempts that started more than `delay_s` of their key ago and are in flight and not cancelled.
     pub fn late(
         &mut self,
         now_s: f64,
-        delay_s: impl Fn(ShardClass) -> f64,
-        is_live: impl Fn(AttemptPosition) -> bool,
+        delay_s: impl Fn(ShardAndClass) -> f64,
+        is_in_flight_uncancelled: impl Fn(AttemptPosition) -> bool,
     ) -> Vec<AttemptPosition> {
         let mut late = Vec::new();
         for (&key, attempts) in &mut self.by_key {
             let delay_s = delay_s(key);
             let count = attempts.partition_point(|attempt| now_s - attempt.started_at_s > delay_s);
-            let live: Vec<_> = attempts.drain(..count).filter(|attempt| is_live(attempt.position)).collect();
-            late.extend(live.iter().map(|attempt| attempt.position));
-            live.into_iter().rev().for_each(|attempt| attempts.push_front(attempt));
+            let in_flight: Vec<_> = attempts
+                .drain(..count)
+                .filter(|attempt| is_in_flight_uncancelled(attempt.position))
+                .collect();
+            late.extend(in_flight.iter().map(|attempt| attempt.position));
+            in_flight.into_iter().rev().for_each(|attempt| attempts.push_front(attempt));
         }
         self.by_key.retain(|_, attempts| !attempts.is_empty());
         late
--- a/src/policy/config_changes.rs
+++ b/src/policy/config_changes.rs
@@ -1,19 +1,21 @@
-//! Carries state across a change of the configuration between two rounds: a changed query class starts in a slot of its
-//! own with the latencies that it had, open queries keep their old one, tenants' quotas and the retry budget go on from
-//! where they stand. It carries state only and decides nothing.
+//! Applies a change of the configuration between two rounds and keeps the state. A slot is the index of a query class.
+//! A changed query class gets a new slot with the latencies observed so far, while open queries keep the old slot.
+//! Tenants keep the tokens of their quotas, and the token bucket of the retry budget gets its new capacity. This module
+//! makes no decisions.
 
 use super::Policy;
 use super::latency::{ClassState, LatencyWindow};
 use super::retry_budget::RetryTokenConfig;
-use super::slow_start::warm_up_memory_s;
+use super::slow_start::warm_up_history_s;
 use super::tenant_quota::TenantQuota;
 use crate::interface::{ClassSlot, PolicyConfig, QueryClass, SlowStartConfig, Tenant};
 
-/// Latency objective of a slot without open queries: never the shortest one, and its work never the heaviest.
+/// Latency objective of an unused slot. With an infinite objective the slot affects neither the shortest objective nor
+/// the largest fraction of work per objective.
 const UNUSED_SLOT_OBJECTIVE_S: f64 = f64::INFINITY;
 
 impl Policy {
-    /// Applies a configuration as a whole, so that no round decides by parts of two.
+    /// Applies all settings of a configuration at once, so that no round mixes two configurations.
     pub(super) fn apply_config(&mut self, config: &PolicyConfig, slots: &[ClassSlot]) {
         let mut keeps_priorities = self.capabilities.over_quota_weight_fraction.to_bits()
             == config.capabilities.over_quota_weight_fraction.to_bits();
@@ -28,16 +30,16 @@
         self.change_tenants(&config.tenants, router_count);
         self.router_count = router_count;
         self.capabilities = config.capabilities;
-        // The ring stays as it is, and so do the explicit holders that replaced it.
+        // A change of the configuration changes neither the ring nor the explicit list of holders.
         self.placement.max_batch = config.placement.max_batch;
         self.placement.attempt_overhead_s = config.placement.attempt_overhead_s;
         self.retry_tokens = RetryTokenConfig::new(config.retry_budget);
-        self.apply_retry_token_capacity();
+        self.apply_capacity_to_token_bucket();
         let previous = std::mem::replace(&mut self.slow_start, config.slow_start);
         self.change_slow_start(previous);
     }
 
-    /// Whether a query class keeps the priority weight of its previous slot, to the bit.
+    /// Whether the priority weight of a query class equals that of its previous slot, bit by bit.
     fn keeps_priority_weight(&self, class: &QueryClass, slot: &ClassSlot) -> bool {
         let previous = slot.previous_slot.and_then(|slot| self.classes.get(slot));
         previous.is_some_and(|previous| {
@@ -45,8 +47,8 @@
         })
     }
 
-    /// Puts a query class into its slot. In a new slot it starts with the latencies that it had in the previous one,
-    /// where open queries go on with a copy.
+    /// Assigns a query class to its slot. A new slot gets the latencies of the previous slot; the previous slot keeps a
+    /// copy for its open queries.
     fn place_class(&mut self, config: &QueryClass, slot: &ClassSlot) {
         let ClassSlot { slot, previous_slot } = *slot;
         while self.classes.len() <= slot {
@@ -57,17 +59,17 @@
             let previous = &mut self.classes[from];
             let copy = LatencyWindow::inherit(&[&previous.latencies], usize::MAX);
             let latencies = std::mem::replace(&mut previous.latencies, copy);
-            let (lowest_median_s, longest_patience_s) =
-                (previous.lowest_median_s, previous.longest_patience_s);
+            let (lowest_median_s, longest_time_left_s) =
+                (previous.lowest_median_s, previous.longest_time_left_s);
             let class = &mut self.classes[slot];
             class.latencies = latencies;
             class.lowest_median_s = lowest_median_s;
-            class.longest_patience_s = longest_patience_s;
+            class.longest_time_left_s = longest_time_left_s;
         }
         self.classes[slot].config = config.clone();
     }
 
-    /// Forgets the class of a slot without open queries.
+    /// Removes the class of a slot without open queries.
     pub(super) fn retire_class(&mut self, slot: usize) {
         if let Some(class) = self.classes.get_mut(slot) {
             let config = QueryClass { latency_objective_s: UNUSED_SLOT_OBJECTIVE_S, ..class.config.clone() };
@@ -75,24 +77,27 @@
         }
     }
 
-    /// Sets the tenants and their quotas; known ones keep what they have saved, new ones begin as at a start.
+    /// Sets the tenants and their quotas. Known tenants keep their tokens, up to the new capacity; new tenants start
+    /// with `INITIAL_TOKENS`.
     fn change_tenants(&mut self, tenants: &[Tenant], router_count: f64) {
         let previous = std::mem::take(&mut self.tenants);
         let (now_s, old_routers) = (self.now_s, self.router_count);
-        let changed = |tenant: &Tenant| match previous.iter().find(|quota| quota.is_of(&tenant.name)) {
-            Some(quota) => quota.changed(tenant.clone(), now_s, old_routers, router_count),
+        let changed = |tenant: &Tenant| match previous.iter().find(|quota| quota.is_for(&tenant.name)) {
+            Some(quota) => quota.reconfigured(tenant.clone(), now_s, old_routers, router_count),
             None => TenantQuota::new(tenant.clone(), now_s),
         };
         self.tenants = tenants.iter().map(changed).collect();
     }
 
-    /// Work sent to nodes that are warming up is known as far back as the previous rule looked. Where the new one looks
-    /// back further, their quota counts as used up until that time has passed.
+    /// Marks the quotas of nodes that are warming up as used up if the work sent to them was recorded for a shorter
+    /// time than the window of the new slow-start rule. They are free again after one new window. `previous` is the
+    /// rule before the change.
     fn change_slow_start(&mut self, previous: Option<SlowStartConfig>) {
         let Some(rule) = self.slow_start else { return };
-        let known_s = warm_up_memory_s(previous);
-        let knows_window = known_s >= rule.window_s && !self.shared_limits.is_shared();
-        // On several cores each knows only its own turns, which lasted as long as the previous window.
+        let known_s = warm_up_history_s(previous);
+        let knows_window = known_s >= rule.window_s && !self.shared_limits.has_several_cores();
+        // With several cores, a core has recorded only the work of its own turns, which lasted as long as the previous
+        // window.
         if knows_window || previous.is_some_and(|previous| previous.window_s >= rule.window_s) {
             return;
         }
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -1,16 +1,16 @@
-//! Takes in what the host tells of one moment, before the round decides: changes of the endpoint list, new queries and
-//! their shard requests, ended attempts. It updates records and decides nothing.
+//! Handles the events that the host delivers at the start of a round: changes of the endpoint list, new queries and
+//! their shard requests, ended attempts. This module updates records and makes no decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::SHARD_SAMPLES_MAX;
 use super::node::Node;
-use super::query::{Query, RequestPosition, ShardClass, ShardRequest};
+use super::query::{Query, ShardAndClass, ShardRequest, ShardRequestPosition};
 use super::{Policy, ShardState};
 use crate::interface::{AttemptOutcome, NodeObservation, NodeState, PolicyInput};
 
-/// Time until the endpoint list is polled again after a failure.
+/// Seconds after which the endpoint list is polled again if polling failed.
 const POLL_RETRY_S: f64 = 1.0;
-/// Turns drawn for a shard's round robin offset, for each of its replica groups.
+/// A shard's round robin offset is drawn from this many values for each replica group that holds the shard.
 const OFFSET_DRAWS_PER_GROUP: f64 = 64.0;
 
 impl PolicyInput for Policy {
@@ -36,7 +36,7 @@
                 node.state = state;
             }
             Some(node) => {
-                // Another process: only the attempts in flight are the old one's.
+                // The node has restarted: only the attempts in flight are kept of the old process's state.
                 let in_flight = std::mem::take(&mut node.in_flight);
                 *node = Node::new(replica_group, state, started_at_s, warm_up_phase);
                 node.in_flight = in_flight;
@@ -53,13 +53,13 @@
     }
 
     fn query_arrived(&mut self, number: u64, id: &str, class: usize, tenant: &str, not_after_s: f64) {
-        let is_client_retry = self.is_client_retry(class, not_after_s);
+        let is_client_retry = self.detect_client_retry(class, not_after_s);
         let config = &self.classes[class].config;
         // The latency objective of a retry counts from the client's first query.
         let counts_from_s = if is_client_retry { not_after_s - config.deadline_s } else { self.now_s };
         let objective_at_s = config.latency_objective_s + counts_from_s;
         let (now_s, router_count) = (self.now_s, self.router_count);
-        let quota = self.tenants.iter_mut().find(|quota| quota.is_of(tenant));
+        let quota = self.tenants.iter_mut().find(|quota| quota.is_for(tenant));
         let over_quota = quota.is_some_and(|quota| !quota.try_take(now_s, router_count));
         let query = Query {
             id: id.into(),
@@ -76,11 +76,11 @@
 
     fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
         let Some(query) = self.queries.get_mut(&number) else { return };
-        // Routers that all began at a shard's first holder would overload it.
+        // The offset is random, as all routers would otherwise send first to the same holder and overload it.
         let groups = f64::from(self.placement.groups_per_shard);
         let round_robin_offset = (self.random.next_fraction() * groups * OFFSET_DRAWS_PER_GROUP) as usize;
         self.shards.entry(shard).or_insert_with(|| ShardState::new(round_robin_offset));
-        let position = RequestPosition { query: number, index: query.requests.len() };
+        let position = ShardRequestPosition { query: number, index: query.requests.len() };
         self.shard_requests.insert(id.into(), position);
         query.next_check_at_s = 0.0;
         query.requests.push(ShardRequest {
@@ -91,7 +91,7 @@
             hedges: 0,
             attempts: vec![],
         });
-        self.earn_retry_tokens();
+        self.deposit_tokens_for_new_request();
     }
 
     fn attempt_ended(
@@ -105,14 +105,14 @@
         let node = self.nodes.get_mut(node_id);
         let in_flight = node.and_then(|node| node.in_flight.remove(&(request.to_string(), attempt)));
         let latency_s = in_flight.map_or(latency_s, |in_flight| {
-            // The router's own stalls are no latency of the node.
+            // The router's own stalls do not count as latency of the node.
             latency_s.min(self.now_stall_free_s - in_flight.started_at_stall_free_s)
         });
         if let Some(&position) = self.shard_requests.get(request) {
             self.record_request_outcome(position, attempt, outcome, latency_s);
         }
         if let Some(in_flight) = in_flight {
-            self.note_lost_node(outcome);
+            self.record_if_connection_lost(outcome);
             self.record_node_outcome(node_id, outcome, latency_s, in_flight.late_after_s);
         }
     }
@@ -131,7 +131,7 @@
     }
 
     fn fleet_latency_counts(&mut self, late: u32, in_time: u32) {
-        self.load_shedding.record_fleet_counts(self.now_s, late, in_time);
+        self.load_shedding.record_fleet_latency_counts(self.now_s, late, in_time);
     }
 
     fn node_observed(&mut self, id: &str, observation: NodeObservation) {
@@ -144,10 +144,10 @@
 }
 
 impl Policy {
-    /// Records at its shard request how an attempt ended, and what it tells of latencies.
+    /// Records the outcome of an attempt in its shard request, and its latency for the shard and the query class.
     fn record_request_outcome(
         &mut self,
-        position: RequestPosition,
+        position: ShardRequestPosition,
         number: usize,
         outcome: AttemptOutcome,
         latency_s: f64,
@@ -158,10 +158,10 @@
         let request = &mut query.requests[position.index];
         let age_position =
             AttemptPosition { query: position.query, request: position.index, attempt: number };
-        self.attempts_in_flight.remove(ShardClass { shard: request.shard, class }, age_position);
+        self.attempts_in_flight.remove(ShardAndClass { shard: request.shard, class }, age_position);
         let is_first_success = outcome == AttemptOutcome::Success && !request.succeeded;
         request.succeeded |= outcome == AttemptOutcome::Success;
-        let settled = settled_hedges(request, number, is_first_success);
+        let decided = decided_hedges(request, number, is_first_success);
         if let Some(attempt) = request.attempts.get_mut(number) {
             attempt.in_flight = false;
             attempt.possible_effect = !outcome.had_no_effect();
@@ -171,27 +171,29 @@
         if outcome == AttemptOutcome::Success {
             self.classes[class].record_success(latency_s);
         }
-        // A cancelled attempt took at least this long. Without it hedges would shorten the delay that they wait for.
+        // The latency of a cancelled attempt is a lower bound. Without these latencies, the cancellation of slow
+        // attempts after successful hedges would lower the delay after which attempts are hedged.
         if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Cancelled) {
             let shard = self.shards.entry(request.shard).or_default();
             shard.latencies.record(latency_s, SHARD_SAMPLES_MAX);
         }
-        for (past, won) in settled {
-            self.record_hedge(&past, won);
+        for (bypassed_node, won) in decided {
+            self.record_hedge(&bypassed_node, won);
         }
     }
 }
 
-/// Hedges that have won or lost as an attempt ended: the first success decides for all, and a hedge that ends without
-/// one has lost. Each with the late node that it was to get past.
-fn settled_hedges(request: &mut ShardRequest, ended: usize, is_first_success: bool) -> Vec<(String, bool)> {
-    let mut settled = vec![];
+/// Returns the hedges whose result the end of an attempt decides, each with the late node that the hedge bypasses and
+/// whether the hedge has won. The first success of a shard request decides all its hedges; a hedge that ends without
+/// being the first success has lost.
+fn decided_hedges(request: &mut ShardRequest, ended: usize, is_first_success: bool) -> Vec<(String, bool)> {
+    let mut decided = vec![];
     for (number, attempt) in request.attempts.iter_mut().enumerate() {
         if (number == ended || is_first_success)
-            && let Some(past) = attempt.hedges_past.take()
+            && let Some(bypassed_node) = attempt.bypassed_node.take()
         {
-            settled.push((past, number == ended && is_first_success));
+            decided.push((bypassed_node, number == ended && is_first_success));
         }
     }
-    settled
+    decided
 }
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,50 +1,52 @@
-//! Estimates latencies: how long a shard request usually takes, and after which delay an attempt is late.
+//! Estimates latencies: the median latency of a shard request, and the delay after which an attempt is late.
 //!
-//! Inputs are the latencies of ended attempts in seconds, by shard and by query class. At full size a router rarely
-//! observes a given shard, so each estimate falls back from the shard to the class and from the class to a fraction of
-//! the latency objective.
+//! Inputs are the latencies of ended attempts in seconds, by shard and by query class, measured from the start of an
+//! attempt to its end on the clock that excludes the router's own stalls. In a large deployment a router
+//! observes a given shard rarely, so that estimates fall back from the shard to the query class, and from the class to
+//! a fraction of the latency objective.
 
 use super::Policy;
-use super::query::ShardClass;
+use super::query::ShardAndClass;
 use crate::interface::QueryClass;
 use std::collections::VecDeque;
 
-/// Latencies kept of each query class and of each shard.
+/// Number of latencies that are kept for each query class and for each shard.
 pub(super) const CLASS_SAMPLES_MAX: usize = 256;
 pub(super) const SHARD_SAMPLES_MAX: usize = 40;
-/// Latencies of a shard from which its own quantile is used; no more are inherited by a successor shard.
+/// Number of latencies of a shard from which its own quantile is used. A successor shard inherits at most this many.
 pub(super) const SHARD_SAMPLES_MIN: usize = 12;
-/// Latencies of a class from which its quantiles are used.
+/// Number of latencies of a class from which its quantiles are used.
 pub(super) const CLASS_SAMPLES_MIN: usize = 16;
-/// Latencies of a class from which its median stands for the usual latency.
-const TYPICAL_SAMPLES_MIN: usize = 5;
+/// Number of latencies of a class from which their median is used.
+const MEDIAN_SAMPLES_MIN: usize = 5;
 
 const MEDIAN: f64 = 0.5;
 /// Quantile of a shard's latencies after which an attempt is late.
 const LATE_QUANTILE: f64 = 0.95;
-/// Multiple of the class's median after which an attempt to an unknown shard is late. A higher quantile over all shards
-/// would be raised by the very nodes that hedges are for.
+/// If a shard has too few latencies, its attempts are late after this multiple of the median of the query class. A high
+/// quantile over all shards would be raised by the slow nodes that hedges are meant to bypass.
 const LATE_MEDIAN_MULTIPLE: f64 = 2.0;
-/// Latency of a class without samples, as a fraction of its latency objective.
-pub(super) const UNKNOWN_LATENCY_FRACTION: f64 = 0.25;
-/// Longest delay, as a fraction of the latency objective: a later hedge could not succeed in time.
+/// Assumed median latency of a class with too few latencies, as a fraction of its latency objective.
+pub(super) const DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE: f64 = 0.25;
+/// Upper limit for the delay after which an attempt is late, as a fraction of the latency objective. A later hedge
+/// would not succeed in time.
 const LATE_MAX_FRACTION: f64 = 0.5;
-/// Most work of a shard request, as a fraction of the latency objective.
+/// Upper limit for the estimated work of a shard request, as a fraction of the latency objective.
 const WORK_MAX_FRACTION: f64 = 0.15;
-/// Shortest latency that estimates return, as they are divided by.
+/// Lower limit for the median latency that is returned, as callers divide by it.
 const LATENCY_MIN_S: f64 = 0.001;
 
-/// The latest latencies, in order of arrival and sorted.
+/// The latest latencies, in order of arrival and in sorted order.
 #[derive(Default)]
 pub(super) struct LatencyWindow {
     by_arrival: VecDeque<f64>,
     sorted: Vec<f64>,
-    /// How many of them are inherited and give way to the first own ones.
+    /// Number of inherited latencies. Each new latency replaces one of them.
     inherited: usize,
 }
 
 impl LatencyWindow {
-    /// Adds a latency; the oldest beyond `max_samples` are dropped.
+    /// Adds a latency, and drops the oldest latencies beyond `max_samples`.
     pub fn record(&mut self, latency_s: f64, max_samples: usize) {
         self.by_arrival.push_back(latency_s);
         self.sorted.insert(self.sorted.partition_point(|&other_s| other_s < latency_s), latency_s);
@@ -57,7 +59,8 @@
         }
     }
 
-    /// The window that a successor starts with: the latest latencies of its parents, taken from each in turn.
+    /// Returns the initial window of a new shard or slot: the latest latencies of its parents, taken from each parent
+    /// in turn, at most `max_samples` in total.
     pub fn inherit(parents: &[&LatencyWindow], max_samples: usize) -> LatencyWindow {
         let mut latest = Vec::new();
         let longest = parents.iter().map(|parent| parent.by_arrival.len()).max().unwrap_or(0);
@@ -71,21 +74,22 @@
         window
     }
 
-    /// The latency that a fraction of the samples does not exceed; none below `min_samples`.
+    /// The latency that a fraction of the samples does not exceed; `None` if there are fewer than `min_samples`.
     pub fn quantile(&self, fraction: f64, min_samples: usize) -> Option<f64> {
         let index = (self.sorted.len().saturating_sub(1) as f64 * fraction).round() as usize;
         self.sorted.get(index).copied().filter(|_| self.sorted.len() >= min_samples)
     }
 }
 
-/// A query class and what has been observed of it.
+/// A query class and the latencies observed for it.
 pub(super) struct ClassState {
     pub config: QueryClass,
     pub latencies: LatencyWindow,
-    /// The lowest median so far, infinite while there is none: latency under overload is mostly queueing.
+    /// The lowest median of the class's latencies so far; infinite while there are too few. It
+    /// estimates the work of a shard request, as it contains the least queueing.
     pub lowest_median_s: f64,
-    /// The longest time to the deadline with which a query of this class arrived.
-    pub longest_patience_s: f64,
+    /// The longest time from a query's arrival to its client's deadline, over all queries of this class, in seconds.
+    pub longest_time_left_s: f64,
 }
 
 impl ClassState {
@@ -94,7 +98,7 @@
             config,
             latencies: LatencyWindow::default(),
             lowest_median_s: f64::INFINITY,
-            longest_patience_s: 0.0,
+            longest_time_left_s: 0.0,
         }
     }
 
@@ -106,21 +110,22 @@
         }
     }
 
-    /// The usual latency of a shard request, queueing included.
-    pub fn typical_latency_s(&self) -> f64 {
-        let unknown_s = UNKNOWN_LATENCY_FRACTION * self.config.latency_objective_s;
-        self.latencies.quantile(MEDIAN, TYPICAL_SAMPLES_MIN).unwrap_or(unknown_s).max(LATENCY_MIN_S)
+    /// The median latency of successful attempts in seconds, including queueing at the data node.
+    pub fn median_latency_s(&self) -> f64 {
+        let default_s = DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE * self.config.latency_objective_s;
+        self.latencies.quantile(MEDIAN, MEDIAN_SAMPLES_MIN).unwrap_or(default_s).max(LATENCY_MIN_S)
     }
 
-    /// The lowest median as a fraction of the latency objective.
-    fn work_fraction(&self) -> Option<f64> {
+    /// The estimated work of a shard request, which is the lowest median latency of the class so far, as a fraction of
+    /// the latency objective; `None` while there are too few latencies.
+    fn lowest_median_fraction(&self) -> Option<f64> {
         Some(self.lowest_median_s / self.config.latency_objective_s).filter(|fraction| fraction.is_finite())
     }
 }
 
 impl Policy {
-    /// The delay in seconds after which an attempt is late.
-    pub(super) fn late_after_s(&self, key: ShardClass) -> f64 {
+    /// The delay in seconds after which an attempt for this shard and query class is late.
+    pub(super) fn late_after_s(&self, key: ShardAndClass) -> f64 {
         let class = &self.classes[key.class];
         let objective_s = class.config.latency_objective_s;
         let of_shard =
@@ -128,22 +133,22 @@
         let of_class = || {
             let median_s = class.latencies.quantile(MEDIAN, CLASS_SAMPLES_MIN);
             let multiple_s = median_s.map_or(0.0, |median_s| LATE_MEDIAN_MULTIPLE * median_s);
-            multiple_s.max(UNKNOWN_LATENCY_FRACTION * objective_s)
+            multiple_s.max(DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE * objective_s)
         };
         of_shard.unwrap_or_else(of_class).min(LATE_MAX_FRACTION * objective_s)
     }
 
-    /// The usual latency of a shard request in seconds, queueing included.
-    pub(super) fn typical_latency_s(&self, class: usize) -> f64 {
-        self.classes[class].typical_latency_s()
+    /// The median latency of successful attempts in seconds, including queueing at the data node.
+    pub(super) fn median_latency_s(&self, class: usize) -> f64 {
+        self.classes[class].median_latency_s()
     }
 
-    /// The work of one shard request in seconds, without queueing. A class without samples is taken to need the same
-    /// fraction of its latency objective as the heaviest known one.
+    /// The estimated work of one shard request: its processing time at a data node in seconds, without queueing. For a
+    /// class with too few latencies, the largest fraction of work per latency objective of all other classes is used.
     pub(super) fn request_work_s(&self, class: usize) -> f64 {
-        let heaviest = || self.classes.iter().filter_map(ClassState::work_fraction).reduce(f64::max);
+        let largest = || self.classes.iter().filter_map(ClassState::lowest_median_fraction).reduce(f64::max);
         let class = &self.classes[class];
-        let fraction = class.work_fraction().or_else(heaviest).unwrap_or(WORK_MAX_FRACTION);
+        let fraction = class.lowest_median_fraction().or_else(largest).unwrap_or(WORK_MAX_FRACTION);
         fraction.min(WORK_MAX_FRACTION) * class.config.latency_objective_s
     }
 }
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -1,64 +1,68 @@
-//! Decides which data node of a shard's replica groups an attempt goes to, and which shard requests of a query travel
+//! Decides which data node of a shard's replica groups an attempt goes to, and which shard requests of a query are sent
 //! together in one batch.
 //!
-//! Inputs are the health of the shard's holders, their capacity in shard requests, which of them were tried before, and
-//! when this router last sent to each. Among equals the node that was sent to longest ago goes first, whatever the
-//! shard: turns by shard would let neighbouring shards of a query meet at one node. Times are in seconds.
+//! Inputs are the health of the shard's holders, which are the serving nodes that hold it, their capacity in shard
+//! requests, which of them have had an attempt before, and when this core last sent an attempt to each. Among equal
+//! nodes the least recently used one is selected, over all shards: with a separate round robin for each shard,
+//! neighbouring shards of a query would often select the same node. Times are in seconds.
 
 use super::Policy;
 use super::attempts_by_age::AttemptPosition;
 use super::outlier_detection::{Health, InFlightAttempt};
-use super::query::{Attempt, Query, RequestPosition, ShardClass, ShardRequest};
-use super::slow_start::{CapacityInputs, NodeCapacity, warm_up_memory_s};
+use super::query::{Attempt, Query, ShardAndClass, ShardRequest, ShardRequestPosition};
+use super::slow_start::{CapacityInputs, NodeCapacity, warm_up_history_s};
 use crate::interface::{DecisionSink, Idempotency, NodeState};
+use std::cmp::Reverse;
 use std::collections::{BTreeSet, VecDeque};
 
 /// Time-out of an attempt that can be retried but not cancelled, as a fraction of the latency objective.
 const UNCANCELLABLE_TIMEOUT_FRACTION: f64 = 0.5;
 
-/// A holder that could take an attempt.
+/// A holder that has capacity for an attempt.
 struct Candidate {
-    /// The lowest goes first.
+    /// The candidate with the lowest rank is preferred.
     rank: CandidateRank,
-    /// Its index among the shard's holders.
+    /// Index among the shard's holders.
     holder: usize,
     capacity: NodeCapacity,
 }
 
-/// The order in which holders are tried: by health, one that was tried before a step behind; then the one that can take
-/// more of the query's waiting shard requests; then round robin.
+/// The order in which holders are preferred: by health, where a holder that has had an attempt of the shard request
+/// ranks one level lower; then by the number of the query's waiting shard requests that the holder can take; then by
+/// round robin.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
     health: u8,
-    /// The most possible less the shard requests that it can take.
-    not_batched: usize,
+    /// Number of the query's waiting shard requests that the holder can take in one batch; more are preferred.
+    batch_size: Reverse<usize>,
     last_attempt: u64,
-    /// Steps from the shard's round robin offset, for nodes that were never sent to.
+    /// Number of holders from the shard's round robin offset to this one; orders nodes that have had no attempt yet.
     step: usize,
 }
 
 /// The node chosen for an attempt.
 pub(super) struct SelectedNode {
     pub id: String,
-    /// Shard requests that it may be sent now.
+    /// Number of shard requests that the node may be sent now.
     pub capacity_requests: usize,
 }
 
 impl Policy {
-    /// Makes the index of serving nodes anew after a change of the endpoint list or of the shards.
+    /// Fills the map from replica groups to serving nodes if a change of the endpoint list or of the shards has cleared
+    /// it.
     pub(super) fn refresh_serving_nodes(&mut self) {
         if !self.serving_nodes.is_empty() {
             return;
         }
         for (id, node) in &self.nodes {
             if node.state == NodeState::Serving {
-                let group = self.placement.group_of(node.replica_group);
+                let group = self.placement.replica_group_index(node.replica_group);
                 self.serving_nodes.entry(group).or_default().push(id.clone());
             }
         }
     }
 
-    /// Serving nodes that hold a shard, in their order of round robin.
+    /// Ids of the serving nodes that hold a shard, by replica group in the order of the ring or of the explicit list.
     pub(super) fn serving_holders(&self, shard: u32) -> Vec<&str> {
         let excluded = self.placement.excluded_nodes(shard);
         let groups = self.placement.holding_groups(shard);
@@ -66,7 +70,8 @@
         members.filter(|id| excluded.is_none_or(|excluded| !excluded.contains(*id))).collect()
     }
 
-    /// Most shard requests in one attempt. Batching pays only where an attempt costs work of its own.
+    /// Maximum number of shard requests in one attempt. Batching is useful only if an attempt costs work in addition to
+    /// that of its shard requests.
     fn max_batch(&self) -> usize {
         if self.placement.attempt_overhead_s > 0.0 { self.placement.max_batch } else { 1 }
     }
@@ -81,9 +86,10 @@
         }
     }
 
-    /// Which holders may be tried for a shard request: none with an attempt of it in flight; none that rejected it less
-    /// than its work ago, which guards against attempts all spent on one full node; unresponsive ones only for a first
-    /// attempt where all holders are.
+    /// Returns a function that decides whether a holder may get an attempt of a shard request. Not eligible are holders
+    /// with an attempt of the shard request in flight, and holders that rejected an attempt of it that started less
+    /// than `work_s` seconds ago, so that not all attempts go to the same full node. Unresponsive holders are eligible
+    /// only for a first attempt, and only if all holders are unresponsive.
     fn is_eligible(&self, request: &ShardRequest, holders: &[&str], work_s: f64) -> impl Fn(&str) -> bool {
         let unresponsive = move |id: &str| self.nodes[id].health == Health::Unresponsive;
         let last_resort = request.attempts.is_empty() && holders.iter().all(|id| unresponsive(id));
@@ -96,9 +102,9 @@
         }
     }
 
-    /// Whether any holder could still take a shard request before the deadline. Guards against queries that keep nodes
-    /// at work where a shard's last holder is full.
-    pub(super) fn has_holder_in_time(&self, query: &Query, request: &ShardRequest) -> bool {
+    /// Whether any holder is expected to have capacity for a shard request before the client's deadline, or no holder
+    /// is serving. Otherwise the query is abandoned, so that its other shard requests cause no useless work.
+    pub(super) fn has_holder_available_before_deadline(&self, query: &Query, request: &ShardRequest) -> bool {
         let inputs = self.capacity_inputs(query.class, 1);
         let holders = self.serving_holders(request.shard);
         let is_eligible = self.is_eligible(request, &holders, inputs.request_work_s);
@@ -109,11 +115,11 @@
         holders.is_empty() || holders.iter().any(|id| is_eligible(id) && in_time(id))
     }
 
-    /// The node for a shard request's next attempt, if any holder can take it now. `waiting_shards` are the shards of
-    /// the query's waiting requests, this one's included.
+    /// Selects the node for a shard request's next attempt; `None` if no eligible holder has capacity now.
+    /// `waiting_shards` are the shards of the query's shard requests that wait for an attempt, including this one.
     pub(super) fn select_node(
         &self,
-        position: RequestPosition,
+        position: ShardRequestPosition,
         waiting_shards: &[u32],
         max_batch: usize,
     ) -> Option<SelectedNode> {
@@ -135,7 +141,7 @@
         })
     }
 
-    /// The eligible holders with capacity, with their ranks.
+    /// The eligible holders that have capacity, with their ranks.
     fn candidates(
         &self,
         class: usize,
@@ -160,7 +166,7 @@
             let batched = waiting_shards.iter().filter(held).count().min(capacity.requests);
             let rank = CandidateRank {
                 health: node.health.rank() + u8::from(tried),
-                not_batched: usize::MAX - batched,
+                batch_size: Reverse(batched),
                 last_attempt: node.last_attempt,
                 step,
             };
@@ -169,14 +175,13 @@
         candidates
     }
 
-    /// Starts attempts for a query's shard requests that have none in flight: the first one, or the next after a failed
-    /// one.
+    /// Starts first attempts or retries of a query's shard requests that have no attempt in flight.
     pub(super) fn start_waiting_requests(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         let Some(query) = self.queries.get(&number).filter(|query| !query.may_have_crashed_nodes()) else {
             return;
         };
         let waits = |request: &ShardRequest| {
-            !request.succeeded && !request.is_in_flight() && self.may_attempt(query, request)
+            !request.succeeded && !request.is_in_flight() && self.may_attempt_again(query, request)
         };
         let mut waiting: VecDeque<usize> =
             (0..query.requests.len()).filter(|&index| waits(&query.requests[index])).collect();
@@ -200,8 +205,9 @@
         }
     }
 
-    /// Sends the first shard request of a group to a node, and with it those that the node holds too. Returns those that
-    /// need not be tried again in this round; none if no node can take the first one.
+    /// Sends the first shard request of a group to a node, together with the other shard requests of the group whose
+    /// shards the node holds. Returns the indices of the shard requests that have been handled in this round, including
+    /// retries for which there was no token; the set is empty if no node can take the first shard request.
     fn start_batch(
         &mut self,
         number: u64,
@@ -212,15 +218,15 @@
         let mut started = BTreeSet::new();
         let query = &self.queries[&number];
         let first = &query.requests[group[0]];
-        let key = ShardClass { shard: first.shard, class: query.class };
+        let key = ShardAndClass { shard: first.shard, class: query.class };
         let is_first_attempt = first.attempts.is_empty();
-        // Checked first, as the search for a node costs more.
-        let unpaid = !is_first_attempt && !self.can_pay_for_retry();
-        if unpaid || self.exhausted_shards.contains(&key) {
+        // Checked first, as node selection is more expensive.
+        let lacks_token = !is_first_attempt && !self.budget_allows_retry();
+        if lacks_token || self.exhausted_shards.contains(&key) {
             return started;
         }
         let shards: Vec<u32> = group.iter().map(|&index| query.requests[index].shard).collect();
-        let position = RequestPosition { query: number, index: group[0] };
+        let position = ShardRequestPosition { query: number, index: group[0] };
         let Some(selected) = self.select_node(position, &shards, max_batch) else {
             if is_first_attempt {
                 self.exhausted_shards.insert(key);
@@ -233,15 +239,16 @@
             if fits && self.placement.holds(&selected.id, replica_group, shard) {
                 started.insert(index);
                 let is_retry = !self.queries[&number].requests[index].attempts.is_empty();
-                if !is_retry || self.try_pay_for_retry() {
-                    self.start_attempt(RequestPosition { query: number, index }, &selected.id, sink);
+                if !is_retry || self.try_take_token_for_retry() {
+                    self.start_attempt(ShardRequestPosition { query: number, index }, &selected.id, sink);
                 }
             }
         }
         started
     }
 
-    /// The time-out of a query's next attempt: until its answer has no value any more.
+    /// The time-out in seconds of a shard request's next attempt. It ends when an answer to the shard request loses its
+    /// value, or earlier if the attempt can be retried but not cancelled.
     fn attempt_timeout_s(&self, query: &Query, request: &ShardRequest) -> f64 {
         let class = &self.classes[query.class].config;
         let retryable = class.idempotency == Idempotency::Idempotent
@@ -251,19 +258,19 @@
         } else {
             f64::INFINITY
         };
-        limit_s.min(self.useful_until_s(query) - self.now_s)
+        limit_s.min(self.answer_useful_until_s(query) - self.now_s)
     }
 
-    /// Starts an attempt of a shard request at a node.
+    /// Starts an attempt of a shard request to a node.
     pub(super) fn start_attempt(
         &mut self,
-        position: RequestPosition,
+        position: ShardRequestPosition,
         node_id: &str,
         sink: &mut dyn DecisionSink,
     ) {
         let query = &self.queries[&position.query];
         let timeout_s = self.attempt_timeout_s(query, &query.requests[position.index]);
-        let key = ShardClass { shard: query.requests[position.index].shard, class: query.class };
+        let key = ShardAndClass { shard: query.requests[position.index].shard, class: query.class };
         let (late_after_s, work_s) = (self.late_after_s(key), self.request_work_s(key.class));
         let (now_s, now_stall_free_s) = (self.now_s, self.now_stall_free_s);
         let Some(query) = self.queries.get_mut(&position.query) else { return };
@@ -277,7 +284,7 @@
         node.in_flight.insert((request.id.clone(), attempt), in_flight);
         self.attempts_started += 1;
         node.last_attempt = self.attempts_started;
-        node.warm_up_load.record(now_s, work_s, warm_up_memory_s(self.slow_start));
+        node.warm_up_load.record(now_s, work_s, warm_up_history_s(self.slow_start));
         sink.start_attempt(&request.id, node_id, timeout_s);
         request.hedges += usize::from(request.is_in_flight());
         request.attempts.push(Attempt {
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,77 +1,80 @@
-//! Decides who pays for attempts past a shard request's first one: a token bucket that each shard request adds to.
+//! Limits retries and hedges, which are the attempts after the first one of each shard request, with a token bucket.
+//! Each new shard request adds a fraction of a token.
 //!
-//! A hedge always costs one token. With a stated budget every attempt past a first one does, so that in any window at
-//! most the bucket's capacity plus the ratio times the window's shard requests are spent. This guards against retries
-//! that multiply an overload; it costs a late answer where the bucket is empty. The tokens are shared by all cores of
-//! a router ([`crate::interface::SharedLimits`]).
+//! A hedge always costs one token. If a retry budget is configured, every attempt after a first one costs a token, so
+//! that any window has at most as many as the bucket's capacity plus the ratio times the window's shard requests. This
+//! keeps retries from multiplying an overload. The cost: while the bucket is empty, an answer may be late. All cores of
+//! a router share the tokens ([`crate::interface::SharedLimits`]).
 
 use super::Policy;
 use crate::interface::RetryBudget;
 
-/// The most that the bucket is filled by, whatever budget is stated.
+/// Upper limits for the tokens that a shard request adds and for the capacity of the bucket; a larger configured budget
+/// is cut to them.
 const TOKENS_PER_REQUEST_MAX: f64 = 0.1;
 const CAPACITY_MAX_TOKENS: f64 = 40.0;
-/// Cost of an attempt.
+/// Number of tokens that a hedge, or a retry if a retry budget is configured, costs.
 const ATTEMPT_COST_TOKENS: f64 = 1.0;
 
-/// How the token bucket is filled and what it pays for.
+/// How the token bucket is filled, and which attempts cost a token.
 #[derive(Default)]
 pub(super) struct RetryTokenConfig {
     /// Tokens that each shard request adds.
     pub tokens_per_request: f64,
     pub capacity_tokens: f64,
-    /// Whether every attempt past a first one costs a token, not only hedges.
-    pub charges_retries: bool,
+    /// Whether retries cost a token too, not only hedges. True if a retry budget is configured.
+    pub retries_cost_tokens: bool,
 }
 
 impl RetryTokenConfig {
-    pub fn new(stated: Option<RetryBudget>) -> Self {
+    pub fn new(configured: Option<RetryBudget>) -> Self {
         RetryTokenConfig {
-            tokens_per_request: stated
+            tokens_per_request: configured
                 .map_or(TOKENS_PER_REQUEST_MAX, |budget| budget.ratio.min(TOKENS_PER_REQUEST_MAX)),
-            capacity_tokens: stated
+            capacity_tokens: configured
                 .map_or(CAPACITY_MAX_TOKENS, |budget| budget.burst.min(CAPACITY_MAX_TOKENS)),
-            charges_retries: stated.is_some(),
+            retries_cost_tokens: configured.is_some(),
         }
     }
 }
 
 impl Policy {
     /// Applies the configured capacity to the bucket that the cores share.
-    pub(super) fn apply_retry_token_capacity(&self) {
+    pub(super) fn apply_capacity_to_token_bucket(&self) {
         let config = &self.retry_tokens;
-        self.shared_limits.change_capacity(config.capacity_tokens, config.charges_retries);
+        self.shared_limits.change_capacity(config.capacity_tokens, config.retries_cost_tokens);
     }
 
-    /// Adds the tokens of a new shard request.
-    pub(super) fn earn_retry_tokens(&self) {
+    /// Adds the fraction of a token that a new shard request earns, up to the bucket's capacity.
+    pub(super) fn deposit_tokens_for_new_request(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(config.tokens_per_request, config.capacity_tokens);
     }
 
-    /// Takes back the tokens of a shard request that has earned them at another host.
-    pub(super) fn return_retry_tokens(&self) {
+    /// Removes what a shard request added on this host if it was adopted: it already added tokens on the host on which
+    /// the query arrived.
+    pub(super) fn undo_deposit_for_adopted_request(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(-config.tokens_per_request, config.capacity_tokens);
     }
 
-    /// Whether the bucket holds a whole token.
-    pub(super) fn has_retry_token(&self) -> bool {
+    /// Whether the bucket contains at least the token that an attempt costs.
+    pub(super) fn bucket_has_token(&self) -> bool {
         self.shared_limits.tokens() >= ATTEMPT_COST_TOKENS
     }
 
-    /// Whether a further attempt could be paid for, if it has to be.
-    pub(super) fn can_pay_for_retry(&self) -> bool {
-        !self.retry_tokens.charges_retries || self.has_retry_token()
+    /// Whether a retry may start: the bucket contains a token, or retries cost none.
+    pub(super) fn budget_allows_retry(&self) -> bool {
+        !self.retry_tokens.retries_cost_tokens || self.bucket_has_token()
     }
 
-    /// Pays for an attempt that follows a failed one, if it has to be paid for.
-    pub(super) fn try_pay_for_retry(&self) -> bool {
-        !self.retry_tokens.charges_retries || self.shared_limits.try_withdraw()
+    /// Takes a token for a retry if retries cost one; returns false if there is none.
+    pub(super) fn try_take_token_for_retry(&self) -> bool {
+        !self.retry_tokens.retries_cost_tokens || self.shared_limits.try_withdraw()
     }
 
-    /// Pays for a hedge.
-    pub(super) fn try_pay_for_hedge(&self) -> bool {
+    /// Takes a token for a hedge; returns false if there is none.
+    pub(super) fn try_take_token_for_hedge(&self) -> bool {
         self.shared_limits.try_withdraw()
     }
 }
--- a/src/policy/shard_changes.rs
+++ b/src/policy/shard_changes.rs
@@ -1,12 +1,13 @@
-//! Carries state across changes of the shards: a successor starts with what its parents showed, a split shard request
-//! leaves its attempts to its successors, and a query that another host decided for brings its attempts along. It
-//! carries state only and decides nothing.
+//! Keeps state when shards change. A new shard starts with the latencies of its parents, the shards that contained its
+//! keys before. The successors of a shard request, which replace it after its shard was split, get copies of its
+//! attempts. A query that this host continues for another host process keeps its attempts. This module makes no
+//! decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::{LatencyWindow, SHARD_SAMPLES_MIN};
 use super::node::Node;
 use super::outlier_detection::InFlightAttempt;
-use super::query::{Attempt, RequestPosition, ShardClass, ShardRequest};
+use super::query::{Attempt, ShardAndClass, ShardRequest, ShardRequestPosition};
 use super::{Policy, ShardState};
 use crate::interface::{AttemptOutcome, ClassSlot, PolicyConfig, ShardHolders, StateTransfer};
 
@@ -18,8 +19,8 @@
         }
     }
 
-    /// The successor starts with its parents' latest latencies and round robin offset. A shard that was seen already
-    /// keeps its own.
+    /// The new shard starts with the latest latencies of its parents and the round robin offset of the first. A shard
+    /// that already has state keeps it.
     fn inherit_shard(&mut self, shard: u32, parents: &[u32]) {
         let known: Vec<&ShardState> = parents.iter().filter_map(|parent| self.shards.get(parent)).collect();
         let Some(first) = known.first() else { return };
@@ -38,18 +39,18 @@
         }
     }
 
-    /// Each successor has the old shard request's attempts as its own, so that possible effects, hedges and the number
-    /// of attempts count for it. Guards against a second effect or a fresh retry budget by way of a split. An attempt in
-    /// flight takes its node's capacity once, whatever waits for it.
+    /// Each successor has a copy of the old shard request's attempts, so that a split allows neither a second effect
+    /// nor more than the maximum number of attempts or hedges. An attempt in flight uses its node's capacity once, even
+    /// if several successors wait for it.
     fn shard_request_split(&mut self, number: u64, request: &str, into: &[(&str, u32, f64)]) {
-        let is_of_query = |position: &RequestPosition| position.query == number;
+        let is_of_query = |position: &ShardRequestPosition| position.query == number;
         let position = self.shard_requests.get(request).copied().filter(is_of_query);
         let Some(position) = position else { return };
         let Some(query) = self.queries.get_mut(&number) else { return };
         self.shard_requests.remove(request);
         query.next_check_at_s = 0.0;
         let old = &query.requests[position.index];
-        let key = ShardClass { shard: old.shard, class: query.class };
+        let key = ShardAndClass { shard: old.shard, class: query.class };
         let (succeeded, hedges, attempts) = (old.succeeded, old.hedges, old.attempts.clone());
         self.remove_from_index(key, position, &attempts);
         if let Some(&(first, ..)) = into.first() {
@@ -58,11 +59,11 @@
         for (nth, &(id, shard, weight)) in into.iter().enumerate() {
             let mut attempts = attempts.clone();
             if nth > 0 {
-                // A hedge wins or loses once.
-                attempts.iter_mut().for_each(|attempt| attempt.hedges_past = None);
+                // Only the first successor records whether a hedge has won.
+                attempts.iter_mut().for_each(|attempt| attempt.bypassed_node = None);
             }
             let successor = ShardRequest { id: id.into(), shard, weight, succeeded, hedges, attempts };
-            // The first successor takes the old one's place.
+            // The first successor replaces the old shard request.
             self.place_successor(number, successor, (nth == 0).then_some(position.index));
         }
     }
@@ -85,15 +86,20 @@
 }
 
 impl Policy {
-    /// Takes a shard request's attempts in flight out of the index by age.
-    fn remove_from_index(&mut self, key: ShardClass, position: RequestPosition, attempts: &[Attempt]) {
+    /// Removes a shard request's attempts in flight from the index by age.
+    fn remove_from_index(
+        &mut self,
+        key: ShardAndClass,
+        position: ShardRequestPosition,
+        attempts: &[Attempt],
+    ) {
         for (attempt, _) in in_flight(attempts) {
             let position = AttemptPosition { query: position.query, request: position.index, attempt };
             self.attempts_in_flight.remove(key, position);
         }
     }
 
-    /// Moves attempts in flight at their nodes from one shard request to another.
+    /// Changes the shard request id of attempts in flight from `from` to `to` in the records of their nodes.
     fn rename_in_flight(&mut self, from: &str, to: &str, attempts: &[Attempt]) {
         for (number, attempt) in in_flight(attempts) {
             if let Some(node) = self.nodes.get_mut(&attempt.node)
@@ -104,29 +110,30 @@
         }
     }
 
-    /// Puts a successor at an index of its query's shard requests, or after them, and its attempts into the index by age.
+    /// Stores a successor at `index` among its query's shard requests, or after the last one if `index` is `None`, and
+    /// adds the successor's attempts in flight to the index by age.
     fn place_successor(&mut self, number: u64, successor: ShardRequest, index: Option<usize>) {
         let Some(query) = self.queries.get_mut(&number) else { return };
         let index = index.unwrap_or(query.requests.len());
-        let key = ShardClass { shard: successor.shard, class: query.class };
+        let key = ShardAndClass { shard: successor.shard, class: query.class };
         for (attempt, started) in in_flight(&successor.attempts) {
             let position = AttemptPosition { query: number, request: index, attempt };
             self.attempts_in_flight.insert(key, started.started_at_stall_free_s, position);
         }
-        self.shard_requests.insert(successor.id.clone(), RequestPosition { query: number, index });
+        self.shard_requests.insert(successor.id.clone(), ShardRequestPosition { query: number, index });
         match query.requests.get_mut(index) {
             Some(request) => *request = successor,
             None => query.requests.push(successor),
         }
     }
 
-    /// An attempt made by another host counts against the most attempts and for its possible effect; one in flight also
-    /// for its lateness and its node's capacity. Its node gets a record where this host's endpoint list does not name
-    /// it: every attempt in flight has one.
+    /// Adds an attempt that another host process started. The attempt counts toward the maximum number of attempts and
+    /// may have had an effect. An attempt in flight also uses its node's capacity and can become late. If this host's
+    /// endpoint list does not contain the node, a record of the node is created, as every attempt in flight needs one.
     fn adopt(&mut self, request_id: &str, node_id: &str, age_s: f64, outcome: Option<AttemptOutcome>) {
         let Some(&position) = self.shard_requests.get(request_id) else { return };
         let Some(query) = self.queries.get(&position.query) else { return };
-        let key = ShardClass { shard: query.requests[position.index].shard, class: query.class };
+        let key = ShardAndClass { shard: query.requests[position.index].shard, class: query.class };
         let late_after_s = self.late_after_s(key);
         let started_at_stall_free_s = self.now_stall_free_s - age_s;
         let attempt = Attempt {
@@ -135,7 +142,7 @@
             started_at_stall_free_s,
             in_flight: outcome.is_none(),
             cancelled: false,
-            hedges_past: None,
+            bypassed_node: None,
             possible_effect: outcome.is_none_or(|outcome| !outcome.had_no_effect()),
             rejected: outcome.is_some_and(AttemptOutcome::was_rejected),
             connection_lost: outcome == Some(AttemptOutcome::ConnectionReset),
@@ -147,14 +154,14 @@
         request.succeeded |= outcome == Some(AttemptOutcome::Success);
         request.attempts.push(attempt);
         if number == 0 {
-            self.return_retry_tokens();
+            self.undo_deposit_for_adopted_request();
         }
         if outcome.is_none() {
             let age_position =
                 AttemptPosition { query: position.query, request: position.index, attempt: number };
             self.attempts_in_flight.insert(key, started_at_stall_free_s, age_position);
             let in_flight = InFlightAttempt { started_at_stall_free_s, late_after_s };
-            let node = self.nodes.entry(node_id.into()).or_insert_with(Node::unlisted);
+            let node = self.nodes.entry(node_id.into()).or_insert_with(Node::without_endpoint_entry);
             node.in_flight.insert((request_id.into(), number), in_flight);
         }
     }
--- a/tests/events_in_any_order.rs
+++ b/tests/events_in_any_order.rs
@@ -1,5 +1,5 @@
-//! A property of any order of queries, adopted attempts, ended attempts, splits, clients that leave, and data nodes that
-//! come, drain, restart and go: every query gets one final response, and nothing breaks on what another event removed.
+//! Property test: for any order of queries, adopted attempts, ended attempts, splits, disconnected clients, and data
+//! nodes that appear, drain, restart and are removed, every query gets one final response.
 
 mod common;
 use alderway::interface::*;
@@ -8,7 +8,8 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// Nodes that the endpoint list names at the start; as many again are unlisted until an event lists them.
+/// Number of nodes in the endpoint list at the start. The same number of further nodes is not in the list until an
+/// event adds them.
 const LISTED_NODES: u8 = 3;
 const NODES: u8 = 2 * LISTED_NODES;
 /// Longer than any deadline, in seconds.
@@ -23,14 +24,36 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Query { class: bool, requests: Vec<Vec<Adopted>> },
-    AttemptEnds { which: u16, outcome: u8 },
-    Split { which: u16 },
-    Disconnected { which: u16 },
-    EndpointUpdated { node: u8, state: u8, started: u8 },
-    ListReplaced { named: u8 },
-    Observed { node: u8, unresponsive: bool },
-    Wait { steps: u8 },
+    Query {
+        class: bool,
+        requests: Vec<Vec<Adopted>>,
+    },
+    AttemptEnds {
+        which: u16,
+        outcome: u8,
+    },
+    Split {
+        which: u16,
+    },
+    Disconnected {
+        which: u16,
+    },
+    EndpointUpdated {
+        node: u8,
+        state: u8,
+        started: u8,
+    },
+    /// Replaces the endpoint list by the nodes whose bits are set.
+    ListReplaced {
+        listed: u8,
+    },
+    Observed {
+        node: u8,
+        unresponsive: bool,
+    },
+    Wait {
+        steps: u8,
+    },
 }
 
 fn adopted() -> impl Strategy<Value = Adopted> {
@@ -46,7 +69,7 @@
         1 => any::<u16>().prop_map(|which| Event::Disconnected { which }),
         4 => any::<(u8, u8, u8)>()
             .prop_map(|(node, state, started)| Event::EndpointUpdated { node, state, started }),
-        1 => any::<u8>().prop_map(|named| Event::ListReplaced { named }),
+        1 => any::<u8>().prop_map(|listed| Event::ListReplaced { listed }),
         2 => any::<(u8, bool)>().prop_map(|(node, unresponsive)| Event::Observed { node, unresponsive }),
         6 => (1u8..120).prop_map(|steps| Event::Wait { steps }),
     ]
@@ -70,17 +93,17 @@
     format!("n{}", node % NODES)
 }
 
-/// An attempt in flight, as a host knows it.
+/// An attempt in flight, as recorded by the test's host.
 struct InFlight {
     query: u64,
     node: String,
     started_at: f64,
 }
 
-/// What the host knows of an open query.
+/// An open query, as recorded by the test's host.
 struct OpenQuery {
     non_idempotent: bool,
-    /// Requests by id; for each of its attempts so far, whether that may have had an effect.
+    /// For each shard request id, whether each of its attempts may have had an effect.
     requests: BTreeMap<String, Vec<bool>>,
 }
 
@@ -111,7 +134,7 @@
             Event::Split { which } => self.split(*which),
             Event::Disconnected { which } => self.disconnect(*which),
             Event::EndpointUpdated { node, state, started } => self.update_endpoint(*node, *state, *started),
-            Event::ListReplaced { named } => self.replace_list(*named),
+            Event::ListReplaced { listed } => self.replace_list(*listed),
             Event::Observed { node, unresponsive } => {
                 let observation = NodeObservation {
                     observed_at_s: self.host.now,
@@ -123,7 +146,7 @@
             }
             Event::Wait { steps } => return self.wait(f64::from(*steps) * 0.01),
         };
-        self.carry_out(&decisions)
+        self.check_and_apply_decisions(&decisions)
     }
 
     fn wait(&mut self, span_s: f64) -> Result<(), TestCaseError> {
@@ -131,7 +154,7 @@
         while self.host.now < end {
             self.host.now += 0.01;
             let decisions = self.host.round(|r| r.timer_fired(1));
-            self.carry_out(&decisions)?;
+            self.check_and_apply_decisions(&decisions)?;
         }
         Ok(())
     }
@@ -179,7 +202,8 @@
         self.host.attempt_ended(&key.0, key.1, &ended.node, outcome, latency_s)
     }
 
-    /// Splits a shard request in two; each has the attempts in flight, which end for each on its own.
+    /// Splits a shard request into two. Each of the two has a copy of the attempts in flight; the copies end
+    /// separately.
     fn split(&mut self, which: u16) -> Vec<String> {
         let number = self.open.keys().nth(usize::from(which) % self.open.len().max(1)).copied();
         let Some(number) = number else { return vec![] };
@@ -215,18 +239,19 @@
         self.host.update_endpoint(&node_id(node), u32::from(node % NODES), state, started_at_s)
     }
 
-    fn replace_list(&mut self, named: u8) -> Vec<String> {
-        let is_named = |node: &u8| named & (1 << node) != 0;
-        self.states = (0..NODES).filter(is_named).map(|node| (node_id(node), NodeState::Serving)).collect();
+    fn replace_list(&mut self, listed: u8) -> Vec<String> {
+        let is_listed = |node: &u8| listed & (1 << node) != 0;
+        self.states = (0..NODES).filter(is_listed).map(|node| (node_id(node), NodeState::Serving)).collect();
         self.host.round(|r| {
             r.endpoint_list_replaced();
-            for node in (0..NODES).filter(is_named) {
+            for node in (0..NODES).filter(is_listed) {
                 r.endpoint_updated(&node_id(node), u32::from(node), NodeState::Serving, None);
             }
         })
     }
 
-    fn carry_out(&mut self, decisions: &[String]) -> Result<(), TestCaseError> {
+    /// Checks that decisions are allowed, and applies them to the host's records.
+    fn check_and_apply_decisions(&mut self, decisions: &[String]) -> Result<(), TestCaseError> {
         for decision in decisions {
             let words: Vec<&str> = decision.split(' ').collect();
             match words[..] {
@@ -246,11 +271,16 @@
     }
 
     fn check_attempt(&mut self, request: &str, node: &str) -> Result<(), TestCaseError> {
-        prop_assert_eq!(self.states.get(node), Some(&NodeState::Serving), "an attempt at {}", node);
+        prop_assert_eq!(
+            self.states.get(node),
+            Some(&NodeState::Serving),
+            "an attempt to {}, which is not serving",
+            node
+        );
         let now = self.host.now;
         let owner = self.open.iter_mut().find(|(_, query)| query.requests.contains_key(request));
-        let (&number, query) =
-            owner.ok_or_else(|| TestCaseError::fail(format!("an attempt of nobody: {request}")))?;
+        let (&number, query) = owner
+            .ok_or_else(|| TestCaseError::fail(format!("an attempt of an unknown request: {request}")))?;
         let effects = query.requests.entry(request.to_string()).or_default();
         let repeats_effect = query.non_idempotent && effects.contains(&true);
         prop_assert!(!repeats_effect, "a second effect of {}", request);
@@ -267,7 +297,8 @@
         cases: 150, rng_seed: RngSeed::Fixed(5701), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Guards against a panic or a lost query where an event refers to what an earlier one removed.
+    /// Guards against a panic or a lost query if an event refers to a query, shard request or node that an earlier
+    /// event removed.
     #[test]
     fn events_in_any_order_leave_every_query_with_one_final_response(
         can_hedge in any::<bool>(),
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,6 +1,6 @@
-//! Whether an action may happen now.
+//! The checks that a router makes before it starts an attempt, closes a connection, or admits or rejects a query.
 use alderway::interface::{Idempotency, NodeState};
-use alderway::permits::{self, AttemptStart, ConnectionClose, Denial};
+use alderway::permits::{self, AttemptToStart, ConnectionToClose, Denial};
 use rstest::rstest;
 
 const KEYED: Idempotency = Idempotency::IdempotentWithKey { window_s: 1.0 };
@@ -20,7 +20,7 @@
     NodeState::Serving,
     Err(Denial::PossibleEffect)
 )]
-fn an_attempt_starts_only_within_the_rules(
+fn an_attempt_starts_only_if_it_is_allowed(
     #[case] idempotency: Idempotency,
     #[case] first_effect_at_s: Option<f64>,
     #[case] deadline_s: f64,
@@ -28,7 +28,7 @@
     #[case] expected: Result<(), Denial>,
 ) {
     assert_eq!(
-        permits::may_start_attempt(&AttemptStart {
+        permits::may_start_attempt(&AttemptToStart {
             now_s: 1.0,
             deadline_s,
             idempotency,
@@ -50,7 +50,7 @@
     #[case] unread: bool,
     #[case] expected: Result<(), Denial>,
 ) {
-    assert_eq!(permits::may_close_connection(&ConnectionClose { query_open, unwritten, unread }), expected);
+    assert_eq!(permits::may_close_connection(&ConnectionToClose { query_open, unwritten, unread }), expected);
 }
 
 #[rstest]
@@ -64,11 +64,11 @@
 #[case(1.0, 2.0, 9.0, 1000)]
 #[case(1.0, 9.0, 2.0, 990)]
 #[case(1.0, 9.0, 1.0, 1)]
-fn the_advertised_timeout_is_shorter_than_what_the_client_has_left(
+fn the_advertised_timeout_ends_before_the_clients_deadline(
     #[case] now_s: f64,
     #[case] timeout_at_s: f64,
     #[case] not_after_s: f64,
     #[case] expected_ms: u64,
 ) {
-    assert_eq!(permits::advertised_timeout_ms(now_s, timeout_at_s, not_after_s), expected_ms);
+    assert_eq!(permits::attempt_timeout_for_node_ms(now_s, timeout_at_s, not_after_s), expected_ms);
 }
