--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -275,9 +275,9 @@
         Some(query)
     }
 
-    /// Processes a message of the forwarder of session `id`. Returns false if the message is one that only planners
-    /// send.
-    pub fn message_received(&mut self, id: SessionId, message: Message) -> bool {
+    /// Processes a message of the forwarder of session `id`. Returns false and ignores the message if only planners
+    /// send such messages.
+    pub fn accept_message(&mut self, id: SessionId, message: Message) -> bool {
         match message {
             Message::Heartbeat { number, .. } => {
                 self.send(id, &Message::HeartbeatAck { number });
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -182,7 +182,7 @@
                 continue;
             }
             Ok(Some(Received::Message(message))) => {
-                if !planner.borrow_mut().message_received(session, message) {
+                if !planner.borrow_mut().accept_message(session, message) {
                     break Err("the peer sent a message that only planners send".into());
                 }
                 continue;
--- a/crates/router/tests/planner.rs
+++ b/crates/router/tests/planner.rs
@@ -25,7 +25,7 @@
     let hello = Hello::of_planner::<Message>("p-0", 1);
     let planner = RefCell::new(Planner::new(Clock::default(), 1, 5.0, 100, EndpointTable::default()));
     let (session, _wake) = planner.borrow_mut().open_session(&hello);
-    assert!(planner.borrow_mut().message_received(session, assign_query("q")));
+    assert!(planner.borrow_mut().accept_message(session, assign_query("q")));
     // A policy without query classes panics on any query.
     let mut without_classes = Policy::new(7, PolicyConfig::default());
     assert!(planner::run_round(&planner, &mut without_classes).is_err());
@@ -37,7 +37,7 @@
 
     let (session, _wake) = planner.borrow_mut().open_session(&hello);
     let greeting_bytes = planner.borrow_mut().outbox(session).expect("an open session").bytes.len();
-    assert!(planner.borrow_mut().message_received(session, assign_query("r")));
+    assert!(planner.borrow_mut().accept_message(session, assign_query("r")));
     assert!(planner::run_round(&planner, &mut one_class_policy()).is_ok());
     assert_eq!(planner.borrow().open_query_count(), 0, "a query without data nodes is rejected at once");
     assert!(planner.borrow_mut().outbox(session).expect("an open session").bytes.len() > greeting_bytes);
@@ -68,7 +68,7 @@
     /// Sends a message to the planner, runs one round of the policy, and returns the messages that the planner sends to
     /// the forwarder.
     fn send(&mut self, message: Message, policy: &mut Policy) -> Vec<Message> {
-        assert!(self.planner.borrow_mut().message_received(self.session, message));
+        assert!(self.planner.borrow_mut().accept_message(self.session, message));
         planner::run_round(self.planner, policy).expect("the policy does not panic");
         let mut planner = self.planner.borrow_mut();
         let outbox = planner.outbox(self.session).expect("an open session");
