--- a/crates/router/src/tier/planner_links.rs
+++ b/crates/router/src/tier/planner_links.rs
@@ -70,7 +70,7 @@
         let session = async |stream: TcpStream| match self.run_session(&stream).await {
             Ok(()) => SessionEnd::Established,
             Err(error) => {
-                tracing::warn!(target: "tier", "closed the connection to planner address {address}: {error}");
+                tracing::warn!(target: "tier", "closed the connection to the planner at {address}: {error}");
                 SessionEnd::Unusable
             }
         };
