--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -27,11 +27,11 @@
 
 /// How much of the frame of an attempt has been sent.
 pub enum SendProgress {
-    /// No byte of its frame has been written.
+    /// No byte of the attempt's frame has been written.
     Queued,
-    /// Part of its frame may have been written, but not all of it.
+    /// The attempt's frame may be partly written, but is not completely written.
     Writing,
-    /// Its frame has been written completely, and no reply has been received.
+    /// The attempt's frame is completely written, and no reply has been received.
     InFlight,
     /// The attempt is not on this connection: it has ended or is on another connection.
     NotOnConnection,
--- a/crates/router/src/state/node_protocol.rs
+++ b/crates/router/src/state/node_protocol.rs
@@ -17,9 +17,9 @@
 pub struct AttemptRequest<'a> {
     /// Id of the shard request.
     pub request_id: &'a str,
-    /// The requested shard.
+    /// Id of the requested shard.
     pub shard: u32,
-    /// How long the router waits for a reply from now on, in milliseconds.
+    /// How long the router waits for a reply, in milliseconds from the encoding of the frame.
     pub timeout_ms: u64,
     /// The text that the client sent as its query.
     pub text: &'a str,
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -80,7 +80,7 @@
     /// Whether the request was split into several requests. An answer to the request that arrives after the split still
     /// counts.
     pub is_split: bool,
-    /// Whether an answer for all keys of the range has been received.
+    /// Whether all keys of the range are answered, by this request or by a request that it was split from.
     pub is_answered: bool,
 }
 
@@ -208,7 +208,7 @@
         self.numbers.contains_key(id)
     }
 
-    /// Ids of all open queries.
+    /// Ids of all open queries of this core.
     pub fn ids(&self) -> Vec<Rc<str>> {
         self.numbers.keys().cloned().collect()
     }
--- a/crates/router/src/state/response.rs
+++ b/crates/router/src/state/response.rs
@@ -1,5 +1,5 @@
 //! The final response to a query, as the dispatcher stores it in the state of the client's connection. The connection's
-//! task encodes it.
+//! task encodes the response.
 use alderway_layouts::ShardId;
 use alderway_layouts::coverage::Coverage;
 
@@ -18,7 +18,7 @@
     pub value: String,
 }
 
-/// The one final response to a query.
+/// The final response to a query; each query gets exactly one.
 pub enum QueryResponse {
     /// The query is answered with one value for each answered shard request.
     Results {
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -23,7 +23,7 @@
     pub stream: std::net::TcpStream,
     /// The permit for the socket's file descriptor.
     pub permit: DescriptorPermit,
-    /// Whether the client has already sent a complete request on this connection.
+    /// Whether the client has sent a complete request on this connection before.
     pub has_sent_request: bool,
 }
 
@@ -120,7 +120,7 @@
 /// How the cores share resources and observations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MulticoreConfig {
-    /// Number of cores.
+    /// Number of cores of the process, each with its own thread.
     pub cores: usize,
     /// Maximum number of connections to one data node from all cores together, though each core may always have one;
     /// `None` for no limit.
