--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -132,7 +132,7 @@
             return Err("`partition` is no shard here");
         }
         if !shards.insert(shard) {
-            return Err("`partition` is given twice");
+            return Err("`partition` stands twice");
         }
         requests.push(ShardRequest::new(format!("{query_id}.{shard}").into(), shard, weight));
         Ok(())
