--- a/crates/layouts/src/split_requests.rs
+++ b/crates/layouts/src/split_requests.rs
@@ -1,21 +1,22 @@
-//! Shard requests that were split while attempts for them were in flight. An attempt of the original request then serves
-//! all requests it was split into: its outcome is reported to each of them, and it is cancelled only once none of them
-//! waits for it. The requests that it was split into may be split again.
+//! Tracks shard requests that are split while attempts for them are in flight. The parts of a request are the requests that
+//! replace it; a part may be split again. An in-flight attempt of the original request then serves all parts: the caller
+//! reports the outcome of the attempt to each part, and cancels the attempt only once no part waits for it.
 //!
-//! The caller knows which attempts are in flight; this module does no I/O and makes no routing decision.
+//! The caller tracks which attempts are in flight. This module does no I/O and makes no routing decisions.
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt: the id of its shard request, and its index among the attempts of that request.
-pub type AttemptKey<I> = (I, usize);
+/// Identifies an attempt by the id of its shard request and by its index, from 0, among the attempts of that request.
+pub type AttemptId<I> = (I, usize);
 
-/// Which shard requests were split into which, and which of them still wait for an attempt that they share.
+/// Maps each split request to its parts, and each in-flight attempt to the parts that no longer wait for the attempt.
 #[derive(Debug)]
 pub struct SplitRequests<I> {
-    /// The requests that each split request has become, none of which is split itself.
+    /// The parts of each split request; a part that was split again is replaced by the parts of that part.
     parts: BTreeMap<I, Vec<I>>,
+    /// The request that each part was split from.
     parents: BTreeMap<I, I>,
-    /// Requests that no longer wait for an attempt.
-    released: BTreeMap<AttemptKey<I>, BTreeSet<I>>,
+    /// The parts that no longer wait for each attempt.
+    released: BTreeMap<AttemptId<I>, BTreeSet<I>>,
 }
 
 impl<I> Default for SplitRequests<I> {
@@ -29,7 +30,8 @@
         self.parts.is_empty()
     }
 
-    /// Records that a request was split into several, whose ids were not used before.
+    /// Records that `request` was replaced by the parts `into`. The caller must give the parts ids that no other request has
+    /// had; this is not checked.
     pub fn split(&mut self, request: &I, into: &[I]) {
         for parts in self.parts.values_mut() {
             if let Some(at) = parts.iter().position(|part| part == request) {
@@ -45,34 +47,34 @@
         into.iter().for_each(|part| drop(self.parents.insert(part.clone(), request.clone())));
     }
 
-    /// The requests that a request was split into, down to those that are not split themselves; empty if it was not split.
+    /// The parts of a request that are not split themselves. Empty if the request was not split.
     pub fn parts(&self, request: &I) -> &[I] {
         self.parts.get(request).map_or(&[], Vec::as_slice)
     }
 
-    /// A request, the request it was split from, and so on up to the original: each attempt that serves the request
-    /// belongs to one of these.
-    pub fn lineage<'a>(&'a self, request: &'a I) -> impl Iterator<Item = &'a I> {
+    /// The given request, then the request that it was split from, and so on up to the original request. Each attempt that
+    /// serves the given request belongs to one of the returned requests.
+    pub fn request_and_ancestors<'a>(&'a self, request: &'a I) -> impl Iterator<Item = &'a I> {
         std::iter::successors(Some(request), |request| self.parents.get(request))
     }
 
-    /// Records that a part no longer waits for an attempt of the request it was split from. Returns whether no part waits
-    /// for the attempt any more.
-    pub fn release(&mut self, attempt: &AttemptKey<I>, part: &I) -> bool {
+    /// Records that `part` no longer waits for `attempt`, an attempt of a request that `part` was split from. Returns true if
+    /// no part waits for the attempt any more, so that the caller can cancel the attempt.
+    pub fn remove_waiter(&mut self, attempt: &AttemptId<I>, part: &I) -> bool {
         let part_count = self.parts.get(&attempt.0).map_or(0, Vec::len);
         let released = self.released.entry(attempt.clone()).or_default();
         released.insert(part.clone());
         released.len() >= part_count
     }
 
-    /// Whether a part still waits for an attempt.
-    pub fn is_waiting(&self, attempt: &AttemptKey<I>, part: &I) -> bool {
+    /// Returns true until `remove_waiter` is called for this attempt and this part.
+    pub fn is_awaited_by(&self, attempt: &AttemptId<I>, part: &I) -> bool {
         !self.released.get(attempt).is_some_and(|released| released.contains(part))
     }
 
-    /// Removes the split requests for which `is_finished` holds: their attempts have ended and no open request refers to
-    /// them.
-    pub fn forget(&mut self, is_finished: impl Fn(&I) -> bool) {
+    /// Removes the split requests for which `is_finished` returns true: every attempt of the request has ended, and the
+    /// request is no longer open.
+    pub fn remove_finished(&mut self, is_finished: impl Fn(&I) -> bool) {
         let finished: Vec<I> = self.parts.keys().filter(|request| is_finished(request)).cloned().collect();
         for request in finished {
             self.parts.remove(&request);
--- a/crates/layouts/tests/layouts.rs
+++ b/crates/layouts/tests/layouts.rs
@@ -164,16 +164,16 @@
 fn an_attempt_is_released_once_no_part_of_a_split_request_waits_for_it() {
     let mut splits = SplitRequests::default();
     splits.split(&"p", &["a", "b"]);
-    assert!(!splits.release(&("p", 0), &"a"));
+    assert!(!splits.remove_waiter(&("p", 0), &"a"));
     splits.split(&"b", &["c", "d"]);
     assert_eq!(splits.parts(&"p"), ["a", "c", "d"]);
-    assert_eq!(splits.lineage(&"d").copied().collect::<Vec<_>>(), ["d", "b", "p"]);
-    assert!(splits.is_waiting(&("p", 0), &"c") && !splits.is_waiting(&("p", 0), &"a"));
-    assert!(splits.is_waiting(&("p", 1), &"a"), "each attempt is released on its own");
-    assert!(!splits.release(&("p", 0), &"c") && splits.release(&("p", 0), &"d"));
-    splits.forget(|_| true);
+    assert_eq!(splits.request_and_ancestors(&"d").copied().collect::<Vec<_>>(), ["d", "b", "p"]);
+    assert!(splits.is_awaited_by(&("p", 0), &"c") && !splits.is_awaited_by(&("p", 0), &"a"));
+    assert!(splits.is_awaited_by(&("p", 1), &"a"), "each attempt is released on its own");
+    assert!(!splits.remove_waiter(&("p", 0), &"c") && splits.remove_waiter(&("p", 0), &"d"));
+    splits.remove_finished(|_| true);
     assert!(splits.is_empty() && splits.parts(&"p").is_empty());
-    assert_eq!(splits.lineage(&"d").count(), 1);
+    assert_eq!(splits.request_and_ancestors(&"d").count(), 1);
 }
 
 #[rstest]
--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -60,7 +60,7 @@
     pub(super) fn attempts_of_family(&self, request_id: &Rc<str>) -> Vec<AttemptId> {
         match &self.shard_map {
             Some(shard_map) => {
-                let ancestry = shard_map.families.lineage(request_id);
+                let ancestry = shard_map.families.request_and_ancestors(request_id);
                 ancestry.flat_map(|ancestor| self.attempts.of_request(ancestor)).collect()
             }
             None => self.attempts.of_request(request_id),
@@ -76,7 +76,7 @@
             Some(shard_map) if self.attempts.get(&id).is_none() => {
                 let mut ancestry = shard_map
                     .families
-                    .lineage(&id.request_id)
+                    .request_and_ancestors(&id.request_id)
                     .map(|ancestor| AttemptId::new(ancestor.clone(), attempt));
                 ancestry.find(|id| self.attempts.get(id).is_some())
             }
--- a/crates/router/src/state/dispatcher/shard_changes.rs
+++ b/crates/router/src/state/dispatcher/shard_changes.rs
@@ -69,9 +69,9 @@
         shard_map.notify_retired(now, policy);
         if !shard_map.families.is_empty() {
             let (queries, attempts) = (&self.queries, &self.attempts);
-            shard_map
-                .families
-                .forget(|request| !queries.has_request(request) && attempts.of_request(request).is_empty());
+            shard_map.families.remove_finished(|request| {
+                !queries.has_request(request) && attempts.of_request(request).is_empty()
+            });
         }
     }
 }
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -303,7 +303,7 @@
     /// A shard request no longer waits for an attempt that it shares with others of its split; returns whether it was the
     /// last.
     pub fn release_attempt(&mut self, id: &AttemptId, request_id: &Rc<str>) -> bool {
-        self.families.release(&(id.request_id.clone(), id.number), request_id)
+        self.families.remove_waiter(&(id.request_id.clone(), id.number), request_id)
     }
 
     /// The shard requests for which the end of an attempt is told in place of a request that was split: those that still
@@ -315,7 +315,7 @@
         let parts = self.families.parts(&id.request_id);
         let call = (id.request_id.clone(), id.number);
         let waits =
-            |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.is_waiting(&call, part);
+            |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.is_awaited_by(&call, part);
         (!parts.is_empty()).then(|| parts.iter().filter(waits).cloned().collect())
     }
 }
