--- a/crates/layouts/src/coverage.rs
+++ b/crates/layouts/src/coverage.rs
@@ -1,35 +1,36 @@
-//! Which keys of a query are answered. Answers may be for shards of different versions and arrive in any order: the answer
-//! for a retired shard may arrive before or after those for its successors. An answer has one value for its whole range of
-//! keys, which cannot be divided. The answers that are counted never overlap, so that no key is counted twice, and an
-//! answer replaces smaller ones that it contains, so that no answered key is lost.
+//! Tracks the answered keys of one query. Answers may be for shards of different layout versions and arrive in any order:
+//! the answer for a retired shard may arrive before or after the answers for its successors. An answer has one value for its
+//! whole range of keys, and the value cannot be divided. The counted answers are those that the response contains. They never
+//! overlap, so that no key is counted twice; an answer replaces the counted answers whose requested keys it contains.
 use crate::KeyRange;
 use std::collections::BTreeMap;
 
-/// The ranges that a query requests, and the answers counted for them.
+/// The ranges of keys that a query requests, and the answers that are counted for these ranges.
 #[derive(Clone, Debug)]
 pub struct Coverage<V> {
-    /// The requested ranges, which do not overlap, each with the weight of one of its keys.
+    /// The requested ranges, which do not overlap, each with the weight of one key of the range.
     requested: Vec<(KeyRange, f64)>,
-    /// By the first key of the range.
+    /// The range and the value of each counted answer, by the first key of the range.
     counted: BTreeMap<u32, (KeyRange, V)>,
 }
 
-/// What adding an answer did.
+/// The effect of `Coverage::add`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AddOutcome {
-    /// The answer is counted, and replaced this many smaller ones.
+    /// The answer is counted. `replaced` is the number of counted answers that it replaced.
     Counted { replaced: usize },
-    /// All of its requested keys were answered before.
+    /// The answer is not counted: all requested keys in its range were already answered.
     Redundant,
-    /// It overlaps a counted answer that has requested keys outside of its range: counting both would count keys twice.
+    /// The answer is not counted: it overlaps a counted answer that also contains requested keys outside of the new answer's
+    /// range. Counting both would count the common keys twice.
     Conflicting,
-    /// None of its keys is requested.
+    /// The answer is not counted: its range contains no requested key.
     NotRequested,
 }
 
 impl<V> Coverage<V> {
-    /// Creates the coverage of a query from the ranges it requests and their weights. None if ranges overlap or the total
-    /// weight is not positive.
+    /// Creates the coverage of a query from the requested ranges and the weight of each range: its share in the answered
+    /// fraction of the query. `None` if ranges overlap or the sum of the weights is not positive.
     pub fn new(mut requested: Vec<(KeyRange, f64)>) -> Option<Self> {
         requested.retain(|(range, _)| !range.is_empty());
         requested.sort_by_key(|(range, _)| *range);
@@ -40,7 +41,7 @@
             .then(|| Coverage { requested: requested.collect(), counted: BTreeMap::new() })
     }
 
-    /// The number of requested keys in a range, and their weight.
+    /// The number of requested keys in the range, and the sum of the weights of these keys.
     fn requested_in(&self, range: KeyRange) -> (u64, f64) {
         let parts = self.requested.iter().filter_map(|(requested, weight_per_key)| {
             Some((requested.intersection(range)?.len(), weight_per_key))
@@ -50,7 +51,8 @@
         })
     }
 
-    /// Adds an answer for a range, unless it answers no new key or conflicts with a counted answer.
+    /// Counts an answer for a range, unless the answer is redundant, conflicting or not requested as described at
+    /// `AddOutcome`.
     pub fn add(&mut self, range: KeyRange, value: V) -> AddOutcome {
         let (keys, _) = self.requested_in(range);
         if keys == 0 {
@@ -63,7 +65,8 @@
         if answered == keys {
             return AddOutcome::Redundant;
         }
-        // Replacing an answer with requested keys outside of this range would lose those keys.
+        // A counted answer that also contains requested keys outside of the new range is not replaced: those keys would no
+        // longer be answered.
         if overlapping.iter().any(|c| {
             self.requested_in(*c).0 > c.intersection(range).map_or(0, |both| self.requested_in(both).0)
         }) {
@@ -74,18 +77,18 @@
         AddOutcome::Counted { replaced: overlapping.len() }
     }
 
-    /// The weight of the requested keys that are answered.
+    /// The sum of the weights of the requested keys that are answered.
     pub fn answered_weight(&self) -> f64 {
         self.counted.values().map(|c| self.requested_in(c.0).1).sum()
     }
 
-    /// Whether every requested key is answered.
+    /// Returns true if every requested key is answered.
     pub fn is_complete(&self) -> bool {
         let answered: u64 = self.counted.values().map(|c| self.requested_in(c.0).0).sum();
         answered == self.requested.iter().map(|r| r.0.len()).sum::<u64>()
     }
 
-    /// The requested keys of a range that are not answered yet.
+    /// The requested keys in the range that are not answered yet.
     pub fn missing(&self, range: KeyRange) -> Vec<KeyRange> {
         let mut missing = vec![];
         for (requested, _) in &self.requested {
@@ -104,7 +107,7 @@
         missing
     }
 
-    /// The counted answers, in the order of their keys.
+    /// The counted answers, in ascending order of keys.
     pub fn answers(&self) -> impl Iterator<Item = (KeyRange, &V)> {
         self.counted.values().map(|(range, value)| (*range, value))
     }
--- a/crates/layouts/src/layout.rs
+++ b/crates/layouts/src/layout.rs
@@ -1,49 +1,52 @@
-//! One version of the layout, and the changes that produce the next. An invalid layout or chain of changes is rejected as
-//! a whole.
-use crate::{Key, KeyRange, ShardId, Version};
+//! One version of the layout, and the changes that produce the next version. If any shard of a layout or any change of a list
+//! of changes is invalid, the whole layout or list is rejected.
+use crate::{Key, KeyRange, ReplicaGroupId, ShardId, Version};
 use imbl::OrdMap;
 use imbl::ordmap::DiffItem;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::sync::Arc;
 
-/// The keys of a shard, and the replica groups that hold it.
+/// The keys of a shard, and its holders: the replica groups that store these keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shard {
     pub keys: KeyRange,
-    pub holders: BTreeSet<u32>,
+    pub holders: BTreeSet<ReplicaGroupId>,
 }
 
-/// Shards that together contain each key from 0 up to but excluding `key_count` exactly once. Versions share their
-/// unchanged shards, so that a change costs time and memory for the shards it affects, and not for a copy of all, which
-/// may be ten thousand.
+/// Shards that together contain each key from 0 up to but excluding `key_count` exactly once. Layouts may have 10,000
+/// shards; versions share the shards that they have in common, so that a change copies only the shards that it affects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Layout {
     version: Version,
     keys: Key,
     shards: OrdMap<ShardId, Arc<Shard>>,
-    /// The shards by their first key.
+    /// The id of each shard, by the first key of the shard.
     starts: OrdMap<Key, ShardId>,
 }
 
-/// How the shards of one version differ from those of another.
+/// The differences between the shards of two versions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LayoutDiff {
+    /// Shards of the first version only.
     pub removed: Vec<ShardId>,
+    /// Shards of the second version only.
     pub added: Vec<ShardId>,
-    /// Shards of both versions with different keys or holders.
+    /// Shards that both versions contain, with different keys or holders.
     pub changed: Vec<ShardId>,
 }
 
-/// A change of the layout. One version is produced by one or more of them, applied in order.
+/// A change of the layout. The next version is the result of applying one or more changes in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Replaces a shard by several with the same holders. Each child has a new id and its first key, in the order of keys.
+    /// Replaces the shard `parent` by at least two shards with the same holders: `children` has the new id and the first key
+    /// of each, in ascending order of keys.
     Split { parent: ShardId, children: Vec<(ShardId, Key)> },
-    /// Replaces adjacent shards by one, which is held by the replica groups that hold all of them.
+    /// Replaces the adjacent shards `parents`, in ascending order of keys, by the shard `child`. The holders of `child` are the
+    /// replica groups that hold every parent.
     Merge { parents: Vec<ShardId>, child: ShardId },
-    /// Replaces the holders of a shard; the new holders have its data from this version on.
-    Move { shard: ShardId, holders: BTreeSet<u32> },
+    /// Replaces the holders of a shard. The new holders store the keys of the shard from this version on.
+    Move { shard: ShardId, holders: BTreeSet<ReplicaGroupId> },
 }
 
 /// Why a layout or a change is rejected.
@@ -53,7 +56,7 @@
     Gap {
         at: Key,
     },
-    /// The shard begins at a key that another shard contains.
+    /// The first key of the shard belongs to another shard, too.
     Overlap {
         shard: ShardId,
         at: Key,
@@ -64,7 +67,7 @@
     NoHolder {
         shard: ShardId,
     },
-    /// The current version has no such shard.
+    /// The layout that the change applies to does not contain the shard.
     UnknownShard {
         shard: ShardId,
     },
@@ -72,7 +75,7 @@
     ShardIdInUse {
         shard: ShardId,
     },
-    /// The shard to merge does not begin where the one before it ends.
+    /// The shards to merge are not adjacent: this shard does not begin where the preceding shard of the list ends.
     NotAdjacent {
         shard: ShardId,
     },
@@ -88,7 +91,7 @@
     },
     /// A layout without shards, an empty list of changes, or a split or merge of fewer than two shards.
     TooFewShards,
-    /// The changes apply to a version other than the current one.
+    /// The changes are based on version `base`, which is not the current version.
     UnknownBase {
         base: Version,
     },
@@ -167,7 +170,7 @@
         self.version
     }
 
-    /// The layout contains the keys from 0 up to but excluding this.
+    /// The number of keys in the layout: it contains each key from 0 up to but excluding this number.
     pub fn key_count(&self) -> Key {
         self.keys
     }
@@ -184,7 +187,7 @@
         self.shards.get(&id).map(|shard| &**shard)
     }
 
-    /// How `other` differs from this version. The cost is proportional to the number of differences.
+    /// The differences from this layout to `other`. The cost is proportional to the number of differences, not of shards.
     pub fn diff(&self, other: &Layout) -> LayoutDiff {
         let mut diff = LayoutDiff::default();
         for item in self.shards.diff(&other.shards) {
@@ -197,19 +200,19 @@
         diff
     }
 
-    /// The shard that contains a key.
+    /// The id of the shard that contains the key. `None` if the key is outside of the layout.
     pub fn shard_at(&self, key: Key) -> Option<ShardId> {
         self.overlapping(KeyRange::new(key, key.saturating_add(1))).next().map(|found| found.0)
     }
 
-    /// The shards that overlap a range, in the order of their keys.
+    /// The shards that overlap the range, in ascending order of keys.
     pub fn overlapping(&self, range: KeyRange) -> impl Iterator<Item = (ShardId, &Shard)> {
         let first = self.starts.get_prev(&range.from).map_or(range.from, |(&from, _)| from);
         let from_first = self.starts.range(first..range.to.max(first));
         from_first.map(|(_, &id)| (id, &*self.shards[&id])).filter(move |(_, s)| s.keys.overlaps(range))
     }
 
-    /// The version that results from applying the changes in order; `self` is left unchanged.
+    /// Returns the layout that results from applying the changes in order. `self` is left unchanged.
     pub fn with_changes(&self, version: Version, changes: &[Change]) -> Result<Layout, LayoutError> {
         if version <= self.version {
             return Err(LayoutError::StaleVersion { current: self.version, received: version });
@@ -242,8 +245,8 @@
         }
     }
 
-    /// Applies one change. Each change preserves that every key belongs to exactly one shard, so that only the affected
-    /// shards are checked. After an error the layout is inconsistent and must be discarded.
+    /// Applies one change. Only the affected shards are checked: a valid change leaves every key in exactly one shard. After
+    /// an error the layout is inconsistent and must be discarded.
     fn apply(&mut self, change: &Change) -> Result<(), LayoutError> {
         match change {
             Change::Split { parent, children } => {
--- a/crates/layouts/src/lib.rs
+++ b/crates/layouts/src/lib.rs
@@ -1,23 +1,29 @@
-//! Versioned shard layouts that change while queries run. A shard is a range of keys and the replica groups that hold it;
-//! a change splits, merges or moves shards and produces the next version. This crate determines which shards contain the
-//! keys of a query, which replica groups hold them, which shards replaced a retired one, and which keys of a query have
-//! been answered. It does no I/O and reads no clock: the caller passes the time. It chooses no data nodes either; that is
-//! left to the routing policy, which only knows shard requests and holders.
+//! Versioned shard layouts that change while queries run. A shard is a range of keys; its holders are the replica groups of
+//! data nodes that store these keys. A change splits, merges or moves shards and produces the next version of the layout. A
+//! shard of an earlier version that the latest version does not contain is retired; its successors are the shards of the
+//! latest version that contain its keys.
+//!
+//! This crate finds the shards that contain the keys of a query, the holders of each shard, the successors of a retired
+//! shard, and the keys of a query that have been answered. The crate does no I/O and reads no clock: the caller passes the
+//! time in seconds on a monotonic clock. The routing policy, not this crate, chooses the data node of each shard request.
 //!
 //! - `layout`: one validated version, and the changes that produce the next.
-//! - `history`: the latest version, retired shards that are still referred to, and the data nodes excluded for a shard.
-//! - `coverage`: which keys of a query are answered, each counted once, although answers may follow different versions.
-//! - `split_requests`: shard requests that were split while attempts for them were in flight.
+//! - `history`: the latest version, the retired shards that open requests or clients still use, and the data nodes that are
+//!   excluded for a shard.
+//! - `coverage`: the answered keys of one query, each counted once although answers may be for shards of different versions.
+//! - `split_requests`: shard requests that are split while attempts for them are in flight.
 pub mod coverage;
 pub mod history;
 pub mod layout;
 pub mod split_requests;
 
-/// A key of the data set; keys are consecutive integers from 0.
+/// A key of the data set. Keys are consecutive integers from 0.
 pub type Key = u32;
 /// The id of a shard. An id is never reused for a different range of keys.
 pub type ShardId = u32;
-/// The version number of a layout; a newer layout has a higher number.
+/// The number of a replica group: the data nodes that store copies of the same shards.
+pub type ReplicaGroupId = u32;
+/// The version number of a layout. A newer layout has a higher number.
 pub type Version = u64;
 
 /// The keys from `from` up to but excluding `to`.
@@ -36,7 +42,7 @@
         self.from >= self.to
     }
 
-    /// How many keys the range contains.
+    /// The number of keys in the range.
     pub fn len(&self) -> u64 {
         u64::from(self.to.saturating_sub(self.from))
     }
@@ -49,7 +55,7 @@
         self.from < other.to && other.from < self.to
     }
 
-    /// The keys that both ranges contain, if there are any.
+    /// The range of keys that both ranges contain. `None` if the ranges do not overlap.
     pub fn intersection(&self, other: KeyRange) -> Option<KeyRange> {
         let both = KeyRange::new(self.from.max(other.from), self.to.min(other.to));
         (!both.is_empty()).then_some(both)
--- a/crates/layouts/tests/layouts.rs
+++ b/crates/layouts/tests/layouts.rs
@@ -65,11 +65,12 @@
     let applied = history.apply_changes(2, &[split], 1.0).expect("valid");
     assert_eq!((applied.retired, applied.added), (vec![1], vec![(10, vec![1]), (11, vec![1])]));
     assert_eq!(applied.changed_holders, [1, 10, 11]);
-    assert_eq!((history.holders(1), history.has_mixed_holders(1)), (vec![1, 2], false));
-    // One child moves: at first one replica group still holds both children, then none does.
+    assert_eq!((history.holders(1), history.successors_have_different_holders(1)), (vec![1, 2], false));
+    // Shard 1 is split into shards 10 and 11, and 11 is moved twice. After the first move, replica group 2 holds both; after
+    // the second, no replica group does.
     let moved = |replica_groups: &[u32]| Change::Move { shard: 11, holders: holders(replica_groups) };
     assert_eq!(history.apply_changes(3, &[moved(&[2, 3])], 1.5).expect("valid").changed_holders, [1, 11]);
-    assert_eq!((history.holders(1), history.has_mixed_holders(1)), (vec![2], true));
+    assert_eq!((history.holders(1), history.successors_have_different_holders(1)), (vec![2], true));
     history.apply_changes(4, &[moved(&[3])], 1.6).expect("valid");
     assert!(history.holders(1).is_empty());
     assert_eq!(
@@ -79,13 +80,13 @@
     assert_eq!(history.expire_retired(100.0), [] as [ShardId; 0]);
     history.request_closed(1);
     assert_eq!((history.expire_retired(2.9), history.expire_retired(3.0)), (vec![], vec![1]));
-    assert_eq!((history.keys(1), history.tracked_counts()), (None, (0, 0, 0)));
+    assert_eq!((history.keys(1), history.retired_open_excluded_counts()), (None, (0, 0, 0)));
 }
 
 #[rstest]
 fn a_node_that_does_not_hold_a_shard_is_excluded_until_either_side_has_caught_up() {
     let mut history = History::new(layout(), 2.0, 0.25);
-    // One node has a newer layout than this side, the other an older one.
+    // The node "ahead" has a newer layout than the router, and the node "behind" an older one.
     assert!(history.exclude_node(2, "ahead", 3, 0.0) && history.exclude_node(2, "behind", 0, 0.0));
     assert!(!history.exclude_node(2, "ahead", 3, 0.1), "a repeated report does not exclude the node again");
     let excluded = |history: &History| history.excluded_nodes(2).map(str::to_string).collect::<Vec<_>>();
@@ -98,7 +99,7 @@
     let moved = Change::Move { shard: 2, holders: holders(&[5]) };
     assert_eq!(history.apply_changes(3, &[moved], 0.5).expect("valid").changed_holders, [2]);
     assert_eq!(excluded(&history), [] as [&str; 0]);
-    // The exclusion also ends if the version that the node has never arrives here.
+    // The exclusion also ends by time, because the router may never receive the version that the node has.
     history.exclude_node(2, "ahead", 9, 1.0);
     assert_eq!((history.expire_exclusions(3.4), history.expire_exclusions(3.6)), (vec![], vec![2]));
 }
@@ -125,8 +126,8 @@
     assert!(history.apply(update(1), 0.0).is_ok() && history.latest().version() == 9);
 }
 
-/// Versions share their unchanged shards: with a copy of ten thousand shards for each, a thousand changes a minute would be
-/// too expensive. Retired shards must expire.
+/// Versions share their unchanged shards, because copying 10,000 shards for each of 1000 changes per minute would be too
+/// expensive. Retired shards must expire, so that their number stays small.
 #[rstest]
 fn retired_shards_expire_during_a_thousand_changes_of_ten_thousand_shards() {
     let all = (0..10_000u32).map(|n| {
@@ -153,11 +154,15 @@
         };
         history.apply_changes(now, &changes, at).expect("valid");
         history.expire_retired(at);
-        assert!(history.tracked_counts().0 <= 40, "{:?}", history.tracked_counts());
+        assert!(
+            history.retired_open_excluded_counts().0 <= 40,
+            "{:?}",
+            history.retired_open_excluded_counts()
+        );
     }
     assert_eq!(history.latest().shard_count(), 10_500);
     history.expire_retired(100.0);
-    assert_eq!(history.tracked_counts(), (0, 0, 0));
+    assert_eq!(history.retired_open_excluded_counts(), (0, 0, 0));
 }
 
 #[rstest]
@@ -188,7 +193,7 @@
         let merge = Change::Merge { parents: vec![a, b], child: 1000 + week };
         history.apply_changes(u64::from(2 * week + 3), &[merge], now + 60.0).expect("valid");
         history.expire_retired(now + 120.0);
-        assert_eq!(history.tracked_counts(), (0, 0, 0));
+        assert_eq!(history.retired_open_excluded_counts(), (0, 0, 0));
     }
 }
 
@@ -196,9 +201,9 @@
 fn a_full_layout_that_reuses_a_shard_id_for_other_keys_is_rejected() {
     let mut history = History::new(layout(), 2.0, 0.25);
     let reused = Layout::new(7, 30, shards(&[(1, 0, 5), (4, 5, 30)])).expect("valid");
-    assert_eq!(history.replace(reused, 0.0), Err(LayoutError::ShardIdInUse { shard: 1 }));
+    assert_eq!(history.replace_layout(reused, 0.0), Err(LayoutError::ShardIdInUse { shard: 1 }));
     let valid = Layout::new(7, 30, shards(&[(1, 0, 10), (4, 10, 30)])).expect("valid");
-    assert_eq!(history.replace(valid, 0.0).expect("valid").retired, [2, 3]);
+    assert_eq!(history.replace_layout(valid, 0.0).expect("valid").retired, [2, 3]);
 }
 
 #[rstest]
@@ -223,7 +228,8 @@
     assert!(Coverage::<()>::new(vec![(KeyRange::new(0, 10), 0.5), (KeyRange::new(9, 12), 0.5)]).is_none());
 }
 
-/// A valid change of the layout: `choice` selects its kind, `at` its shard, and `next` is the last id used.
+/// Returns a valid change of the layout. `choice` selects the kind of change and `at` the shard; `next` is the highest shard
+/// id in use and is increased.
 fn draw(layout: &Layout, choice: u8, at: usize, next: &mut ShardId) -> Option<Change> {
     let all: Vec<(ShardId, KeyRange)> =
         layout.overlapping(KeyRange::new(0, layout.key_count())).map(|(i, s)| (i, s.keys)).collect();
@@ -246,8 +252,8 @@
         cases: 400, rng_seed: RngSeed::Fixed(19), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// With random changes, and answers of any version in any order, no key is counted twice, each counted value belongs to
-    /// its keys, and the weight is that of the answered keys.
+    /// After random changes, answers for shards of any version are added in any order. No key is counted twice, each counted
+    /// value belongs to the keys that it is counted for, and the answered weight is the weight of the answered keys.
     #[test]
     fn each_key_is_counted_once_with_its_value(
         changes in prop::collection::vec((any::<u8>(), 0..50usize), 1..12),
@@ -270,7 +276,7 @@
             let layout = &versions[version % versions.len()];
             let all: Vec<KeyRange> = layout.overlapping(asked).map(|(_, s)| s.keys).collect();
             let range = all[shard % all.len()];
-            // The value lists the keys that the answer is for.
+            // The value of an answer is the list of its keys.
             let value: Vec<Key> = (range.from..range.to).collect();
             coverage.add(range, value);
             prop_assert!(coverage.answered_weight() >= best - 1e-9, "the weight decreased");
@@ -286,13 +292,13 @@
         let answered = seen.iter().filter(|k| asked.contains(KeyRange::new(**k, **k + 1))).count() as f64;
         prop_assert!((coverage.answered_weight() - answered / asked.len() as f64).abs() < 1e-9);
         prop_assert_eq!(coverage.is_complete(), answered as u64 == asked.len());
-        // Exactly the keys that are not answered are missing.
+        // `missing` returns exactly the requested keys that are not answered.
         let missing: u64 = coverage.missing(asked).iter().map(KeyRange::len).sum();
         prop_assert_eq!(missing + answered as u64, asked.len());
     }
 
-    /// After any changes, each shard that has not expired still has its keys, and the current shards contain each of them
-    /// exactly once.
+    /// After random changes, the keys of each shard of any version that has not expired are known, and the shards of the
+    /// latest version contain each of these keys exactly once.
     #[test]
     fn a_retired_shards_keys_are_each_found_once(
         changes in prop::collection::vec((any::<u8>(), 0..50usize), 1..20),
@@ -312,13 +318,13 @@
                 from = part.to;
             }
             prop_assert_eq!(from, keys.to);
-            // Each holder of a shard holds all of its keys.
+            // Each replica group that `holders` returns for a shard holds every key of the shard.
             for key in keys.from..keys.to {
                 let now = history.latest().shard_at(key).and_then(|s| history.latest().shard(s)).expect("a shard");
                 prop_assert!(history.holders(id).iter().all(|group| now.holders.contains(group)));
             }
         }
-        // A full layout with the same shards equals the one produced by the changes.
+        // A full layout with the same shards equals the layout that the changes produced.
         let shards = history.latest().shards().map(|(id, s)| (id, s.clone())).collect();
         let full = Layout::new(history.latest().version(), 30, shards).expect("each key in one shard");
         prop_assert_eq!(&full, history.latest());
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -123,7 +123,7 @@
         match &mut self.history {
             Some(history) if history.latest().version() == layout.version() => Ok(vec![]),
             Some(history) => {
-                let followed = history.replace(layout.clone(), now)?;
+                let followed = history.replace_layout(layout.clone(), now)?;
                 Ok(self.note_changes(followed))
             }
             None => {
@@ -202,7 +202,7 @@
         let is_settled = keys.is_whole_shard || keys.is_split || keys.is_answered;
         !is_settled
             && history.is_retired(request.shard)
-            && (request.attempts == 0 || history.has_mixed_holders(request.shard))
+            && (request.attempts == 0 || history.successors_have_different_holders(request.shard))
     }
 
     /// A shard request is open: its shard is not forgotten before it is closed.
--- a/crates/router/tests/shard_map/any_order.rs
+++ b/crates/router/tests/shard_map/any_order.rs
@@ -275,7 +275,7 @@
         );
         let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
         prop_assert!(shard_map.families.is_empty());
-        prop_assert_eq!(shard_map.history().expect("known").tracked_counts().1, 0);
+        prop_assert_eq!(shard_map.history().expect("known").retired_open_excluded_counts().1, 0);
         Ok(())
     }
 
--- a/crates/router/tests/shard_map/splits.rs
+++ b/crates/router/tests/shard_map/splits.rs
@@ -49,7 +49,7 @@
     told(&mut dispatcher);
     let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
     assert!(shard_map.families.is_empty());
-    assert_eq!(shard_map.history().expect("known").tracked_counts(), (1, 0, 0));
+    assert_eq!(shard_map.history().expect("known").retired_open_excluded_counts(), (1, 0, 0));
 }
 
 /// Guards against a part that only a node which hangs holds whole, while others hold each piece of it.
@@ -143,6 +143,6 @@
     told(&mut dispatcher);
     let shard_map = dispatcher.shard_map.as_ref().expect("layouts");
     assert!(shard_map.families.is_empty());
-    assert_eq!(shard_map.history().expect("known").tracked_counts().1, 0);
+    assert_eq!(shard_map.history().expect("known").retired_open_excluded_counts().1, 0);
     assert_eq!((dispatcher.attempts.in_flight_count(), dispatcher.shared.capacity.free()), (0, 100));
 }
