--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -5,7 +5,7 @@
 mod settings;
 
 use alderway_control_plane::subscriber::{ControlEndpoint, SubscriptionConfig};
-use alderway_operator::{self as operator, CoreCount, FORWARDER_QUOTA_FRACTION, OperatorConfig, Tier};
+use alderway_operator::{self as operator, CoreCount, FORWARDER_QUOTA_FRACTION, OperatorConfig, ProcessRole};
 use alderway_peers::Terms;
 use alderway_router::control::{Subscription, settings as control_settings};
 use alderway_router::gossip::{Circle, Members};
@@ -162,10 +162,14 @@
     }
     // Each router takes its part of the limits that are divided among all routers. The number of routers is scaled so that
     // forwarders together get a fixed fraction of each limit, and planners the rest.
-    let router_count = match &operator.tier {
-        Tier::Standalone => None,
-        Tier::Forwarder { forwarder_count, .. } => Some(*forwarder_count as f64 / FORWARDER_QUOTA_FRACTION),
-        Tier::Planner { planner_count } => Some(*planner_count as f64 / (1.0 - FORWARDER_QUOTA_FRACTION)),
+    let router_count = match &operator.role {
+        ProcessRole::Standalone => None,
+        ProcessRole::Forwarder { forwarder_count, .. } => {
+            Some(*forwarder_count as f64 / FORWARDER_QUOTA_FRACTION)
+        }
+        ProcessRole::Planner { planner_count } => {
+            Some(*planner_count as f64 / (1.0 - FORWARDER_QUOTA_FRACTION))
+        }
     };
     let router_count = router_count.map(|count| count.ceil() as u64);
     let (mut config, subscription) = startup_config(files, subscription(&operator), router_count, clock)
@@ -179,12 +183,12 @@
         retired_shard_grace_s: l.retired_shard_grace_s,
         lagging_node_grace_s: l.lagging_node_grace_s,
     });
-    config.role = match operator.tier.clone() {
-        Tier::Standalone => Role::Router,
-        Tier::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s, .. } => {
+    config.role = match operator.role.clone() {
+        ProcessRole::Standalone => Role::Router,
+        ProcessRole::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s, .. } => {
             Role::Forwarder { planners, heartbeat_interval_s, heartbeat_timeout_s }
         }
-        Tier::Planner { .. } => Role::Planner,
+        ProcessRole::Planner { .. } => Role::Planner,
     };
     let cores = match operator.cores.count {
         CoreCount::Fixed(cores) => cores,
@@ -230,13 +234,13 @@
     } else {
         "separate for each core"
     };
-    let role = match &operator.tier {
-        Tier::Standalone => "a standalone router".to_string(),
-        Tier::Forwarder { planners, forwarder_count, .. } => {
+    let role = match &operator.role {
+        ProcessRole::Standalone => "a standalone router".to_string(),
+        ProcessRole::Forwarder { planners, forwarder_count, .. } => {
             let all: Vec<String> = planners.iter().map(ToString::to_string).collect();
             format!("one of {forwarder_count} forwarders; planners at {}", all.join(", "))
         }
-        Tier::Planner { planner_count } => format!("one of {planner_count} planners"),
+        ProcessRole::Planner { planner_count } => format!("one of {planner_count} planners"),
     };
     let peers = match &operator.peers {
         None => "none".to_string(),
--- a/crates/operator/src/arguments.rs
+++ b/crates/operator/src/arguments.rs
@@ -1,14 +1,14 @@
-//! Checks of the single arguments of the calls in an operator's file.
+//! Functions that check and convert one argument of a section of an operator's file.
 use starlark::values::Value;
 use starlark::values::dict::DictRef;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// An integer from `min` to `max`.
+/// Converts an argument that must be an integer from `min` to `max`.
 ///
 /// # Errors
-/// Names the section, the argument and the value found.
+/// The error message contains the section, the argument and the rejected value.
 pub fn integer(section: &str, name: &str, value: Value, min: usize, max: usize) -> anyhow::Result<usize> {
     let given = value.unpack_i32().and_then(|v| usize::try_from(v).ok()).filter(|v| (min..=max).contains(v));
     given.ok_or_else(|| {
@@ -19,26 +19,27 @@
     })
 }
 
-/// Converts an argument in integer milliseconds, or `default_ms` if it is missing, to seconds.
+/// Converts an argument that must be an integer number of milliseconds within `bounds_ms` to seconds. If the argument is
+/// missing, `default_ms` is converted.
 ///
 /// # Errors
-/// Names the section, the argument and the value found.
-pub fn seconds(
+/// The error message contains the section, the argument and the rejected value.
+pub fn milliseconds_as_seconds(
     section: &str,
     name: &str,
     value: Option<Value>,
     default_ms: usize,
-    bounds: RangeInclusive<usize>,
+    bounds_ms: RangeInclusive<usize>,
 ) -> anyhow::Result<f64> {
-    let (min, max) = bounds.into_inner();
+    let (min, max) = bounds_ms.into_inner();
     let value = value.map_or(Ok(default_ms), |value| integer(section, name, value, min, max))?;
     Ok(value as f64 / 1e3)
 }
 
-/// True or False.
+/// Converts an argument that must be True or False.
 ///
 /// # Errors
-/// Names the section, the argument and the value found.
+/// The error message contains the section, the argument and the rejected value.
 pub fn flag(section: &str, name: &str, value: Value) -> anyhow::Result<bool> {
     let given = value.unpack_bool();
     given.ok_or_else(|| {
@@ -46,10 +47,11 @@
     })
 }
 
-/// A dict from names to distinct addresses; port 0, which stands for any free port, may repeat.
+/// Converts an argument that must be a dict from names to addresses. Two names must not have the same address, unless its
+/// port is 0, which stands for any free port.
 ///
 /// # Errors
-/// Names the section, the argument and the value found.
+/// The error message contains the section, the argument and the rejected value.
 pub fn addresses(section: &str, name: &str, value: Value) -> anyhow::Result<BTreeMap<String, SocketAddr>> {
     let invalid = || {
         let found = value.to_repr();
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,10 +1,11 @@
-//! The operator's file: a Starlark script with the settings of an installation that differ from the platform's defaults. It
-//! is evaluated once, with limits on steps, memory and call depth, into plain values. The script has no access to files,
-//! the network or other modules. `read` evaluates its text and returns the values, or a one-line error with the file, the
-//! line and the reason. Settings that the file does not contain have their defaults.
+//! Reads the operator's file, in which the person who runs an installation configures what differs from the defaults. The file
+//! is a Starlark script. `read` evaluates the text of the file once, with limits on steps, memory and call depth, and returns
+//! plain values, or a one-line error with the file name, the line and the reason. The script can't access files, the network
+//! or other modules.
 //!
-//! Each section is a function call, which may appear once: `cores(count = 4)`, `log(form = "json")`. Unknown names, values of
-//! the wrong type, repeated sections and contradicting sections are rejected.
+//! Each section of the file is a function call, for example `cores(count = 4)`, and may appear once. A missing section or
+//! argument has its default value. Unknown names, values of the wrong type, repeated sections and sections that can't be
+//! combined are rejected.
 mod arguments;
 mod statements;
 mod values;
@@ -12,7 +13,7 @@
 pub use values::{
     ControlConfig, CoreCount, CoresConfig, FORWARDER_QUOTA_FRACTION, LayoutsConfig, LogFormat,
     MAX_CONTROL_SERVERS, MAX_CORES, MAX_PEERS, MAX_SUBSCRIPTION_SERVERS, OperatorConfig, PeersConfig,
-    SubscriptionConfig, Tier,
+    ProcessRole, SubscriptionConfig,
 };
 
 use starlark::environment::{Globals, GlobalsBuilder, Module};
@@ -25,23 +26,26 @@
 use std::thread::Builder;
 use std::time::Duration;
 
-/// Limits of an evaluation. They exceed what a list of settings needs by far, and are reached within a fraction of a second.
+/// The largest number of steps of the Starlark interpreter. An endless loop reaches the limit within a fraction of a second.
 const MAX_TICKS: u64 = 200_000;
+/// Limits the memory of the values of a script.
 const MAX_HEAP_BYTES: usize = 16 * 1024 * 1024;
+/// Limits nested function calls.
 const MAX_CALL_DEPTH: usize = 32;
+/// The longest time that `read` waits for an evaluation.
 const TIMEOUT: Duration = Duration::from_secs(3);
 const THREAD_NAME: &str = "operator's file";
-/// A list of settings is far shorter.
+/// A longer file is rejected. A file with every section is far shorter than this limit.
 const MAX_FILE_BYTES: usize = 256 * 1024;
 
-/// Evaluates the text of an operator's file. `name` is the name of the file in error messages.
+/// Evaluates the text of an operator's file. Error messages contain the file name `name`.
 ///
-/// The limits on steps and memory are checked between steps only. Guards against a single step that allocates gigabytes,
-/// such as a string multiplied by a million times a million: the script runs on its own thread, whose panic is returned as
-/// an error, and which is not waited for after a timeout.
+/// The interpreter checks the limits on steps and memory only between steps, but a single step, such as the repetition of a
+/// string a million million times, can allocate gigabytes. The script is therefore evaluated on a separate thread: a panic of
+/// the thread is returned as an error, and after `TIMEOUT` an error is returned while the thread continues.
 ///
 /// # Errors
-/// One line with the file, the line if it is known, and the reason.
+/// One line with the file name, the line number if it is known, and the reason.
 pub fn read(name: &str, text: &str) -> Result<OperatorConfig, String> {
     if text.len() > MAX_FILE_BYTES {
         return Err(format!("{name}: longer than {MAX_FILE_BYTES} bytes"));
@@ -65,7 +69,8 @@
     })
 }
 
-/// Prints no backtrace for a panic of a script, which is returned as an error.
+/// Replaces the panic hook of the process by one that prints nothing for a panic of the thread that evaluates a script, since
+/// `read` returns that panic as an error.
 fn silence_panics() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
@@ -96,44 +101,45 @@
         eval.extra = Some(&sections);
         eval.eval_module(ast, &globals).map(drop).map_err(|error| format_error(name, &error))
     })?;
-    let concerns_router = sections.concerns_router();
+    let configures_router = sections.configures_router();
     let config = OperatorConfig {
         cores: sections.cores.take().unwrap_or_default(),
         log_format: sections.log.take().unwrap_or_default(),
         layouts: sections.layouts.take(),
-        tier: sections.tier.take().unwrap_or_default(),
+        role: sections.role.take().unwrap_or_default(),
         peers: sections.peers.take(),
         control: sections.control.take(),
         subscription: sections.subscription.take(),
     };
-    check_combination(&config, concerns_router).map_err(|error| format!("{name}: {error}"))?;
+    check_combination(&config, configures_router).map_err(|error| format!("{name}: {error}"))?;
     Ok(config)
 }
 
-/// Rejects sections that can't be used together. `concerns_router` says whether any section configures a router.
-fn check_combination(config: &OperatorConfig, concerns_router: bool) -> Result<(), &'static str> {
-    let OperatorConfig { cores, layouts, tier, peers, control, subscription, .. } = config;
-    let (is_tiered, has_one_core) = (*tier != Tier::Standalone, cores.count == CoreCount::Fixed(1));
+/// Rejects sections that can't be combined. `configures_router` is true if the file contains a section for routers.
+fn check_combination(config: &OperatorConfig, configures_router: bool) -> Result<(), &'static str> {
+    let OperatorConfig { cores, layouts, role, peers, control, subscription, .. } = config;
+    let (is_forwarder_or_planner, has_one_core) =
+        (*role != ProcessRole::Standalone, cores.count == CoreCount::Fixed(1));
     match () {
-        _ if control.is_some() && concerns_router => {
+        _ if control.is_some() && configures_router => {
             Err("`control` configures a control server and can only be combined with `log`")
         }
-        _ if is_tiered && layouts.is_some() => {
+        _ if is_forwarder_or_planner && layouts.is_some() => {
             Err("`layouts` can't be combined with `forwarder` or `planner` yet")
         }
-        _ if is_tiered && !has_one_core => Err("`forwarder` and `planner` require one core"),
-        _ if is_tiered && peers.is_some() => {
+        _ if is_forwarder_or_planner && !has_one_core => Err("`forwarder` and `planner` require one core"),
+        _ if is_forwarder_or_planner && peers.is_some() => {
             Err("`peers` can't be combined with `forwarder` or `planner` yet")
         }
         _ if peers.is_some() && !has_one_core => Err("`peers` supports only one core yet"),
-        _ if is_tiered && subscription.is_some() => {
+        _ if is_forwarder_or_planner && subscription.is_some() => {
             Err("`subscription` can't be combined with `forwarder` or `planner` yet")
         }
         _ => Ok(()),
     }
 }
 
-/// Ignores what a script prints.
+/// Discards the output of `print` calls in an operator's file.
 struct DiscardOutput;
 
 impl starlark::PrintHandler for DiscardOutput {
@@ -142,7 +148,7 @@
     }
 }
 
-/// One line with the file, the line if it is known, and the reason.
+/// Formats an error as one line with the file name, the line number if it is known, and the reason.
 fn format_error(name: &str, error: &starlark::Error) -> String {
     let at = error.span().map(|span| format!(":{}", span.resolve_span().begin.line + 1));
     let text = error.without_diagnostic().to_string();
--- a/crates/operator/src/statements.rs
+++ b/crates/operator/src/statements.rs
@@ -1,8 +1,8 @@
-//! The functions that an operator's file may call, one for each section of settings.
-use crate::arguments::{addresses, flag, integer, seconds};
+//! The functions that an operator's file may call. Each function call is one section of the file.
+use crate::arguments::{addresses, flag, integer, milliseconds_as_seconds};
 use crate::values::{
     ControlConfig, CoreCount, CoresConfig, LayoutsConfig, LogFormat, MAX_CONTROL_SERVERS, MAX_CORES,
-    MAX_PEERS, MAX_SUBSCRIPTION_SERVERS, PeersConfig, SubscriptionConfig, Tier,
+    MAX_PEERS, MAX_SUBSCRIPTION_SERVERS, PeersConfig, ProcessRole, SubscriptionConfig,
 };
 use starlark::any::ProvidesStaticType;
 use starlark::environment::GlobalsBuilder;
@@ -17,24 +17,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The sections that the script has called so far.
+/// The values of the sections that the script has called so far. `None` for a section that was not called.
 #[derive(Debug, Default, ProvidesStaticType)]
 pub struct ParsedSections {
     pub cores: RefCell<Option<CoresConfig>>,
     pub log: RefCell<Option<LogFormat>>,
     pub layouts: RefCell<Option<LayoutsConfig>>,
-    pub tier: RefCell<Option<Tier>>,
+    pub role: RefCell<Option<ProcessRole>>,
     pub peers: RefCell<Option<PeersConfig>>,
     pub control: RefCell<Option<ControlConfig>>,
     pub subscription: RefCell<Option<SubscriptionConfig>>,
 }
 
 impl ParsedSections {
-    /// Whether a section that configures a router was called, even if only with default values.
-    pub fn concerns_router(&self) -> bool {
+    /// Returns true if the file contains a section for routers, even if all arguments have their default values.
+    pub fn configures_router(&self) -> bool {
         self.cores.borrow().is_some()
             || self.layouts.borrow().is_some()
-            || self.tier.borrow().is_some()
+            || self.role.borrow().is_some()
             || self.peers.borrow().is_some()
             || self.subscription.borrow().is_some()
     }
@@ -43,12 +43,13 @@
 fn sections<'a>(eval: &Evaluator<'_, 'a, '_>) -> anyhow::Result<&'a ParsedSections> {
     eval.extra
         .and_then(|e| e.downcast_ref::<ParsedSections>())
-        .ok_or_else(|| anyhow::anyhow!("called outside of an operator's file"))
+        .ok_or_else(|| anyhow::anyhow!("sections can only be called in an operator's file"))
 }
 
-/// Stores the values of a section. A section may be called only once, so that no line of the file silently overrides another.
-fn set_once<T>(slot: &RefCell<Option<T>>, section: &str, value: T) -> anyhow::Result<NoneType> {
-    match slot.borrow_mut().replace(value) {
+/// Stores the values of a section, or returns an error if the section was already called. A second call is not allowed to
+/// override the first.
+fn set_once<T>(stored: &RefCell<Option<T>>, section: &str, value: T) -> anyhow::Result<NoneType> {
+    match stored.borrow_mut().replace(value) {
         None => Ok(NoneType),
         Some(_) => Err(anyhow::anyhow!("`{section}`: called more than once")),
     }
@@ -56,7 +57,7 @@
 
 #[starlark_module]
 pub fn register_functions(globals: &mut GlobalsBuilder) {
-    /// How many cores serve queries, and what they share.
+    /// Configures the number of cores, their connection limit, and whether they share observations.
     fn cores<'v>(
         #[starlark(require = named)] count: Value<'v>,
         #[starlark(require = named)] node_connections: Option<Value<'v>>,
@@ -90,16 +91,16 @@
         )
     }
 
-    /// Enables layouts from discovery, and sets how long outdated clients and data nodes are tolerated.
+    /// Enables layouts from discovery, and configures how long clients and data nodes with outdated layouts are tolerated.
     fn layouts<'v>(
         #[starlark(require = named)] late_clients_ms: Option<Value<'v>>,
         #[starlark(require = named)] lagging_nodes_ms: Option<Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let retired_shard_grace_s =
-            seconds("layouts", "late_clients_ms", late_clients_ms, 2000, 0..=3_600_000)?;
+            milliseconds_as_seconds("layouts", "late_clients_ms", late_clients_ms, 2000, 0..=3_600_000)?;
         let lagging_node_grace_s =
-            seconds("layouts", "lagging_nodes_ms", lagging_nodes_ms, 250, 10..=60_000)?;
+            milliseconds_as_seconds("layouts", "lagging_nodes_ms", lagging_nodes_ms, 250, 10..=60_000)?;
         set_once(
             &sections(eval)?.layouts,
             "layouts",
@@ -107,7 +108,7 @@
         )
     }
 
-    /// Makes this process a forwarder, for which planners make the routing decisions.
+    /// Makes this process a forwarder: planners select the data nodes for its queries.
     fn forwarder<'v>(
         #[starlark(require = named)] planners: Value<'v>,
         #[starlark(require = named)] count: Value<'v>,
@@ -129,25 +130,26 @@
             return Err(anyhow::anyhow!("`forwarder`: `planners` contains a duplicate address"));
         }
         let forwarder_count = integer("forwarder", "count", count, 1, 10_000)?;
-        let heartbeat_interval_s = seconds("forwarder", "beat_ms", beat_ms, 50, 5..=10_000)?;
-        let heartbeat_timeout_s = seconds("forwarder", "patience_ms", patience_ms, 250, 10..=60_000)?;
+        let heartbeat_interval_s = milliseconds_as_seconds("forwarder", "beat_ms", beat_ms, 50, 5..=10_000)?;
+        let heartbeat_timeout_s =
+            milliseconds_as_seconds("forwarder", "patience_ms", patience_ms, 250, 10..=60_000)?;
         if heartbeat_timeout_s < 2.0 * heartbeat_interval_s {
             return Err(anyhow::anyhow!("`forwarder`: `patience_ms` must be at least twice `beat_ms`"));
         }
         set_once(
-            &sections(eval)?.tier,
+            &sections(eval)?.role,
             "forwarder or planner",
-            Tier::Forwarder { planners, forwarder_count, heartbeat_interval_s, heartbeat_timeout_s },
+            ProcessRole::Forwarder { planners, forwarder_count, heartbeat_interval_s, heartbeat_timeout_s },
         )
     }
 
-    /// Makes this process a planner, which makes the routing decisions for forwarders.
+    /// Makes this process a planner: it selects the data nodes for the queries of forwarders.
     fn planner<'v>(
         #[starlark(require = named)] count: Value<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let planner_count = integer("planner", "count", count, 1, 1000)?;
-        set_once(&sections(eval)?.tier, "forwarder or planner", Tier::Planner { planner_count })
+        set_once(&sections(eval)?.role, "forwarder or planner", ProcessRole::Planner { planner_count })
     }
 
     /// Makes this router share observations of data nodes with other routers.
@@ -168,15 +170,15 @@
             ));
         }
         let (send_interval_s, heartbeat_interval_s) = (
-            seconds("peers", "beat_ms", beat_ms, 100, 5..=60_000)?,
-            seconds("peers", "pulse_ms", pulse_ms, 1000, 5..=60_000)?,
+            milliseconds_as_seconds("peers", "beat_ms", beat_ms, 100, 5..=60_000)?,
+            milliseconds_as_seconds("peers", "pulse_ms", pulse_ms, 1000, 5..=60_000)?,
         );
-        let max_message_age_s = seconds("peers", "stale_ms", stale_ms, 2000, 5..=60_000)?;
+        let max_message_age_s = milliseconds_as_seconds("peers", "stale_ms", stale_ms, 2000, 5..=60_000)?;
         if heartbeat_interval_s < send_interval_s {
             return Err(anyhow::anyhow!("`peers`: `pulse_ms` must not be less than `beat_ms`"));
         }
-        // A message crosses at most as many links as the member count has binary digits, and is repeated at half its
-        // maximum age.
+        // A message reaches every member over at most log2(member count), rounded up, links, and is sent again when half of
+        // its maximum age has passed.
         let hops = (usize::BITS - (members.len() - 1).leading_zeros()).max(1);
         if max_message_age_s < 2.0 * send_interval_s * f64::from(hops + 1) {
             return Err(anyhow::anyhow!(
@@ -237,7 +239,9 @@
             return Err(anyhow::anyhow!("`control`: `members` has no entry for this server, `{name}`"));
         }
         if !replica_addresses.keys().eq(admin_addresses.keys()) {
-            return Err(anyhow::anyhow!("`control`: `doors` and `members` must have the same names"));
+            return Err(anyhow::anyhow!(
+                "`control`: `doors` and `members` must contain the same server names"
+            ));
         }
         let router_address = routers.map(|value| {
             let at = value.unpack_str().and_then(|text| text.parse::<SocketAddr>().ok());
@@ -315,8 +319,10 @@
         }
         let persist_path = text("keep", keep)?;
         // A control server answers one heartbeat per second.
-        let heartbeat_timeout_s = seconds("subscription", "silent_ms", silent_ms, 3000, 2000..=60_000)?;
-        let stale_after_s = seconds("subscription", "old_ms", old_ms, 10_000, 2000..=86_400_000)?;
+        let heartbeat_timeout_s =
+            milliseconds_as_seconds("subscription", "silent_ms", silent_ms, 3000, 2000..=60_000)?;
+        let stale_after_s =
+            milliseconds_as_seconds("subscription", "old_ms", old_ms, 10_000, 2000..=86_400_000)?;
         if stale_after_s < heartbeat_timeout_s {
             return Err(anyhow::anyhow!("`subscription`: `old_ms` must not be less than `silent_ms`"));
         }
@@ -328,7 +334,7 @@
         )
     }
 
-    /// The format of the log.
+    /// Configures the format of log lines.
     fn log<'v>(
         #[starlark(require = named)] form: Value<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
--- a/crates/operator/tests/operator_file.rs
+++ b/crates/operator/tests/operator_file.rs
@@ -1,5 +1,5 @@
-//! The values that operator's files evaluate to, and the errors of invalid files.
-use alderway_operator::{CoreCount, LogFormat, OperatorConfig, Tier, read};
+//! Tests the values of operator's files and the error messages for invalid files.
+use alderway_operator::{CoreCount, LogFormat, OperatorConfig, ProcessRole, read};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
@@ -34,15 +34,15 @@
 fn a_process_may_be_a_forwarder_or_a_planner() {
     let config =
         read("f", "forwarder(planners = [\"10.0.0.5:6000\", \"[::1]:7\"], count = 8)").expect("a valid file");
-    let Tier::Forwarder { planners, forwarder_count: 8, heartbeat_interval_s, heartbeat_timeout_s } =
-        config.tier
+    let ProcessRole::Forwarder { planners, forwarder_count: 8, heartbeat_interval_s, heartbeat_timeout_s } =
+        config.role
     else {
-        panic!("{:?}", config.tier)
+        panic!("{:?}", config.role)
     };
     assert_eq!((planners.len(), heartbeat_interval_s, heartbeat_timeout_s), (2, 0.05, 0.25));
     assert_eq!(
-        read("f", "planner(count = 2)").expect("a valid file").tier,
-        Tier::Planner { planner_count: 2 }
+        read("f", "planner(count = 2)").expect("a valid file").role,
+        ProcessRole::Planner { planner_count: 2 }
     );
 }
 
@@ -134,7 +134,7 @@
         cases: 64, rng_seed: RngSeed::Fixed(18), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Any text is a valid file or yields a one-line error, never a panic.
+    /// `read` returns values or a one-line error for any text, and never panics.
     #[test]
     fn any_text_is_accepted_or_rejected(text in "[a-z0-9(),=\"\n #\\[\\]{}*+.-]{0,60}") {
         if let Err(error) = read("f", &text) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Any number of cores is accepted as given, or rejected with the name of the argument.
+    /// For any integer `count`, `read` returns the same number of cores or an error that names the argument.
     #[test]
     fn any_core_count_is_accepted_or_rejected(count in any::<i64>()) {
         match read("f", &format!("cores(count = {count})")) {
@@ -223,7 +223,7 @@
 #[case::missing_admin_address(
     "\"c3\": \"10.0.0.3:7200\"",
     "",
-    "`control`: `doors` and `members` must have the same names"
+    "`control`: `doors` and `members` must contain the same server names"
 )]
 #[case::duplicate_address(
     "10.0.0.2:7100",
@@ -264,7 +264,7 @@
     assert_eq!(config.servers["c2"], ("10.0.0.2:7201".parse().expect("an address"), "z2".into()));
     assert_eq!((config.zone.as_str(), config.persist_path.as_deref()), ("z2", Some("/var/lib/version")));
     assert_eq!((config.heartbeat_timeout_s, config.stale_after_s), (4.0, 60.0));
-    // Several cores are supported.
+    // A router on several cores may have a subscription.
     assert!(read("f", "cores(count = 2)\nsubscription(control = {\"c\": \"1.1.1.1:1\"})").is_ok());
 }
 
--- a/crates/operator/tests/reference_file.rs
+++ b/crates/operator/tests/reference_file.rs
@@ -1,8 +1,8 @@
-//! Operator's files in `data/` that together contain every key, compared field by field. There are several because some
-//! sections exclude each other.
+//! Reads each operator's file in `data/` and compares every value. Together the files contain every argument of every
+//! section; there are several files because some sections can't be combined.
 use alderway_operator::{
     ControlConfig, CoreCount, CoresConfig, LayoutsConfig, LogFormat, OperatorConfig, PeersConfig,
-    SubscriptionConfig, Tier, read,
+    ProcessRole, SubscriptionConfig, read,
 };
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
         },
         log_format: LogFormat::Json,
         layouts: Some(LayoutsConfig { retired_shard_grace_s: 1.5, lagging_node_grace_s: 0.125 }),
-        tier: Tier::Standalone,
+        role: ProcessRole::Standalone,
         peers: None,
         control: None,
         subscription: Some(SubscriptionConfig {
@@ -54,7 +54,7 @@
         },
         log_format: LogFormat::Text,
         layouts: None,
-        tier: Tier::Standalone,
+        role: ProcessRole::Standalone,
         peers: Some(PeersConfig {
             members: addresses([
                 ("n0", "10.0.0.1:7000"),
@@ -84,7 +84,7 @@
         },
         log_format: LogFormat::Text,
         layouts: None,
-        tier: Tier::Forwarder {
+        role: ProcessRole::Forwarder {
             planners: vec![address("10.0.0.5:6000"), address("10.0.0.6:6000")],
             forwarder_count: 8,
             heartbeat_interval_s: 0.025,
@@ -107,7 +107,7 @@
         },
         log_format: LogFormat::Text,
         layouts: None,
-        tier: Tier::Planner { planner_count: 2 },
+        role: ProcessRole::Planner { planner_count: 2 },
         peers: None,
         control: None,
         subscription: None,
@@ -125,7 +125,7 @@
         },
         log_format: LogFormat::Json,
         layouts: None,
-        tier: Tier::Standalone,
+        role: ProcessRole::Standalone,
         peers: None,
         control: Some(ControlConfig {
             name: "c1".into(),
@@ -157,7 +157,7 @@
         },
         log_format: LogFormat::Text,
         layouts: Some(LayoutsConfig { retired_shard_grace_s: 2.0, lagging_node_grace_s: 0.25 }),
-        tier: Tier::Standalone,
+        role: ProcessRole::Standalone,
         peers: None,
         control: None,
         subscription: Some(SubscriptionConfig {
@@ -188,7 +188,7 @@
 
 #[rstest]
 fn defaults_of_a_forwarder() {
-    let expected = Tier::Forwarder {
+    let expected = ProcessRole::Forwarder {
         planners: vec![address("10.0.0.5:6000")],
         forwarder_count: 3,
         heartbeat_interval_s: 0.05,
@@ -196,7 +196,7 @@
     };
     let config =
         read("forwarder_defaults.star", include_str!("data/forwarder_defaults.star")).expect("a valid file");
-    assert_eq!(config, OperatorConfig { tier: expected, ..OperatorConfig::default() });
+    assert_eq!(config, OperatorConfig { role: expected, ..OperatorConfig::default() });
 }
 
 #[rstest]
