--- a/crates/alderway/src/config/error.rs
+++ b/crates/alderway/src/config/error.rs
@@ -1,5 +1,5 @@
-//! Errors of the commands, and their exit codes.
-use super::report::rejection;
+//! Errors of the `alderway config` commands, and the exit code for each error.
+use super::report::rejection_message;
 use alderway_control_plane::version::VersionNumber;
 use alderway_control_plane::version_log::ProposalError;
 use alderway_control_server::admin::MAX_WAIT_S;
@@ -8,52 +8,53 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The request was rejected by a control server or by the checks, or the command failed.
+/// A control server or the local check of the settings rejected the request, or the command failed.
 const EXIT_FAILED: u8 = 1;
-/// The command line or a file can't be used.
+/// An argument is invalid, or a file can't be read or parsed.
 const EXIT_INVALID_INPUT: u8 = 2;
-/// The outcome is unknown or incomplete: no quorum, no response in time, or not applied on all routers yet.
+/// The outcome is unknown or incomplete: there is no quorum, no control server responded in time, or not all routers use
+/// the version yet.
 const EXIT_UNDECIDED: u8 = 3;
 
-/// Why a command failed. The message is printed for the operator.
+/// The reason why a command failed. The text is printed on standard error.
 #[derive(Debug, Error)]
 pub(super) enum CommandError {
-    #[error("{file}: {source}")]
+    #[error("{file}: cannot read the file: {source}")]
     UnreadableFile { file: String, source: std::io::Error },
     #[error(transparent)]
     MalformedFile(#[from] crate::settings::MalformedSettings),
-    #[error("`--wait` is 0 to {MAX_WAIT_S} seconds")]
+    #[error("`--wait` must be from 0 to {MAX_WAIT_S} seconds")]
     WaitOutOfRange,
-    /// Rejected by the checks. The text contains the file, line and key if they are known.
+    /// A check rejected the settings. The text contains the file name, the line number and the key as far as they are known.
     #[error("{0}")]
     InvalidSettings(String),
-    #[error("{address}: {reason}")]
+    #[error("the control server at {address} rejected the request: {reason}")]
     BadRequest { address: SocketAddr, reason: String },
-    #[error("{0}")]
+    #[error("the control server rejected the request: {0}")]
     BadProposal(String),
-    #[error("the control server sent a response of another kind than requested")]
+    #[error("the control server sent a response that does not match the request")]
     UnexpectedResponse,
-    #[error("there is no version yet")]
+    #[error("no settings version has been committed yet")]
     NoVersions,
-    #[error("version {number} is not stored: versions {oldest} to {newest} are")]
+    #[error("settings version {number} is not stored; versions {oldest} to {newest} are stored")]
     VersionNotFound { number: VersionNumber, oldest: VersionNumber, newest: VersionNumber },
     #[error("the settings are too large: {bytes} bytes, at most {limit} are allowed")]
     TooLong { bytes: usize, limit: usize },
-    #[error("{}", rejection(.0))]
+    #[error("{}", rejection_message(.0))]
     Rejected(ProposalError),
     #[error("no control server responded: {}", join(.0))]
     NoResponse(Vec<RequestError>),
-    #[error("{name} has no quorum")]
+    #[error("control server {name} has no quorum")]
     NoQuorum { name: String },
-    /// A control server may have proposed the version, but its outcome is unknown.
+    /// A control server may have added the proposal to its log, but it is unknown whether the proposal is committed.
     #[error(
         "the outcome is unknown, and the proposal may still become a version; repeat the command with `--id {id}`"
     )]
     OutcomeUnknown { id: String },
-    /// No control server proposed anything.
+    /// No control server added the proposal to its log.
     #[error("nothing was changed: {last}")]
     NothingProposed { last: String },
-    #[error("version {number} is in order, but not yet in force on {missing} routers: {lagging}{more}")]
+    #[error("version {number} is committed, but {missing} routers do not use it yet: {lagging}{more}")]
     NotAppliedEverywhere { number: VersionNumber, missing: u64, lagging: String, more: String },
 }
 
--- a/crates/alderway/src/config/proposal.rs
+++ b/crates/alderway/src/config/proposal.rs
@@ -1,7 +1,7 @@
-//! Proposes a version, and waits until every router has applied it.
+//! Proposes settings as the next version, and waits until every known router uses the version.
 use super::args::ProposalArgs;
 use super::error::CommandError;
-use super::report::{print, unix_ms, unresponsive_names};
+use super::report::{print_line, unix_ms, unresponsive_servers};
 use super::request;
 use super::settings_file::SettingsFile;
 use alderway_control_plane::replica::{ProposalOutcome, ReplicaName};
@@ -15,13 +15,13 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Time between two requests for the versions of the routers.
+/// Time between two status requests while waiting for routers to use a version.
 const STATUS_INTERVAL: Duration = Duration::from_millis(300);
-/// A control server responds within the wait of the request and this margin.
+/// How long to wait for a response, in seconds, in addition to the time that the request lets the control server wait.
 const RESPONSE_MARGIN_S: f64 = 2.0;
 
-/// Proposes settings as the next version, waits for the outcome, and then until all routers have applied it. `file` is the
-/// file that the settings were read from, if there is one.
+/// Proposes settings as the next version, waits until the version is committed, and then until all routers use it. `file` is
+/// the file that contains the settings; `None` for the settings of an earlier version.
 pub(super) fn propose(
     settings: Value,
     args: &ProposalArgs,
@@ -39,32 +39,33 @@
     let id = args.id.clone().unwrap_or_else(unused_id);
     let (author, reason) = (args.author.clone(), args.why.clone());
     let proposal = Proposal { id, base, author, reason, at_unix_ms: unix_ms(), settings };
-    print(&format!("proposed as {} on version {base}", proposal.id));
+    print_line(&format!("proposed as {} on version {base}", proposal.id));
     let number = commit(addresses, &proposal, args.wait, file)?;
-    print(&format!("in order: version {number}"));
+    print_line(&format!("in order: version {number}"));
     wait_until_applied(addresses, number, deadline)
 }
 
-/// A unique id, which includes random bytes of the system if they can be read.
+/// Returns a new proposal id from the current time, the process id and random bytes.
 fn unused_id() -> String {
     let mut bytes = [0; 8];
-    // Without random bytes, the time and the process id still differ between the proposals of one operator.
+    // If random bytes can't be read, zeros are used: the time and the process id still distinguish proposals of one machine.
     let _ = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
     format!("{:x}-{:x}-{:016x}", unix_ms(), std::process::id(), u64::from_be_bytes(bytes))
 }
 
-/// The result of sending a proposal to one control server.
+/// The result of sending a proposal to one control server. It is not an attempt of a shard request.
 enum Attempt {
     Committed(VersionNumber),
-    /// The next server is tried. `may_be_proposed` says whether this one may have proposed the version.
+    /// The proposal is sent to the next control server. `may_be_proposed` is true if this control server may have added the
+    /// proposal to its log.
     Failed {
         reason: String,
         may_be_proposed: bool,
     },
 }
 
-/// Sends the proposal to one control server after the other until one responds that it was committed or rejected. A repeated
-/// proposal has no effect, because control servers recognize its id.
+/// Sends the proposal to one control server after the other until a server responds that the proposal is committed or
+/// rejected. The control servers commit a proposal that they receive several times only once, since its id is the same.
 fn commit(
     addresses: &[SocketAddr],
     proposal: &Proposal,
@@ -108,7 +109,7 @@
             evaluate(address, outcome, &admin_addresses)
         }
         Ok(AdminResponse::Invalid { reason }) => Err(match file {
-            Some(file) => file.invalid(&reason),
+            Some(file) => file.invalid_settings_error(&reason),
             None => CommandError::InvalidSettings(reason),
         }),
         Ok(AdminResponse::BadRequest { reason }) => Err(CommandError::BadProposal(reason)),
@@ -128,7 +129,9 @@
         ProposalOutcome::Committed(number) => Attempt::Committed(number),
         ProposalOutcome::Rejected(error) => return Err(CommandError::Rejected(error)),
         ProposalOutcome::TooLong { bytes, limit } => return Err(CommandError::TooLong { bytes, limit }),
-        ProposalOutcome::TooMany { limit } => not_proposed(format!("{limit} proposals are already pending")),
+        ProposalOutcome::TooMany { limit } => {
+            not_proposed(format!("proposal rejected, because {limit} proposals are already pending"))
+        }
         ProposalOutcome::Unavailable { reason } => not_proposed(format!("it takes no part: {reason}")),
         ProposalOutcome::NoQuorum { leader, for_s } => {
             let since = for_s.map_or("since its start".into(), |s| format!("for {s:.1} s"));
@@ -146,7 +149,8 @@
     })
 }
 
-/// The leader and its address for operators, to which the command can be repeated.
+/// The name and the admin address of the leader, so that the operator can repeat the command there. `None` if no leader or
+/// no address is known.
 fn known_leader(
     leader: Option<ReplicaName>,
     admin_addresses: &BTreeMap<ReplicaName, SocketAddr>,
@@ -156,7 +160,7 @@
     Some((name, address))
 }
 
-/// How many routers have applied a version, and how many have not.
+/// The number of routers that use a version or a newer one (`applied`), and the number of all others (`missing`).
 struct Progress {
     applied: u64,
     missing: u64,
@@ -180,7 +184,7 @@
     }
 }
 
-/// Waits until every known router has applied the version, and prints a line whenever the number of routers changes.
+/// Waits until every known router uses the version, and prints a line whenever the number of these routers changes.
 fn wait_until_applied(
     addresses: &[SocketAddr],
     number: VersionNumber,
@@ -192,12 +196,15 @@
         let progress = Progress::of(&status, number);
         let line = progress.status_line(number);
         if line != last_line {
-            print(&line);
+            print_line(&line);
             last_line = line;
         }
         if progress.missing == 0 && status.replica.version >= number {
             if !status.unresponsive.is_empty() {
-                print(&format!("routers of {} are not counted: no answer", unresponsive_names(&status)));
+                print_line(&format!(
+                    "routers of {} are not counted: no answer",
+                    unresponsive_servers(&status)
+                ));
             }
             return Ok(());
         }
--- a/crates/alderway/src/config/report.rs
+++ b/crates/alderway/src/config/report.rs
@@ -1,15 +1,15 @@
-//! Formats the results that the commands print on standard output.
+//! Formats the output of the `alderway config` commands.
 use alderway_control_plane::version_log::{ProposalError, UndoneVersion};
 use alderway_control_server::admin::{ClusterStatus, VersionSummary};
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Writes a line to standard output. A closed pipe is not an error of the command.
-pub(super) fn print(line: &str) {
+/// Writes a line to standard output. Unlike `println!`, this does not panic if the output is a closed pipe.
+pub(super) fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// The current Unix time in milliseconds.
+/// The current Unix time of the system clock, in milliseconds.
 pub(super) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
@@ -59,18 +59,18 @@
         lines.push("a replaced control machine is being taken in".into());
     }
     if !status.unresponsive.is_empty() {
-        let names = unresponsive_names(status);
+        let names = unresponsive_servers(status);
         lines.push(format!("not responding, their routers not counted: {names}"));
     }
     lines
 }
 
-pub(super) fn unresponsive_names(status: &ClusterStatus) -> String {
+pub(super) fn unresponsive_servers(status: &ClusterStatus) -> String {
     status.unresponsive.iter().map(String::as_str).collect::<Vec<_>>().join(", ")
 }
 
-/// Why a proposal was rejected.
-pub(super) fn rejection(error: &ProposalError) -> String {
+/// The error message for a proposal that the control servers rejected.
+pub(super) fn rejection_message(error: &ProposalError) -> String {
     match error {
         ProposalError::WouldUndo { newest, count, undone } => {
             let undone: String = undone.iter().map(undone_line).collect();
@@ -79,10 +79,12 @@
             )
         }
         ProposalError::BaseUnknown { base, newest } => {
-            format!("refused: there is no version {base} yet, the newest is {newest}")
+            format!("refused: the base version {base} does not exist, the newest version is {newest}")
         }
         ProposalError::IdTaken { number } => {
-            format!("refused: its id is already used by version {number}, which was another proposal")
+            format!(
+                "refused: the id of the proposal is already used by version {number}, which has other content"
+            )
         }
         ProposalError::Unreadable => "refused: it cannot be read".into(),
     }
--- a/crates/alderway/src/config/request.rs
+++ b/crates/alderway/src/config/request.rs
@@ -1,4 +1,4 @@
-//! Read-only requests, which any control server can answer.
+//! Requests that change nothing. Every control server answers them, also one that is not the leader.
 use super::error::CommandError;
 use super::settings_file::SettingsFile;
 use alderway_control_plane::version::{Version, VersionNumber};
@@ -8,7 +8,7 @@
 
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends the request to one control server after the other until one responds.
+/// Sends the request to one control server after the other until a server responds.
 fn send(addresses: &[SocketAddr], request: &AdminRequest) -> Result<AdminResponse, CommandError> {
     let mut errors = vec![];
     for &address in addresses {
@@ -23,16 +23,16 @@
     Err(CommandError::NoResponse(errors))
 }
 
-/// Lets a control server check the settings of a file.
+/// Asks a control server to check the settings of a file. Returns an error if the settings are invalid.
 pub(super) fn check(addresses: &[SocketAddr], file: &SettingsFile) -> Result<(), CommandError> {
     match send(addresses, &AdminRequest::Check { settings: file.settings.clone() })? {
         AdminResponse::Valid => Ok(()),
-        AdminResponse::Invalid { reason } => Err(file.invalid(&reason)),
+        AdminResponse::Invalid { reason } => Err(file.invalid_settings_error(&reason)),
         _ => Err(CommandError::UnexpectedResponse),
     }
 }
 
-/// A version with its settings; the latest if no number is given.
+/// Requests a version of the settings; the latest version if `number` is `None`.
 pub(super) fn version(
     addresses: &[SocketAddr],
     number: Option<VersionNumber>,
@@ -48,8 +48,8 @@
     }
 }
 
-/// The number of the latest version, and the versions that the history request selects.
-pub(super) fn history(
+/// Returns the number of the latest version, and summaries of the versions that `request` selects.
+pub(super) fn list_versions(
     addresses: &[SocketAddr],
     request: AdminRequest,
 ) -> Result<(VersionNumber, Vec<VersionSummary>), CommandError> {
@@ -59,7 +59,7 @@
     }
 }
 
-/// The state of all control servers and routers.
+/// Requests the state of all control servers and of the routers that are connected to them.
 pub(super) fn status(addresses: &[SocketAddr]) -> Result<ClusterStatus, CommandError> {
     match send(addresses, &AdminRequest::Status)? {
         AdminResponse::Status(status) => Ok(*status),
--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -1,4 +1,4 @@
-//! `alderway control`: runs the control server that the operator's file configures.
+//! `alderway control`: runs a control server with the configuration of the `control` section of the operator's file.
 use crate::{EXIT_INVALID_INPUT, settings};
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
@@ -14,14 +14,14 @@
 use std::process::ExitCode;
 
 #[derive(Args)]
-pub struct Control {
-    /// The operator's file; it must contain `control(...)`
+pub struct ControlArgs {
+    /// The operator's file; must contain the section `control(...)`
     #[arg(long, value_name = "FILE")]
     operator: PathBuf,
 }
 
-/// Runs a control server until SIGTERM or SIGINT.
-pub fn run(args: &Control) -> ExitCode {
+/// Runs a control server until the process receives SIGTERM or SIGINT.
+pub fn run(args: &ControlArgs) -> ExitCode {
     let (control, log_format) = match read(args) {
         Ok(read) => read,
         Err(message) => {
@@ -42,9 +42,9 @@
     }
 }
 
-fn read(args: &Control) -> Result<(ControlConfig, operator::LogFormat), String> {
+fn read(args: &ControlArgs) -> Result<(ControlConfig, operator::LogFormat), String> {
     let (config, _) = crate::read_operator_file(Some(&args.operator))?;
-    let missing = || format!("{}: `control` is missing", args.operator.display());
+    let missing = || format!("{}: the section `control` is missing", args.operator.display());
     Ok((config.control.ok_or_else(missing)?, config.log_format))
 }
 
@@ -60,11 +60,14 @@
     }
 }
 
-/// The subscriptions of routers. Versions are discarded if the file has no address for routers.
+/// Creates the receiver of committed versions: the subscriptions of routers that connect to `address`, or a receiver that
+/// discards all versions if `address` is `None`.
 async fn version_sink(name: String, address: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
     let Some(address) = address else { return Ok(Box::new(DiscardVersions)) };
     let config = PublisherConfig::default();
     let subscriptions = Subscriptions::listen(&name, post::incarnation(), address, config).await;
-    let named = |error: io::Error| io::Error::new(error.kind(), format!("routers at {address}: {error}"));
+    let named = |error: io::Error| {
+        io::Error::new(error.kind(), format!("cannot listen for routers at {address}: {error}"))
+    };
     Ok(Box::new(subscriptions.map_err(named)?))
 }
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -1,5 +1,6 @@
-//! The command line. `alderway serve` runs a query router, `alderway check` validates its files and prints the resulting
-//! configuration, `alderway control` runs a control server, and `alderway config` sends requests to control servers.
+//! The command line. `alderway serve` runs a query router, `alderway check` validates the files of a query router and prints
+//! the resulting configuration, `alderway control` runs a control server, and `alderway config` sends requests to control
+//! servers. The operator's file contains the options of the installation, the configuration file those of the platform.
 mod config;
 mod control;
 mod settings;
@@ -21,7 +22,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// The command line or a file can't be used.
+/// Exit code for an invalid argument, or for a file that can't be read or is invalid.
 const EXIT_INVALID_INPUT: u8 = 2;
 
 /// Query router that reads many shards for one request
@@ -39,10 +40,10 @@
     /// Validates the files, and prints the configuration that would run
     Check(RouterFiles),
     /// Runs a control server until SIGTERM
-    Control(control::Control),
+    Control(control::ControlArgs),
     /// Changes, shows and checks the settings stored by the control servers
     #[command(subcommand)]
-    Config(config::Config),
+    Config(config::ConfigCommand),
 }
 
 #[derive(Args)]
@@ -55,7 +56,7 @@
     config: PathBuf,
 }
 
-/// Everything that a router is started with.
+/// The combined content of the operator's file and the configuration file.
 struct RouterConfig {
     startup: StartupConfig,
     subscription: Option<Subscription>,
@@ -64,7 +65,7 @@
     operator: OperatorConfig,
 }
 
-/// The values of the operator's file, and its text. Defaults if there is no file.
+/// Reads the operator's file; returns its values and its text. Returns default values and an empty text if `path` is `None`.
 fn read_operator_file(path: Option<&Path>) -> Result<(OperatorConfig, String), String> {
     let Some(path) = path else { return Ok(Default::default()) };
     let name = path.display().to_string();
@@ -72,8 +73,8 @@
     Ok((operator::read(&name, &text)?, text))
 }
 
-/// Whether the file has other values than `current`, except for the list of peers. A file with an unchanged text is not
-/// evaluated again.
+/// Returns true if a value in the operator's file differs from `current`. Differences in the list of peers are ignored. If
+/// the text of the file is unchanged, returns false without evaluating the file.
 fn operator_file_changed(path: &Path, current: &OperatorConfig, current_text: &str) -> Result<bool, String> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{name}: {error}"))?;
@@ -81,7 +82,7 @@
         return Ok(false);
     }
     let mut read = operator::read(&name, &text)?;
-    // A reload applies the list of peers, so that it does not count as a change.
+    // Changes of the list of peers are ignored, since a reload applies them without a restart.
     if let (Some(peers), Some(current)) = (&mut read.peers, &current.peers) {
         peers.members.clone_from(&current.members);
     }
@@ -95,7 +96,7 @@
     Ok(peers.members)
 }
 
-/// How this router communicates with its peers, if the operator's file has any.
+/// The options for sharing observations with peer routers. `None` if the operator's file has no `peers` section.
 fn peer_config(operator: &OperatorConfig, files: &RouterFiles, name: &str) -> Result<Option<Circle>, String> {
     let Some(peers) = &operator.peers else { return Ok(None) };
     if !peers.members.contains_key(name) {
@@ -113,7 +114,7 @@
     Ok(Some(Circle { members: peers.members.clone(), terms, verdicts: peers.shares_node_health, again }))
 }
 
-/// The control servers from which this router receives its settings, if the operator's file has any.
+/// The options for receiving settings from control servers. `None` if the operator's file has no `subscription` section.
 fn subscription(operator: &OperatorConfig) -> Option<Subscription> {
     let subscription = operator.subscription.as_ref()?;
     let zone = subscription.zone.clone();
@@ -137,8 +138,8 @@
     })
 }
 
-/// The configuration to start with. Its settings are those of the persisted version of the control plane, if there is one,
-/// or those of the configuration file.
+/// Reads the configuration file. If the router has stored a settings version from the control servers in a local file, the
+/// settings of that version replace the settings of the configuration file.
 fn startup_config(
     files: &RouterFiles,
     subscription: Option<Subscription>,
@@ -158,10 +159,13 @@
 fn router_config(files: &RouterFiles, clock: Clock) -> Result<RouterConfig, String> {
     let (operator, text) = read_operator_file(files.operator.as_deref())?;
     if operator.control.is_some() {
-        return Err("the operator's file contains `control`: it is for `alderway control`".into());
+        return Err(
+            "the operator's file contains the section `control`, which is only valid for `alderway control`"
+                .into(),
+        );
     }
-    // Each router takes its part of the limits that are divided among all routers. The number of routers is scaled so that
-    // forwarders together get a fixed fraction of each limit, and planners the rest.
+    // Each router uses an equal part, 1 / router_count, of the limits that are divided among all routers. The count is scaled
+    // so that forwarders together get the fraction `FORWARDER_QUOTA_FRACTION` of each limit, and planners the rest.
     let router_count = match &operator.role {
         ProcessRole::Standalone => None,
         ProcessRole::Forwarder { forwarder_count, .. } => {
@@ -224,7 +228,7 @@
     })
 }
 
-/// The configuration as `alderway check` prints it, one value a line.
+/// Formats the configuration for `alderway check`, with one value in each line.
 fn describe(config: &RouterConfig) -> String {
     let RouterConfig { startup, subscription, multicore, operator, .. } = config;
     let max_connections =
--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -1,10 +1,10 @@
-//! Checks settings as a router does at its start, for the admin endpoint of control servers and for `alderway config check`.
+//! Checks settings as a router does at startup. Used by control servers for proposals, and by `alderway config`.
 use alderway_control_plane::content::{MAX_SETTINGS_BYTES, canonical_json};
 use alderway_control_server::InvalidSettings;
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why a file contains no settings.
+/// The reason why a file does not contain settings.
 #[derive(Debug, Error)]
 pub enum MalformedSettings {
     #[error("{file}:{line}: not JSON ({source})", line = source.line())]
@@ -13,20 +13,21 @@
     NotAnObject { file: String },
 }
 
-/// Checks that a router would start with these settings, and that a router that runs with the earlier ones could apply them.
-pub fn check(settings: &Value, earlier: Option<&Value>) -> Result<(), InvalidSettings> {
+/// Checks that a router could start with `settings` and, if `current` is given, that a router that runs with the settings
+/// `current` could switch to `settings` without a restart.
+pub fn check(settings: &Value, current: Option<&Value>) -> Result<(), InvalidSettings> {
     let length = canonical_json(settings).len();
     if length > MAX_SETTINGS_BYTES {
         return Err(InvalidSettings(format!(
             "the settings are too large for routers: {length} bytes, at most {MAX_SETTINGS_BYTES} are allowed"
         )));
     }
-    let checked = alderway_router::lifecycle::live_config::check(settings, earlier);
+    let checked = alderway_router::lifecycle::live_config::check(settings, current);
     checked.map(drop).map_err(|reason| InvalidSettings(reason.to_string()))
 }
 
-/// Reads the settings of a file, which contains either the settings alone or a router's configuration with the key
-/// `settings`.
+/// Parses `text`, the content of a file that contains either settings only, or the configuration of a router with the
+/// settings under the key `settings`.
 pub fn read(file: &str, text: &str) -> Result<Value, MalformedSettings> {
     let all: Value = serde_json::from_str(text)
         .map_err(|source| MalformedSettings::NotJson { file: file.into(), source })?;
@@ -37,27 +38,29 @@
     }
 }
 
-/// Prefixes a reason with the file, and with the line of the key that it names if the text contains that key.
-pub fn located(file: &str, text: &str, reason: &str) -> String {
+/// Prefixes `reason` with the file name. If `reason` names a key and `text`, the content of the file, contains this key, also
+/// adds the line number of the key.
+pub fn with_location(file: &str, text: &str, reason: &str) -> String {
     match line_of_named_key(text, reason) {
         Some(line) => format!("{file}:{line}: {reason}"),
         None => format!("{file}: {reason}"),
     }
 }
 
-/// The number, from 1, of the first line with a key that the reason names.
+/// The number, from 1, of the first line of `text` that contains a key that `reason` names. `None` if there is no such line.
 fn line_of_named_key(text: &str, reason: &str) -> Option<usize> {
     let line_of = |key: &&str| {
         let quoted = format!("\"{key}\"");
         text.lines().position(|line| line.contains(&quoted))
     };
-    // Keys are paths in backquotes with the innermost key last; every path starts at `settings`.
+    // A key is named by its path in backquotes, for example `settings.Limits.MaxOpen`. The last key of the path is searched
+    // first.
     let paths = reason.split('`').skip(1).step_by(2);
     let keys: Vec<&str> = paths
         .flat_map(|path| path.split(['.', '[', ']']))
         .filter(|key| !key.is_empty() && *key != "settings")
         .collect();
-    // Some reasons contain a key without backquotes. Words of up to three letters are taken for words of the sentence.
+    // Some reasons name a key without backquotes. Words of up to three letters are not searched, since most are no keys.
     let words = reason.split(|c: char| !(c.is_alphanumeric() || c == '_' || c == '-'));
     let mut words = words.filter(|word| word.len() > 3 && *word != "settings");
     let found = keys.iter().rev().find_map(line_of).or_else(|| words.find_map(|word| line_of(&word)));
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -26,7 +26,7 @@
 fn commands_print_their_outcome_and_exit_with_the_documented_codes() {
     let cluster = ControlCluster::new();
     let any = ["c2", "c4"];
-    assert_exit(&cluster.config(&any, &["show"]), 1, &["there is no version yet"]);
+    assert_exit(&cluster.config(&any, &["show"]), 1, &["no settings version has been committed yet"]);
     assert_exit(
         &cluster.propose(&any, 100, &[]),
         0,
@@ -47,7 +47,7 @@
     assert_exit(
         &cluster.propose(&["c5"], 300, &["--id", "twice", "--base", "1"]),
         1,
-        &["its id is already used by version 2"],
+        &["the id of the proposal is already used by version 2"],
     );
     // The second of two concurrent changes is rejected with the versions that it would undo.
     let second = cluster.propose(&any, 300, &["--base", "1"]);
@@ -62,7 +62,7 @@
     assert_exit(
         &cluster.propose(&any, 300, &["--base", "7"]),
         1,
-        &["there is no version 7 yet, the newest is 2"],
+        &["the base version 7 does not exist, the newest version is 2"],
     );
     cluster.wait_until_all_have(2);
     assert_exit(
@@ -74,7 +74,7 @@
     assert_exit(
         &cluster.config(&any, &["revert", "9", "--why", "back"]),
         1,
-        &["version 9 is not stored: versions 1 to 3 are"],
+        &["settings version 9 is not stored; versions 1 to 3 are stored"],
     );
     let shown = cluster.config(&any, &["show", "3"]);
     assert_exit(&shown, 0, &["version 3 by bea: back"]);
@@ -397,7 +397,7 @@
 }
 
 #[rstest]
-#[case::no_control("control", "log(form = \"text\")", "`control` is missing")]
+#[case::no_control("control", "log(form = \"text\")", "the section `control` is missing")]
 #[case::no_members(
     "control",
     "control(name = \"a\", data = \"d\", members = {}, doors = {})",
@@ -406,7 +406,7 @@
 #[case::control_section_for_a_router(
     "check",
     "control(name = \"a\", data = \"d\", members = {\"a\": \"1.1.1.1:1\"}, doors = {\"a\": \"1.1.1.1:2\"})",
-    "it is for `alderway control`"
+    "the section `control`, which is only valid for `alderway control`"
 )]
 fn an_operators_file_for_another_command_is_rejected(
     #[case] verb: &str,
