--- a/crates/alderway/tests/common/control_cluster.rs
+++ b/crates/alderway/tests/common/control_cluster.rs
@@ -20,7 +20,7 @@
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 pub const ALDERWAY: &str = env!("CARGO_BIN_EXE_alderway");
 
-/// A control server process.
+/// A control server that runs as a child process, its log lines, and its address for `alderway config`.
 pub struct ControlServer {
     pub child: Child,
     pub log: Receiver<String>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The control servers by name, and the links between them.
+/// Five control servers, and the proxies through which they are connected to each other.
 pub struct ControlCluster {
     pub directory: PathBuf,
     pub names: Vec<String>,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The leader, if all running servers have a quorum and agree on it.
+    /// The name of the leader. `None` unless all running servers have a quorum and report the same leader.
     pub fn leader(&self) -> Option<String> {
         let mut leaders = self.servers.keys().map(|name| {
             self.status(name)
--- a/crates/alderway/tests/common/mod.rs
+++ b/crates/alderway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests over sockets: an HTTP client of a router, and waiting for its counters and log lines.
+//! An HTTP client for routers, and functions that wait for counters and log lines of a router.
 #![allow(dead_code)]
 pub mod control_cluster;
 
@@ -9,10 +9,10 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Limit of each wait of a test.
+/// The longest time that a test waits for a condition.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition on the counters holds.
+/// Waits until `holds` returns true for the counters of the program. The panic after `TIMEOUT` contains `what`.
 pub fn wait_until(program: &Program, what: &str, holds: impl Fn(&BTreeMap<String, u64>) -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !holds(&program.counters()) {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Queries of three shard requests each, `rate` per second for `span` seconds.
+/// A load of `rate` queries per second for `span` seconds; each query has three shard requests.
 pub fn load(rate: f64, span: f64) -> Load {
     Load {
         pace: Pace::Open(rate),
@@ -63,7 +63,7 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("written");
     }
 
-    /// Sends a query for one shard.
+    /// Sends a query for one shard, with a deadline in `left_ms` milliseconds.
     pub fn send_query(&mut self, id: &str, left_ms: u64) {
         self.send_query_for(id, left_ms, r#"{"partition":3,"share":1}"#);
     }
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -33,7 +33,7 @@
         &["in order: version 1", "version 1: no routers are known"],
     );
     cluster.wait_until_all_have(1);
-    // A proposal that is sent twice is committed once, whichever servers receive it.
+    // A proposal that is sent to two servers with the same id is committed once.
     assert_exit(
         &cluster.propose(&["c1"], 200, &["--id", "twice", "--base", "1"]),
         0,
@@ -49,7 +49,7 @@
         1,
         &["the id of the proposal is already used by version 2"],
     );
-    // The second of two concurrent changes is rejected with the versions that it would undo.
+    // A change that is based on version 1 is rejected after version 2 is committed. The error lists version 2.
     let second = cluster.propose(&any, 300, &["--base", "1"]);
     assert_exit(
         &second,
@@ -87,8 +87,8 @@
     let status = cluster.config(&any, &["status", "--json"]);
     let status: ClusterStatus = serde_json::from_slice(&status.stdout).expect("JSON");
     assert!(status.unresponsive.is_empty() && status.versions.len() == 5, "{status:?}");
-    // Invalid settings are reported with key and line, also by the admin endpoint; further below, an unreadable file and an
-    // address without a server.
+    // The errors for invalid settings contain the key and the line number. Further below, the admin endpoint rejects invalid
+    // settings, a file is no JSON, and no server listens at an address.
     let file = cluster.directory.join("invalid.json");
     let text = settings(100).to_string().replace("\"MaxOpen\":100", "\n\"MaxOpen\":\"x\"");
     fs::write(&file, &text).expect("written");
@@ -99,7 +99,7 @@
         &["invalid.json:2: key `settings`", "`MaxOpen`"],
     );
     assert_exit(&cluster.config(&any, &["check", path]), 1, &["invalid.json:2: key `settings`", "`MaxOpen`"]);
-    // Valid settings that no running router could apply, and settings that are too large for routers.
+    // Settings that are valid at startup but change a key that needs a restart, and settings that are too large for routers.
     fs::write(&file, settings(100).to_string().replace("\"MaxOpen\":100", "\n\"MaxOpen\":101"))
         .expect("written");
     let needs_restart = "invalid.json:2: `Limits.MaxOpen` can't change while serving";
@@ -142,7 +142,8 @@
         AdminRequest::Propose { proposal: proposal("p", 1, 200), wait_s: 25.0 },
     );
     std::thread::scope(|scope| {
-        // Partitioned from its followers the leader can't commit the proposal; then it is stopped with it.
+        // The leader is partitioned from its followers, so that it can't commit the proposal. Then the leader's process is
+        // paused by SIGSTOP while the proposal is pending.
         let others: Vec<&str> =
             cluster.names.iter().map(String::as_str).filter(|name| *name != leader).collect();
         cluster.wires.part(&others);
@@ -156,7 +157,7 @@
             status
                 .is_some_and(|all| all.replica.has_quorum && all.replica.leader.is_some_and(|l| l != leader))
         });
-        // A stopped server sends no hello, so that the command tries the next.
+        // A paused server sends no hello, so that the command sends the proposal to the next server.
         assert_exit(
             &cluster.propose(&[&leader, &follower], 300, &["--base", "1"]),
             0,
@@ -250,7 +251,7 @@
     };
     wait_until("the replacements are members", || is_complete(&cluster));
     cluster.wait_until_all_have(2);
-    // With two other servers down the replacements are part of the quorum.
+    // After two other servers are killed, a quorum needs the replacements.
     cluster.kill("c1");
     cluster.kill("c2");
     wait_until("three servers agree on a leader", || cluster.leader().is_some());
@@ -264,7 +265,7 @@
     assert_exit(&cluster.propose(&["c2"], 400, &["--base", "3"]), 0, &["in order: version 4"]);
 }
 
-/// Limits the size of the files that a server writes.
+/// Limits the size of the files that a server writes, in bytes, so that larger writes fail.
 fn limit_file_size(server: &ControlServer, bytes: &str) {
     let id = server.child.id().to_string();
     let status = Command::new("prlimit").args(["--pid", &id, &format!("--fsize={bytes}:unlimited")]).status();
@@ -347,7 +348,7 @@
         settings["Limits"]["StreamsPerConn"] = (100 + n).into();
         let proposal = Proposal { settings: settings.clone(), ..proposal(&format!("p{n}"), n, 100) };
         let request = AdminRequest::Propose { proposal, wait_s: 10.0 };
-        // Every server accepts proposals.
+        // The proposals are sent to all servers in turn, also to those that are not the leader.
         let Ok(AdminResponse::Proposed { outcome, .. }) =
             cluster.request(&cluster.names[n as usize % 5], &request)
         else {
@@ -379,7 +380,7 @@
         for at in [cluster.admin_addresses["c1"], member] {
             let mut stream = TcpStream::connect(at).expect("connected");
             stream.set_read_timeout(Some(TIMEOUT)).expect("set");
-            // The connection may be closed before everything is written.
+            // The server may close the connection after the first malformed bytes, before all bytes are written.
             let _ = stream.write_all(bytes);
             let _ = stream.shutdown(Shutdown::Write);
             let mut text = vec![];
--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -24,12 +24,12 @@
     program: Program,
 }
 
-/// A router on `cores` cores.
+/// Starts a router on `cores` cores with `nodes` data nodes and discovery.
 fn testbed(cores: usize, nodes: usize, setting: &Setting) -> Testbed {
     testbed_with(&format!("cores(count = {cores})"), nodes, setting)
 }
 
-/// A router with the given operator's file.
+/// Starts a router with the given text of the operator's file, `nodes` data nodes and discovery.
 fn testbed_with(operator: &str, nodes: usize, setting: &Setting) -> Testbed {
     let (clock, make) = (Clock::default(), Make { service: 0.0005, ..Make::default() });
     let fleet = Fleet::start(nodes, 1, &make, 7, clock, false).expect("data nodes");
@@ -53,7 +53,7 @@
         common::wait_until(&self.program, description, holds);
     }
 
-    /// One connection on each core.
+    /// Opens `count` connections, one on each core if there are `count` cores.
     fn clients(&self, count: usize) -> Vec<Client> {
         self.wait_until("all serve", |c| c["cores_serving"] >= count as u64);
         (0..count).map(|_| Client::connect(&self.program)).collect()
@@ -76,13 +76,13 @@
     let count = |name: &str| counted.get(&format!("queries_{name}{{site-search}}")).copied().unwrap_or(0);
     let ended = ["merged", "merged_in_part", "rejected", "aborted", "turned_away", "left", "overdue"];
     assert_eq!(count("taken"), ended.iter().map(|name| count(name)).sum::<u64>() + counted["queries_open"]);
-    // Under load a query may be answered partially, with the same status.
+    // Under load a query may be answered partially. Full and partial answers both have status 200.
     assert_eq!(count("merged") + count("merged_in_part"), sent.merged(), "{counted:?}");
     testbed.wait_until("ids are released", |c| c["ids_open"] == 0);
 }
 
-/// Guards against counters that decrease: the core that returns the counters of all cores only had the values that the
-/// others had last published.
+/// Guards against counters that decrease because the core that returns the counters of all cores uses outdated values of the
+/// other cores.
 #[rstest]
 fn counters_do_not_decrease_when_read_from_another_core() {
     let testbed = testbed(4, 2, &Setting::default());
@@ -119,7 +119,8 @@
 fn the_limit_of_open_queries_applies_to_all_cores_together() {
     let testbed = testbed(4, 1, &Setting { room: 10, ..Setting::default() });
     testbed.fleet.nodes[0].set(Fault::Silent);
-    // Each query counts for two, itself and its shard request, so that five fit.
+    // Each query counts twice against the limit of 10, once for itself and once for its shard request, so that five of the 12
+    // queries are accepted.
     let mut clients: Vec<Client> = (0..12).map(|_| Client::connect(&testbed.program)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send_query(&format!("q{n}"), 1500);
@@ -135,7 +136,7 @@
     let mut clients = testbed.clients(3);
     clients[0].inject_fault("hang 1500");
     wait_for_log(&testbed.program, "hangs since");
-    // New connections are assigned to the cores that serve.
+    // New connections are assigned to the two cores that do not hang.
     for n in 0..6 {
         let mut client = Client::connect(&testbed.program);
         client.send_query(&format!("new{n}"), 1500);
@@ -186,7 +187,7 @@
     let testbed = testbed(3, 2, &Setting { slo_ms: 1900, ..Setting::default() });
     testbed.wait_until("all serve", |c| c["cores_serving"] == 3);
     testbed.fleet.nodes.iter().for_each(|n| n.set(Fault::Silent));
-    // Three per core, so that the core that fails has some of them.
+    // Three connections for each core, so that the core that fails has some connections.
     let mut clients: Vec<Client> = (0..9).map(|_| Client::connect(&testbed.program)).collect();
     clients.iter_mut().enumerate().for_each(|(number, client)| send(client, number));
     testbed.wait_until("all requests are read", |c| c["bytes_from_clients"] > 0 && c["clients_open"] >= 9);
@@ -212,7 +213,8 @@
         testbed.agent.change(vec![Entry { status: "DRAINING", ..testbed.entries[1].clone() }]);
         testbed.wait_until("the core serves again", |c| c["cores_hung"] == 0 && c["cores_serving"] == 3);
         let sent = sent.join().expect("the load does not panic");
-        // The core hung beyond the grace period with attempts queued: none of them goes to the drained node afterwards.
+        // The core hung for longer than the grace period while attempts were queued. After the hang, the core must not send
+        // these attempts to the drained node.
         assert!(
             drained.last_call() < drained_at + 2.0,
             "{} s after the notice",
@@ -322,7 +324,7 @@
 
 #[rstest]
 fn the_limit_of_connections_to_a_node_applies_to_all_cores_together() {
-    // One attempt at a time on each connection, so that attempts would open many.
+    // Each connection carries one attempt at a time, so that without the limit the router would open many connections.
     let setting = Setting { places: 1, ..Setting::default() };
     let testbed = testbed_with("cores(count = 4, node_connections = 8)", 2, &setting);
     let load = Load { connections: 64, ..testbed.load(Pace::Closed, 0.7) };
@@ -361,7 +363,7 @@
     std::fs::write(&testbed.program.config, "{").expect("written");
     testbed.program.signal(Signal::SIGHUP);
     wait_for_log(&testbed.program, "the old configuration holds");
-    // A new address of discovery is used.
+    // After a reload with another address of the discovery service, the router connects to that address.
     let moved = Agent::start(testbed.entries.clone()).expect("discovery");
     let new = valid.replace(&testbed.agent.address.to_string(), &moved.address.to_string());
     std::fs::write(&testbed.program.config, new).expect("written");
@@ -414,7 +416,7 @@
     }
 }
 
-/// Guards against descriptors of a core that are not reserved: two runtimes beside the first core's have eight.
+/// Guards against a reservation that omits the file descriptors of a core's runtime: four for each core after the first.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -422,7 +424,8 @@
 fn reserved_descriptors_cover_those_of_an_idle_process(#[case] cores: usize) {
     let testbed = testbed(cores, 1, &Setting::default());
     let open = testbed.program.descriptors();
-    // Discovery's connection may take one more for a moment.
+    // The reservation must be larger than the number of open descriptors, because a reconnection to the discovery service
+    // opens one more descriptor.
     assert!(open < descriptors::reserved(cores), "{open} open on {cores} cores");
 }
 
@@ -434,7 +437,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send_query(&format!("q{number}"), 2000);
     }
-    // Longer than the time after which a core counts as hung.
+    // The pause is longer than the time after which a core is considered hung.
     thread::sleep(Duration::from_millis(700));
     testbed.program.signal(Signal::SIGTERM);
     testbed.program.signal(Signal::SIGCONT);
--- a/crates/alderway/tests/layouts.rs
+++ b/crates/alderway/tests/layouts.rs
@@ -72,7 +72,7 @@
         self.layout = self.layout.with_changes(self.layout.version() + 1, changes).expect("valid");
     }
 
-    /// Publishes the current version in discovery, for routers of the previous version as changes.
+    /// Publishes the current version in discovery, as changes since the previous version and as a full layout.
     fn publish(&self, changes: &[Change]) {
         let version = self.layout.version();
         let update = inventory::changes(version, version - 1, changes);
@@ -152,8 +152,8 @@
     assert!(!report.counters.contains_key("module_failures"));
 }
 
-/// The answer for the original shard arrives after that for one of its successors. Counted by keys, each key counts once.
-/// A router with the injected fault counts by answers instead, and the check must detect the keys that count twice.
+/// Shard 1 is split into shards 2 and 3. The answer for shard 1 arrives after the answer for shard 2; each key must be counted
+/// once. With the injected fault the router counts answers instead of keys, and the check must detect keys counted twice.
 #[rstest]
 #[case::by_keys(None)]
 #[case::by_answers(Some("count-by-answers"))]
@@ -167,10 +167,12 @@
     testbed.wait_for_requests(0, 1);
     let split = Change::Split { parent: 1, children: vec![(2, 0), (3, 40)] };
     testbed.change(&[split, moved(2, &[1]), moved(3, &[2])]);
-    // Nodes 1 and 2 hold the data; node 0 still answers the request that it has received.
+    // From here on, nodes 1 and 2 hold the keys. Node 0 no longer holds shard 1, but still answers the request that it has
+    // already received.
     testbed.update_nodes();
     wait_until(&testbed.program, "the request is split", |c| c.get("parts_divided") == Some(&1));
-    // As node 0 is late, each successor is requested; one of them is answered.
+    // Node 0 does not answer in time, so that the router requests shards 2 and 3 from nodes 1 and 2. Only node 1 answers,
+    // since node 2 is paused.
     wait_until(&testbed.program, "one successor is answered", |c| {
         c.get("leaf_calls_ended{success}") == Some(&1)
     });
@@ -190,7 +192,7 @@
     let mut testbed = testbed(1, &[(1, 0, 50, &[0, 1]), (2, 50, 100, &[0, 1])]);
     let mut client = Client::connect(&testbed.program);
     query_and_check(&mut client, "before", 10, 90);
-    // The data nodes already have the new layout.
+    // The data nodes receive the new layout before the router does.
     let changes = [moved(1, &[2]), moved(2, &[3])];
     testbed.create_version(&changes);
     testbed.update_nodes();
@@ -289,8 +291,8 @@
     assert_eq!((testbed.request_count(0), testbed.request_count(3)), (1, 1));
 }
 
-/// Guards against a core that still uses a layout which the other cores have replaced: it applies the new layout before it
-/// sends anything.
+/// Guards against a core that hangs while the other cores apply a new layout: after the hang, the core must apply the new
+/// layout before it sends shard requests.
 #[rstest]
 fn a_core_that_hung_during_a_move_sends_nothing_to_the_former_holder() {
     let mut testbed = testbed(2, &[(1, 0, 100, &[0])]);
@@ -313,7 +315,8 @@
     assert!(testbed.fleet.nodes[0].last_call() < moved_at);
 }
 
-/// Shards of the ring are unrelated to those of layouts: without `layouts` in the operator's file, updates have no effect.
+/// Without the section `layouts` in the operator's file, shards are placed by the hash ring, and the router must ignore layout
+/// updates from discovery.
 #[rstest]
 fn without_layouts_in_the_operators_file_updates_from_discovery_are_ignored() {
     let testbed = testbed(1, &[(1, 0, 100, &[0])]);
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -22,7 +22,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Routers, the data nodes that they share, and the relays between the routers.
+/// Routers, the data nodes that all routers use, and the proxies through which the routers are connected to each other. A
+/// proxy can delay or drop messages.
 struct Testbed {
     clock: Clock,
     fleet: Fleet,
@@ -34,7 +35,7 @@
     routers: BTreeMap<String, (Program, SocketAddr)>,
 }
 
-/// Messages expire soon, so that the tests are short.
+/// Messages expire after 600 ms, so that the tests are short.
 const SHORT_TIMES: &str = "beat_ms = 25, pulse_ms = 200, stale_ms = 600";
 
 impl Testbed {
@@ -137,7 +138,7 @@
     testbed.two_routers_observe_failure();
     let (one, other, clock) = (testbed.router(0).address, testbed.router(1).address, testbed.clock);
     std::thread::scope(|scope| {
-        // The two routers still observe the node, as unhealthy nodes get a few attempts.
+        // The two routers continue to observe the node, because they still send a few attempts to unhealthy nodes.
         scope.spawn(move || send(one, clock, 60.0, 1.2));
         scope.spawn(move || send(other, clock, 60.0, 1.2));
         wait_until(testbed.router(4), "observations are received", |c| {
@@ -259,7 +260,7 @@
     (stream, FrameReader::default())
 }
 
-/// Reads the next frame; none if the connection ends.
+/// Reads the next frame. `None` if the connection is closed.
 fn read_frame(stream: &mut TcpStream, reader: &mut FrameReader<Frame>) -> Option<Frame> {
     let mut space = [0; 65536];
     loop {
@@ -275,7 +276,8 @@
     }
 }
 
-/// Guards against one faulty or malicious router that makes all others avoid healthy data nodes.
+/// A peer reports all data nodes as unhealthy. Guards against other routers that avoid healthy nodes because of the reports
+/// of a single peer.
 #[rstest]
 fn false_reports_of_one_router_exclude_no_data_node() {
     let testbed = Testbed::new(5);
@@ -300,7 +302,7 @@
     let outcome = testbed.send(0, 100.0, 0.5);
     assert_eq!(outcome.merged(), outcome.sent);
     assert_eq!(observations, 0);
-    // All data nodes still receive their share.
+    // Every data node still receives more than half of an equal share of the shard requests.
     let least = testbed.fleet.nodes.iter().map(|node| node.met.parts.load(Relaxed)).min();
     assert!(least.is_some_and(|n| n * 12 > outcome.sent * 3), "{least:?} of {}", 3 * outcome.sent);
 }
--- a/crates/alderway/tests/settings.rs
+++ b/crates/alderway/tests/settings.rs
@@ -10,7 +10,7 @@
 use nix::sys::signal::Signal;
 use rstest::rstest;
 
-/// Replaces the only vertical that the clients of these tests query.
+/// Renames the vertical that the clients of these tests query, so that their queries are rejected.
 const RENAMED_VERTICAL: (&str, &str) = (r#""Name":"site-search""#, r#""Name":"another""#);
 
 /// A router with two data nodes and discovery.
@@ -83,7 +83,7 @@
     wait_for_log(&testbed.program, "hangs since");
     testbed.rename_vertical();
     wait_for_log(&testbed.program, "do not serve");
-    // The query waits until the core resumes, which applies the change before it reads the query.
+    // The core reads the query after the hang, and must apply the change before that.
     clients[0].send_query("waits", 5000);
     assert_eq!(clients[0].read_response().0, 400);
 }
@@ -101,7 +101,7 @@
         client.send_query(&format!("q{n}"), 1900);
         assert_eq!(client.read_response().0, 400);
     }
-    // A further change applies on the restarted core too.
+    // A further change also applies on the core that was replaced after its failure.
     testbed.reload(&[(RENAMED_VERTICAL.1, RENAMED_VERTICAL.0)]);
     wait_for_log(&testbed.program, "in force, `Services` changed");
     for (n, client) in new_clients.iter_mut().enumerate() {
--- a/crates/alderway/tests/shutdown.rs
+++ b/crates/alderway/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdowns on several cores of a process that is stopped for a while during one: every query that was read is
-//! answered, and the process ends before the earliest SIGKILL.
+//! Graceful shutdowns of a router on several cores, during which the process is paused (SIGSTOP, then SIGCONT). The router
+//! must answer every query that it has read, and must exit before the earliest time at which a supervisor sends SIGKILL.
 mod common;
 #[path = "../../router/tests/common/held_shutdown.rs"]
 mod held_shutdown;
@@ -20,11 +20,11 @@
 /// The longest deadline of the settings below, in milliseconds.
 const LONGEST_DEADLINE_MS: u64 = 1000;
 const EARLIEST_KILL_S: f64 = LONGEST_DEADLINE_MS as f64 / 1e3 + KILL_AFTER_DEADLINE_S;
-/// The time before the earliest SIGKILL within which the process is stopped.
+/// The process is paused within this many seconds before the earliest SIGKILL.
 const LAST_PART_S: f64 = 0.4;
-/// The number of moments at which the process is stopped, each in a shutdown of its own.
+/// The number of shutdowns; each is paused at another time.
 const MOMENTS: usize = 20;
-/// Two for each core.
+/// The number of client connections: two for each core.
 const CLIENTS: usize = 2 * CORES as usize;
 
 /// A router on several cores, and its data node.
@@ -49,7 +49,7 @@
         Router { fleet, _discovery: discovery, program }
     }
 
-    /// Waits until the process has closed its log.
+    /// Waits until the process exits, which closes its log.
     fn wait_for_end(&self) {
         let end = Instant::now() + TIMEOUT;
         loop {
@@ -62,7 +62,8 @@
     }
 }
 
-/// Stops the process at a moment of its shutdown and resumes it; returns the faults found.
+/// Shuts down a router, pauses the process `held_from_s` seconds after SIGTERM and resumes it `HELD_UP_S` seconds later.
+/// Returns a text for each client without exactly one response, and for an exit after the earliest SIGKILL.
 fn faults_of_a_shutdown_stopped_at(held_from_s: f64) -> Vec<String> {
     let router = Router::start();
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| Client::connect(&router.program)).collect();
@@ -77,7 +78,7 @@
         sleep((terminated + Duration::from_secs_f64(since_s)).saturating_duration_since(Instant::now()));
     };
     router.program.signal(Signal::SIGTERM);
-    // Sent early enough to be read, with a deadline later than the end of the shutdown.
+    // These queries are sent early enough for the router to read them, with deadlines after the end of the shutdown.
     sleep_until(0.6);
     clients
         .iter_mut()
@@ -93,7 +94,7 @@
     faults(held_from_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
-/// Guards against queries that a core has read and not answered because the process, stopped for a while, ends first.
+/// Guards against queries that a core has read but not answered because the process exits right after a pause.
 #[rstest]
 fn a_shutdown_on_several_cores_stopped_at_any_late_moment_answers_all_queries_read() {
     play_moments(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_stopped_at);
--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -1,5 +1,5 @@
-//! Forwarders and planners as processes on loopback. Planners are killed, stopped, cut off from discovery, restarted, of
-//! another protocol version, or not running. Every answer is counted and checked.
+//! Forwarders and planners as processes on loopback. Planners are killed, paused, disconnected from discovery, restarted, use
+//! another protocol version, or do not run. The tests count and check every answer.
 mod common;
 use alderway_lab::Clock;
 use alderway_lab::agent::{Agent, Entry};
@@ -19,7 +19,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Data nodes, discovery and planners.
+/// The processes and simulated services of a test, without the forwarders.
 struct Testbed {
     clock: Clock,
     fleet: Fleet,
@@ -65,7 +65,7 @@
         self.start_forwarder("f-0", planners)
     }
 
-    /// Starts a forwarder with the given name.
+    /// Starts a forwarder for the planners at the given addresses. It considers a planner lost after 200 ms without a message.
     fn start_forwarder(&self, name: &str, planners: &[SocketAddr]) -> Program {
         let all: Vec<String> = planners.iter().map(|at| format!("\"{at}\"")).collect();
         let operator = format!("forwarder(planners = [{}], count = 1, patience_ms = 200)\n", all.join(", "));
@@ -99,7 +99,7 @@
     assert_eq!(outcome.statuses.values().sum::<u64>(), outcome.sent);
 }
 
-/// Sends queries and runs an action after the first part of them.
+/// Sends queries for `load.span` seconds, and runs `action` in parallel after 30% of that time.
 fn send_during(testbed: &Testbed, forwarder: &Program, load: &Load, action: impl FnOnce()) -> Outcome {
     let (to, clock) = (forwarder.address, testbed.clock);
     std::thread::scope(|scope| {
@@ -139,7 +139,8 @@
     let outcome = send_during(&testbed, &forwarder, &testbed.load(200.0, 3.0), || {
         testbed.planners.iter().for_each(|p| p.signal(signal));
         sleep(Duration::from_millis(700));
-        // A planner that was only stopped sends again: its decisions for queries that were reassigned are ignored.
+        // A planner that was paused by SIGSTOP resumes. The forwarder must ignore the planner's decisions for queries that were
+        // reassigned in the meantime.
         testbed.planners.iter().for_each(|p| p.signal(Signal::SIGCONT));
     });
     assert_sound(&outcome);
@@ -189,7 +190,8 @@
     drop(restarted);
 }
 
-/// The planner uses a discovery instance that does not publish the drain.
+/// Three nodes are drained, but the planner uses a discovery instance that does not publish this. The forwarder must not send
+/// requests to these nodes.
 #[rstest]
 fn decisions_by_an_outdated_endpoint_list_send_nothing_to_a_draining_node() {
     let mut testbed = testbed(0, Setting::default(), quick());
@@ -214,14 +216,15 @@
     wait_until(&forwarder, "the planner is outdated", |c| c["planners_able"] == 0);
 }
 
-/// One planner uses its own observations; with two, one sends its observations to the other through a forwarder.
+/// One forwarder's queries let its planner observe a slow data node; the other forwarder must then avoid this node. With two
+/// planners, each forwarder uses another planner, and the observations must reach the second planner through a forwarder.
 #[rstest]
 #[case::one_planner(1)]
 #[case::two_planners(2)]
 fn other_forwarders_avoid_a_slow_node_that_one_has_observed(#[case] planners: usize) {
     let testbed =
         testbed(planners, Setting::default(), Make { service: 0.002, exponential: false, ..quick() });
-    // Two forwarders that prefer different planners, if there are two.
+    // With two planners, the second forwarder gets a name for which it prefers another planner than the first forwarder.
     let all: Vec<String> = (0..planners).map(|n| format!("p-{n}")).collect();
     let asks = |n: &usize| Custody::new(&format!("f-{n}")).prefers(all.iter());
     let second = (1..100).find(|n| planners == 1 || asks(n) != asks(&0)).expect("a name");
@@ -233,7 +236,7 @@
     let outcome = load::send(other.address, &testbed.load(100.0, 1.0), testbed.clock);
     assert_sound(&outcome);
     let requests = testbed.fleet.nodes[0].met.parts.load(Relaxed) - before;
-    // With an equal share the node would get a sixth; it still gets a few attempts.
+    // Without the observation the node would get a sixth of the shard requests. A slow node still gets a few attempts.
     assert!(4 * requests < 3 * outcome.sent / 6, "{requests} shard requests of {} queries", outcome.sent);
 }
 
@@ -305,13 +308,13 @@
     assert_eq!(counted(&forwarder, "queries_open"), 0);
 }
 
-/// Guards against queues that are not processed in time: above its limit a planner rejects queries at once, and the client
-/// gets the rejection.
+/// Guards against queries that wait in a planner until their deadline: a planner with `room` open queries and shard requests
+/// must reject further queries at once, and the forwarder must respond to the client with the rejection.
 #[rstest]
 fn a_planner_at_its_limit_rejects_queries_at_once() {
     let setting = Setting { room: 8, ..Setting::default() };
     let testbed = testbed(1, setting.clone(), quick());
-    // The forwarder itself has a higher limit.
+    // The forwarder has a limit of 20,000 instead of 8, so that only the planner rejects queries.
     let planners: Vec<SocketAddr> = testbed.planners.iter().map(|p| p.address).collect();
     let wide = Testbed { setting: Setting { room: 20_000, ..setting }, ..testbed };
     let forwarder = wide.forwarder(&planners);
@@ -341,7 +344,7 @@
         let sent = scope.spawn(|| load::send(to, &load, clock));
         for (n, at) in addresses.iter().enumerate() {
             sleep(Duration::from_millis(300));
-            // The planner ends by itself once its open queries have ended.
+            // `stop` sends SIGTERM; the planner exits after its open queries have ended.
             drop(testbed.planners.remove(0).stop());
             let next = testbed.planner(n, 2, testbed.agent.address, &at.to_string());
             testbed.planners.push(next);
