--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -48,7 +48,7 @@
 
 #[derive(Args)]
 struct RouterFiles {
-    /// The operator's file; without it the router runs as on the platform
+    /// The operator's file; without this file, all its options have their default values
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     /// The configuration in JSON
--- a/crates/layouts/src/coverage.rs
+++ b/crates/layouts/src/coverage.rs
@@ -22,7 +22,7 @@
     /// The answer is not counted: all requested keys in its range were already answered.
     Redundant,
     /// The answer is not counted: it overlaps a counted answer that also contains requested keys outside of the new answer's
-    /// range. Counting both would count the common keys twice.
+    /// range. Counting both answers would count the common keys twice.
     Conflicting,
     /// The answer is not counted: its range contains no requested key.
     NotRequested,
--- a/crates/layouts/src/history.rs
+++ b/crates/layouts/src/history.rs
@@ -51,7 +51,7 @@
 pub struct AppliedUpdate {
     /// Shards that the new version no longer contains.
     pub retired: Vec<ShardId>,
-    /// New shards, each with the shards of the previous version that it overlaps.
+    /// The new shards, each with the shards of the previous version that overlap the new shard.
     pub added: Vec<(ShardId, Vec<ShardId>)>,
     /// Shards for which the caller must look up the holders and the excluded nodes again: all new shards, shards with
     /// changed holders or excluded nodes, and all retired shards with open requests.
