--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -135,7 +135,7 @@
         match &mut self.history {
             Some(history) if history.latest().version() == layout.version() => Ok(vec![]),
             Some(history) => {
-                let followed = history.replace(layout.clone(), now)?;
+                let followed = history.replace_layout(layout.clone(), now)?;
                 Ok(self.note_changes(followed))
             }
             None => {
@@ -217,7 +217,7 @@
         let is_settled = keys.is_whole_shard || keys.is_split || keys.is_answered;
         !is_settled
             && history.is_retired(request.shard)
-            && (request.attempts == 0 || history.has_mixed_holders(request.shard))
+            && (request.attempts == 0 || history.successors_have_different_holders(request.shard))
     }
 
     /// Records that a shard request is open. The shard is kept until all requests for it are closed, even if it no
@@ -324,7 +324,7 @@
     /// Records that the part `request_id` of a split no longer waits for an attempt that the parts share. Returns
     /// whether no part waits for the attempt any more.
     pub fn remove_waiting_request(&mut self, id: &AttemptId, request_id: &Rc<str>) -> bool {
-        self.families.release(&(id.request_id.clone(), id.number), request_id)
+        self.families.remove_waiter(&(id.request_id.clone(), id.number), request_id)
     }
 
     /// The shard requests for which the policy gets the end of an attempt, if the shard request of the attempt was
@@ -336,9 +336,10 @@
         }
         let parts = self.families.parts(&id.request_id);
         let attempt = (id.request_id.clone(), id.number);
-        let is_waiting =
-            |part: &&Rc<str>| outcome == AttemptOutcome::Success || self.families.is_waiting(&attempt, part);
-        (!parts.is_empty()).then(|| parts.iter().filter(is_waiting).cloned().collect())
+        let is_awaited_by = |part: &&Rc<str>| {
+            outcome == AttemptOutcome::Success || self.families.is_awaited_by(&attempt, part)
+        };
+        (!parts.is_empty()).then(|| parts.iter().filter(is_awaited_by).cloned().collect())
     }
 }
 
--- a/crates/router/tests/shard_map/splits.rs
+++ b/crates/router/tests/shard_map/splits.rs
@@ -55,7 +55,7 @@
     policy_events(&mut dispatcher);
     let shard_map = dispatcher.shard_map.as_ref().expect("a shard map");
     assert!(shard_map.families.is_empty());
-    assert_eq!(shard_map.history().expect("a history").tracked_counts(), (1, 0, 0));
+    assert_eq!(shard_map.history().expect("a history").retired_open_excluded_counts(), (1, 0, 0));
 }
 
 /// Guards against a request that waits for the only node that holds all of its keys, which may hang, while other nodes hold
@@ -170,6 +170,6 @@
     policy_events(&mut dispatcher);
     let shard_map = dispatcher.shard_map.as_ref().expect("a shard map");
     assert!(shard_map.families.is_empty());
-    assert_eq!(shard_map.history().expect("a history").tracked_counts().1, 0);
+    assert_eq!(shard_map.history().expect("a history").retired_open_excluded_counts().1, 0);
     assert_eq!((dispatcher.attempts.in_flight_count(), dispatcher.shared.capacity.free()), (0, 100));
 }
