--- a/crates/tier/src/leases.rs
+++ b/crates/tier/src/leases.rs
@@ -1,10 +1,13 @@
-//! Leases on a shared budget: at most a fixed number of units of work may be spent in any time window of a fixed
-//! length. A grantor grants holders leases, each on a number of units for a limited time, and one grantor after another
-//! is in charge, each with a higher term. A grantor counts a lease as outstanding until every unit that may have been
-//! spent from it has left the window. A holder counts the lease's duration from the time of its request, which precedes
-//! the grant. So the units spent in any window never exceed the budget, even if clocks differ, messages are lost, or an
-//! earlier grantor resumes after a pause: each new grantor waits until all leases of earlier grantors have ended. All
-//! times are seconds, `now` of the monotonic clock of the grantor or holder that it is passed to.
+//! Leases on a shared budget: at most a fixed number of units of work may be spent in any time window of a
+//! fixed length. A unit is one piece of that work; the users of this module define the work. A grantor grants
+//! leases to holders: a lease permits its holder to spend a number of units for a limited time. One grantor
+//! after another is in charge, and each has a higher term, the number of its period in charge. A grantor
+//! counts a lease as outstanding until every unit that may have been spent from it has left the window. A
+//! holder counts the lease's duration from the time at which the holder sent its request, which precedes the
+//! grant. So the units spent in any window never exceed the budget, even if clocks differ, messages are lost,
+//! or an earlier grantor resumes after a pause: each new grantor waits until all leases of earlier grantors
+//! have ended. All times are seconds, `now` of the monotonic clock of the grantor or holder that it is passed
+//! to.
 use crate::Name;
 use std::collections::BTreeMap;
 
@@ -21,14 +24,15 @@
     pub max_clock_drift: f64,
 }
 
-/// The right of a holder to spend a number of units for a limited time.
+/// The right of a holder to spend a number of units of the budget for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
     /// The term of the grantor. A holder rejects leases of earlier terms than the latest one that it has seen.
     pub term: u64,
-    /// Number of units that the holder may spend.
+    /// Number of units of the budget that the holder may spend until the lease ends.
     pub units: u64,
-    /// Seconds from the holder's request to the end of the lease.
+    /// Seconds, on the holder's clock, from the time at which the holder sent its request to the end of the
+    /// lease.
     pub duration_s: f64,
 }
 
@@ -37,8 +41,8 @@
 pub struct LeaseGrantor {
     config: LeaseConfig,
     term: u64,
-    /// When the grantor starts to grant leases, in seconds of its clock: all leases of earlier terms have ended by
-    /// then.
+    /// When the grantor starts to grant leases, in seconds of its clock: all leases of earlier terms have
+    /// ended by then, and the units spent from them have left the window.
     opens_at: f64,
     /// For each holder, the units of each outstanding lease and when they have left every window, in seconds of the
     /// grantor's clock.
@@ -66,14 +70,16 @@
         });
     }
 
-    /// The number of units that may still be spent, or were spent and have not left the window for certain.
+    /// The number of units of all outstanding leases: units of leases that may not have ended at their
+    /// holders by `now`, and units that may have been spent less than one window before `now`.
     pub fn outstanding(&mut self, now: f64) -> u64 {
         self.sweep(now);
         self.outstanding.values().flatten().map(|(units, _)| units).sum()
     }
 
-    /// Grants a lease on `wanted` units, or on the units that are left if these are fewer. Returns `None` if no units
-    /// are left or if leases of earlier terms may not have ended.
+    /// Grants a lease on `wanted` units, or on the units that are left if these are fewer. Returns `None` if
+    /// no units are left, or if it is possible that units of leases from grantors of earlier terms are still
+    /// outstanding.
     pub fn grant(&mut self, holder: &str, wanted: u64, now: f64) -> Option<Lease> {
         if now < self.opens_at {
             return None;
@@ -89,7 +95,8 @@
     }
 }
 
-/// Spends the units of the leases that it has accepted. Units that are left when their lease ends can't be spent.
+/// A holder, which spends the units of the leases that it has accepted. Units that are left when their lease
+/// ends can't be spent.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseHolder {
     term: u64,
@@ -98,15 +105,16 @@
 }
 
 impl LeaseHolder {
-    /// Accepts a lease that was requested at `requested_at` and ends its duration after that, which is before the
-    /// grantor counts it as ended. Returns false and rejects the lease if a lease of a later term was accepted.
+    /// Accepts a lease that this holder requested at `requested_at`. The lease ends `Lease::duration_s` after
+    /// `requested_at`, before the grantor stops counting the lease as outstanding. Returns false and rejects
+    /// the lease if this holder has accepted a lease of a later term.
     pub fn accept(&mut self, lease: Lease, requested_at: f64) -> bool {
         if lease.term < self.term {
             return false;
         }
         if lease.term > self.term {
-            // Guards against two grantors that both grant leases: the first lease of a later term ends all leases of
-            // earlier terms.
+            // The first lease of a later term ends all leases of earlier terms. Otherwise this holder could
+            // spend units of two grantors at once, which do not know each other's leases.
             self.leases.clear();
         }
         self.term = lease.term;
@@ -120,7 +128,8 @@
         self.leases.iter().map(|(units, _)| units).sum()
     }
 
-    /// Spends units, first of the leases that end first. Returns false and spends none if fewer than `units` are left.
+    /// Spends units at `now`, first those of the leases that end first. Returns false and spends none if
+    /// fewer than `units` are left.
     pub fn spend(&mut self, units: u64, now: f64) -> bool {
         if self.remaining(now) < units {
             return false;
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -89,7 +89,7 @@
         query: String,
         /// Index of the query's class.
         query_class: u32,
-        /// Name of the tenant that sent the query.
+        /// Name of the tenant whose client sent the query.
         tenant: String,
         /// Seconds until the query's deadline.
         time_left_s: f64,
--- a/crates/tier/src/planner_membership.rs
+++ b/crates/tier/src/planner_membership.rs
@@ -25,13 +25,15 @@
     /// Whether the planner's last heartbeat reported that it accepts new queries.
     accepts_queries: bool,
     endpoints_version: u64,
-    /// The number of the oldest heartbeat that the planner has not acknowledged, and when it was sent.
+    /// The number of the oldest heartbeat that the planner has not acknowledged, and when that heartbeat was
+    /// sent, in seconds of the forwarder's clock.
     unacknowledged: Option<(u64, f64)>,
     last_heartbeat_at: f64,
     last_heartbeat_number: u64,
 }
 
-/// A change of a planner that affects the assignment of queries.
+/// A change of a planner's connection, or of whether the planner accepts new queries. Both affect the
+/// assignment of queries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerChange {
     /// The planner has disconnected, timed out or restarted, and its decisions are ignored from now on.
@@ -52,7 +54,7 @@
 #[derive(Clone, Copy, Debug)]
 struct LastSeen {
     incarnation: Incarnation,
-    /// When the planner was last connected.
+    /// When the planner was last known to be connected, in seconds of the forwarder's clock.
     at: f64,
 }
 
@@ -62,10 +64,11 @@
         PlannerMembership { config, planners: BTreeMap::new(), last_seen: BTreeMap::new() }
     }
 
-    /// Processes the hello of a planner on a new connection, and returns the changes. Returns `None` if the hello must
-    /// be rejected, because a later incarnation of the planner is connected or was until a moment ago. After that time
-    /// an earlier incarnation is accepted: incarnations are taken from wall clocks, and the clock may have been set
-    /// back before the planner restarted.
+    /// Processes the hello of a planner on a new connection, and returns the changes. Returns `None` if the
+    /// hello must be rejected, because a later incarnation of the planner is connected, or was connected less
+    /// than `EARLIER_INCARNATION_REJECTED_FOR_S` ago. After that time an earlier incarnation is accepted:
+    /// incarnations are taken from wall clocks, and the clock may have been set back before the planner
+    /// restarted.
     pub fn connected(
         &mut self,
         name: &str,
--- a/crates/tier/src/query_assignments.rs
+++ b/crates/tier/src/query_assignments.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QueryAssignments {
     forwarder: Name,
-    /// The decider and the latest term of each open query, by query id.
+    /// The decider of each open query and the number of the query's latest assignment, its term, by query id.
     by_query: BTreeMap<String, (Decider, u64)>,
     /// The id of each open query, by the query's latest term.
     by_term: BTreeMap<u64, String>,
@@ -73,7 +73,8 @@
         Assignment { query: query.into(), decider, term }
     }
 
-    /// Assigns a new query to a decider. Returns `None` if a query with this id is open.
+    /// Assigns a new query to the decider that `preferred_decider` returns. Returns `None` if a query with
+    /// this id is open.
     pub fn assign<'n>(
         &mut self,
         query: &str,
@@ -86,8 +87,8 @@
         Some(self.assign_to(query, decider))
     }
 
-    /// Reassigns all queries of a planner that is no longer available, to another planner or to the local policy.
-    /// Returns the new assignments.
+    /// Reassigns all open queries of a planner that is no longer available, to another available planner or,
+    /// if there is none, to the local policy. Returns the new assignments.
     pub fn reassign_from<'n>(
         &mut self,
         planner: &str,
@@ -100,8 +101,9 @@
         queries.iter().map(|query| self.assign_to(query, decider.clone())).collect()
     }
 
-    /// Returns the query that a decision of the decider `from` with this term is for, or `None` if the query's latest
-    /// assignment has another term or decider.
+    /// Returns the id of the query that a received decision is for. The decision was made by the decider
+    /// `from` and names the assignment with the number `term`. Returns `None` if no open query's latest
+    /// assignment has this number and this decider, so that the decision must be ignored.
     pub fn query_of(&self, from: &Decider, term: u64) -> Option<&str> {
         let query = self.by_term.get(&term)?;
         self.by_query.get(query).filter(|(decider, latest)| decider == from && *latest == term)?;
@@ -115,7 +117,7 @@
         Some(Assignment { query: query.into(), decider, term })
     }
 
-    /// The number of open queries.
+    /// The number of open queries of this forwarder, whatever decider they are assigned to.
     pub fn open_count(&self) -> usize {
         self.by_query.len()
     }
--- a/crates/tier/tests/forwarders_and_planners.rs
+++ b/crates/tier/tests/forwarders_and_planners.rs
@@ -1,4 +1,6 @@
-//! Tests of planners that are lost, hang and resume, of leases that end, and of corrupted bytes on a connection.
+//! Tests of planners that are lost, hang and resume, of leases that end, and of corrupted bytes on a
+//! connection. A term is the number of a query's assignment to a planner, or, for leases, the number of a
+//! grantor's period in charge.
 use alderway_tier::leases::{LeaseConfig, LeaseGrantor, LeaseHolder};
 use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
 use alderway_tier::planner_membership::{HeartbeatConfig, PlannerChange, PlannerMembership};
@@ -114,7 +116,8 @@
     assert_eq!(membership.connected("p", 1, 2.0), None, "a hello that the network delayed");
 }
 
-/// Guards against a planner that is rejected forever because its wall clock was set back between two starts.
+/// A planner's incarnation is the wall clock time of its start, and an earlier incarnation than the connected
+/// one is rejected. A planner whose wall clock was set back between two starts must not be rejected forever.
 #[rstest]
 fn a_planner_restarted_with_its_clock_set_back_is_accepted_once_the_later_incarnation_is_gone() {
     let mut membership = PlannerMembership::new(HEARTBEAT_CONFIG);
@@ -176,7 +179,8 @@
     assert!(new.grant("b", 1, 7.9).is_none() && new.grant("b", 1, 8.04).is_some());
     let mut holder = LeaseHolder::default();
     assert!(holder.accept(lease, 5.0));
-    // The grantor of term 1 resumes after a pause: a holder that has accepted a lease of term 2 rejects its leases.
+    // The grantor of term 1 resumes after a pause: a holder that has accepted a lease of term 2 rejects the
+    // leases of term 1.
     assert!(holder.accept(new.grant("a", 1, 9.0).expect("units are left"), 9.0));
     assert!(
         !holder
@@ -289,8 +293,8 @@
         prop_assert!(sample_messages().starts_with(&read), "{:?}", read);
     }
 
-    /// The units spent in any window stay within the budget, with grantors that replace each other, holders whose
-    /// clocks drift, and messages with leases that are lost.
+    /// The units spent in any window stay within the budget, with grantors that replace each other, holders
+    /// whose clocks drift, and lost messages that contain leases.
     #[test]
     fn spending_in_any_window_stays_within_the_budget(
         steps in prop::collection::vec((0..6u8, 0..3usize, 1..8u64, 0.0..0.6f64), 1..80),
--- a/crates/tier/tests/query_assignment_model.rs
+++ b/crates/tier/tests/query_assignment_model.rs
@@ -91,7 +91,8 @@
                 let planner = PLANNERS.iter().position(|p| p == name).expect("one of two");
                 state.to_planner[planner].push(Packet::Assign { query, term: assignment.term, attempted });
             }
-            // The local policy does not repeat an attempt that may have run: it waits for the reply, or the query ends.
+            // The local policy does not repeat an attempt that may have run: while the attempt is in flight,
+            // the local policy waits for its reply; otherwise it ends the query.
             Decider::Local if attempted && state.in_flight[query] => {}
             Decider::Local if attempted => self.finish(state, query),
             Decider::Local => self.start_attempt(state, query),
