--- a/crates/peers/src/quorum.rs
+++ b/crates/peers/src/quorum.rs
@@ -13,7 +13,8 @@
 pub struct AgreedObservation {
     /// When the node's process started, in seconds of this router's clock, if known.
     pub started_at_s: Option<f64>,
-    /// The latest time, in seconds of this router's clock, at or after which a quorum of routers observed the node.
+    /// A lower bound, in seconds of this router's clock, on when the node was observed: at least a quorum of
+    /// routers observed the node at this time or later. It is the latest time for which this holds.
     pub observed_at_s: f64,
     /// Seconds after `observed_at_s` for which the node counts as slow.
     pub slow_for_s: f64,
@@ -23,7 +24,8 @@
     pub unresponsive_for_s: f64,
 }
 
-/// Two start times that differ by less are of the same process: each router derives start times by its own clock.
+/// Two start times of a node that differ by fewer seconds are of the same process. They may differ since each
+/// router computes start times by its own clock.
 const START_TOLERANCE_S: f64 = 0.5;
 
 fn is_same_process(one: Option<f64>, other: Option<f64>) -> bool {
@@ -44,7 +46,8 @@
 /// One router's observation, in seconds of the clock of the router that runs this code.
 struct Observation {
     observed_at: f64,
-    /// When the node stops counting as slow, as very slow and as unresponsive.
+    /// When the node stops counting as slow, as very slow and as unresponsive, in seconds of this router's
+    /// clock.
     until: [f64; 3],
     is_unhealthy: bool,
 }
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -16,23 +16,28 @@
     Alive,
     /// The update's origin is shutting down.
     Leaving,
-    /// The update's origin has received no update of another member for several alive intervals. That member refutes
-    /// the report when it receives it.
+    /// The update's origin has received no `Alive` update of another member for several alive intervals, or
+    /// that member has connected with an earlier incarnation than the origin knows. The member refutes the
+    /// report by a new `Alive` update when it receives the report.
     Missed {
         /// The member whose updates are missing.
         member: Name,
         /// The latest incarnation of `member` that is known to the update's origin.
         incarnation: Incarnation,
     },
-    /// How many queries of the update's origin have ended since its previous update of this kind.
+    /// How many queries of the update's origin have ended since its previous update of this kind. The
+    /// origin's policy decides which queries are late: those answered after their latency objective, and
+    /// those that ended without an answer while more than a tenth of their shard requests had not succeeded.
+    /// Queries without any attempt are not counted.
     QueryCounts {
-        /// Number of queries that ended late.
+        /// Number of queries that were late.
         late: u32,
-        /// Number of queries that ended in time.
+        /// Number of queries that were not late.
         in_time: u32,
     },
-    /// What the update's origin observed of a data node by its own attempts. The spans count from the creation of the
-    /// update; a span of 0 means that the node is healthy in that respect.
+    /// What the update's origin observed of a data node by its own attempts. The spans count from the
+    /// creation of the update; a span of 0 means that the node does not count as slow, very slow or
+    /// unresponsive, respectively.
     Observation {
         /// The data node's name.
         node: Name,
@@ -40,11 +45,11 @@
         uptime_s: Option<f32>,
         /// Seconds from the observation to the creation of the update.
         observed_ago_s: f32,
-        /// Seconds for which the node counts as slow.
+        /// Seconds after the creation of the update for which the node counts as slow.
         slow_for_s: f32,
-        /// Seconds for which the node counts as very slow.
+        /// Seconds after the creation of the update for which the node counts as very slow.
         very_slow_for_s: f32,
-        /// Seconds for which the node counts as unresponsive.
+        /// Seconds after the creation of the update for which the node counts as unresponsive.
         unresponsive_for_s: f32,
     },
 }
@@ -67,9 +72,9 @@
     Origin,
     /// How the queries of the update's origin have ended.
     QueryCounts,
-    /// A member whose updates the origin misses, by name.
+    /// Another member, named in a `Missed` update.
     Member(Name),
-    /// A data node, by name.
+    /// A data node that the origin observed, by name.
     Node(Name),
 }
 
@@ -82,7 +87,8 @@
     pub incarnation: Incarnation,
     /// Number of the update; grows with each update that the origin creates.
     pub number: u64,
-    /// An upper bound on the update's age in seconds.
+    /// An upper bound, in seconds, on the update's age when the frame with the update was created. The
+    /// receiver adds an upper bound on the frame's time in transit.
     pub age_s: f64,
     /// The content of the update.
     pub body: UpdateBody,
@@ -109,8 +115,9 @@
 struct Origin {
     incarnation: Incarnation,
     updates: BTreeMap<UpdateSubject, StoredUpdate>,
-    /// The highest number among the dropped updates of this incarnation. An update up to this number is not stored
-    /// again.
+    /// The highest number among the dropped updates of this incarnation. While no update about a subject is
+    /// stored, an update about that subject is rejected as already known if its number is not higher than
+    /// this one. Otherwise a peer that still stores a dropped update could send that update again.
     highest_dropped: u64,
 }
 
@@ -121,7 +128,7 @@
     New,
     /// The update, or a later one of the same origin about the same subject, had been received before.
     Known,
-    /// The update was as old as the maximum age or older, or its age was invalid.
+    /// The update was as old as the maximum age or older, or its age was negative or not a number.
     Stale,
     /// The update is of an earlier incarnation of its origin than the latest one known.
     FormerIncarnation,
@@ -135,9 +142,10 @@
 }
 
 impl UpdateStore {
-    /// Stores an update, unless it is as old as `max_age_s` seconds or not new. `received_on` is the link on which the
-    /// update was received, `None` if this router created it. At most `max_per_origin` updates of each origin are
-    /// stored.
+    /// Stores an update at `now`, unless the update is `max_age_s` seconds old or older, or is not new.
+    /// `received_on` is the link on which the update was received, `None` if this router created it. At most
+    /// `max_per_origin` updates of each origin are stored; beyond that, those with the lowest numbers are
+    /// dropped.
     pub fn merge(
         &mut self,
         update: Update,
@@ -170,7 +178,8 @@
             received_on,
         };
         origin.updates.insert(subject, stored);
-        // Guards against an origin that sends more updates than can be stored: its oldest updates are dropped.
+        // Limits the memory for an origin that creates updates about too many subjects, by dropping its
+        // oldest updates.
         while origin.updates.len() > max_per_origin {
             let oldest = origin.updates.iter().min_by_key(|(_, stored)| stored.number);
             let Some(oldest) = oldest.map(|(subject, _)| subject.clone()) else { break };
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -20,7 +20,7 @@
 /// The state of a member, as known to this router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MemberState {
-    /// No update that the member is alive has been received.
+    /// No `Alive` or `Leaving` update of the member has been received.
     NeverSeen,
     /// The member's latest update that it is alive is no older than `MISSED_AFTER_INTERVALS` alive intervals.
     Alive,
@@ -65,8 +65,9 @@
 #[derive(Clone, Debug)]
 struct Member {
     state: MemberState,
-    /// When the newest `Alive` or `Leaving` update of the member was created; before the first one, when the member was
-    /// added to the list.
+    /// When the member created its newest `Alive` or `Leaving` update, in seconds of this router's clock: the
+    /// time of receipt minus an upper bound on the update's age. Until the first such update, the time at
+    /// which the member was added to this router's list of members.
     last_alive_at: f64,
 }
 
@@ -83,7 +84,8 @@
 struct OwnObservation {
     started_at: Option<f64>,
     observed_at: f64,
-    /// When the node stops counting as slow, as very slow and as unresponsive.
+    /// When the node stops counting as slow, as very slow and as unresponsive, in seconds of this router's
+    /// clock.
     until: [f64; 3],
     /// When this router last created an update with this observation.
     sent_at: f64,
@@ -98,15 +100,17 @@
     pub updates_new: u64,
     /// Received updates that were known already.
     pub updates_known: u64,
-    /// Received updates that were older than the maximum age.
+    /// Received updates that were as old as the maximum age or older, or had an invalid age.
     pub updates_stale: u64,
     /// Received updates of an earlier incarnation of their origin.
     pub updates_of_former_incarnations: u64,
     /// Received updates whose origin is not a member.
     pub updates_of_unknown_origins: u64,
-    /// Received reports that this router is missed, which it refuted.
+    /// Received `Missed` updates about this router, each of which this router refuted by a new `Alive`
+    /// update.
     pub refutations: u64,
-    /// Received frames with updates of unknown age, because no round trip had been completed on their link.
+    /// Received frames whose updates were dropped because the frame's time in transit was unknown: no round
+    /// trip had been completed on the link.
     pub frames_undated: u64,
 }
 
@@ -126,14 +130,17 @@
     next_alive_at: f64,
     is_leaving: bool,
     own_observations: BTreeMap<Name, OwnObservation>,
-    /// Data nodes of which updates were received since the last call of `take_agreed_observations`.
+    /// Data nodes about which updates were received since the last call of `take_agreed_observations`.
     changed_nodes: BTreeSet<Name>,
-    /// Members that connected with an earlier incarnation than the latest one known to this router. The next tick sends
-    /// them the later one.
+    /// Members that connected with an earlier incarnation than the latest one known to this router. The next
+    /// tick creates a `Missed` update with the later incarnation for each of them.
     superseded: BTreeSet<Name>,
-    /// How many queries of this router have ended since its last `QueryCounts` update: late, and in time.
+    /// How many queries of this router have ended since its last `QueryCounts` update: those that were late,
+    /// and those that were not. The router's policy decides which queries are late, see
+    /// `UpdateBody::QueryCounts`.
     own_query_counts: (u32, u32),
-    /// How many queries of all routers have ended since the last call of `take_query_counts`: late, and in time.
+    /// The sums of the `QueryCounts` updates that this router has created or received since the last call of
+    /// `take_query_counts`: the number of late queries, and of all other queries that have ended.
     query_counts: (u32, u32),
     query_counts_sent_at: f64,
     /// Counters of sent and received updates, for the metrics.
@@ -184,7 +191,8 @@
         self.links.retain(|_, link| members.contains_key(&link.peer));
     }
 
-    /// Returns this router's incarnation, which rises when another member knows a later one.
+    /// Returns this router's incarnation. The incarnation rises when this router learns that another member
+    /// knows a later one.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
@@ -222,7 +230,7 @@
         self.links.remove(&link);
     }
 
-    /// The number of open links.
+    /// The number of links to other members whose connection is open, regardless of which side dialled.
     pub fn link_count(&self) -> usize {
         self.links.len()
     }
@@ -309,7 +317,8 @@
         self.next_alive_at = now;
     }
 
-    /// Counts a query of this router that has ended, late or in time.
+    /// Counts a query of this router that has ended, for the next `QueryCounts` update. `late` is the
+    /// decision of this router's policy whether the query was late.
     pub fn query_ended(&mut self, late: bool) {
         let count = if late { &mut self.own_query_counts.0 } else { &mut self.own_query_counts.1 };
         *count = count.saturating_add(1);
@@ -320,8 +329,9 @@
         self.query_counts = (sum_late.saturating_add(late), sum_in_time.saturating_add(in_time));
     }
 
-    /// Returns how many queries of all routers have ended, late and in time, according to the updates received since
-    /// the last call. `None` if there are none.
+    /// Returns how many queries of all routers, this router included, were late and how many were not, by the
+    /// `QueryCounts` updates that this router has created or received since the last call. Returns `None` if
+    /// both numbers are 0.
     pub fn take_query_counts(&mut self) -> Option<(u32, u32)> {
         Some(std::mem::take(&mut self.query_counts)).filter(|counts| *counts != (0, 0))
     }
@@ -340,9 +350,12 @@
         self.updates.merge(update, now, max_age_s, max_updates_per_origin, None);
     }
 
-    /// Gossips an observation of a data node by this router's policy. `spans_s` are the seconds from `now` on for which
-    /// the node counts as slow, as very slow and as unresponsive; `started_at` is when the node's process started. An
-    /// observation of a healthy node is sent only to retract an earlier one.
+    /// Records an observation of a data node by this router's policy, made at `now`, and creates an update
+    /// with the observation for the other routers. `spans_s` are the seconds from `now` on for which the node
+    /// counts as slow, as very slow and as unresponsive; `started_at` is when the node's process started, in
+    /// seconds of this router's clock, or `None` if unknown. An observation whose spans are all 0, which
+    /// means that the node is healthy, is ignored unless an earlier observation of the node is still recorded
+    /// and has to be replaced.
     pub fn observe_node(&mut self, node: &str, started_at: Option<f64>, spans_s: [f64; 3], now: f64) {
         if spans_s.iter().all(|span| *span <= 0.0) && !self.own_observations.contains_key(node) {
             return;
@@ -353,8 +366,9 @@
         self.send_own_observations(now);
     }
 
-    /// Creates updates for new observations of this router's policy, and repeats unexpired observations after half the
-    /// maximum age of an update, so that other routers never hold only a stale one. Expired observations are dropped.
+    /// Creates updates for new observations of this router's policy, and repeats unexpired observations after
+    /// half the maximum age of an update, so that the newest update at other routers does not become stale
+    /// before the observation expires. Expired observations are dropped.
     fn send_own_observations(&mut self, now: f64) {
         let due: Vec<(Name, OwnObservation)> = {
             let repeat_after_s = 0.5 * self.config.max_age_s;
@@ -382,7 +396,8 @@
         }
     }
 
-    /// Creates an update that this router is shutting down, which is sent in the next frames.
+    /// Creates a `Leaving` update, which reports that this router is shutting down. The next frame on each
+    /// link contains this update.
     pub fn announce_leaving(&mut self, now: f64) {
         self.is_leaving = true;
         self.create_update(UpdateBody::Leaving, now);
@@ -428,9 +443,10 @@
         changes
     }
 
-    /// Returns the observations that a quorum of other routers agrees on, of those data nodes of which updates were
-    /// received since the last call. `started_at` returns when a node's process started according to this router's
-    /// endpoint list: `None` if the list lacks the node, `Some(None)` if the start is unknown.
+    /// Returns the observations on which a quorum of other routers agrees at `now`, for those data nodes
+    /// about which updates were received since the last call. `started_at` returns when a node's process
+    /// started according to this router's endpoint list: `None` if the list lacks the node, `Some(None)` if
+    /// the start is unknown.
     pub fn take_agreed_observations(
         &mut self,
         started_at: impl Fn(&str) -> Option<Option<f64>>,
@@ -457,17 +473,18 @@
         self.members.get(name).map(|member| member.state)
     }
 
-    /// The number of other members in this state.
+    /// The number of members, except this router, in this state.
     pub fn count(&self, state: MemberState) -> usize {
         self.members.values().filter(|member| member.state == state).count()
     }
 
-    /// The number of stored updates, this router's included.
+    /// The number of updates in the update store, both those received and those that this router created.
     pub fn update_count(&self) -> usize {
         self.updates.len()
     }
 
-    /// Returns all stored updates, this router's included, sorted by origin and number.
+    /// Returns all updates in the update store, both those received and those that this router created,
+    /// sorted by origin and number. Their ages are those at `now`.
     pub fn all_updates(&self, now: f64) -> Vec<Update> {
         let mut updates = self.updates.updates_after(0, 0, now, usize::MAX).0;
         updates.sort_by(|a, b| (&a.origin, a.number).cmp(&(&b.origin, b.number)));
--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -21,7 +21,7 @@
     paused: bool,
 }
 
-/// The frames in flight in one direction of a link, each with the simulated time of its arrival.
+/// The frames in flight in one direction of a link, each with the simulated time of its arrival in seconds.
 type Direction = VecDeque<(f64, Frame)>;
 
 struct Mesh {
@@ -31,13 +31,16 @@
     /// The number of each link at its dialling and at its accepting router, by the indices of these two routers.
     links: BTreeMap<(usize, usize), (u64, u64)>,
     in_flight: BTreeMap<(usize, usize), Direction>,
-    /// Directions, from one router to another, in which frames are held back.
+    /// Directions, from one router to another, in which no frame is delivered. Frames that wait in a
+    /// direction are delivered once the direction is removed from this set.
     cut: BTreeSet<(usize, usize)>,
     delay: f64,
     random: Pcg32,
-    /// Accepted observations: the simulated time, the accepting router, the data node and the observation.
+    /// Accepted observations: the simulated time in seconds, the index of the accepting router, the name of
+    /// the data node, and the observation.
     agreed: Vec<(f64, usize, Name, AgreedObservation)>,
-    /// Changes of members' states: the simulated time, the router that noticed the change, the member and its state.
+    /// Changes of members' states: the simulated time in seconds, the index of the router that detected the
+    /// change, the member's name, and the member's new state.
     changes: Vec<(f64, usize, Name, MemberState)>,
     updates_sent: usize,
 }
@@ -77,7 +80,7 @@
         mesh
     }
 
-    /// The time of a router's clock in seconds.
+    /// The time in seconds that the clock of the router with index `n` shows now.
     fn local(&self, n: usize) -> f64 {
         self.routers[n].offset + self.routers[n].rate * self.now
     }
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Advances the simulation, in steps of one frame interval.
+    /// Advances the simulated time by `span_s` seconds, in steps of one frame interval.
     fn pass(&mut self, span_s: f64) {
         let steps = (span_s / self.config.frame_interval_s).round() as usize;
         for _ in 0..steps {
@@ -128,8 +131,8 @@
             let links: Vec<_> = self.links.iter().map(|(ends, links)| (*ends, *links)).collect();
             for ((a, b), (at_a, at_b)) in links {
                 for (from, to, link) in [(a, b, at_a), (b, a, at_b)] {
-                    // A direction holds four frames at most, like a socket whose buffer is full: no new frame is
-                    // created while the earlier ones wait.
+                    // A direction holds four frames at most, like a socket whose buffer is full: no new frame
+                    // is created while four earlier frames wait.
                     if self.routers[from].paused
                         || self.in_flight.get(&(from, to)).is_some_and(|frames| frames.len() > 3)
                     {
@@ -173,13 +176,15 @@
         }
     }
 
-    /// Records that a router's policy observes a data node as unresponsive for the next `unresponsive_for_s` seconds.
+    /// Records an observation by the policy of the router with index `n`: from now on, the data node counts
+    /// as unresponsive for `unresponsive_for_s` seconds.
     fn observe(&mut self, n: usize, node: &str, unresponsive_for_s: f64) {
         let now = self.local(n);
         self.routers[n].view.observe_node(node, None, [0.0, 0.0, unresponsive_for_s], now);
     }
 
-    /// The routers for which the data node counts as unresponsive now, by the latest observation that each accepted.
+    /// The indices of the routers for which the data node counts as unresponsive now, by the latest
+    /// observation that each router accepted.
     fn accepting(&self, node: &str) -> BTreeSet<usize> {
         let mut latest = BTreeMap::new();
         for (_, by, about, agreed) in &self.agreed {
@@ -211,7 +216,7 @@
     assert!(ring::dial_targets(&members, "not a member").is_empty());
 }
 
-/// Guards against a single faulty or disconnected router that makes all other routers treat a healthy node as
+/// A single faulty or disconnected router must not make all other routers treat a healthy node as
 /// unresponsive.
 #[rstest]
 #[case::one_observer(1, 0)]
@@ -225,7 +230,7 @@
     assert_eq!(others.len(), accepting);
 }
 
-/// Guards against a faulty router that makes a node count as unresponsive for longer than a correct router observes.
+/// A faulty router must not make a node count as unresponsive for longer than a correct router observes.
 #[rstest]
 fn a_faulty_router_does_not_extend_the_span_that_a_correct_one_observes() {
     let mut mesh = Mesh::new(7, GossipConfig::default(), 2);
@@ -238,7 +243,9 @@
     assert!(mesh.accepting("s-1").is_empty());
 }
 
-/// Guards against observations that stay in force after the links are cut over which they would be retracted.
+/// An accepted observation must expire once its updates are stale, even if its spans have not ended.
+/// Otherwise a router whose links are cut would treat the node as unresponsive after the node has recovered,
+/// as no newer update arrives.
 #[rstest]
 fn without_links_an_observation_expires_once_it_is_stale() {
     let mut mesh = Mesh::new(8, GossipConfig::default(), 3);
@@ -258,7 +265,8 @@
     );
 }
 
-/// Guards against updates that were delayed in a link for longer than the maximum age and are accepted as new.
+/// An update that a link delays for longer than the maximum age must be rejected as stale, not accepted as
+/// new.
 #[rstest]
 fn updates_that_are_delayed_too_long_are_stale_when_they_arrive() {
     let mut mesh = Mesh::new(5, GossipConfig::default(), 4);
@@ -275,7 +283,8 @@
     assert!(mesh.routers[2].view.counters.updates_stale > 0);
 }
 
-/// Guards against a partition that the routers don't detect, or after which its halves don't accept each other again.
+/// The routers must detect a partition. After the partition ends, the routers of each half must count those
+/// of the other half as alive again.
 #[rstest]
 fn the_halves_of_a_partition_detect_it_and_recover() {
     let mut mesh = Mesh::new(16, GossipConfig::default(), 5);
@@ -295,7 +304,7 @@
     assert!((1..16).all(|n| stored(n).len() == stored(0).len()));
 }
 
-/// Guards against a router that counts as dead because one direction of one of its links is cut.
+/// A router must not count as missed or dead because one direction of one of its links is cut.
 #[rstest]
 fn a_link_cut_in_one_direction_makes_no_member_missed() {
     let mut mesh = Mesh::new(6, GossipConfig::default(), 6);
@@ -305,7 +314,7 @@
     assert!(mesh.changes.iter().all(|(_, _, _, state)| *state == MemberState::Alive), "{:?}", mesh.changes);
 }
 
-/// Guards against updates of a router's earlier incarnation that arrive after the router's restart and count towards a
+/// Updates of a router's earlier incarnation that arrive after the router's restart must not count towards a
 /// quorum.
 #[rstest]
 fn updates_of_a_former_incarnation_are_ignored() {
@@ -337,7 +346,8 @@
     mesh.restart(1, 900);
     mesh.pass(1.0);
     mesh.restart(1, 901);
-    // The clock of router 1 was set back: members that know a later incarnation send an update with it.
+    // The clock of router 1 was set back: members that know the later incarnation send router 1 an update
+    // that contains this incarnation.
     let frame = Frame {
         updates: vec![Update {
             origin: name(1),
@@ -355,13 +365,15 @@
     assert_eq!(mesh.routers[1].view.incarnation(), 951);
 }
 
-/// Guards against a router that all others ignore forever because its wall clock was set back between two starts.
+/// A router's incarnation is the wall clock time of its start, and updates of earlier incarnations are
+/// ignored. A router whose wall clock was set back between two starts must not be ignored forever.
 #[rstest]
 fn a_router_restarted_with_its_clock_set_back_is_accepted_by_all() {
     let mut mesh = Mesh::new(5, GossipConfig::default(), 12);
     mesh.restart(1, 900);
     mesh.pass(1.0);
-    // After the pause the updates of router 1 are stale at the others, but its incarnation is still known.
+    // After the pause the updates of router 1 are stale at the others, but the others still know the
+    // incarnation of router 1.
     mesh.routers[1].paused = true;
     mesh.pass(30.0);
     mesh.restart(1, 7);
@@ -376,7 +388,7 @@
     assert!(!mesh.accepting("s-1").is_empty(), "the observations of router 1 count");
 }
 
-/// Guards against a router that stays in state `Missed` after a pause although it has resumed sending.
+/// A router that resumes after a pause must not stay in state `Missed` at the other routers.
 #[rstest]
 fn a_router_that_was_paused_refutes_that_it_is_missed() {
     let mut mesh = Mesh::new(6, GossipConfig::default(), 9);
@@ -393,7 +405,8 @@
     );
 }
 
-/// While the lists of members differ, updates of an origin outside the list are dropped and have no other effect.
+/// While the lists of members differ, updates of an origin that is not in the receiver's list are dropped and
+/// have no other effect.
 #[rstest]
 fn updates_of_an_origin_outside_the_list_are_ignored() {
     let mut mesh = Mesh::new(5, GossipConfig::default(), 10);
@@ -413,7 +426,8 @@
     assert_eq!(mesh.routers[0].view.state(&name(4)), Some(MemberState::Alive));
 }
 
-/// Guards against an overload that no single router detects, because each of many routers sees only a few late queries.
+/// Each of many routers may see too few late queries to detect an overload. So the counts of late queries
+/// must reach every router.
 #[rstest]
 fn each_router_knows_how_the_queries_of_all_have_ended() {
     let mut mesh = Mesh::new(16, GossipConfig::default(), 13);
