--- a/crates/cores/src/core_table.rs
+++ b/crates/cores/src/core_table.rs
@@ -6,8 +6,8 @@
 /// Seconds without a heartbeat after which a core is hung. A hung core gets no new connections until its next
 /// heartbeat.
 const HEARTBEAT_TIMEOUT_S: f64 = 0.5;
-/// A core that fails more often than this within `FAILURE_WINDOW_S` is not restarted, since each further failure would
-/// abort the queries that the core has accepted.
+/// A core that fails more than this number of times within `FAILURE_WINDOW_S` seconds is not restarted, since
+/// each further failure would abort the queries that the core has accepted.
 const MAX_FAILURES: usize = 5;
 const FAILURE_WINDOW_S: f64 = 60.0;
 /// Seconds from a core's first failure to its restart; doubled with each further failure within `FAILURE_WINDOW_S`.
@@ -23,8 +23,8 @@
     /// No heartbeat for longer than `HEARTBEAT_TIMEOUT_S`. Holds the time of the last heartbeat, in seconds of the
     /// shared clock.
     Hung(f64),
-    /// The core's thread has ended without a shutdown. Holds the time at which the core is to be restarted, in seconds
-    /// of the shared clock.
+    /// The core's thread has ended although the process is not shutting down. Holds the time at which the
+    /// core is to be restarted, in seconds of the shared clock.
     Failed(f64),
     /// The core has failed more than `MAX_FAILURES` times within `FAILURE_WINDOW_S` and is not restarted.
     Lost,
@@ -45,7 +45,8 @@
     status: CoreStatus,
     last_heartbeat_s: f64,
     clients: usize,
-    /// Connections assigned since the core's last heartbeat, whose client count may not include them.
+    /// Number of connections assigned to the core since its last heartbeat was recorded. The client count in
+    /// that heartbeat does not include these connections.
     assigned: usize,
     /// Times of the core's failures within the last `FAILURE_WINDOW_S`, in seconds of the shared clock.
     failures: VecDeque<f64>,
@@ -130,8 +131,9 @@
             .collect()
     }
 
-    /// Records that a core's thread has ended without a shutdown, and schedules the core's restart or marks the core as
-    /// lost.
+    /// Records that a core's thread ended at `now` although the process is not shutting down. Marks the core
+    /// as lost if it has failed more than `MAX_FAILURES` times within the last `FAILURE_WINDOW_S`; otherwise
+    /// schedules the core's restart.
     pub fn record_failure(&mut self, core: usize, now: f64) -> Option<StatusChange> {
         let record = &mut self.cores[core];
         record.failures.push_back(now);
@@ -143,7 +145,8 @@
         self.set_status(core, status)
     }
 
-    /// Returns the indices of the failed cores whose time of restart has come, and marks these cores as starting.
+    /// Returns the indices of the failed cores that are to be restarted at `now` or earlier, and marks these
+    /// cores as starting.
     pub fn take_due_restarts(&mut self, now: f64) -> Vec<usize> {
         let due = |c: &Core| matches!(c.status, CoreStatus::Failed(at) if at <= now);
         let due: Vec<usize> = (0..self.cores.len()).filter(|&i| due(&self.cores[i])).collect();
--- a/crates/cores/src/fence.rs
+++ b/crates/cores/src/fence.rs
@@ -1,7 +1,9 @@
-//! A fence that blocks a core from starting attempts while the core's endpoint list may be outdated. A data node that
-//! starts to drain must get no new attempt after its grace period, not even from a core that was paused and missed the
-//! update. A core can't detect a missed update by itself, so each core checks the fence before each new attempt. All
-//! times are of the clock that all threads share.
+//! A fence that blocks a core from starting attempts while the core's endpoint list may be outdated. A data
+//! node that starts to drain must get no new attempt after its grace period, not even from a core that was
+//! paused and missed the update. A core can't detect a missed update by itself, so each core checks the fence
+//! before each new attempt. All times are seconds of the monotonic clock that all threads share, unless a
+//! name ends in `_ms`. The acceptor thread, which follows discovery, publishes each new endpoint list to the
+//! cores.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -14,7 +16,8 @@
     /// When the acceptor thread had last processed all updates received from discovery, in milliseconds of the shared
     /// clock.
     last_discovery_read_ms: AtomicU64,
-    /// Seconds after `last_discovery_read_ms` from which the fence blocks every core.
+    /// Maximum number of seconds since `last_discovery_read_ms` at which cores may start attempts. Once more
+    /// time has passed, no core may start an attempt until the acceptor thread records a newer read.
     max_discovery_age_s: f64,
 }
 
@@ -29,8 +32,8 @@
 }
 
 impl Fence {
-    /// Creates a fence that blocks every core once discovery has not been read for more than `max_discovery_age_s`
-    /// seconds.
+    /// Creates a fence that forbids new attempts on every core once the acceptor thread has not read from
+    /// discovery for more than `max_discovery_age_s` seconds.
     pub fn new(max_discovery_age_s: f64) -> Arc<Self> {
         Arc::new(Fence {
             published: AtomicU64::new(0),
@@ -39,8 +42,8 @@
         })
     }
 
-    /// Assigns the next number to an endpoint list that is about to be sent to the cores, and returns the number. From
-    /// then on the fence blocks each core until the core has applied this list.
+    /// Assigns the next number to an endpoint list that is about to be sent to the cores, and returns the
+    /// number. From then on no core may start attempts until that core has applied this list.
     pub fn publish(&self) -> u64 {
         self.published.fetch_add(1, Ordering::AcqRel) + 1
     }
@@ -50,8 +53,9 @@
         self.published.load(Ordering::Acquire)
     }
 
-    /// Records that at `now` the acceptor thread had processed all updates received from discovery, or that there is no
-    /// discovery watch and the last list remains in force.
+    /// Records that at `now` the acceptor thread had processed all updates received from discovery. While no
+    /// watch, a connection on which discovery sends updates, is open, no newer endpoint list can arrive; the
+    /// acceptor thread then also calls this function, so that cores may continue to use the latest list.
     pub fn record_discovery_read(&self, now: f64) {
         self.last_discovery_read_ms.fetch_max((now * 1e3) as u64, Ordering::AcqRel);
     }
--- a/crates/cores/src/pool.rs
+++ b/crates/cores/src/pool.rs
@@ -9,7 +9,8 @@
 #[derive(Debug)]
 pub struct Pool {
     free: AtomicUsize,
-    /// Number of callers that found too few free units and are waiting.
+    /// Number of callers that found too few free units and now wait for units to be released. The callers
+    /// wait in their own code; this module only counts them.
     waiters: AtomicUsize,
 }
 
@@ -26,7 +27,7 @@
         Arc::new(Pool { free: AtomicUsize::new(units), waiters: AtomicUsize::new(0) })
     }
 
-    /// Acquires `units` units. Returns `None` if fewer are free.
+    /// Acquires `units` units. Returns `None` and acquires no unit if fewer are free.
     pub fn acquire(self: &Arc<Self>, units: usize) -> Option<PoolPermit> {
         let less = |free: usize| free.checked_sub(units);
         self.free.fetch_update(Ordering::AcqRel, Ordering::Acquire, less).ok()?;
@@ -38,14 +39,15 @@
         self.free.load(Ordering::Acquire)
     }
 
-    /// Counts the caller as waiting until the returned guard is dropped. Holders of permits check `has_waiters` and
-    /// release units that they don't need.
+    /// Counts the caller as waiting for units until the returned guard is dropped. Holders of permits are
+    /// expected to call `has_waiters` from time to time, and to release units that they don't need while it
+    /// returns true.
     pub fn register_waiter(self: &Arc<Self>) -> WaiterGuard {
         self.waiters.fetch_add(1, Ordering::AcqRel);
         WaiterGuard(self.clone())
     }
 
-    /// Whether any caller is waiting for units.
+    /// Whether at least one caller is counted as waiting for units.
     pub fn has_waiters(&self) -> bool {
         self.waiters.load(Ordering::Acquire) > 0
     }
--- a/crates/cores/src/rebalancer.rs
+++ b/crates/cores/src/rebalancer.rs
@@ -1,14 +1,15 @@
-//! Decides which client connections move between cores. New connections are spread evenly, but a few connections may
-//! bring most of the load: a core that is much busier than another hands over the connections that send the next
-//! requests, since these are likely the busy ones.
+//! Decides which client connections move between cores. New connections are spread evenly, but a few
+//! connections may bring most of the load: a core that is much busier than another hands over the connections
+//! that send the next requests, since the connections that send the next requests are probably the busy ones.
+//! All times are seconds of the clock that all threads share.
 
 /// Utilization from which on a core hands over connections: the fraction of recent time that the core was busy, from 0
 /// to 1.
 const MIN_UTILIZATION: f64 = 0.35;
 /// Difference in utilization between two cores from which on connections move, from 0 to 1.
 const MIN_UTILIZATION_GAP: f64 = 0.20;
-/// Seconds after a move during which its two cores take part in no other move, because the reported loads predate the
-/// move.
+/// Seconds after a move of connections between two cores during which neither core takes part in another
+/// move, because the loads that they report then include the time before the move.
 const COOLDOWN_S: f64 = 1.0;
 
 /// The load of one core, reported by that core.
--- a/crates/cores/tests/shared_state.rs
+++ b/crates/cores/tests/shared_state.rs
@@ -155,7 +155,7 @@
     let hung = table.mark_hung(0.7);
     assert_eq!((hung.len(), hung[0].core, hung[0].serving), (1, 2, 2));
     assert_eq!((0..3).filter_map(|_| table.assign_connection()).collect::<Vec<_>>(), [1, 1, 0]);
-    // The next heartbeat of the hung core makes it serve again.
+    // After the next heartbeat of the hung core, the core has status `Serving` again.
     assert_eq!(table.record_heartbeat(2, 3.0, 2).map(|c| c.status), Some(CoreStatus::Serving));
 }
 
@@ -176,7 +176,7 @@
         table.record_heartbeat(1, now + 0.1, 0);
     }
     assert_eq!((restarts, table.serving_count(), table.are_all_lost()), (5, 1, false));
-    // Failures more than the failure window apart are not counted together.
+    // Failures that are further apart than the failure window are not counted together.
     let mut table = CoreTable::new(1, 0.0);
     for hour in 1..50 {
         table.record_failure(0, f64::from(hour) * 3600.0);
@@ -255,8 +255,8 @@
         }
     }
 
-    /// For any order of requests, only one core at a time sends to a node in slow start, for the seconds that the core
-    /// asked for.
+    /// For any order of requests, only one core at a time sends to a node in slow start. Each core asks for a
+    /// turn of some seconds, and no other core sends to the node during that turn.
     #[test]
     fn only_one_core_at_a_time_sends_to_a_node_in_slow_start(
         steps in prop::collection::vec((0..4u8, 0.0..0.4f64, 0.2..1.0f64), 1..200),
@@ -275,7 +275,8 @@
                 *turns.entry(core).or_insert(0) += 1;
             }
         }
-        // A core that sends no further requests to the node does not block the other cores.
+        // A core's turn to send to the node ends after the time that the core asked for, even if the core
+        // sends nothing more. Then another core can get the turn.
         prop_assert!(cores.iter().any(|c| c.try_slow_start_turn("cold", now + 1.1, 0.1)));
     }
 
