--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -49,8 +49,10 @@
 }
 
 impl GossipGroup {
-    /// Maximum number of file descriptors that gossip uses: one for the listener, and for each member that this router
-    /// dials one for each of an outgoing link, an incoming link, and a connection being opened in either direction.
+    /// Maximum number of file descriptors that gossip uses: one for the listener, and four for each member
+    /// that this router dials. As many members dial this router as this router dials. So there are at most
+    /// two descriptors for each outgoing link and two for each incoming link: one for the open connection,
+    /// and one for a further connection that is being opened.
     pub fn max_descriptors(&self) -> usize {
         let names: BTreeSet<Name> = self.members.keys().cloned().collect();
         names.first().map_or(0, |any| 4 * ring::dial_targets(&names, any).len() + 1)
@@ -199,8 +201,8 @@
         }
     }
 
-    /// Reads the list of members again. If the new list can't be read, is invalid or lacks this router, the old list
-    /// remains in force.
+    /// Reads the list of members again. If the new list can't be read, is invalid or lacks this router, the
+    /// old list remains in use.
     fn reload(&mut self, group: &GossipGroup) {
         let Some(reload_members) = &group.reload_members else { return };
         match reload_members() {
@@ -273,8 +275,8 @@
     }
 }
 
-/// Calls the periodic work of the gossip state twice in each frame interval, and passes the query counts of all routers
-/// to the dispatcher.
+/// Calls `View::tick` twice in each frame interval, and passes the query counts of all routers to the
+/// dispatcher.
 async fn tick(context: LinkContext) {
     let mut ticks = interval(Duration::from_secs_f64(0.5 * context.config.frame_interval_s));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -310,8 +312,9 @@
     let session = async |stream: TcpStream| {
         let connected_at = context.now();
         match run_link(&context, &stream).await {
-            // A peer whose list of members lacks this router closes the connection at once. Such a session counts as
-            // unusable, so that the waits between dials grow.
+            // A peer whose list of members lacks this router closes the connection at once. A connection that
+            // ends within one alive interval therefore counts as unusable, so that the waits between dials
+            // grow.
             Ok(()) if context.now() - connected_at > context.config.alive_interval_s => {
                 SessionEnd::Established
             }
@@ -325,7 +328,7 @@
     keep_connected(address, seed, session).await;
 }
 
-/// An open link, which is removed from the gossip state on drop.
+/// An open link to a member. Dropping this value removes the link from the gossip state.
 struct OpenLink<'a> {
     context: &'a LinkContext,
     number: u64,
@@ -372,8 +375,8 @@
         tokio::select! {
             ready = stream.readable() => if ready.is_err() { return Ok(()) },
             () = sender.ready(stream), if !out.is_empty() => continue,
-            // While the last frame is not fully written, no new frame is created; the next frame will contain the
-            // updates that are newest by then.
+            // While the last frame is not fully written, no new frame is created. Updates that arrive
+            // meanwhile remain in the store and are sent in the next frame.
             _ = frames.tick() => {
                 let now = context.now();
                 if now - last_received_at > timeout_s {
@@ -387,7 +390,9 @@
                 if out.is_empty() {
                     let frame = context.gossip.borrow_mut().view.next_frame(link.number, now);
                     let Some(frame) = frame else { return Ok(()) };
-                    // A frame that exceeds the maximum length is dropped; the next frame contains the newest updates.
+                    // If the frame exceeds the maximum message length, nothing is sent, and the updates in
+                    // the frame are not sent again on this link. The next frame contains only updates that
+                    // were not in the dropped frame.
                     let _ = encode_message(&mut out, &frame);
                 }
                 continue;
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -75,7 +75,8 @@
     local_takeovers: Vec<String>,
     /// Observations of data nodes by planners, passed to the local policy in the next round.
     observations: Vec<(String, NodeObservation)>,
-    /// The version of this forwarder's endpoint list, and when the forwarder got it, in seconds of its clock.
+    /// The version of this forwarder's endpoint list, and when the forwarder received that version, in
+    /// seconds of the forwarder's clock.
     endpoints_version: (u64, f64),
     /// The version of the endpoint list that a planner must have received to be assigned new queries.
     required_endpoints_version: u64,
@@ -165,8 +166,9 @@
         self.apply_changes(changes);
     }
 
-    /// Returns the outbox of the connection to a planner. Returns `None` if the planner is lost, a later incarnation of
-    /// it has connected, or more than `MAX_OUTBOX_BYTES` wait for it.
+    /// Returns the outbox of the connection to a planner. Returns `None` if the planner is lost, a later
+    /// incarnation of the planner has connected, or more than `MAX_OUTBOX_BYTES` bytes wait to be sent to the
+    /// planner.
     pub fn outbox(&mut self, hello: &Hello) -> Option<&mut Outbox> {
         if self.planners.incarnation(&hello.name) != Some(hello.incarnation) {
             return None;
@@ -318,13 +320,14 @@
                 }
             }
             Message::CancelAttempt { request, attempt, .. } => {
-                // Cancels are accepted after the query's answer too, for attempts that the answer does not need.
+                // A cancel message is also accepted after the query was answered, since attempts that the
+                // answer does not need may still be in flight.
                 match self.planner_attempts.get(&(request.clone(), attempt as usize)) {
                     Some(known) if known.planner == hello.name => {
                         dispatcher.cancel_attempt(&request, attempt as usize)
                     }
                     Some(_) => self.counters.increment("decisions_refused"),
-                    // The attempt had ended before the message arrived.
+                    // The attempt had ended before the cancel message arrived, so there is nothing to cancel.
                     None => self.counters.increment("cancels_crossed"),
                 }
             }
--- a/crates/router/src/tier/forwarder/input_splitter.rs
+++ b/crates/router/src/tier/forwarder/input_splitter.rs
@@ -15,7 +15,8 @@
 }
 
 impl<'a> InputSplitter<'a> {
-    /// Begins a round. The local policy first gets the observations by planners and the queries that it takes over.
+    /// Begins a round, before the dispatcher passes its input. The local policy first gets the observations
+    /// of data nodes by planners, and the queries that it takes over from planners.
     pub fn begin_round(forwarder: &'a mut Forwarder, policy: &'a mut dyn PolicyInput) -> Self {
         let now = forwarder.clock.now();
         for (node, observation) in std::mem::take(&mut forwarder.observations) {
@@ -35,10 +36,12 @@
         InputSplitter { forwarder, policy, current_query: (String::new(), false) }
     }
 
-    /// Ends a round, and sends the new assignments to their planners.
+    /// Ends a round, after the dispatcher has passed all its input, and sends each new assignment to its
+    /// planner.
     pub fn end_round(self) {
         for assignment in std::mem::take(&mut self.forwarder.new_assignments) {
-            // The planner may have been lost during the round, and the query reassigned.
+            // If the planner was lost during the round, the query has been reassigned and this assignment is
+            // not sent.
             let assignments = &self.forwarder.assignments;
             if assignments.query_of(&assignment.decider, assignment.term).is_some() {
                 self.forwarder.send_assignment(assignment);
@@ -47,7 +50,8 @@
     }
 }
 
-/// Shard maps are not supported on forwarders, so no shard state is transferred.
+/// Uses the default functions of `StateTransfer`, which do nothing. A forwarder has no shard map, the list of
+/// the data nodes that hold each shard, so there are no changes of shards to pass to the policy.
 impl StateTransfer for InputSplitter<'_> {}
 
 impl PolicyInput for InputSplitter<'_> {
@@ -89,7 +93,8 @@
     }
 
     fn shard_request_added(&mut self, number: u64, id: &str, shard: u32, weight: f64) {
-        // The shard requests of a query are added directly after the query.
+        // The dispatcher passes the shard requests of a query directly after the query, so `current_query` is
+        // their query.
         let (query_id, is_local) = &self.current_query;
         let query = self.forwarder.queries.get_mut(query_id).filter(|query| query.number == number);
         let Some(query) = query else { return };
--- a/crates/router/src/tier/mod.rs
+++ b/crates/router/src/tier/mod.rs
@@ -20,9 +20,11 @@
 pub struct Outbox {
     /// The encoded messages that were not written yet.
     pub bytes: Vec<u8>,
-    /// Notified when there are bytes to write, or when the connection is to be closed.
+    /// Notified when bytes are to be written to the connection, or when the connection is to be closed.
     pub wake: Rc<Notify>,
-    /// Whether the connection is to be closed because the peer does not read or respond in time.
+    /// Whether the connection is to be closed: more than `MAX_OUTBOX_BYTES` bytes waited because the peer
+    /// does not read, a message could not be encoded, or, on a planner, the forwarder has not acknowledged a
+    /// heartbeat in time.
     pub is_overfull: bool,
 }
 
@@ -37,8 +39,8 @@
         outbox
     }
 
-    /// Appends an encoded message and notifies the task of the connection. If the message can't be encoded or too many
-    /// bytes wait, the connection is marked to be closed.
+    /// Appends an encoded message and notifies the task of the connection. If the message can't be encoded,
+    /// or more than `MAX_OUTBOX_BYTES` bytes wait already, the connection is marked to be closed.
     pub fn send(&mut self, message: &Message) {
         if self.bytes.len() > MAX_OUTBOX_BYTES || encode_message(&mut self.bytes, message).is_err() {
             self.is_overfull = true;
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -25,7 +25,10 @@
 /// Number of a session, the connection of one forwarder.
 pub type SessionId = u64;
 
-/// Seconds from the first non-empty endpoint list until a planner accepts the queries of all forwarders.
+/// Duration of a planner's slow start in seconds, counted from the first heartbeat at which the planner's
+/// endpoint list contains a data node. During the slow start the planner accepts queries of a growing
+/// fraction of the forwarders, and afterwards those of all forwarders, because it has observed no data node
+/// when it starts.
 const SLOW_START_S: f64 = 1.0;
 
 /// A session: the connection of one forwarder and the queries of that forwarder.
@@ -99,7 +102,8 @@
     last_number: u64,
     /// Whether the planner accepts no new queries because the process is shutting down.
     pub is_stopping: bool,
-    /// When the endpoint list was first found to contain a data node; `None` before that.
+    /// When the endpoint list was first found to contain a data node, in seconds of this planner's clock;
+    /// `None` before that. The slow start begins at this time.
     serving_since: Option<f64>,
     /// Counters of sessions, queries, decisions and rounds, for the metrics.
     pub counters: Counters,
@@ -171,8 +175,8 @@
 
     // Sessions of forwarders and their messages.
 
-    /// Opens a session for a new connection, with the planner's `hello` as the first bytes to send. Returns the
-    /// session's number and the notification of its outbox.
+    /// Opens a session for a new connection of a forwarder. `hello` is this planner's own hello, the first
+    /// message to send. Returns the session's number and the notification of its outbox.
     pub fn open_session(&mut self, hello: &Hello) -> (SessionId, Rc<Notify>) {
         self.last_number += 1;
         let outbox = Outbox::new(hello);
@@ -190,7 +194,7 @@
         (self.last_number, wake)
     }
 
-    /// Records the forwarder's name from its hello.
+    /// Records the name of a session's forwarder, once the forwarder's hello has been received.
     pub fn hello_received(&mut self, session: SessionId, name: &str) {
         if let Some(session) = self.sessions.get_mut(&session) {
             session.name = Some(name.into());
@@ -239,8 +243,8 @@
         self.inputs.push(Input::ClientDisconnected(query_id));
     }
 
-    /// Closes all sessions after a panic of the policy, so that the forwarders reassign their queries, and marks the
-    /// whole endpoint list as changed for the next policy.
+    /// Closes all sessions after a panic of the policy, so that the forwarders reassign their queries, and
+    /// marks the whole endpoint list as changed, so that the next policy gets every data node.
     pub fn close_all_sessions(&mut self) {
         self.counters.increment("module_failures");
         let sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
@@ -275,8 +279,8 @@
         Some(query)
     }
 
-    /// Processes a message of the forwarder of session `id`. Returns false and ignores the message if only planners
-    /// send such messages.
+    /// Processes a message of the forwarder of session `id`. Returns false and ignores the message if its
+    /// type is one that only planners send; the caller then closes the connection.
     pub fn accept_message(&mut self, id: SessionId, message: Message) -> bool {
         match message {
             Message::Heartbeat { number, .. } => {
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -26,8 +26,9 @@
 type PlannerHandle = Rc<RefCell<Planner>>;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// A connection to a forwarder that has not acknowledged a heartbeat for this many seconds is closed. Longer than the
-/// timeout by which the forwarder detects a lost planner, so that the forwarder reassigns its queries first.
+/// A connection to a forwarder that has not acknowledged a heartbeat for this many seconds is closed. This
+/// timeout is longer than the one after which the forwarder considers a planner as lost, so that the
+/// forwarder reassigns its queries before the planner closes the connection.
 const HEARTBEAT_TIMEOUT_S: f64 = 1.0;
 /// Longest wait of a connection's task before the forwarder's hello is received. Each wake-up of the task, also one for
 /// a heartbeat to send, starts the wait again.
@@ -39,8 +40,8 @@
 /// Maximum number of bytes read from a socket at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Returns a new incarnation: the wall clock in microseconds, so a later start has a larger incarnation unless the
-/// clock was set back.
+/// Returns a new incarnation: the wall clock time in microseconds since 1970. A later start of the planner
+/// has a larger incarnation unless the clock was set back.
 pub fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
@@ -57,8 +58,9 @@
     let policy_config = settings.policy;
     let make_policy = move || {
         let mut policy = Policy::new(seed, policy_config.clone());
-        // Limits shared by two cores make the policy share its observations of data nodes, as on a router with several
-        // cores.
+        // The policy outputs its observations of data nodes only if its limits are shared by several cores. A
+        // planner has one core, but sends the observations to its forwarders, so its policy gets limits for
+        // two cores.
         policy.use_shared_limits(SharedLimits::new(2).for_core(0));
         policy
     };
