--- a/crates/cores/src/fence.rs
+++ b/crates/cores/src/fence.rs
@@ -1,9 +1,9 @@
-//! A fence that blocks a core from starting attempts while the core's endpoint list may be outdated. A data
-//! node that starts to drain must get no new attempt after its grace period, not even from a core that was
-//! paused and missed the update. A core can't detect a missed update by itself, so each core checks the fence
-//! before each new attempt. All times are seconds of the monotonic clock that all threads share, unless a
-//! name ends in `_ms`. The acceptor thread, which follows discovery, publishes each new endpoint list to the
-//! cores.
+//! A fence that blocks a core, one thread with its own connections, from starting attempts while the core's
+//! endpoint list may be outdated. A data node that starts to drain must get no new attempt after its grace
+//! period, not even from a core that was paused and missed the update. A core can't detect a missed update by
+//! itself, so each core checks the fence before each new attempt. All times are seconds of the monotonic
+//! clock that all threads share, unless a name ends in `_ms`. The acceptor thread, which follows discovery,
+//! publishes each new endpoint list to the cores.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/crates/cores/src/observation_cache.rs
+++ b/crates/cores/src/observation_cache.rs
@@ -1,6 +1,7 @@
-//! The newest observation of each data node that one core received from the other cores. When the core's thread is
-//! restarted after a failure, its next policy gets these observations. An observation holds three spans: the seconds
-//! from `observed_at_s` for which the node counts as slow, as very slow and as unresponsive.
+//! The newest observation of each data node that one core, a thread of the router process, received from the
+//! other cores. When the core's thread is restarted after a failure, its next policy gets these observations.
+//! An observation holds three spans: the seconds from `observed_at_s` for which the node counts as slow, as
+//! very slow and as unresponsive. All times are seconds of the clock that all threads share.
 use alderway::interface::NodeObservation;
 use std::collections::BTreeMap;
 
@@ -16,7 +17,8 @@
 }
 
 impl ObservationCache {
-    /// Stores an observation, unless the stored one is of the same process of the node and at least as new.
+    /// Stores an observation, unless the stored observation is of the same process of the node and was made
+    /// at the same time or later. An observation whose spans are all 0 removes the stored one instead.
     pub fn record(&mut self, node: &str, observation: NodeObservation) {
         if self.0.get(node).is_some_and(|stored| {
             stored.started_at_s == observation.started_at_s
@@ -24,7 +26,7 @@
         }) {
             return;
         }
-        // An observation whose spans are all 0 reports a healthy node and removes the stored observation.
+        // Spans that are all 0 mean that the node is healthy, so no observation needs to be stored.
         if expires_at_s(&observation) <= observation.observed_at_s {
             self.0.remove(node);
         } else {
--- a/crates/cores/src/open_ids.rs
+++ b/crates/cores/src/open_ids.rs
@@ -1,6 +1,7 @@
-//! The ids of the open queries of all cores, in a lock-free hash table of rows with eight slots each. A core claims an
-//! id before it admits the query, and dropping the claim releases the id. A slot holds 54 bits of the id's hash under a
-//! key of the process; a second hash selects the row. Two different ids that are open at the same time collide with a
+//! The ids of the open queries of all cores, the threads of the router process that serve clients. The ids
+//! are in a lock-free hash table of rows with eight slots each. A core claims an id before it admits the
+//! query, and dropping the claim releases the id. A slot holds 54 bits of the id's hash under a key of the
+//! process; a second hash selects the row. Two different ids that are open at the same time collide with a
 //! probability below 10^-16; the later claim is then rejected.
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
--- a/crates/cores/src/pool.rs
+++ b/crates/cores/src/pool.rs
@@ -1,7 +1,7 @@
-//! A fixed number of units that all cores of a process share. A unit is the capacity for one query or shard request, or
-//! one file descriptor. A caller acquires all the units that it asks for in one atomic step, or none, so the acquired
-//! units never exceed the pool's size. No units are reserved for a core in advance, so no core holds back units that
-//! another core needs.
+//! A fixed number of units that all cores, the threads of the process that serve clients, share. A unit is
+//! the capacity for one query or shard request, or one file descriptor. A caller acquires all the units that
+//! it asks for in one atomic step, or none, so the acquired units never exceed the pool's size. No units are
+//! reserved for a core in advance, so no core holds back units that another core needs.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
--- a/crates/cores/src/rebalancer.rs
+++ b/crates/cores/src/rebalancer.rs
@@ -1,7 +1,8 @@
-//! Decides which client connections move between cores. New connections are spread evenly, but a few
-//! connections may bring most of the load: a core that is much busier than another hands over the connections
-//! that send the next requests, since the connections that send the next requests are probably the busy ones.
-//! All times are seconds of the clock that all threads share.
+//! Decides which client connections move between cores, the threads of the process that serve clients. New
+//! connections are spread evenly, but a few connections may bring most of the load: a core that is much
+//! busier than another hands over the connections that send the next requests, since the connections that
+//! send the next requests are probably the busy ones. All times are seconds of the clock that all threads
+//! share.
 
 /// Utilization from which on a core hands over connections: the fraction of recent time that the core was busy, from 0
 /// to 1.
@@ -12,12 +13,12 @@
 /// move, because the loads that they report then include the time before the move.
 const COOLDOWN_S: f64 = 1.0;
 
-/// The load of one core, reported by that core.
+/// The load that one core has reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CoreLoad {
     /// Fraction of recent time that the core was busy, from 0 to 1.
     pub utilization: f64,
-    /// Number of clients that recently received a response.
+    /// Number of the core's clients that recently received a response.
     pub active_clients: usize,
     /// Whether the core has status `CoreStatus::Serving`.
     pub is_serving: bool,
