--- a/crates/peers/src/transit_time.rs
+++ b/crates/peers/src/transit_time.rs
@@ -1,9 +1,9 @@
-//! Computes an upper bound on how long a received frame was in transit. Guards against updates that were delayed by a
-//! stalled link or a paused router and would count as new on arrival. Each frame echoes a timestamp of its receiver,
-//! which completes a round trip. The frame's transit is part of that round trip, which bounds the difference between
-//! the two clocks. The bound holds for any delay in either direction, as long as the clocks differ in rate by no more
-//! than the configured drift. All times are seconds; those of the peer's clock are named so, the others are of this
-//! router's monotonic clock.
+//! Computes an upper bound on how long a received frame was in transit. Without this bound, updates that were
+//! delayed by a stalled link or a paused router would count as new on arrival. Each frame echoes a timestamp
+//! of its receiver, and so completes a round trip. The frame's transit is part of that round trip, which
+//! bounds the difference between the two clocks. The bound holds for any delay in either direction, as long
+//! as the clocks differ in rate by no more than the configured drift. All times are seconds; those of the
+//! peer's clock are named so, the others are of this router's monotonic clock.
 
 /// Computes upper bounds on the transit times of the frames received on one link.
 #[derive(Clone, Copy, Debug, Default)]
@@ -39,8 +39,9 @@
         self.min_offset(now, max_clock_drift).map(|least| (offset - least).max(0.0))
     }
 
-    /// The lower bound on the clock difference at `now`, reduced by the drift that may have occurred since its
-    /// measurement.
+    /// The lower bound at `now` on this router's clock minus the peer's clock, in seconds: the measured
+    /// bound, reduced by the drift that may have occurred since the measurement. `None` if no bound was
+    /// measured.
     fn min_offset(&self, now: f64, max_clock_drift: f64) -> Option<f64> {
         self.min_offset.map(|(least, at)| least - max_clock_drift * (now - at))
     }
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -12,23 +12,26 @@
 
 /// Maximum number of updates in one frame; further updates follow in the next frame.
 const MAX_UPDATES_PER_FRAME: usize = 4096;
-/// Alive intervals (`GossipConfig::alive_interval_s`) without an update of a member after which the member is `Missed`.
+/// Number of alive intervals (`GossipConfig::alive_interval_s`) since the creation of a member's newest
+/// `Alive` update after which the member is `Missed`.
 const MISSED_AFTER_INTERVALS: f64 = 3.0;
-/// Alive intervals without an update of a member after which the member is `Dead`.
+/// Number of alive intervals since the creation of a member's newest `Alive` update after which the member is
+/// `Dead`.
 const DEAD_AFTER_INTERVALS: f64 = 6.0;
 
-/// The state of a member, as known to this router.
+/// The state of a member, by the updates that this router has received. The states `Missed` and `Dead` are
+/// set by `View::tick`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MemberState {
     /// No `Alive` or `Leaving` update of the member has been received.
     NeverSeen,
-    /// The member's latest update that it is alive is no older than `MISSED_AFTER_INTERVALS` alive intervals.
+    /// The member's newest `Alive` update is at most `MISSED_AFTER_INTERVALS` alive intervals old.
     Alive,
-    /// The member's latest update that it is alive is older than `MISSED_AFTER_INTERVALS` alive intervals.
+    /// The member's newest `Alive` update is more than `MISSED_AFTER_INTERVALS` alive intervals old.
     Missed,
-    /// The member's latest update that it is alive is older than `DEAD_AFTER_INTERVALS` alive intervals.
+    /// The member's newest `Alive` update is more than `DEAD_AFTER_INTERVALS` alive intervals old.
     Dead,
-    /// The member has announced its shutdown.
+    /// The member has reported by a `Leaving` update that it is shutting down.
     Left,
 }
 
@@ -75,7 +78,7 @@
 struct Link {
     peer: Name,
     transit: TransitEstimator,
-    /// Updates up to this serial of the update store were sent over this link.
+    /// The highest serial in the update store up to which updates were put into frames for this link.
     sent_up_to: u64,
 }
 
--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -502,7 +502,8 @@
         prop_assert_eq!(all(&in_order), all(&shuffled));
     }
 
-    /// For any delays and clock offsets, the estimated transit time of a frame is at least the actual one.
+    /// For any delays and clock offsets, the computed bound on a frame's transit time is at least the actual
+    /// transit time.
     #[test]
     fn the_transit_time_is_an_upper_bound(
         delays in prop::collection::vec((0.0..3.0f64, 0.0..3.0f64, 0.0..2.0f64), 1..40),
@@ -572,8 +573,9 @@
     }
 }
 
-/// Prints how many updates each router sends per second: when idle, and while a tenth of the routers observe ten data
-/// nodes each. The idle rate must not exceed 1.2 times that of sending each update once over every link of the ring.
+/// Prints how many updates each router sends per second: while no data node is observed, and while a tenth of
+/// the routers observe ten data nodes each. Without observations, the rate must not exceed 1.2 times the rate
+/// of sending one update of every router per second over every link.
 #[rstest]
 #[case(16)]
 #[case(64)]
