--- a/crates/tier/tests/query_assignment_model.rs
+++ b/crates/tier/tests/query_assignment_model.rs
@@ -1,6 +1,6 @@
-//! Model checking of query assignments for one forwarder with two queries and two planners. Planners may crash, or
-//! count as lost while they are alive and keep sending; messages may be delayed for any time. The model uses the
-//! production code of `QueryAssignments`.
+//! Model checking of query assignments for one forwarder with two queries and two planners. A term is the
+//! number of one assignment of a query. Planners may crash, or count as lost while they are alive and keep
+//! sending; messages may be delayed for any time. The model uses the production code of `QueryAssignments`.
 use alderway_tier::query_assignments::{Assignment, Decider, QueryAssignments};
 use alderway_transport::Name;
 use rstest::rstest;
@@ -37,7 +37,7 @@
     started: [u8; 2],
     /// Whether an attempt of each query is in flight.
     in_flight: [bool; 2],
-    /// Number of answers of each query, including failures.
+    /// Number of answers that the client of each query has received, including failures.
     answers: [u8; 2],
     /// Whether each planner is alive.
     alive: [bool; 2],
@@ -214,8 +214,9 @@
                 match decider.map(|d| d.0) {
                     Some(planner) => next.to_planner[planner].push(Packet::AttemptEnded { query }),
                     None => {
-                        // Either the local policy decides, or the planner has not received the assignment yet and will
-                        // fail the query.
+                        // No planner has received the query's latest assignment. If the local policy decides
+                        // on the query, the query ends now. Otherwise the assigned planner will fail the
+                        // query when it receives the assignment.
                         if next
                             .assignments
                             .clone()
