--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -1,6 +1,8 @@
-//! Gossip among query routers (the members) over TCP: a listener for the members that dial this router, a task for each
-//! member that this router dials, and the timers. The crate `alderway_peers` decides which updates are sent, stored and
-//! accepted; observations of data nodes that a quorum of other routers agrees on are passed to the dispatcher.
+//! Gossip among query routers (the members) over TCP: a listener for the members that dial this router, a
+//! task for each member that this router dials, and the timers. Members exchange frames of updates, which are
+//! reports about a member, its queries or a data node. The crate `alderway_peers` decides which updates are
+//! sent, stored and accepted; observations of data nodes that a quorum of other routers agrees on are passed
+//! to the dispatcher.
 use crate::state::gossip_link::GossipLink;
 use crate::state::metrics::{MetricsSnapshot, MetricsSource};
 use crate::state::shared::ObservationMessage;
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -1,7 +1,8 @@
-//! The part of a forwarder between its dispatcher and the deciders of its queries: planners, and the local policy,
-//! which runs in the forwarder itself. In each round, which processes all input since the previous round, it passes
-//! queries and the outcomes of attempts to their deciders. It carries out a decision only if it comes from the query's
-//! decider and names the latest term, the number of the query's assignment. It records the attempts of each shard
+//! The part of a forwarder between its dispatcher and the deciders of its queries: planners, and the local
+//! policy, which runs in the forwarder itself. In each round, which processes all input since the previous
+//! round, the forwarder passes queries and the outcomes of attempts to the deciders of the queries. The
+//! forwarder carries out a decision only if the decision comes from the query's decider and names the query's
+//! latest term, the number of the query's assignment. The forwarder records the attempts of each shard
 //! request, so that a decider that takes over a query knows which attempts may have run. Uses no sockets.
 mod input_splitter;
 
@@ -47,14 +48,16 @@
     requests: Vec<ShardRequest>,
 }
 
-/// An attempt that a planner started or took over with its query; its outcome is to be sent to that planner.
+/// An attempt that a planner started, or took over with the query of the attempt. The outcome of the attempt
+/// is to be sent to that planner.
 struct PlannerAttempt {
     planner: Name,
     node: String,
     started_at: f64,
 }
 
-/// The state of a forwarder that is not in its dispatcher.
+/// The state of a forwarder, except the state in its dispatcher: the planners, the assignments of queries,
+/// and the attempts of planners.
 pub struct Forwarder {
     name: Name,
     incarnation: Incarnation,
@@ -68,8 +71,8 @@
     /// The attempts of planners whose end was not reported yet, by shard request id and attempt number. An attempt can
     /// outlive its query.
     planner_attempts: BTreeMap<(String, usize), PlannerAttempt>,
-    /// Assignments to planners of queries that arrived in this round. They are sent when the round ends, because the
-    /// shard requests of a query follow it.
+    /// Assignments to planners of queries that arrived in this round. They are sent when the round ends,
+    /// because the dispatcher passes the shard requests of a query after the query itself.
     new_assignments: Vec<Assignment>,
     /// Ids of queries that the local policy takes over in the next round.
     local_takeovers: Vec<String>,
@@ -206,7 +209,7 @@
     /// Reassigns all queries of a planner that is lost, to another planner or to the local policy.
     fn planner_lost(&mut self, name: &str) {
         if let Some(outbox) = self.outboxes.remove(name) {
-            // Wakes the task of the connection, which then closes it.
+            // Wakes the task of the connection to the planner. The task then closes the connection.
             outbox.wake.notify_one();
         }
         let available = self.available_planners();
@@ -371,8 +374,8 @@
         }
     }
 
-    /// Whether an answer, rejection or failure of a query comes from the query's decider and names its latest term. If
-    /// so, removes the query.
+    /// Returns whether an answer, rejection or failure of a query comes from the query's decider and names
+    /// the query's latest term. Removes the query in this case.
     fn accept_final(&mut self, from: &Decider, term: u64, query: &str) -> bool {
         let accepted = self.assignments.query_of(from, term) == Some(query);
         if accepted {
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -37,10 +37,11 @@
     /// The forwarder's name; `None` until its hello is received.
     name: Option<String>,
     queries: BTreeSet<u64>,
-    /// The attempts in flight, by the forwarder's shard request id and the attempt number: the data node and the start
-    /// time.
+    /// The attempts in flight, by the forwarder's shard request id and the attempt number: the data node, and
+    /// the start time in seconds of this planner's clock.
     attempts: BTreeMap<(String, u32), (String, f64)>,
-    /// When the oldest heartbeat was sent that the forwarder has not acknowledged; `None` if all are acknowledged.
+    /// When this planner sent the oldest heartbeat that the forwarder has not acknowledged, in seconds of
+    /// this planner's clock; `None` if all heartbeats are acknowledged.
     unacknowledged_since: Option<f64>,
     last_heartbeat_number: u64,
 }
@@ -80,7 +81,7 @@
 
 /// The state of a planner except its policy: sessions, queries, timers, and the input for the policy's next round.
 pub struct Planner {
-    /// The clock of all times in this state.
+    /// This planner's clock, which all times in this state are read from.
     pub clock: Clock,
     query_classes: usize,
     max_deadline_s: f64,
@@ -168,7 +169,8 @@
         self.queries.len()
     }
 
-    /// Whether the planner accepts new queries: it knows data nodes, has capacity left, and is not shutting down.
+    /// Whether the planner accepts new queries: its endpoint list contains a data node, its capacity is not
+    /// used up, and the process is not shutting down.
     fn accepts_queries(&self) -> bool {
         self.endpoints.has_nodes() && !self.is_stopping && self.open_count < self.capacity
     }
@@ -208,7 +210,8 @@
         Some(&mut session.outbox).filter(|outbox| !outbox.is_overfull)
     }
 
-    /// Closes a session. The policy's next round gets its queries as disconnected and its attempts as cancelled.
+    /// Closes a session. In the next round the policy is informed that the clients of the session's queries
+    /// have disconnected and that the session's attempts were cancelled.
     pub fn close_session(&mut self, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
         let now = self.clock.now();
@@ -224,9 +227,10 @@
         self.wake.notify_one();
     }
 
-    /// Processes the end of a query at its forwarder, which has already reported the end of every attempt that it
-    /// started. Guards against attempts that count as in flight at a data node forever: an attempt that the forwarder
-    /// received after the query's end was not started, and ends here as cancelled.
+    /// Processes the end of a query at its forwarder, which has already reported the end of every attempt
+    /// that it started. The forwarder does not start an attempt whose `StartAttempt` message arrives after
+    /// the query's end. Such an attempt ends here as cancelled; otherwise the policy would count it as in
+    /// flight at its data node forever.
     fn query_closed(&mut self, id: SessionId, query: &str) {
         let query_id = policy_id(id, query);
         let number = self.query_numbers.get(&query_id).copied();
--- a/crates/router/src/tier/planner/rounds.rs
+++ b/crates/router/src/tier/planner/rounds.rs
@@ -1,5 +1,5 @@
-//! A round of a planner's policy, that is, one run of the policy on all input since the previous round, and the
-//! conversion of its decisions to messages to the forwarders.
+//! A round of a planner's policy, that is, one run of the policy on all input since the previous round, and
+//! the conversion of the policy's decisions to messages to the forwarders.
 use super::{Planner, split_policy_id};
 use alderway::interface::{DecisionSink, NodeObservation, PolicyInput};
 use alderway::policy::Policy;
@@ -8,12 +8,13 @@
 use std::convert::Infallible;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The policy panicked in a round and must not be used any longer.
+/// The policy panicked in a round. The caller must not use this policy again.
 #[derive(Debug, thiserror::Error)]
 #[error("the policy panicked")]
 pub struct PolicyPanicked;
 
-/// Runs one round: the policy gets all input since the previous round, and its decisions are sent to the forwarders.
+/// Runs one round: the policy gets all input since the previous round, and the policy's decisions are sent to
+/// the forwarders.
 ///
 /// # Errors
 /// The policy panicked. The caller must call [`Planner::close_all_sessions`] and continue with a new policy.
@@ -104,8 +105,9 @@
                 slow_for_s,
                 very_slow_for_s,
                 unresponsive_for_s,
-                // Only the first forwarder is asked to forward the observation to the other planners, since every
-                // forwarder connects to all planners. If this message is lost, the other planners miss the observation.
+                // Only one forwarder, that of the first session, is asked to forward the observation to the
+                // other planners, since every forwarder connects to all planners. If this message is lost,
+                // the other planners miss the observation.
                 relay: n == 0,
             });
         }
--- a/crates/router/src/tier/planner_links.rs
+++ b/crates/router/src/tier/planner_links.rs
@@ -80,7 +80,8 @@
     /// Exchanges messages with a planner until the connection ends.
     ///
     /// # Errors
-    /// The peer is not a planner, its incarnation is out of date, or it violates the protocol.
+    /// The peer is not a planner or violates the protocol, or a later incarnation of the planner is or was
+    /// recently connected.
     async fn run_session(&self, stream: &TcpStream) -> Result<(), String> {
         let mut out = Outbox::new(&self.forwarder.borrow().hello()).bytes;
         let (mut reader, mut buffer) = (FrameReader::default(), vec![0; READ_BUFFER_BYTES]);
@@ -95,7 +96,7 @@
                 "incarnation {incarnation} of planner {name} is earlier than the latest one that has connected"
             ));
         };
-        // The hello at the start of the new outbox has already been sent.
+        // Removes the hello at the start of the new outbox, since that hello has already been sent.
         if let Some(outbox) = self.forwarder.borrow_mut().outbox(&hello) {
             outbox.bytes.clear();
         }
@@ -118,8 +119,8 @@
             let mut has_unsent = false;
             {
                 let mut forwarder = self.forwarder.borrow_mut();
-                // Without an outbox the planner is lost, has a later incarnation, or does not read; its decisions are
-                // ignored.
+                // There is no outbox if the planner is lost, has connected with a later incarnation, or does
+                // not read. Decisions received on this connection are then ignored.
                 let Some(outbox) = forwarder.outbox(hello) else { return Ok(()) };
                 if !outbox.bytes.is_empty() {
                     match sender.write(stream, &outbox.bytes) {
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -30,8 +30,8 @@
 /// timeout is longer than the one after which the forwarder considers a planner as lost, so that the
 /// forwarder reassigns its queries before the planner closes the connection.
 const HEARTBEAT_TIMEOUT_S: f64 = 1.0;
-/// Longest wait of a connection's task before the forwarder's hello is received. Each wake-up of the task, also one for
-/// a heartbeat to send, starts the wait again.
+/// Maximum time for which the task of a connection waits for the forwarder's hello. The time starts again
+/// whenever the task is woken up, for example to send a heartbeat.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval at which a shutdown checks whether queries are still open.
 const SHUTDOWN_POLL: Duration = Duration::from_millis(10);
@@ -98,8 +98,8 @@
     Ok(())
 }
 
-/// Runs the policy's rounds for as long as the process runs. Guards against a query that makes the policy panic: the
-/// planner continues with a new policy, and the forwarders reassign their queries.
+/// Runs the policy's rounds for as long as the process runs. If a query makes the policy panic, the planner
+/// continues with a new policy and closes all sessions, so that the forwarders reassign their queries.
 async fn run_rounds(planner: PlannerHandle, make_policy: impl Fn() -> Policy) {
     let mut policy = make_policy();
     let (clock, wake) = (planner.borrow().clock, planner.borrow().wake.clone());
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -1,5 +1,5 @@
-//! Tests of the messages that a forwarder sends to its planner about attempts that the planner decided on, without
-//! sockets.
+//! Tests of the messages that a forwarder sends to its planner about attempts that the planner decided on,
+//! without sockets. A round processes all input since the previous round.
 mod common;
 use alderway::interface::{AttemptOutcome, DecisionSink, PolicyInput};
 use alderway_router::tier::forwarder::{Forwarder, InputSplitter};
@@ -115,7 +115,8 @@
     }
 }
 
-/// Guards against attempts that a planner counts as in flight at its data nodes forever.
+/// After a failure of the local policy, the forwarder must report the end of every attempt that a planner
+/// started. Otherwise the planner would count these attempts as in flight at their data nodes forever.
 #[rstest]
 fn a_failure_of_the_local_policy_ends_attempts_for_the_planner_too() {
     let mut router = Router::new();
@@ -131,8 +132,8 @@
     assert_eq!(sent.last(), Some(&Message::QueryClosed { query: "r".into() }));
 }
 
-/// Guards against records of attempts that are never removed: the dispatcher starts no attempt of a query that has
-/// ended.
+/// The dispatcher starts no attempt of a query that has ended and reports no end of such an attempt. So the
+/// forwarder must remove its record of the attempt together with the query.
 #[rstest]
 fn an_attempt_decided_on_as_its_query_ended_is_removed_with_it() {
     let mut router = Router::new();
--- a/crates/router/tests/planner.rs
+++ b/crates/router/tests/planner.rs
@@ -1,4 +1,5 @@
-//! Tests of a planner without sockets: sessions of forwarders, and a policy that panics.
+//! Tests of a planner without sockets: sessions, which are the connections of forwarders, and a policy that
+//! panics. A round is one run of the policy on all input since the previous round.
 mod common;
 use alderway::interface::{NodeState, PolicyConfig};
 use alderway::policy::Policy;
@@ -18,8 +19,9 @@
     Message::AssignQuery { term: 1, query, query_class: 0, tenant, time_left_s: 5.0, requests }
 }
 
-/// Guards against a query that makes the policies of all planners panic, one after another, because its forwarder
-/// reassigns it.
+/// After a panic of its policy, a planner must close all sessions, so that the forwarders reassign their
+/// queries, and must continue with a new policy. Otherwise a query that makes the policy panic could stop all
+/// planners, one after another, because its forwarder reassigns the query to the next planner.
 #[rstest]
 fn a_policy_panic_closes_the_sessions_and_the_planner_continues_with_another() {
     let hello = Hello::of_planner::<Message>("p-0", 1);
@@ -76,8 +78,8 @@
     }
 }
 
-/// Guards against attempts that count as in flight at a data node forever: a forwarder whose query ends while a
-/// `StartAttempt` message is in flight does not start that attempt and does not report its end.
+/// A forwarder whose query ends while a `StartAttempt` message is in flight does not start that attempt and
+/// does not report its end. The planner must not count such an attempt as in flight at the data node forever.
 #[rstest]
 fn an_attempt_that_crosses_the_end_of_its_query_does_not_count_at_its_node() {
     let (planner, mut policy) = (planner_with_one_node(), one_class_policy());
