--- a/crates/cores/src/core_table.rs
+++ b/crates/cores/src/core_table.rs
@@ -13,7 +13,7 @@
 /// Seconds from a core's first failure to its restart; doubled with each further failure within `FAILURE_WINDOW_S`.
 const INITIAL_RESTART_DELAY_S: f64 = 0.05;
 
-/// Whether a core serves, hangs or has failed.
+/// Whether a core's thread has started, serves, hangs or has failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CoreStatus {
     /// The core's thread has started and has sent no heartbeat yet.
@@ -111,9 +111,10 @@
         }
     }
 
-    /// Accounts for a pause of the acceptor thread, which last checked the cores at `since`. After a pause longer than
-    /// the heartbeat timeout, the timeout of each serving core starts again at `now`. Guards against marking cores as
-    /// hung because the acceptor thread was paused itself.
+    /// Accounts for a pause of the acceptor thread, which last checked the cores at `since`. After a pause
+    /// longer than the heartbeat timeout, the timeout of each serving core starts again at `now`. Otherwise
+    /// the acceptor thread would mark cores as hung whose heartbeats it could not receive during its own
+    /// pause.
     pub fn acceptor_paused(&mut self, since: f64, now: f64) {
         if now - since > HEARTBEAT_TIMEOUT_S {
             let serving = self.cores.iter_mut().filter(|core| core.status == CoreStatus::Serving);
--- a/crates/cores/tests/shared_state.rs
+++ b/crates/cores/tests/shared_state.rs
@@ -332,7 +332,7 @@
     table.record_heartbeat(1, 0.1, 0);
     table.acceptor_paused(0.1, 0.9);
     assert_eq!(table.mark_hung(0.9), []);
-    // After the pause, heartbeats time out as before.
+    // After the pause, a core without a heartbeat within the timeout is hung again.
     table.record_heartbeat(0, 1.0, 0);
     table.acceptor_paused(1.3, 1.45);
     let hung: Vec<usize> = table.mark_hung(1.45).iter().map(|change| change.core).collect();
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -20,7 +20,7 @@
     /// that member has connected with an earlier incarnation than the origin knows. The member refutes the
     /// report by a new `Alive` update when it receives the report.
     Missed {
-        /// The member whose updates are missing.
+        /// The member whose `Alive` updates are missing.
         member: Name,
         /// The latest incarnation of `member` that is known to the update's origin.
         incarnation: Incarnation,
@@ -90,7 +90,7 @@
     /// An upper bound, in seconds, on the update's age when the frame with the update was created. The
     /// receiver adds an upper bound on the frame's time in transit.
     pub age_s: f64,
-    /// The content of the update.
+    /// What the origin reports: the kind of the report, its subject and its values.
     pub body: UpdateBody,
 }
 
@@ -101,7 +101,7 @@
     pub number: u64,
     /// A lower bound on when the update was created, in seconds of this router's clock.
     pub created_at: f64,
-    /// The content of the update.
+    /// What the origin reports: the kind of the report, its subject and its values.
     pub body: UpdateBody,
     /// Number that the store assigned to the update, growing in the order in which updates were stored. Each link
     /// records up to which serial its updates were sent.
@@ -244,7 +244,7 @@
         self.origins.values().map(|origin| origin.updates.len()).sum()
     }
 
-    /// Whether no update is stored.
+    /// Whether the store contains no update of any origin.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -310,9 +310,9 @@
     }
 
     /// Schedules an `Alive` update for the next tick, and raises this router's incarnation above `known`, an
-    /// incarnation of this router that others know, if that one is later. Guards against a wall clock that was set back
-    /// between two starts, after which the other members would ignore this router's updates as those of an earlier
-    /// incarnation.
+    /// incarnation of this router that others know, if `known` is later than this router's current
+    /// incarnation. Otherwise the other members would ignore this router's updates as those of an earlier
+    /// incarnation if this router's wall clock was set back between two starts.
     fn supersede_incarnation(&mut self, known: Incarnation, now: f64) {
         if known > self.incarnation {
             self.incarnation = known.saturating_add(1);
--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -337,8 +337,9 @@
     assert!(mesh.accepting("s-1").is_empty(), "one observer is left: {:?}", mesh.accepting("s-1"));
 }
 
-/// Guards against a wall clock that was set back between two starts: the other routers would ignore the new incarnation
-/// forever.
+/// If a router's wall clock was set back between two starts, the router's new incarnation is earlier than the
+/// one that the other routers know. The router must then raise its incarnation, or the other routers would
+/// ignore it forever.
 #[rstest]
 fn a_router_raises_its_incarnation_above_one_that_others_know() {
     let mut mesh = Mesh::new(4, GossipConfig::default(), 8);
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -111,8 +111,8 @@
         /// Seconds from the attempt's start to its end.
         latency_s: f64,
     },
-    /// Forwarder to planner: a query has ended without a decision of the planner, for example because the client
-    /// disconnected.
+    /// Forwarder to planner: a query has ended although the planner has not answered, rejected or failed the
+    /// query, for example because the client disconnected.
     QueryClosed {
         /// Id of the query.
         query: String,
@@ -176,8 +176,9 @@
         /// Number of the acknowledged heartbeat.
         number: u64,
     },
-    /// In both directions: what a planner observed of a data node. The receiver counts the durations from receipt; a
-    /// duration of 0 means that the node is healthy in that respect.
+    /// In both directions: a planner's observation of a data node. The receiver counts the three durations
+    /// from receipt; a duration of 0 means that the node does not count as slow, very slow or unresponsive,
+    /// respectively.
     Observation {
         /// Name of the data node.
         node: String,
--- a/crates/tier/src/planner_membership.rs
+++ b/crates/tier/src/planner_membership.rs
@@ -162,9 +162,9 @@
         (heartbeats, lost.into_iter().map(PlannerChange::Lost).collect())
     }
 
-    /// Whether new queries may be assigned to a planner: the planner accepts queries and has received at least version
-    /// `min_endpoints_version` of the endpoint list. Guards against a planner that is disconnected from discovery and
-    /// keeps sending attempts to draining data nodes.
+    /// Whether new queries may be assigned to a planner: the planner accepts queries and has received at
+    /// least version `min_endpoints_version` of the endpoint list. A planner that is disconnected from
+    /// discovery would otherwise keep starting attempts at draining data nodes.
     pub fn is_available(&self, name: &str, min_endpoints_version: u64) -> bool {
         let is_available = |p: &Planner| p.accepts_queries && p.endpoints_version >= min_endpoints_version;
         self.planners.get(name).is_some_and(is_available)
