--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -410,8 +410,10 @@
         self.remove_query(query);
     }
 
-    /// Removes a query that ended without a decision, with its attempts, and notifies its planner. Returns false if the
-    /// query was not assigned to a planner.
+    /// Removes a query that ended although its decider has not answered, rejected or failed the query, for
+    /// example because the client disconnected. If the query is assigned to a planner, also removes the
+    /// records of the planner's attempts of this query, and sends the planner `QueryClosed`. Returns false if
+    /// the query is not assigned to a planner.
     fn query_closed(&mut self, query: &str) -> bool {
         let attempts: Vec<(String, usize)> = self
             .queries
@@ -431,8 +433,9 @@
         true
     }
 
-    /// Aborts all queries and attempts after a panic of the local policy. Guards against attempts that the planners
-    /// count as in flight at their data nodes forever: the dispatcher reports no outcome of these attempts.
+    /// Aborts all queries and attempts after a panic of the local policy. Sends the planners the end of each
+    /// of their attempts, since the dispatcher reports no outcome of these attempts and the planners would
+    /// count them as in flight at their data nodes forever.
     pub fn abort_all_queries(&mut self) {
         let now = self.clock.now();
         for ((request, number), attempt) in std::mem::take(&mut self.planner_attempts) {
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -349,10 +349,10 @@
         let has_attempts = requests.iter().any(|(_, _, _, attempts)| !attempts.is_empty());
         let fits = self.open_count + 1 + requests.len() <= self.capacity
             && !self.query_numbers.contains_key(&query_id);
-        // Guards against a queue of queries that grows faster than the policy processes it: beyond its capacity the
-        // planner rejects new queries at once. Queries that already have attempts are accepted nevertheless, as these
-        // attempts may have run and the policy has to count them. A query is also rejected if its class is unknown or
-        // its deadline is not a number, and a new one if its id is open.
+        // A planner whose capacity is used up rejects new queries at once. Otherwise the queue of queries
+        // could grow faster than the policy processes it. Queries that already have attempts are accepted
+        // nevertheless, as these attempts may have run and the policy has to count them. A query is also
+        // rejected if its class is unknown or its deadline is not a number, and a new one if its id is open.
         if class >= self.query_classes || time_left_s.is_nan() || !(fits || has_attempts) {
             self.counters.increment("queries_turned_away");
             return self.send(session, &Message::Reject { term, query: id, retry_after_s: None });
