--- a/crates/cores/src/core_table.rs
+++ b/crates/cores/src/core_table.rs
@@ -1,6 +1,6 @@
-//! The status of each core of a router process; a core is one thread. Cores send heartbeats to the acceptor thread,
-//! which detects cores that hang, assigns connections to cores that serve, and decides whether a core that failed is
-//! restarted. All times are seconds of the clock that all threads share.
+//! The status of each core of a router process; a core is one thread. Cores send heartbeats to the acceptor
+//! thread, which detects cores that hang, assigns connections to cores that serve, and decides whether a core
+//! that failed is restarted. All times are seconds of the clock that all threads share.
 use std::collections::VecDeque;
 
 /// Seconds without a heartbeat after which a core is hung. A hung core gets no new connections until its next
@@ -10,7 +10,8 @@
 /// each further failure would abort the queries that the core has accepted.
 const MAX_FAILURES: usize = 5;
 const FAILURE_WINDOW_S: f64 = 60.0;
-/// Seconds from a core's first failure to its restart; doubled with each further failure within `FAILURE_WINDOW_S`.
+/// Seconds from a core's first failure to its restart; doubled with each further failure within
+/// `FAILURE_WINDOW_S`.
 const INITIAL_RESTART_DELAY_S: f64 = 0.05;
 
 /// Whether a core's thread has started, serves, hangs or has failed.
@@ -20,8 +21,8 @@
     Starting,
     /// The core's heartbeats arrive within `HEARTBEAT_TIMEOUT_S`.
     Serving,
-    /// No heartbeat for longer than `HEARTBEAT_TIMEOUT_S`. Holds the time of the last heartbeat, in seconds of the
-    /// shared clock.
+    /// No heartbeat for longer than `HEARTBEAT_TIMEOUT_S`. Holds the time of the last heartbeat, in seconds
+    /// of the shared clock.
     Hung(f64),
     /// The core's thread has ended although the process is not shutting down. Holds the time at which the
     /// core is to be restarted, in seconds of the shared clock.
@@ -55,8 +56,8 @@
 /// The cores of one process, as known to the acceptor thread.
 pub struct CoreTable {
     cores: Vec<Core>,
-    /// Index of the core at which the search for the next connection's core begins, so that cores with equally few
-    /// clients get connections in turn.
+    /// Index of the core at which the search for the next connection's core begins, so that cores with
+    /// equally few clients get connections in turn.
     next_core: usize,
 }
 
@@ -96,8 +97,8 @@
         Some(StatusChange { core, status, serving: self.serving_count() })
     }
 
-    /// Records a heartbeat that a core sent at `at`, with the core's number of clients. Ignores a heartbeat that is not
-    /// newer than the last one recorded.
+    /// Records a heartbeat that a core sent at `at`, with the core's number of clients. Ignores a heartbeat
+    /// that is not newer than the last one recorded.
     pub fn record_heartbeat(&mut self, core: usize, at: f64, clients: usize) -> Option<StatusChange> {
         let record = &mut self.cores[core];
         if at <= record.last_heartbeat_s {
@@ -162,8 +163,8 @@
         self.cores.iter().all(|c| c.status == CoreStatus::Lost)
     }
 
-    /// Assigns the next connection to the serving core with the fewest clients, in rotation among equals, or to a
-    /// starting core if none serves. Returns the core's index, or `None` if no core serves or starts.
+    /// Assigns the next connection to the serving core with the fewest clients, in rotation among equals, or
+    /// to a starting core if none serves. Returns the core's index, or `None` if no core serves or starts.
     pub fn assign_connection(&mut self) -> Option<usize> {
         let count = self.cores.len();
         let rank = |c: &Core| match c.status {
--- a/crates/cores/src/fence.rs
+++ b/crates/cores/src/fence.rs
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The number of the latest endpoint list that the acceptor thread has published, and when that thread last read from
-/// discovery.
+/// The number of the latest endpoint list that the acceptor thread has published, and when that thread last
+/// read from discovery.
 #[derive(Debug)]
 pub struct Fence {
     /// Number of the latest published endpoint list; 0 before the first one.
     published: AtomicU64,
-    /// When the acceptor thread had last processed all updates received from discovery, in milliseconds of the shared
-    /// clock.
+    /// When the acceptor thread had last processed all updates received from discovery, in milliseconds of
+    /// the shared clock.
     last_discovery_read_ms: AtomicU64,
     /// Maximum number of seconds since `last_discovery_read_ms` at which cores may start attempts. Once more
     /// time has passed, no core may start an attempt until the acceptor thread records a newer read.
@@ -26,8 +26,8 @@
 pub enum Blocked {
     /// The core has not applied the latest published endpoint list.
     ListOutdated,
-    /// The acceptor thread has not read from discovery for more than `max_discovery_age_s` and may have missed an
-    /// update.
+    /// The acceptor thread has not read from discovery for more than `max_discovery_age_s` and may have
+    /// missed an update.
     DiscoveryStale,
 }
 
@@ -60,8 +60,8 @@
         self.last_discovery_read_ms.fetch_max((now * 1e3) as u64, Ordering::AcqRel);
     }
 
-    /// Checks at `now` whether a core may start new attempts; `applied_list` is the number of the endpoint list that
-    /// the core has applied.
+    /// Checks at `now` whether a core may start new attempts; `applied_list` is the number of the endpoint
+    /// list that the core has applied.
     ///
     /// # Errors
     /// The reason why the core may not start new attempts.
--- a/crates/cores/src/open_ids.rs
+++ b/crates/cores/src/open_ids.rs
@@ -11,14 +11,14 @@
 const SLOTS_PER_ROW: usize = 8;
 /// Value of a slot without a claim.
 const FREE: u64 = 0;
-/// Bit that is set in a confirmed claim. A claim without this bit is tentative, and a core with a tentative claim of
-/// the same id in an earlier slot may remove it.
+/// Bit that is set in a confirmed claim. A claim without this bit is tentative, and a core with a tentative
+/// claim of the same id in an earlier slot may remove it.
 const CONFIRMED: u64 = 1 << 63;
 /// Bit that is set in every claim, so that no claim equals `FREE`.
 const OCCUPIED: u64 = 1 << 62;
-/// Position of the lowest bit of the claiming core's index in a slot. A core claims an id only once at a time, so no
-/// two claims write the same value into a slot. Without the index a core could confirm a slot from which its claim was
-/// removed and into which another core has meanwhile written a claim.
+/// Position of the lowest bit of the claiming core's index in a slot. A core claims an id only once at a
+/// time, so no two claims write the same value into a slot. Without the index a core could confirm a slot
+/// from which its claim was removed and into which another core has meanwhile written a claim.
 const CORE_SHIFT: u32 = 54;
 const HASH_MASK: u64 = (1 << CORE_SHIFT) - 1;
 
@@ -51,20 +51,21 @@
 }
 
 impl OpenQueryIds {
-    /// Creates a table with one row for each of `capacity` open queries, but at least 64 and at most 2^20 rows. With as
-    /// many open queries as rows, a given row gets more ids than its eight slots with a probability of about one in a
-    /// million.
+    /// Creates a table with one row for each of `capacity` open queries, but at least 64 and at most 2^20
+    /// rows. With as many open queries as rows, a given row gets more ids than its eight slots with a
+    /// probability of about one in a million.
     pub fn new(capacity: usize) -> Arc<Self> {
         let row = || std::array::from_fn(|_| AtomicU64::new(FREE));
         let rows = (0..capacity.clamp(64, 1 << 20)).map(|_| row()).collect();
         Arc::new(OpenQueryIds { rows, key: RandomState::new() })
     }
 
-    /// Claims an id if no core has claimed it. Of several cores that claim the same id at once, exactly one succeeds:
-    /// each core writes a tentative claim and then reads the whole row. A core withdraws its claim if the id is
-    /// confirmed in another slot, or tentative in an earlier slot. A core removes a tentative claim in a later slot, or
-    /// withdraws if that claim has been confirmed meanwhile. No core waits for another: if a core is paused halfway,
-    /// other claims of the same id are at worst rejected until the core continues.
+    /// Claims an id if no core has claimed it. Of several cores that claim the same id at once, exactly one
+    /// succeeds: each core writes a tentative claim and then reads the whole row. A core withdraws its claim
+    /// if the id is confirmed in another slot, or tentative in an earlier slot. A core removes a tentative
+    /// claim in a later slot, or withdraws if that claim has been confirmed meanwhile. No core waits for
+    /// another: if a core is paused halfway, other claims of the same id are at worst rejected until the core
+    /// continues.
     ///
     /// # Errors
     /// `AlreadyOpen` if the id is claimed, `RowFull` if the id's row has no free slot.
--- a/crates/cores/src/rebalancer.rs
+++ b/crates/cores/src/rebalancer.rs
@@ -4,8 +4,8 @@
 //! send the next requests are probably the busy ones. All times are seconds of the clock that all threads
 //! share.
 
-/// Utilization from which on a core hands over connections: the fraction of recent time that the core was busy, from 0
-/// to 1.
+/// Utilization from which on a core hands over connections: the fraction of recent time that the core was
+/// busy, from 0 to 1.
 const MIN_UTILIZATION: f64 = 0.35;
 /// Difference in utilization between two cores from which on connections move, from 0 to 1.
 const MIN_UTILIZATION_GAP: f64 = 0.20;
@@ -47,9 +47,10 @@
         Rebalancer { last_moves: vec![f64::NEG_INFINITY; cores] }
     }
 
-    /// Decides whether connections move from the busiest to the least busy core. The number of connections accounts for
-    /// half the difference in utilization if all connections are equally busy. Returns `None` if the difference is too
-    /// small, or if the busier core has only one active connection, since the whole load would move with it.
+    /// Decides whether connections move from the busiest to the least busy core. The number of connections
+    /// accounts for half the difference in utilization if all connections are equally busy. Returns `None` if
+    /// the difference is too small, or if the busier core has only one active connection, since the whole
+    /// load would move with it.
     pub fn next_move(&mut self, now: f64, loads: &[CoreLoad]) -> Option<ConnectionMove> {
         let is_cool = |i: usize| now - self.last_moves[i] >= COOLDOWN_S;
         let eligible = || (0..loads.len()).filter(|&i| loads[i].is_serving && is_cool(i));
--- a/crates/cores/tests/shared_state.rs
+++ b/crates/cores/tests/shared_state.rs
@@ -1,5 +1,5 @@
-//! Tests of the state that cores share: concurrent claims of ids and permits, paused threads, and cores that fail or
-//! hang.
+//! Tests of the state that cores share: concurrent claims of ids and permits, paused threads, and cores that
+//! fail or hang.
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_cores::fence::{Blocked, Fence};
@@ -223,8 +223,8 @@
 proptest! {
     #![proptest_config(seeded(256))]
 
-    /// In any sequence of steps, all cores together withdraw at most the budget's capacity plus the deposits of these
-    /// steps.
+    /// In any sequence of steps, all cores together withdraw at most the budget's capacity plus the deposits
+    /// of these steps.
     #[test]
     fn a_retry_budget_shared_by_cores_holds_in_every_window(
         steps in prop::collection::vec((0..4u8, any::<bool>()), 1..400),
@@ -280,8 +280,8 @@
         prop_assert!(cores.iter().any(|c| c.try_slow_start_turn("cold", now + 1.1, 0.1)));
     }
 
-    /// For any order of list updates and discovery reads, the fence blocks each core whose list is outdated and all
-    /// cores once the last read of discovery is too old.
+    /// For any order of list updates and discovery reads, the fence blocks each core whose list is outdated
+    /// and all cores once the last read of discovery is too old.
     #[test]
     fn the_fence_passes_only_cores_that_have_every_update(
         steps in prop::collection::vec((0..4u8, 0..3usize, 0.0..0.6f64), 1..200),
--- a/crates/peers/src/quorum.rs
+++ b/crates/peers/src/quorum.rs
@@ -1,10 +1,11 @@
-//! Decides when observations of a data node by other routers are accepted. An observation holds three spans: the
-//! seconds for which the node counts as slow, as very slow and as unresponsive. A quorum is the number of other routers
-//! that must agree on whether the node is healthy, each by an update that is not stale. An accepted span is the longest
-//! one that the updates of a quorum of routers confirm. So faulty or stuck routers, as long as they are fewer than the
-//! quorum, can't make a healthy node count as unhealthy, extend the time for which a node counts as unhealthy, or make
-//! an unresponsive node count as healthy. If this router observes the node itself later, the policy prefers that
-//! observation. All times without another clock are seconds of this router's monotonic clock.
+//! Decides when observations of a data node by other routers are accepted. An observation holds three spans:
+//! the seconds for which the node counts as slow, as very slow and as unresponsive. A quorum is the number of
+//! other routers that must agree on whether the node is healthy, each by an update that is not stale. An
+//! accepted span is the longest one that the updates of a quorum of routers confirm. So faulty or stuck
+//! routers, as long as they are fewer than the quorum, can't make a healthy node count as unhealthy, extend
+//! the time for which a node counts as unhealthy, or make an unresponsive node count as healthy. If this
+//! router observes the node itself later, the policy prefers that observation. All times without another
+//! clock are seconds of this router's monotonic clock.
 use crate::updates::{StoredUpdate, UpdateBody};
 
 /// An observation of a data node's process that a quorum of other routers agrees on. The spans count from
@@ -52,9 +53,10 @@
     is_unhealthy: bool,
 }
 
-/// Returns what a quorum of routers observed of the data node's process that started at `started_at_s`, or `None` if no
-/// quorum agrees. `updates` holds the latest update about this node of each other router. Updates older than
-/// `max_age_s` don't count, and each span ends at most `max_age_s` seconds after the creation of its update.
+/// Returns what a quorum of routers observed of the data node's process that started at `started_at_s`, or
+/// `None` if no quorum agrees. `updates` holds the latest update about this node of each other router.
+/// Updates older than `max_age_s` don't count, and each span ends at most `max_age_s` seconds after the
+/// creation of its update.
 pub fn agreed_observation(
     updates: &[&StoredUpdate],
     started_at_s: Option<f64>,
--- a/crates/peers/src/transit_time.rs
+++ b/crates/peers/src/transit_time.rs
@@ -8,16 +8,18 @@
 /// Computes upper bounds on the transit times of the frames received on one link.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransitEstimator {
-    /// A lower bound on this router's clock minus the peer's clock, in seconds, and when the bound was measured.
+    /// A lower bound on this router's clock minus the peer's clock, in seconds, and when the bound was
+    /// measured.
     min_offset: Option<(f64, f64)>,
     /// The peer's newest timestamp, in seconds of the peer's clock, and when this router received it.
     last_received: Option<(f64, f64)>,
 }
 
 impl TransitEstimator {
-    /// Processes a frame that was received at `now` and sent at `sent_at` of the peer's clock. `echo` is the newest
-    /// timestamp that the peer has received from this router, and the seconds since the peer received it. Returns an
-    /// upper bound on the seconds that the frame was in transit, or `None` before the first round trip.
+    /// Processes a frame that was received at `now` and sent at `sent_at` of the peer's clock. `echo` is the
+    /// newest timestamp that the peer has received from this router, and the seconds since the peer received
+    /// it. Returns an upper bound on the seconds that the frame was in transit, or `None` before the first
+    /// round trip.
     pub fn bound_transit_s(
         &mut self,
         sent_at: f64,
@@ -46,7 +48,8 @@
         self.min_offset.map(|(least, at)| least - max_clock_drift * (now - at))
     }
 
-    /// Returns the echo for the next frame to the peer: the peer's newest timestamp, and the seconds since its receipt.
+    /// Returns the echo for the next frame to the peer: the peer's newest timestamp, and the seconds since
+    /// its receipt.
     pub fn next_echo(&self, now: f64) -> Option<(f64, f64)> {
         self.last_received.map(|(sent_at, at)| (sent_at, now - at))
     }
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -1,15 +1,15 @@
-//! The updates that routers gossip, and their store. An update is one router's report about one subject; that router is
-//! the update's origin. An update names the origin's incarnation and a number that grows with each update of the
-//! origin. The store holds the newest update of each origin about each subject, regardless of the links and the order
-//! in which updates arrive, so routers that have received the same updates store the same. Updates are dropped when
-//! they are older than the maximum age, and the first update of a later incarnation drops the origin's earlier updates.
-//! All times are seconds of this router's monotonic clock.
+//! The updates that routers gossip, and their store. An update is one router's report about one subject; that
+//! router is the update's origin. An update names the origin's incarnation and a number that grows with each
+//! update of the origin. The store holds the newest update of each origin about each subject, regardless of
+//! the links and the order in which updates arrive, so routers that have received the same updates store the
+//! same. Updates are dropped when they are older than the maximum age, and the first update of a later
+//! incarnation drops the origin's earlier updates. All times are seconds of this router's monotonic clock.
 use crate::{Incarnation, Name};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The content of an update. Encoded by `postcard`: the order of variants and fields and the types of the fields are
-/// the wire format.
+/// The content of an update. Encoded by `postcard`: the order of variants and fields and the types of the
+/// fields are the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UpdateBody {
     /// The update's origin is alive.
@@ -65,7 +65,8 @@
     }
 }
 
-/// The subject of an update. A later update of the same origin about the same subject replaces the earlier one.
+/// The subject of an update. A later update of the same origin about the same subject replaces the earlier
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpdateSubject {
     /// The update's origin: whether it is alive or shutting down.
@@ -103,11 +104,11 @@
     pub created_at: f64,
     /// What the origin reports: the kind of the report, its subject and its values.
     pub body: UpdateBody,
-    /// Number that the store assigned to the update, growing in the order in which updates were stored. Each link
-    /// records up to which serial its updates were sent.
+    /// Number that the store assigned to the update, growing in the order in which updates were stored. Each
+    /// link records up to which serial its updates were sent.
     serial: u64,
-    /// The link on which the update was received and over which it is not sent back; `None` for an update that this
-    /// router created.
+    /// The link on which the update was received and over which it is not sent back; `None` for an update
+    /// that this router created.
     received_on: Option<u64>,
 }
 
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Returns up to `max_updates` updates with a serial above `serial` that were not received on `link`, in the order
-    /// of their serials, and the serial to pass in the next call for this link.
+    /// Returns up to `max_updates` updates with a serial above `serial` that were not received on `link`, in
+    /// the order of their serials, and the serial to pass in the next call for this link.
     pub fn updates_after(&self, serial: u64, link: u64, now: f64, max_updates: usize) -> (Vec<Update>, u64) {
         let mut unsent: Vec<(&Name, Incarnation, &StoredUpdate)> = vec![];
         for (name, origin) in &self.origins {
--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -1,8 +1,8 @@
-//! One router's gossip state: its links to other members, the updates that it stores and sends, and which members are
-//! alive. Received frames, periodic ticks and the observations of this router's policy are passed in; frames to send,
-//! changes of members' states, and observations that a quorum of routers agrees on are returned. An observation holds
-//! three spans: the seconds for which a data node counts as slow, as very slow and as unresponsive. All times are
-//! seconds of this router's monotonic clock.
+//! One router's gossip state: its links to other members, the updates that it stores and sends, and which
+//! members are alive. Received frames, periodic ticks and the observations of this router's policy are passed
+//! in; frames to send, changes of members' states, and observations that a quorum of routers agrees on are
+//! returned. An observation holds three spans: the seconds for which a data node counts as slow, as very slow
+//! and as unresponsive. All times are seconds of this router's monotonic clock.
 use crate::quorum::{self, AgreedObservation};
 use crate::transit_time::TransitEstimator;
 use crate::updates::{MergeResult, StoredUpdate, Update, UpdateBody, UpdateStore, UpdateSubject};
@@ -206,9 +206,9 @@
         ring::dial_targets(&all, &self.own_name)
     }
 
-    /// Opens a link to a peer whose hello was received, and returns the link's number. If the peer's incarnation is
-    /// earlier than the latest one known to this router, the peer is sent the later one and raises its own:
-    /// incarnations are taken from wall clocks, and the peer's clock may have been set back.
+    /// Opens a link to a peer whose hello was received, and returns the link's number. If the peer's
+    /// incarnation is earlier than the latest one known to this router, the peer is sent the later one and
+    /// raises its own: incarnations are taken from wall clocks, and the peer's clock may have been set back.
     ///
     /// # Errors
     /// The peer is not a member, or uses this router's own name.
@@ -238,10 +238,10 @@
         self.links.len()
     }
 
-    /// Returns the next frame for a link, or `None` if the link is closed. Call this once in each frame interval, after
-    /// the previous frame was written in full: unsent updates stay in the store, where newer updates replace older
-    /// ones. Before the first round trip on the link a frame contains no updates, as the peer can't determine their
-    /// age.
+    /// Returns the next frame for a link, or `None` if the link is closed. Call this once in each frame
+    /// interval, after the previous frame was written in full: unsent updates stay in the store, where newer
+    /// updates replace older ones. Before the first round trip on the link a frame contains no updates, as
+    /// the peer can't determine their age.
     pub fn next_frame(&mut self, link: u64, now: f64) -> Option<Frame> {
         let open = self.links.get_mut(&link)?;
         let echo = open.transit.next_echo(now);
@@ -406,8 +406,8 @@
         self.create_update(UpdateBody::Leaving, now);
     }
 
-    /// Creates the updates that are due, drops stale updates, and returns the members whose state has changed to
-    /// `Missed` or `Dead`. Call this several times in each frame interval.
+    /// Creates the updates that are due, drops stale updates, and returns the members whose state has changed
+    /// to `Missed` or `Dead`. Call this several times in each frame interval.
     pub fn tick(&mut self, now: f64) -> Vec<(Name, MemberState)> {
         let alive_interval_s = self.config.alive_interval_s;
         if now >= self.next_alive_at && !self.is_leaving {
--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -1,6 +1,6 @@
-//! Simulation of the gossip of many routers without sockets: links that delay frames, or hold them back while they are
-//! cut; clocks with different offsets and rates; and routers that are paused, restart or send false observations. Time
-//! is simulated in seconds, and random choices are seeded.
+//! Simulation of the gossip of many routers without sockets: links that delay frames, or hold them back while
+//! they are cut; clocks with different offsets and rates; and routers that are paused, restart or send false
+//! observations. Time is simulated in seconds, and random choices are seeded.
 use alderway_peers::quorum::AgreedObservation;
 use alderway_peers::updates::{Update, UpdateBody, UpdateStore};
 use alderway_peers::view::{MemberState, View};
@@ -28,7 +28,8 @@
     now: f64,
     config: GossipConfig,
     routers: Vec<Router>,
-    /// The number of each link at its dialling and at its accepting router, by the indices of these two routers.
+    /// The number of each link at its dialling and at its accepting router, by the indices of these two
+    /// routers.
     links: BTreeMap<(usize, usize), (u64, u64)>,
     in_flight: BTreeMap<(usize, usize), Direction>,
     /// Directions, from one router to another, in which no frame is delivered. Frames that wait in a
@@ -528,8 +529,8 @@
         }
     }
 
-    /// Arbitrary bytes, split at any position, yield an error or frames and never a panic, and the view processes every
-    /// such frame without a panic.
+    /// Arbitrary bytes, split at any position, yield an error or frames and never a panic, and the view
+    /// processes every such frame without a panic.
     #[test]
     fn arbitrary_bytes_and_frames_never_panic(
         mut bytes in prop::collection::vec(any::<u8>(), 0..400),
--- a/crates/peers/tests/wire_format.rs
+++ b/crates/peers/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Compares the wire format of gossip with recorded bytes. Each line of `data/frames.hex` holds the name of a frame and
-//! its bytes in hex.
+//! Compares the wire format of gossip with recorded bytes. Each line of `data/frames.hex` holds the name of a
+//! frame and its bytes in hex.
 use alderway_peers::Frame;
 use alderway_peers::updates::{Update, UpdateBody};
 use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
@@ -70,8 +70,8 @@
     ]
 }
 
-/// Fails to compile when a kind of update is added, as a reminder to add a frame of that kind to `expected_frames` and
-/// `data/frames.hex`.
+/// Fails to compile when a kind of update is added, as a reminder to add a frame of that kind to
+/// `expected_frames` and `data/frames.hex`.
 fn assert_variants_known(frame: &Frame) {
     for update in &frame.updates {
         match update.body {
--- a/crates/router/src/gossip/mod.rs
+++ b/crates/router/src/gossip/mod.rs
@@ -29,7 +29,8 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-/// A link on which no bytes are received for this many alive intervals (`GossipConfig::alive_interval_s`) is closed.
+/// A link on which no bytes are received for this many alive intervals (`GossipConfig::alive_interval_s`) is
+/// closed.
 const LINK_TIMEOUT_INTERVALS: f64 = 6.0;
 /// Maximum number of bytes read from a socket at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
@@ -46,7 +47,8 @@
     pub config: GossipConfig,
     /// Whether this router sends its observations of data nodes to the other members.
     pub shares_observations: bool,
-    /// Reads the list of members again; called at SIGHUP. `None` if the list can't change while the router runs.
+    /// Reads the list of members again; called at SIGHUP. `None` if the list can't change while the router
+    /// runs.
     pub reload_members: Option<Arc<dyn Fn() -> Result<MemberAddresses, String> + Send + Sync>>,
 }
 
@@ -73,8 +75,9 @@
 type GossipHandle = Rc<RefCell<GossipService>>;
 
 impl GossipService {
-    /// Sends an observation of a data node by this router's policy. Operators disable `shares_observations` where
-    /// routers reach data nodes over different network paths, since slowness then depends on the path too.
+    /// Sends an observation of a data node by this router's policy. Operators disable `shares_observations`
+    /// where routers reach data nodes over different network paths, since slowness then depends on the path
+    /// too.
     fn share_observation(&mut self, node: &str, observation: NodeObservation) {
         if self.shares_observations {
             let NodeObservation { slow_for_s, very_slow_for_s, unresponsive_for_s, .. } = observation;
@@ -128,8 +131,8 @@
     }
 }
 
-/// Starts to listen and to dial members, and attaches the gossip service to the dispatcher, which shares observations
-/// from then on.
+/// Starts to listen and to dial members, and attaches the gossip service to the dispatcher, which shares
+/// observations from then on.
 ///
 /// # Errors
 /// The group does not contain `name`, or a socket or a signal handler can't be created.
@@ -181,8 +184,8 @@
 }
 
 impl Dialer {
-    /// Starts a task for each member that this router is to dial and has no task for, and aborts the tasks of other
-    /// members.
+    /// Starts a task for each member that this router is to dial and has no task for, and aborts the tasks of
+    /// other members.
     fn dial(&mut self, members: &MemberAddresses) {
         let targets = self.context.gossip.borrow().view.dial_targets();
         let targets: BTreeSet<(Name, SocketAddr)> = targets
@@ -247,8 +250,8 @@
         }
     }
 
-    /// Processes a received frame, logs members whose state has changed, and passes observations that a quorum of other
-    /// routers agrees on to the dispatcher.
+    /// Processes a received frame, logs members whose state has changed, and passes observations that a
+    /// quorum of other routers agrees on to the dispatcher.
     fn frame_received(&self, link: u64, frame: Frame) {
         let now = self.now();
         LinkContext::log_changes(self.gossip.borrow_mut().view.frame_received(link, frame, now));
--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -22,8 +22,8 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Seconds for which a planner may lack the latest version of the endpoint list before it gets no new queries: half the
-/// grace period of a draining data node.
+/// Seconds for which a planner may lack the latest version of the endpoint list before it gets no new
+/// queries: half the grace period of a draining data node.
 const MAX_ENDPOINTS_LAG_S: f64 = 1.0;
 
 struct Attempt {
@@ -68,8 +68,8 @@
     queries: BTreeMap<String, Query>,
     /// The query id, and the index within the query, of each shard request, by shard request id.
     requests: BTreeMap<String, (String, usize)>,
-    /// The attempts of planners whose end was not reported yet, by shard request id and attempt number. An attempt can
-    /// outlive its query.
+    /// The attempts of planners whose end was not reported yet, by shard request id and attempt number. An
+    /// attempt can outlive its query.
     planner_attempts: BTreeMap<(String, usize), PlannerAttempt>,
     /// Assignments to planners of queries that arrived in this round. They are sent when the round ends,
     /// because the dispatcher passes the shard requests of a query after the query itself.
@@ -83,7 +83,8 @@
     endpoints_version: (u64, f64),
     /// The version of the endpoint list that a planner must have received to be assigned new queries.
     required_endpoints_version: u64,
-    /// When the process of each listed data node started, in seconds of this forwarder's clock; `None` if unknown.
+    /// When the process of each listed data node started, in seconds of this forwarder's clock; `None` if
+    /// unknown.
     node_starts: BTreeMap<String, Option<f64>>,
     /// Counters of planners, queries, decisions and observations, for the metrics.
     pub counters: Counters,
@@ -91,7 +92,8 @@
 }
 
 impl Forwarder {
-    /// Creates a forwarder without planners. `round_requested` is notified when the local policy has input to process.
+    /// Creates a forwarder without planners. `round_requested` is notified when the local policy has input to
+    /// process.
     pub fn new(
         name: &str,
         incarnation: Incarnation,
@@ -150,9 +152,9 @@
 
     // Connections to planners and their heartbeats.
 
-    /// Processes the hello of a planner on a new connection, and returns the notification of the connection's outbox.
-    /// Returns `None` if the connection must be closed because a later incarnation of the planner is or was just
-    /// connected.
+    /// Processes the hello of a planner on a new connection, and returns the notification of the connection's
+    /// outbox. Returns `None` if the connection must be closed because a later incarnation of the planner is
+    /// or was just connected.
     pub fn planner_connected(&mut self, hello: &Hello) -> Option<Rc<Notify>> {
         let changes = self.planners.connected(&hello.name, hello.incarnation, self.clock.now())?;
         self.apply_changes(changes);
@@ -270,8 +272,8 @@
 
     // Messages that planners send.
 
-    /// Processes a planner's message. Decisions are passed to the dispatcher if the planner is the decider of the query
-    /// and names its latest term.
+    /// Processes a planner's message. Decisions are passed to the dispatcher if the planner is the decider of
+    /// the query and names its latest term.
     pub fn message_received(&mut self, hello: &Hello, message: Message, dispatcher: &mut dyn DecisionSink) {
         let from = Decider::Planner(hello.name.clone());
         match message {
@@ -355,8 +357,8 @@
         }
     }
 
-    /// Forwards an observation by the planner `from` to all other planners, with `relay` unset so that no other
-    /// forwarder forwards it again.
+    /// Forwards an observation by the planner `from` to all other planners, with `relay` unset so that no
+    /// other forwarder forwards it again.
     fn relay_observation(&mut self, from: &str, node: &str, started_ago_s: Option<f64>, spans_s: [f64; 3]) {
         let [slow_for_s, very_slow_for_s, unresponsive_for_s] = spans_s;
         let others: Vec<Name> = self.outboxes.keys().filter(|name| *name != from).cloned().collect();
@@ -426,8 +428,8 @@
         else {
             return false;
         };
-        // The dispatcher does not start attempts of a query that has ended, so no end of these attempts will be
-        // reported.
+        // The dispatcher does not start attempts of a query that has ended, so no end of these attempts will
+        // be reported.
         attempts.iter().for_each(|attempt| drop(self.planner_attempts.remove(attempt)));
         self.send(&planner, &Message::QueryClosed { query: query.into() });
         true
--- a/crates/router/src/tier/forwarder/input_splitter.rs
+++ b/crates/router/src/tier/forwarder/input_splitter.rs
@@ -1,12 +1,13 @@
-//! Splits the dispatcher's input for the policy between the deciders of the queries: input for a query of a planner is
-//! sent to that planner, and all other input goes to the local policy, which runs in the forwarder itself. A round
-//! processes all input since the previous round.
+//! Splits the dispatcher's input for the policy between the deciders of the queries: input for a query of a
+//! planner is sent to that planner, and all other input goes to the local policy, which runs in the forwarder
+//! itself. A round processes all input since the previous round.
 use super::{Forwarder, Query, ShardRequest};
 use alderway::interface::{AttemptOutcome, NodeObservation, NodeState, PolicyInput, StateTransfer};
 use alderway_tier::messages::Message;
 use alderway_tier::query_assignments::Decider;
 
-/// Receives the policy input of one round in place of the local policy, and passes each part to the query's decider.
+/// Receives the policy input of one round in place of the local policy, and passes each part to the query's
+/// decider.
 pub struct InputSplitter<'a> {
     forwarder: &'a mut Forwarder,
     policy: &'a mut dyn PolicyInput,
--- a/crates/router/src/tier/mod.rs
+++ b/crates/router/src/tier/mod.rs
@@ -1,9 +1,10 @@
-//! Forwarders and planners on sockets. A forwarder is a router that holds clients, queries, attempts and connections to
-//! data nodes, and gets the decisions on its queries from planners, or from its local policy while no planner is
-//! available. `forwarder` is the part of a forwarder that passes input to planners and the local policy and carries out
-//! their decisions; `planner_links` holds a forwarder's connections to planners. A planner runs one policy for many
-//! forwarders: `planner` is a planner's state, `planner_server` accepts forwarders. The crate `alderway_tier` assigns
-//! each query to a planner or the local policy; the policy chooses the data nodes.
+//! Forwarders and planners on sockets. A forwarder is a router that holds clients, queries, attempts and
+//! connections to data nodes, and gets the decisions on its queries from planners, or from its local policy
+//! while no planner is available. `forwarder` is the part of a forwarder that passes input to planners and
+//! the local policy and carries out their decisions; `planner_links` holds a forwarder's connections to
+//! planners. A planner runs one policy for many forwarders: `planner` is a planner's state, `planner_server`
+//! accepts forwarders. The crate `alderway_tier` assigns each query to a planner or the local policy; the
+//! policy chooses the data nodes.
 pub mod forwarder;
 pub mod planner;
 pub mod planner_links;
@@ -49,14 +50,15 @@
     }
 }
 
-/// Maximum difference in seconds between the start times of one data node process as computed by two machines.
+/// Maximum difference in seconds between the start times of one data node process as computed by two
+/// machines.
 const START_TOLERANCE_S: f64 = 1.0;
 
-/// Converts a received observation of a data node. `started_at_s` is when the node's process started according to this
-/// process's endpoint list, in seconds of this process's clock; `started_ago_s` are the seconds from the start of the
-/// observed process to the sending of the message. `spans_s` are the seconds from receipt, `now_s`, for which the node
-/// counts as slow, as very slow and as unresponsive. Returns `None` if the observation is of an earlier or later
-/// process of the node.
+/// Converts a received observation of a data node. `started_at_s` is when the node's process started
+/// according to this process's endpoint list, in seconds of this process's clock; `started_ago_s` are the
+/// seconds from the start of the observed process to the sending of the message. `spans_s` are the seconds
+/// from receipt, `now_s`, for which the node counts as slow, as very slow and as unresponsive. Returns `None`
+/// if the observation is of an earlier or later process of the node.
 fn received_observation(
     started_at_s: Option<f64>,
     started_ago_s: Option<f64>,
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -1,9 +1,9 @@
-//! A planner's state: the input and output of one policy that decides on the queries of many forwarders. A planner
-//! follows discovery itself, receives queries with the attempts made for them so far, and sends each forwarder the
-//! decisions on its queries. A session is one connection of a forwarder; when it ends, its queries and attempts end for
-//! the policy, so that no attempt counts at a data node forever. A term is the forwarder's number of a query's
-//! assignment, which decisions repeat. A round is one run of the policy on all input since the previous round. Uses no
-//! sockets. All times are seconds of this planner's clock.
+//! A planner's state: the input and output of one policy that decides on the queries of many forwarders. A
+//! planner follows discovery itself, receives queries with the attempts made for them so far, and sends each
+//! forwarder the decisions on its queries. A session is one connection of a forwarder; when it ends, its
+//! queries and attempts end for the policy, so that no attempt counts at a data node forever. A term is the
+//! forwarder's number of a query's assignment, which decisions repeat. A round is one run of the policy on
+//! all input since the previous round. Uses no sockets. All times are seconds of this planner's clock.
 mod rounds;
 
 pub use rounds::{PolicyPanicked, run_round};
@@ -62,8 +62,8 @@
         class: usize,
         tenant: String,
         deadline: f64,
-        /// For each shard request: the forwarder's id, the shard, the weight (the request's fraction of the query's
-        /// result), and the attempts so far.
+        /// For each shard request: the forwarder's id, the shard, the weight (the request's fraction of the
+        /// query's result), and the attempts so far.
         requests: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     },
     AttemptEnded {
@@ -79,7 +79,8 @@
     NodeObserved(String, NodeObservation),
 }
 
-/// The state of a planner except its policy: sessions, queries, timers, and the input for the policy's next round.
+/// The state of a planner except its policy: sessions, queries, timers, and the input for the policy's next
+/// round.
 pub struct Planner {
     /// This planner's clock, which all times in this state are read from.
     pub clock: Clock,
@@ -93,7 +94,8 @@
     queries: BTreeMap<u64, Query>,
     /// The number of each query, by the policy's id of the query.
     query_numbers: BTreeMap<String, u64>,
-    /// For each shard request, by the policy's id: the number of its query, and the number of its attempts so far.
+    /// For each shard request, by the policy's id: the number of its query, and the number of its attempts so
+    /// far.
     requests: BTreeMap<String, (u64, u32)>,
     /// Number of open queries and shard requests, counted together.
     open_count: usize,
@@ -113,14 +115,14 @@
     poll_requested: Arc<Notify>,
 }
 
-/// Returns the policy's id of a query or a shard request: the session and the forwarder's id, since ids of different
-/// forwarders may be equal.
+/// Returns the policy's id of a query or a shard request: the session and the forwarder's id, since ids of
+/// different forwarders may be equal.
 fn policy_id(session: SessionId, id: &str) -> String {
     format!("{session}/{id}")
 }
 
-/// Splits the policy's id of a query or shard request into the session and the forwarder's id. Returns `None` if the id
-/// is malformed.
+/// Splits the policy's id of a query or shard request into the session and the forwarder's id. Returns `None`
+/// if the id is malformed.
 fn split_policy_id(id: &str) -> Option<(SessionId, &str)> {
     let (session, id) = id.split_once('/')?;
     Some((session.parse().ok()?, id))
@@ -133,8 +135,8 @@
 }
 
 impl Planner {
-    /// Creates a planner without sessions. `capacity` is the maximum number of open queries and shard requests, counted
-    /// together; it is exceeded only by queries that already have attempts.
+    /// Creates a planner without sessions. `capacity` is the maximum number of open queries and shard
+    /// requests, counted together; it is exceeded only by queries that already have attempts.
     pub fn new(
         clock: Clock,
         query_classes: usize,
@@ -203,8 +205,8 @@
         }
     }
 
-    /// Returns the outbox of a session. Returns `None` if the session is closed, or is to be closed because the
-    /// forwarder does not read or acknowledge heartbeats.
+    /// Returns the outbox of a session. Returns `None` if the session is closed, or is to be closed because
+    /// the forwarder does not read or acknowledge heartbeats.
     pub fn outbox(&mut self, session: SessionId) -> Option<&mut Outbox> {
         let session = self.sessions.get_mut(&session)?;
         Some(&mut session.outbox).filter(|outbox| !outbox.is_overfull)
@@ -381,8 +383,8 @@
         self.inputs.push(Input::Query { number, class, tenant, deadline, requests });
     }
 
-    /// Sends a heartbeat to every forwarder, and marks the sessions to be closed that have not acknowledged a heartbeat
-    /// for more than `timeout_s` seconds.
+    /// Sends a heartbeat to every forwarder, and marks the sessions to be closed that have not acknowledged a
+    /// heartbeat for more than `timeout_s` seconds.
     pub fn send_heartbeats_and_check_timeouts(&mut self, timeout_s: f64) {
         let endpoints_version = self.endpoints.version.unwrap_or(0);
         let (accepts_queries, now) = (self.accepts_queries(), self.clock.now());
@@ -450,8 +452,8 @@
         Some((query.session, query.term))
     }
 
-    /// Removes a query, and sends its forwarder the decision that `message` creates from the query's term and the
-    /// forwarder's id of the query.
+    /// Removes a query, and sends its forwarder the decision that `message` creates from the query's term and
+    /// the forwarder's id of the query.
     fn finish_query(&mut self, query: &str, message: impl FnOnce(u64, String) -> Message) {
         let Some(number) = self.query_numbers.get(query).copied() else { return };
         if let Some(query) = self.remove_query(number) {
--- a/crates/router/src/tier/planner/rounds.rs
+++ b/crates/router/src/tier/planner/rounds.rs
@@ -56,8 +56,8 @@
     fn cancel_attempt(&mut self, request: &str, attempt: usize) {
         let mut planner = self.0.borrow_mut();
         let number = planner.requests.get(request).map(|request| request.0);
-        // The query's assignment ends with its answer, so a later cancel has no term; the forwarder does not check the
-        // term of a cancel.
+        // The query's assignment ends with its answer, so a later cancel has no term; the forwarder does not
+        // check the term of a cancel.
         let term = number.and_then(|number| planner.session_and_term(number)).map_or(0, |(_, term)| term);
         let Some((session, id)) = split_policy_id(request) else { return };
         let cancel = Message::CancelAttempt { term, request: id.into(), attempt: attempt as u32 };
--- a/crates/router/src/tier/planner_links.rs
+++ b/crates/router/src/tier/planner_links.rs
@@ -1,5 +1,6 @@
-//! The tasks for a forwarder's connections to its planners. A connection that ends is dialled again after growing
-//! randomized waits, so that forwarders don't all reconnect at the same moment to a planner that has just started.
+//! The tasks for a forwarder's connections to its planners. A connection that ends is dialled again after
+//! growing randomized waits, so that forwarders don't all reconnect at the same moment to a planner that has
+//! just started.
 use super::Outbox;
 use super::forwarder::Forwarder;
 use crate::io::policy_loop::{self, DispatcherDecisionSink};
@@ -21,7 +22,8 @@
 /// The forwarder's state, shared by the tasks of its connections.
 pub type ForwarderHandle = Rc<RefCell<Forwarder>>;
 
-/// Interval at which the forwarder sends the heartbeats that are due and checks for planners that have timed out.
+/// Interval at which the forwarder sends the heartbeats that are due and checks for planners that have timed
+/// out.
 const TICK: Duration = Duration::from_millis(10);
 /// Maximum number of bytes read from a socket at once.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
--- a/crates/router/src/tier/planner_server.rs
+++ b/crates/router/src/tier/planner_server.rs
@@ -1,5 +1,6 @@
-//! A planner's tasks: the listener for forwarders, one task for each connection, the watch of discovery, and the rounds
-//! of the policy. In a round the policy processes all input since the previous round and makes its decisions.
+//! A planner's tasks: the listener for forwarders, one task for each connection, the watch of discovery, and
+//! the rounds of the policy. In a round the policy processes all input since the previous round and makes its
+//! decisions.
 use super::planner::{self, Planner};
 use crate::io::{discovery, sleep_until};
 use crate::lifecycle::graceful_shutdown;
@@ -46,8 +47,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// Runs a planner until SIGTERM. After SIGTERM the planner accepts no new queries, and this function returns when the
-/// open queries have ended or a time limit has passed.
+/// Runs a planner until SIGTERM. After SIGTERM the planner accepts no new queries, and this function returns
+/// when the open queries have ended or a time limit has passed.
 ///
 /// # Errors
 /// A socket or a signal handler can't be created, or the task that runs the policy has ended.
--- a/crates/router/tests/forwarder.rs
+++ b/crates/router/tests/forwarder.rs
@@ -72,8 +72,8 @@
         messages
     }
 
-    /// Runs one round with the policy input that `notify` passes, and returns the messages sent to the planner. The
-    /// local policy must get no input.
+    /// Runs one round with the policy input that `notify` passes, and returns the messages sent to the
+    /// planner. The local policy must get no input.
     fn round(&mut self, notify: impl FnOnce(&mut dyn PolicyInput)) -> Vec<Message> {
         let mut policy = RecordingPolicy::new(Recorded::Endpoints);
         let mut splitter = InputSplitter::begin_round(&mut self.forwarder, &mut policy);
@@ -83,8 +83,8 @@
         self.sent()
     }
 
-    /// Assigns a query with one shard request to the planner, and returns the term, which is the number of the
-    /// assignment.
+    /// Assigns a query with one shard request to the planner, and returns the term, which is the number of
+    /// the assignment.
     fn assign(&mut self, number: u64, id: &str) -> u64 {
         let sent = self.round(|input| {
             input.query_arrived(number, id, 0, "", 5.0);
--- a/crates/router/tests/planner.rs
+++ b/crates/router/tests/planner.rs
@@ -67,8 +67,8 @@
         Forwarder { planner, session, reader: FrameReader::default() }
     }
 
-    /// Sends a message to the planner, runs one round of the policy, and returns the messages that the planner sends to
-    /// the forwarder.
+    /// Sends a message to the planner, runs one round of the policy, and returns the messages that the
+    /// planner sends to the forwarder.
     fn send(&mut self, message: Message, policy: &mut Policy) -> Vec<Message> {
         assert!(self.planner.borrow_mut().accept_message(self.session, message));
         planner::run_round(self.planner, policy).expect("the policy does not panic");
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -1,7 +1,7 @@
-//! The messages between forwarders and planners, sent in the frames of `alderway_transport`. They are encoded by
-//! `postcard`: the order of variants and fields and the types of the fields are the wire format. A term is the number
-//! of one assignment of a query to a planner; a forwarder numbers its assignments in increasing order and ignores
-//! decisions with an earlier term than the query's latest one.
+//! The messages between forwarders and planners, sent in the frames of `alderway_transport`. They are encoded
+//! by `postcard`: the order of variants and fields and the types of the fields are the wire format. A term is
+//! the number of one assignment of a query to a planner; a forwarder numbers its assignments in increasing
+//! order and ignores decisions with an earlier term than the query's latest one.
 use alderway::interface::AttemptOutcome;
 use alderway_transport::WireMessage;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,8 @@
     const VERSION: u16 = 1;
 }
 
-/// An attempt that a forwarder has started for a shard request, sent to the planner that takes over the query.
+/// An attempt that a forwarder has started for a shard request, sent to the planner that takes over the
+/// query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PriorAttempt {
     /// Name of the data node that the attempt was sent to.
@@ -77,8 +78,8 @@
     }
 }
 
-/// A message after the hello on a connection between a forwarder and a planner. The clocks of different machines
-/// differ, so messages contain durations in seconds and never points in time.
+/// A message after the hello on a connection between a forwarder and a planner. The clocks of different
+/// machines differ, so messages contain durations in seconds and never points in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Forwarder to planner: assigns a query to the planner.
@@ -93,12 +94,12 @@
         tenant: String,
         /// Seconds until the query's deadline.
         time_left_s: f64,
-        /// The query's shard requests: id, shard, weight (the request's fraction of the query's result) and the
-        /// attempts so far.
+        /// The query's shard requests: id, shard, weight (the request's fraction of the query's result) and
+        /// the attempts so far.
         requests: Vec<(String, u32, f64, Vec<PriorAttempt>)>,
     },
-    /// Forwarder to planner: an attempt has ended that the planner had started or that `AssignQuery` had listed as in
-    /// flight.
+    /// Forwarder to planner: an attempt has ended that the planner had started or that `AssignQuery` had
+    /// listed as in flight.
     AttemptEnded {
         /// Id of the shard request.
         request: String,
--- a/crates/tier/src/planner_membership.rs
+++ b/crates/tier/src/planner_membership.rs
@@ -1,7 +1,8 @@
-//! Which planners are members for one forwarder: those that are connected and acknowledge its heartbeats. A planner
-//! that hangs, or is unreachable in one direction, stops acknowledging heartbeats while its connection stays open, and
-//! is removed. A planner that restarts has a later incarnation, and messages of its earlier incarnation are ignored
-//! from then on. All times are seconds of the forwarder's monotonic clock.
+//! Which planners are members for one forwarder: those that are connected and acknowledge its heartbeats. A
+//! planner that hangs, or is unreachable in one direction, stops acknowledging heartbeats while its
+//! connection stays open, and is removed. A planner that restarts has a later incarnation, and messages of
+//! its earlier incarnation are ignored from then on. All times are seconds of the forwarder's monotonic
+//! clock.
 use crate::{Incarnation, Name};
 use std::collections::BTreeMap;
 
@@ -14,9 +15,9 @@
     pub timeout_s: f64,
 }
 
-/// Seconds after the end of a planner's connection during which a hello with an earlier incarnation of that planner is
-/// rejected. A hello that the network delayed arrives within this time; a later hello is from a planner whose wall
-/// clock was set back before its restart.
+/// Seconds after the end of a planner's connection during which a hello with an earlier incarnation of that
+/// planner is rejected. A hello that the network delayed arrives within this time; a later hello is from a
+/// planner whose wall clock was set back before its restart.
 const EARLIER_INCARNATION_REJECTED_FOR_S: f64 = 3.0;
 
 #[derive(Clone, Debug)]
@@ -107,8 +108,8 @@
         vec![PlannerChange::Lost(name.into())]
     }
 
-    /// Processes a planner's heartbeat, which contains the planner's version of the endpoint list and whether the
-    /// planner accepts new queries. Returns the changes.
+    /// Processes a planner's heartbeat, which contains the planner's version of the endpoint list and whether
+    /// the planner accepts new queries. Returns the changes.
     pub fn heartbeat_received(
         &mut self,
         name: &str,
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Returns the heartbeats that are due, each as the planner's name and the heartbeat's number, and the planners
-    /// that have timed out and were removed.
+    /// Returns the heartbeats that are due, each as the planner's name and the heartbeat's number, and the
+    /// planners that have timed out and were removed.
     pub fn tick(&mut self, now: f64) -> (Vec<(Name, u64)>, Vec<PlannerChange>) {
         let HeartbeatConfig { interval_s, timeout_s } = self.config;
         for name in self.planners.keys() {
--- a/crates/tier/src/query_assignments.rs
+++ b/crates/tier/src/query_assignments.rs
@@ -1,9 +1,9 @@
-//! Which decider each query of a forwarder is assigned to. A decider decides on a query's attempts and on its answer:
-//! it is a planner, or the local policy, which runs in the forwarder itself, while no planner is available. Each
-//! assignment has a term, a number that grows with each assignment of the forwarder. The forwarder carries out a
-//! decision only if it names the query's latest term and comes from the decider of that term. So a query has one
-//! decider at every instant, even if a planner that was considered lost resumes. This module uses no time:
-//! `planner_membership` determines which planners are available.
+//! Which decider each query of a forwarder is assigned to. A decider decides on a query's attempts and on its
+//! answer: it is a planner, or the local policy, which runs in the forwarder itself, while no planner is
+//! available. Each assignment has a term, a number that grows with each assignment of the forwarder. The
+//! forwarder carries out a decision only if it names the query's latest term and comes from the decider of
+//! that term. So a query has one decider at every instant, even if a planner that was considered lost
+//! resumes. This module uses no time: `planner_membership` determines which planners are available.
 use crate::Name;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Returns the decider for this forwarder's next queries. All of them go to one of the `available` planners, so
-    /// that the planner observes most effects of its decisions. Forwarders choose by rendezvous hashing of their name
-    /// with each planner's, so the forwarders of a lost planner spread over the other planners and no other forwarder
-    /// changes its planner.
+    /// Returns the decider for this forwarder's next queries. All of them go to one of the `available`
+    /// planners, so that the planner observes most effects of its decisions. Forwarders choose by rendezvous
+    /// hashing of their name with each planner's, so the forwarders of a lost planner spread over the other
+    /// planners and no other forwarder changes its planner.
     pub fn preferred_decider<'n>(&self, available: impl Iterator<Item = &'n Name>) -> Decider {
         let weight = |planner: &&Name| {
             let mut hash = DefaultHasher::new();
@@ -110,7 +110,8 @@
         Some(query)
     }
 
-    /// Removes a query that was answered or whose client disconnected, and returns the query's last assignment.
+    /// Removes a query that was answered or whose client disconnected, and returns the query's last
+    /// assignment.
     pub fn close(&mut self, query: &str) -> Option<Assignment> {
         let (decider, term) = self.by_query.remove(query)?;
         self.by_term.remove(&term);
--- a/crates/tier/tests/forwarders_and_planners.rs
+++ b/crates/tier/tests/forwarders_and_planners.rs
@@ -32,7 +32,8 @@
     assert!(
         reassigned.len() == 1 && reassigned[0].decider != first.decider && reassigned[0].term > first.term
     );
-    // The lost planner was only paused and resumes, and the new planner sends a decision with the earlier term.
+    // The lost planner was only paused and resumes, and the new planner sends a decision with the earlier
+    // term.
     assert_eq!(assignments.query_of(&first.decider, first.term), None);
     assert_eq!(assignments.query_of(&reassigned[0].decider, first.term), None);
     assert_eq!(assignments.query_of(&first.decider, reassigned[0].term), None);
@@ -51,7 +52,8 @@
         [Assignment { query: "q".into(), decider: Decider::Local, term: 2 }]
     );
     assert_eq!(assignments.assign("r", [].iter()).expect("a new query").decider, Decider::Local);
-    // A planner that is available again gets new queries; the local policy keeps the queries that it took over.
+    // A planner that is available again gets new queries; the local policy keeps the queries that it took
+    // over.
     assert_eq!(assignments.assign("s", all.iter()).expect("a new query").decider, planner("p-1"));
     assert_eq!((assignments.open_count(), assignments.local_count()), (3, 2));
 }
--- a/crates/tier/tests/query_assignment_model.rs
+++ b/crates/tier/tests/query_assignment_model.rs
@@ -49,7 +49,8 @@
     to_planner: [Vec<Packet>; 2],
     /// Messages in flight from each planner, in order.
     from_planner: [Vec<Packet>; 2],
-    /// Number of failures that may still occur: crashes, and planners that count as lost while they are alive.
+    /// Number of failures that may still occur: crashes, and planners that count as lost while they are
+    /// alive.
     failures_left: u8,
 }
 
@@ -82,7 +83,8 @@
         (0..2).filter(|p| state.available[*p]).map(|p| PLANNERS[p].to_string()).collect()
     }
 
-    /// Sends an assignment to its planner. If the query is assigned to the local policy, that policy decides at once.
+    /// Sends an assignment to its planner. If the query is assigned to the local policy, that policy decides
+    /// at once.
     fn send_assignment(&self, state: &mut State, assignment: &Assignment) {
         let query = QUERIES.iter().position(|q| *q == assignment.query).expect("one of two");
         let attempted = state.started[query] > 0 && !self.omits_attempts;
@@ -173,8 +175,8 @@
             Step::PlannerReceives(planner) => match next.to_planner[planner].remove(0) {
                 Packet::Assign { query, term, attempted } => {
                     next.received[planner].push(ReceivedQuery { query, term, attempted: true, ended: false });
-                    // The planner does not repeat a side effect that may have happened; the attempt in flight may still
-                    // be answered.
+                    // The planner does not repeat a side effect that may have happened; the attempt in flight
+                    // may still be answered.
                     next.from_planner[planner].push(if attempted {
                         Packet::Fail { query, term }
                     } else {
--- a/crates/tier/tests/wire_format.rs
+++ b/crates/tier/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! Compares the wire format between forwarders and planners with recorded bytes. Each line of `data/frames.hex` holds
-//! the name of a frame and its bytes in hex.
+//! Compares the wire format between forwarders and planners with recorded bytes. Each line of
+//! `data/frames.hex` holds the name of a frame and its bytes in hex.
 use alderway_tier::messages::{Message, PriorAttempt, WireOutcome};
 use alderway_transport::{FrameReader, Hello, Received, WireMessage, encode_hello, encode_message};
 use rstest::rstest;
@@ -116,8 +116,8 @@
     ]
 }
 
-/// Fails to compile when a variant of a message or an outcome is added, as a reminder to add a frame of that variant to
-/// `messages` and `data/frames.hex`.
+/// Fails to compile when a variant of a message or an outcome is added, as a reminder to add a frame of that
+/// variant to `messages` and `data/frames.hex`.
 fn assert_variants_known(message: &Message) {
     match message {
         Message::AttemptEnded { outcome, .. } => match outcome {
