--- a/crates/router/src/tier/forwarder.rs
+++ b/crates/router/src/tier/forwarder.rs
@@ -68,8 +68,8 @@
     queries: BTreeMap<String, Query>,
     /// The query id, and the index within the query, of each shard request, by shard request id.
     requests: BTreeMap<String, (String, usize)>,
-    /// The attempts of planners whose end was not reported yet, by shard request id and attempt number. An
-    /// attempt can outlive its query.
+    /// The attempts of planners for which the dispatcher has not reported the end yet, by shard request id
+    /// and attempt number. An attempt can outlive its query.
     planner_attempts: BTreeMap<(String, usize), PlannerAttempt>,
     /// Assignments to planners of queries that arrived in this round. They are sent when the round ends,
     /// because the dispatcher passes the shard requests of a query after the query itself.
@@ -154,7 +154,7 @@
 
     /// Processes the hello of a planner on a new connection, and returns the notification of the connection's
     /// outbox. Returns `None` if the connection must be closed because a later incarnation of the planner is
-    /// or was just connected.
+    /// connected or was until recently; see `PlannerMembership::connected`.
     pub fn planner_connected(&mut self, hello: &Hello) -> Option<Rc<Notify>> {
         let changes = self.planners.connected(&hello.name, hello.incarnation, self.clock.now())?;
         self.apply_changes(changes);
@@ -165,7 +165,8 @@
         Some(wake)
     }
 
-    /// Processes the end of the connection to a planner: its queries are reassigned.
+    /// Processes the end of the connection to a planner: the queries that were assigned to the planner are
+    /// reassigned.
     pub fn planner_disconnected(&mut self, hello: &Hello) {
         let changes = self.planners.disconnected(&hello.name, hello.incarnation);
         self.apply_changes(changes);
--- a/crates/router/src/tier/forwarder/input_splitter.rs
+++ b/crates/router/src/tier/forwarder/input_splitter.rs
@@ -11,7 +11,8 @@
 pub struct InputSplitter<'a> {
     forwarder: &'a mut Forwarder,
     policy: &'a mut dyn PolicyInput,
-    /// Id of the query whose shard requests are being added, and whether the local policy decides on it.
+    /// Id of the query whose shard requests are being added, and whether the local policy decides on this
+    /// query.
     current_query: (String, bool),
 }
 
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -1,9 +1,10 @@
 //! A planner's state: the input and output of one policy that decides on the queries of many forwarders. A
 //! planner follows discovery itself, receives queries with the attempts made for them so far, and sends each
-//! forwarder the decisions on its queries. A session is one connection of a forwarder; when it ends, its
-//! queries and attempts end for the policy, so that no attempt counts at a data node forever. A term is the
-//! forwarder's number of a query's assignment, which decisions repeat. A round is one run of the policy on
-//! all input since the previous round. Uses no sockets. All times are seconds of this planner's clock.
+//! forwarder the decisions on its queries. A session is one connection of a forwarder. When a session ends,
+//! the policy is informed that the session's queries and attempts have ended, so that no attempt counts as in
+//! flight at a data node forever. A term is the number that a forwarder gave to the assignment of a query;
+//! the planner's decisions repeat this number. A round is one run of the policy on all input since the
+//! previous round. Uses no sockets. All times are seconds of this planner's clock.
 mod rounds;
 
 pub use rounds::{PolicyPanicked, run_round};
@@ -26,9 +27,9 @@
 pub type SessionId = u64;
 
 /// Duration of a planner's slow start in seconds, counted from the first heartbeat at which the planner's
-/// endpoint list contains a data node. During the slow start the planner accepts queries of a growing
-/// fraction of the forwarders, and afterwards those of all forwarders, because it has observed no data node
-/// when it starts.
+/// endpoint list contains a data node. A planner has observed no data node when it starts, so it first
+/// accepts the queries of a small fraction of the forwarders. The fraction grows during the slow start;
+/// afterwards the planner accepts the queries of all forwarders.
 const SLOW_START_S: f64 = 1.0;
 
 /// A session: the connection of one forwarder and the queries of that forwarder.
@@ -37,8 +38,8 @@
     /// The forwarder's name; `None` until its hello is received.
     name: Option<String>,
     queries: BTreeSet<u64>,
-    /// The attempts in flight, by the forwarder's shard request id and the attempt number: the data node, and
-    /// the start time in seconds of this planner's clock.
+    /// The attempts in flight of the session's queries, by the forwarder's shard request id and the attempt
+    /// number: the data node, and the start time in seconds of this planner's clock.
     attempts: BTreeMap<(String, u32), (String, f64)>,
     /// When this planner sent the oldest heartbeat that the forwarder has not acknowledged, in seconds of
     /// this planner's clock; `None` if all heartbeats are acknowledged.
