--- a/crates/tier/src/leases.rs
+++ b/crates/tier/src/leases.rs
@@ -28,8 +28,8 @@
 /// The right of a holder to spend a number of units of the budget for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    /// The term of the grantor. A holder rejects leases of earlier terms than the latest one that it has
-    /// seen.
+    /// The term of the grantor. A holder rejects a lease whose term is earlier than the latest term of the
+    /// leases that the holder has accepted.
     pub term: u64,
     /// Number of units of the budget that the holder may spend until the lease ends.
     pub units: u64,
@@ -46,21 +46,22 @@
     /// When the grantor starts to grant leases, in seconds of its clock: all leases of earlier terms have
     /// ended by then, and the units spent from them have left the window.
     opens_at: f64,
-    /// For each holder, the units of each outstanding lease and when they have left every window, in seconds
-    /// of the grantor's clock.
+    /// For each holder, the units of each outstanding lease and the time at which these units have left every
+    /// window, in seconds of the grantor's clock.
     outstanding: BTreeMap<Name, Vec<(u64, f64)>>,
 }
 
 impl LeaseGrantor {
     /// Creates a grantor for `term` that starts at `now`. If `is_first_term`, no lease of an earlier term can
-    /// exist and the grantor does not wait for any to end.
+    /// exist, and the grantor grants leases from `now` on.
     pub fn new(config: LeaseConfig, term: u64, now: f64, is_first_term: bool) -> Self {
         let opens_at = if is_first_term { now } else { now + LeaseGrantor::outstanding_for_s(&config) };
         LeaseGrantor { config, term, opens_at, outstanding: BTreeMap::new() }
     }
 
-    /// Seconds after its grant for which a lease is outstanding: its duration, then one window for units
-    /// spent just before its end.
+    /// Seconds after its grant for which a lease is outstanding: the duration of the lease, then one window
+    /// for units spent just before the lease ends. The sum is increased by the maximum clock drift, as the
+    /// holder's clock may be slower than the grantor's.
     fn outstanding_for_s(config: &LeaseConfig) -> f64 {
         (config.lease_s + config.window_s) * (1.0 + config.max_clock_drift)
     }
--- a/crates/tier/src/planner_membership.rs
+++ b/crates/tier/src/planner_membership.rs
@@ -1,7 +1,8 @@
-//! Which planners are members for one forwarder: those that are connected and acknowledge its heartbeats. A
-//! planner that hangs, or is unreachable in one direction, stops acknowledging heartbeats while its
-//! connection stays open, and is removed. A planner that restarts has a later incarnation, and messages of
-//! its earlier incarnation are ignored from then on. All times are seconds of the forwarder's monotonic
+//! Which planners are members for one forwarder: the planners that are connected and acknowledge the
+//! forwarder's heartbeats. An incarnation identifies one start of a planner and is taken from the planner's
+//! wall clock. A planner that hangs, or is unreachable in one direction, stops acknowledging heartbeats while
+//! its connection stays open, and is removed. A planner that restarts has a later incarnation, and messages
+//! of its earlier incarnation are ignored from then on. All times are seconds of the forwarder's monotonic
 //! clock.
 use crate::{Incarnation, Name};
 use std::collections::BTreeMap;
@@ -11,7 +12,8 @@
 pub struct HeartbeatConfig {
     /// Seconds between two heartbeats to a planner.
     pub interval_s: f64,
-    /// Seconds without an acknowledgement of a heartbeat after which its planner counts as lost.
+    /// Seconds after the sending of a heartbeat after which a planner that has not acknowledged the heartbeat
+    /// counts as lost.
     pub timeout_s: f64,
 }
 
--- a/crates/tier/src/slow_start.rs
+++ b/crates/tier/src/slow_start.rs
@@ -5,9 +5,8 @@
 //! first ones.
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Whether a planner accepts queries of a forwarder at `now`, if the planner started to serve at
-/// `serving_since` and accepts all forwarders `ramp_s` seconds later. Both times are seconds of the planner's
-/// clock.
+/// Whether a planner accepts queries of a forwarder at `now`, if its slow start began at `serving_since` and
+/// lasts `ramp_s` seconds. `now` and `serving_since` are in seconds of the planner's clock.
 pub fn accepts_forwarder(forwarder: &str, serving_since: f64, ramp_s: f64, now: f64) -> bool {
     let mut hash = DefaultHasher::new();
     forwarder.hash(&mut hash);
--- a/crates/tier/tests/forwarders_and_planners.rs
+++ b/crates/tier/tests/forwarders_and_planners.rs
@@ -32,8 +32,8 @@
     assert!(
         reassigned.len() == 1 && reassigned[0].decider != first.decider && reassigned[0].term > first.term
     );
-    // The lost planner was only paused and resumes, and the new planner sends a decision with the earlier
-    // term.
+    // Only a decision of the new planner with the new term is accepted, even if the lost planner was only
+    // paused and resumes, or the new planner sends a decision with the earlier term.
     assert_eq!(assignments.query_of(&first.decider, first.term), None);
     assert_eq!(assignments.query_of(&reassigned[0].decider, first.term), None);
     assert_eq!(assignments.query_of(&first.decider, reassigned[0].term), None);
--- a/crates/tier/tests/query_assignment_model.rs
+++ b/crates/tier/tests/query_assignment_model.rs
@@ -66,7 +66,7 @@
     AttemptEnds(usize),
     /// The planner with this index crashes.
     PlannerDies(usize),
-    /// The forwarder considers the planner with this index as lost, whether or not it is alive.
+    /// The forwarder considers the planner with this index as lost, whether or not that planner is alive.
     PlannerLost(usize),
 }
 
@@ -94,7 +94,7 @@
                 state.to_planner[planner].push(Packet::Assign { query, term: assignment.term, attempted });
             }
             // The local policy does not repeat an attempt that may have run: while the attempt is in flight,
-            // the local policy waits for its reply; otherwise it ends the query.
+            // the local policy waits for the reply to the attempt; otherwise the local policy ends the query.
             Decider::Local if attempted && state.in_flight[query] => {}
             Decider::Local if attempted => self.finish(state, query),
             Decider::Local => self.start_attempt(state, query),
