--- a/crates/cores/src/core_table.rs
+++ b/crates/cores/src/core_table.rs
@@ -1,6 +1,7 @@
 //! The status of each core of a router process; a core is one thread. Cores send heartbeats to the acceptor
-//! thread, which detects cores that hang, assigns connections to cores that serve, and decides whether a core
-//! that failed is restarted. All times are seconds of the clock that all threads share.
+//! thread. That thread accepts the clients' connections, detects cores that hang, assigns connections to
+//! cores that serve, and decides whether a core that failed is restarted. All times are seconds of the clock
+//! that all threads share.
 use std::collections::VecDeque;
 
 /// Seconds without a heartbeat after which a core is hung. A hung core gets no new connections until its next
@@ -21,8 +22,8 @@
     Starting,
     /// The core's heartbeats arrive within `HEARTBEAT_TIMEOUT_S`.
     Serving,
-    /// No heartbeat for longer than `HEARTBEAT_TIMEOUT_S`. Holds the time of the last heartbeat, in seconds
-    /// of the shared clock.
+    /// The core has sent no heartbeat for more than `HEARTBEAT_TIMEOUT_S`. Holds the time of the last
+    /// heartbeat, in seconds of the shared clock.
     Hung(f64),
     /// The core's thread has ended although the process is not shutting down. Holds the time at which the
     /// core is to be restarted, in seconds of the shared clock.
--- a/crates/cores/src/rebalancer.rs
+++ b/crates/cores/src/rebalancer.rs
@@ -1,8 +1,8 @@
 //! Decides which client connections move between cores, the threads of the process that serve clients. New
 //! connections are spread evenly, but a few connections may bring most of the load: a core that is much
-//! busier than another hands over the connections that send the next requests, since the connections that
-//! send the next requests are probably the busy ones. All times are seconds of the clock that all threads
-//! share.
+//! busier than another hands over some connections. The core chooses the connections that send the next
+//! requests, since a connection that sends many requests is more likely to send the next one. All times are
+//! seconds of the clock that all threads share.
 
 /// Utilization from which on a core hands over connections: the fraction of recent time that the core was
 /// busy, from 0 to 1.
--- a/crates/cores/tests/shared_state.rs
+++ b/crates/cores/tests/shared_state.rs
@@ -1,5 +1,6 @@
-//! Tests of the state that cores share: concurrent claims of ids and permits, paused threads, and cores that
-//! fail or hang.
+//! Tests of the state that the cores of a process share: concurrent claims of ids, permits of pools, the
+//! fence, which blocks attempts on cores with an outdated endpoint list, paused threads, and cores that fail
+//! or hang.
 use alderway::interface::{NodeObservation, SharedLimits};
 use alderway_cores::core_table::{CoreStatus, CoreTable};
 use alderway_cores::fence::{Blocked, Fence};
@@ -223,8 +224,8 @@
 proptest! {
     #![proptest_config(seeded(256))]
 
-    /// In any sequence of steps, all cores together withdraw at most the budget's capacity plus the deposits
-    /// of these steps.
+    /// In any sequence of steps, all cores together withdraw at most the capacity of the retry budget plus
+    /// the deposits made in these steps.
     #[test]
     fn a_retry_budget_shared_by_cores_holds_in_every_window(
         steps in prop::collection::vec((0..4u8, any::<bool>()), 1..400),
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -52,8 +52,8 @@
     pub frame_interval_s: f64,
     /// Seconds between two updates by which a member reports that it is alive.
     pub alive_interval_s: f64,
-    /// Age in seconds from which an update is stale: it is no longer stored, sent, or counted towards a
-    /// quorum.
+    /// Age in seconds from which an update is stale. Stale updates are no longer stored, sent, or counted
+    /// towards a quorum.
     pub max_age_s: f64,
     /// Number of other routers that must agree on an observation of a data node before this router accepts
     /// it.
@@ -61,7 +61,7 @@
     /// Maximum difference in rate between two monotonic clocks, as a fraction: 0.001 is one millisecond per
     /// second.
     pub max_clock_drift: f64,
-    /// Maximum number of updates that are stored of one router.
+    /// Maximum number of updates that a router stores of each origin, the router that created the update.
     pub max_updates_per_origin: usize,
 }
 
--- a/crates/peers/src/quorum.rs
+++ b/crates/peers/src/quorum.rs
@@ -55,8 +55,8 @@
 
 /// Returns what a quorum of routers observed of the data node's process that started at `started_at_s`, or
 /// `None` if no quorum agrees. `updates` holds the latest update about this node of each other router.
-/// Updates older than `max_age_s` don't count, and each span ends at most `max_age_s` seconds after the
-/// creation of its update.
+/// Updates that are `max_age_s` seconds old or older don't count, and each span ends at most `max_age_s`
+/// seconds after the creation of its update.
 pub fn agreed_observation(
     updates: &[&StoredUpdate],
     started_at_s: Option<f64>,
--- a/crates/peers/src/ring.rs
+++ b/crates/peers/src/ring.rs
@@ -1,8 +1,9 @@
-//! Decides which members dial which. The members form a ring in the order of their names, and each dials the
-//! members 1, 2, 4, 8, ... places further on. Of n members, each dials log2(n) others, rounded up, and is
-//! dialled by as many; an update reaches every member within as many frame intervals. The links follow from
-//! the list of members alone, so the members need no agreement. While the lists of two members differ, some
-//! links are missing or superfluous.
+//! Decides which members dial which. The members form a ring in the order of their names, and each member
+//! dials the members 1, 2, 4, 8, ... places further on. To dial means to open a connection, over which both
+//! members send updates. Of n members, each dials log2(n) others, rounded up, and is dialled by as many; an
+//! update reaches every member within as many frame intervals. The links follow from the list of members
+//! alone, so the members need no agreement. While the lists of two members differ, some links are missing or
+//! superfluous.
 use crate::Name;
 use std::collections::BTreeSet;
 
--- a/crates/peers/src/updates.rs
+++ b/crates/peers/src/updates.rs
@@ -2,8 +2,9 @@
 //! router is the update's origin. An update names the origin's incarnation and a number that grows with each
 //! update of the origin. The store holds the newest update of each origin about each subject, regardless of
 //! the links and the order in which updates arrive, so routers that have received the same updates store the
-//! same. Updates are dropped when they are older than the maximum age, and the first update of a later
-//! incarnation drops the origin's earlier updates. All times are seconds of this router's monotonic clock.
+//! same. Updates are dropped when they are as old as the maximum age or older, and the first update of a
+//! later incarnation drops the origin's earlier updates. All times are seconds of this router's monotonic
+//! clock.
 use crate::{Incarnation, Name};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/peers/tests/simulated_mesh.rs
+++ b/crates/peers/tests/simulated_mesh.rs
@@ -1,6 +1,6 @@
-//! Simulation of the gossip of many routers without sockets: links that delay frames, or hold them back while
-//! they are cut; clocks with different offsets and rates; and routers that are paused, restart or send false
-//! observations. Time is simulated in seconds, and random choices are seeded.
+//! Simulation of the gossip of many routers without sockets: links that delay frames, and deliver none while
+//! the links are cut; clocks with different offsets and rates; and routers that are paused, restart or send
+//! false observations. Time is simulated in seconds, and random choices are seeded.
 use alderway_peers::quorum::AgreedObservation;
 use alderway_peers::updates::{Update, UpdateBody, UpdateStore};
 use alderway_peers::view::{MemberState, View};
