--- a/crates/peers/src/view.rs
+++ b/crates/peers/src/view.rs
@@ -117,7 +117,8 @@
     pub frames_undated: u64,
 }
 
-/// The gossip state of one router.
+/// The gossip state of one router: the other members and their states, the open links, the stored updates,
+/// and the updates that this router has to create. A view also decides which updates are sent over each link.
 #[derive(Debug)]
 pub struct View {
     config: GossipConfig,
--- a/crates/router/src/tier/planner.rs
+++ b/crates/router/src/tier/planner.rs
@@ -251,7 +251,8 @@
     }
 
     /// Closes all sessions after a panic of the policy, so that the forwarders reassign their queries, and
-    /// marks the whole endpoint list as changed, so that the next policy gets every data node.
+    /// marks the whole endpoint list as changed, so that the next policy gets every data node. The counter
+    /// `module_failures` counts these panics.
     pub fn close_all_sessions(&mut self) {
         self.counters.increment("module_failures");
         let sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
