--- a/crates/router/src/state/attempts.rs
+++ b/crates/router/src/state/attempts.rs
@@ -44,8 +44,8 @@
     pub latency_s: f64,
 }
 
-/// The attempts of one core. An attempt is in flight from [`start`](Self::start) to [`end`](Self::end), even before its
-/// frame is sent.
+/// The attempts of one core. An attempt is in flight from [`start`](Self::start) to [`end`](Self::end), even
+/// before its frame is sent.
 #[derive(Default)]
 pub struct AttemptTable {
     in_flight: BTreeMap<AttemptId, Attempt>,
@@ -54,7 +54,8 @@
 }
 
 impl AttemptTable {
-    /// Adds an attempt that starts at `now` and times out at `timeout_at_s`, in seconds of the monotonic clock.
+    /// Adds an attempt that starts at `now` and times out at `timeout_at_s`, in seconds of the monotonic
+    /// clock.
     pub fn start(&mut self, id: AttemptId, node: &str, now: f64, timeout_at_s: f64) {
         self.timeouts.insert(timeout_at_s, id.clone());
         let attempt = Attempt { node: node.into(), connection: None, started_at_s: now, timeout_at_s };
@@ -71,8 +72,9 @@
         self.in_flight.get(id)
     }
 
-    /// Removes an attempt and queues its outcome for the policy. Does nothing and returns `None` if the attempt has
-    /// ended already: the first outcome counts.
+    /// Removes an attempt that ends at `now`, in seconds of the monotonic clock, and queues its outcome for
+    /// the policy. Does nothing and returns `None` if the attempt has ended already: the first outcome
+    /// counts.
     pub fn end(&mut self, id: &AttemptId, outcome: AttemptOutcome, now: f64) -> Option<Attempt> {
         let attempt = self.in_flight.remove(id)?;
         self.timeouts.remove(attempt.timeout_at_s, id);
@@ -80,8 +82,10 @@
         Some(attempt)
     }
 
-    /// Queues an outcome for the policy without removing an attempt. Called when one of the shard requests that share
-    /// an attempt stops waiting for that attempt.
+    /// Queues an outcome for the policy without removing an attempt from those in flight. When a shard
+    /// request is split, the new requests share the attempts that the split request has in flight; this
+    /// function is called when one of the new requests stops waiting for such an attempt. `latency_s` is the
+    /// time in seconds since the start of the attempt.
     pub fn queue_outcome(&mut self, id: AttemptId, node: &str, outcome: AttemptOutcome, latency_s: f64) {
         self.ended.push(EndedAttempt { id, node: node.into(), outcome, latency_s });
     }
@@ -114,12 +118,14 @@
         attempts.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Ids of the attempts in flight whose time-out has passed at `now`, the earliest time-out first.
+    /// Ids of the attempts in flight that time out at or before `now`, in seconds of the monotonic clock; the
+    /// earliest time-out comes first.
     pub fn overdue(&self, now: f64) -> Vec<AttemptId> {
         self.timeouts.due(now).cloned().collect()
     }
 
-    /// When the next attempt times out, in seconds of the monotonic clock; infinite if no attempt is in flight.
+    /// When the next attempt times out, in seconds of the monotonic clock; infinite if no attempt is in
+    /// flight.
     pub fn next_timeout_s(&self) -> f64 {
         self.timeouts.next_due()
     }
--- a/crates/router/src/state/clients.rs
+++ b/crates/router/src/state/clients.rs
@@ -1,5 +1,5 @@
-//! The state of the connections to clients. Each connection has a task, which owns the connection's socket and reads
-//! and writes it.
+//! The state of the connections to clients. Each connection has a task, which owns the socket of the
+//! connection and reads and writes that socket. Times are in seconds of the monotonic clock.
 use super::response::{PendingResponse, QueryResponse};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,24 +14,27 @@
     KeepOpen,
     /// Close the connection once no request is partly received. A partly received request is served first.
     WhenIdle,
-    /// Close the connection even if a request is partly received, because the rest of the request has not come in time.
+    /// Close the connection even if a request is partly received, because the rest of the request has not
+    /// come in time.
     EvenIfPartial,
-    /// Close the connection because the process or its core shuts down. If a request is partly received, the client
-    /// first gets an error response.
+    /// Close the connection because the process or its core shuts down. If a request is partly received, the
+    /// client first gets an error response.
     AtShutdown,
 }
 
 /// The state of one client connection.
 #[derive(Default)]
 pub struct ClientConnection {
-    /// Final responses that are not yet encoded: at most one, because a connection has at most one open query. A second
-    /// response would be sent too, so that tests and clients notice the fault.
+    /// Final responses that are not yet encoded: at most one, because a connection has at most one open
+    /// query. A list is used so that a second response, stored by a fault of the router, is sent and detected
+    /// instead of replacing the first one.
     pub pending_responses: RefCell<Vec<PendingResponse>>,
     /// Encoded response bytes that are not yet written to the socket.
     pub output: RefCell<Vec<u8>>,
     /// Wakes the task of the connection when it has something to write or is to close.
     pub wake: Notify,
-    /// Number of the connection's open query; `None` if no query is open.
+    /// The number that identifies the open query of the connection in the query table; `None` if no query is
+    /// open.
     pub open_query: Cell<Option<u64>>,
     /// Whether the router closes the connection after the current response.
     pub close_after_response: Cell<bool>,
@@ -39,14 +42,16 @@
     pub close_request: Cell<CloseRequest>,
     /// Whether the client has sent a complete request on this connection, to this core or to another one.
     pub has_sent_request: Cell<bool>,
-    /// Since when the connection is idle, in seconds of the monotonic clock. An idle connection has no open query and
-    /// no response bytes to write; a request may be partly received. `None` if the connection is not idle.
+    /// Since when the connection is idle, in seconds of the monotonic clock. An idle connection has no open
+    /// query and no response bytes to write; a request may be partly received. `None` if the connection is
+    /// not idle.
     pub idle_since: Cell<Option<f64>>,
     /// Whether a request is partly received.
     pub has_partial_request: Cell<bool>,
-    /// Whether bytes have been received that follow the current request.
+    /// Whether bytes after the end of the current request have been received.
     pub has_pipelined_bytes: Cell<bool>,
-    /// Whether response bytes were written to the socket since the last call of [`ClientTable::take_active_count`].
+    /// Whether response bytes were written to the socket since the last call of
+    /// [`ClientTable::take_active_count`].
     pub was_served: Cell<bool>,
 }
 
@@ -89,7 +94,7 @@
 }
 
 impl ClientTable {
-    /// Adds a connection that is idle since `now`; returns its id and its state.
+    /// Adds a connection that is idle since `now`; returns the id and the state of the connection.
     pub fn add(&mut self, now: f64) -> (u64, Rc<ClientConnection>) {
         let client = Rc::new(ClientConnection::default());
         client.idle_since.set(Some(now));
@@ -113,13 +118,15 @@
         self.all.len()
     }
 
-    /// Number of connections on which response bytes were written since the last call.
+    /// Number of connections on which response bytes were written since the last call. Resets `was_served` of
+    /// every connection.
     pub fn take_active_count(&self) -> usize {
         self.all.values().filter(|client| client.was_served.take()).count()
     }
 
-    /// Closes one idle connection to free a file descriptor for a new connection: the longest idle one that has never
-    /// sent a complete request; else the longest idle one with a partly received request, if it is idle for at least
+    /// Closes one idle connection to free a file descriptor for a new connection: the longest idle one that
+    /// has never sent a complete request; else the longest idle one with a partly received request, if it is
+    /// idle for at least
     /// `partial_request_timeout_s` seconds; else the longest idle one of the others.
     pub fn close_longest_idle(&self, now: f64, partial_request_timeout_s: f64) {
         let candidates = self.all.values().filter_map(|client| {
@@ -139,7 +146,8 @@
         }
     }
 
-    /// Closes all idle connections, even with a partly received request, because the process or this core shuts down.
+    /// Closes all idle connections, even with a partly received request, because the process or this core
+    /// shuts down.
     pub fn close_for_shutdown(&self) {
         for client in self.all.values().filter(|client| client.idle_since.get().is_some()) {
             client.close_request.set(CloseRequest::AtShutdown);
--- a/crates/router/src/state/counters.rs
+++ b/crates/router/src/state/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of a core. They are printed for the `/counters` endpoint and in the log at exit.
+//! Counters of a core. The `/counters` endpoint returns the counters, and the router logs them at exit.
 use alderway::interface::AttemptOutcome;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,7 +12,7 @@
 }
 
 impl Counters {
-    /// Adds `count` to the sum `name`.
+    /// Adds `count` events to the sum `name`, which starts at 0.
     pub fn add(&mut self, name: &str, count: usize) {
         match self.sums.get_mut(name) {
             Some(sum) => *sum += count as u64,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Adds one to the sum `name`.
+    /// Adds one event to the sum `name`.
     pub fn increment(&mut self, name: &str) {
         self.add(name, 1);
     }
@@ -31,7 +31,8 @@
         *largest = value.max(*largest);
     }
 
-    /// Adds the sums of another core to those of this core, and keeps the larger of the two values of each maximum.
+    /// Adds the sums of another core to those of this core, and keeps the larger of the two values of each
+    /// maximum.
     pub fn merge(&mut self, other: &Counters) {
         other.sums.iter().for_each(|(name, sum)| self.add(name, *sum as usize));
         other.maxima.iter().for_each(|(name, value)| self.record_max(name, *value));
--- a/crates/router/src/state/descriptors.rs
+++ b/crates/router/src/state/descriptors.rs
@@ -1,6 +1,6 @@
-//! The file descriptors of the process, split into a pool for clients and one for data nodes. Clients cannot use up the
-//! descriptors for data nodes, nor the reverse, and both pools leave descriptors for the listener and the connection to
-//! discovery.
+//! The file descriptors of the process, split into a pool for clients and one for data nodes. Clients cannot
+//! use up the descriptors for data nodes, nor the reverse, and both pools leave descriptors for the listener
+//! and the connection to discovery.
 use alderway_cores::pool::{Pool, PoolPermit};
 use std::sync::Arc;
 use tokio::sync::Notify;
@@ -8,17 +8,18 @@
 /// The largest size of a client connection's read buffer: as large as the largest request.
 pub const CLIENT_BUFFER_BYTES: usize = 84 * 1024;
 
-/// Number of descriptors reserved for the standard streams, the acceptor's runtime, the listener, the connection to
-/// discovery, and one file that is open briefly.
+/// Number of descriptors reserved for the standard streams, the acceptor's runtime, the listener, the
+/// connection to discovery, and one file that is open briefly.
 const RESERVED_BASE: usize = 16;
 /// Number of descriptors reserved for the async runtime of each core if the process has several cores.
 const RESERVED_PER_CORE: usize = 4;
-/// The smallest number of descriptors for the clients and data nodes of each core with which the router starts.
+/// The smallest number of descriptors for the clients and data nodes of each core with which the router
+/// starts.
 const MINIMUM_PER_CORE: usize = 4;
 /// Clients get `1 / CLIENT_DIVISOR` of all descriptors.
 const CLIENT_DIVISOR: usize = 3;
-/// The read buffers of all clients together may use `1 / CLIENT_MEMORY_DIVISOR` of the configured memory limit of the
-/// process.
+/// The read buffers of all clients together may use `1 / CLIENT_MEMORY_DIVISOR` of the configured memory
+/// limit of the process.
 const CLIENT_MEMORY_DIVISOR: usize = 4;
 
 /// A pool of file descriptors that all cores share.
@@ -53,8 +54,8 @@
     }
 }
 
-/// Number of descriptors that are neither in the pool for clients nor in the pool for data nodes. A single core runs in
-/// the acceptor's runtime and needs no descriptors for a runtime of its own.
+/// Number of descriptors that are neither in the pool for clients nor in the pool for data nodes. A single
+/// core runs in the acceptor's runtime and needs no descriptors for another runtime.
 pub fn reserved(cores: usize) -> usize {
     RESERVED_BASE + if cores > 1 { RESERVED_PER_CORE * cores } else { 0 }
 }
@@ -64,8 +65,8 @@
     reserved(cores) + MINIMUM_PER_CORE * cores.max(1)
 }
 
-/// Creates the pool for clients and the pool for data nodes. `limit` is the number of descriptors that the process may
-/// open, `memory` its memory limit in bytes.
+/// Creates the pool for clients and the pool for data nodes. `limit` is the number of descriptors that the
+/// process may open, `memory` its memory limit in bytes.
 pub fn split(limit: usize, memory: usize, cores: usize) -> (Arc<DescriptorPool>, Arc<DescriptorPool>) {
     let available = limit.saturating_sub(reserved(cores)).max(2);
     let clients = (limit / CLIENT_DIVISOR).min(available - available / 2);
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -1,5 +1,7 @@
-//! The endpoint list: the data nodes that discovery reports, each with its connections from this core. Changes are
-//! collected until the policy's next run. Times ending in `_s` are seconds of the monotonic clock.
+//! The endpoint list: the data nodes that discovery, the service that publishes the list, reports, each with
+//! the connections of this core to the data node. A retired connection gets no new attempts and closes when
+//! it is idle. Changes are collected until the next run of the policy. Times ending in `_s` are seconds of
+//! the monotonic clock.
 use super::attempts::AttemptId;
 use super::node_connection::NodeConnection;
 use alderway::interface::{NodeState, PolicyInput};
@@ -15,11 +17,12 @@
     pub replica_group: u32,
     /// The state of the data node by the endpoint list.
     pub state: NodeState,
-    /// The state of the data node before the list that is being applied.
+    /// The state that the data node had before the last full list was applied.
     previous_state: NodeState,
     /// When the data node's process started, as estimated from the endpoint list; `None` if unknown.
     pub started_at_s: Option<f64>,
-    /// When the data node's process started according to discovery. The value changes when the process restarts.
+    /// When the data node's process started according to discovery. The value changes when the process
+    /// restarts.
     reported_start_s: Option<f64>,
     /// The connections to the data node, by number.
     pub connections: BTreeMap<u64, NodeConnection>,
@@ -53,7 +56,8 @@
     pub is_replaced: bool,
     /// Whether a poll of discovery failed since the policy's last run.
     pub has_poll_failed: bool,
-    /// Names of the data nodes that changed since the policy's last run.
+    /// Names of the data nodes whose replica group, state and start time are passed to the policy in its next
+    /// run.
     pub changed: BTreeSet<String>,
     /// Number of the newest connection to any data node; numbers are never reused.
     pub last_connection: u64,
@@ -86,14 +90,15 @@
         }
     }
 
-    /// The state of a data node before the list or change that is being applied.
+    /// The state that a data node had before the full list that is being applied; if a change is being
+    /// applied, the present state of the data node.
     fn state_before(&self, record: &NodeRecord) -> NodeState {
         if self.is_full_list { record.previous_state } else { record.state }
     }
 
-    /// Applies an entry that has an unreadable field. If the state of the entry is readable and is draining or removed,
-    /// the data node gets that state; otherwise the data node stays unchanged. A data node that is not in the table is
-    /// not added.
+    /// Applies an entry that has an unreadable field. If the state of the entry is readable and is draining
+    /// or removed, the data node gets that state; otherwise the data node stays unchanged. A data node that
+    /// is not in the table is not added.
     pub fn mark_unreadable(&mut self, name: &str, state: Option<NodeState>) {
         let Some(before) = self.nodes.get(name).map(|record| self.state_before(record)) else { return };
         let state = state.filter(|state| *state != NodeState::Serving).unwrap_or(before);
@@ -104,8 +109,9 @@
         self.changed.insert(name.to_string());
     }
 
-    /// Applies an entry from discovery that was received at `now`. `reported_start_s` is the start of the data node's
-    /// process, converted from wall-clock time with the clock offset that was measured when the router started.
+    /// Applies an entry from discovery that was received at `now`. `reported_start_s` is the start of the
+    /// data node's process, converted from wall-clock time with the clock offset that was measured when the
+    /// router started.
     pub fn update_from_discovery(
         &mut self,
         name: &str,
@@ -128,9 +134,9 @@
         }
     }
 
-    /// Applies one entry of the endpoint list. If the address of the data node has changed, connections to the old
-    /// address are retired: they take no new attempts and close when they are idle. If its process has restarted,
-    /// connections opened before the restart close immediately, because no reply can arrive on them.
+    /// Applies one entry of the endpoint list. If the address of the data node has changed, connections to
+    /// the old address are retired. If the process of the data node has restarted, connections opened before
+    /// the restart close immediately, because no reply can arrive on these connections.
     pub fn update(
         &mut self,
         name: &str,
@@ -161,8 +167,8 @@
             return;
         }
         let (has_moved, has_restarted) = (record.address != address, record.started_at_s != started_at_s);
-        // Guards against a list older than one applied before, as another discovery agent may send: a process that is
-        // draining or removed never serves again.
+        // Guards against a list older than one applied before, as another discovery agent may send: a process
+        // that is draining or removed never serves again.
         let is_revival = self.is_older_list && !has_restarted && state == NodeState::Serving;
         for connection in record.connections.values_mut() {
             connection.is_retired |= has_moved;
@@ -191,8 +197,8 @@
         present.map(endpoint).collect()
     }
 
-    /// Replaces the endpoint list by the full list of the acceptor core. Data nodes that did not change are not
-    /// reported to the policy.
+    /// Replaces the endpoint list by the full list of the acceptor core. Data nodes that did not change are
+    /// not reported to the policy.
     pub fn replace_from_core(&mut self, list: &[Endpoint]) {
         let named: BTreeSet<&str> = list.iter().map(|endpoint| endpoint.name.as_str()).collect();
         for (name, record) in &mut self.nodes {
@@ -235,13 +241,13 @@
         self.changed = self.nodes.keys().cloned().collect();
     }
 
-    /// The connection `number` to the data node `node`; `None` if it is not in the table.
+    /// The connection `number` to the data node `node`; `None` if the table has no such connection.
     pub fn connection(&mut self, node: &str, number: u64) -> Option<&mut NodeConnection> {
         self.nodes.get_mut(node)?.connections.get_mut(&number)
     }
 
-    /// Retires the connections to removed data nodes. Returns the names of all draining or removed data nodes that have
-    /// a connection or an attempt that is not yet in a frame.
+    /// Retires the connections to removed data nodes. Returns the names of all draining or removed data nodes
+    /// that have a connection or an attempt that is not yet in a frame.
     pub fn retire_unserving(&mut self) -> Vec<String> {
         let mut unserving = Vec::new();
         for (name, record) in &mut self.nodes {
@@ -274,8 +280,8 @@
         !self.nodes.is_empty()
     }
 
-    /// Retires the connection to any data node that has been idle longest, to free its file descriptor for a new
-    /// connection; false if no connection is idle.
+    /// Retires the connection to any data node that has been idle longest, to free its file descriptor for a
+    /// new connection; false if no connection is idle.
     pub fn retire_longest_idle(&mut self) -> bool {
         let connections = self.nodes.values_mut().flat_map(|record| record.connections.values_mut());
         let usable = connections.filter(|connection| connection.is_open && !connection.is_retired);
--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -1,6 +1,7 @@
-//! The state of a connection to a data node: queued frames, the frame that is being written, and attempts in flight.
-//! Each connection has a task, which owns the connection's socket. Times ending in `_s` are seconds of the monotonic
-//! clock.
+//! The state of a connection to a data node: queued frames, the frame that is being written, and attempts in
+//! flight. Each connection has a task, which owns the socket of the connection. An attempt uses one stream of
+//! the connection from when the attempt is queued until it is answered or cancelled. A retired connection
+//! gets no new attempts and closes when it is idle. All times are seconds of the monotonic clock.
 use super::attempts::AttemptId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -11,7 +12,7 @@
 pub struct DialRequest {
     /// The data node's name.
     pub node: String,
-    /// The number of the connection.
+    /// The number that identifies the connection among this core's connections to data nodes.
     pub connection: u64,
     /// The address on which the data node listens.
     pub address: SocketAddr,
@@ -45,8 +46,8 @@
         /// Index of the attempt among the attempts of its shard request, from 0.
         attempt: usize,
     },
-    /// The attempt has ended: it was cancelled, or the reply is a second one to the shard request that was answered
-    /// last on this connection.
+    /// The attempt has ended: it was cancelled, or the reply is a second one to the shard request that was
+    /// answered last on this connection.
     AlreadyEnded,
     /// The shard request was not sent on this connection.
     NotRequested,
@@ -69,22 +70,22 @@
     pub is_open: bool,
     /// When the router began to open the connection.
     pub opened_at_s: f64,
-    /// Whether the connection takes no new attempts and closes when it is idle.
+    /// Whether the connection is retired.
     pub is_retired: bool,
     /// Whether the connection is to close immediately.
     pub is_aborted: bool,
     queued: VecDeque<OutboundFrame>,
     writing: Option<OutboundFrame>,
-    /// Shard requests whose frame has been completely written and that have no reply, each with the number of its
-    /// attempt.
+    /// Shard requests whose frame has been completely written and that have no reply, each with the number of
+    /// its attempt.
     in_flight: BTreeMap<Rc<str>, usize>,
     has_received: bool,
-    /// When the first frame with attempts since the last reply was completely written; `None` if no such frame was
-    /// written since the last reply.
+    /// When the first frame with attempts since the last reply was completely written; `None` if no such
+    /// frame was written since the last reply.
     silent_since_s: Option<f64>,
-    /// Cancelled shard requests, each with the time until which a reply may still arrive. Guards against matching a
-    /// late reply with a later attempt of the same request, and against treating it as a reply to a request that was
-    /// never sent.
+    /// Cancelled shard requests, each with the time until which a reply may still arrive. Guards against
+    /// matching a late reply with a later attempt of the same request, and against treating it as a reply to
+    /// a request that was never sent.
     cancelled: BTreeMap<Rc<str>, f64>,
     /// The shard request that was answered last on this connection. Some data nodes answer a request twice.
     last_answered: Option<Rc<str>>,
@@ -104,7 +105,7 @@
         })
     }
 
-    /// Number of streams in use. An attempt uses one stream from when it is queued until it is answered or cancelled.
+    /// Number of streams in use.
     pub fn used_streams(&self) -> usize {
         self.in_flight.len() + self.unwritten_attempts().count()
     }
@@ -118,13 +119,14 @@
         self.is_idle().then_some(self.idle_since_s)
     }
 
-    /// Whether the next frame has attempts, on a connection that has received a reply before and has no attempt in
-    /// flight.
+    /// Whether the next frame to write has attempts and is the first one after an idle time: a reply has been
+    /// received on the connection before, and no attempt is in flight.
     pub fn will_reuse_after_idle(&self) -> bool {
         self.has_received && self.in_flight.is_empty() && !self.next_attempts().is_empty()
     }
 
-    /// Whether these attempts may be queued on this connection with at most `streams` streams in use afterwards.
+    /// Whether these attempts may be queued on this connection with at most `streams` streams in use
+    /// afterwards.
     pub fn can_take(&self, attempts: &[AttemptId], streams: usize) -> bool {
         let is_known = |id: &AttemptId| {
             self.in_flight.contains_key(&id.request_id) || self.cancelled.contains_key(&id.request_id)
@@ -135,7 +137,7 @@
             && !attempts.iter().any(is_known)
     }
 
-    /// Queues a frame.
+    /// Appends a frame to the queue and wakes the task of the connection.
     pub fn enqueue(&mut self, frame: OutboundFrame) {
         self.queued.push_back(frame);
         self.wake.notify_one();
@@ -161,8 +163,8 @@
             .retain(|frame| !matches!(frame, OutboundFrame::Attempts(attempts) if attempts.is_empty()));
     }
 
-    /// The attempts of the next queued frame. Empty if another frame is being written or the next frame has no
-    /// attempts.
+    /// The attempts of the next queued frame. Empty if another frame is being written or the next frame has
+    /// no attempts.
     pub fn next_attempts(&self) -> &[AttemptId] {
         match (&self.writing, self.queued.front()) {
             (None, Some(OutboundFrame::Attempts(attempts))) => attempts,
@@ -191,14 +193,16 @@
         self.writing.as_ref()
     }
 
-    /// Puts the frame that was to be written back to the front of the queue, because the socket accepted no byte of it.
+    /// Puts the frame that was to be written back to the front of the queue, because the socket accepted no
+    /// byte of it.
     pub fn return_frame(&mut self) {
         if let Some(frame) = self.writing.take() {
             self.queued.push_front(frame);
         }
     }
 
-    /// Records that the last byte of the frame that is being written was written at `now`: its attempts are in flight.
+    /// Records that the last byte of the frame that is being written was written at `now`: its attempts are
+    /// in flight.
     pub fn frame_written(&mut self, now: f64) {
         if let Some(OutboundFrame::Attempts(attempts)) = self.writing.take() {
             self.in_flight.extend(attempts.into_iter().map(|id| (id.request_id, id.number)));
@@ -220,13 +224,14 @@
         }
     }
 
+    /// Cancels an attempt in flight at `now`. A reply to the attempt that arrives until the time
+    /// `reply_until_s` is dropped.
     ///
-    /// Cancels an attempt in flight. A reply to the attempt that arrives until `reply_until_s` is dropped.
-    ///
-    /// If no reply has been received for `silence_timeout_s` seconds while attempts were in flight, the connection also
-    /// takes no new attempts. Guards against a dead connection to a healthy data node: with the most free streams it
-    /// would get more attempts, and their time-outs would make the data node look unresponsive. If the data node had
-    /// only paused, one more connection is opened.
+    /// If no reply has been received for `silence_timeout_s` seconds while attempts were in flight, the
+    /// connection is also retired. Guards against a dead connection to a healthy data node: the connection
+    /// would have the most free streams and get further attempts, and the time-outs of these attempts would
+    /// make the data node look unresponsive. If the data node had only paused, the cost is one more
+    /// connection.
     pub fn cancel(&mut self, id: &AttemptId, now: f64, reply_until_s: f64, silence_timeout_s: f64) {
         if self.in_flight.remove(&id.request_id).is_none() {
             return;
@@ -238,9 +243,9 @@
         self.enqueue(OutboundFrame::Cancel(id.request_id.clone()));
     }
 
-    /// Closes the connection because an attempt was aborted while its frame was being written. Also removes the attempt
-    /// from the frame. Guards against the attempt ending a second time, as one that was never executed, when the
-    /// connection closes.
+    /// Closes the connection because an attempt was aborted while its frame was being written. Also removes
+    /// the attempt from the frame. Guards against the attempt ending a second time, as one that was never
+    /// executed, when the connection closes.
     pub fn abort_for(&mut self, id: &AttemptId) {
         if let Some(OutboundFrame::Attempts(attempts)) = &mut self.writing {
             attempts.retain(|writing| writing != id);
@@ -249,7 +254,8 @@
         self.wake.notify_one();
     }
 
-    /// Matches a reply that is received at `now` with an attempt, and removes the attempt from those in flight.
+    /// Matches a reply that is received at `now` with an attempt, and removes the attempt from those in
+    /// flight.
     pub fn reply_received(&mut self, request_id: &str, now: f64) -> ReplyMatch {
         (self.idle_since_s, self.silent_since_s, self.has_received) = (now, None, true);
         if let Some((request_id, attempt)) = self.in_flight.remove_entry(request_id) {
--- a/crates/router/src/state/node_protocol.rs
+++ b/crates/router/src/state/node_protocol.rs
@@ -1,5 +1,6 @@
-//! The types that the dispatcher exchanges with the encoder and decoder of the data node protocol. If the router has a
-//! shard map, a shard request also names the keys that it asks for.
+//! The types that the dispatcher exchanges with the encoder and decoder of the data node protocol. If the
+//! router has a shard map, which assigns ranges of keys to shards, a shard request also names the requested
+//! keys.
 use alderway::interface::AttemptOutcome;
 use alderway_layouts::{KeyRange, Version};
 
@@ -35,13 +36,13 @@
     fn write_cancel(&mut self, request_id: &str);
 }
 
-/// What a data node reports about the shard map in its reply.
+/// The part of a data node's reply that concerns the shard map.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ShardReport {
     /// The data node's version of the shard map, if by that version the data node does not hold the shard.
     pub moved_at_version: Option<Version>,
-    /// The keys that the reply is for, from the first (inclusive) to the second (exclusive); an empty range if the
-    /// field is unreadable; `None` if it is missing.
+    /// The keys that the reply is for, from the first (inclusive) to the second (exclusive); an empty range
+    /// if the field is unreadable; `None` if it is missing.
     pub keys: Option<(u32, u32)>,
 }
 
@@ -52,7 +53,8 @@
     pub request_id: &'a str,
     /// The outcome of the attempt that the data node reports.
     pub outcome: AttemptOutcome,
-    /// What the data node reports about the shard map.
+    /// Whether the data node holds the shard by its version of the shard map, and for which keys the reply
+    /// is.
     pub report: ShardReport,
     /// The value for the shard request; empty unless the outcome is success.
     pub value: &'a str,
