--- a/crates/router/src/state/metrics.rs
+++ b/crates/router/src/state/metrics.rs
@@ -2,8 +2,8 @@
 use super::counters::Counters;
 use std::fmt::Write;
 
-/// Gauge for the number of data nodes. Every core has the same data nodes, so the value for the process is the maximum
-/// over its cores, not the sum.
+/// Gauge for the number of data nodes. Every core has the same data nodes, so the value for the process is
+/// the maximum over its cores, not the sum.
 const NODES_KNOWN: &str = "nodes_known";
 
 /// A component of a core, other than the dispatcher, that has metrics.
--- a/crates/router/src/state/mod.rs
+++ b/crates/router/src/state/mod.rs
@@ -12,7 +12,7 @@
 //! Each part of the state has one owner; the list says where the part is acquired and released:
 //!
 //! - Open queries, their shard requests, capacity and id claims: [`queries::QueryTable`]. Acquired in
-//!   `dispatcher/queries.rs`, released by the final response of the query.
+//!   `dispatcher/queries.rs`, released when the query ends.
 //! - Attempts in flight, their time-outs and outcomes: [`attempts::AttemptTable`]. Acquired in
 //!   `dispatcher/attempts.rs`, released by `record_attempt_end`.
 //! - Data nodes of the endpoint list: [`endpoints::EndpointTable`]. Added when discovery or the acceptor core
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -1,7 +1,8 @@
-//! Open queries and their shard requests, from the receipt of the last byte of a query to its final response. If the
-//! router has a shard map, shard requests are for keys, and a request whose shard was split or merged may be split into
-//! several requests. The table identifies a query by a number, which is never reused; clients may reuse the id of an
-//! ended query.
+//! Open queries and their shard requests, from the receipt of the last byte of a query to its final response.
+//! If the router has a shard map, shard requests are for keys, and a request whose shard was split or merged
+//! may be split into several requests. The table identifies a query by a number, which is never reused;
+//! clients may reuse the id of an ended query. The slot of a query class is an index into
+//! `Dispatcher::query_classes`. The policy is the code that decides about queries and attempts.
 use super::clients::ClientConnection;
 use super::response::AnswerCoverage;
 use super::timer_queue::TimerQueue;
@@ -44,8 +45,8 @@
 
 impl std::error::Error for QueryError {}
 
-/// An attempt that a data node may have executed, and when the first byte of its frame was to be written, in seconds of
-/// the monotonic clock.
+/// An attempt that a data node may have executed, and when the first byte of its frame was to be written, in
+/// seconds of the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PossibleExecution {
     attempt: usize,
@@ -74,11 +75,11 @@
 pub struct RequestedKeys {
     /// The requested range of keys.
     pub range: KeyRange,
-    /// Whether the client asked for a shard rather than for keys, so that one value has to answer all keys of the
-    /// shard.
+    /// Whether the client asked for a shard rather than for keys, so that one value has to answer all keys of
+    /// the shard.
     pub is_whole_shard: bool,
-    /// Whether the request was split into several requests. An answer to the request that arrives after the split still
-    /// counts.
+    /// Whether the request was split into several requests. An answer to the request that arrives after the
+    /// split still counts.
     pub is_split: bool,
     /// Whether all keys of the range are answered, by this request or by a request that it was split from.
     pub is_answered: bool,
@@ -97,8 +98,9 @@
         ShardRequest { id, shard, weight, value: None, attempts: 0, keys: None, possible_executions: vec![] }
     }
 
-    /// When the frame of the earliest attempt that may have been executed was begun, in seconds of the monotonic clock,
-    /// without regard to attempt `except`; `None` if there is no such attempt.
+    /// The earliest time at which the first byte of an attempt's frame was to be written, in seconds of the
+    /// monotonic clock, among the attempts of this shard request that a data node may have executed. The
+    /// attempt with the number `except` is left out. `None` if there is no other such attempt.
     pub fn first_possible_execution(&self, except: Option<usize>) -> Option<f64> {
         let others = self.possible_executions.iter().filter(|execution| Some(execution.attempt) != except);
         others.map(|execution| execution.begun_at_s).reduce(f64::min)
@@ -109,7 +111,8 @@
         !self.possible_executions.is_empty()
     }
 
-    /// Records that the frame of an attempt begins to be written at `now`: the data node may execute the attempt.
+    /// Records that the first byte of an attempt's frame is written at `now`, in seconds of the monotonic
+    /// clock: from then on the data node may execute the attempt.
     pub fn record_possible_execution(&mut self, attempt: usize, now: f64) {
         self.possible_executions.push(PossibleExecution { attempt, begun_at_s: now });
     }
@@ -143,7 +146,7 @@
     pub coverage: Option<AnswerCoverage>,
 }
 
-/// What an open query holds of the resources that all cores share, released on drop.
+/// The id claim and the capacity of an open query, which all cores share. Dropping this value releases both.
 pub struct QueryResources {
     /// The claim on the query's id. No other open query on any core may have the same id.
     pub id_claim: IdClaim,
@@ -151,7 +154,7 @@
     pub capacity: Vec<PoolPermit>,
 }
 
-/// What the frame of an attempt contains of its shard request.
+/// The parts of a shard request that the frame of an attempt contains.
 pub struct ShardRequestContent<'a> {
     /// Id of the requested shard.
     pub shard: u32,
@@ -249,7 +252,8 @@
         self.open.get(&number)
     }
 
-    /// Numbers of the queries whose deadline has passed at `now`, the earliest deadline first.
+    /// Numbers of the queries whose deadline is at or before `now`, in seconds of the monotonic clock; the
+    /// earliest deadline comes first.
     pub fn overdue(&self, now: f64) -> Vec<u64> {
         self.deadlines.due(now).copied().collect()
     }
@@ -276,13 +280,14 @@
         self.numbers.get(id).copied()
     }
 
-    /// The shard request with this id; `None` if its query has ended.
+    /// The shard request with this id; `None` if the query of the request has ended.
     pub fn request_mut(&mut self, request_id: &str) -> Option<&mut ShardRequest> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         self.open.get_mut(&query)?.requests.get_mut(index)
     }
 
-    /// What the frame of an attempt contains of this shard request; `None` if its query has ended.
+    /// The parts of this shard request that the frame of an attempt contains; `None` if the query of the
+    /// request has ended.
     pub fn request_content(&self, request_id: &str) -> Option<ShardRequestContent<'_>> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
@@ -296,22 +301,24 @@
         })
     }
 
-    /// The shard request with this id, after the slot of its query's class; `None` if its query has ended.
+    /// The slot of the query's class, and the shard request with this id; `None` if the query of the request
+    /// has ended.
     pub fn class_and_request(&self, request_id: &str) -> Option<(usize, &ShardRequest)> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         let query = self.open.get(&query)?;
         Some((query.class, query.requests.get(index)?))
     }
 
-    /// The number of the query of a shard request, the query, and the request's index in `Query::requests`; `None` if
-    /// the query has ended.
+    /// The number of the query of a shard request, the query, and the request's index in `Query::requests`;
+    /// `None` if the query has ended.
     pub fn query_of_request(&mut self, request_id: &str) -> Option<(u64, &mut Query, usize)> {
         let &RequestIndex { query, index } = self.requests.get(request_id)?;
         Some((query, self.open.get_mut(&query)?, index))
     }
 
-    /// Marks a shard request as split and adds the requests `into` to its query, with the capacity for them. The split
-    /// request stays in the query, because an answer to it that arrives later still counts.
+    /// Marks a shard request as split and adds the requests `into` to its query. `capacity` is the permit for
+    /// the capacity units of the new requests. The split request stays in the query, because an answer to it
+    /// that arrives later still counts.
     pub fn split_request(&mut self, request_id: &str, into: Vec<ShardRequest>, capacity: PoolPermit) {
         let Some(&RequestIndex { query: number, index }) = self.requests.get(request_id) else { return };
         let Some(query) = self.open.get_mut(&number) else { return };
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -1,6 +1,7 @@
-//! Query classes across changes of the configuration. Each version of a class has a slot, an index into the list of
-//! class rules, so that an open query keeps the rules that it was opened with while new queries use the newest rules. A
-//! slot is retiring if only open queries still use its rules.
+//! Query classes across changes of the configuration. Each different set of rules that a class has had has a
+//! slot, an index into the list of class rules, so that an open query keeps the rules that it was opened with
+//! while new queries use the newest rules. A slot is retiring if only open queries still use the rules in the
+//! slot. The policy, the code that decides about queries and attempts, gets changes in its next run.
 use alderway::interface::{ClassSlot, Idempotency, PolicyConfig, PolicyInput, QueryClass};
 use alderway_deployment::Settings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +13,8 @@
 pub struct ConfigGeneration {
     /// Number of the configuration within this process: 0 for the first, one more for each further one.
     pub serial: u64,
-    /// The settings of this configuration.
+    /// Settings of the policy, the query classes, the admission of queries, and the connections to data
+    /// nodes.
     pub settings: Settings,
 }
 
@@ -55,8 +57,9 @@
     }
 }
 
-/// The longest time limit for queries before the last change of the configuration, in seconds after the arrival of a
-/// query. Queries with that limit may be open until `until_s`, in seconds of the monotonic clock.
+/// The longest time limit for queries before the last change of the configuration, in seconds after the
+/// arrival of a query. Queries with that limit may be open until `until_s`, in seconds of the monotonic
+/// clock.
 #[derive(Clone, Copy, Default)]
 struct PreviousDeadline {
     deadline_s: f64,
@@ -69,14 +72,15 @@
     slots: Vec<ClassSlot>,
 }
 
-/// Assigns slots to query classes. A slot has the newest rules of a class, or is retiring because open queries still
-/// use its rules, or is free for reuse. Free slots are reused, so that the number of slots stays bounded.
+/// Assigns slots to query classes. A slot has the newest rules of a class, or is retiring because open
+/// queries still use the rules in the slot, or is free for reuse. Free slots are reused, so that the number
+/// of slots stays bounded.
 #[derive(Default)]
 pub struct ClassTable {
     updates: Option<watch::Receiver<Arc<ConfigGeneration>>>,
     current: Option<Arc<ConfigGeneration>>,
-    /// The slots for new queries, in the order of the classes in the settings; `None` before the first change, when
-    /// each class has the slot of its index.
+    /// The slots for new queries, in the order of the classes in the settings; `None` if no configuration has
+    /// been applied by `apply` since `reset`; each class then has the slot of its index.
     newest_slots: Option<Vec<usize>>,
     /// The policy's settings of the class in each slot.
     classes_by_slot: BTreeMap<usize, QueryClass>,
@@ -97,8 +101,8 @@
         self.current.as_ref()
     }
 
-    /// The slot for new queries of the class `name`; `None` if there is no such class. `rules` are the class rules by
-    /// slot.
+    /// The slot for new queries of the class `name`; `None` if there is no such class. `rules` are the class
+    /// rules by slot.
     pub fn slot_of(&self, rules: &[ClassRules], name: &str) -> Option<usize> {
         match &self.newest_slots {
             None => rules.iter().position(|class| class.name == name),
@@ -123,7 +127,8 @@
         Some(updates.borrow_and_update().clone())
     }
 
-    /// Applies a configuration without regard to open queries: each class gets the slot of its index in the settings.
+    /// Applies a configuration without regard to open queries: each class gets the slot of its index in the
+    /// settings.
     pub fn reset(&mut self, generation: Arc<ConfigGeneration>) {
         self.classes_by_slot = generation.settings.policy.query_classes.iter().cloned().enumerate().collect();
         self.newest_slots = None;
@@ -133,9 +138,10 @@
         self.current = Some(generation);
     }
 
-    /// Applies a configuration. A class that did not change keeps its slot; a new or changed class gets another slot,
-    /// whose entry in `rules` is replaced or added. `longest_deadline_s` is the longest time limit that a query opened
-    /// until `now` may have, in seconds after its arrival.
+    /// Applies a configuration. A class that did not change keeps its slot; a new or changed class gets
+    /// another slot, whose entry in `rules` is replaced or added. `longest_deadline_s` is the longest time
+    /// limit that a query opened until `now` may have, in seconds after the arrival of the query; `now` is in
+    /// seconds of the monotonic clock.
     pub fn apply(
         &mut self,
         generation: Arc<ConfigGeneration>,
@@ -187,8 +193,8 @@
         }
     }
 
-    /// Frees the retiring slots without open queries, and reports these slots to the policy. `open_in` returns the
-    /// number of open queries of a slot.
+    /// Frees the retiring slots without open queries, and reports these slots to the policy. `open_in`
+    /// returns the number of open queries of a slot.
     pub fn notify_retired_slots(&mut self, open_in: impl Fn(usize) -> usize, policy: &mut dyn PolicyInput) {
         for slot in self.retiring_slots.extract_if(.., |slot| open_in(*slot) == 0) {
             policy.class_retired(slot);
--- a/crates/router/src/state/response.rs
+++ b/crates/router/src/state/response.rs
@@ -1,5 +1,5 @@
-//! The final response to a query, as the dispatcher stores it in the state of the client's connection. The connection's
-//! task encodes the response.
+//! The final response to a query, as the dispatcher stores it in the state of the client's connection. The
+//! connection's task encodes the response.
 use alderway_layouts::ShardId;
 use alderway_layouts::coverage::Coverage;
 
@@ -11,8 +11,8 @@
 pub struct ShardResult {
     /// Id of the shard that answered.
     pub shard: u32,
-    /// The keys that the value is for, from the first (inclusive) to the second (exclusive); `None` without a shard
-    /// map.
+    /// The keys that the value is for, from the first (inclusive) to the second (exclusive); `None` without a
+    /// shard map.
     pub keys: Option<(u32, u32)>,
     /// The value that the data node sent, unchanged.
     pub value: String,
@@ -34,11 +34,14 @@
         /// The answered key ranges and their values.
         coverage: AnswerCoverage,
     },
-    /// The router has no capacity for the query or shuts down.
+    /// The router has no capacity for the query, or is in the last phase of a shutdown.
     NoCapacity,
-    /// The policy rejected the query. The client may retry the query without side effects.
+    /// The policy, the code that decides about queries, rejected the query. The client may retry the query:
+    /// either the class of the query allows a repeated execution, or no data node has executed any part of
+    /// the query.
     Rejected {
-        /// How long the client should wait before it retries, in seconds; `None` if the policy gives no advice.
+        /// How long the client should wait before it retries, in seconds; `None` if the policy gives no time;
+        /// the response then has no `Retry-After` field.
         retry_after_s: Option<f64>,
     },
     /// The policy failed the query. Data nodes may have executed parts of the query.
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -1,9 +1,13 @@
-//! The shard map of one core. A shard map assigns each range of keys to a shard, and each shard to its holders: the
-//! replica groups that store all keys of the shard. New versions split, merge or move shards, so open shard requests
-//! may have to be split into parts, which share the attempts of the split request.
+//! The shard map of one core. A shard map assigns each range of keys to a shard, and each shard to its
+//! holders: the replica groups that store all keys of the shard. A shard that the newest version no longer
+//! contains is retired: it is kept until its last request is closed and a grace period is over. New versions
+//! split, merge or move shards, so open shard requests may have to be split into parts, which share the
+//! attempts of the split request.
 //!
-//! This module maps queries to shard requests and collects the changes that the policy gets in its next run. A router
-//! whose shards are placed by the platform's hash ring has no shard map.
+//! This module maps queries to shard requests and collects the changes that the policy, the code that decides
+//! about attempts, gets in its next run. Whether a router uses a shard map is a setting of the process.
+//! Without a shard map, the hosting platform places shards on data nodes by a hash ring, and this module is
+//! not used.
 use super::attempts::AttemptId;
 use super::node_protocol::ShardReport;
 use super::queries::{QueryError, RequestedKeys, ShardRequest};
@@ -22,8 +26,8 @@
 pub struct ShardMapConfig {
     /// How long clients may still request a shard that no longer exists, in seconds.
     pub retired_shard_grace_s: f64,
-    /// How long no requests for a shard are sent to a data node that has replied that it does not hold the shard, in
-    /// seconds. A data node with an older shard map can catch up in this time.
+    /// How long no requests for a shard are sent to a data node that has replied that it does not hold the
+    /// shard, in seconds. A data node with an older shard map can catch up in this time.
     pub lagging_node_grace_s: f64,
 }
 
@@ -32,7 +36,8 @@
 pub struct QueryTarget {
     /// Id of the requested shard; `None` if the target names keys.
     pub shard: Option<ShardId>,
-    /// The requested keys, from the first (inclusive) to the second (exclusive); `None` if the target names a shard.
+    /// The requested keys, from the first (inclusive) to the second (exclusive); `None` if the target names a
+    /// shard.
     pub keys: Option<(u32, u32)>,
     /// The target's fraction of the query, from 0 to 1.
     pub weight: f64,
@@ -66,7 +71,8 @@
     history: Option<History>,
     /// For each split shard request, its parts, and which parts no longer wait for which of its attempts.
     pub families: SplitRequests<Rc<str>>,
-    /// For tests: every answer counts, for whichever keys it is.
+    /// A fault that a test may set: the value of every answer counts, even if the answer is for other keys
+    /// than requested.
     #[cfg(feature = "faults")]
     pub counts_all_answers: bool,
     /// New shards, each with the former shards that had its keys.
@@ -96,19 +102,19 @@
         self.history.as_ref().map(|history| history.latest().version())
     }
 
-    /// The newest shard map, and the shards that no longer exist but are still in use; `None` before the first shard
-    /// map.
+    /// The newest shard map, and the shards that no longer exist but are still in use; `None` before the
+    /// first shard map.
     pub fn history(&self) -> Option<&History> {
         self.history.as_ref()
     }
 
-    /// Applies a full shard map or changes from discovery. Returns the shards whose holders may have changed, and those
-    /// that no longer exist but have open requests: the caller recalls attempts to former holders and splits requests
-    /// for these shards if necessary.
+    /// Applies a full shard map or changes from discovery. Returns the shards whose holders may have changed,
+    /// and those that no longer exist but have open requests: the caller recalls attempts to former holders
+    /// and splits requests for these shards if necessary.
     ///
     /// # Errors
-    /// The shard map or the changes are invalid or do not follow the current version. The current shard map then stays
-    /// in use.
+    /// The shard map or the changes are invalid, or the changes are not based on the current version. The
+    /// current shard map then stays in use.
     pub fn apply(&mut self, news: LayoutUpdate, now: f64) -> Result<Vec<ShardId>, LayoutError> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
@@ -128,8 +134,8 @@
     /// [`apply`](Self::apply).
     ///
     /// # Errors
-    /// The shard map is older than the current one, or reuses the id of a shard for other keys. The current shard map
-    /// then stays in use.
+    /// The shard map is older than the current one, or reuses the id of a shard for other keys. The current
+    /// shard map then stays in use.
     pub fn replace_from_core(&mut self, layout: &Layout, now: f64) -> Result<Vec<ShardId>, LayoutError> {
         let ShardMapConfig { retired_shard_grace_s, lagging_node_grace_s } = self.config;
         match &mut self.history {
@@ -153,7 +159,8 @@
         followed.changed_holders
     }
 
-    /// Marks all shards as changed, so that a restarted policy gets all shards in its first run.
+    /// Marks all shards as changed, and drops the collected splits and new shards, so that a restarted policy
+    /// gets all shards in its first run.
     pub fn mark_all_changed(&mut self) {
         self.inherited.clear();
         self.splits.clear();
@@ -163,12 +170,12 @@
         }
     }
 
-    /// Maps the targets of a query to shard requests by the newest shard map. Also returns the coverage that records
-    /// which keys of the query are answered.
+    /// Maps the targets of a query to shard requests by the newest shard map. Also returns the coverage that
+    /// records which keys of the query are answered.
     ///
     /// # Errors
-    /// [`QueryError`] if a target does not exist or names both or neither of shard and keys, targets overlap, or there
-    /// is no shard map.
+    /// [`QueryError`] if a target does not exist or names both or neither of shard and keys, targets overlap,
+    /// or there is no shard map.
     pub fn requests_for(
         &self,
         query_id: &str,
@@ -208,10 +215,10 @@
         split_into
     }
 
-    /// Whether an open shard request has to be split: the client asked for keys, the shard of the request no longer
-    /// exists, and either the request has had no attempt or the new shards of its keys have different holders. Guards
-    /// against a request that can only go to a hanging replica group, the only one that holds all of its keys, although
-    /// other groups hold some of the keys.
+    /// Whether an open shard request has to be split: the client asked for keys, the shard of the request no
+    /// longer exists, and either no attempt of the request has been started or the new shards of the
+    /// requested keys have different holders. Guards against a request that can only go to a hanging replica
+    /// group, the only one that holds all of its keys, although other groups hold some of the keys.
     pub fn must_split(&self, request: &ShardRequest) -> bool {
         let (Some(history), Some(keys)) = (&self.history, request.keys) else { return false };
         let is_settled = keys.is_whole_shard || keys.is_split || keys.is_answered;
@@ -220,15 +227,16 @@
             && (request.attempts == 0 || history.successors_have_different_holders(request.shard))
     }
 
-    /// Records that a shard request is open. The shard is kept until all requests for it are closed, even if it no
-    /// longer exists.
+    /// Records that a shard request is open. The shard is kept until all requests for it are closed, even if
+    /// it no longer exists.
     pub fn record_request_opened(&mut self, request: &ShardRequest) {
         if let Some(history) = self.history.as_mut().filter(|_| request.keys.is_some()) {
             history.request_opened(request.shard);
         }
     }
 
-    /// Records that a shard request is closed. Does nothing for a split request, which was closed when it was split.
+    /// Records that a shard request is closed. Does nothing for a split request, which was closed when it was
+    /// split.
     pub fn record_request_closed(&mut self, request: &ShardRequest) {
         let is_open = request.keys.is_some_and(|keys| !keys.is_split);
         if let Some(history) = self.history.as_mut().filter(|_| is_open) {
@@ -241,8 +249,9 @@
         self.history.as_ref().map_or(vec![], |history| history.holders(shard))
     }
 
-    /// Records that a shard request was split. `is_new` says that the policy has not received the query yet; it then
-    /// receives the query with the parts only, and the split is not reported.
+    /// Records that a shard request was split. `is_new` says that the policy has not received the query yet;
+    /// it then receives the query with the parts instead of the split request, and the split is not passed to
+    /// the policy.
     pub fn record_split(&mut self, split: SplitShardRequest, is_new: bool) {
         let part_ids: Vec<Rc<str>> = split.parts.iter().map(|part| part.id.clone()).collect();
         self.families.split(&split.request_id, &part_ids);
@@ -251,10 +260,13 @@
         }
     }
 
-    /// The outcome of an attempt, corrected by what the data node reports about the shard map. An answer is a success
-    /// only if it is for exactly the requested keys; an answer without keys counts as one for the whole shard. Guards
-    /// against data nodes with another version of the shard map, and against data nodes without a shard map, which
-    /// always answer for the whole shard.
+    /// Corrects the outcome of an attempt by the data node's report about the shard map, and returns the
+    /// corrected outcome. If the data node rejected the attempt because it does not hold the shard, the
+    /// outcome is `ShardMoved`, and the data node is excluded for this shard: from `now`, in seconds of the
+    /// monotonic clock, the policy sends it no requests for the shard until the exclusion ends. An answer is
+    /// a success only if it is for exactly the requested keys; an answer without keys counts as one for the
+    /// whole shard. Guards against data nodes with another version of the shard map, and against data nodes
+    /// without a shard map, which always answer for the whole shard.
     pub fn classify_outcome(
         &mut self,
         node: &str,
@@ -281,8 +293,8 @@
         }
     }
 
-    /// Passes the new shards, and the holders of all changed shards, to the policy. Must be called before new queries
-    /// are passed to the policy.
+    /// Passes the new shards, and the holders of all changed shards, to the policy. Must be called before new
+    /// queries are passed to the policy.
     pub fn notify_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(history) = &mut self.history else { return };
         self.changed_shards.extend(history.expire_exclusions(now));
@@ -305,30 +317,31 @@
         }
     }
 
-    /// Drops the changes that are collected for the policy, and the shards that are no longer in use. For a process
-    /// that has no policy.
+    /// Drops the changes that are collected for the policy, and the shards that are no longer in use. For the
+    /// publisher of the shard map in the acceptor core, which has a shard map but no policy.
     pub fn discard_notifications(&mut self, now: f64) {
         self.inherited.clear();
         self.changed_shards.clear();
         self.history.iter_mut().for_each(|history| drop(history.expire_retired(now)));
     }
 
-    /// Drops the shards that are no longer in use, and reports them to the policy. Must be called after all other input
-    /// has been passed to the policy.
+    /// Drops the shards that are no longer in use, and reports them to the policy. Must be called after all
+    /// other input has been passed to the policy.
     pub fn notify_retired_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         if let Some(history) = &mut self.history {
             history.expire_retired(now).into_iter().for_each(|shard| policy.shard_retired(shard));
         }
     }
 
-    /// Records that the part `request_id` of a split no longer waits for an attempt that the parts share. Returns
-    /// whether no part waits for the attempt any more.
+    /// Records that the part `request_id` of a split no longer waits for an attempt that the parts share.
+    /// Returns whether no part waits for the attempt any more.
     pub fn remove_waiting_request(&mut self, id: &AttemptId, request_id: &Rc<str>) -> bool {
         self.families.remove_waiter(&(id.request_id.clone(), id.number), request_id)
     }
 
-    /// The shard requests for which the policy gets the end of an attempt, if the shard request of the attempt was
-    /// split: all parts of the split if the attempt succeeded, otherwise the parts that still wait for the attempt.
+    /// The shard requests for which the policy gets the end of an attempt, if the shard request of the
+    /// attempt was split: all parts of the split if the attempt succeeded, otherwise the parts that still
+    /// wait for the attempt.
     /// `None` if the request was not split.
     pub fn outcome_recipients(&self, id: &AttemptId, outcome: AttemptOutcome) -> Option<Vec<Rc<str>>> {
         if self.families.is_empty() {
@@ -343,15 +356,15 @@
     }
 }
 
-/// The keys of a shard that a client requests. A shard that no longer exists can be requested while some replica group
-/// holds all of its keys.
+/// The keys of a shard that a client requests. A shard that no longer exists can be requested while some
+/// replica group holds all of its keys.
 fn shard_range(history: &History, shard: ShardId) -> Result<KeyRange, QueryError> {
     let is_served = || !history.is_retired(shard) || !history.holders(shard).is_empty();
     history.keys(shard).filter(|_| is_served()).ok_or(QueryError::UnknownShard)
 }
 
-/// One shard request for each shard that has keys of `range` by the newest shard map. `weight` is divided in proportion
-/// to the number of keys.
+/// One shard request for each shard that has keys of `range` by the newest shard map. `weight` is divided in
+/// proportion to the number of keys.
 fn requests_by_keys(history: &History, query_id: &str, range: KeyRange, weight: f64) -> Vec<ShardRequest> {
     let weight_per_key = weight / range.len() as f64;
     let request = |(shard, keys): (ShardId, KeyRange)| {
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -1,6 +1,9 @@
-//! The state that the cores of a process share, and the channels between the cores. One core, the acceptor core,
-//! accepts client connections and passes them and the endpoint list to the other cores. A process with one core has a
-//! shared state without channels.
+//! The state that the cores of a process share, and the channels between the cores. One core, the acceptor
+//! core, accepts client connections and passes them and the endpoint list to the other cores. A process with
+//! one core has a shared state without channels. A fence keeps cores from starting attempts while their
+//! endpoint list may be outdated. A heartbeat is the time that the thread of a core regularly publishes while
+//! it runs. An observation is the health of a data node according to the attempts of one core. The policy is
+//! the code that decides about queries and attempts.
 use super::descriptors::DescriptorPermit;
 use super::metrics::MetricsSnapshot;
 use alderway::interface::{NodeObservation, SharedLimits};
@@ -11,13 +14,15 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use tokio::sync::{Notify, broadcast, mpsc, watch};
 
-/// Capacity of the channel for observations, in messages. A core that has more unread observations loses the oldest
-/// ones; it detects bad data nodes from the endpoint list and its own attempts instead.
+/// Capacity of the channel for observations, in messages. A core that has more unread observations loses the
+/// oldest ones; the policy of that core then determines the health of data nodes only from its endpoint list
+/// and its attempts.
 const OBSERVATION_QUEUE: usize = 4096;
 /// Capacity of the channel for commands to one core, in commands.
 const COMMAND_QUEUE: usize = 1024;
 
-/// A client connection that is passed to a core. All bytes that were read from it so far belong to answered requests.
+/// A client connection that is passed to a core. All bytes that were read from it so far belong to answered
+/// requests.
 pub struct TransferredConnection {
     /// The socket.
     pub stream: std::net::TcpStream,
@@ -49,11 +54,12 @@
     pub core: usize,
     /// The name of the observed data node.
     pub node: String,
-    /// What was observed of the data node.
+    /// The health of the data node, and when it was observed.
     pub observation: NodeObservation,
 }
 
-/// What a core last published about itself. The acceptor core reads it to supervise and balance the cores.
+/// The load, heartbeat, metrics and configuration number that a core last published. The acceptor core reads
+/// these values to supervise the cores and to balance the client connections between cores.
 pub struct CoreState {
     /// Time of the core's last heartbeat, in milliseconds of the monotonic clock that all cores share.
     pub heartbeat_ms: AtomicU64,
@@ -61,11 +67,13 @@
     pub client_count: AtomicUsize,
     /// Number of client connections on which response bytes were written between the last two heartbeats.
     pub active_clients: AtomicUsize,
-    /// CPU time used by the thread per time elapsed, in thousandths: a moving average over the last few heartbeats.
+    /// CPU time used by the thread per time elapsed, in thousandths: a moving average over the last few
+    /// heartbeats.
     pub busy_permille: AtomicU64,
     /// The counters and gauges that the core last published.
     pub metrics: watch::Sender<Arc<MetricsSnapshot>>,
-    /// The [`serial`](super::query_classes::ConfigGeneration::serial) of the configuration that the core's policy uses.
+    /// The [`serial`](super::query_classes::ConfigGeneration::serial) of the configuration that the core's
+    /// policy uses.
     pub config_serial: watch::Sender<u64>,
     commands: Option<mpsc::Sender<CoreCommand>>,
 }
@@ -86,13 +94,16 @@
 
 /// The state that all cores of the process share.
 pub struct SharedState {
-    /// OpenQueryIds of the open queries of all cores, so that no two open queries have the same id.
+    /// Ids of the open queries of all cores. A core claims the id of a query here before it opens the query,
+    /// so that no two open queries have the same id.
     pub ids: Arc<OpenQueryIds>,
     /// Free capacity of the process: an open query takes one unit, and each of its shard requests one unit.
     pub capacity: Arc<Pool>,
-    /// Keeps a core from starting attempts until it has applied the newest endpoint list.
+    /// Keeps a core from starting attempts until the core has applied the newest endpoint list, and while the
+    /// acceptor core has not recently confirmed that this list is current.
     pub fence: Arc<Fence>,
-    /// Limits of the policy that apply to all cores together.
+    /// The retry budget and the turns for sending to data nodes that are warming up, which the policies of
+    /// all cores share.
     pub limits: SharedLimits,
     /// The published state of each core, by index.
     pub cores: Vec<CoreState>,
@@ -105,13 +116,13 @@
     pub cores_serving: AtomicUsize,
     /// Number of cores that have missed their heartbeats, as last set by the acceptor core.
     pub cores_hung: AtomicUsize,
-    /// Number of cores that have failed, including those that are not restarted any more, as last set by the acceptor
-    /// core.
+    /// Number of cores that have failed, including those that are not restarted any more, as last set by the
+    /// acceptor core.
     pub cores_lost: AtomicUsize,
     /// Counters and gauges of the acceptor core.
     pub acceptor_metrics: watch::Sender<Arc<MetricsSnapshot>>,
-    /// The control plane's version number of the configuration in use; 0 if the configuration is not from the control
-    /// plane.
+    /// The control plane's version number of the configuration in use; 0 if the configuration is not from the
+    /// control plane.
     pub config_version: AtomicU64,
     /// Counters and gauges of the subscription to the control plane; empty if there is no subscription.
     pub control_metrics: watch::Sender<Arc<MetricsSnapshot>>,
@@ -122,7 +133,8 @@
 pub struct MulticoreConfig {
     /// Number of cores of the process, each with its own thread.
     pub cores: usize,
-    /// Maximum number of connections to one data node from all cores together, though each core may always have one;
+    /// Maximum number of connections to one data node from all cores together, though each core may always
+    /// have one;
     /// `None` for no limit.
     pub max_connections_per_node: Option<usize>,
     /// Whether cores share their observations of data nodes.
@@ -136,9 +148,9 @@
 }
 
 impl SharedState {
-    /// Creates a shared state with `capacity` units for open queries and their shard requests, and the receiver of each
-    /// core's commands. Cores start no attempts if the acceptor core has not confirmed for more than `fence_timeout_s`
-    /// seconds that its endpoint list is current.
+    /// Creates a shared state with `capacity` units for open queries and their shard requests, and the
+    /// receiver of each core's commands. Cores start no attempts if the acceptor core has not confirmed for
+    /// more than `fence_timeout_s` seconds that its endpoint list is current.
     pub fn new(
         capacity: usize,
         config: MulticoreConfig,
@@ -177,7 +189,8 @@
         (Arc::new(shared), receivers)
     }
 
-    /// Creates the shared state of a process with one core.
+    /// Creates the shared state of a process with one core, with `capacity` units: one for each open query
+    /// and one for each of its shard requests. The fence never blocks this core for want of a confirmation.
     pub fn single_core(capacity: usize) -> Arc<Self> {
         SharedState::new(capacity, MulticoreConfig::default(), f64::INFINITY).0
     }
@@ -190,7 +203,8 @@
     /// Sends a command to the core with index `core`.
     ///
     /// # Errors
-    /// Returns the command if the core's command channel is full, the core has ended, or the process has only one core.
+    /// Returns the command if the core's command channel is full, the core has ended, or the process has only
+    /// one core.
     pub fn send_command(&self, core: usize, command: CoreCommand) -> Result<(), CoreCommand> {
         let Some(commands) = self.cores.get(core).and_then(|state| state.commands.as_ref()) else {
             return Err(command);
@@ -200,7 +214,8 @@
         })
     }
 
-    /// Sends an observation of a data node to all cores; false if cores do not share observations.
+    /// Sends an observation of a data node to all cores. Returns false if cores do not share observations;
+    /// true does not mean that a core has received the observation.
     pub fn broadcast_observation(&self, message: ObservationMessage) -> bool {
         // Sending fails only if no core has subscribed.
         self.observations.as_ref().map(|observations| observations.send(message)).is_some()
@@ -211,8 +226,8 @@
         self.observations.as_ref().map(broadcast::Sender::subscribe)
     }
 
-    /// Adds the metrics that the other cores last published, and the metrics of the process, to `metrics`. `core` is
-    /// the index of the core that `metrics` already includes, `None` if it includes no core.
+    /// Adds the metrics that the other cores last published, and the metrics of the process, to `metrics`.
+    /// `core` is the index of the core that `metrics` already includes, `None` if it includes no core.
     pub fn add_other_cores(&self, core: Option<usize>, metrics: &mut MetricsSnapshot) {
         let version = self.config_version.load(Relaxed);
         if version > 0 {
--- a/crates/router/src/state/timer_queue.rs
+++ b/crates/router/src/state/timer_queue.rs
@@ -40,7 +40,8 @@
         self.0.remove(&(DueAt(due_at_s), key.clone()));
     }
 
-    /// The keys that are due at `now`, the earliest due time first.
+    /// The keys whose due time is at or before `now`, in seconds of the monotonic clock; the earliest due
+    /// time comes first.
     pub fn due(&self, now: f64) -> impl Iterator<Item = &K> {
         self.0.iter().take_while(move |(at, _)| at.0 <= now).map(|(_, key)| key)
     }
--- a/crates/router/src/state/watch_state.rs
+++ b/crates/router/src/state/watch_state.rs
@@ -1,14 +1,16 @@
-//! Decides when a watch is lost and when the next watch opens. A watch is an HTTP response from the discovery agent
-//! that streams the changes of the endpoint list. The caller reports events with their times, in seconds of the
-//! monotonic clock; this module reads no socket and no clock. The longest time from a change in discovery until the
-//! router receives it follows from the three constants below and, if watches open only when the policy polls, from the
-//! policy's poll interval.
+//! Decides when a watch is lost and when the next watch opens. A watch is an HTTP response that streams the
+//! changes of the endpoint list. It comes from the discovery agent, a process on the machine of the router
+//! that provides the endpoint list. The policy, the code that decides about attempts, may request polls of
+//! the endpoint list; a poll opens a watch. The caller reports events with their times, in seconds of the
+//! monotonic clock; this module reads no socket and no clock. The longest time from a change in discovery
+//! until the router receives it follows from the three constants below and, if watches open only when the
+//! policy polls, from the policy's poll interval.
 
-/// A watch is lost if no complete line or object is received for this time, in seconds. The discovery agent sends an
-/// empty line every 2 s.
+/// A watch is lost if no complete line or object is received for this time, in seconds. The discovery agent
+/// sends an empty line every 2 s.
 pub const SILENCE_TIMEOUT_S: f64 = 3.0;
-/// A watch is lost if the head of its response is not received within this time, in seconds. The discovery agent runs
-/// on the router's machine.
+/// A watch is lost if the head of its response is not received within this time, in seconds. The discovery
+/// agent runs on the router's machine.
 pub const RESPONSE_TIMEOUT_S: f64 = 1.0;
 /// Pause between the loss of a watch and the opening of the next one, in seconds.
 pub const RECONNECT_PAUSE_S: f64 = 0.25;
@@ -35,7 +37,7 @@
     },
 }
 
-/// The state of the watch on discovery.
+/// The phase of the watch, and whether the policy decides when the next watch opens.
 #[derive(Debug)]
 pub struct WatchState {
     /// Whether a watch opens only when the policy requests a poll.
@@ -45,37 +47,38 @@
 }
 
 impl WatchState {
-    /// A state without an open watch. If `on_request`, a watch opens only when the policy requests a poll; otherwise
-    /// the first watch opens immediately, and each lost watch is replaced after a pause.
+    /// A state without an open watch. If `on_request`, a watch opens only when the policy requests a poll;
+    /// otherwise the first watch opens immediately, and each lost watch is replaced after a pause.
     pub fn new(on_request: bool) -> Self {
         let phase =
             if on_request { WatchPhase::NotRequested } else { WatchPhase::Waiting { opens_at_s: 0.0 } };
         WatchState { on_request, phase }
     }
 
-    /// Records that the next watch opens at `now`, because the pause is over, the policy requested a poll, or the
-    /// address of the discovery agent changed.
+    /// Records that the next watch opens at `now`, because the pause is over, the policy requested a poll, or
+    /// the address of the discovery agent changed.
     pub fn open(&mut self, now: f64) {
         self.phase = WatchPhase::Opening { lost_at_s: now + RESPONSE_TIMEOUT_S };
     }
 
-    /// Records that the head of the response was received. `SILENCE_TIMEOUT_S` counts from the opening of the watch
-    /// until the first line or object is received.
+    /// Records that the head of the response was received. `SILENCE_TIMEOUT_S` counts from the opening of the
+    /// watch until the first line or object is received.
     pub fn response_started(&mut self) {
         if let WatchPhase::Opening { lost_at_s } = self.phase {
             self.phase = WatchPhase::Open { lost_at_s: lost_at_s - RESPONSE_TIMEOUT_S + SILENCE_TIMEOUT_S };
         }
     }
 
-    /// Records that a complete line or object was received at `now`. Single bytes do not postpone the time-out. Guards
-    /// against a watch that keeps sending bytes but never completes a line or object.
+    /// Records that a complete line or object was received at `now`. Bytes of an incomplete line or object do
+    /// not extend the time until the watch is lost. Guards against a watch that keeps sending bytes but never
+    /// completes a line or object.
     pub fn update_received(&mut self, now: f64) {
         self.phase = WatchPhase::Open { lost_at_s: now + SILENCE_TIMEOUT_S };
     }
 
-    /// Records that the watch was lost at `now`; returns whether the head of its response had been received. If so and
-    /// watches open on request, the next watch opens when the policy requests the next poll; in all other cases it
-    /// opens after a pause.
+    /// Records that the watch was lost at `now`; returns whether the head of its response had been received.
+    /// If so and watches open on request, the next watch opens when the policy requests the next poll; in all
+    /// other cases it opens after a pause.
     pub fn lost(&mut self, now: f64) -> bool {
         let had_response = matches!(self.phase, WatchPhase::Open { .. });
         let awaits_poll = had_response && self.on_request;
@@ -87,8 +90,8 @@
         had_response
     }
 
-    /// When the current phase ends if no event ends it before, in seconds of the monotonic clock; infinite if only an
-    /// event ends it.
+    /// When the current phase ends if no event ends it before, in seconds of the monotonic clock; infinite if
+    /// only an event ends it.
     pub fn deadline(&self) -> f64 {
         match self.phase {
             WatchPhase::NotRequested => f64::INFINITY,
