--- a/crates/router/src/state/dispatcher/attempts.rs
+++ b/crates/router/src/state/dispatcher/attempts.rs
@@ -1,5 +1,6 @@
-//! Attempts, from the policy's decision to start them to their outcome. Each attempt ends exactly once. When a shard
-//! request is split, the new requests (its parts) share the attempts that the split request has in flight.
+//! Attempts, from the decision of the policy, the code that decides about queries and attempts, to their
+//! outcome. Each attempt ends exactly once. When a shard request is split, the new requests (its parts) share
+//! the attempts that the split request has in flight.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::{DialRequest, OutboundFrame, SendProgress};
@@ -7,8 +8,8 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Starts an attempt of a shard request on data node `node`. `flush_attempts` puts it into a frame after the policy
-    /// has run.
+    /// Starts an attempt of a shard request on data node `node`. The attempt times out after `timeout_s`
+    /// seconds. `flush_attempts` puts the attempt into a frame after the policy has run.
     pub(super) fn start_attempt_on_node(&mut self, request_id: &str, node: &str, timeout_s: f64) {
         let is_hedge = self.has_attempt_in_flight(request_id);
         let now = self.clock.now();
@@ -24,14 +25,15 @@
         });
         let is_duplicate = self.is_in_flight_at(request_id, node);
         self.attempts.start(id.clone(), node, now, now + timeout_s);
-        // Guards against two attempts of a shard request in flight at one data node, whose replies could not be
-        // distinguished.
+        // Guards against two attempts of a shard request in flight at one data node, whose replies could not
+        // be distinguished.
         if is_duplicate {
             self.counters.increment("calls_twice_at_a_node");
             return self.record_attempt_end(&id, AttemptOutcome::NeverSent);
         }
         match self.endpoints.nodes.get_mut(node) {
-            // Guards against a planner whose endpoint list does not yet show that the data node drains or is removed.
+            // Guards against a decision that the policy made before it received that the data node drains or
+            // is removed.
             Some(record) if record.state == NodeState::Serving => {
                 if record.unsent_attempts.is_empty() {
                     self.nodes_to_flush.insert(node.to_string());
@@ -70,8 +72,9 @@
         }
     }
 
-    /// Cancels an attempt for one shard request. If the request is a part of a split request and shares the attempt
-    /// with other parts, the attempt itself is cancelled only when no part waits for it.
+    /// Cancels an attempt for one shard request. If the request is a part of a split request and shares the
+    /// attempt with other parts, the policy gets the outcome `Cancelled` for this part, and the attempt
+    /// itself is cancelled only when no part waits for the attempt any more.
     pub(super) fn cancel_attempt_of(&mut self, request_id: &str, attempt: usize) {
         self.counters.increment("leaf_calls_cancelled");
         let id = AttemptId::new(request_id, attempt);
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Records the outcome of an attempt. If the outcome proves that the data node did not execute the attempt, the
-    /// attempt no longer counts as possibly executed, so that its shard request may be repeated.
+    /// Records the outcome of an attempt. If the outcome proves that the data node did not execute the
+    /// attempt, the attempt no longer counts as possibly executed, so that its shard request may be repeated.
     pub(super) fn record_attempt_end(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         if outcome.had_no_effect()
             && let Some(request) = self.queries.request_mut(&id.request_id)
@@ -113,9 +116,9 @@
         }
     }
 
-    /// Ends an attempt that has no reply. If no byte of its frame has been written, the attempt is removed from the
-    /// frame; if the frame is partly written, the connection is closed; if it is completely written, a cancellation is
-    /// queued.
+    /// Ends an attempt that has no reply. If no byte of its frame has been written, the attempt is removed
+    /// from the frame; if the frame is partly written, the connection is closed; if the frame is completely
+    /// written, a cancellation is queued.
     pub(super) fn abort_attempt(&mut self, id: &AttemptId, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let (node, connection) = (attempt.node.clone(), attempt.connection);
@@ -153,8 +156,8 @@
         Some(connections.get(&attempt.connection?)?.send_progress(id))
     }
 
-    /// Puts the attempts that are not yet in a frame into frames, with as many attempts per frame as the settings
-    /// allow, and queues each frame on a connection. Returns the connections to open.
+    /// Puts the attempts that are not yet in a frame into frames, with as many attempts per frame as the
+    /// settings allow, and queues each frame on a connection. Returns the connections to open.
     pub fn flush_attempts(&mut self, now: f64) -> Vec<DialRequest> {
         let max_batch = self.connection_config.max_batch.min(self.connection_config.streams_per_connection);
         for node in std::mem::take(&mut self.nodes_to_flush) {
@@ -183,8 +186,8 @@
         }
     }
 
-    /// Passes the attempts that have ended since the policy's last run to the policy. The end of an attempt of a split
-    /// request is passed for the parts of the split instead.
+    /// Passes the attempts that have ended since the policy's last run to the policy. The end of an attempt
+    /// of a split request is passed for the parts of the split instead.
     pub(super) fn notify_ended_attempts(&mut self, policy: &mut dyn PolicyInput) {
         for ended in self.attempts.take_ended() {
             let AttemptId { request_id, number } = &ended.id;
--- a/crates/router/src/state/dispatcher/config.rs
+++ b/crates/router/src/state/dispatcher/config.rs
@@ -1,4 +1,5 @@
-//! Changes of the configuration while queries are open. Each version of a query class has a slot, an index into
+//! Changes of the configuration while queries are open. Each different set of rules that a query class has
+//! had has a slot, an index into
 //! `Dispatcher::query_classes`, so that open queries keep the rules that they were opened with.
 use super::Dispatcher;
 use crate::state::query_classes::{ClassRules, ConfigGeneration};
@@ -8,7 +9,8 @@
 use tokio::sync::watch;
 
 impl Dispatcher {
-    /// Subscribes to the channel of configurations, and applies the newest one.
+    /// Subscribes to the channel of configurations, and applies the newest configuration in the channel.
+    /// Later configurations are applied by `apply_newest_config`.
     pub fn subscribe_config(&mut self, updates: watch::Receiver<Arc<ConfigGeneration>>) {
         let generation = self.class_table.subscribe(updates);
         self.connection_config = generation.settings.connections;
@@ -16,15 +18,16 @@
         self.query_classes = ClassRules::all(&generation.settings);
     }
 
-    /// The admission settings of a configuration, except for three that never change after the start: the capacity, the
-    /// number of shards, and whether changes of the endpoint list are polled.
+    /// The admission settings of a configuration, except for three that never change after the start: the
+    /// capacity, the number of shards, and whether changes of the endpoint list are polled.
     fn admission_for(&self, generation: &ConfigGeneration) -> AdmissionConfig {
         let AdmissionConfig { max_open, shard_count, polls_endpoints, .. } = self.admission;
         AdmissionConfig { max_open, shard_count, polls_endpoints, ..generation.settings.admission }
     }
 
-    /// Applies the newest configuration if this core has not applied it yet. Must be called before a request is read
-    /// and before the policy runs, so that neither uses an outdated configuration, however long this core was stalled.
+    /// Applies the newest configuration if this core has not applied it yet. Must be called before a request
+    /// is read and before the policy runs, so that neither uses an outdated configuration, however long this
+    /// core was stalled.
     pub fn apply_newest_config(&mut self) {
         if let Some(generation) = self.class_table.take_update() {
             self.apply_config(generation);
@@ -41,7 +44,8 @@
         self.work_ready.notify_one();
     }
 
-    /// The longest time, in seconds, that an open query may have had from its arrival to its deadline.
+    /// The longest time from arrival to deadline, in seconds, that a query open at `now` may have; `now` is
+    /// in seconds of the monotonic clock.
     pub fn longest_deadline_s(&self, now: f64) -> f64 {
         self.class_table.longest_deadline_s(self.admission.max_deadline_s, now)
     }
@@ -51,22 +55,23 @@
         self.class_table.slot_of(&self.query_classes, name)
     }
 
-    /// Applies the newest configuration, and passes the configurations that the policy has not received to the policy.
+    /// Applies the newest configuration, and passes the configurations that the policy has not received to
+    /// the policy.
     pub(super) fn notify_config(&mut self, policy: &mut dyn PolicyInput) {
         self.apply_newest_config();
         self.class_table.notify_changes(policy);
         self.publish_config_serial();
     }
 
-    /// Reports class slots that are retiring and have no open query to the policy. Must be called after the policy has
-    /// received the ended queries.
+    /// Reports class slots that are retiring and have no open query to the policy. Must be called after the
+    /// policy has received the ended queries.
     pub(super) fn notify_retired_classes(&mut self, policy: &mut dyn PolicyInput) {
         let queries = &self.queries;
         self.class_table.notify_retired_slots(|slot| queries.open_in_class(slot), policy);
     }
 
-    /// Resets the class slots for a restarted policy, which starts with the configuration in use and without open
-    /// queries.
+    /// Gives each query class the slot of its index in the configuration in use. Called when the policy is
+    /// restarted after a failure: the new policy starts with that configuration and without open queries.
     pub(super) fn reset_classes(&mut self) {
         if let Some(generation) = self.class_table.current().cloned() {
             self.query_classes = ClassRules::all(&generation.settings);
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -1,6 +1,8 @@
-//! Connections to data nodes: which connection carries an attempt, which frames may be written, and how the attempts on
-//! a connection end when the connection closes. A fence, shared by all cores, keeps this core from starting attempts
-//! while its endpoint list may be outdated.
+//! Connections to data nodes: which connection carries an attempt, which frames may be written, and how the
+//! attempts on a connection end when the connection closes. An attempt uses one stream of its connection
+//! until the attempt is answered or cancelled. The policy is the code that decides about queries and
+//! attempts. A fence, shared by all cores, keeps this core from starting attempts while its endpoint list may
+//! be outdated.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::{
@@ -13,8 +15,9 @@
 use alderway_cores::fence;
 
 impl Dispatcher {
-    /// Chooses a connection to a data node with a free stream for each attempt of a batch: an open connection, else a
-    /// connection that is being opened, else a new one. Returns its number; `None` if the data node is unknown.
+    /// Chooses a connection to a data node with a free stream for each attempt of a batch: an open
+    /// connection, else a connection that is being opened, else a new one. Returns the number of the chosen
+    /// connection; `None` if the data node is unknown.
     pub(super) fn choose_connection(&mut self, node: &str, batch: &[AttemptId], now: f64) -> Option<u64> {
         let streams = self.connection_config.streams_per_connection;
         let record = self.endpoints.nodes.get(node)?;
@@ -25,8 +28,8 @@
         if let Some(number) = least_used(streams) {
             return Some(number);
         }
-        // Guards against the cores together opening more connections than a data node accepts: at the maximum number of
-        // connections, attempts are queued on a connection without free streams.
+        // Guards against the cores together opening more connections than a data node accepts: at the maximum
+        // number of connections, attempts are queued on a connection without free streams.
         let open = record.connections.values().filter(|c| !c.is_retired && !c.is_aborted).count();
         if open >= self.shared.max_connections_per_node
             && let Some(number) = least_used(usize::MAX)
@@ -50,11 +53,11 @@
         self.endpoints.nodes.get_mut(node)?.connections.remove(&number)
     }
 
-    /// Removes a connection on which an unreadable reply was received; the router closes it, because the rest of the
-    /// stream cannot be decoded. One attempt fails: the attempt of `request_id` if the reply names a shard request,
-    /// else the one that was started first. The other attempts in flight are cancelled; by the protocol, closing the
-    /// connection cancels them at the data node. Guards against counting one unreadable reply as a reset of all these
-    /// attempts, which would make a healthy data node look unreachable.
+    /// Removes a connection on which an unreadable reply was received; the router closes it, because the rest
+    /// of the stream cannot be decoded. One attempt fails: the attempt of `request_id` if the reply names a
+    /// shard request, else the one that was started first. The other attempts in flight are cancelled; by the
+    /// protocol, closing the connection cancels them at the data node. Guards against counting one unreadable
+    /// reply as a reset of all these attempts, which would make a healthy data node look unreachable.
     pub fn connection_corrupted(&mut self, node: &str, number: u64, request_id: Option<&str>) {
         self.counters.increment("answers_spoilt");
         let Some(connection) = self.remove_connection(node, number) else { return };
@@ -71,9 +74,9 @@
         in_flight.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::Cancelled));
     }
 
-    /// Removes a connection that the data node closed, that broke, or that could not be opened. Attempts whose frame
-    /// was not completely written end as unreachable, as the data node cannot have executed them; the others end as
-    /// reset.
+    /// Removes a connection that the data node closed, that broke, or that could not be opened. Attempts
+    /// whose frame was not completely written end as unreachable, as the data node cannot have executed them;
+    /// the others end as reset.
     pub fn connection_lost(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let UnfinishedAttempts { unsent, in_flight } = connection.into_unfinished();
@@ -81,16 +84,18 @@
         in_flight.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::ConnectionReset));
     }
 
-    /// Removes a connection that could not be opened because this process lacks resources. The attempts queued on it
-    /// end as never sent, so that the policy does not blame the data node.
+    /// Removes a connection that could not be opened because this process lacks resources. The attempts
+    /// queued on it end as never sent, so that the policy does not count them as failures of the data node.
     pub fn connection_not_opened(&mut self, node: &str, number: u64) {
         let Some(connection) = self.remove_connection(node, number) else { return };
         let unsent = connection.into_unfinished().unsent;
         unsent.iter().for_each(|id| self.record_attempt_end(id, AttemptOutcome::NeverSent));
     }
 
-    /// Removes an idle connection that the data node has closed, and queues its unsent attempts for another connection.
-    /// An attempt cannot be moved forever, because this is done only for connections that have received a reply before.
+    /// Removes a connection that the data node closed while no attempt was in flight, and queues the attempts
+    /// of which no byte was written for another connection. Called only for a connection on which a reply was
+    /// received before. Attempts on a connection that has received no reply, such as a new one, end when the
+    /// connection closes, so no attempt is moved forever.
     pub fn requeue_unsent(&mut self, node: &str, number: u64) {
         let Some(mut connection) = self.remove_connection(node, number) else { return };
         let queued = connection.take_queued();
@@ -109,8 +114,9 @@
         }
     }
 
-    /// Writes the next queued frame of a connection, or the frame that is being written, to `writer`. False if no frame
-    /// is queued or the fence forbids the frame.
+    /// Writes the next queued frame of a connection, or the frame that is being written, to `writer`. False
+    /// if there is no frame, or if the frame starts attempts and the fence does not allow this core to start
+    /// attempts.
     pub fn encode_next_frame(&mut self, node: &str, number: u64, writer: &mut impl NodeFrameWriter) -> bool {
         self.drop_denied_attempts(node, number);
         let now = self.clock.now();
@@ -153,9 +159,9 @@
         })
     }
 
-    /// Whether the next frame starts attempts while the fence forbids that. Guards against a core that was stalled
-    /// while the endpoint list changed: attempts that its policy started by the old list wait until the core has
-    /// applied the new list.
+    /// Whether the next frame starts attempts while the fence does not allow this core to start attempts.
+    /// Guards against a core that was stalled while the endpoint list changed: attempts that its policy
+    /// started by the old list wait until the core has applied the new list.
     fn is_held_by_fence(&mut self, node: &str, number: u64, now: f64) -> bool {
         let Err(reason) = self.shared.fence.check(self.endpoints_generation, now) else { return false };
         let connection = self.endpoints.connection(node, number);
@@ -171,8 +177,9 @@
         true
     }
 
-    /// Puts an encoded frame back into the queue, because the socket accepted no byte of it. Guards against writing a
-    /// frame long after it was encoded: its attempts are checked and encoded again before the next write.
+    /// Puts an encoded frame back into the queue, because the socket accepted no byte of it. Guards against
+    /// writing a frame long after it was encoded: its attempts are checked and encoded again before the next
+    /// write.
     pub fn frame_not_started(&mut self, node: &str, number: u64) {
         let Some(connection) = self.endpoints.connection(node, number) else { return };
         let attempts = connection.writing_attempts().to_vec();
@@ -185,8 +192,9 @@
         self.counters.increment("frames_not_taken");
     }
 
-    /// Why an attempt of the next frame may not be sent; `None` if it may. For example, the attempt has waited for a
-    /// connection or a stream until after its time-out or after the time in which data nodes drop duplicates.
+    /// The reason why an attempt of the next frame may not be sent at `now`; `None` if the attempt may be
+    /// sent. For example, the attempt has waited for a connection or a stream until after its time-out or
+    /// after the time in which data nodes drop duplicates.
     fn denial(&self, id: &AttemptId, node: NodeState, now: f64) -> Option<Denial> {
         let Some((class, request)) = self.queries.class_and_request(&id.request_id) else {
             return Some(Denial::QueryEnded);
@@ -201,8 +209,8 @@
         permits::may_start_attempt(&start).err()
     }
 
-    /// Removes the attempts that may no longer be sent (see [`denial`](Self::denial)) from the next frame, and ends
-    /// them as never sent.
+    /// Removes the attempts that may no longer be sent (see [`denial`](Self::denial)) from the next frame,
+    /// and ends them as never sent.
     fn drop_denied_attempts(&mut self, node: &str, number: u64) {
         let now = self.clock.now();
         loop {
@@ -215,22 +223,23 @@
             for (id, denial) in &denied {
                 self.counters.increment(&format!("calls_denied{{{}}}", denial.label()));
                 self.abort_attempt(id, AttemptOutcome::NeverSent);
-                // Guards against an attempt that has ended but is still in the queued frame: `abort_attempt` ignores
-                // ended attempts.
+                // Guards against an attempt that has ended but is still in the queued frame: `abort_attempt`
+                // ignores ended attempts.
                 if let Some(connection) = self.endpoints.connection(node, number) {
                     connection.remove_queued(id);
                 }
             }
-            // If all attempts of the frame were denied, the frame was removed and the following frame has to be
-            // checked.
+            // If all attempts of the frame were denied, the frame was removed and the following frame has to
+            // be checked.
             if denied.is_empty() || denied.len() < next.len() {
                 return;
             }
         }
     }
 
-    /// Applies a change of the endpoint list to attempts and connections: attempts to a draining or removed data node
-    /// end if no byte of their frame has been written, and connections to removed data nodes close when they are idle.
+    /// Applies a change of the endpoint list to attempts and connections: attempts to a draining or removed
+    /// data node end if no byte of their frame has been written, and connections to removed data nodes close
+    /// when they are idle.
     pub fn endpoints_changed(&mut self) {
         for name in self.endpoints.retire_unserving() {
             for id in self.attempts.on_node(&name) {
@@ -251,8 +260,8 @@
         self.work_ready.notify_one();
     }
 
-    /// Wakes the connections whose frames with attempts were held back, if the fence now allows this core to start
-    /// attempts.
+    /// Wakes the connections whose frames with attempts were held back, if the fence now allows this core to
+    /// start attempts.
     pub fn resume_held_attempts(&mut self) {
         if self.has_held_attempts
             && self.shared.fence.check(self.endpoints_generation, self.clock.now()).is_ok()
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -1,6 +1,7 @@
-//! Checks each attempt that starts, each response and each closed client connection against the rules, independently of
-//! the code that decided the action. A violation is counted as `rule_violations{RULE}` and logged with the id of the
-//! query or shard request; it does not change the router's behavior.
+//! Checks each attempt that starts, each response and each closed client connection against the rules in
+//! `alderway::permits`, independently of the code that decided the action. A violation is counted as
+//! `rule_violations{RULE}` and logged with the id of the query or shard request; it does not change the
+//! router's behavior.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::queries::Query;
@@ -18,8 +19,8 @@
         tracing::error!(target: "rules", "rule {rule} violated by query or shard request {id}: {details}");
     }
 
-    /// Checks the attempts of the frame that is being written. Called when the first byte of the frame has been
-    /// written.
+    /// Checks the attempts of the frame that is being written. Called when the first byte of the frame has
+    /// been written.
     pub fn check_started_attempts(&mut self, node: &str, connection: u64) {
         let now = self.clock.now();
         let Some(record) = self.endpoints.nodes.get(node) else { return };
@@ -42,8 +43,8 @@
         let idempotency = self.query_classes[class].idempotency;
         let not_after_s =
             self.queries.request_content(&id.request_id).map_or(now, |requested| requested.not_after_s);
-        // The same check allowed the frame before its first write. `LATE_RESPONSE_S` covers the time that the write
-        // took.
+        // The same check allowed the frame before its first write. `LATE_RESPONSE_S` covers the time that the
+        // write took.
         let start = permits::AttemptToStart {
             now_s: now,
             deadline_s: not_after_s + LATE_RESPONSE_S,
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Checks that the answer to a query is not too late and that the answered shard requests have the required
-    /// fraction of the query's weight.
+    /// Checks that the answer to a query is not too late and that the answered shard requests have the
+    /// required fraction of the query's weight.
     pub(super) fn check_answer(&mut self, query: &Query, complete: bool) {
         let late_by_s = self.clock.now() - query.not_after_s;
         if late_by_s > LATE_RESPONSE_S {
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Checks that a rejected query may be retried: a rejection promises the client that a retry has no side effects.
+    /// Checks that a rejected query may be retried: a query that must not be executed twice may be rejected
+    /// only if no attempt of the query may have been executed.
     pub(super) fn check_rejection(&mut self, query: &Query) {
         let effect = self.query_classes[query.class].idempotency;
         let may_have_executed = query.requests.iter().any(|request| request.may_have_executed());
@@ -104,8 +106,8 @@
         }
     }
 
-    /// Reports as a violation that the router has closed a client connection with an open query. `number` is the number
-    /// of the query.
+    /// Reports as a violation that the router has closed a client connection with an open query. `number` is
+    /// the number of the query.
     pub fn report_unanswered_close(&mut self, number: u64) {
         let id = self.queries.get(number).map(|query| query.id.to_string()).unwrap_or_default();
         self.report_violation(
--- a/crates/router/src/state/dispatcher/metrics.rs
+++ b/crates/router/src/state/dispatcher/metrics.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 impl Dispatcher {
-    /// The current counters and gauges of this core, with those of its gossip link and its other metrics sources.
+    /// The current counters and gauges of this core, with those of its gossip link and its other metrics
+    /// sources.
     pub fn core_metrics(&self) -> MetricsSnapshot {
         let connections: usize = self.endpoints.nodes.values().map(|record| record.connections.len()).sum();
         let gauges = vec![
@@ -32,8 +33,8 @@
         metrics
     }
 
-    /// The counters and gauges of all cores as text. Publishes the current values of this core first. Guards against
-    /// counters that seem to decrease when another core answers the next request for metrics.
+    /// The counters and gauges of all cores as text. Publishes the current values of this core first. Guards
+    /// against counters that seem to decrease when another core answers the next request for metrics.
     pub fn metrics_text(&self) -> String {
         let mut metrics = MetricsSnapshot::clone(&self.publish_metrics());
         self.shared.add_other_cores(Some(self.core), &mut metrics);
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -1,15 +1,19 @@
-//! The dispatcher of one core applies events from connections and decisions of the policy to the state, which is kept
-//! in separate tables. The policy runs in rounds: in each run, the dispatcher first passes the input that has arrived
-//! since the last run to the policy, then applies the policy's decisions.
+//! The dispatcher of one core applies events from connections and decisions of the policy to the state, which
+//! is kept in separate tables. The policy is the code that decides about queries and attempts. A core calls
+//! the policy in runs: in each run, the dispatcher first passes the input that has arrived since the last run
+//! to the policy, then applies the decisions of the policy.
 //!
-//! A fence, shared by all cores, keeps a core from starting attempts while the acceptor core has published a newer
-//! endpoint list than the core has applied, or has not confirmed in time that its list is current. A class slot is an
-//! index into `Dispatcher::query_classes`. The submodules handle the events:
+//! A fence, shared by all cores, keeps a core from starting attempts while the acceptor core has published a
+//! newer endpoint list than the core has applied, or has not confirmed in time that its list is current. A
+//! class slot is an index into `Dispatcher::query_classes`. An observation is the health of a data node
+//! according to the attempts of one core. A handover moves client connections to another core. The submodules
+//! handle the events:
 //!
 //! - `queries`: opens and ends queries, and stores their responses in the state of the clients' connections
 //! - `attempts`: starts, cancels and ends attempts
 //! - `replies`: matches the replies of data nodes with attempts, and records the values of the replies
-//! - `connections`: chooses connections for attempts, encodes frames, and ends attempts when a connection closes
+//! - `connections`: chooses connections for attempts, encodes frames, and ends attempts when a connection
+//!   closes
 //! - `shard_changes`: applies changes of the shard map to attempts and shard requests
 //! - `config`: applies changes of the configuration while queries are open
 //! - `observations`: exchanges observations of data nodes with other cores and routers
@@ -73,15 +77,15 @@
     pub query_classes: Vec<ClassRules>,
     /// Assigns slots to the query classes; also has the configuration in use.
     pub class_table: ClassTable,
-    /// Open queries.
+    /// Open queries of this core, with their shard requests.
     pub queries: QueryTable,
     /// Attempts in flight.
     pub attempts: AttemptTable,
     /// Data nodes and the connections to them.
     pub endpoints: EndpointTable,
-    /// Client connections.
+    /// Connections of clients to this core, each with its unwritten response.
     pub clients: ClientTable,
-    /// Counters of this core.
+    /// Counts of events and maxima of measured values since this core started.
     pub counters: Counters,
     /// The state that all cores of the process share.
     pub shared: Arc<SharedState>,
@@ -91,8 +95,8 @@
     pub endpoints_generation: u64,
     /// Whether frames with attempts wait because the fence does not allow this core to start attempts.
     pub has_held_attempts: bool,
-    /// Observations of data nodes made by other cores and routers, until each expires. A restarted policy gets all of
-    /// them.
+    /// Observations of data nodes made by other cores and routers, until each expires. A restarted policy
+    /// gets all of them.
     pub observations: ObservationCache,
     /// The shard map; `None` if shards are placed by the platform's hash ring instead of a shard map.
     pub shard_map: Option<ShardMapView>,
@@ -123,7 +127,8 @@
 }
 
 impl Dispatcher {
-    /// Creates the dispatcher of a process with one core.
+    /// Creates the dispatcher of a process with one core. The shared state is created too, with
+    /// `admission.max_open` units of capacity.
     pub fn new(
         clock: Clock,
         connection_config: ConnectionConfig,
@@ -134,7 +139,7 @@
         Dispatcher::for_core(shared, 0, clock, connection_config, admission, query_classes)
     }
 
-    /// Creates the dispatcher of one of several cores. `core` is its index in `shared.cores`.
+    /// Creates the dispatcher of the core with index `core` in `shared.cores`.
     pub fn for_core(
         shared: Arc<SharedState>,
         core: usize,
@@ -177,9 +182,9 @@
         }
     }
 
-    /// Whether this core can serve queries: it has data nodes and, unless shards are placed by the platform's hash
-    /// ring, a shard map; the acceptor core has recently confirmed that the endpoint list is current; and no shutdown
-    /// has begun.
+    /// Whether this core can serve queries: it has data nodes and, unless shards are placed by the platform's
+    /// hash ring, a shard map; the acceptor core has recently confirmed that the endpoint list is current;
+    /// and no shutdown has begun.
     pub fn is_ready(&self) -> bool {
         let is_list_current = self.shared.fence.check(u64::MAX, self.clock.now()).is_ok();
         let has_shard_map = self.shard_map.as_ref().is_none_or(|shard_map| shard_map.version().is_some());
@@ -189,12 +194,14 @@
             && has_shard_map
     }
 
-    /// When the policy has to run next even if no input arrives, in seconds of the monotonic clock.
+    /// When the policy has to run next even if no input arrives, in seconds of the monotonic clock; infinite
+    /// if no timer is set and no attempt is in flight.
     pub fn next_timer_s(&self) -> f64 {
         self.pending.next_timer_s().min(self.attempts.next_timeout_s())
     }
 
-    /// Ends attempts that have timed out at `now`, and queries whose deadline has passed.
+    /// Ends the attempts whose time-out, and the queries whose deadline, is at or before `now`, in seconds of
+    /// the monotonic clock.
     pub fn expire_attempts_and_queries(&mut self, now: f64) {
         for id in self.attempts.overdue(now) {
             self.abort_attempt(&id, AttemptOutcome::TimedOut);
@@ -216,8 +223,8 @@
         if let Some(shard_map) = &mut self.shard_map {
             shard_map.notify_splits(policy);
         }
-        // Ended queries and attempts are passed before new queries. Guards against the policy applying the end of a
-        // query to a new query with the same id.
+        // Ended queries and attempts are passed before new queries. Guards against the policy applying the
+        // end of a query to a new query with the same id.
         self.notify_ended_attempts(policy);
         self.pending.notify_disconnected(policy);
         self.notify_new_queries(policy);
@@ -236,8 +243,8 @@
         }
     }
 
-    /// Prepares the state for a policy that is restarted after a failure: fails all open queries, ends all attempts,
-    /// and marks everything as changed so that the new policy gets the full state in its first run.
+    /// Prepares the state for a policy that is restarted after a failure: fails all open queries, ends all
+    /// attempts, and marks everything as changed so that the new policy gets the full state in its first run.
     pub fn restart_policy(&mut self) {
         self.counters.increment("module_failures");
         self.fail_all_queries();
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -1,4 +1,6 @@
-//! Queries, from the receipt of their last byte to their final response. Each query gets exactly one final response.
+//! Queries, from the receipt of their last byte to their final response. Each query gets exactly one final
+//! response, unless the client disconnects before. The policy is the code that decides about queries and
+//! attempts.
 use super::Dispatcher;
 use crate::state::clients::ClientConnection;
 use crate::state::queries::{Query, QueryError, QueryResources};
@@ -10,8 +12,8 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Opens a query, or stores an error response if there is no capacity or the router is in the last phase of a
-    /// shutdown.
+    /// Opens a query, or stores an error response if there is no capacity or the router is in the last phase
+    /// of a shutdown.
     ///
     /// # Errors
     /// [`QueryError::IdInUse`] if a query with the same id is open on any core.
@@ -44,8 +46,9 @@
         Ok(())
     }
 
-    /// Aborts attempts of an earlier query with the same id that are still in flight, because ended queries do not
-    /// always cancel their attempts. Guards against a reply to the earlier query being recorded for the new one.
+    /// Aborts attempts of an earlier query with the same id that are still in flight, because ended queries
+    /// do not always cancel their attempts. Guards against a reply to the earlier query being recorded for
+    /// the new one.
     fn abort_attempts_of_earlier_query(&mut self, query: &Query) {
         for request in &query.requests {
             for id in self.attempts.of_request(&request.id) {
@@ -67,7 +70,8 @@
         self.abandon_query(number, "overdue");
     }
 
-    /// Ends a query without a decision of the policy. The policy gets the query's id in its next run. Counted as
+    /// Ends a query without a decision of the policy. The policy gets the query's id in its next run. Counted
+    /// as
     /// `queries_{counter}`.
     fn abandon_query(&mut self, number: u64, counter: &str) {
         let Some(query) = self.queries.remove(number) else { return };
@@ -82,8 +86,8 @@
         self.work_ready.notify_one();
     }
 
-    /// Answers a query with the values that data nodes have sent so far. `complete` says whether the response is marked
-    /// as complete.
+    /// Answers a query with the values that data nodes have sent so far. Ends the query. `complete` says
+    /// whether the response is marked as complete.
     pub(super) fn answer_query(&mut self, query_id: &str, complete: bool) {
         let counter = if complete { "merged" } else { "merged_in_part" };
         let Some(query) = self.close_query(query_id, counter) else { return };
@@ -110,7 +114,9 @@
         QueryResponse::Results { complete, results: results.collect() }
     }
 
-    /// Rejects a query. The client may retry the query without side effects.
+    /// Rejects a query by a decision of the policy. The policy must do so only if the client may retry the
+    /// query; `check_rejection` reports a violation. `retry_after_s` is sent to the client as the number of
+    /// seconds to wait before the retry; if it is `None`, no time is sent.
     pub(super) fn reject_query(&mut self, query_id: &str, retry_after_s: Option<f64>) {
         let Some(query) = self.close_query(query_id, "rejected") else { return };
         self.check_rejection(&query);
@@ -119,8 +125,8 @@
             .respond(QueryResponse::Rejected { retry_after_s }, query.client.close_after_response.get());
     }
 
-    /// Fails a query. Data nodes may have executed parts of the query, so the client must not expect a retry to be free
-    /// of side effects.
+    /// Fails a query. Data nodes may have executed parts of the query, so a retry by the client may execute
+    /// these parts a second time.
     pub(super) fn fail_query(&mut self, query_id: &str) {
         let Some(query) = self.close_query(query_id, "aborted") else { return };
         query.client.respond(QueryResponse::Failed, query.client.close_after_response.get());
@@ -133,8 +139,8 @@
         }
     }
 
-    /// Removes a query that gets its final response, and decides whether its client's connection closes after the
-    /// response. Counted as `queries_{counter}`.
+    /// Removes a query that gets its final response, and decides whether its client's connection closes after
+    /// the response. Counted as `queries_{counter}`.
     fn close_query(&mut self, query_id: &str, counter: &str) -> Option<Query> {
         let query = self.queries.number(query_id).and_then(|number| self.queries.remove(number))?;
         self.count_query(counter, query.class);
@@ -148,9 +154,9 @@
         Some(query)
     }
 
-    /// Whether the router closes a client connection after its current response because of a shutdown. Guards against
-    /// dropping a pipelined request whose bytes have been read: the connection stays open until that request is
-    /// answered.
+    /// Whether the router closes a client connection after its current response because of a shutdown. Guards
+    /// against dropping a pipelined request whose bytes have been read: the connection stays open until that
+    /// request is answered.
     pub fn closes_for_shutdown(&self, client: &ClientConnection) -> bool {
         let closing = permits::ConnectionToClose {
             query_open: false,
--- a/crates/router/src/state/dispatcher/replies.rs
+++ b/crates/router/src/state/dispatcher/replies.rs
@@ -1,5 +1,5 @@
-//! Replies of data nodes: which attempt a reply ends, with which outcome, and for which keys the value of the reply
-//! counts.
+//! Replies of data nodes: which attempt a reply ends, with which outcome, and for which keys the value of the
+//! reply counts.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::ReplyMatch;
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Records a reply received on a connection. The shard map may correct the outcome that the data node reports.
-    /// False if the shard request was not sent on that connection.
+    /// Records a reply received on a connection. The outcome that the data node reports is first corrected by
+    /// the shard map, if there is one. False if the shard request was not sent on that connection.
     pub fn reply_received(&mut self, node: &str, connection: u64, reply: &NodeReply) -> bool {
         let outcome = self.classify_reply(node, reply);
         self.record_reply(node, connection, reply.request_id, outcome, reply.value)
@@ -29,8 +29,8 @@
         outcome
     }
 
-    /// Records a reply with its corrected outcome. A reply to an attempt that has ended is counted and dropped. False
-    /// if the shard request was not sent on that connection.
+    /// Records a reply with its corrected outcome. A reply to an attempt that has ended is counted and
+    /// dropped. False if the shard request was not sent on that connection.
     pub fn record_reply(
         &mut self,
         node: &str,
@@ -67,7 +67,8 @@
         self.recall_unsent(request_id, AttemptOutcome::Cancelled);
     }
 
-    /// Records a value for the keys of a shard request. If the request was split, the value answers its parts too.
+    /// Records a value for the keys of a shard request. If the request was split into several requests, the
+    /// value answers these requests too.
     fn record_value_by_keys(&mut self, request_id: &Rc<str>, value: &str) {
         let shard_map = self.shard_map.as_ref();
         let split_into = shard_map.map_or(vec![], |shard_map| shard_map.families.parts(request_id).to_vec());
--- a/crates/router/src/state/dispatcher/shard_changes.rs
+++ b/crates/router/src/state/dispatcher/shard_changes.rs
@@ -1,5 +1,7 @@
-//! Applies a change of the shard map to open queries. Attempts of which no byte has been sent end if their data node no
-//! longer holds the shard. Shard requests whose shard no longer exists are split by the new shard map if necessary.
+//! Applies a change of the shard map, which assigns ranges of keys to shards and shards to replica groups
+//! (the holders of the shard), to open queries. The policy is the code that decides about queries and
+//! attempts. Attempts of which no byte has been written end if the replica group of their data node no longer
+//! holds the shard. Shard requests whose shard no longer exists are split by the new shard map if necessary.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::node_connection::SendProgress;
@@ -9,12 +11,12 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Applies a change of the shard map. `shards` are the shards that are held by other replica groups than before or
-    /// no longer exist.
+    /// Applies a change of the shard map. `shards` are the shards that are held by other replica groups than
+    /// before or no longer exist.
     pub fn shard_map_changed(&mut self, shards: &[ShardId]) {
         self.counters.increment("layout_changes");
-        // Searches all open shard requests. An index by shard would cost more, because changes are much rarer than
-        // queries.
+        // Searches all open shard requests. An index by shard would cost more, because changes are much rarer
+        // than queries.
         let open = self.queries.unsplit_requests_of(shards);
         for &shard in shards {
             let Some(shard_map) = &self.shard_map else { return };
@@ -50,8 +52,8 @@
             return;
         };
         let split_into = shard_map.split_requests(&query.id, request);
-        // Each new shard request needs capacity; without it, the request stays unsplit. Guards against one change of
-        // the shard map splitting so many queries that the process exceeds its memory limit.
+        // Each new shard request needs capacity; without it, the request stays unsplit. Guards against one
+        // change of the shard map splitting so many queries that the process exceeds its memory limit.
         let Some(capacity) = self.shared.capacity.acquire(split_into.len()) else {
             return self.counters.increment("divisions_without_room");
         };
@@ -67,8 +69,9 @@
         self.counters.increment("parts_divided");
     }
 
-    /// Drops the shards that are no longer in use and reports them to the policy. Also drops the records of splits
-    /// whose requests and attempts have all ended.
+    /// Drops the retired shards that are no longer in use, and reports them to the policy. A shard is retired
+    /// if the newest shard map no longer contains it. Also drops the records of splits whose requests and
+    /// attempts have all ended.
     pub(super) fn retire_shards(&mut self, now: f64, policy: &mut dyn PolicyInput) {
         let Some(shard_map) = &mut self.shard_map else { return };
         shard_map.notify_retired_shards(now, policy);
--- a/crates/router/src/wire/buffer.rs
+++ b/crates/router/src/wire/buffer.rs
@@ -1,7 +1,7 @@
 //! The read buffer of a connection. It has the bytes that were received and are not yet consumed.
 
-/// A buffer that grows on demand up to a maximum length. When its end is reached, the unconsumed bytes are moved to the
-/// front.
+/// A buffer that grows on demand up to a maximum length. When its end is reached, the unconsumed bytes are
+/// moved to the front.
 pub struct ReadBuffer {
     bytes: Vec<u8>,
     start: usize,
@@ -33,7 +33,8 @@
         self.start == self.end
     }
 
-    /// The free space into which the next bytes are to be read; empty if the buffer has `max_bytes` unconsumed bytes.
+    /// The free space into which the next bytes are to be read; empty if the buffer has `max_bytes`
+    /// unconsumed bytes.
     pub fn unfilled(&mut self) -> &mut [u8] {
         if self.start > 0 && (self.is_empty() || self.end == self.bytes.len()) {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -46,8 +47,8 @@
         &mut self.bytes[self.end..]
     }
 
-    /// Adds the first `count` bytes of [`unfilled`](Self::unfilled) to the received bytes. The caller has written
-    /// received data into them.
+    /// Adds the first `count` bytes of [`unfilled`](Self::unfilled) to the received bytes. The caller has
+    /// written received data into them.
     pub fn add_filled(&mut self, count: usize) {
         self.end = (self.end + count).min(self.bytes.len());
     }
@@ -61,8 +62,8 @@
         count
     }
 
-    /// Drops the first `count` unconsumed bytes. An allocation longer than `INITIAL_BYTES` is freed when the buffer
-    /// becomes empty.
+    /// Drops the first `count` unconsumed bytes. An allocation longer than `INITIAL_BYTES` is freed when the
+    /// buffer becomes empty.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.is_empty() {
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Removes the bytes of `range`, whose indices count from the first unconsumed byte, and moves the following bytes
-    /// forward.
+    /// Removes the bytes of `range`, whose indices count from the first unconsumed byte, and moves the
+    /// following bytes forward.
     pub fn remove(&mut self, range: std::ops::Range<usize>) {
         let (start, end) = (self.start + range.start, (self.start + range.end).min(self.end));
         if start < end {
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -1,5 +1,6 @@
-//! The watch on discovery: an HTTP response with a chunked body that streams JSON objects, each with a full endpoint
-//! list or with changes to it. This module writes the request that opens a watch, and reads the response.
+//! The watch on discovery: an HTTP response with a chunked body that streams JSON objects, each with a full
+//! endpoint list or with changes to it. This module writes the request that opens a watch, and reads the
+//! response.
 use super::ParseError;
 use super::buffer::ReadBuffer;
 use super::http::{ChunkDecoder, MessageReader};
@@ -8,20 +9,22 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// The largest object of a watch that is read, in bytes: enough for a full list of about ten thousand data nodes.
+/// The largest object of a watch that is read, in bytes: enough for a full list of about ten thousand data
+/// nodes.
 pub const MAX_OBJECT_BYTES: usize = 2 * 1024 * 1024;
 
-/// Writes the request that opens a watch. The watch streams the changes since version `since` of the endpoint list, or,
-/// if `since` is `None`, the full list and then its changes. If `shard_map` is set, the watch also streams the changes
-/// of the shard map since that version; version 0 requests the full shard map.
+/// Writes the request that opens a watch. The watch streams the changes since version `since` of the endpoint
+/// list, or, if `since` is `None`, the full list and then its changes. If `shard_map` is set, the watch also
+/// streams the changes of the shard map since that version; version 0 requests the full shard map.
 pub fn write_watch_request(out: &mut Vec<u8>, host: &str, since: Option<u64>, shard_map: Option<u64>) {
     let since = since.map_or(String::new(), |version| format!("&since={version}"));
     let shard_map = shard_map.map_or(String::new(), |version| format!("&layout={version}"));
     let _ = write!(out, "GET /discovery/hosts?follow=1{since}{shard_map} HTTP/1.1\r\nHost: {host}\r\n\r\n");
 }
 
-/// The version of the endpoint list in an object, and whether the object has a full list. Fails if any part of the
-/// object is not valid JSON or a required field is missing.
+/// Reads the version of the endpoint list in an object, and whether the object has the full list (true) or
+/// changes (false). Fails if any part of the object is not valid JSON or if `index`, `snapshot` or
+/// `endpoints` is missing.
 pub fn read_version(bytes: &[u8]) -> Result<(u64, bool), ParseError> {
     read_object(bytes, &mut |_, _| ())
 }
@@ -32,16 +35,17 @@
     pub address: SocketAddr,
     pub replica_group: u32,
     pub state: NodeState,
-    /// When the data node's process last started, as Unix time in milliseconds; 0 if discovery does not know it or it
-    /// is long ago.
+    /// When the data node's process last started, as Unix time in milliseconds; 0 if discovery does not know
+    /// the time of the start or the start was long ago.
     pub started_at_unix_ms: u64,
 }
 
-/// Why an entry of an endpoint list cannot be used, after the state of its data node if the state is readable.
+/// The error for an entry of an endpoint list that cannot be used: the state of the data node, `None` if the
+/// state is unreadable, and the reason.
 pub type EntryError = (Option<NodeState>, ParseError);
 
-/// Reads an object and calls `on_entry` for each entry of its endpoint list, with the name of the data node, or an
-/// empty string if the entry has no name.
+/// Reads an object and calls `on_entry` for each entry of its endpoint list, with the name of the data node,
+/// or an empty string if the entry has no name.
 pub fn read_entries(
     bytes: &[u8],
     mut on_entry: impl FnMut(&str, Result<NodeEntry, EntryError>),
@@ -91,8 +95,8 @@
     }
 }
 
-/// Reads one entry of an endpoint list. An unusable entry is reported to `on_entry` as an error, so that the other
-/// entries of the list still count.
+/// Reads one entry of an endpoint list. An unusable entry is reported to `on_entry` as an error, so that the
+/// other entries of the list still count.
 fn read_entry(json: &mut JsonReader, on_entry: EntryHandler) -> Result<(), ParseError> {
     let (mut name, mut address, mut replica_group) = (None, None, None);
     let (mut state, mut started_at_unix_ms) = (Err("the entry has no `status`"), Ok(0));
@@ -145,21 +149,22 @@
 pub enum WatchEvent {
     /// The status line and header fields of the response.
     ResponseHead,
-    /// A line break outside of objects: the end of an object's line, or an empty line while nothing changes.
+    /// A line break outside of objects: the end of an object's line, or an empty line, which discovery sends
+    /// while nothing changes.
     EmptyLine,
-    /// An object. The number is the length of the object with the whitespace before it, in bytes from the start of the
-    /// buffer.
+    /// An object. The number is the length of the object with the whitespace before it, in bytes from the
+    /// start of the buffer.
     Object(usize),
 }
 
-/// Reads the response of a watch: the head, then a chunked body of objects and empty lines. An object may span several
-/// lines and chunks.
+/// Reads the response of a watch: the head, then a chunked body of objects and empty lines. An object may
+/// span several lines and chunks.
 #[derive(Default)]
 pub struct WatchReader {
     head: MessageReader,
     has_head: bool,
     chunks: ChunkDecoder,
-    /// Number of bytes at the start of the buffer that are decoded, that is, without the framing of chunks.
+    /// Number of bytes at the start of the buffer from which the framing of chunks has been removed.
     decoded_bytes: usize,
     /// Number of bytes at the start of the buffer that were searched for the end of an event.
     scanned_bytes: usize,
@@ -172,8 +177,8 @@
 }
 
 impl WatchReader {
-    /// The next completely received event; `None` if more bytes are needed. The bytes of an object stay in the buffer
-    /// until the next call.
+    /// The next completely received event; `None` if more bytes are needed. The bytes of an object stay in
+    /// the buffer until the next call.
     pub fn next_event(&mut self, buffer: &mut ReadBuffer) -> Result<Option<WatchEvent>, ParseError> {
         if !self.has_head {
             if !self.head.find_head(buffer).map_err(|error| error.1)? {
--- a/crates/router/src/wire/frames.rs
+++ b/crates/router/src/wire/frames.rs
@@ -1,13 +1,14 @@
-//! Frames between query routers and data nodes. A frame is its length as a 32-bit big-endian integer, one type byte (an
-//! ASCII letter) and a body. The length counts the type byte and the body.
+//! Frames between query routers and data nodes. A frame is its length as a 32-bit big-endian integer, one
+//! type byte (an ASCII letter) and a body. The length counts the type byte and the body.
 use super::ParseError;
 use crate::state::node_protocol::{AttemptRequest, NodeFrameWriter, ShardReport};
 use std::io::Write;
 
-/// The largest length of a frame that is read, in bytes: a value of 64 KiB, as long as the longest HTTP body, and a
-/// header line.
+/// The largest length of a frame that is read, in bytes: a value of 64 KiB, as long as the longest HTTP body,
+/// and a header line.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 + 1024;
-/// The longest id that a client may give its query, in bytes. The limit keeps the header lines of frames short.
+/// The longest id that a client may give its query, in bytes. The limit keeps the header lines of frames
+/// short.
 pub const MAX_QUERY_ID_BYTES: usize = 128;
 /// Size of the length field at the start of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
@@ -29,8 +30,8 @@
     Ok(frame.map(|frame| (frame[0], &frame[1..], LENGTH_BYTES + length)))
 }
 
-/// Parses the body of an `R` frame, the reply to an attempt. Returns the shard request's id, the name of the outcome,
-/// the data node's report as `name=value` fields, and the value.
+/// Parses the body of an `R` frame, the reply to an attempt. Returns the shard request's id, the name of the
+/// outcome, the data node's report as `name=value` fields, and the value.
 pub fn parse_reply(body: &[u8]) -> Result<(&str, &str, &str, &str), ParseError> {
     let end = body.iter().position(|&b| b == b'\n').ok_or("a reply has no header line")?;
     let line = std::str::from_utf8(&body[..end]).map_err(|_| "a reply's header line is not UTF-8")?;
@@ -46,8 +47,8 @@
     report.split(',').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Reads a field like `moved=18`: the data node's version of the shard map, by which it does not hold the requested
-/// shard.
+/// Reads a field like `moved=18`: the data node's version of the shard map, by which it does not hold the
+/// requested shard.
 fn moved_at_version(report: &str) -> Option<u64> {
     report_field(report, "moved")?.parse().ok()
 }
@@ -70,12 +71,12 @@
     out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// A version of the shard map, and the requested keys by that version, from the second number (inclusive) to the third
-/// (exclusive); `None` if the router has no shard map.
+/// A version of the shard map, and the requested keys by that version, from the second number (inclusive) to
+/// the third (exclusive); `None` if the router has no shard map.
 pub type VersionedKeys = Option<(u64, u32, u32)>;
 
-/// Writes an `S` frame, which starts attempts at a data node. Each attempt is given as the shard request's id, the
-/// shard, the time-out in milliseconds, the query's text, and the requested keys.
+/// Writes an `S` frame, which starts attempts at a data node. Each attempt is given as the shard request's
+/// id, the shard, the time-out in milliseconds, the query's text, and the requested keys.
 pub fn write_attempts_frame<'a>(
     out: &mut Vec<u8>,
     attempts: impl Iterator<Item = (&'a str, u32, u64, &'a str, VersionedKeys)>,
@@ -113,8 +114,8 @@
     }
 }
 
-/// What a data node's report says about the shard map. Unreadable keys become an empty range. Guards against counting a
-/// value for keys that the data node did not name.
+/// What a data node's report says about the shard map. Unreadable keys become an empty range. Guards against
+/// counting a value for keys that the data node did not name.
 pub fn parse_shard_report(report: &str) -> ShardReport {
     ShardReport {
         moved_at_version: moved_at_version(report),
--- a/crates/router/src/wire/http.rs
+++ b/crates/router/src/wire/http.rs
@@ -28,8 +28,8 @@
         self.lines.lines().next().unwrap_or_default()
     }
 
-    /// The value of the header field `name`, `None` if it is missing; an error if the head has several fields of that
-    /// name.
+    /// The value of the header field `name`, `None` if it is missing; an error if the head has several fields
+    /// of that name.
     pub fn field(&self, name: &str) -> Result<Option<&'b str>, HttpError> {
         let mut found = None;
         for line in self.lines.lines().skip(1) {
@@ -80,7 +80,8 @@
     }
 }
 
-/// The length of the head in bytes, with the empty line that ends it; `None` if the head is incomplete. The first
+/// The length of the head in bytes, with the empty line that ends it; `None` if the head is incomplete. The
+/// first
 /// `searched` bytes have been searched before and are skipped.
 fn find_head_end(data: &[u8], searched: usize) -> Option<usize> {
     let from = searched.saturating_sub(3);
@@ -104,8 +105,8 @@
     Ok(Head { lines })
 }
 
-/// Decodes a chunked body in place: removes the chunk sizes and line breaks from the buffer, so that only the content
-/// is left.
+/// Decodes a chunked body in place: removes the chunk sizes and line breaks from the buffer, so that only the
+/// content is left.
 #[derive(Default)]
 pub struct ChunkDecoder {
     /// Number of bytes of the current chunk that are not yet decoded.
@@ -130,8 +131,8 @@
         self.state == ChunkState::Done
     }
 
-    /// Decodes the chunks that follow the first `decoded_end` bytes of the buffer. Returns the number of bytes at the
-    /// start of the buffer that precede the chunks still to be decoded.
+    /// Decodes the chunks that follow the first `decoded_end` bytes of the buffer. Returns the number of
+    /// bytes at the start of the buffer that precede the chunks still to be decoded.
     pub fn decode_chunks(&mut self, buffer: &mut ReadBuffer, decoded_end: usize) -> Result<usize, HttpError> {
         let (mut to, mut at) = (decoded_end, decoded_end);
         let data = buffer.data_mut();
@@ -198,8 +199,8 @@
     searched: usize,
     /// The length of the current message's head in bytes; `None` until the head is completely received.
     head_end: Option<usize>,
-    /// The end of the body in the buffer, in bytes from the start of the message; for a chunked body, the end of the
-    /// bytes decoded so far.
+    /// The end of the body in the buffer, in bytes from the start of the message; for a chunked body, the end
+    /// of the bytes decoded so far.
     body_end: usize,
     /// The length of the body in bytes; `None` if the body is chunked.
     body_length: Option<usize>,
@@ -207,7 +208,8 @@
 }
 
 impl MessageReader {
-    /// Whether the buffer starts with a complete message. A chunked body is decoded as far as it is received.
+    /// Whether the buffer starts with a complete message. A chunked body is decoded in place as far as it is
+    /// received; the message stays in the buffer until `consume_message`.
     pub fn find_message(&mut self, buffer: &mut ReadBuffer) -> Result<bool, HttpError> {
         if !self.find_head(buffer)? {
             return Ok(false);
@@ -224,7 +226,8 @@
         Ok(buffer.data().len() >= self.body_end)
     }
 
-    /// Whether the buffer starts with a complete head. If so, the length of the body, or that it is chunked, is stored.
+    /// Whether the buffer starts with a complete head. If so, the length of the body, or that it is chunked,
+    /// is stored.
     pub fn find_head(&mut self, buffer: &mut ReadBuffer) -> Result<bool, HttpError> {
         if self.head_end.is_some() {
             return Ok(true);
@@ -255,27 +258,29 @@
         self.head_end.is_some() && self.body_length.is_none()
     }
 
-    /// The head and body of the message that `find_message` found. If only `find_head` was called, the body is empty.
+    /// The head and body of the message that `find_message` found. If only `find_head` was called, the body
+    /// is empty.
     pub fn message<'b>(&self, buffer: &'b ReadBuffer) -> (Head<'b>, &'b [u8]) {
         let (data, end) = (buffer.data(), self.head_end.unwrap_or_default());
         let lines = std::str::from_utf8(&data[..end]).unwrap_or_default();
         (Head { lines }, data.get(end..self.body_end).unwrap_or_default())
     }
 
-    /// The length in bytes of the message that `find_message` found.
+    /// The end of the message that `find_message` found, in bytes from the start of the unconsumed bytes of
+    /// the buffer. The framing of decoded chunks is not counted.
     pub fn message_end(&self) -> usize {
         self.body_end
     }
 
-    /// Whether only the head of a request is received, and the client waits for `100 Continue` before it sends the
-    /// body.
+    /// Whether only the head of a request is received, and the client waits for `100 Continue` before it
+    /// sends the body.
     pub fn expects_continue(&self, buffer: &ReadBuffer) -> bool {
         let has_only_head = self.head_end == Some(buffer.data().len());
         has_only_head && self.message(buffer).0.list_contains("expect", "100-continue")
     }
 
-    /// Removes the message that `find_message` found from the buffer. The next call of `find_message` searches for the
-    /// following message.
+    /// Removes the message that `find_message` found from the buffer. The next call of `find_message`
+    /// searches for the following message.
     pub fn consume_message(&mut self, buffer: &mut ReadBuffer) {
         buffer.consume(self.body_end);
         *self = MessageReader::default();
--- a/crates/router/src/wire/json.rs
+++ b/crates/router/src/wire/json.rs
@@ -1,11 +1,12 @@
-//! A JSON reader that reads the bytes of a document once, in order. Strings without escapes are borrowed from the
-//! bytes.
+//! A JSON reader that reads the bytes of a document once, in order. Strings without escapes are borrowed from
+//! the bytes.
 use super::ParseError;
 use std::borrow::Cow;
 
 type Parsed<T> = Result<T, ParseError>;
 
-/// Largest depth of nested arrays and objects. Deeper nesting is rejected, so that no input can overflow the stack.
+/// Largest depth of nested arrays and objects. Deeper nesting is rejected, so that no input can overflow the
+/// stack.
 const MAX_DEPTH: usize = 32;
 
 /// Reads one JSON document value by value.
@@ -21,7 +22,8 @@
         JsonReader { bytes, position: 0, depth: 0 }
     }
 
-    /// Skips whitespace and returns the next byte without consuming the byte; `None` at the end of the document.
+    /// Skips whitespace and returns the next byte without consuming the byte; `None` at the end of the
+    /// document.
     fn peek(&mut self) -> Option<u8> {
         while matches!(self.bytes.get(self.position), Some(b' ' | b'\t' | b'\r' | b'\n')) {
             self.position += 1;
@@ -210,8 +212,8 @@
         }
     }
 
-    /// Reads a value with `read`. If `read` fails, the value is skipped and the inner result has the error. The outer
-    /// result is an error only if the value is not valid JSON.
+    /// Reads a value with `read`. If `read` fails, the value is skipped and the inner result has the error.
+    /// The outer result is an error only if the value is not valid JSON.
     pub fn read_or_skip<T>(&mut self, read: impl FnOnce(&mut Self) -> Parsed<T>) -> Parsed<Parsed<T>> {
         let (position, depth) = (self.position, self.depth);
         let result = read(self);
--- a/crates/router/src/wire/mod.rs
+++ b/crates/router/src/wire/mod.rs
@@ -1,5 +1,6 @@
-//! Encoding and decoding of the protocols: HTTP with clients, the watch on discovery, and frames with data nodes. This
-//! module reads no socket and no clock. Decoders get received bytes and return slices of the buffer with those bytes.
+//! Encoding and decoding of the protocols: HTTP with clients, the watch on discovery, and frames with data
+//! nodes. This module reads no socket and no clock. Decoders get received bytes and return slices of the
+//! buffer with those bytes.
 pub mod buffer;
 pub mod discovery;
 pub mod frames;
--- a/crates/router/src/wire/query.rs
+++ b/crates/router/src/wire/query.rs
@@ -1,15 +1,15 @@
-//! The JSON body of a client's query. The body has a text and targets; a target is a shard or a range of keys, with a
-//! weight: its fraction of the query (`share`).
+//! The JSON body of a client's query. The body has a text and targets; a target is a shard or a range of
+//! keys, with a weight: its fraction of the query (`share`).
 use super::ParseError;
 use super::json::JsonReader;
 use std::borrow::Cow;
 
-/// Largest difference of the sum of a query's weights from 1. The sum of twenty weights, each rounded to three
-/// decimals, may differ from 1 by up to 0.01.
+/// Largest difference of the sum of a query's weights from 1. The sum of twenty weights, each rounded to
+/// three decimals, may differ from 1 by up to 0.01.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// Reads a body whose targets are shards, and calls `add_target` with the shard and weight of each target. Returns the
-/// query's text, which is sent with every shard request.
+/// Reads the JSON body of a client's query whose targets are shards, and calls `add_target` with the shard
+/// and weight of each target. Returns the query's text, which is sent with every shard request.
 pub fn read_query_by_shards(
     body: &[u8],
     mut add_target: impl FnMut(u32, f64) -> Result<(), ParseError>,
@@ -19,9 +19,10 @@
     })
 }
 
-/// Reads a body, and calls `add_target` with the shard, the keys and the weight of each target. Keys are a range from
-/// the first number (inclusive) to the second (exclusive). If `accepts_keys` is false, the field `keys` is ignored, as
-/// unknown fields are. Returns the query's text, which is sent with every shard request.
+/// Reads the JSON body of a client's query, and calls `add_target` with the shard, the keys and the weight of
+/// each target. Keys are a range from the first number (inclusive) to the second (exclusive). If
+/// `accepts_keys` is false, the field `keys` is ignored, as unknown fields are. Returns the query's text,
+/// which is sent with every shard request.
 pub fn read_query(
     body: &[u8],
     accepts_keys: bool,
@@ -55,7 +56,8 @@
     text.ok_or("`query` is missing")
 }
 
-/// The shard, keys and weight of a target.
+/// The shard, the keys (from the first, inclusive, to the second, exclusive) and the weight of a target. The
+/// weight is above 0 and at most 1. Shard and keys are `None` if the target does not name them.
 type Target = (Option<u32>, Option<(u32, u32)>, f64);
 
 fn read_target(json: &mut JsonReader, accepts_keys: bool) -> Result<Target, ParseError> {
--- a/crates/router/src/wire/response.rs
+++ b/crates/router/src/wire/response.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Writes the response with the results of a query: the shard and value of each answered shard request. `complete` says
-/// whether the answer counts as complete.
+/// Writes the response with the results of a query: the shard and value of each answered shard request.
+/// `complete` says whether the answer counts as complete.
 pub fn write_results<'a>(
     out: &mut Vec<u8>,
     complete: bool,
@@ -41,8 +41,8 @@
     write_results_by_keys(out, complete, results, closes_connection);
 }
 
-/// Writes the response with the results of a query: for each result the shard, the keys (from the first, inclusive, to
-/// the second, exclusive) if they are known, and the value.
+/// Writes the response with the results of a query: for each result the shard, the keys (from the first,
+/// inclusive, to the second, exclusive) if they are known, and the value.
 pub fn write_results_by_keys<'a>(
     out: &mut Vec<u8>,
     complete: bool,
@@ -79,8 +79,8 @@
     }
 }
 
-/// Writes a response with one line of text. If `retry_after_s` is set, the response has a `Retry-After` field with that
-/// number of seconds.
+/// Writes a response with one line of text. If `retry_after_s` is set, the response has a `Retry-After` field
+/// with that number of seconds.
 pub fn write_text(
     out: &mut Vec<u8>,
     status: u16,
@@ -98,14 +98,14 @@
     let _ = write!(out, "\r\n{text}\n");
 }
 
-/// Writes the error response to bytes that are not a valid HTTP/1.1 request. The response announces that the connection
-/// closes.
+/// Writes the error response to bytes that are not a valid HTTP/1.1 request. The response announces that the
+/// connection closes.
 pub fn write_http_error(out: &mut Vec<u8>, (status, text): HttpError) {
     write_text(out, status, text, None, true);
 }
 
-/// Encodes the pending final response of a client connection, if there is one, and appends the encoded bytes to the
-/// output of that connection.
+/// Encodes the pending final response of a client connection, if there is one, and appends the encoded bytes
+/// to the output of that connection.
 pub fn encode_pending(client: &ClientConnection) {
     for pending in client.pending_responses.take() {
         encode(&mut client.output.borrow_mut(), &pending);
--- a/crates/router/src/wire/shard_map.rs
+++ b/crates/router/src/wire/shard_map.rs
@@ -1,6 +1,6 @@
-//! Reads the shard map in an object from discovery. Besides the endpoint list, an object may have a field `layout`:
-//! either a full shard map, which gives the keys of each shard and the replica groups that hold the shard (its
-//! holders), or changes to one version of the shard map.
+//! Reads the shard map in an object from discovery. Besides the endpoint list, an object may have a field
+//! `layout`: either a full shard map, which gives the keys of each shard and the replica groups that hold the
+//! shard (its holders), or changes to one version of the shard map.
 use super::ParseError;
 use super::json::JsonReader;
 use alderway_layouts::history::LayoutUpdate;
@@ -8,7 +8,8 @@
 use alderway_layouts::{KeyRange, ShardId};
 use std::collections::BTreeSet;
 
-/// The full shard map, or the changes to the shard map, in an object from discovery; `None` if the object has no
+/// The full shard map, or the changes to the shard map, in an object from discovery; `None` if the object has
+/// no
 /// `layout`.
 pub fn read_update(bytes: &[u8]) -> Result<Option<LayoutUpdate>, ParseError> {
     let (mut json, mut update) = (JsonReader::new(bytes), None);
