--- a/crates/router/src/state/clients.rs
+++ b/crates/router/src/state/clients.rs
@@ -126,8 +126,7 @@
 
     /// Closes one idle connection to free a file descriptor for a new connection: the longest idle one that
     /// has never sent a complete request; else the longest idle one with a partly received request, if it is
-    /// idle for at least
-    /// `partial_request_timeout_s` seconds; else the longest idle one of the others.
+    /// idle for at least `partial_request_timeout_s` seconds; else the longest idle one of the others.
     pub fn close_longest_idle(&self, now: f64, partial_request_timeout_s: f64) {
         let candidates = self.all.values().filter_map(|client| {
             let idle_since = client.idle_since.get().filter(|_| !client.should_close())?;
--- a/crates/router/src/state/dispatcher/queries.rs
+++ b/crates/router/src/state/dispatcher/queries.rs
@@ -71,8 +71,7 @@
     }
 
     /// Ends a query without a decision of the policy. The policy gets the query's id in its next run. Counted
-    /// as
-    /// `queries_{counter}`.
+    /// as `queries_{counter}`.
     fn abandon_query(&mut self, number: u64, counter: &str) {
         let Some(query) = self.queries.remove(number) else { return };
         self.count_query(counter, query.class);
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -75,8 +75,8 @@
 
 impl EndpointTable {
     /// Begins to apply a full list or a change with this version; calls of `update_from_discovery` and
-    /// `mark_unreadable` with its entries follow. A full list first marks all data nodes as removed, so that those
-    /// without an entry stay removed.
+    /// `mark_unreadable` with its entries follow. A full list first marks all data nodes as removed, so that
+    /// those without an entry stay removed.
     pub fn begin_update(&mut self, version: u64, is_full_list: bool) {
         self.version = Some(version);
         (self.is_full_list, self.is_older_list) = (is_full_list, version < self.newest_version);
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -179,8 +179,8 @@
     }
 
     /// The longest time limit that an open query may have, in seconds after its arrival: the present limit
-    /// `max_deadline_s`, or the previous configuration's limit if that is longer and queries opened under that
-    /// configuration may still be open at `now`.
+    /// `max_deadline_s`, or the previous configuration's limit if that is longer and queries opened under
+    /// that configuration may still be open at `now`.
     pub fn longest_deadline_s(&self, max_deadline_s: f64, now: f64) -> f64 {
         let PreviousDeadline { deadline_s, until_s } = self.previous_deadline;
         if now < until_s { max_deadline_s.max(deadline_s) } else { max_deadline_s }
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -341,8 +341,7 @@
 
     /// The shard requests for which the policy gets the end of an attempt, if the shard request of the
     /// attempt was split: all parts of the split if the attempt succeeded, otherwise the parts that still
-    /// wait for the attempt.
-    /// `None` if the request was not split.
+    /// wait for the attempt. `None` if the request was not split.
     pub fn outcome_recipients(&self, id: &AttemptId, outcome: AttemptOutcome) -> Option<Vec<Rc<str>>> {
         if self.families.is_empty() {
             return None;
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -134,8 +134,7 @@
     /// Number of cores of the process, each with its own thread.
     pub cores: usize,
     /// Maximum number of connections to one data node from all cores together, though each core may always
-    /// have one;
-    /// `None` for no limit.
+    /// have one; `None` for no limit.
     pub max_connections_per_node: Option<usize>,
     /// Whether cores share their observations of data nodes.
     pub shares_observations: bool,
--- a/crates/router/src/wire/http.rs
+++ b/crates/router/src/wire/http.rs
@@ -81,8 +81,7 @@
 }
 
 /// The length of the head in bytes, with the empty line that ends it; `None` if the head is incomplete. The
-/// first
-/// `searched` bytes have been searched before and are skipped.
+/// first `searched` bytes have been searched before and are skipped.
 fn find_head_end(data: &[u8], searched: usize) -> Option<usize> {
     let from = searched.saturating_sub(3);
     let at = data[from..].windows(4).position(|w| w == b"\r\n\r\n")?;
--- a/crates/router/src/wire/shard_map.rs
+++ b/crates/router/src/wire/shard_map.rs
@@ -8,9 +8,8 @@
 use alderway_layouts::{KeyRange, ShardId};
 use std::collections::BTreeSet;
 
-/// The full shard map, or the changes to the shard map, in an object from discovery; `None` if the object has
-/// no
-/// `layout`.
+/// Reads the field `layout` of an object from discovery: a full shard map, or changes to one. Returns `None`
+/// if the object has no `layout`.
 pub fn read_update(bytes: &[u8]) -> Result<Option<LayoutUpdate>, ParseError> {
     let (mut json, mut update) = (JsonReader::new(bytes), None);
     json.read_object(|json, key| match key {
