--- a/crates/router/src/state/dispatcher/config.rs
+++ b/crates/router/src/state/dispatcher/config.rs
@@ -1,6 +1,6 @@
-//! Changes of the configuration while queries are open. Each different set of rules that a query class has
-//! had has a slot, an index into `Dispatcher::query_classes`, so that open queries keep the rules that they
-//! were opened with. The policy is the code that decides about queries and attempts.
+//! Changes of the configuration while queries are open. Each version of the rules of a query class has a
+//! slot, an index into `Dispatcher::query_classes`, so that open queries keep the rules that they were opened
+//! with. The policy is the code that decides about queries and attempts.
 use super::Dispatcher;
 use crate::state::query_classes::{ClassRules, ConfigGeneration};
 use alderway::interface::PolicyInput;
--- a/crates/router/src/state/query_classes.rs
+++ b/crates/router/src/state/query_classes.rs
@@ -1,7 +1,7 @@
-//! Query classes across changes of the configuration. Each different set of rules that a class has had has a
-//! slot, an index into the list of class rules, so that an open query keeps the rules that it was opened with
-//! while new queries use the newest rules. A slot is retiring if only open queries still use the rules in the
-//! slot. The policy, the code that decides about queries and attempts, gets changes in its next run.
+//! Query classes across changes of the configuration. Each version of the rules of a class has a slot, an
+//! index into the list of class rules, so that an open query keeps the rules that it was opened with while
+//! new queries use the newest rules. A slot is retiring if only open queries still use the rules in the slot.
+//! The policy, the code that decides about queries and attempts, gets changes in its next run.
 use alderway::interface::{ClassSlot, Idempotency, PolicyConfig, PolicyInput, QueryClass};
 use alderway_deployment::Settings;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -7,7 +7,7 @@
 //! This module maps queries to shard requests and collects the changes that the policy, the code that decides
 //! about attempts, gets in its next run. Whether a router uses a shard map is a setting of the process.
 //! Without a shard map, the hosting platform places shards on data nodes by a hash ring, and this module is
-//! not used.
+//! not used. Times are seconds of the monotonic clock.
 use super::attempts::AttemptId;
 use super::node_protocol::ShardReport;
 use super::queries::{QueryError, RequestedKeys, ShardRequest};
--- a/crates/router/src/state/shared.rs
+++ b/crates/router/src/state/shared.rs
@@ -189,7 +189,8 @@
     }
 
     /// Creates the shared state of a process with one core, with `capacity` units: one for each open query
-    /// and one for each of its shard requests. The fence never blocks this core for want of a confirmation.
+    /// and one for each of its shard requests. The time-out of the fence is infinite: the core may start
+    /// attempts however old its endpoint list is.
     pub fn single_core(capacity: usize) -> Arc<Self> {
         SharedState::new(capacity, MulticoreConfig::default(), f64::INFINITY).0
     }
--- a/crates/router/src/state/watch_state.rs
+++ b/crates/router/src/state/watch_state.rs
@@ -1,10 +1,10 @@
 //! Decides when a watch is lost and when the next watch opens. A watch is an HTTP response that streams the
 //! changes of the endpoint list. It comes from the discovery agent, a process on the machine of the router
-//! that provides the endpoint list. The policy, the code that decides about attempts, may request polls of
-//! the endpoint list; a poll opens a watch. The caller reports events with their times, in seconds of the
-//! monotonic clock; this module reads no socket and no clock. The longest time from a change in discovery
-//! until the router receives it follows from the three constants below and, if watches open only when the
-//! policy polls, from the policy's poll interval.
+//! that provides the endpoint list. Depending on the settings, watches open on their own, or only when the
+//! policy, the code that decides about attempts, requests a poll of the endpoint list. The caller reports
+//! events with their times, in seconds of the monotonic clock; this module reads no socket and no clock. The
+//! longest time from a change in discovery until the router receives it follows from the three constants
+//! below and, if watches open only when the policy polls, from the policy's poll interval.
 
 /// A watch is lost if no complete line or object is received for this time, in seconds. The discovery agent
 /// sends an empty line every 2 s.
--- a/crates/router/src/wire/http.rs
+++ b/crates/router/src/wire/http.rs
@@ -131,7 +131,7 @@
     }
 
     /// Decodes the chunks that follow the first `decoded_end` bytes of the buffer. Returns the number of
-    /// bytes at the start of the buffer that precede the chunks still to be decoded.
+    /// decoded bytes at the start of the buffer: `decoded_end` plus the bytes that this call has decoded.
     pub fn decode_chunks(&mut self, buffer: &mut ReadBuffer, decoded_end: usize) -> Result<usize, HttpError> {
         let (mut to, mut at) = (decoded_end, decoded_end);
         let data = buffer.data_mut();
--- a/crates/router/tests/common/dispatcher.rs
+++ b/crates/router/tests/common/dispatcher.rs
@@ -1,5 +1,5 @@
-//! Helpers for tests that drive a dispatcher step by step: open queries, start attempts, write frames and record the
-//! policy's input.
+//! Helpers for tests that drive a dispatcher step by step: open queries, start attempts, write frames and
+//! record the policy's input.
 use alderway::interface::{
     AttemptOutcome, DecisionSink, NodeState, PolicyInput, ShardHolders, StateTransfer,
 };
@@ -172,15 +172,16 @@
     shards.iter().map(request).collect()
 }
 
-/// Starts attempts at a data node and puts them into frames, as after one run of the policy; returns the connections to
-/// open.
+/// Starts attempts at a data node and puts them into frames, as after one run of the policy; returns the
+/// connections to open.
 pub fn start_attempts(dispatcher: &mut Dispatcher, node: &str, requests: &[&str]) -> Vec<DialRequest> {
     requests.iter().for_each(|request| dispatcher.start_attempt(request, node, 5.0));
     let now = dispatcher.clock.now();
     dispatcher.flush_attempts(now)
 }
 
-/// Writes the next frame of a connection completely; returns its type byte and body as text, if there is a frame.
+/// Writes the next frame of a connection completely; returns its type byte and body as text, if there is a
+/// frame.
 pub fn write_next_frame(dispatcher: &mut Dispatcher, dial: &DialRequest) -> Option<String> {
     let mut out = vec![];
     let has_frame = dispatcher.encode_next_frame(&dial.node, dial.connection, &mut out);
@@ -195,7 +196,8 @@
     String::from_utf8_lossy(&client.output.borrow()).to_string()
 }
 
-/// Runs a test in its own single-threaded runtime: no other task runs between two of its steps unless it awaits.
+/// Runs a test in its own single-threaded runtime: no other task runs between two of its steps unless it
+/// awaits.
 pub fn run_in_local_runtime(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
--- a/crates/router/tests/dispatcher/any_order.rs
+++ b/crates/router/tests/dispatcher/any_order.rs
@@ -1,4 +1,6 @@
-//! Random events, checked against a model of the invariants of attempts.
+//! Random events on a dispatcher. A model of the attempts checks that each attempt ends once, with an outcome
+//! that fits how much of the attempt's frame was written, and that no attempt starts after one that may have
+//! been executed if that is forbidden.
 use crate::{dispatcher, policy_events, update_endpoint};
 use alderway::interface::AttemptOutcome;
 use alderway::interface::DecisionSink;
@@ -17,7 +19,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A random event. Each number selects one of the existing requests, connections, clients or outcomes.
+/// A random event. The numbers in an event are indices that select one of the existing requests, connections,
+/// clients or outcomes.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     OpenQuery(bool),
@@ -81,7 +84,8 @@
 impl Model {
     fn new() -> Self {
         let mut dispatcher = dispatcher();
-        // The deduplication window is empty: after an attempt that may have been executed, no other attempt may begin.
+        // The deduplication window is empty: after an attempt that may have been executed, no other attempt
+        // may begin.
         dispatcher.query_classes.push(ClassRules {
             idempotency: Idempotency::IdempotentWithKey { window_s: 0.0 },
             ..ClassRules::from("once")
@@ -193,8 +197,8 @@
             }
             Event::Requeue(number) => {
                 let Some((node, number)) = self.connection(number) else { return };
-                // The task of a connection requeues attempts only if the next frame has attempts, no attempt is in
-                // flight, and a reply was received on the connection.
+                // The task of a connection requeues attempts only if the next frame has attempts, no attempt
+                // is in flight, and a reply was received on the connection.
                 let connection = self.dispatcher.endpoints.connection(&node, number);
                 if connection.is_some_and(|connection| connection.will_reuse_after_idle()) {
                     self.dispatcher.requeue_unsent(&node, number);
@@ -263,8 +267,8 @@
         }
     }
 
-    /// Passes the policy's input on, and checks that every attempt ends once and with an outcome that fits how much of
-    /// its frame was written.
+    /// Takes the input for the next run of the policy from the dispatcher, and checks that every attempt ends
+    /// once and with an outcome that fits how much of the attempt's frame was written.
     fn run_round(&mut self) {
         for event in policy_events(&mut self.dispatcher) {
             let words: Vec<&str> = event.split(' ').collect();
@@ -304,8 +308,8 @@
     assert_eq!(model.dispatcher.attempts.in_flight_count(), 0);
 }
 
-/// A case in which the property below once failed. An attempt is ended while its frame is being written, and then its
-/// connection closes: the first outcome must remain the only one.
+/// A sequence of events that once violated the property below. An attempt is ended while its frame is being
+/// written, and then its connection closes: the first outcome must remain the only one.
 #[rstest]
 fn an_attempt_ended_while_its_frame_is_written_counts_as_begun_after_its_connection_closes() {
     use Event::*;
--- a/crates/router/tests/dispatcher/attempts.rs
+++ b/crates/router/tests/dispatcher/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts, from the policy's decision to the last byte of their frame.
+//! Attempts, from the decision of the policy, the code that starts attempts, to the last byte of the
+//! attempts' frame.
 use crate::common::dispatcher::{start_attempts, write_next_frame};
 use crate::{dispatcher, mark_open, open, policy_events, update_endpoint};
 use alderway::interface::AttemptOutcome;
@@ -105,9 +106,9 @@
     assert_eq!(write_next_frame(&mut dispatcher, &dial).as_deref(), Some("Cq.1"));
 }
 
-/// Data nodes drop duplicates of a shard request only within the deduplication window. `first` is the outcome of the
-/// first attempt; `second` is the beginning of the second attempt's frame, or `None` if that attempt may not be sent
-/// after the window.
+/// Data nodes drop duplicates of a shard request only within the deduplication window. `first` is the outcome
+/// of the first attempt; `second` is the beginning of the second attempt's frame, or `None` if that attempt
+/// may not be sent after the window.
 #[rstest]
 #[case::failed(AttemptOutcome::Error, None)]
 #[case::rejected(AttemptOutcome::Rejected, Some("Sq.1 "))]
--- a/crates/router/tests/dispatcher/client_connections.rs
+++ b/crates/router/tests/dispatcher/client_connections.rs
@@ -10,7 +10,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 
-/// Starts the acceptor of a dispatcher in the test's runtime, and connects a client to it.
+/// Starts the acceptor of a dispatcher in the runtime of the test, and connects a client to the acceptor.
 async fn connect_client(dispatcher: &DispatcherHandle) -> tokio::net::TcpStream {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -33,7 +33,8 @@
         for closes in [false, true] {
             stream.writable().await.expect("writable");
             stream.try_write(b"GET /up HTTP/1.1\r\n\r\n").expect("written");
-            // No other task has run since the write, so the runtime does not know yet that the socket is readable.
+            // No other task has run since the write, so the runtime has not yet detected that the socket is
+            // readable.
             if closes {
                 dispatcher.borrow().clients.close_idle();
             }
@@ -65,7 +66,7 @@
     });
 }
 
-/// Connects a client and lets it get the answer to a first request.
+/// Connects a client, sends a first request and waits for the answer.
 async fn connect_and_request(dispatcher: &DispatcherHandle) -> tokio::net::TcpStream {
     let mut stream = connect_client(dispatcher).await;
     let mut answer = [0; 200];
@@ -80,7 +81,8 @@
         let dispatcher = Rc::new(std::cell::RefCell::new(dispatcher()));
         let mut stream = connect_and_request(&dispatcher).await;
         let mut answer = [0; 200];
-        // No other task runs between the write and the close. The rest of the request is sent once this part is read.
+        // No other task runs between the write and the close. The rest of the request is sent once this part
+        // is read.
         stream.try_write(b"GET /up HTTP/1.1\r\n").expect("written");
         dispatcher.borrow().clients.close_idle();
         while dispatcher.borrow().metrics_text().contains("bytes_from_clients 20\n") {
@@ -101,7 +103,7 @@
         let mut answer = [0; 200];
         dispatcher.borrow().clients.close_idle();
         assert_eq!(stream.read(&mut answer).await.expect("an end"), 0);
-        // The client sends a further request before it notices that the router closes the connection.
+        // The client sends a second request before it reads that the router closes the connection.
         stream.write_all(b"GET /up HTTP/1.1\r\n\r\n").await.expect("written");
         while !dispatcher.borrow().clients.is_empty() {
             tokio::task::yield_now().await;
--- a/crates/router/tests/dispatcher/endpoints.rs
+++ b/crates/router/tests/dispatcher/endpoints.rs
@@ -1,4 +1,5 @@
-//! Changes of the endpoint list.
+//! Changes of the endpoint list, the list of data nodes from discovery, while attempts are queued or in
+//! flight.
 use crate::common::dispatcher::{start_attempts, write_next_frame};
 use crate::{dispatcher, open, policy_events, update_endpoint};
 use alderway::interface::DecisionSink;
--- a/crates/router/tests/dispatcher/main.rs
+++ b/crates/router/tests/dispatcher/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the dispatcher. Two data nodes, `s` and `t`, serve every shard. A connection carries at most four attempts, a
-//! frame at most two.
+//! Tests of the dispatcher. Two data nodes, `s` and `t`, serve every shard. A connection carries at most four
+//! attempts, a frame at most two.
 #[path = "../common/mod.rs"]
 mod common;
 
@@ -50,7 +50,8 @@
     dispatcher.endpoints_changed();
 }
 
-/// Expires overdue attempts and queries, and returns the input that the policy gets, one line of text per event.
+/// Expires overdue attempts and queries, and returns the input that the policy gets, one line of text per
+/// event.
 fn policy_events(dispatcher: &mut Dispatcher) -> Vec<String> {
     let (mut policy, now) = (RecordingPolicy::new(Recorded::Endpoints), dispatcher.clock.now());
     dispatcher.expire_attempts_and_queries(now);
--- a/crates/router/tests/dispatcher/node_connections.rs
+++ b/crates/router/tests/dispatcher/node_connections.rs
@@ -30,7 +30,8 @@
         while dispatcher.borrow().attempts.in_flight_count() > 0 {
             tokio::task::yield_now().await;
         }
-        // No task of the router runs between the close and the attempt, so the router has not noticed the close.
+        // No task of the router runs between the close and the attempt, so the router has not read the close
+        // from the socket.
         drop(first);
         assert!(
             start_attempts(&mut dispatcher.borrow_mut(), "u", &["q.2"]).is_empty(),
@@ -52,7 +53,7 @@
         let silent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let port = silent.local_addr().expect("an address").port();
         update_endpoint(&mut dispatcher.borrow_mut(), "u", port, NodeState::Serving, None);
-        // The text is larger than the socket buffers, and the node does not read.
+        // The text is larger than the socket buffers, and the data node does not read from its socket.
         let client = Rc::new(ClientConnection::default());
         let query = Query {
             id: "r".into(),
--- a/crates/router/tests/dispatcher/queries.rs
+++ b/crates/router/tests/dispatcher/queries.rs
@@ -56,8 +56,8 @@
         let bad = open("bad", 1);
         bad.wake.notified().await;
         assert!(response_text(&bad).starts_with("HTTP/1.1 504 "));
-        // Both nodes refuse connections. The restarted policy has received the endpoint list again, so it starts an
-        // attempt before it rejects the query.
+        // Both data nodes refuse connections. The restarted policy has received the endpoint list again, so
+        // that policy starts an attempt before it rejects the query.
         let good = open("good", 0);
         good.wake.notified().await;
         assert!(response_text(&good).starts_with("HTTP/1.1 503 "));
--- a/crates/router/tests/dispatcher/replies.rs
+++ b/crates/router/tests/dispatcher/replies.rs
@@ -1,4 +1,5 @@
-//! Replies, cancellations and broken connections: which attempts each ends, and with which outcome.
+//! Replies, cancellations and broken connections: the attempts that each of these events ends, and the
+//! outcome of those attempts.
 use crate::common::dispatcher::{start_attempts, write_next_frame};
 use crate::{dispatcher, mark_open, open, policy_events};
 use alderway::interface::AttemptOutcome;
--- a/crates/router/tests/dispatcher/reused_ids.rs
+++ b/crates/router/tests/dispatcher/reused_ids.rs
@@ -1,4 +1,5 @@
-//! A client that disconnects and sends a query with the same id before the policy has been notified of the disconnect.
+//! A client that disconnects and sends a query with the same id before the policy, the code that decides
+//! about queries and attempts, has been notified of the disconnect. A round is one run of the policy.
 use crate::common::dispatcher::{
     DispatcherSink, one_class_policy, open_query, response_text, shard_requests,
 };
@@ -71,7 +72,8 @@
     }
 }
 
-/// Guards against the end of an earlier query, or a reply to it, being applied to a later query with the same id.
+/// Guards against the end of an earlier query, or a reply to it, being applied to a later query with the same
+/// id.
 #[rstest]
 #[case::before_the_first_round(false, false)]
 #[case::with_an_attempt_in_flight(true, false)]
--- a/crates/router/tests/shard_map/any_order.rs
+++ b/crates/router/tests/shard_map/any_order.rs
@@ -1,4 +1,6 @@
-//! Random changes of the shard map, replies and failures: each query gets one correct answer.
+//! Random changes of the shard map, replies and failures: each query gets one correct answer. The shard map
+//! assigns ranges of keys to shards. A round is one run of the policy, the code that decides about queries
+//! and attempts.
 use crate::common::dispatcher::{DispatcherSink, response_text};
 use crate::{
     apply_changes, dispatcher, move_shard, open_query_for, reply_received, response_body, split_shard,
@@ -64,8 +66,8 @@
     )
 }
 
-/// An attempt whose frame is written and that has no reply: data node, number of the connection, id of the shard
-/// request, keys.
+/// An attempt whose frame is written and that has no reply: data node, number of the connection, id of the
+/// shard request, keys.
 type InFlight = (String, u64, String, KeyRange);
 
 /// A query, as its client sent it.
@@ -81,7 +83,7 @@
 struct Simulation {
     dispatcher: RefCell<Dispatcher>,
     policy: Policy,
-    /// How far the time that the policy gets is ahead of the clock, in seconds.
+    /// Seconds that are added to the time of the monotonic clock for the policy.
     clock_offset_s: f64,
     in_flight: Vec<InFlight>,
     connections: Vec<(String, u64)>,
@@ -150,8 +152,8 @@
         }
     }
 
-    /// Ends one of the attempts in flight by a reply or a lost connection; false if the dispatcher does not know the reply's
-    /// request.
+    /// Ends one of the attempts in flight by a reply or a lost connection; false if the dispatcher finds no
+    /// request for the reply.
     fn reply(&mut self, which: usize, kind: u8) -> bool {
         if self.in_flight.is_empty() {
             return true;
@@ -234,15 +236,18 @@
         Some(query.id.clone())
     }
 
-    /// Closes the connection of a client with an open query, and opens a query with the same id for other keys.
+    /// Closes the connection of a client with an open query, and opens a query with the same id for other
+    /// keys.
     fn reopen_query(&mut self, which: usize, from: Key, keys: Key) {
         let Some(id) = self.disconnect(which) else { return };
-        // The new query may be executed once too, so the record of the earlier one is dropped.
+        // The new query may be executed once too, so the recorded executions of the earlier query with this
+        // id are dropped.
         self.executed.retain(|(executed, _)| *executed != id);
         self.open_query(id, from, keys);
     }
 
-    /// Advances the time until all open queries have ended.
+    /// Advances the time by 0.3 s, ends an attempt and runs the policy, 40 times, so that all open queries
+    /// end.
     fn finish(&mut self) {
         for _ in 0..40 {
             self.clock_offset_s += 0.3;
@@ -251,8 +256,8 @@
         }
     }
 
-    /// Checks that each query got one answer, in which every key counts once and with its own value, and that no capacity,
-    /// attempt or split is left.
+    /// Checks that each query got one answer, in which every key counts once and with its own value, and that
+    /// no capacity, attempt or split is left.
     fn check(&self) -> Result<(), TestCaseError> {
         for ClientQuery { client, id, keys: requested, is_disconnected } in &self.queries {
             let text = response_text(client);
@@ -317,8 +322,8 @@
     })
 }
 
-/// Checks that each counter is at least 10 over all cases; otherwise too few cases reach the code that the counter
-/// stands for.
+/// Checks that each counter is at least 10 over all cases; otherwise too few cases reach the code that
+/// increments the counter.
 fn assert_all_counted(totals: &[Cell<u64>], names: &[&str]) {
     for (total, name) in totals.iter().zip(names) {
         eprintln!("{name} {}", total.get());
@@ -342,9 +347,9 @@
     lines.filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?))).collect()
 }
 
-/// Queries, changes of the shard map, replies, failures and time steps in any order: each query gets one answer, in which
-/// every key counts once and with its own value. Keys whose attempt may have had an effect are not requested again. At the
-/// end no capacity, attempt or split is left.
+/// Queries, changes of the shard map, replies, failures and time steps in any order: each query gets one
+/// answer, in which every key counts once and with its own value. Keys whose attempt may have had an effect
+/// are not requested again. At the end no capacity, attempt or split is left.
 #[rstest]
 fn each_query_gets_one_correct_answer_for_any_order_of_changes_and_replies() {
     let steps = prop::collection::vec((0..10u8, any::<u8>(), 0..100u32, 1..60u32), 20..120);
@@ -381,8 +386,9 @@
     assert_all_counted(&totals, &COUNTERS);
 }
 
-/// Like the test above, with several events between two runs of the policy, and with clients that disconnect and reuse
-/// the id of their query. Guards against replies and ends of an earlier query being applied to a later one.
+/// Like `each_query_gets_one_correct_answer_for_any_order_of_changes_and_replies`, with several events
+/// between two runs of the policy, and with clients that disconnect and reuse the id of their query. Guards
+/// against replies and ends of an earlier query being applied to a later one.
 #[rstest]
 fn each_query_gets_one_correct_answer_for_any_order_with_reused_ids() {
     const COUNTERS: [&str; 4] =
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -1,5 +1,5 @@
-//! Changes of the shard map while attempts are in flight: the frames that the dispatcher sends, the input that it passes to
-//! the policy, and the responses.
+//! Changes of the shard map while attempts are in flight: the frames that the dispatcher sends, the input
+//! that it passes to the policy, and the responses.
 #[path = "../common/mod.rs"]
 mod common;
 
@@ -31,8 +31,8 @@
 /// A target of a query: a shard or keys, and the target's weight.
 type Target = (Option<u32>, Option<(u32, u32)>, f64);
 
-/// A full shard map of keys 0 to 100. Each shard is given as its id, its keys from the first (inclusive) to the second
-/// (exclusive), and its holders: the replica groups that store the shard.
+/// A full shard map of keys 0 to 100. Each shard is given as its id, its keys from the first (inclusive) to
+/// the second (exclusive), and its holders: the replica groups that store the shard.
 fn full_map(version: u64, shards: &[(ShardId, Key, Key, &[u32])]) -> LayoutUpdate {
     let shard = |&(id, from, to, holders): &(ShardId, Key, Key, &[u32])| {
         (id, Shard { keys: KeyRange::new(from, to), holders: holders.iter().copied().collect() })
@@ -55,7 +55,8 @@
     Change::Move { shard, holders: holders.iter().copied().collect() }
 }
 
-/// A dispatcher with nodes `n0` to `n5`, each in its own replica group, and shards 1 (keys 0 to 50) and 2 (50 to 100), both held by groups 0 and 1.
+/// A dispatcher with nodes `n0` to `n5`, each in its own replica group, and shards 1 (keys 0 to 50) and 2 (50
+/// to 100), both held by groups 0 and 1.
 fn dispatcher(max_open: usize) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(
         Clock::default(),
--- a/crates/router/tests/shard_map/queries_by_keys.rs
+++ b/crates/router/tests/shard_map/queries_by_keys.rs
@@ -1,4 +1,5 @@
-//! Queries by keys and by shards: the shard requests that they become, and the replies that count as answers.
+//! Queries for keys and queries for shards: the shard requests that the dispatcher creates for these queries,
+//! and the replies that count as answers.
 use crate::{
     Target, apply_changes, dispatcher, move_shard, open_query_for, open_query_for_keys, policy_events,
     reply_received, response_body, split_shard, start_attempts, write_next_frame,
--- a/crates/router/tests/shard_map/splits.rs
+++ b/crates/router/tests/shard_map/splits.rs
@@ -14,7 +14,8 @@
     let old = start_attempts(&mut dispatcher, "n0", &["q.1.0-50"]);
     write_next_frame(&mut dispatcher, &old);
     policy_events(&mut dispatcher);
-    // After the split of the shard alone, the request is not split: the same replica groups hold all of its keys.
+    // After the split of the shard alone, the request is not split: the same replica groups hold all of its
+    // keys.
     apply_changes(&mut dispatcher, 2, vec![split_shard(1, &[(3, 0), (4, 20)])]);
     assert!(!policy_events(&mut dispatcher).iter().any(|event| event.contains("split into")));
     apply_changes(&mut dispatcher, 3, vec![move_shard(3, &[2]), move_shard(4, &[3])]);
@@ -23,7 +24,8 @@
         events.contains(&r#"q.1.0-50 split into [("q.3.0-20", 3, 0.4), ("q.4.20-50", 4, 0.6)]"#.to_string()),
         "{events:?}"
     );
-    // A hedge for one part: its attempt number follows that of the attempt made before the split.
+    // A hedge for one part of the split: the number of the hedge follows the number of the attempt that was
+    // started before the split.
     let new = start_attempts(&mut dispatcher, "n2", &["q.3.0-20"]);
     write_next_frame(&mut dispatcher, &new);
     assert!(reply_received(
@@ -51,15 +53,16 @@
         response_body(&client),
         r#"{"whole":true,"results":[{"partition":1,"keys":[0,50],"value":"old"}]}"#
     );
-    // The split and the shard's open requests are dropped; the retired shard itself is kept for its grace period.
+    // The split and the shard's open requests are dropped; the retired shard itself is kept for its grace
+    // period.
     policy_events(&mut dispatcher);
     let shard_map = dispatcher.shard_map.as_ref().expect("a shard map");
     assert!(shard_map.families.is_empty());
     assert_eq!(shard_map.history().expect("a history").retired_open_excluded_counts(), (1, 0, 0));
 }
 
-/// Guards against a request that waits for the only node that holds all of its keys, which may hang, while other nodes hold
-/// each of its parts.
+/// Guards against a request that waits for a hanging data node, the only one that holds all keys of the
+/// request, while other data nodes hold the keys of each part.
 #[rstest]
 fn a_request_is_split_even_if_one_replica_group_holds_all_of_its_keys() {
     let mut dispatcher = dispatcher(100);
@@ -107,7 +110,7 @@
 fn a_failed_attempt_of_a_split_request_is_reported_for_each_part() {
     let mut dispatcher = dispatcher(100);
     open_query_for_keys(&mut dispatcher, 0, 50);
-    // The policy knows the query, as it decides every attempt.
+    // Passes the query to the policy, which must receive a query before it can start attempts of the query.
     policy_events(&mut dispatcher);
     let old = start_attempts(&mut dispatcher, "n0", &["q.1.0-50"]);
     write_next_frame(&mut dispatcher, &old);
--- a/crates/router/tests/watch_state.rs
+++ b/crates/router/tests/watch_state.rs
@@ -1,6 +1,6 @@
-//! The longest delay until a change in discovery is received: all sequences of failing watches, simulated with the
-//! router's time-outs and pauses, without a socket or a clock. A watch is an HTTP response that streams changes from
-//! discovery.
+//! The longest delay until a change in discovery is received: all sequences of failing watches, simulated
+//! with the router's time-outs and pauses, without a socket or a clock. A watch is an HTTP response that
+//! streams changes from discovery.
 use alderway_router::state::watch_state::{
     RECONNECT_PAUSE_S, RESPONSE_TIMEOUT_S, SILENCE_TIMEOUT_S, WatchPhase, WatchState,
 };
@@ -13,7 +13,8 @@
     Ends(f64),
     /// The connection is accepted, but discovery sends nothing.
     Silent,
-    /// Discovery sends the head of the response this time after the watch opens, in seconds, and nothing else.
+    /// Discovery sends the head of the response this time after the watch opens, in seconds, and nothing
+    /// else.
     ResponseHead(f64),
 }
 
@@ -26,13 +27,13 @@
     Outcome::ResponseHead(0.99),
 ];
 
-/// Delay in seconds from the loss of a watch until the policy requests the next poll: the poll interval of 1 s and up
-/// to 20 ms until the policy runs.
+/// Delay in seconds from the loss of a watch until the policy requests the next poll: the poll interval of 1
+/// s and up to 20 ms until the policy runs.
 const POLL_DELAY_S: f64 = 1.0 + 0.02;
 
-/// Simulates a watch that is open and silent from time 0 on. Until `returns_at_s`, discovery is not reachable and
-/// further watches fail with `outcomes` in turn; then watches fail with each of `failing`. Returns the time in seconds
-/// from `returns_at_s` until a watch opens that does not fail.
+/// Simulates a watch that is open and receives nothing from time 0 on. Until `returns_at_s`, discovery is not
+/// reachable and further watches fail with `outcomes` in turn; then watches fail with each of `failing`.
+/// Returns the time in seconds from `returns_at_s` until a watch opens that does not fail.
 fn delay_after_return(on_request: bool, returns_at_s: f64, outcomes: &[Outcome], failing: &[Outcome]) -> f64 {
     let mut watch = WatchState::new(on_request);
     let (mut now, mut opened, mut failed_after) = (0.0, 0, 0);
@@ -83,8 +84,8 @@
     for outcomes in pairs {
         for tenths in 0..150 {
             let returns_at_s = f64::from(tenths) / 10.0 + 0.01;
-            // Only watches that fail without a response: a watch that falls silent after the head of its response is a
-            // second failure of discovery, to which the limit does not apply.
+            // Only watches that fail without a response: a watch that falls silent after the head of its
+            // response is a second failure of discovery, to which the limit does not apply.
             for failing in [Outcome::Ends(0.0), Outcome::Ends(0.9), Outcome::Silent] {
                 let failing =
                     if failing == Outcome::Silent { vec![failing; 1] } else { vec![failing; failures] };
@@ -96,7 +97,7 @@
         }
     }
     assert!(longest.0 < 6.0, "{longest:?}");
-    // The sum that docs/configuration.md states.
+    // The longest delay according to docs/configuration.md.
     let pause_s = if on_request { POLL_DELAY_S } else { RECONNECT_PAUSE_S };
     let failures_s = failures as f64 * (0.9 + RECONNECT_PAUSE_S);
     assert!(
--- a/crates/router/tests/wire.rs
+++ b/crates/router/tests/wire.rs
@@ -7,8 +7,8 @@
 use alderway_router::wire::{frames, query, response};
 use rstest::rstest;
 
-/// Reads requests from `bytes`, which arrive in pieces that end at `cuts`. Returns the first line and body of each, or the
-/// status of the error response.
+/// Reads requests from `bytes`, which arrive in pieces that end at `cuts`. Returns the first line and body of
+/// each request, or the status of the error response.
 fn requests(bytes: &[u8], cuts: &[usize]) -> Result<Vec<(String, String)>, u16> {
     let (mut buffer, mut messages, mut found) =
         (ReadBuffer::new(MAX_MESSAGE_BYTES), MessageReader::default(), vec![]);
@@ -184,8 +184,9 @@
 const LIST: &str = r#"{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:50","zone":"a","type":"m","group":3,"status":"SERVING","weight":1.0,"since_ms":7}]}"#;
 const REMOVAL: &str = r#"{"index":43,"snapshot":false,"endpoints":[{"name":"s-1","status":"DELETED"}]}"#;
 
-/// Reads a watch from `bytes`, which arrive in pieces of `size`. Returns its objects, with an empty string for each empty line,
-/// and the error that ended it, if any.
+/// Reads a watch, the HTTP response that streams changes of the endpoint list, from `bytes`, which arrive in
+/// pieces of `size` bytes. Returns the objects of the watch, with an empty string for each empty line, and
+/// the error that ended the watch, if there was one.
 fn read_watch(bytes: &[u8], size: usize) -> (Vec<String>, Option<&'static str>) {
     let (mut buffer, mut watch, mut found) =
         (ReadBuffer::new(discovery::MAX_OBJECT_BYTES), WatchReader::default(), vec![]);
