--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -1,7 +1,7 @@
-//! Checks each attempt that starts, each response and each closed client connection against the rules in
-//! `alderway::permits`, independently of the code that decided the action. A violation is counted as
-//! `rule_violations{RULE}` and logged with the id of the query or shard request; it does not change the
-//! router's behavior.
+//! Checks each attempt that starts, each response and each closed client connection against the rules of
+//! `alderway::permits` and against limits on the lateness and the answered fraction of a response. The checks
+//! are independent of the code that decided the action. A violation is counted as `rule_violations{RULE}` and
+//! logged with the id of the query or shard request; it does not change the router's behavior.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::queries::Query;
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Checks that a rejected query may be retried: a query that must not be executed twice may be rejected
-    /// only if no attempt of the query may have been executed.
+    /// Checks that a rejected query may be retried: a query whose class is not idempotent may be rejected
+    /// only if no data node may have executed an attempt of the query.
     pub(super) fn check_rejection(&mut self, query: &Query) {
         let effect = self.query_classes[query.class].idempotency;
         let may_have_executed = query.requests.iter().any(|request| request.may_have_executed());
--- a/crates/router/src/state/dispatcher/mod.rs
+++ b/crates/router/src/state/dispatcher/mod.rs
@@ -85,7 +85,8 @@
     pub endpoints: EndpointTable,
     /// Connections of clients to this core, each with its unwritten response.
     pub clients: ClientTable,
-    /// Counts of events and maxima of measured values since this core started.
+    /// Counts of events and maxima of measured values of this core. A restarted core continues with the
+    /// values that it last published.
     pub counters: Counters,
     /// The state that all cores of the process share.
     pub shared: Arc<SharedState>,
@@ -107,7 +108,7 @@
     /// A fault that a test requested and that is injected at the next heartbeat of this core.
     #[cfg(feature = "faults")]
     pub injected_fault: Option<String>,
-    /// The request to move client connections to another core, if there is one.
+    /// The request to move client connections to another core; `None` if there is no such request.
     pub handover: Option<ClientHandover>,
     /// Notified when there is input for the policy, so that the policy runs.
     pub work_ready: Rc<Notify>,
--- a/crates/router/src/state/metrics.rs
+++ b/crates/router/src/state/metrics.rs
@@ -15,7 +15,8 @@
 /// The counters and gauges of a core at one moment.
 #[derive(Clone, Default)]
 pub struct MetricsSnapshot {
-    /// Sums and maxima since the core started.
+    /// Sums and maxima since the process started, including those that the core published before it was
+    /// restarted.
     pub counters: Counters,
     /// Gauges, each with its name and current value.
     pub gauges: Vec<(&'static str, u64)>,
--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Records that the last byte of the frame that is being written was written at `now`: its attempts are
-    /// in flight.
+    /// Records that the last byte of the frame that is being written was written at `now`: the attempts of
+    /// that frame are in flight from then on.
     pub fn frame_written(&mut self, now: f64) {
         if let Some(OutboundFrame::Attempts(attempts)) = self.writing.take() {
             self.in_flight.extend(attempts.into_iter().map(|id| (id.request_id, id.number)));
--- a/crates/router/src/state/node_protocol.rs
+++ b/crates/router/src/state/node_protocol.rs
@@ -53,8 +53,7 @@
     pub request_id: &'a str,
     /// The outcome of the attempt that the data node reports.
     pub outcome: AttemptOutcome,
-    /// Whether the data node holds the shard by its version of the shard map, and for which keys the reply
-    /// is.
+    /// The part of the reply that concerns the shard map.
     pub report: ShardReport,
     /// The value for the shard request; empty unless the outcome is success.
     pub value: &'a str,
--- a/crates/router/src/state/pending_input.rs
+++ b/crates/router/src/state/pending_input.rs
@@ -1,7 +1,7 @@
 //! Input that the policy, the code that decides about queries and attempts, gets in its next run. Changes of
-//! the endpoint list, the shard map and the configuration are collected in the tables of those. The fleet is
-//! all routers that exchange gossip. An observation is the health of a data node according to the attempts of
-//! one core.
+//! the endpoint list, the shard map and the configuration are collected in `EndpointTable`, `ShardMapView`
+//! and `ClassTable` instead. The fleet is all routers that exchange gossip. An observation is the health of a
+//! data node according to the attempts of one core.
 use alderway::interface::{NodeObservation, PolicyInput};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/router/src/state/response.rs
+++ b/crates/router/src/state/response.rs
@@ -37,8 +37,7 @@
     /// The router has no capacity for the query, or is in the last phase of a shutdown.
     NoCapacity,
     /// The policy, the code that decides about queries, rejected the query. The client may retry the query:
-    /// either the class of the query allows a repeated execution, or no data node has executed any part of
-    /// the query.
+    /// either the class of the query is idempotent, or no data node has executed any part of the query.
     Rejected {
         /// How long the client should wait before it retries, in seconds; `None` if the policy gives no time;
         /// the response then has no `Retry-After` field.
--- a/crates/router/src/state/shard_map.rs
+++ b/crates/router/src/state/shard_map.rs
@@ -27,7 +27,9 @@
     /// How long clients may still request a shard that no longer exists, in seconds.
     pub retired_shard_grace_s: f64,
     /// How long no requests for a shard are sent to a data node that has replied that it does not hold the
-    /// shard, in seconds. A data node with an older shard map can catch up in this time.
+    /// shard, in seconds. A data node with an older shard map than this router can receive the newer one in
+    /// this time. If the data node has a newer shard map, no requests are sent until this router applies that
+    /// version, but for at most ten times as long.
     pub lagging_node_grace_s: f64,
 }
 
@@ -54,7 +56,7 @@
     pub weight: f64,
 }
 
-/// The split of a shard request into several.
+/// A shard request that was split, and the shard requests that replace it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitShardRequest {
     /// The number that identifies the query on this core.
@@ -263,10 +265,10 @@
     /// Corrects the outcome of an attempt by the data node's report about the shard map, and returns the
     /// corrected outcome. If the data node rejected the attempt because it does not hold the shard, the
     /// outcome is `ShardMoved`, and the data node is excluded for this shard: from `now`, in seconds of the
-    /// monotonic clock, the policy sends it no requests for the shard until the exclusion ends. An answer is
-    /// a success only if it is for exactly the requested keys; an answer without keys counts as one for the
-    /// whole shard. Guards against data nodes with another version of the shard map, and against data nodes
-    /// without a shard map, which always answer for the whole shard.
+    /// monotonic clock, the policy sends no requests for the shard to that data node until the exclusion
+    /// ends. An answer is a success only if the answer is for exactly the requested keys; an answer without
+    /// keys counts as one for the whole shard. Guards against data nodes with another version of the shard
+    /// map, and against data nodes without a shard map, which always answer for the whole shard.
     pub fn classify_outcome(
         &mut self,
         node: &str,
--- a/crates/router/src/state/stall_detector.rs
+++ b/crates/router/src/state/stall_detector.rs
@@ -17,8 +17,8 @@
 
 impl StallDetector {
     /// Checks at `now`, in seconds of the monotonic clock, whether the thread stalled since the last call;
-    /// returns the number of stalls so far. Every task of the thread must call this before it acts on the
-    /// state.
+    /// returns the number of stalls so far. A task of the thread that acts on the state must call this
+    /// function before.
     pub fn check(&mut self, now: f64) -> u64 {
         self.count += u64::from(now - self.last_check_s > MAX_GAP_S);
         self.last_check_s = now;
--- a/crates/router/src/state/watch_state.rs
+++ b/crates/router/src/state/watch_state.rs
@@ -78,7 +78,7 @@
 
     /// Records that the watch was lost at `now`; returns whether the head of its response had been received.
     /// If so and watches open on request, the next watch opens when the policy requests the next poll; in all
-    /// other cases it opens after a pause.
+    /// other cases the next watch opens after a pause of `RECONNECT_PAUSE_S`.
     pub fn lost(&mut self, now: f64) -> bool {
         let had_response = matches!(self.phase, WatchPhase::Open { .. });
         let awaits_poll = had_response && self.on_request;
--- a/crates/router/src/wire/buffer.rs
+++ b/crates/router/src/wire/buffer.rs
@@ -1,4 +1,4 @@
-//! The read buffer of a connection. It has the bytes that were received and are not yet consumed.
+//! The read buffer of a connection, with the bytes that were received and are not yet consumed.
 
 /// A buffer that grows on demand up to a maximum length. When its end is reached, the unconsumed bytes are
 /// moved to the front.
--- a/crates/router/src/wire/discovery.rs
+++ b/crates/router/src/wire/discovery.rs
@@ -1,6 +1,6 @@
-//! The watch on discovery: an HTTP response with a chunked body that streams JSON objects, each with a full
-//! endpoint list or with changes to it. This module writes the request that opens a watch, and reads the
-//! response.
+//! The watch on discovery, the service that publishes the endpoint list and the shard map. A watch is an HTTP
+//! response with a chunked body that streams JSON objects, each with a full endpoint list or with changes to
+//! it. This module writes the request that opens a watch, and reads the response.
 use super::ParseError;
 use super::buffer::ReadBuffer;
 use super::http::{ChunkDecoder, MessageReader};
--- a/crates/router/src/wire/frames.rs
+++ b/crates/router/src/wire/frames.rs
@@ -114,8 +114,9 @@
     }
 }
 
-/// What a data node's report says about the shard map. Unreadable keys become an empty range. Guards against
-/// counting a value for keys that the data node did not name.
+/// Parses the part of a data node's report that concerns the shard map. Unreadable keys become an empty
+/// range, which differs from every requested range. Guards against counting a value for keys that the data
+/// node did not name.
 pub fn parse_shard_report(report: &str) -> ShardReport {
     ShardReport {
         moved_at_version: moved_at_version(report),
--- a/crates/router/tests/common/dispatcher.rs
+++ b/crates/router/tests/common/dispatcher.rs
@@ -190,7 +190,7 @@
     has_frame.then(|| String::from_utf8_lossy(&out[4..]).to_string())
 }
 
-/// All responses for a client, encoded, as text.
+/// Encodes the pending responses to a client, and returns all unwritten response bytes as text.
 pub fn response_text(client: &ClientConnection) -> String {
     response::encode_pending(client);
     String::from_utf8_lossy(&client.output.borrow()).to_string()
--- a/crates/router/tests/dispatcher/any_order.rs
+++ b/crates/router/tests/dispatcher/any_order.rs
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Begins the next frame of a connection, and checks that each attempt of the frame may be sent.
+    /// Encodes the next frame of a connection, and checks that each attempt of the frame may be sent.
     fn begin_frame(&mut self, connection: usize) {
         let Some((node, number)) = self.connection(connection) else { return };
         // First update the model with the attempts that have ended.
--- a/crates/router/tests/shard_map/changes.rs
+++ b/crates/router/tests/shard_map/changes.rs
@@ -1,4 +1,5 @@
-//! Effects of a changed shard map on queued attempts and on the policy.
+//! Effects of a change of the shard map, which assigns ranges of keys to shards, on queued attempts and on
+//! the input of the policy, the code that decides about attempts.
 use crate::{
     apply_changes, dispatcher, full_map, move_shard, open_query_for_keys, policy_events, start_attempts,
 };
--- a/crates/router/tests/shard_map/main.rs
+++ b/crates/router/tests/shard_map/main.rs
@@ -1,5 +1,5 @@
-//! Changes of the shard map while attempts are in flight: the frames that the dispatcher sends, the input
-//! that it passes to the policy, and the responses.
+//! Changes of the shard map, which assigns ranges of keys to shards, while attempts are in flight: the frames
+//! that the dispatcher sends, the input that it passes to the policy, and the responses.
 #[path = "../common/mod.rs"]
 mod common;
 
--- a/crates/router/tests/shard_map/splits.rs
+++ b/crates/router/tests/shard_map/splits.rs
@@ -1,4 +1,6 @@
-//! Shard requests that are split while attempts are in flight.
+//! Shard requests that are split, after a change of the shard map, while attempts are in flight. The policy
+//! is the code that decides about queries and attempts. A hedge is an additional attempt for a shard request
+//! that has an attempt in flight.
 use crate::{
     apply_changes, dispatcher, move_shard, open_query_for_keys, policy_events, reply_received, response_body,
     split_shard, start_attempts, write_next_frame,
--- a/crates/router/tests/shard_map/updates.rs
+++ b/crates/router/tests/shard_map/updates.rs
@@ -1,4 +1,5 @@
-//! Decoding of shard maps and changes from discovery, and of keys in queries.
+//! Decoding of shard maps, which assign ranges of keys to shards, and of changes to shard maps from
+//! discovery; decoding of keys in queries.
 use crate::{move_shard, split_shard};
 use alderway_layouts::KeyRange;
 use alderway_layouts::history::LayoutUpdate;
--- a/crates/router/tests/watch_state.rs
+++ b/crates/router/tests/watch_state.rs
@@ -9,12 +9,11 @@
 /// How a watch fails. In the simulation, watches fail before discovery is reachable again and shortly after.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Outcome {
-    /// The connection is refused, reset or unreadable, this time after the watch opens, in seconds.
+    /// The connection is refused, reset or unreadable this many seconds after the watch opens.
     Ends(f64),
     /// The connection is accepted, but discovery sends nothing.
     Silent,
-    /// Discovery sends the head of the response this time after the watch opens, in seconds, and nothing
-    /// else.
+    /// Discovery sends the head of the response this many seconds after the watch opens, and nothing else.
     ResponseHead(f64),
 }
 
