--- a/crates/router/src/state/clients.rs
+++ b/crates/router/src/state/clients.rs
@@ -31,7 +31,7 @@
     pub pending_responses: RefCell<Vec<PendingResponse>>,
     /// Encoded response bytes that are not yet written to the socket.
     pub output: RefCell<Vec<u8>>,
-    /// Wakes the task of the connection when it has something to write or is to close.
+    /// Wakes the task of the connection when a response is to be written or the connection is to close.
     pub wake: Notify,
     /// The number that identifies the open query of the connection in the query table; `None` if no query is
     /// open.
--- a/crates/router/src/state/dispatcher/connections.rs
+++ b/crates/router/src/state/dispatcher/connections.rs
@@ -53,11 +53,12 @@
         self.endpoints.nodes.get_mut(node)?.connections.remove(&number)
     }
 
-    /// Removes a connection on which an unreadable reply was received; the router closes it, because the rest
-    /// of the stream cannot be decoded. One attempt fails: the attempt of `request_id` if the reply names a
-    /// shard request, else the one that was started first. The other attempts in flight are cancelled; by the
-    /// protocol, closing the connection cancels them at the data node. Guards against counting one unreadable
-    /// reply as a reset of all these attempts, which would make a healthy data node look unreachable.
+    /// Removes a connection on which an unreadable reply was received; the router closes the connection,
+    /// because the bytes that follow cannot be decoded. One attempt fails: the attempt of `request_id` if the
+    /// reply names a shard request, else the one that was started first. The other attempts in flight are
+    /// cancelled; by the protocol, closing the connection cancels them at the data node. Guards against
+    /// counting one unreadable reply as a reset of all these attempts, which would make a healthy data node
+    /// look unreachable.
     pub fn connection_corrupted(&mut self, node: &str, number: u64, request_id: Option<&str>) {
         self.counters.increment("answers_spoilt");
         let Some(connection) = self.remove_connection(node, number) else { return };
@@ -178,8 +179,8 @@
     }
 
     /// Puts an encoded frame back into the queue, because the socket accepted no byte of it. Guards against
-    /// writing a frame long after it was encoded: its attempts are checked and encoded again before the next
-    /// write.
+    /// writing a frame long after the frame was encoded: the attempts in the frame are checked and encoded
+    /// again before the next write.
     pub fn frame_not_started(&mut self, node: &str, number: u64) {
         let Some(connection) = self.endpoints.connection(node, number) else { return };
         let attempts = connection.writing_attempts().to_vec();
--- a/crates/router/src/state/dispatcher/invariants.rs
+++ b/crates/router/src/state/dispatcher/invariants.rs
@@ -1,7 +1,7 @@
 //! Checks each attempt that starts, each response and each closed client connection against the rules of
 //! `alderway::permits` and against limits on the lateness and the answered fraction of a response. The checks
 //! are independent of the code that decided the action. A violation is counted as `rule_violations{RULE}` and
-//! logged with the id of the query or shard request; it does not change the router's behavior.
+//! logged with the id of the query or shard request; a violation does not change what the router does.
 use super::Dispatcher;
 use crate::state::attempts::AttemptId;
 use crate::state::queries::Query;
--- a/crates/router/src/state/endpoints.rs
+++ b/crates/router/src/state/endpoints.rs
@@ -1,7 +1,7 @@
-//! The endpoint list: the data nodes that discovery, the service that publishes the list, reports, each with
-//! the connections of this core to the data node. A retired connection gets no new attempts and closes when
-//! it is idle. Changes are collected until the next run of the policy. Times are seconds of the monotonic
-//! clock.
+//! The endpoint list: the data nodes that discovery, the service that publishes the list, has reported. The
+//! record of each data node contains the connections of this core to the data node. A retired connection gets
+//! no new attempts and closes when it is idle. Changes are collected until the next run of the policy. Times
+//! are seconds of the monotonic clock.
 use super::attempts::AttemptId;
 use super::node_connection::NodeConnection;
 use alderway::interface::{NodeState, PolicyInput};
--- a/crates/router/src/state/node_connection.rs
+++ b/crates/router/src/state/node_connection.rs
@@ -64,7 +64,7 @@
 /// One connection to a data node.
 #[derive(Default)]
 pub struct NodeConnection {
-    /// Wakes the task of the connection when it has a frame to write or is to close.
+    /// Wakes the task of the connection when a frame is to be written or the connection is to close.
     pub wake: Rc<Notify>,
     /// Whether the connection is established.
     pub is_open: bool,
--- a/crates/router/src/state/queries.rs
+++ b/crates/router/src/state/queries.rs
@@ -258,7 +258,7 @@
         self.deadlines.due(now).copied().collect()
     }
 
-    /// Ids of the open shard requests for these shards that were not split, by shard.
+    /// Ids of the open shard requests for each of `shards`, without the requests that were split.
     pub fn unsplit_requests_of(&self, shards: &[ShardId]) -> BTreeMap<ShardId, Vec<Rc<str>>> {
         let wanted: BTreeSet<ShardId> = shards.iter().copied().collect();
         let mut found: BTreeMap<ShardId, Vec<Rc<str>>> = BTreeMap::new();
@@ -317,8 +317,8 @@
     }
 
     /// Marks a shard request as split and adds the requests `into` to its query. `capacity` is the permit for
-    /// the capacity units of the new requests. The split request stays in the query, because an answer to it
-    /// that arrives later still counts.
+    /// the capacity units of the new requests. The split request stays in the query, because an answer to the
+    /// split request still counts if the answer arrives later.
     pub fn split_request(&mut self, request_id: &str, into: Vec<ShardRequest>, capacity: PoolPermit) {
         let Some(&RequestIndex { query: number, index }) = self.requests.get(request_id) else { return };
         let Some(query) = self.open.get_mut(&number) else { return };
--- a/crates/router/src/state/watch_state.rs
+++ b/crates/router/src/state/watch_state.rs
@@ -25,7 +25,8 @@
         /// When the next watch opens.
         opens_at_s: f64,
     },
-    /// The connection is being opened, or its response has not begun.
+    /// The connection to the discovery agent is being opened, or the head of the response has not been
+    /// received.
     Opening {
         /// When the watch is lost unless the head of its response is received before.
         lost_at_s: f64,
