--- a/crates/router/src/state/metrics.rs
+++ b/crates/router/src/state/metrics.rs
@@ -2,8 +2,8 @@
 use super::counters::Counters;
 use std::fmt::Write;
 
-/// Gauge for the number of data nodes. Every core has the same data nodes, so the value for the process is the maximum
-/// over its cores, not the sum.
+/// Gauge for the number of data nodes. Every core has the same data nodes, so the value for the process is
+/// the maximum over its cores, not the sum.
 const NODES_KNOWN: &str = "nodes_known";
 
 /// A component of a core, other than the dispatcher, that has metrics.
@@ -15,7 +15,8 @@
 /// The counters and gauges of a core at one moment.
 #[derive(Clone, Default)]
 pub struct MetricsSnapshot {
-    /// Sums and maxima since the core started.
+    /// Sums and maxima since the process started, including those that the core published before it was
+    /// restarted.
     pub counters: Counters,
     /// Gauges, each with its name and current value.
     pub gauges: Vec<(&'static str, u64)>,
