--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -1,5 +1,7 @@
-//! Serves one client connection: reads requests one at a time and writes the responses. Closes the connection if the
-//! client sends no request, leaves a request incomplete or does not read the response.
+//! Serves one client connection: reads requests one at a time and writes the responses. Closes the connection
+//! if the client sends no request, leaves a request incomplete or does not read the response. A core is a
+//! thread that serves client connections; the program can hand a client connection over from one core to
+//! another.
 use super::{arrival, sleep_until};
 use crate::requests;
 use crate::state::DispatcherHandle;
@@ -22,16 +24,18 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Time after which an idle client connection is closed, in seconds: the client protocol allows closing a connection
-/// that has had no open request for 2 s.
+/// Time after which an idle client connection is closed, in seconds. The client protocol allows the router to
+/// close a connection that has had no open request for 2 s.
 const IDLE_TIMEOUT_S: f64 = 2.0;
-/// Time from connecting within which a client must send its first complete request, in seconds: otherwise, the client
-/// protocol requires an error response or a close.
+/// Time in seconds within which a client must send its first complete request, counted from the start of the
+/// session on this core. The client protocol requires an error response or a close after this time: the
+/// router sends a 408 response if a part of the request has arrived, and closes the connection otherwise.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
-/// How long the router waits for the client to close a connection after the last response. If the router closed
-/// first, bytes from the client would make the kernel reset the connection before the client has read the response.
+/// How long the router waits for the client to close a connection after the router has sent its last
+/// response. If the router closed the socket first, bytes that the client still sends would make the kernel
+/// reset the connection, and the client might lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Size of the buffer for bytes that are read and discarded.
+/// Size of the buffer for bytes that are read and discarded, in bytes.
 const DISCARD_BYTES: usize = 4096;
 
 /// Why this core stopped serving a client connection.
@@ -39,11 +43,13 @@
 enum CloseReason {
     /// The client closed the connection, or the connection failed.
     ClientDisconnected,
-    /// The client sent no request before the timeout.
+    /// The router closed an idle connection on which the client had sent no complete request, after the
+    /// timeout, for a shutdown, or to release the file descriptor.
     NoRequest,
-    /// The client did not read its response before the timeout.
+    /// The client read no byte of a response for [`IDLE_TIMEOUT_S`].
     AnswerNotRead,
-    /// The router has sent its last response, and closes the connection once the client has read the response.
+    /// The router has sent its last response, or closes a connection that is idle after earlier requests. The
+    /// socket is closed once the client closes its side, or after [`LINGER_TIMEOUT`].
     AfterAnswer,
     /// The connection moves to the core with this number.
     MovesTo(usize),
@@ -143,9 +149,9 @@
     dispatcher.client_disconnected(query);
 }
 
-/// Closes the router's side of the connection, then discards the client's bytes until the client closes its side.
-/// Discards at most `MESSAGE` bytes, the size of the longest request, so that a client that never stops sending
-/// cannot occupy the core.
+/// Closes the router's side of the connection, then discards the client's bytes until the client closes its
+/// side, for at most [`LINGER_TIMEOUT`]. Discards at most about [`MAX_MESSAGE_BYTES`], the size of the
+/// longest request, so that a client that never stops sending cannot occupy the core.
 async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
@@ -169,20 +175,24 @@
 struct StateTimes {
     /// No query is open, and no response has to be written.
     idle_since: Option<f64>,
-    /// Part of a request has arrived.
+    /// When this session found the first part of a request that is still incomplete, in seconds of the
+    /// monotonic clock; `None` if there is no incomplete request.
     partial_request_since: Option<f64>,
-    /// A response is being written, and the client has read no byte of it.
+    /// When the writing of a response began or last made progress, in seconds of the monotonic clock; `None`
+    /// if no response is being written.
     write_stalled_since: Option<f64>,
 }
 
-/// The state of a session before it waits for the next event.
+/// What a session is doing just before the session waits for the next event. [`ClientSession::run`] chooses
+/// from these values the events for which the session waits.
 struct Waiting {
     has_open_query: bool,
     is_writing: bool,
     has_partial_request: bool,
     /// No query is open, and no response has to be written.
     is_idle: bool,
-    /// When the session times out, in seconds of the monotonic clock; infinite while a query is open.
+    /// When the session times out, in seconds of the monotonic clock; infinite while a query is open and no
+    /// response is being written.
     deadline: f64,
 }
 
@@ -198,12 +208,14 @@
     sender: Sender,
     /// Number of bytes of the current response that were written to the socket.
     written_bytes: usize,
-    /// The rest of the input is not parsed: an earlier request was malformed, or too many bytes arrived at once.
+    /// Whether the rest of the input is not parsed, because the router has sent an error as the last
+    /// response: a request was malformed, was incomplete for too long or at a shutdown, or more bytes arrived
+    /// than the buffer holds.
     is_unreadable: bool,
-    /// While a query was open, the client sent more bytes than the buffer holds. The surplus was discarded, so no
-    /// later request can be parsed.
+    /// Whether the client sent more bytes than the buffer holds while a query was open. The surplus was
+    /// discarded, so no later request can be parsed.
     has_overrun: bool,
-    /// `100 Continue` was sent to the client for the current request.
+    /// Whether `100 Continue` was sent to the client for the current request.
     has_sent_continue: bool,
     /// Deadline for receiving the first complete request, in seconds of the monotonic clock.
     first_request_by: f64,
@@ -240,8 +252,8 @@
             has_sent_continue: false,
             first_request_by: error_by.max(accepted_at + IDLE_TIMEOUT_S),
             read_at: accepted_at,
-            // Bytes may have arrived before the connection was accepted, but no longer ago than a client waits for
-            // its first response.
+            // Bytes may have arrived before the connection was accepted. A client waits at most
+            // `FIRST_REQUEST_TIMEOUT_S` for its first response, so the bytes are not older than that.
             drained_at: accepted_at - FIRST_REQUEST_TIMEOUT_S,
             times: StateTimes::default(),
         }
@@ -275,7 +287,9 @@
                 () = self.sender.ready(stream), if waiting.is_writing => {}
                 () = client.wake.notified() => {}
                 () = ready(()), if should_close => {
-                    // A connection with unread bytes is not closed: they may be a request, which has to be answered.
+                    // If the buffer has room, a connection with unread bytes is not closed yet: the bytes may
+                    // be a request, which has to be answered. If the buffer is full, the bytes cannot be
+                    // read, and the connection is closed.
                     if !has_room || !arrival::has_unread_bytes(stream) {
                         if !self.must_reject_partial_request() {
                             return self.closed_while_idle();
@@ -349,7 +363,8 @@
         }
     }
 
-    /// Sends an error as the last response of this connection; further input is not parsed. Increments `counter`.
+    /// Writes an error as the last response of this connection, stops parsing input, and increments
+    /// `counter`.
     fn reject_unreadable(&mut self, counter: &str, refusal: HttpError) {
         self.dispatcher.borrow_mut().counters.increment(counter);
         response::write_http_error(&mut self.client.output.borrow_mut(), refusal);
@@ -422,7 +437,7 @@
             return None;
         }
         let mut dispatcher = self.dispatcher.borrow_mut();
-        // During a shutdown, the other core may end before the connection reaches it.
+        // During a shutdown, the other core may end before the connection reaches that core.
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
@@ -432,8 +447,8 @@
         Some(to)
     }
 
-    /// Updates the times of the session's states at `now`, in seconds of the monotonic clock, and returns what the
-    /// session waits for.
+    /// Updates the times of the session's states at `now`, in seconds of the monotonic clock, and returns
+    /// what the session is doing, from which the caller chooses the events to wait for.
     fn waiting(&mut self, now: f64) -> Waiting {
         let has_open_query = self.client.open_query.get().is_some();
         let is_writing = self.has_output();
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -1,11 +1,12 @@
-//! One core of a router on several cores. A core is a thread with a runtime, a dispatcher, a policy and client
-//! connections of its own. The core executes commands of the supervising thread and processes observations of data
-//! nodes that other cores share. If the policy or a task of the core fails, the core answers its open queries with an
-//! error and reports the failure to the supervising thread, which restarts the core.
+//! Runs one core of a router on several cores. A core is a thread with a runtime, a dispatcher, a policy and
+//! client connections of its own. The core executes commands of the supervising thread and processes
+//! observations, which are measurements of data nodes that other cores share. If the policy or a task of the
+//! core fails, the core answers its open queries with an error and reports the failure to the supervising
+//! thread, which later permits the core to restart.
 //!
-//! The fence is a check that all cores share: it stops a core from starting attempts while the core has not applied
-//! the newest endpoint list, or while discovery has not been checked recently. A policy round is one call of the
-//! policy.
+//! The fence is a check that all cores share: it stops a core from starting attempts while the core has not
+//! applied the newest endpoint list, or while the supervising thread has not checked discovery recently. A
+//! policy round is one call of the policy. A handover moves client connections from one core to another.
 use super::acceptor::{self, ConnectionAcceptor};
 use super::endpoint_publisher::EndpointSnapshot;
 use super::policy_loop;
@@ -110,9 +111,10 @@
     let _ = inputs.reports.send(CoreReport::Ended(inputs.core));
 }
 
-/// Runs a core with a new dispatcher until its shutdown is complete. If the policy or a task fails, answers the open
-/// queries with an error and returns the reason of the failure. Keeps the counters and the observations of other
-/// cores for the restart.
+/// Runs a core with a new dispatcher until its shutdown is complete. If the policy or a task fails, answers
+/// the open queries with an error and returns the reason of the failure. For the restart, keeps this core's
+/// counters, and in `observation_cache` the observations of data nodes that other cores and routers have
+/// shared with this core.
 fn run_until_failure(
     runtime: &Runtime,
     inputs: &mut CoreInputs,
@@ -142,14 +144,16 @@
         Ok(Err(reason)) => reason,
         Err(_) => "the main task panicked".into(),
     };
-    // Every open query of this core gets a final response, unless the dispatcher itself panics.
+    // Every open query of this core gets a final response, unless the dispatcher panics while it fails the
+    // queries.
     let answered = catch_unwind(AssertUnwindSafe(|| {
         dispatcher.borrow_mut().counters.increment("core_failures");
         local.block_on(runtime, graceful_shutdown::fail_queries_and_disconnect(&dispatcher));
         publish_state(&dispatcher, inputs, None);
         *observation_cache = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
-    // Drops the remaining tasks of this core with their connections, and releases the shared capacity that they use.
+    // Drops the remaining tasks of this core with their connections, and so releases their file descriptors
+    // in the pools that all cores share.
     let _ = catch_unwind(AssertUnwindSafe(|| drop(local)));
     Err(if answered.is_ok() {
         reason
@@ -190,8 +194,8 @@
     }
 }
 
-/// Publishes this core's heartbeat, client count and metrics, and its CPU usage if `cpu_usage` is given. The
-/// supervising thread and the other cores read them.
+/// Publishes this core's heartbeat, client count and metrics for the supervising thread and the other cores,
+/// and this core's CPU usage if `cpu_usage` is given.
 fn publish_state(dispatcher: &DispatcherHandle, inputs: &CoreInputs, cpu_usage: Option<&mut CpuUsage>) {
     let (now, core_state, dispatcher) =
         (inputs.clock.now(), &inputs.shared.cores[inputs.core], dispatcher.borrow());
@@ -226,8 +230,9 @@
     loop {
         tokio::select! {
             biased;
-            // Endpoint lists have the highest priority: after this thread was suspended, the fence delays every new
-            // attempt until the newest list is applied.
+            // Endpoint lists have the highest priority. If the operating system did not run this thread for
+            // some time, a newer list may have been published meanwhile, and the fence delays every new
+            // attempt of this core until the core has applied the newest list.
             changed = inputs.endpoints.changed() => {
                 if changed.is_err() {
                     return Err("the supervising thread has ended".into());
@@ -294,8 +299,8 @@
     }
 }
 
-/// Injects the fault that a test requested: `hang N` blocks the thread for N milliseconds, any other text panics, and
-/// `None` does nothing.
+/// Injects the fault that a test requested: `hang N` blocks the thread for N milliseconds, any other text
+/// panics, and `None` does nothing.
 #[cfg(feature = "faults")]
 fn inject_fault(fault: Option<String>) {
     match fault.as_deref().and_then(|f| f.strip_prefix("hang ")?.parse().ok()) {
@@ -312,8 +317,8 @@
     }
 }
 
-/// Receives the next observation that any core has shared. Returns `Break` if this core read too slowly and
-/// observations were lost.
+/// Receives the next observation of a data node that any core has shared. Returns `Break` if this core read
+/// too slowly and observations were lost. Never returns if cores share no observations.
 async fn next_observation(
     remote_observations: &mut Option<ObservationReceiver<ObservationMessage>>,
 ) -> ControlFlow<(), ObservationMessage> {
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -1,5 +1,6 @@
-//! Supervises the cores of a router: detects cores that hang or fail by their heartbeats and reports, and permits
-//! restarts. A core is a thread that serves client connections.
+//! Supervises the cores of a router, which are threads that serve client connections. Detects from missing
+//! heartbeats that a core hangs, and learns from a core's report that the core has failed. A failed core
+//! waits until the supervisor permits its restart.
 use super::core::{CoreReport, HEARTBEAT_INTERVAL};
 use super::endpoint_publisher::EndpointPublisher;
 use crate::state::metrics::MetricsSnapshot;
@@ -20,16 +21,18 @@
 /// Minimum timeout for receiving each report of a core during a shutdown, even if the shutdown's deadline has passed.
 const REPORT_WAIT_MIN: Duration = Duration::from_millis(50);
 
-/// Restarts cores that failed, detects cores that hang, and moves connections from busy cores to idle ones.
+/// Permits failed cores to restart, detects cores that hang, and moves client connections from a core with
+/// high CPU usage to a core with lower CPU usage.
 pub struct CoreSupervisor {
     shared: Arc<SharedState>,
     clock: Clock,
     publisher: Rc<RefCell<EndpointPublisher>>,
     core_table: Rc<RefCell<CoreTable>>,
     balance: Rebalancer,
-    /// Messages from the cores.
+    /// The cores' reports of failures and completed shutdowns.
     reports: mpsc::UnboundedReceiver<CoreReport>,
-    /// For each core, a channel; a message permits the core to restart after a failure.
+    /// For each core, a channel for permissions: one message permits the core to restart once after a
+    /// failure.
     restarts: Vec<mpsc::Sender<()>>,
     /// When the heartbeats were last checked, in seconds of the monotonic clock.
     last_check_s: Cell<f64>,
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Checks heartbeats in the first part of a shutdown, in which the listener is still open: a core that recovers
-    /// from hanging gets new connections again. Never returns.
+    /// Checks heartbeats in the first part of a shutdown, in which the listener is still open, so that a core
+    /// that stops hanging is assigned new connections again. Never returns.
     pub async fn monitor_heartbeats(&self) {
         loop {
             sleep(HEARTBEAT_INTERVAL).await;
@@ -124,8 +127,9 @@
         changes
     }
 
-    /// Checks the heartbeats, publishes the numbers of serving, hung and lost cores, and moves client connections
-    /// from a busy core to an idle core.
+    /// Checks the heartbeats, publishes the numbers of serving, hung and lost cores, and, if the CPU usages
+    /// differ enough, moves client connections from the core with the highest usage to the core with the
+    /// lowest.
     fn check_cores(&mut self) {
         let changes = self.check_heartbeats();
         let (now, core_table) = (self.clock.now(), self.core_table.borrow());
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -15,12 +15,13 @@
 /// A complete copy of the endpoint list and the layout, which all cores apply.
 #[derive(Clone, Default)]
 pub struct EndpointSnapshot {
-    /// Number of the snapshot, which increases with each snapshot.
+    /// The number of this snapshot; every published snapshot has a higher number than the one before.
     pub generation: u64,
     pub entries: Arc<Vec<Endpoint>>,
     pub layout: Option<Layout>,
-    /// Number of watches that were lost after discovery had begun its response; counted only if the policy polls the
-    /// endpoint list.
+    /// Number of watches (connections to discovery) that were lost after discovery had begun to respond.
+    /// Counted only if the policy requests each endpoint list: each core then reports a lost watch to its
+    /// policy as a failed request. Stays 0 if a watch is always open.
     pub watch_failures: u64,
 }
 
@@ -32,8 +33,8 @@
     endpoints: EndpointTable,
     shared: Arc<SharedState>,
     pub counters: Counters,
-    /// Checks each layout before the cores apply the layout; `None` if the settings assign the shards to data nodes.
-    /// This thread has no open queries.
+    /// The shard map that checks each layout before the cores apply the layout; `None` if the settings assign
+    /// the shards to data nodes. The supervising thread has no open queries.
     shard_map: Option<ShardMapView>,
     snapshots: watch::Sender<EndpointSnapshot>,
 }
