--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -1,5 +1,5 @@
 //! Accepts client connections while file descriptors are available, and passes each connection to a
-//! [`ConnectionAcceptor`].
+//! [`ConnectionAcceptor`]. A core is a thread that serves client connections.
 use super::client_session;
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
@@ -12,7 +12,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Pause before the next attempt to accept a connection, after an error or while no file descriptor is available.
+/// Pause before the router tries again to accept a connection, after an error or while no file descriptor is
+/// available.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Serves accepted client connections, or distributes them to the cores that serve them.
@@ -98,8 +99,8 @@
     }
 }
 
-/// Serves a client connection on this core that the supervising thread accepted, or that another core served until
-/// now.
+/// Serves a client connection on this core. Either the supervising thread has accepted the connection and
+/// assigned it to this core, or another core has handed the connection over.
 pub fn serve_transferred(dispatcher: &DispatcherHandle, connection: TransferredConnection) {
     let TransferredConnection { stream, permit, has_sent_request } = connection;
     match TcpStream::from_std(stream) {
--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -1,4 +1,4 @@
-//! Distributes accepted client connections over the cores.
+//! Distributes accepted client connections over the cores, which are threads that serve client connections.
 use super::acceptor::ConnectionAcceptor;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::shared::{CoreCommand, SharedState, TransferredConnection};
@@ -10,14 +10,15 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Pause before the next attempt to assign a client connection that no core accepts.
+/// Pause before the balancer tries again to assign a client connection that no core could accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Assigns each accepted client connection to the serving core with the fewest client connections.
 pub struct ConnectionBalancer {
     shared: Arc<SharedState>,
     core_table: Rc<RefCell<CoreTable>>,
-    /// The number of the core that was last asked to close an idle connection.
+    /// The number of the core that was last asked to close an idle connection; the next request goes to the
+    /// core with the next number.
     last_asked: Cell<usize>,
 }
 
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -38,15 +38,16 @@
     /// Called after each update of [`Self::endpoints`], and after the update of the layout if the same message held
     /// one.
     fn endpoints_updated(&mut self);
-    /// Called when a watch has failed or timed out; `answered` says whether discovery had begun its response.
+    /// Called when a watch has failed or timed out; `answered` says whether discovery had begun its response
+    /// on this watch.
     fn watch_lost(&mut self, answered: bool);
     /// Called for each message from discovery, with the seconds since the previous message, which may have arrived on
     /// an earlier watch.
     fn record_silence(&mut self, gap_s: f64);
     /// Called when a reload of the configuration changes the address of discovery.
     fn discovery_moved(&mut self);
-    /// Whether [`Self::discovery_checked`] has to be called. It is needed if other threads use the endpoint list:
-    /// they must not start attempts with a list that may be out of date.
+    /// Whether [`Self::discovery_checked`] has to be called. The calls are needed if other threads use the
+    /// endpoint list: those threads must not start attempts with a list that may be out of date.
     fn tracks_checks(&self) -> bool {
         false
     }
@@ -210,7 +211,7 @@
             () = sender.ready(&stream), if written < request.len() => {}
             () = sleep_until(clock, state.deadline()) => return "silence: discovery sent no complete message in time".into(),
             () = sleep(CHECK_INTERVAL), if tracks_checks => {
-                // The clock is read before the socket, as bytes may arrive in between.
+                // The clock is read before the socket is checked, as bytes may arrive in between.
                 let now = clock.now();
                 if !arrival::has_unread_bytes(&stream) {
                     handler.borrow_mut().discovery_checked(now);
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -1,6 +1,8 @@
-//! Serves one connection to a data node: connects, writes frames with attempts, and reads reply frames. Closes the
-//! connection if it is idle, blocked or corrupted. An attempt is one transmission of a shard request to one data
-//! node; a frame is a message with a length prefix.
+//! Serves one connection to a data node: connects, writes frames with attempts, and reads reply frames.
+//! Closes the connection if it is idle for too long, if the data node does not read, or if a received frame
+//! is malformed. An attempt is one transmission of a shard request to one data node; a frame is a message
+//! with a length prefix. A retired connection takes no new attempts and closes when it is idle. A stall is a
+//! time in which the operating system did not run this thread.
 use super::{arrival, policy_loop, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::{DescriptorPermit, DescriptorPool};
@@ -32,9 +34,11 @@
 enum CloseReason {
     /// The dispatcher has removed the connection from its state.
     Forgotten,
-    /// The data node closed the connection while it was idle, as was detected before the next frame was written.
+    /// The data node closed the connection while the connection was idle; the router detected the close
+    /// before writing the next frame.
     EndedWhileIdle,
-    /// Writing failed, or the router closed the connection to stop a partly written frame.
+    /// Writing failed, or the router aborted the connection: an attempt ended while its frame was partly
+    /// written, or the data node has restarted since the connection was opened.
     CutOrBroken,
     /// The connection was idle, and its file descriptor was needed for another connection.
     Retired,
@@ -135,8 +139,9 @@
         is_short_of_resources.set(true);
         dispatcher.borrow_mut().counters.increment("dials_short_of_descriptors");
         dispatcher.borrow_mut().endpoints.retire_longest_idle();
-        // While the pool has a waiter, the other cores close their idle connections too, as these may hold all
-        // descriptors.
+        // A registered waiter marks the pool of descriptors, which all cores share, as exhausted. At each
+        // heartbeat, every core then closes its longest idle connection to a data node, as the idle
+        // connections of other cores may hold all descriptors. Dropping the waiter unregisters it.
         waiter.get_or_insert_with(|| descriptors.pool.register_waiter());
         descriptors.released.notified().await;
     };
@@ -157,7 +162,8 @@
     clock: Clock,
     /// Notified when the dispatcher has a frame for this connection, or requests its close.
     wake: Rc<Notify>,
-    /// Time after which an idle connection is closed, in seconds.
+    /// Time after which an idle connection is closed, and after which a connection is closed whose current
+    /// frame makes no progress, in seconds.
     idle_timeout_s: f64,
     /// Timeout from the first byte of a reply until the reply is complete, in seconds.
     answer_timeout_s: f64,
@@ -169,7 +175,8 @@
     /// Deadline for receiving the rest of a partly received frame, in seconds of the monotonic clock; infinite if
     /// there is no such frame.
     read_by: f64,
-    /// Number of the last suspension of this thread after which pending input was read.
+    /// The stall count, from [`StallDetector`](crate::state::stall_detector::StallDetector), of the last
+    /// stall after which pending input was read.
     handled_stall: u64,
 }
 
@@ -206,8 +213,8 @@
         let node_connection = state.endpoints.connection(node, connection)?;
         node_connection.is_open = true;
         let wake = node_connection.wake.clone();
-        // The router closes an idle connection one dial timeout before the data node would, but not before half of
-        // the data node's idle timeout.
+        // The router closes an idle connection before the data node would: earlier by the timeout for
+        // connecting, but not before half of the data node's idle timeout.
         let idle_timeout_s = (config.idle_timeout_s - config.dial_timeout_s).max(0.5 * config.idle_timeout_s);
         Some(NodeSession {
             dispatcher,
@@ -269,9 +276,10 @@
         self.dispatcher.borrow_mut().endpoints.connection(self.node, self.connection).map(act)
     }
 
-    /// After a suspension of this thread, lets other tasks read their sockets before this connection writes an
-    /// attempt. Guards against attempts for a client whose disconnect, or on a data node whose draining state, has
-    /// arrived but is not read yet.
+    /// After a stall of this thread, yields once to the thread's other tasks, which read their sockets,
+    /// before this connection writes an attempt. Guards against sending an attempt although the kernel has
+    /// already received the disconnect of its client, or the message from discovery that its data node is
+    /// draining.
     async fn read_pending_input_after_stall(&mut self) {
         loop {
             let stall = {
@@ -316,7 +324,9 @@
 
     fn write_until_blocked(&mut self) -> Result<WriteProgress, CloseReason> {
         loop {
-            // The rest of a frame must not be sent once a query in the frame has got its final response.
+            // The connection is aborted if an attempt in the current frame has ended while the frame was
+            // partly written, for example because its query has been answered. Closing the connection is the
+            // only way to leave out the rest of the frame.
             if self.with_state(|state| state.is_aborted).unwrap_or(true) {
                 return Err(CloseReason::CutOrBroken);
             }
@@ -368,9 +378,9 @@
         Ok(count)
     }
 
-    /// Returns when the connection became idle, in seconds of the monotonic clock, or `None` if the connection is in
-    /// use. Returns an error if the connection was idle for too long, or its file descriptor is needed for another
-    /// connection.
+    /// Returns when the connection became idle, in seconds of the monotonic clock, or `None` if the
+    /// connection is in use. Returns an error if the connection was idle for longer than `idle_timeout_s`,
+    /// was retired and is idle, or was removed from the dispatcher's state.
     fn check_idle(&self) -> Result<Option<f64>, CloseReason> {
         let now = self.clock.now();
         let checked = self.with_state(|state| {
@@ -413,7 +423,7 @@
                 tracing::warn!(target: "frame", "data node {} could not read a frame that this router sent; its connection is closed", self.node);
                 Err(CloseReason::EndedByNode)
             }
-            // Replies to health checks, which this router does not send, are ignored.
+            // Replies to health checks are ignored, because this router sends no health checks.
             b'H' | b'M' => Ok(()),
             _ => Err(CloseReason::Corrupted(CorruptedFrame::unnamed("a frame of an unknown type"))),
         }
@@ -442,9 +452,9 @@
         Ok(())
     }
 
-    /// Sets a deadline for a partly received reply, as data nodes write each reply in one piece. Guards against a
-    /// frame whose length prefix is larger than its content: the attempts on the connection would wait for the
-    /// missing bytes, and the next reply would be read as part of this one.
+    /// Sets a deadline for a partly received reply; the wait may be short, as data nodes write each reply in
+    /// one piece. Guards against a frame whose length prefix is larger than its content: the attempts on the
+    /// connection would wait for the missing bytes, and the next reply would be read as part of this one.
     fn limit_incomplete_answer(&mut self, frames_read: usize) {
         if self.incoming.is_empty() {
             self.read_by = f64::INFINITY;
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -1,5 +1,6 @@
-//! Runs the policy of a core in rounds: each round passes the events since the last round to the policy and executes
-//! the policy's decisions on the dispatcher.
+//! Runs the policy of a core in rounds: each round passes the events since the last round to the policy and
+//! executes the policy's decisions on the dispatcher. An observation is a measurement of a data node that
+//! cores and routers share.
 //!
 //! A forwarder is a router whose decisions are made by planners, which are separate programs, or by the forwarder's
 //! own policy while no planner is available. [`Tier`] holds a forwarder's connections to the planners.
@@ -93,10 +94,10 @@
     }
 }
 
-/// Runs the policy for as long as the program runs. The start times of two rounds are at least the settings' minimum
-/// round interval apart. `make_policy` creates the policy at the start and after each panic of the policy; this
-/// function returns only if `make_policy` fails. `tier` is given on a forwarder, where each event goes either to a
-/// planner or to the forwarder's own policy.
+/// Runs the policy for as long as the program runs. The start times of two rounds are at least the settings'
+/// minimum round interval apart. `make_policy` creates the policy at the start and after each panic of the
+/// policy; this function returns only if `make_policy` fails. `tier` is `Some` on a forwarder, where each
+/// event goes either to a planner or to the forwarder's own policy, and `None` on any other program.
 pub async fn run<E>(
     dispatcher: DispatcherHandle,
     tier: Option<ForwarderHandle>,
@@ -105,8 +106,8 @@
 ) -> Result<(), E> {
     let (clock, work_ready, limits) = {
         let dispatcher = dispatcher.borrow();
-        // A policy shares its observations only if its limits are for more than one core. A router with gossip peers
-        // needs this on one core too: gossip sends the observations to the peers.
+        // A policy shares its observations only if its limits are for more than one core. A router with
+        // gossip peers uses such limits on one core too, because gossip sends the observations to the peers.
         let limits =
             if dispatcher.gossip.is_some() { SharedLimits::new(2) } else { dispatcher.shared.limits.clone() };
         let limits = limits.for_core(dispatcher.core as u8);
@@ -127,8 +128,8 @@
         }
         let stall = dispatcher.borrow_mut().stall_detector.check(clock.now());
         if std::mem::replace(&mut handled_stall, stall) != stall {
-            // After a suspension of this thread, other tasks read their sockets before the policy decides, so that a
-            // reply that has arrived does not count as late.
+            // After the operating system has not run this thread for some time, other tasks read their
+            // sockets before the policy decides, so that a reply that has arrived does not count as late.
             yield_now().await;
         }
         let now = clock.now();
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -21,10 +21,13 @@
 
 /// How long the client listener stays open after SIGTERM. The client protocol allows new connections for 0.4 s.
 pub const LISTEN_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(500);
-/// The client protocol guarantees at least the longest query deadline plus [`KILL_AFTER_DEADLINE_S`] between SIGTERM
-/// and SIGKILL. A longer deadline counts as this one, in seconds.
+/// Longest query deadline, in seconds, for which a shutdown can wait. By the client protocol, the platform
+/// sends SIGKILL no earlier than the longest query deadline, but at most this value, plus
+/// [`KILL_AFTER_DEADLINE_S`] after SIGTERM. A longer query deadline counts as this value when the shutdown's
+/// time limit is computed.
 const MAX_DEADLINE_S: f64 = 3.0;
-/// Minimum time between the longest query deadline, counted from SIGTERM, and SIGKILL, in seconds.
+/// Minimum time between SIGKILL and the longest query deadline (at most [`MAX_DEADLINE_S`]) counted from
+/// SIGTERM, in seconds.
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
 /// Time reserved for writing the last responses, in seconds.
 const LAST_ANSWERS_S: f64 = 0.1;
@@ -35,8 +38,9 @@
 const SAFETY_MARGIN_S: f64 = 0.15;
 /// Interval at which a shutdown checks whether all clients are disconnected.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Minimum number of [`POLL_INTERVAL`]s for which the last responses are waited for. In each, the other tasks run
-/// once: they read pending requests, answer them, and write the responses.
+/// Minimum number of [`POLL_INTERVAL`]s for which the router waits for its last responses to be written. In
+/// each interval, the other tasks run once: they read pending requests, answer the requests, and write the
+/// responses.
 const POLLS_MIN: usize = 3;
 /// Minimum timeout for accepting the connections that are in the kernel's queue of the closing listener.
 const ACCEPT_WAITING_MIN: Duration = Duration::from_millis(100);
@@ -99,7 +103,8 @@
 /// When the phases of a shutdown begin, in seconds of the monotonic clock.
 struct PhaseTimes {
     began: f64,
-    /// From this time on, connections are closed, because a new query might not be answered before `end`.
+    /// From this time on, idle connections are closed at once and others after their current response,
+    /// because a new query might not be answered before `end`.
     close_at: f64,
     /// When the remaining open queries are answered with an error.
     end: f64,
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -1,6 +1,7 @@
-//! Applies new settings to a running router. The settings come from the configuration file at SIGHUP or from a
-//! control server. [`LiveConfig::apply`] checks the settings like those of a starting router, and either rejects or
-//! applies all of them; each core applies them between two policy rounds, which are the calls of the policy.
+//! Applies new settings to a running router. The settings come from the configuration file at SIGHUP or from
+//! a control server. [`LiveConfig::apply`] checks the settings like those of a starting router, and either
+//! rejects or applies all of them. Each core, a thread that serves client connections, applies the settings
+//! between two policy rounds; a round is one call of the policy.
 use super::startup::ProgramRole;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shared::SharedState;
@@ -31,12 +32,12 @@
     RestartRequired(Vec<String>),
 }
 
-/// Settings that passed the checks.
+/// The result of [`check`]: valid settings, and their differences from the settings in force.
 #[derive(Clone, Debug)]
 pub struct CheckedSettings {
     /// The parsed settings.
     pub settings: Settings,
-    /// Keys that differ from the settings in force.
+    /// Keys that differ from the settings in force; empty if there are no such settings.
     pub changed_keys: Vec<&'static str>,
 }
 
@@ -66,7 +67,8 @@
 
 /// A function that increments the counter with this name in `/counters`.
 pub type IncrementCounter = Box<dyn Fn(&'static str)>;
-/// A function that returns whether the core with this number serves; other cores are not waited for.
+/// A function that returns whether the core with this number serves clients. [`LiveConfig::apply`] does not
+/// wait for a core for which the function returns false.
 pub type IsServing = Box<dyn Fn(usize) -> bool>;
 
 struct Inner {
@@ -110,8 +112,8 @@
         }))
     }
 
-    /// Sets the function that increments a counter and the function that returns whether a core serves. Without
-    /// `is_serving`, every core counts as serving.
+    /// Sets the function that increments a counter of the program, and the function that returns whether a
+    /// core serves. If `is_serving` is `None`, every core counts as serving.
     pub fn set_callbacks(&self, increment_counter: IncrementCounter, is_serving: Option<IsServing>) {
         *self.0.increment_counter.borrow_mut() = Some(increment_counter);
         *self.0.is_serving.borrow_mut() = is_serving;
@@ -137,15 +139,18 @@
         self.0.max_deadline_s.get()
     }
 
-    /// Adds 1 to the counter of rejected settings, for settings that could not even be parsed at a reload.
+    /// Adds 1 to the counter of rejected settings. [`LiveConfig::apply`] counts its own rejections; a reload
+    /// calls this function if the settings could not even be parsed.
     pub fn count_rejected_settings(&self) {
         self.count("settings_refused");
     }
 
-    /// Checks and applies new settings; `version` is `None` for settings from the configuration file. Returns once
-    /// every serving core has applied the settings, which takes one policy round, or after `APPLY_TIMEOUT`. A
-    /// second call may start before the first returns: the newest settings replace the earlier ones, and both calls
-    /// return once the newest are applied.
+    /// Checks and applies new settings; `version` is `None` for settings from the configuration file. Returns
+    /// once every serving core has applied the settings, which each core does before its next call of the
+    /// policy. If a core has not applied them after [`APPLY_TIMEOUT`], the result is the same: the core
+    /// applies the settings later, and the log names the core. A second call may start before the first
+    /// returns. A core may then apply only the newer settings, and the first call also returns
+    /// [`ApplyResult::Changed`] once the cores have applied these.
     ///
     /// # Errors
     /// The settings cannot be applied. The current settings stay in force, and the rejection is logged and counted.
@@ -170,8 +175,9 @@
 
     fn check_against_in_force(&self, settings: &Value) -> Result<CheckedSettings, ConfigError> {
         if self.0.role != ProgramRole::Router {
-            // Forwarders and planners divide the quotas by the number of all forwarders and planners, which is only
-            // configured at the start.
+            // Forwarders and planners divide limits of the settings by the number of all forwarders or
+            // planners, which is only configured at the start. A forwarder is a router whose decisions are
+            // made by planners.
             return Err(ConfigError::RestartRequired(vec!["settings".into()]));
         }
         let checked = check(settings, Some(&self.settings_in_force()))?;
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -11,15 +11,16 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// The values of the configuration that was last read, for finding changes at a reload.
+/// The values of the configuration that later reloads are compared with.
 pub struct PreviousConfig {
     /// The path of the configuration file.
     pub path: PathBuf,
     /// Checks whether a value of the operator's file has changed that needs a restart; `None` if the program was
     /// started without an operator's file.
     pub operator_file_check: Option<OperatorFileChangeCheck>,
-    /// Values of the keys that can only change with a restart. The value of `settings` is the last one applied from
-    /// the file.
+    /// The values of the keys `name`, `listen`, `limits` and `settings` for the comparison with the file at
+    /// the next reload. The first three never change without a restart, so their values are those at the
+    /// start. The value of `settings` is replaced each time a reload applies new settings from the file.
     pub restart_only_keys: RestartOnlyKeys,
 }
 
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,9 +1,11 @@
 //! Reads and checks the configuration file in JSON at the start of the program, and fills in defaults. Each error
 //! message names the invalid key.
 //!
-//! A router can also have an operator's file, which `--operator` names: it is not JSON and describes how routers work
-//! together, for example the number of cores, planners and control servers. The `alderway` program reads it, and
-//! fills in the fields of [`StartupConfig`] that depend on it.
+//! A router can also have an operator's file, given by the option `--operator`: a Starlark script that
+//! describes how routers work together, for example the number of cores, planners and control servers. The
+//! program `alderway` reads that file and then fills in the fields `operator_file_check`, `shard_map`, `role`
+//! and `gossip` of [`StartupConfig`]; without the file, a router has their defaults. A forwarder is a router
+//! whose decisions are made by planners, which are separate programs.
 use crate::gossip::GossipGroup;
 use crate::state::endpoints::EndpointTable;
 use crate::state::query_classes::ClassRules;
@@ -23,8 +25,8 @@
 /// Default of `limits.sockets`, the number of file descriptors that the program may use: a common default limit of
 /// Linux.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Minimum of `limits.sockets`: the file descriptors of the async runtime, the listener, the watch of discovery, and
-/// a few connections to clients and data nodes.
+/// Minimum of `limits.sockets`: the file descriptors of the async runtime, the listener, the connection to
+/// discovery, and a few connections to clients and data nodes.
 const MIN_DESCRIPTORS: u64 = 20;
 /// Default of `limits.memory_mb`, in MiB.
 const DEFAULT_MEMORY_MB: u64 = 192;
@@ -39,7 +41,8 @@
     pub operator_file_check: Option<OperatorFileChangeCheck>,
     /// The name of this router, which is unique among the routers.
     pub name: String,
-    /// Address at which the program listens: a planner for connections of forwarders, any other program for clients.
+    /// The address at which the program listens. A planner accepts connections of forwarders there, any other
+    /// program connections of clients.
     pub listen: SocketAddr,
     /// Address of the discovery server.
     pub discovery: SocketAddr,
@@ -57,7 +60,7 @@
     pub settings: Settings,
     /// The query classes of the settings, in the order of the settings.
     pub query_classes: Vec<ClassRules>,
-    /// Keys that can only change with a restart, with their values in the file.
+    /// The values in the file of the keys that a later reload compares with the file.
     pub restart_only_keys: RestartOnlyKeys,
     /// Grace periods for changes of the shard map that discovery sends; `None` if the settings assign the shards to
     /// data nodes.
@@ -87,11 +90,14 @@
     Planner,
 }
 
-/// A function that reads the operator's file again. Returns whether a value that can only change with a restart
-/// differs from the file at the start. The error is one line that says why the file cannot be used.
+/// A function that reads the operator's file again. Returns whether a value that can only change with a
+/// restart differs from its value when the program started. The error is one line that says why the file
+/// cannot be used.
 pub type OperatorFileChangeCheck = Arc<dyn Fn() -> Result<bool, String> + Send + Sync>;
 
-/// The keys of the configuration file that can only change with a restart, with their values in the file.
+/// The keys `name`, `listen`, `limits` and `settings` of the configuration file, with their values in the
+/// file. They can only change with a restart, except for `settings`, which a reload can apply if no control
+/// server supplies the settings.
 pub type RestartOnlyKeys = [(&'static str, Value); 4];
 
 /// Why the program cannot start with a configuration.
@@ -132,10 +138,14 @@
     }
 }
 
-/// Values that replace values of the configuration file.
+/// Values that the program sets at its start in place of values of the configuration file: the settings that
+/// control servers have sent in an earlier run, and a number computed from the operator's file. A field that
+/// is `None` replaces nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// Replaces `ReplicasOfMe` of the settings: the number of programs between which the quotas are divided.
+    /// Replaces `ReplicasOfMe` of the settings, the number of routers, including this one, among which the
+    /// limits of the settings are divided: this program uses 1 / `ReplicasOfMe` of each divided limit. The
+    /// program computes the number for forwarders and planners from the operator's file.
     pub router_count: Option<u64>,
     /// Replaces the key `settings` of the configuration file.
     pub settings: Option<Value>,
@@ -159,7 +169,8 @@
         let text = std::fs::read_to_string(path)
             .map_err(|source| StartupError::Unreadable { path: path.into(), source })?;
         let mut document: Value = serde_json::from_str(&text)?;
-        // The overrides are not included, because a reload compares the file with its earlier content.
+        // The overrides are not included in these values, because a reload compares the file with its earlier
+        // content.
         let restart_only_keys = RESTART_ONLY_KEYS.map(|key| (key, document[key].clone()));
         if let (Some(settings), Some(keys)) = (overrides.settings, document.as_object_mut()) {
             keys.insert("settings".into(), settings);
