--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -89,8 +89,9 @@
         }
     }
 
-    /// Returns the next frame in the bytes read so far, or `None` if no further frame is complete. Returns an error
-    /// if a hello does not have the expected name.
+    /// Returns the next frame in the bytes read so far, or `None` if the bytes hold no further complete
+    /// frame. Returns an error if a frame is malformed, or if the name in the control server's hello is not
+    /// the name that the configuration has for its address.
     pub(super) fn next_incoming(&mut self) -> Result<Option<Incoming>, ConnectionError> {
         match self.reader.next_frame()? {
             Some(Received::Hello(hello)) if hello.name == self.expected_name => {
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -29,8 +29,9 @@
 
 /// A function that applies the settings of a version, and returns the outcome.
 pub type ApplyCallback = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
-/// A function that is called every `OBSERVE_INTERVAL_S` with the subscriber, the bytes transferred so far, and the
-/// time in seconds of [`SubscribedRouter::clock`].
+/// A function that publishes metrics of the subscription. The driver calls it every `OBSERVE_INTERVAL_S`
+/// seconds with the subscriber, the bytes transferred so far, and the time in seconds of
+/// [`SubscribedRouter::clock`].
 pub type ObserveCallback = Box<dyn FnMut(&Subscriber, ControlTraffic, f64)>;
 /// A function that persists a version for the next start, with the time at which the version was last confirmed as
 /// the latest, in seconds of [`SubscribedRouter::clock`]; `None` if that time is unknown.
@@ -45,7 +46,8 @@
     pub sent_bytes: u64,
 }
 
-/// The router that subscribes: its identity, its control servers, and the functions that the driver calls.
+/// The data that the driver needs about the router that subscribes: the router's identity, the addresses of
+/// its control servers, and the functions that the driver calls.
 pub struct SubscribedRouter {
     /// The name that the router sends to control servers.
     pub name: Name,
@@ -59,9 +61,11 @@
     pub apply: ApplyCallback,
     /// Persists a version for the next start.
     pub persist: PersistCallback,
-    /// Is called regularly with the subscriber, to publish metrics.
+    /// Publishes metrics of the subscription. The driver calls this function every `OBSERVE_INTERVAL_S`
+    /// seconds with the subscriber and the number of bytes transferred.
     pub observe: ObserveCallback,
-    /// Whether the events of the subscriber are logged.
+    /// Whether the driver writes the events in the subscriber's [`Command::Log`] to the log, for example that
+    /// a connection to a control server was closed.
     pub log_events: bool,
 }
 
@@ -96,7 +100,7 @@
 enum Event {
     Connected(io::Result<TcpStream>),
     Applied(ApplyOutcome),
-    /// The connection to the control server is readable; false if the connection has failed.
+    /// The connection to the control server is readable; the value is false if the connection has failed.
     Readable(bool),
     Writable,
     DeadlineReached,
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -37,7 +37,8 @@
     pub control_servers: Vec<(ControlEndpoint, SocketAddr)>,
     /// The zone of this router.
     pub zone: String,
-    /// Intervals and timeouts of the subscription.
+    /// The intervals and timeouts by which the router connects to control servers, sends heartbeats and
+    /// reports a version as stale.
     pub config: SubscriptionConfig,
     /// The file in which the latest version is persisted; `None` if versions are not persisted.
     pub persist_path: Option<PathBuf>,
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -23,7 +23,7 @@
 /// Upper bound of the length of the file's first line, in bytes.
 const MAX_HEADER_BYTES: u64 = 200;
 const MAX_FILE_BYTES: u64 = MAX_SETTINGS_BYTES as u64 + MAX_HEADER_BYTES;
-/// Stands for an unknown time in the file's first line.
+/// The text for an unknown time of the last confirmation in the file's first line.
 const UNKNOWN_TIME: &str = "-";
 /// Pause before writing is retried, after a version could not be written.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
@@ -38,7 +38,8 @@
     pub confirmed_at_unix_ms: Option<u64>,
 }
 
-/// Why the file with the persisted version cannot be read or written.
+/// Why [`PersistedVersion`] could not be read from its file or written to it. At the start,
+/// [`UnusablePersistedVersion`] wraps this error.
 #[derive(Debug, Error)]
 pub enum PersistedVersionError {
     /// The operating system reported an error.
@@ -72,7 +73,7 @@
     /// This program rejects the settings of the persisted version.
     #[error("persisted version {number}: {reason}; ignored")]
     InvalidSettings {
-        /// The number of the version.
+        /// The number that the control servers have given the persisted version.
         number: VersionNumber,
         /// One line that names the invalid key.
         reason: String,
@@ -144,7 +145,7 @@
     }
 }
 
-/// The version that has to be written next.
+/// The version that the writer task has to write next.
 #[derive(Clone)]
 struct Pending {
     version: ConfigVersion,
--- a/crates/router/src/control/settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -9,9 +9,11 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// Returns the configuration with which a subscribed router starts. The settings of the persisted version replace
-/// those of the configuration file, if there is a persisted version and this program accepts it. `router_count`
-/// replaces the settings' number of programs between which the quotas are divided, unless it is `None`.
+/// Returns the configuration with which a subscribed router starts, and the subscription, completed with the
+/// persisted version or with the reason why that version cannot be used. The settings of the persisted
+/// version replace those of the configuration file, if there is a persisted version and this program accepts
+/// it. If `router_count` is `Some`, it replaces `ReplicasOfMe` of the settings, the number of routers among
+/// which limits are divided.
 ///
 /// # Errors
 /// The configuration file cannot be read or is invalid.
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,7 +1,11 @@
-//! The query router of alderway. The policy of the `alderway` crate decides which attempts to start, cancel and
-//! retry; this crate connects the policy to sockets, timers and the operating system.
+//! The query router of alderway. An attempt is one transmission of a shard request to one data node. The
+//! policy of the `alderway` crate decides which attempts to start, cancel and retry; this crate connects the
+//! policy to sockets, timers and the operating system.
 //!
-//! A policy round is one call of the policy: the call receives all events since the last round and returns decisions.
+//! A policy round is one call of the policy: the call receives all events since the last round and returns
+//! decisions. A forwarder is a router that serves clients but gets its decisions from planners; a planner is
+//! a separate program that runs the policy for many forwarders. An observation is a measurement of a data
+//! node, such as that the data node is slow.
 //!
 //! - [`server`]: runs the program on one core, on several cores, or as a planner.
 //! - [`lifecycle`]: reads the configuration at the start, applies changes of the configuration while serving, and
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -37,15 +37,16 @@
 pub struct CheckedSettings {
     /// The parsed settings.
     pub settings: Settings,
-    /// Keys that differ from the settings in force; empty if there are no such settings.
+    /// Keys that differ from the settings in force; empty if [`check`] was called without settings in force.
     pub changed_keys: Vec<&'static str>,
 }
 
 /// The result of applying new settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// Every serving core has applied the settings. A core that hangs, has failed or is starting applies the settings
-    /// before its next request and policy round.
+    /// The new settings are in force, and every serving core has applied them or was given `APPLY_TIMEOUT`
+    /// to do so. A core that hangs, has failed, is starting or is late applies the settings before its next
+    /// request and its next call of the policy.
     Changed,
     /// The new settings are equal to the settings in force.
     Unchanged,
@@ -147,7 +148,7 @@
 
     /// Checks and applies new settings; `version` is `None` for settings from the configuration file. Returns
     /// once every serving core has applied the settings, which each core does before its next call of the
-    /// policy. If a core has not applied them after [`APPLY_TIMEOUT`], the result is the same: the core
+    /// policy. If a core has not applied them after `APPLY_TIMEOUT`, the result is the same: the core
     /// applies the settings later, and the log names the core. A second call may start before the first
     /// returns. A core may then apply only the newer settings, and the first call also returns
     /// [`ApplyResult::Changed`] once the cores have applied these.
@@ -199,7 +200,7 @@
     }
 
     /// Waits until the cores have applied the settings with this serial number. Returns the numbers of the cores that
-    /// have not, because they do not serve or [`APPLY_TIMEOUT`] has passed.
+    /// have not, because they do not serve or `APPLY_TIMEOUT` has passed.
     async fn wait_until_applied(&self, serial: u64) -> Vec<usize> {
         let deadline = Instant::now() + APPLY_TIMEOUT;
         let mut late_cores = vec![];
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -11,8 +11,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Handles a complete request: writes a response to `client`, or opens a query that is answered later. `arrived_at`
-/// is when the last byte of the request arrived, in seconds of the monotonic clock.
+/// Handles a complete request: writes a response to `client`, or opens a query whose response is written
+/// later. `arrived_at` is when the last byte of the request arrived, in seconds of the monotonic clock.
 pub fn handle(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
@@ -20,8 +20,8 @@
     body: &[u8],
     arrived_at: f64,
 ) {
-    // The router sends a body even in the response to HEAD. The client expects no body there and would read this one
-    // as the start of the next response, so the router closes the connection after the response.
+    // The router sends a body even in the response to HEAD. The client expects no body there and would read
+    // the body as the start of the next response, so the router closes the connection after the response.
     let closes_connection = head.closes_connection() || head.first_line().starts_with("HEAD ");
     client.close_after_response.set(
         client.close_after_response.get()
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,5 +1,6 @@
-//! Runs the program as its configuration says: a router on one core, which uses this thread only, a router on several
-//! cores, or a planner, which makes decisions for other routers.
+//! Runs the program as its configuration says: a router on one core, which uses this thread only; a router on
+//! several cores, which are threads that serve client connections; or a planner, which makes decisions for
+//! the routers called forwarders.
 
 mod several_cores;
 
@@ -176,7 +177,8 @@
     Some(forwarder)
 }
 
-/// Wakes the policy task for each change of the settings, because the next call of the policy applies them.
+/// Wakes the policy task for each change of the settings, because the settings are applied at the next call
+/// of the policy.
 async fn wake_on_new_settings(
     dispatcher: DispatcherHandle,
     mut updates: watch::Receiver<Arc<ConfigGeneration>>,
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -30,9 +30,10 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::task::spawn_local;
 
-/// A core starts no attempt if the supervising thread last checked discovery longer ago than this, in seconds. This
-/// is half the grace period for which a draining data node still answers; after a longer time, a data node of the
-/// endpoint list may have stopped.
+/// Longest time since the supervising thread last checked discovery, in seconds: after this time, a core
+/// starts no attempt until the thread has checked again. The value is half the grace period for which a
+/// draining data node still answers, so that no attempt starts on a data node of the endpoint list that has
+/// stopped meanwhile.
 const MAX_DISCOVERY_AGE_S: f64 = 1.0;
 /// Time for the cores to shut down after the time limit of open queries, in seconds: to write the last responses, and
 /// to reject requests on connections that were assigned during the shutdown.
@@ -127,15 +128,18 @@
     supervised
 }
 
-/// Extends the grace period of retired shards by the longest time that a shard request can be open. The supervising
-/// thread then keeps a retired shard for longer than any core does. Guards against a layout that passes the
-/// supervising thread's check and is then rejected by a core, because only the core still has a shard that the layout
-/// uses again.
+/// Extends the grace period of retired shards by the longest query deadline, which limits how long a shard
+/// request is open, plus 1 s. A retired shard is one that the newest layout does not contain any more. The
+/// supervising thread then keeps a retired shard for longer than any core does. Guards against a layout that
+/// passes the supervising thread's check and is then rejected by a core, because only the core still has a
+/// shard that the layout uses again.
 fn with_longer_grace(map: ShardMapConfig, max_deadline_s: f64) -> ShardMapConfig {
     ShardMapConfig { retired_shard_grace_s: map.retired_shard_grace_s + max_deadline_s + 1.0, ..map }
 }
 
-/// Sets the callbacks of the live configuration, which increment its counters and return whether a core serves.
+/// Sets the two callbacks of the live configuration: one increments a counter of the supervising thread, the
+/// other returns whether the core with a given number serves clients. A core that is starting counts as
+/// serving; a core that hangs, has failed or is not restarted any more does not.
 fn set_callbacks(
     live_config: &LiveConfig,
     publisher: &Rc<RefCell<EndpointPublisher>>,
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -45,8 +45,8 @@
     )
 }
 
-/// A message of discovery in JSON: an endpoint list if `whole`, otherwise a change of the list. `index` is its
-/// version.
+/// A message of discovery in JSON: an endpoint list if `whole`, otherwise a change of the list. `index` is
+/// the version of the list.
 pub fn endpoint_update(index: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(","))
 }
@@ -137,8 +137,8 @@
     let _ = stream.write_all(&frame);
 }
 
-/// A fake discovery server. Passes the request line of each watch to the test, with the connection for sending
-/// endpoint lists.
+/// A fake discovery server. Passes the request line of each watch, which is a connection from the router, to
+/// the test, with the connection for sending endpoint lists.
 pub struct FakeDiscovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, TcpStream)>,
@@ -202,8 +202,8 @@
         Program::from_child(spawn(config))
     }
 
-    /// Starts the router with a library that injects faults into its system calls and clocks, as the plan `faults`
-    /// says.
+    /// Starts the router with a library that injects faults into the router's system calls and clocks, as the
+    /// plan `faults` describes.
     pub fn with_faults(nodes: &[SocketAddr], discovery: SocketAddr, settings: &str, faults: &str) -> Program {
         let plan = Plan::parse(faults).expect("a plan");
         let config = config_json(nodes, discovery, settings, r#"{"sockets":256}"#);
@@ -306,7 +306,7 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("written");
     }
 
-    /// Sends a query of the service class `site-search`, which times out after `time_left_ms`.
+    /// Sends a query of the service class `site-search`, with a time limit of `time_left_ms` milliseconds.
     pub fn send_query(&mut self, id: &str, shards: &[u32], time_left_ms: u64) {
         self.send(&query_request(id, "site-search", shards, time_left_ms));
     }
@@ -328,7 +328,8 @@
         self.read_response().0.split(' ').nth(1).expect("a status").to_string()
     }
 
-    /// Waits until the router closes the connection, and asserts that the router sends nothing before.
+    /// Waits until the router closes the connection, and asserts that the router sends nothing before the
+    /// close.
     pub fn wait_for_close(mut self) {
         let mut rest = vec![];
         // An error is ignored: a reset also closes the connection.
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -74,8 +74,9 @@
     first.write_all(response).expect("written");
     let started = Instant::now();
     let _second = receive(&watches, "another watch");
-    // The second watch opens after 1.25 s, the sum of the response timeout and the pause between watches. After the
-    // timeout between messages, it would be 3 s.
+    // The second watch opens 1.25 s after the response stops, the sum of the response timeout and the pause
+    // between watches. If the router waited for the timeout between messages instead, the second watch would
+    // open after 3 s.
     assert!(started.elapsed() < Duration::from_millis(2900), "{:?}", started.elapsed());
 }
 
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -122,7 +122,8 @@
     harness
 }
 
-/// Records the decisions of one call of the policy; the test executes them on the dispatcher afterwards.
+/// Records the decisions of one call of the policy; the test executes the decisions on the dispatcher
+/// afterwards.
 #[derive(Default)]
 struct RecordedDecisions(Vec<(String, String)>);
 
@@ -240,7 +241,7 @@
     harness.run_round();
     for n in 1..=650 {
         harness.publish(n, &settings_with("/Services/0/PromiseUs", json!(1_000_000 + n)));
-        // After every third change, the next change follows before the policy is called.
+        // Every third change is applied without a call of the policy before the next change.
         if n % 3 > 0 {
             harness.run_round();
         } else {
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -17,7 +17,7 @@
 const LONGEST_DEADLINE_S: f64 = 1.0;
 /// Earliest time of SIGKILL by the client protocol, in seconds after SIGTERM.
 const EARLIEST_KILL_S: f64 = LONGEST_DEADLINE_S + KILL_AFTER_DEADLINE_S;
-/// The process is suspended at most this long before the earliest SIGKILL, in seconds.
+/// Every suspension begins in this last part of the time before the earliest SIGKILL, in seconds.
 const LAST_PART_S: f64 = 0.7;
 /// Number of shutdowns that run concurrently, each suspended at another time.
 const SHUTDOWNS: usize = 20;
@@ -32,11 +32,12 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Runs a shutdown in which the process is suspended at `suspended_at_s`, in seconds after SIGTERM; returns the
-/// errors.
+/// Runs a shutdown in which the process is suspended at `suspended_at_s`, in seconds after SIGTERM, for
+/// `SUSPENSION_S`; returns what went wrong, one text for each error.
 fn errors_of_suspended_shutdown(suspended_at_s: f64) -> Vec<String> {
     let settings = settings_json(500, 180).replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":1000000");
-    // The data node does not answer after SIGTERM, so the queries stay open until the shutdown fails them.
+    // The test sends no reply of the data node after SIGTERM, so the queries stay open until the shutdown
+    // fails them.
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let mut program = Program::start(&nodes.addresses, discovery.address, &settings, r#"{"sockets":256}"#);
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| program.connect()).collect();
@@ -89,7 +90,7 @@
     let (first, rest) = request.split_at(request.len() / 2);
     let terminated = Instant::now();
     kill(Pid::from_raw(program.child.id() as i32), Signal::SIGTERM).expect("it runs");
-    // At this time, the router still serves idle connections.
+    // 0.3 s after SIGTERM, the router still serves idle connections.
     sleep(Duration::from_secs_f64(0.3));
     client.send(first);
     if let Some(at_s) = rest_at_s {
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -114,7 +114,8 @@
     assert_eq!(program.counters()["leaf_calls_ended{reset}"], 1);
 }
 
-/// Sends two queries one after the other. The router tries the unreachable data node first for exactly one of them.
+/// Sends two queries one after the other, and asserts that the router tries the unreachable data node first
+/// for exactly one of them.
 fn send_two_queries_past_an_unreachable_node(program: &Program, nodes: &FakeNodes) {
     let mut client = program.connect();
     for id in ["a", "b"] {
@@ -285,7 +286,7 @@
     client.send_query("q", &[0], 4000);
     assert_eq!(nodes.answer_next().0, ["q.0"]);
     assert_eq!(client.read_status(), "200");
-    // The router closes the connection whose responses are not read after a timeout.
+    // After a timeout of 2 s, the router closes the connection of a client that reads no responses.
     let began = Instant::now();
     while program.counters()["clients_open"] > 2 {
         assert!(began.elapsed() < Duration::from_millis(4500));
@@ -308,7 +309,8 @@
     program.signal("CONT");
     nodes.next_frame('S');
     assert_eq!(client.read_status(), "503");
-    // If the time limit started when the router reads the request, the response would arrive after 2.5 s.
+    // If the time limit started when the router reads the request, the response would arrive 2.5 s after the
+    // client sent the request.
     let took = sent.elapsed();
     assert!(took < Duration::from_millis(2000), "{took:?}");
 }
@@ -406,7 +408,8 @@
     let (request, mut new_watch) = new.accept_watch();
     assert!(request.contains("since=42 "), "{request}");
     assert_eq!(watch.read(&mut [0; 100]).unwrap_or_default(), 0, "the old watch is closed");
-    // The watches have sent no data node, so the router still uses the data node of the configuration file.
+    // Discovery has sent no data node on any watch, so the router still uses the data node of the
+    // configuration file.
     let mut client = program.connect();
     client.send_query("a", &[0], 4000);
     assert_eq!(nodes.answer_next().0, ["a.0"]);
@@ -560,7 +563,8 @@
     assert_eq!(half.read_status(), "408");
     half.wait_for_close();
     let took = began.elapsed();
-    // The timeouts closed the connections, before the longest query deadline of 5 s.
+    // The timeouts for idle connections and incomplete requests closed the connections, and not the longest
+    // query deadline of 5 s.
     assert!((2.0..4.5).contains(&took.as_secs_f64()), "{took:?}");
     send_reply(&mut held.stream, "a.0 done 1 -\nv");
     assert_eq!(open.read_status(), "200", "a connection with an open query stays open");
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -57,7 +57,8 @@
     settings
 }
 
-/// A control server that always reports that it can reach a majority of the control servers. It stops when dropped.
+/// A control server that always reports that it can reach a majority of the control servers. The server stops
+/// when the value is dropped.
 struct TestControlServer {
     subscriptions: Subscriptions,
     ticks: JoinHandle<()>,
@@ -216,8 +217,8 @@
     listener.local_addr().expect("its address")
 }
 
-/// Returns an apply callback of a router that can only change its settings with a restart: the outcome for valid
-/// settings that differ from `current` is that a restart is required.
+/// Returns an apply callback of a router that can only change its settings with a restart: the outcome for
+/// valid settings that differ from `current` is [`ApplyOutcome::PendingRestart`].
 fn apply_with_restart(current: Value) -> ApplyCallback {
     Box::new(move |settings, _| {
         let outcome = match alderway_deployment::policy(0, &settings) {
@@ -240,7 +241,7 @@
         router.wait_until(metric_is("control_version", 2)).await;
         control_server.commit(3);
         router.wait_until(metric_is("control_versions_refused", 1)).await;
-        // Waits until the router's report has arrived at the control server.
+        // Waits until the router's report that it rejected version 3 has arrived at the control server.
         wait_until(|| {
             control_server.subscriptions.summary().lagging.iter().any(|l| l.reason.contains("key `x`"))
         })
--- a/crates/router/tests/system_faults.rs
+++ b/crates/router/tests/system_faults.rs
@@ -75,7 +75,8 @@
     assert_eq!(send_queries_in_turn(&program, 200), 0, "queries without status 200");
 }
 
-/// Returns the time limit that the router sends to the data node in a frame with a single attempt.
+/// Returns the time that is left for an attempt, which the router sends to the data node in milliseconds in a
+/// frame with a single attempt.
 fn time_left_in_frame(frame: &str) -> Duration {
     let time_left_ms = frame.split("d=").nth(1).and_then(|rest| rest.split(' ').next()).expect("a wait");
     Duration::from_millis(time_left_ms.parse().expect("a number"))
@@ -141,7 +142,7 @@
     }
 }
 
-/// Settings in which the timeout for connecting to a data node is several seconds.
+/// Settings in which the timeout for connecting to a data node is 6 s, and the query deadline 9 s.
 fn settings_with_long_dial_timeout() -> String {
     settings_json(8000, 180)
         .replace("\"DeadlineUs\":5000000", "\"DeadlineUs\":9000000")
@@ -263,7 +264,7 @@
     let settings = settings_json(4000, 180);
     let program =
         Program::with_faults(&nodes.addresses, discovery.address, &settings, "seed=9 nobufs=1@1.5-3.5");
-    // The plan's times start shortly before the program logs its address.
+    // The plan's times count from the start of the program, shortly before the program logs its address.
     let started_at = Instant::now();
     let (_, mut watch) = discovery.accept_watch();
     send_update(
@@ -295,15 +296,16 @@
     }
 }
 
-/// The fault injection library logs each system call that it has delayed. The soak test needs this line: otherwise, a
-/// SIGSTOP during a delayed send call would look like a frame that the router encoded too early.
+/// The fault injection library logs each system call that it has delayed, with the times of its start and
+/// end. The soak test needs this line: otherwise, a SIGSTOP during a delayed send call would look like a
+/// frame that the router encoded too early.
 #[rstest]
 fn a_held_call_that_a_suspension_prolongs_is_logged_with_its_times() {
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let program =
         Program::with_faults(&nodes.addresses, discovery.address, &settings_json(1000, 180), "hold=1");
-    // The library delays the send call of the response for 0.15 s. On a busy machine, the process may be stopped
-    // before it makes the call, so the test tries several times.
+    // The library delays the send call of the response for 0.15 s. On a busy machine, the process may be
+    // stopped before the process makes the call, so the test tries up to ten times.
     let line_of_held_call = || {
         let mut client = program.connect();
         client.send("GET /up HTTP/1.1\r\n\r\n");
