--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -1,5 +1,5 @@
-//! Reads and writes frames on a connection to a control server. The first frame in each direction is a hello with the
-//! sender's name; messages follow.
+//! Reads and writes frames on a connection to a control server. The first frame in each direction is a hello
+//! with the sender's name; messages follow.
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_sockets::Sender;
 use alderway_transport::{FrameError, FrameReader, Hello, Incarnation, Name, Received, encode_hello};
@@ -54,8 +54,8 @@
         Connection { stream, sender, reader, expected_name, is_greeted: false, output }
     }
 
-    /// Whether [`Self::send`] can be called: the control server's hello has arrived, and the previous message is
-    /// written.
+    /// Whether [`Self::send`] can be called: the control server's hello has arrived, and the previous message
+    /// is written.
     pub(super) fn is_ready_to_send(&self) -> bool {
         self.is_greeted && self.output.is_empty()
     }
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -1,5 +1,5 @@
-//! Runs a subscription: executes the commands of the [`Subscriber`], such as connecting to a control server or
-//! applying settings, and passes the results to the subscriber.
+//! Runs a subscription: executes the commands of the [`Subscriber`], such as connecting to a control server
+//! or applying settings, and passes the results to the subscriber.
 use super::connection::{Connection, ConnectionError, Incoming};
 use alderway_control_plane::messages::ApplyOutcome;
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
@@ -33,8 +33,8 @@
 /// seconds with the subscriber, the bytes transferred so far, and the time in seconds of
 /// [`SubscribedRouter::clock`].
 pub type ObserveCallback = Box<dyn FnMut(&Subscriber, ControlTraffic, f64)>;
-/// A function that persists a version for the next start, with the time at which the version was last confirmed as
-/// the latest, in seconds of [`SubscribedRouter::clock`]; `None` if that time is unknown.
+/// A function that persists a version for the next start, with the time at which the version was last
+/// confirmed as the latest, in seconds of [`SubscribedRouter::clock`]; `None` if that time is unknown.
 pub type PersistCallback = Box<dyn Fn(ConfigVersion, Option<f64>)>;
 
 /// Number of bytes transferred on all connections to control servers since the program started.
@@ -171,7 +171,8 @@
             connection.send(message);
             match connection.write() {
                 Ok(count) => self.traffic.sent_bytes += count as u64,
-                // The message stays queued; the next write also fails, and that failure closes the connection.
+                // The message stays queued; the next write also fails, and that failure closes the
+                // connection.
                 Err(_) => return,
             }
         }
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Returns how long to wait for an event, in seconds: until the subscriber's next deadline, or until the rate
-    /// limit allows reading again.
+    /// Returns how long to wait for an event, in seconds: until the subscriber's next deadline, or until the
+    /// rate limit allows reading again.
     fn wait_s(&self, now: f64, may_read: bool) -> f64 {
         let waits_for_limit = !may_read && self.connection.is_some();
         let read_at = if waits_for_limit { self.read_limit.ready_at(MIN_READ_BYTES) } else { f64::INFINITY };
--- a/crates/router/src/control/metrics.rs
+++ b/crates/router/src/control/metrics.rs
@@ -4,8 +4,8 @@
 use crate::state::metrics::MetricsSnapshot;
 use alderway_control_plane::subscriber::Subscriber;
 
-/// Returns the current values of all counters and gauges of the subscription; `now` is in seconds of the monotonic
-/// clock.
+/// Returns the current values of all counters and gauges of the subscription; `now` is in seconds of the
+/// monotonic clock.
 pub(super) fn snapshot(subscriber: &Subscriber, traffic: ControlTraffic, now: f64) -> MetricsSnapshot {
     let (metrics, mut counters) = (subscriber.metrics, Counters::default());
     for (name, count) in [
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! The router's subscription to control servers, from which the router receives settings. Each state of the settings
-//! has a version number.
+//! The router's subscription to control servers, from which the router receives settings. Each state of the
+//! settings has a version number.
 //!
 //! [`alderway_control_plane::subscriber`] decides to which control server the router connects, how it handles
-//! received messages, and which messages it sends when. This module reads and writes the sockets and the file:
+//! received messages, and which messages it sends when. This module reads and writes the sockets and the
+//! file:
 //!
 //! - `driver`: executes the subscriber's commands and passes the results to the subscriber;
 //! - `connection`: reads and writes frames on one connection;
@@ -49,7 +50,8 @@
     pub startup_error: Option<UnusablePersistedVersion>,
 }
 
-/// Starts the task of a router's subscription on the current thread; the task runs for as long as the program.
+/// Starts the task of a router's subscription on the current thread; the task runs for as long as the
+/// program.
 pub fn start(
     subscription: Subscription,
     name: &str,
@@ -88,8 +90,8 @@
     spawn_local(run(subscriber, router));
 }
 
-/// Publishes the number of the persisted version with which the router has started. Returns the version, and when it
-/// was last confirmed as the latest, in seconds of the monotonic clock.
+/// Publishes the number of the persisted version with which the router has started. Returns the version, and
+/// when it was last confirmed as the latest, in seconds of the monotonic clock.
 fn resume(persisted: PersistedVersion, shared: &SharedState, clock: Clock) -> (ConfigVersion, Option<f64>) {
     let PersistedVersion { version, confirmed_at_unix_ms } = persisted;
     tracing::info!(target: "control", "started with the settings of persisted version {}", version.number);
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,10 +1,11 @@
-//! Reads and writes the file with the latest version of the settings from control servers, with which the router
-//! starts the next time. This allows a start while no control server is reachable.
+//! Reads and writes the file with the latest version of the settings from control servers, with which the
+//! router starts the next time. This allows a start while no control server is reachable.
 //!
-//! The first line of the file is `alderway-version 1 NUMBER DIGEST CONFIRMED`: the version's number, the digest of
-//! the settings text in hexadecimal, and the time at which the version was last confirmed as the latest, in
-//! milliseconds of Unix time, or `-` if unknown. The settings text follows. The digest detects a damaged file. A
-//! version is applied before it is written; after a crash in between, the next start uses the previous version.
+//! The first line of the file is `alderway-version 1 NUMBER DIGEST CONFIRMED`: the version's number, the
+//! digest of the settings text in hexadecimal, and the time at which the version was last confirmed as the
+//! latest, in milliseconds of Unix time, or `-` if unknown. The settings text follows. The digest detects a
+//! damaged file. A version is applied before it is written; after a crash in between, the next start uses the
+//! previous version.
 use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_control_plane::version::VersionNumber;
@@ -33,8 +34,8 @@
 pub struct PersistedVersion {
     /// The version's number, digest and settings text.
     pub version: ConfigVersion,
-    /// When a control server last confirmed the version as the latest, in milliseconds of Unix time; `None` if
-    /// unknown.
+    /// When a control server last confirmed the version as the latest, in milliseconds of Unix time; `None`
+    /// if unknown.
     pub confirmed_at_unix_ms: Option<u64>,
 }
 
@@ -102,9 +103,9 @@
         }
     }
 
-    /// Replaces the file at `path` atomically: writes and syncs a temporary file in the same directory, renames it to
-    /// `path`, and syncs the directory. After a crash at any time, `path` has either its previous content or the new
-    /// one.
+    /// Replaces the file at `path` atomically: writes and syncs a temporary file in the same directory,
+    /// renames it to `path`, and syncs the directory. After a crash at any time, `path` has either its
+    /// previous content or the new one.
     ///
     /// # Errors
     /// The operating system reported an error; the file has either its previous content or the new one.
@@ -149,13 +150,13 @@
 #[derive(Clone)]
 struct Pending {
     version: ConfigVersion,
-    /// When a control server last confirmed the version as the latest, in seconds of the monotonic clock; `None` if
-    /// unknown.
+    /// When a control server last confirmed the version as the latest, in seconds of the monotonic clock;
+    /// `None` if unknown.
     confirmed_at: Option<f64>,
 }
 
-/// Writes versions to the file with the persisted version, on a separate thread, so that the current thread does not
-/// wait for the disk.
+/// Writes versions to the file with the persisted version, on a separate thread, so that the current thread
+/// does not wait for the disk.
 pub struct VersionWriter(watch::Sender<Option<Pending>>);
 
 impl VersionWriter {
@@ -166,8 +167,8 @@
         VersionWriter(sender)
     }
 
-    /// Queues a version to be written; an earlier version that is not yet written is dropped. `confirmed_at` is when
-    /// a control server last confirmed the version as the latest, in seconds of the monotonic clock.
+    /// Queues a version to be written; an earlier version that is not yet written is dropped. `confirmed_at`
+    /// is when a control server last confirmed the version as the latest, in seconds of the monotonic clock.
     pub fn persist(&self, version: ConfigVersion, confirmed_at: Option<f64>) {
         self.0.send_replace(Some(Pending { version, confirmed_at }));
     }
@@ -175,7 +176,8 @@
 
 async fn write_all(mut pending: watch::Receiver<Option<Pending>>, path: PathBuf, clock: Clock) {
     while pending.changed().await.is_ok() {
-        // Disk errors may be temporary, so writing is retried until it succeeds, always with the latest version.
+        // Disk errors may be temporary, so writing is retried until it succeeds, always with the latest
+        // version.
         while let Err((number, error)) = write_latest(&mut pending, &path, clock).await {
             let delay_s = RETRY_DELAY.as_secs();
             tracing::error!(target: "control", "settings version {number} could not be written to the disk: {error}; retrying in {delay_s} s");
@@ -187,7 +189,8 @@
     }
 }
 
-/// Writes the latest queued version to `path`; the error includes the number of the version that could not be written.
+/// Writes the latest queued version to `path`; the error includes the number of the version that could not be
+/// written.
 async fn write_latest(
     pending: &mut watch::Receiver<Option<Pending>>,
     path: &Path,
--- a/crates/router/src/control/settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -1,5 +1,5 @@
-//! Applies versions of the settings from control servers: the persisted version at the start of the router, and later
-//! versions while the router serves.
+//! Applies versions of the settings from control servers: the persisted version at the start of the router,
+//! and later versions while the router serves.
 use super::persisted_version::{PersistedVersion, UnusablePersistedVersion};
 use super::{ApplyCallback, Subscription};
 use crate::lifecycle::live_config::{ConfigError, LiveConfig};
@@ -35,8 +35,8 @@
     Ok((config, subscription))
 }
 
-/// Returns the persisted version and the configuration of a router that starts with it, or `None` if no version is
-/// persisted.
+/// Returns the persisted version and the configuration of a router that starts with it, or `None` if no
+/// version is persisted.
 fn read_persisted(
     subscription: &Subscription,
     config: &Path,
@@ -55,8 +55,8 @@
     Ok(Some((persisted, config)))
 }
 
-/// Returns a function that applies a version to a running router and returns the outcome once all serving cores have
-/// applied the settings. If a changed key needs a restart, nothing is applied and the outcome is
+/// Returns a function that applies a version to a running router and returns the outcome once all serving
+/// cores have applied the settings. If a changed key needs a restart, nothing is applied and the outcome is
 /// [`ApplyOutcome::PendingRestart`]; invalid settings are rejected.
 pub fn apply_to_running(live_config: LiveConfig) -> ApplyCallback {
     Box::new(move |settings, number| {
--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -21,8 +21,8 @@
     /// Closes an idle client connection, if there is one, to release its file descriptor.
     fn close_idle_connection(&self);
 
-    /// Serves an accepted client connection, or passes the connection to a core. `permit` reserves the connection's
-    /// file descriptor.
+    /// Serves an accepted client connection, or passes the connection to a core. `permit` reserves the
+    /// connection's file descriptor.
     fn accept(&self, stream: TcpStream, permit: DescriptorPermit) -> impl Future<Output = ()>;
 }
 
--- a/crates/router/src/io/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -1,6 +1,6 @@
-//! Reads from sockets and determines when the last byte arrived, from the kernel's receive timestamp. A router that
-//! was suspended or not scheduled reads bytes long after their arrival; without the timestamp, the time limit of a
-//! request would start too late.
+//! Reads from sockets and determines when the last byte arrived, from the kernel's receive timestamp. A
+//! router that was suspended or not scheduled reads bytes long after their arrival; without the timestamp,
+//! the time limit of a request would start too late.
 use crate::state::arrival_time::ArrivalEstimator;
 use alderway_sockets::{received, uninterrupted};
 use alderway_telemetry::clock::Clock;
@@ -13,7 +13,8 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Enables the kernel's receive timestamps on a socket. Accepted connections inherit the option from their listener.
+/// Enables the kernel's receive timestamps on a socket. Accepted connections inherit the option from their
+/// listener.
 pub fn enable_receive_timestamps(socket: &impl AsFd) -> io::Result<()> {
     Ok(setsockopt(socket, sockopt::ReceiveTimestampns, &true)?)
 }
@@ -33,13 +34,13 @@
     peek(stream).is_ok_and(|count| count == 0)
 }
 
-/// The number of bytes read, and the kernel's receive timestamp of the last byte, in seconds of Unix time; `None` if
-/// the kernel reported no timestamp.
+/// The number of bytes read, and the kernel's receive timestamp of the last byte, in seconds of Unix time;
+/// `None` if the kernel reported no timestamp.
 type TimestampedRead = (usize, Option<f64>);
 
-/// Reads the available bytes. Returns the number of bytes and the arrival time of the last byte, or `None` if no
-/// bytes were available. `drained_at_s` is when the connection last had no unread bytes; the function updates it if
-/// there are none now. Times are in seconds of the monotonic clock.
+/// Reads the available bytes. Returns the number of bytes and the arrival time of the last byte, or `None` if
+/// no bytes were available. `drained_at_s` is when the connection last had no unread bytes; the function
+/// updates it if there are none now. Times are in seconds of the monotonic clock.
 ///
 /// # Errors
 /// The peer closed the connection, or reading failed.
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Serves a client connection on this core until the connection closes or moves to another core. `has_sent_request`
-/// says whether another core has already received a request on the connection.
+/// Serves a client connection on this core until the connection closes or moves to another core.
+/// `has_sent_request` says whether another core has already received a request on the connection.
 pub async fn serve(
     dispatcher: DispatcherHandle,
     mut stream: TcpStream,
@@ -87,8 +87,8 @@
             CloseReason::MovesTo(core) => core,
             reason => break reason,
         };
-        // This core has no open request and no buffered bytes of the connection, so the other core can read from
-        // where this core stopped.
+        // This core has no open request and no buffered bytes of the connection, so the other core can read
+        // from where this core stopped.
         dispatcher.borrow_mut().clients.remove(id);
         let Some(returned) = transfer(&dispatcher, stream, permit, core) else { return };
         (stream, permit) = returned;
@@ -100,8 +100,8 @@
     if reason == CloseReason::AfterAnswer {
         linger(&mut stream).await;
     }
-    // The stream is dropped before its permit: another connection may use the permit only once this file descriptor
-    // is closed.
+    // The stream is dropped before its permit: another connection may use the permit only once this file
+    // descriptor is closed.
     drop(stream);
     drop(permit);
     let mut dispatcher = dispatcher.borrow_mut();
@@ -118,8 +118,8 @@
     (id, client)
 }
 
-/// Hands a client connection over to the core with this number. Returns the connection if that core's command queue
-/// is full or closed.
+/// Hands a client connection over to the core with this number. Returns the connection if that core's command
+/// queue is full or closed.
 fn transfer(
     dispatcher: &DispatcherHandle,
     stream: TcpStream,
@@ -169,8 +169,8 @@
     let _ = timeout(LINGER_TIMEOUT, discard).await;
 }
 
-/// When a session entered each state that has a time limit, in seconds of the monotonic clock; `None` if the session
-/// is not in that state.
+/// When a session entered each state that has a time limit, in seconds of the monotonic clock; `None` if the
+/// session is not in that state.
 #[derive(Default)]
 struct StateTimes {
     /// No query is open, and no response has to be written.
@@ -196,8 +196,8 @@
     deadline: f64,
 }
 
-/// A client connection that this core serves, with the buffered bytes and the progress of the current request and
-/// response.
+/// A client connection that this core serves, with the buffered bytes and the progress of the current request
+/// and response.
 struct ClientSession<'a> {
     dispatcher: &'a DispatcherHandle,
     client: &'a Rc<ClientConnection>,
@@ -234,8 +234,9 @@
     ) -> Self {
         let clock = dispatcher.borrow().clock;
         let accepted_at = clock.now();
-        // The error response for an incomplete request has to reach the client within `FIRST_REQUEST_TIMEOUT_S`. The
-        // timeout for connecting to a data node serves as the upper bound of the network delay to the client.
+        // The error response for an incomplete request has to reach the client within
+        // `FIRST_REQUEST_TIMEOUT_S`. The timeout for connecting to a data node serves as the upper bound of
+        // the network delay to the client.
         let network_s = dispatcher.borrow().connection_config.dial_timeout_s;
         let error_by = accepted_at + FIRST_REQUEST_TIMEOUT_S - network_s;
         ClientSession {
@@ -311,8 +312,8 @@
         }
     }
 
-    /// Whether an incomplete request has to be rejected because the program or this core shuts down. Guards against a
-    /// client that completes its request just before the shutdown and gets no response.
+    /// Whether an incomplete request has to be rejected because the program or this core shuts down. Guards
+    /// against a client that completes its request just before the shutdown and gets no response.
     fn must_reject_partial_request(&self) -> bool {
         self.client.has_partial_request.get() && self.client.close_request.get() == CloseRequest::AtShutdown
     }
@@ -321,8 +322,8 @@
         if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NoRequest }
     }
 
-    /// Handles the requests in the buffer one at a time: a request is parsed only once the previous response is
-    /// written.
+    /// Handles the requests in the buffer one at a time: a request is parsed only once the previous response
+    /// is written.
     fn handle_requests(&mut self) {
         while !self.is_unreadable && self.client.open_query.get().is_none() && !self.has_output() {
             match self.messages.find_message(&mut self.buffer) {
@@ -400,8 +401,9 @@
         ControlFlow::Continue(Progress::Complete)
     }
 
-    /// Reads from the socket once; returns false if the connection is closed or failed. While the buffer is full,
-    /// bytes are read and discarded, so that the close of a client that has sent too much is still detected.
+    /// Reads from the socket once; returns false if the connection is closed or failed. While the buffer is
+    /// full, bytes are read and discarded, so that the close of a client that has sent too much is still
+    /// detected.
     fn read(&mut self) -> bool {
         let mut discarded = [0; DISCARD_BYTES];
         self.has_overrun |= self.buffer.unfilled().is_empty();
@@ -425,8 +427,8 @@
         true
     }
 
-    /// The number of the core to which this connection has to move: `None` if no connection is to be handed over, or
-    /// this connection is not between two requests.
+    /// The number of the core to which this connection has to move: `None` if no connection is to be handed
+    /// over, or this connection is not between two requests.
     fn core_to_move_to(&self) -> Option<usize> {
         let is_between_requests = self.client.open_query.get().is_none()
             && !self.has_output()
@@ -463,8 +465,8 @@
         Waiting { has_open_query, is_writing, has_partial_request, is_idle, deadline: self.deadline() }
     }
 
-    /// When the session times out, in seconds of the monotonic clock. Guards against clients that send no request,
-    /// leave a request incomplete or do not read their response.
+    /// When the session times out, in seconds of the monotonic clock. Guards against clients that send no
+    /// request, leave a request incomplete or do not read their response.
     fn deadline(&self) -> f64 {
         if self.times.partial_request_since.is_some() && !self.client.has_sent_request.get() {
             return self.first_request_by;
@@ -485,8 +487,8 @@
     Complete,
 }
 
-/// When a condition became true: `before`, or `now` if the condition was false until now; `None` if the condition is
-/// false.
+/// When a condition became true: `before`, or `now` if the condition was false until now; `None` if the
+/// condition is false.
 fn since(before: Option<f64>, holds: bool, now: f64) -> Option<f64> {
     holds.then(|| before.unwrap_or(now))
 }
--- a/crates/router/src/io/connection_balancer.rs
+++ b/crates/router/src/io/connection_balancer.rs
@@ -48,8 +48,8 @@
                     Err(returned) => command = returned,
                 }
             }
-            // While every core hangs, restarts or has a full command queue, the connection is kept and assigned
-            // later, and further connections wait in the listener's queue in the kernel.
+            // While every core hangs, restarts or has a full command queue, the connection is kept and
+            // assigned later, and further connections wait in the listener's queue in the kernel.
             sleep(RETRY_PAUSE).await;
         }
     }
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -81,8 +81,8 @@
     pub restart_permits: mpsc::Receiver<()>,
 }
 
-/// Runs a core until its shutdown is complete. After each failure, reports the failure and waits for permission to
-/// restart.
+/// Runs a core until its shutdown is complete. After each failure, reports the failure and waits for
+/// permission to restart.
 pub fn run(mut inputs: CoreInputs) {
     log::set_thread_core(inputs.core);
     let mut remote_observations = inputs.shared.subscribe_observations();
@@ -165,8 +165,8 @@
 /// Weight of the latest measurement in the moving average of [`CpuUsage`], from 0 to 1.
 const CPU_USAGE_WEIGHT: f64 = 0.2;
 
-/// The fraction of time that the current thread runs on a CPU, from 0 to 1, as an exponential moving average that is
-/// updated at each heartbeat.
+/// The fraction of time that the current thread runs on a CPU, from 0 to 1, as an exponential moving average
+/// that is updated at each heartbeat.
 struct CpuUsage {
     measured_at_s: f64,
     thread_cpu_s: f64,
@@ -208,7 +208,8 @@
     core_state.heartbeat_ms.store((now * 1e3) as u64, Relaxed);
 }
 
-/// Serves on this core until its shutdown is complete. Returns the reason if the policy or a task of the core fails.
+/// Serves on this core until its shutdown is complete. Returns the reason if the policy or a task of the core
+/// fails.
 async fn serve(
     dispatcher: &DispatcherHandle,
     inputs: &mut CoreInputs,
@@ -257,8 +258,8 @@
             }
             ended = shutdown_ended(&mut shutdown) => {
                 ended.map_err(|_| "the shutdown task panicked".to_string())?;
-                // Connections that the balancer assigned to this core just before the end of its shutdown still get a
-                // response.
+                // Connections that the balancer assigned to this core just before the end of its shutdown
+                // still get a response.
                 let mut has_late_commands = false;
                 while let Ok(command) = inputs.commands.try_recv() {
                     has_late_commands = true;
@@ -334,8 +335,8 @@
     let _ = phase.wait_for(|phase| *phase == ProgramPhase::ListenerClosed).await;
 }
 
-/// Applies a snapshot of the endpoint list and the layout to this core's dispatcher, if the snapshot is newer than
-/// the last one applied. A layout is a version of the assignment of shards to data nodes.
+/// Applies a snapshot of the endpoint list and the layout to this core's dispatcher, if the snapshot is newer
+/// than the last one applied. A layout is a version of the assignment of shards to data nodes.
 fn apply_snapshot(dispatcher: &DispatcherHandle, snapshot: &EndpointSnapshot) {
     let mut dispatcher = dispatcher.borrow_mut();
     if snapshot.generation > dispatcher.endpoints_generation {
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -18,7 +18,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-/// Minimum timeout for receiving each report of a core during a shutdown, even if the shutdown's deadline has passed.
+/// Minimum timeout for receiving each report of a core during a shutdown, even if the shutdown's deadline has
+/// passed.
 const REPORT_WAIT_MIN: Duration = Duration::from_millis(50);
 
 /// Permits failed cores to restart, detects cores that hang, and moves client connections from a core with
@@ -93,9 +94,9 @@
         }
     }
 
-    /// Waits until every core that has not failed has shut down, or until `deadline_s`, in seconds of the monotonic
-    /// clock. Returns the number of cores that still run. Each wait lasts at least `REPORT_WAIT_MIN`, so that reports
-    /// are still read if the process was suspended past the deadline.
+    /// Waits until every core that has not failed has shut down, or until `deadline_s`, in seconds of the
+    /// monotonic clock. Returns the number of cores that still run. Each wait lasts at least
+    /// `REPORT_WAIT_MIN`, so that reports are still read if the process was suspended past the deadline.
     pub async fn wait_and_count_running(&mut self, deadline_s: f64) -> usize {
         let is_running = |state| !matches!(state, CoreStatus::Failed(_) | CoreStatus::Lost);
         let mut running = self.core_table.borrow().count(is_running);
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -1,8 +1,9 @@
-//! Keeps a watch open: a connection to the discovery server on which the router receives endpoint lists, layouts and
-//! changes of both. Reconnects after errors and timeouts; the last endpoint list received stays in use meanwhile.
+//! Keeps a watch open: a connection to the discovery server on which the router receives endpoint lists,
+//! layouts and changes of both. Reconnects after errors and timeouts; the last endpoint list received stays
+//! in use meanwhile.
 //!
-//! An endpoint list names the data nodes with their addresses and states. A layout is a version of the assignment of
-//! shards to data nodes.
+//! An endpoint list names the data nodes with their addresses and states. A layout is a version of the
+//! assignment of shards to data nodes.
 use super::{arrival, sleep_until};
 use crate::state::dispatcher::Dispatcher;
 use crate::state::endpoints::EndpointTable;
@@ -24,25 +25,26 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep, timeout};
 
-/// Handles what a watch receives from discovery: holds the endpoint list, and the layout if the router uses layouts.
-/// Implemented by the dispatcher of a router on one core, by
-/// [`EndpointPublisher`](super::endpoint_publisher::EndpointPublisher) for a router on several cores, and by a
-/// planner.
+/// Handles what a watch receives from discovery: holds the endpoint list, and the layout if the router uses
+/// layouts. Implemented by the dispatcher of a router on one core, by
+/// [`EndpointPublisher`](super::endpoint_publisher::EndpointPublisher) for a router on several cores, and by
+/// a planner.
 pub trait DiscoveryHandler {
     fn clock(&self) -> Clock;
-    /// Whether a watch opens only when the policy requests the endpoint list; otherwise, a watch is always open.
+    /// Whether a watch opens only when the policy requests the endpoint list; otherwise, a watch is always
+    /// open.
     fn polls_on_request(&self) -> bool;
     /// Notified when the policy requests the endpoint list.
     fn poll_requested(&self) -> Arc<Notify>;
     fn endpoints(&mut self) -> &mut EndpointTable;
-    /// Called after each update of [`Self::endpoints`], and after the update of the layout if the same message held
-    /// one.
+    /// Called after each update of [`Self::endpoints`], and after the update of the layout if the same
+    /// message held one.
     fn endpoints_updated(&mut self);
     /// Called when a watch has failed or timed out; `answered` says whether discovery had begun its response
     /// on this watch.
     fn watch_lost(&mut self, answered: bool);
-    /// Called for each message from discovery, with the seconds since the previous message, which may have arrived on
-    /// an earlier watch.
+    /// Called for each message from discovery, with the seconds since the previous message, which may have
+    /// arrived on an earlier watch.
     fn record_silence(&mut self, gap_s: f64);
     /// Called when a reload of the configuration changes the address of discovery.
     fn discovery_moved(&mut self);
@@ -51,11 +53,11 @@
     fn tracks_checks(&self) -> bool {
         false
     }
-    /// Called every `CHECK_INTERVAL` if every byte that arrived from discovery before `_at_s` has been read, or no
-    /// watch is open. `_at_s` is in seconds of the monotonic clock.
+    /// Called every `CHECK_INTERVAL` if every byte that arrived from discovery before `_at_s` has been read,
+    /// or no watch is open. `_at_s` is in seconds of the monotonic clock.
     fn discovery_checked(&mut self, _at_s: f64) {}
-    /// The version of the current layout, 0 if no layout was received yet, or `None` if the router does not use
-    /// layouts. The next watch requests the changes since this version.
+    /// The version of the current layout, 0 if no layout was received yet, or `None` if the router does not
+    /// use layouts. The next watch requests the changes since this version.
     fn layout_version(&self) -> Option<u64> {
         None
     }
@@ -131,8 +133,8 @@
     }
 }
 
-/// Keeps a watch open to the newest address in `addresses`, for as long as the program runs. A new address closes the
-/// current watch at once; the last endpoint list stays in use until the new watch receives one.
+/// Keeps a watch open to the newest address in `addresses`, for as long as the program runs. A new address
+/// closes the current watch at once; the last endpoint list stays in use until the new watch receives one.
 pub async fn run(handler: SharedDiscoveryHandler, mut addresses: Receiver<SocketAddr>) {
     let (clock, polls_on_request, poll_requested) = {
         let handler = handler.borrow();
@@ -167,8 +169,8 @@
 }
 
 /// Opens one watch and reads from the watch until it fails or times out; returns the reason. Sets
-/// `needs_whole_layout` if discovery sent a change that could not be applied to the current layout; the next watch
-/// then requests the whole layout.
+/// `needs_whole_layout` if discovery sent a change that could not be applied to the current layout; the next
+/// watch then requests the whole layout.
 async fn watch(
     handler: &SharedDiscoveryHandler,
     address: SocketAddr,
@@ -181,8 +183,8 @@
         let layout = handler.layout_version();
         (handler.clock(), handler.endpoints().version, layout)
     };
-    // If changes since the current version cannot be applied, requesting them again would fail for ever: version 0
-    // requests the whole layout.
+    // If changes since the current version cannot be applied, requesting them again would fail for ever:
+    // version 0 requests the whole layout.
     if std::mem::take(needs_whole_layout) {
         layout = layout.map(|_| 0);
     }
@@ -253,8 +255,8 @@
     }
 }
 
-/// Applies one JSON object from discovery: a whole endpoint list or a change of the list, and the layout or change of
-/// the layout in the object, if any. Returns the reason if the watch has to be reopened.
+/// Applies one JSON object from discovery: a whole endpoint list or a change of the list, and the layout or
+/// change of the layout in the object, if any. Returns the reason if the watch has to be reopened.
 fn apply(
     handler: &SharedDiscoveryHandler,
     object: &[u8],
@@ -265,7 +267,8 @@
     let (clock, endpoints) = (handler.clock(), handler.endpoints());
     let now = clock.now();
     if !is_whole && endpoints.version.is_none_or(|current| version < current) {
-        // The change cannot be applied to the current list: without a version, the next watch requests the whole list.
+        // The change cannot be applied to the current list: without a version, the next watch requests the
+        // whole list.
         endpoints.version = None;
         return Err("discovery sent a change of an older endpoint list than the current one");
     }
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -1,6 +1,6 @@
-//! Holds the endpoint list and the layout on the supervising thread of a router on several cores, and publishes
-//! snapshots of both to all cores. An endpoint list names the data nodes; a layout is a version of the assignment of
-//! shards to data nodes.
+//! Holds the endpoint list and the layout on the supervising thread of a router on several cores, and
+//! publishes snapshots of both to all cores. An endpoint list names the data nodes; a layout is a version of
+//! the assignment of shards to data nodes.
 use super::discovery;
 use crate::state::counters::Counters;
 use crate::state::endpoints::{Endpoint, EndpointTable};
@@ -25,8 +25,8 @@
     pub watch_failures: u64,
 }
 
-/// Applies the updates of discovery to the supervising thread's endpoint list and shard map, and publishes them to
-/// the cores.
+/// Applies the updates of discovery to the supervising thread's endpoint list and shard map, and publishes
+/// them to the cores.
 pub struct EndpointPublisher {
     clock: Clock,
     polls_endpoints: bool,
@@ -40,8 +40,8 @@
 }
 
 impl EndpointPublisher {
-    /// Creates a publisher whose first snapshot holds `endpoints`. `shard_map` is `None` if the settings assign the
-    /// shards to data nodes.
+    /// Creates a publisher whose first snapshot holds `endpoints`. `shard_map` is `None` if the settings
+    /// assign the shards to data nodes.
     pub fn new(
         clock: Clock,
         polls_endpoints: bool,
@@ -62,8 +62,8 @@
         self.snapshots.subscribe()
     }
 
-    /// Publishes a snapshot. First raises the generation in the fence, the check that cores share: from then on, a
-    /// core starts no attempt until the core has applied this snapshot.
+    /// Publishes a snapshot. First raises the generation in the fence, the check that cores share: from then
+    /// on, a core starts no attempt until the core has applied this snapshot.
     fn publish(&mut self) {
         let generation = self.shared.fence.publish();
         let entries = Arc::new(self.endpoints.endpoints());
--- a/crates/router/src/io/mod.rs
+++ b/crates/router/src/io/mod.rs
@@ -1,5 +1,5 @@
-//! The tasks that read and write sockets and wait for timers. Protocols are in [`crate::wire`], and the state of
-//! queries, attempts and connections is in [`crate::state`].
+//! The tasks that read and write sockets and wait for timers. Protocols are in [`crate::wire`], and the state
+//! of queries, attempts and connections is in [`crate::state`].
 pub mod acceptor;
 pub mod arrival;
 mod client_session;
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// A malformed or unexpected frame from a data node, with the id of the shard request that the frame answers, if the
-/// id could be read.
+/// A malformed or unexpected frame from a data node, with the id of the shard request that the frame answers,
+/// if the id could be read.
 #[derive(Debug)]
 struct CorruptedFrame {
     problem: ParseError,
@@ -101,8 +101,8 @@
         }
         Ok(Err(_)) => dispatcher.borrow_mut().counters.increment("connections{refused}"),
         Err(_) if is_short_of_resources.get() => {
-            // Connecting timed out because this machine lacks descriptors, ports or buffers, which is not a failure
-            // of the data node.
+            // Connecting timed out because this machine lacks descriptors, ports or buffers, which is not a
+            // failure of the data node.
             dispatcher.borrow_mut().counters.increment("connections{short_of_resources}");
             dispatcher.borrow_mut().connection_not_opened(&node, connection);
         }
@@ -122,9 +122,9 @@
     dispatcher.counters.increment(&format!("connection_closes{{{}}}", reason.label()));
 }
 
-/// Waits for a free file descriptor and connects to a data node. While no descriptor is free, closes idle connections
-/// to data nodes. Sets `is_short_of_resources` to true while the connection waits for a descriptor, port or buffer of
-/// this machine.
+/// Waits for a free file descriptor and connects to a data node. While no descriptor is free, closes idle
+/// connections to data nodes. Sets `is_short_of_resources` to true while the connection waits for a
+/// descriptor, port or buffer of this machine.
 async fn connect(
     dispatcher: &DispatcherHandle,
     address: SocketAddr,
@@ -169,11 +169,11 @@
     answer_timeout_s: f64,
     incoming: ReadBuffer,
     outgoing: Outgoing,
-    /// Deadline for writing more of the current frame, in seconds of the monotonic clock; infinite if no frame is
-    /// blocked.
+    /// Deadline for writing more of the current frame, in seconds of the monotonic clock; infinite if no
+    /// frame is blocked.
     write_by: f64,
-    /// Deadline for receiving the rest of a partly received frame, in seconds of the monotonic clock; infinite if
-    /// there is no such frame.
+    /// Deadline for receiving the rest of a partly received frame, in seconds of the monotonic clock;
+    /// infinite if there is no such frame.
     read_by: f64,
     /// The stall count, from [`StallDetector`](crate::state::stall_detector::StallDetector), of the last
     /// stall after which pending input was read.
@@ -270,8 +270,8 @@
         Ok(())
     }
 
-    /// Calls `act` on the dispatcher's state of this connection; returns `None` if the dispatcher has removed the
-    /// connection.
+    /// Calls `act` on the dispatcher's state of this connection; returns `None` if the dispatcher has removed
+    /// the connection.
     fn with_state<T>(&self, act: impl FnOnce(&mut NodeConnection) -> T) -> Option<T> {
         self.dispatcher.borrow_mut().endpoints.connection(self.node, self.connection).map(act)
     }
@@ -293,13 +293,15 @@
             if replace(&mut self.handled_stall, stall) == stall {
                 return;
             }
-            // Yielding lets the runtime poll the sockets, and run the tasks that have input, before this task.
+            // Yielding lets the runtime poll the sockets, and run the tasks that have input, before this
+            // task.
             yield_now().await;
         }
     }
 
-    /// Before an idle connection is reused, returns an error if the data node has closed the connection. Guards
-    /// against writing an attempt to a closed connection: the attempt would count as possibly executed.
+    /// Before an idle connection is reused, returns an error if the data node has closed the connection.
+    /// Guards against writing an attempt to a closed connection: the attempt would count as possibly
+    /// executed.
     fn check_still_open_before_reuse(&self) -> Result<(), CloseReason> {
         let is_reuse = self.with_state(|state| state.will_reuse_after_idle()).unwrap_or(false);
         if is_reuse && arrival::is_closed_by_peer(self.stream) {
@@ -309,8 +311,8 @@
         Ok(())
     }
 
-    /// Writes frames until none is left or the socket's send buffer is full. Sets a deadline for a blocked frame,
-    /// because a machine that has crashed never closes its connections.
+    /// Writes frames until none is left or the socket's send buffer is full. Sets a deadline for a blocked
+    /// frame, because a machine that has crashed never closes its connections.
     fn write_frames(&mut self) -> Result<WriteProgress, CloseReason> {
         let before = self.outgoing.total_bytes;
         let progress = self.write_until_blocked()?;
@@ -394,8 +396,8 @@
         checked.unwrap_or(Err(CloseReason::Forgotten))
     }
 
-    /// Reads from the socket once and handles the complete frames; returns the number of frames. A single read
-    /// prevents one data node from occupying the core.
+    /// Reads from the socket once and handles the complete frames; returns the number of frames. A single
+    /// read prevents one data node from occupying the core.
     fn read(&mut self) -> Result<usize, CloseReason> {
         match alderway_sockets::read(self.stream, self.incoming.unfilled()) {
             Ok(Some(0)) | Err(_) => return Err(CloseReason::EndedByNode),
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -2,8 +2,9 @@
 //! executes the policy's decisions on the dispatcher. An observation is a measurement of a data node that
 //! cores and routers share.
 //!
-//! A forwarder is a router whose decisions are made by planners, which are separate programs, or by the forwarder's
-//! own policy while no planner is available. [`Tier`] holds a forwarder's connections to the planners.
+//! A forwarder is a router whose decisions are made by planners, which are separate programs, or by the
+//! forwarder's own policy while no planner is available. [`Tier`] holds a forwarder's connections to the
+//! planners.
 use super::{node_session, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
@@ -24,7 +25,8 @@
 }
 
 impl<'a> DispatcherDecisionSink<'a> {
-    /// Creates a sink for decisions that a planner has sent. The caller has already recorded them in [`Tier`].
+    /// Creates a sink for decisions that a planner has sent. The caller has already recorded them in
+    /// [`Tier`].
     pub fn for_planner_decisions(dispatcher: &'a DispatcherHandle) -> Self {
         DispatcherDecisionSink { dispatcher, tier: None }
     }
@@ -80,8 +82,8 @@
     }
 }
 
-/// Returns a function that creates a policy from the newest settings that the dispatcher has applied. The function
-/// fails if the dispatcher has no settings.
+/// Returns a function that creates a policy from the newest settings that the dispatcher has applied. The
+/// function fails if the dispatcher has no settings.
 pub fn policy_factory(
     dispatcher: &DispatcherHandle,
     seed: u64,
@@ -148,8 +150,9 @@
         };
         let mut sink = DispatcherDecisionSink { dispatcher: &dispatcher, tier: tier.as_ref() };
         let round = AssertUnwindSafe(|| policy.round(now, notify, &mut sink));
-        // If the policy panics, for example due to a defect that a rare query triggers, open queries fail and the
-        // router continues with a new policy. Like after a restart, the new policy has no observations of data nodes.
+        // If the policy panics, for example due to a defect that a rare query triggers, open queries fail and
+        // the router continues with a new policy. Like after a restart, the new policy has no observations of
+        // data nodes.
         if catch_unwind(round).is_err() {
             tracing::error!(target: "failure", "the policy panicked: open queries fail, and the router continues with a new policy");
             policy = new_policy()?;
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -1,6 +1,6 @@
 //! Shuts the program down gracefully after SIGTERM. New client connections are accepted for
-//! [`LISTEN_TIME_AFTER_SIGTERM`], and existing ones stay open, because clients may have no other router. Every
-//! admitted query gets a response before the platform sends SIGKILL.
+//! [`LISTEN_TIME_AFTER_SIGTERM`], and existing ones stay open, because clients may have no other router.
+//! Every admitted query gets a response before the platform sends SIGKILL.
 //!
 //! The phases of [`ShutdownPhase`]:
 //!
@@ -19,7 +19,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// How long the client listener stays open after SIGTERM. The client protocol allows new connections for 0.4 s.
+/// How long the client listener stays open after SIGTERM. The client protocol allows new connections for 0.4
+/// s.
 pub const LISTEN_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(500);
 /// Longest query deadline, in seconds, for which a shutdown can wait. By the client protocol, the platform
 /// sends SIGKILL no earlier than the longest query deadline, but at most this value, plus
@@ -31,10 +32,11 @@
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
 /// Time reserved for writing the last responses, in seconds.
 const LAST_ANSWERS_S: f64 = 0.1;
-/// Longest suspension of the process that a shutdown has to tolerate, in seconds: the users' acceptance tests suspend
-/// the process for this long at any time.
+/// Longest suspension of the process that a shutdown has to tolerate, in seconds: the users' acceptance tests
+/// suspend the process for this long at any time.
 const STALL_S: f64 = 0.15;
-/// Time left between the end of the program and SIGKILL, in seconds, if the process was suspended for [`STALL_S`].
+/// Time left between the end of the program and SIGKILL, in seconds, if the process was suspended for
+/// [`STALL_S`].
 const SAFETY_MARGIN_S: f64 = 0.15;
 /// Interval at which a shutdown checks whether all clients are disconnected.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -45,15 +47,15 @@
 /// Minimum timeout for accepting the connections that are in the kernel's queue of the closing listener.
 const ACCEPT_WAITING_MIN: Duration = Duration::from_millis(100);
 
-/// Returns the time from SIGTERM until the router answers the remaining open queries with an error, in seconds.
-/// `longest_deadline_s` is the longest query deadline of the settings.
+/// Returns the time from SIGTERM until the router answers the remaining open queries with an error, in
+/// seconds. `longest_deadline_s` is the longest query deadline of the settings.
 pub fn shutdown_time_limit_s(longest_deadline_s: f64) -> f64 {
     let reserved_s = LAST_ANSWERS_S + STALL_S + SAFETY_MARGIN_S;
     longest_deadline_s.min(MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S - reserved_s
 }
 
-/// Waits for SIGTERM and shuts down a router on one core; returns when the program can exit. Notifying `close` stops
-/// `listening`, the task that accepts connections.
+/// Waits for SIGTERM and shuts down a router on one core; returns when the program can exit. Notifying
+/// `close` stops `listening`, the task that accepts connections.
 pub async fn shut_down_at_sigterm(
     mut terminations: Signals,
     dispatcher: DispatcherHandle,
@@ -68,10 +70,10 @@
     shut_down(dispatcher, close_listener(close, listening, shutdown_time_limit_s(longest_deadline_s))).await;
 }
 
-/// Closes the client listener after [`LISTEN_TIME_AFTER_SIGTERM`], and waits until `listening` has accepted the
-/// connections in the kernel's queue. `limit_s` is the time limit of the shutdown from SIGTERM, in seconds; the wait
-/// ends by then if file descriptors are released too slowly. Guards against exiting while connections are in the
-/// queue, for example after the process was suspended.
+/// Closes the client listener after [`LISTEN_TIME_AFTER_SIGTERM`], and waits until `listening` has accepted
+/// the connections in the kernel's queue. `limit_s` is the time limit of the shutdown from SIGTERM, in
+/// seconds; the wait ends by then if file descriptors are released too slowly. Guards against exiting while
+/// connections are in the queue, for example after the process was suspended.
 pub async fn close_listener(close: Rc<Notify>, listening: JoinHandle<()>, limit_s: f64) {
     sleep(LISTEN_TIME_AFTER_SIGTERM).await;
     close.notify_one();
@@ -79,14 +81,14 @@
     let _ = timeout(remaining.clamp(ACCEPT_WAITING_MIN, LISTEN_TIME_AFTER_SIGTERM), listening).await;
 }
 
-/// Shuts down one core; returns when all its clients are disconnected or the time limit is reached. `listener_closed`
-/// completes when no further connection will arrive.
+/// Shuts down one core; returns when all its clients are disconnected or the time limit is reached.
+/// `listener_closed` completes when no further connection will arrive.
 pub async fn shut_down(dispatcher: DispatcherHandle, listener_closed: impl Future<Output = ()>) {
     let clock = dispatcher.borrow().clock;
     let phases = begin_draining(&dispatcher);
     listener_closed.await;
-    // The task of the last accepted connection runs for the first time during this pause; otherwise it would not be
-    // counted as a client below.
+    // The task of the last accepted connection runs for the first time during this pause; otherwise it would
+    // not be counted as a client below.
     sleep(POLL_INTERVAL).await;
     while clock.now() < phases.end && !dispatcher.borrow().clients.is_empty() {
         if clock.now() >= phases.close_at {
@@ -130,18 +132,18 @@
     open_queries
 }
 
-/// Answers all open queries of a core with an error and closes its client connections, at the end of a shutdown or
-/// after a failure of the core. Every request that was read gets a response, including pipelined requests and
-/// requests that arrive meanwhile. Returns the number of queries that were open.
+/// Answers all open queries of a core with an error and closes its client connections, at the end of a
+/// shutdown or after a failure of the core. Every request that was read gets a response, including pipelined
+/// requests and requests that arrive meanwhile. Returns the number of queries that were open.
 pub async fn fail_queries_and_disconnect(dispatcher: &DispatcherHandle) -> usize {
     let open_queries = fail_open_queries(dispatcher);
     wait_for_last_answers(dispatcher).await;
     open_queries
 }
 
-/// Waits until the last responses are written and all clients are disconnected, for at most [`LAST_ANSWERS_S`] but at
-/// least [`POLLS_MIN`] intervals. Without that minimum, a process that is suspended during the wait would exit before
-/// its tasks have written the responses.
+/// Waits until the last responses are written and all clients are disconnected, for at most
+/// [`LAST_ANSWERS_S`] but at least [`POLLS_MIN`] intervals. Without that minimum, a process that is suspended
+/// during the wait would exit before its tasks have written the responses.
 async fn wait_for_last_answers(dispatcher: &DispatcherHandle) {
     let clock = dispatcher.borrow().clock;
     let deadline = clock.now() + LAST_ANSWERS_S;
@@ -152,8 +154,8 @@
     }
 }
 
-/// Closes the client connections that were assigned to a core after its shutdown. Requests on them are rejected at
-/// once.
+/// Closes the client connections that were assigned to a core after its shutdown. Requests on them are
+/// rejected at once.
 pub async fn reject_late_connections(dispatcher: DispatcherHandle) {
     // The tasks of these connections run for the first time during this pause.
     sleep(POLL_INTERVAL).await;
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -18,7 +18,8 @@
 
 /// How long [`LiveConfig::apply`] waits for the serving cores to apply new settings.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Interval at which [`LiveConfig::apply`] checks whether a core that has not yet applied the settings still serves.
+/// Interval at which [`LiveConfig::apply`] checks whether a core that has not yet applied the settings still
+/// serves.
 const SERVING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why new settings cannot be applied. The current settings stay in force, without any change.
@@ -52,8 +53,8 @@
     Unchanged,
 }
 
-/// Checks settings like those of a starting router. If `in_force` is given, also checks that a running router can
-/// change from `in_force` to the new settings.
+/// Checks settings like those of a starting router. If `in_force` is given, also checks that a running router
+/// can change from `in_force` to the new settings.
 ///
 /// # Errors
 /// A key is invalid, or a key differs from `in_force` and can only change with a restart.
@@ -85,15 +86,15 @@
     is_serving: RefCell<Option<IsServing>>,
 }
 
-/// The settings in force in a running router. Clones share one state; with several cores, the supervising thread uses
-/// them.
+/// The settings in force in a running router. Clones share one state; with several cores, the supervising
+/// thread uses them.
 #[derive(Clone)]
 pub struct LiveConfig(Rc<Inner>);
 
 impl LiveConfig {
     /// Creates the live configuration of a router that starts with `settings`, which were parsed from
-    /// `settings_json`. Later settings are rejected if a query deadline is longer than `max_deadline_limit_s`, in
-    /// seconds; `None` means no limit.
+    /// `settings_json`. Later settings are rejected if a query deadline is longer than
+    /// `max_deadline_limit_s`, in seconds; `None` means no limit.
     pub fn new(
         shared: Arc<SharedState>,
         role: ProgramRole,
@@ -135,7 +136,8 @@
         Some(self.0.shared.config_version.load(Relaxed)).filter(|version| *version > 0)
     }
 
-    /// The longest deadline that an open query can have, in seconds, including queries opened under earlier settings.
+    /// The longest deadline that an open query can have, in seconds, including queries opened under earlier
+    /// settings.
     pub fn max_deadline_s(&self) -> f64 {
         self.0.max_deadline_s.get()
     }
@@ -154,7 +156,8 @@
     /// [`ApplyResult::Changed`] once the cores have applied these.
     ///
     /// # Errors
-    /// The settings cannot be applied. The current settings stay in force, and the rejection is logged and counted.
+    /// The settings cannot be applied. The current settings stay in force, and the rejection is logged and
+    /// counted.
     pub async fn apply(&self, settings: Value, version: Option<u64>) -> Result<ApplyResult, ConfigError> {
         let name = version.map_or("settings of the configuration file".to_string(), |version| {
             format!("settings version {version}")
@@ -189,8 +192,8 @@
         Ok(checked)
     }
 
-    /// Publishes settings to all cores. Returns the serial number that a core reports once the core has applied the
-    /// settings.
+    /// Publishes settings to all cores. Returns the serial number that a core reports once the core has
+    /// applied the settings.
     fn publish(&self, settings: Settings) -> u64 {
         let longest_s = self.0.max_deadline_s.get().max(settings.admission.max_deadline_s);
         self.0.max_deadline_s.set(longest_s);
@@ -199,8 +202,8 @@
         serial
     }
 
-    /// Waits until the cores have applied the settings with this serial number. Returns the numbers of the cores that
-    /// have not, because they do not serve or `APPLY_TIMEOUT` has passed.
+    /// Waits until the cores have applied the settings with this serial number. Returns the numbers of the
+    /// cores that have not, because they do not serve or `APPLY_TIMEOUT` has passed.
     async fn wait_until_applied(&self, serial: u64) -> Vec<usize> {
         let deadline = Instant::now() + APPLY_TIMEOUT;
         let mut late_cores = vec![];
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -1,6 +1,6 @@
-//! Reads the configuration file again at SIGHUP, and applies the changes that do not need a restart. A file that is
-//! missing, incomplete or invalid changes nothing. The operator's file, a second file that describes the deployment,
-//! is only checked for changes.
+//! Reads the configuration file again at SIGHUP, and applies the changes that do not need a restart. A file
+//! that is missing, incomplete or invalid changes nothing. The operator's file, a second file that describes
+//! the deployment, is only checked for changes.
 use super::live_config::LiveConfig;
 use super::startup::{OperatorFileChangeCheck, Overrides, RestartOnlyKeys, StartupConfig, StartupError};
 use alderway_sockets::signals::Signals;
@@ -15,8 +15,8 @@
 pub struct PreviousConfig {
     /// The path of the configuration file.
     pub path: PathBuf,
-    /// Checks whether a value of the operator's file has changed that needs a restart; `None` if the program was
-    /// started without an operator's file.
+    /// Checks whether a value of the operator's file has changed that needs a restart; `None` if the program
+    /// was started without an operator's file.
     pub operator_file_check: Option<OperatorFileChangeCheck>,
     /// The values of the keys `name`, `listen`, `limits` and `settings` for the comparison with the file at
     /// the next reload. The first three never change without a restart, so their values are those at the
@@ -34,10 +34,10 @@
     OperatorFile(String),
 }
 
-/// Reads the configuration file again at each SIGHUP, for as long as the program runs. Sends the address of the
-/// discovery server to `discovery`. If `live_config` is given, applies the file's settings to it, but only if they
-/// have changed in the file since they were last applied: a reload for another reason must not undo settings from
-/// another source.
+/// Reads the configuration file again at each SIGHUP, for as long as the program runs. Sends the address of
+/// the discovery server to `discovery`. If `live_config` is given, applies the file's settings to it, but
+/// only if they have changed in the file since they were last applied: a reload for another reason must not
+/// undo settings from another source.
 pub async fn reload_at_sighup(
     mut hangups: Signals,
     mut previous: PreviousConfig,
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,5 +1,5 @@
-//! Reads and checks the configuration file in JSON at the start of the program, and fills in defaults. Each error
-//! message names the invalid key.
+//! Reads and checks the configuration file in JSON at the start of the program, and fills in defaults. Each
+//! error message names the invalid key.
 //!
 //! A router can also have an operator's file, given by the option `--operator`: a Starlark script that
 //! describes how routers work together, for example the number of cores, planners and control servers. The
@@ -22,8 +22,8 @@
 
 /// The environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// Default of `limits.sockets`, the number of file descriptors that the program may use: a common default limit of
-/// Linux.
+/// Default of `limits.sockets`, the number of file descriptors that the program may use: a common default
+/// limit of Linux.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
 /// Minimum of `limits.sockets`: the file descriptors of the async runtime, the listener, the connection to
 /// discovery, and a few connections to clients and data nodes.
@@ -36,8 +36,8 @@
 pub struct StartupConfig {
     /// The configuration file, which is read again at SIGHUP.
     pub path: PathBuf,
-    /// Checks at a reload whether a value of the operator's file has changed that needs a restart; `None` if the
-    /// program was started without an operator's file.
+    /// Checks at a reload whether a value of the operator's file has changed that needs a restart; `None` if
+    /// the program was started without an operator's file.
     pub operator_file_check: Option<OperatorFileChangeCheck>,
     /// The name of this router, which is unique among the routers.
     pub name: String,
@@ -62,8 +62,8 @@
     pub query_classes: Vec<ClassRules>,
     /// The values in the file of the keys that a later reload compares with the file.
     pub restart_only_keys: RestartOnlyKeys,
-    /// Grace periods for changes of the shard map that discovery sends; `None` if the settings assign the shards to
-    /// data nodes.
+    /// Grace periods for changes of the shard map that discovery sends; `None` if the settings assign the
+    /// shards to data nodes.
     pub shard_map: Option<ShardMapConfig>,
     /// The role of the program among the routers, forwarders and planners.
     pub role: ProgramRole,
@@ -209,8 +209,8 @@
     Settings::read(json).map_err(|error| StartupError::key("settings", format!("expected {error}")))
 }
 
-/// Reads the keys of a configuration file. Some keys are read from an environment variable if they are missing in the
-/// file.
+/// Reads the keys of a configuration file. Some keys are read from an environment variable if they are
+/// missing in the file.
 struct ConfigKeys<'a> {
     document: &'a Value,
 }
@@ -230,8 +230,8 @@
         text.parse().map_err(invalid)
     }
 
-    /// Reads a whole number of at least `min` from the object `limits`, or `default` if the number is missing. `key`
-    /// is the path of the number.
+    /// Reads a whole number of at least `min` from the object `limits`, or `default` if the number is
+    /// missing. `key` is the path of the number.
     fn limit(&self, key: &'static str, default: u64, min: u64) -> Result<usize, StartupError> {
         let given = key.split('.').try_fold(self.document, |value, key| value.get(key));
         let value = given.map_or(Some(default), Value::as_u64).filter(|value| *value >= min);
@@ -250,8 +250,8 @@
         self.document.get("settings").ok_or_else(|| StartupError::key("settings", "missing"))
     }
 
-    /// Reads the endpoint list that an earlier run of this router last received, in the format of discovery. The list
-    /// may be outdated or empty.
+    /// Reads the endpoint list that an earlier run of this router last received, in the format of discovery.
+    /// The list may be outdated or empty.
     fn known_endpoints(&self, clock: Clock) -> Result<EndpointTable, StartupError> {
         let known = self.document.get("known").filter(|list| !list.is_null());
         let endpoints = known.map_or(Ok(EndpointTable::default()), |list| parse_endpoints(list, clock));
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,5 @@
-//! Starts a query router on one core, configured only by the file that the environment variable `PROXY_CONFIG` names.
+//! Starts a query router on one core, configured only by the file that the environment variable
+//! `PROXY_CONFIG` names.
 use alderway_router::lifecycle::startup::StartupConfig;
 use alderway_router::server::serve;
 use alderway_router::state::shared::MulticoreConfig;
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -1,5 +1,5 @@
-//! Handles the HTTP requests of clients: queries (`POST /api`), readiness (`GET /up`) and counters (`GET /counters`).
-//! Any other request gets an error response.
+//! Handles the HTTP requests of clients: queries (`POST /api`), readiness (`GET /up`) and counters (`GET
+//! /counters`). Any other request gets an error response.
 use crate::state::DispatcherHandle;
 use crate::state::clients::ClientConnection;
 use crate::state::queries::{Query, QueryError, ShardRequest};
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -34,8 +34,8 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Runs the program until the shutdown after SIGTERM is complete. With a `subscription`, new settings come from
-/// control servers, and a reload of the configuration file does not change the settings.
+/// Runs the program until the shutdown after SIGTERM is complete. With a `subscription`, new settings come
+/// from control servers, and a reload of the configuration file does not change the settings.
 ///
 /// # Errors
 /// A socket, signal handler or thread could not be created, or the policy could not be created.
@@ -62,7 +62,8 @@
     multicore: MulticoreConfig,
     clock: Clock,
 ) -> io::Result<()> {
-    // Signal handlers are installed before the listener is opened: without a handler, a signal would kill the program.
+    // Signal handlers are installed before the listener is opened: without a handler, a signal would kill the
+    // program.
     let (terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let (client_descriptors, node_descriptors) = split_descriptors(&config, subscription.is_some());
     let shared = SharedState::new(config.settings.admission.max_open, multicore, f64::INFINITY).0;
@@ -113,9 +114,9 @@
     Ok(())
 }
 
-/// Starts the subscription to control servers, if there is one. Returns the live configuration to which a reload may
-/// apply settings; `None` with a subscription, because the settings of the configuration file would replace the
-/// version from the control servers without notice.
+/// Starts the subscription to control servers, if there is one. Returns the live configuration to which a
+/// reload may apply settings; `None` with a subscription, because the settings of the configuration file
+/// would replace the version from the control servers without notice.
 fn subscribe(
     subscription: Option<Subscription>,
     live_config: &LiveConfig,
@@ -129,8 +130,8 @@
     None
 }
 
-/// Splits the file descriptors that gossip and the subscription do not use into a pool for client connections and a
-/// pool for connections to data nodes.
+/// Splits the file descriptors that gossip and the subscription do not use into a pool for client connections
+/// and a pool for connections to data nodes.
 fn split_descriptors(
     config: &StartupConfig,
     has_subscription: bool,
--- a/crates/router/src/server/several_cores.rs
+++ b/crates/router/src/server/several_cores.rs
@@ -1,7 +1,7 @@
-//! Runs a router on several cores, each of which is a thread that serves client connections. The current thread,
-//! called the supervising thread, receives endpoint lists from discovery for all cores, accepts client connections
-//! and distributes them, supervises the cores, and handles reload and shutdown. The supervising thread serves no
-//! query.
+//! Runs a router on several cores, each of which is a thread that serves client connections. The current
+//! thread, called the supervising thread, receives endpoint lists from discovery for all cores, accepts
+//! client connections and distributes them, supervises the cores, and handles reload and shutdown. The
+//! supervising thread serves no query.
 use super::subscribe;
 use crate::control::{self, Subscription};
 use crate::io::connection_balancer::ConnectionBalancer;
@@ -35,8 +35,8 @@
 /// draining data node still answers, so that no attempt starts on a data node of the endpoint list that has
 /// stopped meanwhile.
 const MAX_DISCOVERY_AGE_S: f64 = 1.0;
-/// Time for the cores to shut down after the time limit of open queries, in seconds: to write the last responses, and
-/// to reject requests on connections that were assigned during the shutdown.
+/// Time for the cores to shut down after the time limit of open queries, in seconds: to write the last
+/// responses, and to reject requests on connections that were assigned during the shutdown.
 const CORES_MARGIN_S: f64 = 0.25;
 
 /// Runs the router until the shutdown after SIGTERM is complete.
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Runs the router program with fake clients, data nodes and a fake discovery server over loopback connections.
+//! Runs the router program with fake clients, data nodes and a fake discovery server over loopback
+//! connections.
 #![allow(dead_code)] // Each test file uses a part of this module.
 pub mod dispatcher;
 pub mod tier;
@@ -18,7 +19,8 @@
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Settings in JSON with two service classes and one replica group, in which every data node has every shard.
-/// `latency_objective_ms` applies to both classes; `max_open` limits the number of open queries and shard requests.
+/// `latency_objective_ms` applies to both classes; `max_open` limits the number of open queries and shard
+/// requests.
 pub fn settings_json(latency_objective_ms: u64, max_open: usize) -> String {
     let service = |name: &str| {
         format!(
@@ -51,7 +53,8 @@
     format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-/// Receives the next event; panics if none arrives within [`TIMEOUT`]. `what` names the event in the panic message.
+/// Receives the next event; panics if none arrives within [`TIMEOUT`]. `what` names the event in the panic
+/// message.
 pub fn receive<T>(events: &Receiver<T>, what: &str) -> T {
     events.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
@@ -111,8 +114,8 @@
         frame
     }
 
-    /// Waits for the next frame and answers every shard request in the frame. Returns the ids of the shard requests
-    /// and the index of the data node.
+    /// Waits for the next frame and answers every shard request in the frame. Returns the ids of the shard
+    /// requests and the index of the data node.
     pub fn answer_next(&self) -> (Vec<String>, usize) {
         let mut frame = self.next_frame('S');
         let ids = request_ids(&frame.text);
@@ -123,7 +126,8 @@
     }
 }
 
-/// Returns the ids of the shard requests in a frame, which are separated by the query text `c41e77d0` of all tests.
+/// Returns the ids of the shard requests in a frame, which are separated by the query text `c41e77d0` of all
+/// tests.
 pub fn request_ids(frame: &str) -> Vec<String> {
     frame.split("c41e77d0").filter_map(|request| Some(request.split_once(' ')?.0.to_string())).collect()
 }
@@ -249,7 +253,8 @@
         parse_counters(client.read_response().1.lines())
     }
 
-    /// Waits until the program exits; returns the exit status and the counters that the program logs at its exit.
+    /// Waits until the program exits; returns the exit status and the counters that the program logs at its
+    /// exit.
     pub fn wait_for_exit(mut self) -> (ExitStatus, BTreeMap<String, u64>) {
         let status = self.child.wait().expect("the program ends");
         let mut lines = vec![];
@@ -272,8 +277,8 @@
     spawn_with(config, |_| {})
 }
 
-/// Starts the router program with the configuration `config`, after `prepare` has changed the command. Returns the
-/// process and the path of the configuration file.
+/// Starts the router program with the configuration `config`, after `prepare` has changed the command.
+/// Returns the process and the path of the configuration file.
 pub fn spawn_with(config: &str, prepare: impl FnOnce(&mut Command)) -> (Child, PathBuf) {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("alderway-{}-{}.json", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
@@ -351,7 +356,8 @@
     )
 }
 
-/// Starts a router, `count` fake data nodes and a fake discovery server. Discovery sends nothing until the test does.
+/// Starts a router, `count` fake data nodes and a fake discovery server. Discovery sends nothing until the
+/// test does.
 pub fn start_router(count: usize) -> (Program, FakeNodes, FakeDiscovery) {
     start_router_with(count, 1000, 180, r#"{"sockets":256}"#)
 }
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Tests of pairs of events that occur at the same time, for example a client that disconnects while its query is
-//! sent. Each test triggers both events over sockets and checks the result. docs/crossings.md lists all pairs.
+//! Tests of pairs of events that occur at the same time, for example a client that disconnects while its
+//! query is sent. Each test triggers both events over sockets and checks the result. docs/crossings.md lists
+//! all pairs.
 mod common;
 use common::*;
 use rstest::rstest;
@@ -147,8 +148,8 @@
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let limits = r#"{"sockets":32}"#;
     let program = Program::start(&nodes.addresses, discovery.address, &settings_json(1000, 180), limits);
-    // Each client has received a response, so the router may close any of their connections. No client closes its
-    // connection.
+    // Each client has received a response, so the router may close any of their connections. No client closes
+    // its connection.
     let mut idle: Vec<Client> = vec![];
     for _ in 0..40 {
         let mut client = program.connect();
@@ -176,7 +177,8 @@
     let mut frame = nodes.next_frame('S');
     program.signal("TERM");
     program.wait_for_log("SIGTERM");
-    // Waits for the listener to close: from then on, the router closes each connection after the current response.
+    // Waits for the listener to close: from then on, the router closes each connection after the current
+    // response.
     let deadline = Instant::now() + TIMEOUT;
     while TcpStream::connect(program.address).is_ok() {
         assert!(Instant::now() < deadline, "the listener stays open");
--- a/crates/router/tests/persisted_version.rs
+++ b/crates/router/tests/persisted_version.rs
@@ -1,5 +1,5 @@
-//! Tests that the format of the file with the persisted version stays compatible: each reference file is read,
-//! compared field by field, and written again to the same bytes.
+//! Tests that the format of the file with the persisted version stays compatible: each reference file is
+//! read, compared field by field, and written again to the same bytes.
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_router::control::persisted_version::PersistedVersion;
 use rstest::rstest;
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Tests of settings that change while the router serves: the checks of new settings, a dispatcher that applies them,
-//! their publication by `LiveConfig`, and a reload of the program.
+//! Tests of settings that change while the router serves: the checks of new settings, a dispatcher that
+//! applies them, their publication by `LiveConfig`, and a reload of the program.
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
@@ -176,8 +176,8 @@
         self.updates.send_replace(generation(serial, settings));
     }
 
-    /// Opens a query like an HTTP request does. Returns the index of its service class and its client connection, or
-    /// `None` if the class is unknown.
+    /// Opens a query like an HTTP request does. Returns the index of its service class and its client
+    /// connection, or `None` if the class is unknown.
     fn open_query(&mut self, id: &str, class_name: &str) -> Option<(usize, Rc<ClientConnection>)> {
         self.dispatcher.apply_newest_config();
         let class = self.dispatcher.class_slot(class_name)?;
@@ -188,7 +188,8 @@
         Some((class, client))
     }
 
-    /// Reports `outcome` for the first attempt of a shard request and calls the policy; returns the decisions.
+    /// Reports `outcome` for the first attempt of a shard request and calls the policy; returns the
+    /// decisions.
     fn end_attempt(&mut self, request: &str, outcome: AttemptOutcome) -> Vec<String> {
         let id = AttemptId::new(request, 0);
         let node = self.dispatcher.attempts.get(&id).expect("in flight").node.clone();
--- a/crates/router/tests/sockets.rs
+++ b/crates/router/tests/sockets.rs
@@ -1,5 +1,6 @@
-//! Tests of the router program with fake clients, data nodes and discovery over loopback connections. The operating
-//! system chooses the ports. The tests wait for events of the program instead of sleeping for a fixed time.
+//! Tests of the router program with fake clients, data nodes and discovery over loopback connections. The
+//! operating system chooses the ports. The tests wait for events of the program instead of sleeping for a
+//! fixed time.
 mod common;
 use common::*;
 use rstest::rstest;
@@ -237,8 +238,8 @@
 
 #[rstest]
 fn a_new_connection_waits_for_a_descriptor_instead_of_failing_its_attempts() {
-    // The router has file descriptors for connections to two of the four data nodes, so most attempts wait until
-    // another connection is closed.
+    // The router has file descriptors for connections to two of the four data nodes, so most attempts wait
+    // until another connection is closed.
     let (program, nodes, _discovery) = start_router_with(4, 4000, 180, r#"{"sockets":20}"#);
     let mut client = program.connect();
     for id in 0..8 {
@@ -264,8 +265,8 @@
     client.send_query("q", &[0], 4000);
     assert_eq!(nodes.answer_next().0, ["q.0"]);
     assert_eq!(client.read_status(), "200");
-    // If the router did not close the incomplete requests' connections, the query would wait for the longest deadline
-    // of 5 s.
+    // If the router did not close the incomplete requests' connections, the query would wait for the longest
+    // deadline of 5 s.
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
 }
 
@@ -273,8 +274,8 @@
 fn a_client_that_does_not_read_delays_no_other_client() {
     let (program, nodes, _discovery) = start_router(1);
     let mut slow = program.connect();
-    // The client reads no responses, so the router stops reading requests and the client's socket accepts no more
-    // bytes.
+    // The client reads no responses, so the router stops reading requests and the client's socket accepts no
+    // more bytes.
     slow.0.get_mut().set_nonblocking(true).expect("set");
     let (requests, mut full) = ("GET /counters HTTP/1.1\r\n\r\n".repeat(1000), 0);
     while full < 20 {
@@ -437,8 +438,8 @@
     let mut late = program.connect();
     late.send("GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(late.read_status(), "503");
-    // The router serves queries until shortly before its end, because other routers may be down; SIGKILL follows 3.7
-    // s after SIGTERM at the earliest.
+    // The router serves queries until shortly before its end, because other routers may be down; SIGKILL
+    // follows 3.7 s after SIGTERM at the earliest.
     while began.elapsed() < Duration::from_millis(2000) {
         kept.send_query("b", &[1], 4000);
         assert_eq!(nodes.answer_next().0, ["b.1"]);
@@ -490,8 +491,8 @@
     let program = Program::start(&nodes.addresses, discovery.address, &asked, "{}");
     drop(discovery.accept_watch());
     program.wait_for_log("the watch is lost");
-    // The router notifies the policy that the request for the endpoint list failed, and the policy requests the list
-    // again.
+    // The router notifies the policy that the request for the endpoint list failed, and the policy requests
+    // the list again.
     let (_, mut watch) = discovery.accept_watch();
     send_update(&mut watch, &endpoint_update(45, true, &[]));
     program.wait_for_log("whole list 45: 0 entries");
--- a/crates/router/tests/startup.rs
+++ b/crates/router/tests/startup.rs
@@ -1,5 +1,5 @@
-//! Tests of the configuration file at the start: which values are read from the file, and the messages for invalid
-//! files.
+//! Tests of the configuration file at the start: which values are read from the file, and the messages for
+//! invalid files.
 mod common;
 use alderway_router::lifecycle::startup::{Overrides, ProgramRole, StartupConfig, StartupError};
 use alderway_telemetry::clock::Clock;
--- a/crates/router/tests/subscription.rs
+++ b/crates/router/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! Tests of a router's subscription to control servers over sockets. The tests commit versions of the settings on the
-//! control servers and wait for counters of the router.
+//! Tests of a router's subscription to control servers over sockets. The tests commit versions of the
+//! settings on the control servers and wait for counters of the router.
 use alderway_control_plane::messages::{ApplyOutcome, RouterMessage};
 use alderway_control_plane::publisher;
 use alderway_control_plane::subscriber::{ConfigVersion, ControlEndpoint, SubscriptionConfig};
@@ -429,8 +429,8 @@
     config
 }
 
-/// Returns the startup configuration of a router with the file of [`write_config`] and the persisted version in
-/// `persist_path`.
+/// Returns the startup configuration of a router with the file of [`write_config`] and the persisted version
+/// in `persist_path`.
 fn startup_from(
     folder: &TempFolder,
     persist_path: PathBuf,
--- a/crates/router/tests/system_faults.rs
+++ b/crates/router/tests/system_faults.rs
@@ -1,5 +1,5 @@
-//! Tests of the router program while system calls fail in ways that Linux documents, or the wall clock jumps. The
-//! faults occur while the program serves and while it shuts down.
+//! Tests of the router program while system calls fail in ways that Linux documents, or the wall clock jumps.
+//! The faults occur while the program serves and while it shuts down.
 mod common;
 use alderway_fault_injection::HELD_IN_SEND;
 use common::*;
@@ -10,7 +10,8 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Starts a router with the fault injection plan `faults` and one data node that answers every shard request at once.
+/// Starts a router with the fault injection plan `faults` and one data node that answers every shard request
+/// at once.
 fn start_with_faults(faults: &str) -> (Program, FakeDiscovery) {
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let program =
@@ -25,8 +26,8 @@
     (program, discovery)
 }
 
-/// Sends `count` queries one after the other on one connection; returns the number of responses with another status
-/// than 200.
+/// Sends `count` queries one after the other on one connection; returns the number of responses with another
+/// status than 200.
 fn send_queries_in_turn(program: &Program, count: usize) -> usize {
     let mut client = program.connect();
     let mut failed = 0;
@@ -135,7 +136,8 @@
         FullListener { listener, queued }
     }
 
-    /// Accepts all queued connections, and then the router's connection, for which the kernel has retried connecting.
+    /// Accepts all queued connections, and then the router's connection, for which the kernel has retried
+    /// connecting.
     fn accept(self) -> TcpStream {
         self.queued.iter().for_each(|_| drop(self.listener.accept().expect("a queued connection")));
         self.listener.accept().expect("the program's connection").0
@@ -158,7 +160,8 @@
     }
 }
 
-/// While the process is suspended, the data node accepts the router's connection, and then the client disconnects.
+/// While the process is suspended, the data node accepts the router's connection, and then the client
+/// disconnects.
 #[rstest]
 fn no_attempt_starts_for_a_client_that_disconnected_while_the_process_was_suspended() {
     let (node, discovery) = (FullListener::new(), FakeDiscovery::new());
@@ -178,8 +181,8 @@
     assert!(!matches!(received, Ok(1..)), "an attempt started for a client that had disconnected");
 }
 
-/// While the process is suspended, the data node accepts the router's connection, and then discovery reports that the
-/// data node is draining.
+/// While the process is suspended, the data node accepts the router's connection, and then discovery reports
+/// that the data node is draining.
 #[rstest]
 fn no_attempt_starts_on_a_node_that_began_to_drain_while_the_process_was_suspended() {
     let (node, discovery) = (FullListener::new(), FakeDiscovery::new());
@@ -215,8 +218,8 @@
     assert!(status.success(), "{status}");
 }
 
-/// A data node that starts while the router serves is in slow start, even if the wall clock was wrong when the router
-/// started.
+/// A data node that starts while the router serves is in slow start, even if the wall clock was wrong when
+/// the router started.
 #[rstest]
 #[case::right("seed=6")]
 #[case::an_hour_ahead("wall=3600")]
@@ -254,8 +257,9 @@
     assert!(sent <= 5, "{sent} of 30 queries were sent to a node in slow start that 200 routers share");
 }
 
-/// Send calls fail for lack of kernel buffers for 2 s while an attempt is ready to be written. When the first byte is
-/// finally written, the router checks whether the attempt may still be sent, and computes the remaining time.
+/// Send calls fail for lack of kernel buffers for 2 s while an attempt is ready to be written. When the first
+/// byte is finally written, the router checks whether the attempt may still be sent, and computes the
+/// remaining time.
 #[rstest]
 #[case::node_drains(true)]
 #[case::client_still_waits(false)]
