--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -8,8 +8,8 @@
 //! node, such as that the data node is slow.
 //!
 //! - [`server`]: runs the program on one core, on several cores, or as a planner.
-//! - [`lifecycle`]: reads the configuration at the start, applies changes of the configuration while serving, and
-//!   shuts down.
+//! - [`lifecycle`]: reads the configuration at the start, applies changes of the configuration while serving,
+//!   and shuts down.
 //! - [`io`]: the tasks that read and write sockets.
 //! - [`wire`]: the formats of HTTP requests, responses, data node frames and discovery.
 //! - [`state`]: open queries, attempts, connections, endpoints and counters.
