--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -29,9 +29,9 @@
 
 /// A function that applies the settings of a version, and returns the outcome.
 pub type ApplyCallback = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
-/// A function that publishes metrics of the subscription. The driver calls it every `OBSERVE_INTERVAL_S`
-/// seconds with the subscriber, the bytes transferred so far, and the time in seconds of
-/// [`SubscribedRouter::clock`].
+/// A function that publishes metrics of the subscription. Its arguments are the subscriber, the bytes
+/// transferred so far, and the time in seconds of [`SubscribedRouter::clock`]; the function is called every
+/// `OBSERVE_INTERVAL_S` seconds.
 pub type ObserveCallback = Box<dyn FnMut(&Subscriber, ControlTraffic, f64)>;
 /// A function that persists a version for the next start, with the time at which the version was last
 /// confirmed as the latest, in seconds of [`SubscribedRouter::clock`]; `None` if that time is unknown.
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -43,8 +43,8 @@
     pub config: SubscriptionConfig,
     /// The file in which the latest version is persisted; `None` if versions are not persisted.
     pub persist_path: Option<PathBuf>,
-    /// The persisted version with which this router starts; `None` if it starts with the configuration file's
-    /// settings.
+    /// The persisted version with which this router starts; `None` if the router starts with the settings of
+    /// the configuration file.
     pub persisted: Option<PersistedVersion>,
     /// Why a persisted version exists but cannot be used; `None` otherwise.
     pub startup_error: Option<UnusablePersistedVersion>,
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -176,8 +176,8 @@
 
 async fn write_all(mut pending: watch::Receiver<Option<Pending>>, path: PathBuf, clock: Clock) {
     while pending.changed().await.is_ok() {
-        // Disk errors may be temporary, so writing is retried until it succeeds, always with the latest
-        // version.
+        // Disk errors may be temporary, so the writer retries until a version is written, always with the
+        // latest version.
         while let Err((number, error)) = write_latest(&mut pending, &path, clock).await {
             let delay_s = RETRY_DELAY.as_secs();
             tracing::error!(target: "control", "settings version {number} could not be written to the disk: {error}; retrying in {delay_s} s");
--- a/crates/router/src/io/acceptor.rs
+++ b/crates/router/src/io/acceptor.rs
@@ -16,7 +16,7 @@
 /// available.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Serves accepted client connections, or distributes them to the cores that serve them.
+/// Serves accepted client connections, or distributes the connections to cores.
 pub trait ConnectionAcceptor {
     /// Closes an idle client connection, if there is one, to release its file descriptor.
     fn close_idle_connection(&self);
--- a/crates/router/src/io/arrival.rs
+++ b/crates/router/src/io/arrival.rs
@@ -39,8 +39,9 @@
 type TimestampedRead = (usize, Option<f64>);
 
 /// Reads the available bytes. Returns the number of bytes and the arrival time of the last byte, or `None` if
-/// no bytes were available. `drained_at_s` is when the connection last had no unread bytes; the function
-/// updates it if there are none now. Times are in seconds of the monotonic clock.
+/// no bytes were available. `drained_at_s` is when the connection last had no unread bytes; if no bytes are
+/// unread now, the function sets `drained_at_s` to the current time. Times are in seconds of the monotonic
+/// clock.
 ///
 /// # Errors
 /// The peer closed the connection, or reading failed.
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -38,7 +38,7 @@
 /// Interval at which a core publishes its metrics and its heartbeat.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The phase of the program, which the supervising thread sends to all cores.
+/// The phase of the program; the supervising thread sends the phase to all cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgramPhase {
     /// The program serves requests; no shutdown has begun.
@@ -57,7 +57,7 @@
     Ended(usize),
 }
 
-/// The configuration and channels of one core, which are used at the first start and at each restart.
+/// The configuration and channels of one core, used at the first start of the core and at each restart.
 pub struct CoreInputs {
     /// The number of the core, from 0.
     pub core: usize,
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -111,7 +111,8 @@
         running
     }
 
-    /// Reads the heartbeats of all cores and updates the cores' states; returns the changes.
+    /// Reads the heartbeats of all cores and updates the cores' states; returns the changed states. If this
+    /// thread itself did not run for longer than the heartbeat timeout, no core counts as hung for that time.
     fn check_heartbeats(&self) -> Vec<StatusChange> {
         let (now, mut core_table) = (self.clock.now(), self.core_table.borrow_mut());
         let mut changes = vec![];
--- a/crates/router/src/io/discovery.rs
+++ b/crates/router/src/io/discovery.rs
@@ -43,8 +43,8 @@
     /// Called when a watch has failed or timed out; `answered` says whether discovery had begun its response
     /// on this watch.
     fn watch_lost(&mut self, answered: bool);
-    /// Called for each message from discovery, with the seconds since the previous message, which may have
-    /// arrived on an earlier watch.
+    /// Called for each message from discovery, with the seconds since the previous message, on this watch or
+    /// an earlier one.
     fn record_silence(&mut self, gap_s: f64);
     /// Called when a reload of the configuration changes the address of discovery.
     fn discovery_moved(&mut self);
@@ -183,8 +183,8 @@
         let layout = handler.layout_version();
         (handler.clock(), handler.endpoints().version, layout)
     };
-    // If changes since the current version cannot be applied, requesting them again would fail for ever:
-    // version 0 requests the whole layout.
+    // If the changes since the current version of the layout cannot be applied, requesting the changes again
+    // would fail for ever: a request with version 0 asks for the whole layout.
     if std::mem::take(needs_whole_layout) {
         layout = layout.map(|_| 0);
     }
@@ -267,7 +267,7 @@
     let (clock, endpoints) = (handler.clock(), handler.endpoints());
     let now = clock.now();
     if !is_whole && endpoints.version.is_none_or(|current| version < current) {
-        // The change cannot be applied to the current list: without a version, the next watch requests the
+        // The change cannot be applied to the current list. Without a version, the next watch requests the
         // whole list.
         endpoints.version = None;
         return Err("discovery sent a change of an older endpoint list than the current one");
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -1,6 +1,7 @@
 //! Holds the endpoint list and the layout on the supervising thread of a router on several cores, and
 //! publishes snapshots of both to all cores. An endpoint list names the data nodes; a layout is a version of
-//! the assignment of shards to data nodes.
+//! the assignment of shards to data nodes. The fence is a check that all cores share: a core starts no
+//! attempt while the fence has a newer generation than the last snapshot that the core has applied.
 use super::discovery;
 use crate::state::counters::Counters;
 use crate::state::endpoints::{Endpoint, EndpointTable};
@@ -26,7 +27,7 @@
 }
 
 /// Applies the updates of discovery to the supervising thread's endpoint list and shard map, and publishes
-/// them to the cores.
+/// the endpoint list and the layout to the cores.
 pub struct EndpointPublisher {
     clock: Clock,
     polls_endpoints: bool,
@@ -62,8 +63,8 @@
         self.snapshots.subscribe()
     }
 
-    /// Publishes a snapshot. First raises the generation in the fence, the check that cores share: from then
-    /// on, a core starts no attempt until the core has applied this snapshot.
+    /// Publishes a snapshot. First raises the generation in the fence: from then on, a core starts no attempt
+    /// until the core has applied this snapshot.
     fn publish(&mut self) {
         let generation = self.shared.fence.publish();
         let entries = Arc::new(self.endpoints.endpoints());
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -25,8 +25,8 @@
 }
 
 impl<'a> DispatcherDecisionSink<'a> {
-    /// Creates a sink for decisions that a planner has sent. The caller has already recorded them in
-    /// [`Tier`].
+    /// Creates a sink for decisions that a planner has sent. The caller has already recorded these decisions
+    /// in [`Tier`], so the sink does not record them.
     pub fn for_planner_decisions(dispatcher: &'a DispatcherHandle) -> Self {
         DispatcherDecisionSink { dispatcher, tier: None }
     }
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -87,8 +87,8 @@
     let clock = dispatcher.borrow().clock;
     let phases = begin_draining(&dispatcher);
     listener_closed.await;
-    // The task of the last accepted connection runs for the first time during this pause; otherwise it would
-    // not be counted as a client below.
+    // The task of the last accepted connection runs for the first time during this pause; without the pause,
+    // the connection would not be counted as a client below.
     sleep(POLL_INTERVAL).await;
     while clock.now() < phases.end && !dispatcher.borrow().clients.is_empty() {
         if clock.now() >= phases.close_at {
@@ -154,8 +154,8 @@
     }
 }
 
-/// Closes the client connections that were assigned to a core after its shutdown. Requests on them are
-/// rejected at once.
+/// Closes the client connections that were assigned to a core after its shutdown. Requests on these
+/// connections are rejected at once.
 pub async fn reject_late_connections(dispatcher: DispatcherHandle) {
     // The tasks of these connections run for the first time during this pause.
     sleep(POLL_INTERVAL).await;
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -131,7 +131,8 @@
         self.0.in_force.borrow().clone()
     }
 
-    /// The version number of the settings in force; `None` if they come from the configuration file.
+    /// The number that the control servers have given the version of the settings in force; `None` if the
+    /// settings come from the configuration file.
     pub fn version(&self) -> Option<u64> {
         Some(self.0.shared.config_version.load(Relaxed)).filter(|version| *version > 0)
     }
@@ -203,7 +204,8 @@
     }
 
     /// Waits until the cores have applied the settings with this serial number. Returns the numbers of the
-    /// cores that have not, because they do not serve or `APPLY_TIMEOUT` has passed.
+    /// cores that have not applied these settings, because the core does not serve or `APPLY_TIMEOUT` has
+    /// passed.
     async fn wait_until_applied(&self, serial: u64) -> Vec<usize> {
         let deadline = Instant::now() + APPLY_TIMEOUT;
         let mut late_cores = vec![];
--- a/crates/router/src/lifecycle/reload.rs
+++ b/crates/router/src/lifecycle/reload.rs
@@ -35,9 +35,9 @@
 }
 
 /// Reads the configuration file again at each SIGHUP, for as long as the program runs. Sends the address of
-/// the discovery server to `discovery`. If `live_config` is given, applies the file's settings to it, but
-/// only if they have changed in the file since they were last applied: a reload for another reason must not
-/// undo settings from another source.
+/// the discovery server to `discovery`. If `live_config` is `Some`, applies the file's settings to it, but
+/// only if the settings have changed in the file since the last reload that applied settings: a reload for
+/// another reason must not undo settings from another source.
 pub async fn reload_at_sighup(
     mut hangups: Signals,
     mut previous: PreviousConfig,
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -67,7 +67,8 @@
     pub shard_map: Option<ShardMapConfig>,
     /// The role of the program among the routers, forwarders and planners.
     pub role: ProgramRole,
-    /// The routers with which this router exchanges observations of data nodes; `None` if gossip is disabled.
+    /// The routers with which this router exchanges observations, which are measurements of data nodes;
+    /// `None` if gossip is disabled.
     pub gossip: Option<GossipGroup>,
 }
 
@@ -77,7 +78,8 @@
     /// Serves clients and makes all decisions itself.
     #[default]
     Router,
-    /// Serves clients. Planners make the decisions; while none is available, the forwarder decides itself.
+    /// Serves clients. Planners make the decisions; while no planner is available, the forwarder makes the
+    /// decisions itself.
     Forwarder {
         /// The address of each planner.
         planners: Vec<SocketAddr>,
@@ -96,8 +98,8 @@
 pub type OperatorFileChangeCheck = Arc<dyn Fn() -> Result<bool, String> + Send + Sync>;
 
 /// The keys `name`, `listen`, `limits` and `settings` of the configuration file, with their values in the
-/// file. They can only change with a restart, except for `settings`, which a reload can apply if no control
-/// server supplies the settings.
+/// file. The first three keys can only change with a restart. A reload can apply `settings`, unless control
+/// servers supply the settings or a changed key of the settings needs a restart.
 pub type RestartOnlyKeys = [(&'static str, Value); 4];
 
 /// Why the program cannot start with a configuration.
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Parses a query request and opens its query; returns the error response if the request is invalid.
+/// Parses a query request and opens the query; returns the error response if the request is invalid.
 fn open_query(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -55,7 +55,7 @@
     program.signal("STOP");
     let mut client = program.connect();
     client.send_query("q", &[0], 4000);
-    // Suspends the process for longer than the listener stays open after SIGTERM.
+    // The process stays suspended for 0.7 s, longer than the listener stays open after SIGTERM.
     thread::sleep(Duration::from_millis(700));
     program.signal("CONT");
     assert_eq!(nodes.answer_next().0, ["q.0"]);
@@ -148,8 +148,8 @@
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let limits = r#"{"sockets":32}"#;
     let program = Program::start(&nodes.addresses, discovery.address, &settings_json(1000, 180), limits);
-    // Each client has received a response, so the router may close any of their connections. No client closes
-    // its connection.
+    // Each client has received a response, so the router may close any of the clients' connections. No client
+    // closes its connection.
     let mut idle: Vec<Client> = vec![];
     for _ in 0..40 {
         let mut client = program.connect();
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,5 +1,5 @@
 //! Tests of settings that change while the router serves: the checks of new settings, a dispatcher that
-//! applies them, their publication by `LiveConfig`, and a reload of the program.
+//! applies new settings, the publication of settings by `LiveConfig`, and a reload of the program.
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
@@ -334,7 +334,7 @@
             outcome = &mut apply => panic!("{outcome:?} although core 1 has not applied the settings"),
             () = tokio::task::yield_now() => {}
         }
-        // From now on, core 1 hangs; `apply` does not wait for a core that hangs.
+        // From here on, core 1 hangs; `apply` does not wait for a core that hangs.
         hangs.set(true);
         assert_eq!(apply.await, Ok(ApplyResult::Changed));
         assert_eq!(
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Tests of a graceful shutdown during which the process is suspended: every query that was read is answered,
-//! and the process exits before the earliest SIGKILL.
+//! Tests of a graceful shutdown during which SIGSTOP suspends the process for a short time: every query that
+//! was read is answered, and the process exits before the earliest SIGKILL.
 mod common;
 #[path = "common/suspended_shutdown.rs"]
 mod suspended_shutdown;
@@ -67,8 +67,8 @@
     shutdown_errors(suspended_at_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
-/// Guards against queries that were read and are never answered, because a process that was suspended exits
-/// before its tasks have written the last responses.
+/// Guards against a process that was suspended and then exits before its tasks have written the last
+/// responses, so that queries that were read are never answered.
 #[rstest]
 fn a_shutdown_suspended_at_any_time_of_its_last_part_answers_every_read_query() {
     run_suspended_shutdowns(EARLIEST_KILL_S, LAST_PART_S, SHUTDOWNS, errors_of_suspended_shutdown);
--- a/crates/router/tests/system_faults.rs
+++ b/crates/router/tests/system_faults.rs
@@ -59,7 +59,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send_query(&format!("q{number}"), &[1], 4000);
     }
-    // Suspends the process for longer than the listener stays open after SIGTERM.
+    // The process stays suspended for 0.7 s, longer than the listener stays open after SIGTERM.
     thread::sleep(Duration::from_millis(700));
     program.signal("CONT");
     for client in &mut clients {
