--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -109,7 +109,7 @@
         self.stream.readable().await.is_ok()
     }
 
-    /// Waits until the socket is writable.
+    /// Waits until the socket can accept output again; the next [`Self::write`] detects a failed socket.
     pub(super) async fn writable(&self) {
         self.sender.ready(&self.stream).await;
     }
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -27,9 +27,9 @@
 /// Time after which an idle client connection is closed, in seconds. The client protocol allows the router to
 /// close a connection that has had no open request for 2 s.
 const IDLE_TIMEOUT_S: f64 = 2.0;
-/// Time in seconds within which a client must send its first complete request, counted from the start of the
-/// session on this core. The client protocol requires an error response or a close after this time: the
-/// router sends a 408 response if a part of the request has arrived, and closes the connection otherwise.
+/// Time from connecting, in seconds, by which a client that has sent no complete request must have received
+/// an error response or the close of the connection, according to the client protocol. The router sends a 408
+/// response if a part of the request has arrived, and closes the connection otherwise.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
 /// How long the router waits for the client to close a connection after the router has sent its last
 /// response. If the router closed the socket first, bytes that the client still sends would make the kernel
@@ -173,7 +173,8 @@
 /// session is not in that state.
 #[derive(Default)]
 struct StateTimes {
-    /// No query is open, and no response has to be written.
+    /// Since when no query has been open and no response has had to be written, in seconds of the monotonic
+    /// clock.
     idle_since: Option<f64>,
     /// When this session found the first part of a request that is still incomplete, in seconds of the
     /// monotonic clock; `None` if there is no incomplete request.
@@ -189,7 +190,7 @@
     has_open_query: bool,
     is_writing: bool,
     has_partial_request: bool,
-    /// No query is open, and no response has to be written.
+    /// Whether no query is open and no response has to be written.
     is_idle: bool,
     /// When the session times out, in seconds of the monotonic clock; infinite while a query is open and no
     /// response is being written.
@@ -217,7 +218,8 @@
     has_overrun: bool,
     /// Whether `100 Continue` was sent to the client for the current request.
     has_sent_continue: bool,
-    /// Deadline for receiving the first complete request, in seconds of the monotonic clock.
+    /// Deadline for receiving the first complete request, in seconds of the monotonic clock. After this time,
+    /// the router rejects an incomplete first request.
     first_request_by: f64,
     /// When the last byte from the client arrived, in seconds of the monotonic clock.
     read_at: f64,
--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -86,7 +86,8 @@
     }
 
     /// Checks heartbeats in the first part of a shutdown, in which the listener is still open, so that a core
-    /// that stops hanging is assigned new connections again. Never returns.
+    /// that stops hanging is assigned new connections again. Unlike [`Self::supervise`], permits no restarts
+    /// and moves no connections. Never returns.
     pub async fn monitor_heartbeats(&self) {
         loop {
             sleep(HEARTBEAT_INTERVAL).await;
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -16,7 +16,8 @@
 /// A complete copy of the endpoint list and the layout, which all cores apply.
 #[derive(Clone, Default)]
 pub struct EndpointSnapshot {
-    /// The number of this snapshot; every published snapshot has a higher number than the one before.
+    /// The number that the fence has assigned to this endpoint list and layout; the number increases with
+    /// each publication. A change of `watch_failures` alone keeps the number.
     pub generation: u64,
     pub entries: Arc<Vec<Endpoint>>,
     pub layout: Option<Layout>,
--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -276,9 +276,9 @@
         self.dispatcher.borrow_mut().endpoints.connection(self.node, self.connection).map(act)
     }
 
-    /// After a stall of this thread, yields once to the thread's other tasks, which read their sockets,
-    /// before this connection writes an attempt. Guards against sending an attempt although the kernel has
-    /// already received the disconnect of its client, or the message from discovery that its data node is
+    /// After a stall of this thread, yields to the thread's other tasks, which read their sockets, before
+    /// this connection writes an attempt. Guards against sending an attempt although the kernel has already
+    /// received the disconnect of the attempt's client, or the message from discovery that the data node is
     /// draining.
     async fn read_pending_input_after_stall(&mut self) {
         loop {
@@ -454,9 +454,10 @@
         Ok(())
     }
 
-    /// Sets a deadline for a partly received reply; the wait may be short, as data nodes write each reply in
-    /// one piece. Guards against a frame whose length prefix is larger than its content: the attempts on the
-    /// connection would wait for the missing bytes, and the next reply would be read as part of this one.
+    /// Sets a deadline for the rest of a partly received reply. The deadline may be short, as data nodes
+    /// write each reply in one piece. Guards against a frame whose length prefix is larger than its content:
+    /// the attempts on the connection would wait for the missing bytes, and the next reply would be read as
+    /// part of this one.
     fn limit_incomplete_answer(&mut self, frames_read: usize) {
         if self.incoming.is_empty() {
             self.read_by = f64::INFINITY;
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -6,8 +6,8 @@
 //!
 //! 1. Draining, from SIGTERM: the listener stays open for [`LISTEN_TIME_AFTER_SIGTERM`], and connections are
 //!    served as before.
-//! 2. Closing, as soon as a new query might not be answered before the time limit: idle connections are closed
-//!    at once, others after their current response.
+//! 2. Closing, as soon as a new query might not be answered before the time limit: idle connections are
+//!    closed at once, others after their current response.
 //! 3. Ending, once all clients are disconnected or the time limit is reached: open queries are answered with
 //!    an error, and the last responses are written.
 use crate::state::DispatcherHandle;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -356,13 +356,14 @@
     )
 }
 
-/// Starts a router, `count` fake data nodes and a fake discovery server. Discovery sends nothing until the
-/// test does.
+/// Starts a router, `count` fake data nodes and a fake discovery server. The discovery server sends only the
+/// updates that the test sends with [`send_update`].
 pub fn start_router(count: usize) -> (Program, FakeNodes, FakeDiscovery) {
     start_router_with(count, 1000, 180, r#"{"sockets":256}"#)
 }
 
-/// Like [`start_router`], with settings by [`settings_json`] and the key `limits` of the configuration file.
+/// Like [`start_router`], but passes `latency_objective_ms` and `max_open` to [`settings_json`], and uses
+/// `limits` as the value of the key `limits` in the configuration file.
 pub fn start_router_with(
     count: usize,
     latency_objective_ms: u64,
--- a/crates/router/tests/system_faults.rs
+++ b/crates/router/tests/system_faults.rs
@@ -26,8 +26,8 @@
     (program, discovery)
 }
 
-/// Sends `count` queries one after the other on one connection; returns the number of responses with another
-/// status than 200.
+/// Sends `count` queries one after the other on one connection; returns the number of responses whose status
+/// is not 200.
 fn send_queries_in_turn(program: &Program, count: usize) -> usize {
     let mut client = program.connect();
     let mut failed = 0;
