--- a/crates/router/src/io/node_session.rs
+++ b/crates/router/src/io/node_session.rs
@@ -139,9 +139,10 @@
         is_short_of_resources.set(true);
         dispatcher.borrow_mut().counters.increment("dials_short_of_descriptors");
         dispatcher.borrow_mut().endpoints.retire_longest_idle();
-        // A registered waiter marks the pool of descriptors, which all cores share, as exhausted. At each
-        // heartbeat, every core then closes its longest idle connection to a data node, as the idle
-        // connections of other cores may hold all descriptors. Dropping the waiter unregisters it.
+        // A registered waiter marks the pool of descriptors, which all cores share, as exhausted. While a
+        // waiter is registered, each core closes its longest idle connection to a data node at its heartbeat,
+        // as the idle connections of other cores may hold all descriptors. Dropping the waiter unregisters
+        // it.
         waiter.get_or_insert_with(|| descriptors.pool.register_waiter());
         descriptors.released.notified().await;
     };
--- a/crates/router/src/lifecycle/graceful_shutdown.rs
+++ b/crates/router/src/lifecycle/graceful_shutdown.rs
@@ -19,16 +19,15 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// How long the client listener stays open after SIGTERM. The client protocol allows new connections for 0.4
-/// s.
+/// How long the client listener stays open after SIGTERM. By the client protocol, clients may open new
+/// connections until 0.4 s after SIGTERM.
 pub const LISTEN_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(500);
 /// Longest query deadline, in seconds, for which a shutdown can wait. By the client protocol, the platform
-/// sends SIGKILL no earlier than the longest query deadline, but at most this value, plus
-/// [`KILL_AFTER_DEADLINE_S`] after SIGTERM. A longer query deadline counts as this value when the shutdown's
-/// time limit is computed.
+/// sends SIGKILL no earlier than [`KILL_AFTER_DEADLINE_S`] after a time counted from SIGTERM: the longest
+/// query deadline or this value, whichever is less.
 const MAX_DEADLINE_S: f64 = 3.0;
-/// Minimum time between SIGKILL and the longest query deadline (at most [`MAX_DEADLINE_S`]) counted from
-/// SIGTERM, in seconds.
+/// Minimum time, in seconds, from the longest query deadline (at most [`MAX_DEADLINE_S`], counted from
+/// SIGTERM) to SIGKILL.
 const KILL_AFTER_DEADLINE_S: f64 = 0.7;
 /// Time reserved for writing the last responses, in seconds.
 const LAST_ANSWERS_S: f64 = 0.1;
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -86,8 +86,8 @@
     is_serving: RefCell<Option<IsServing>>,
 }
 
-/// The settings in force in a running router. Clones share one state; with several cores, the supervising
-/// thread uses them.
+/// The settings in force in a running router. All clones share one state. With several cores, only the
+/// supervising thread, which serves no clients, uses the clones.
 #[derive(Clone)]
 pub struct LiveConfig(Rc<Inner>);
 
@@ -180,9 +180,9 @@
 
     fn check_against_in_force(&self, settings: &Value) -> Result<CheckedSettings, ConfigError> {
         if self.0.role != ProgramRole::Router {
-            // Forwarders and planners divide limits of the settings by the number of all forwarders or
-            // planners, which is only configured at the start. A forwarder is a router whose decisions are
-            // made by planners.
+            // Forwarders and planners divide limits of the settings by a number computed from the count of
+            // all forwarders or planners. That count is only configured at the start. A forwarder is a router
+            // whose decisions are made by planners.
             return Err(ConfigError::RestartRequired(vec!["settings".into()]));
         }
         let checked = check(settings, Some(&self.settings_in_force()))?;
