--- a/crates/router/src/control/connection.rs
+++ b/crates/router/src/control/connection.rs
@@ -1,5 +1,5 @@
-//! Reads and writes frames on a connection to a control server. The first frame in each direction is a hello with the
-//! sender's name; messages follow.
+//! Reads and writes frames on a connection to a control server. The first frame in each direction is a hello
+//! with the sender's name; messages follow.
 use alderway_control_plane::messages::{ControlMessage, RouterMessage};
 use alderway_sockets::Sender;
 use alderway_transport::{FrameError, FrameReader, Hello, Incarnation, Name, Received, encode_hello};
@@ -54,8 +54,8 @@
         Connection { stream, sender, reader, expected_name, is_greeted: false, output }
     }
 
-    /// Whether [`Self::send`] can be called: the control server's hello has arrived, and the previous message is
-    /// written.
+    /// Whether [`Self::send`] can be called: the control server's hello has arrived, and the previous message
+    /// is written.
     pub(super) fn is_ready_to_send(&self) -> bool {
         self.is_greeted && self.output.is_empty()
     }
@@ -89,8 +89,9 @@
         }
     }
 
-    /// Returns the next frame in the bytes read so far, or `None` if no further frame is complete. Returns an error
-    /// if a hello does not have the expected name.
+    /// Returns the next frame in the bytes read so far, or `None` if the bytes hold no further complete
+    /// frame. Returns an error if a frame is malformed, or if the name in the control server's hello is not
+    /// the name that the configuration has for its address.
     pub(super) fn next_incoming(&mut self) -> Result<Option<Incoming>, ConnectionError> {
         match self.reader.next_frame()? {
             Some(Received::Hello(hello)) if hello.name == self.expected_name => {
@@ -108,7 +109,7 @@
         self.stream.readable().await.is_ok()
     }
 
-    /// Waits until the socket is writable.
+    /// Waits until the socket can accept output again; the next [`Self::write`] detects a failed socket.
     pub(super) async fn writable(&self) {
         self.sender.ready(&self.stream).await;
     }
--- a/crates/router/src/control/driver.rs
+++ b/crates/router/src/control/driver.rs
@@ -1,5 +1,5 @@
-//! Runs a subscription: executes the commands of the [`Subscriber`], such as connecting to a control server or
-//! applying settings, and passes the results to the subscriber.
+//! Runs a subscription: executes the commands of the [`Subscriber`], such as connecting to a control server
+//! or applying settings, and passes the results to the subscriber.
 use super::connection::{Connection, ConnectionError, Incoming};
 use alderway_control_plane::messages::ApplyOutcome;
 use alderway_control_plane::rate_limit::{ROUTER_READ, TokenBucket};
@@ -29,11 +29,12 @@
 
 /// A function that applies the settings of a version, and returns the outcome.
 pub type ApplyCallback = Box<dyn Fn(Value, VersionNumber) -> BoxFuture<ApplyOutcome>>;
-/// A function that is called every `OBSERVE_INTERVAL_S` with the subscriber, the bytes transferred so far, and the
-/// time in seconds of [`SubscribedRouter::clock`].
+/// A function that publishes metrics of the subscription. Its arguments are the subscriber, the bytes
+/// transferred so far, and the time in seconds of [`SubscribedRouter::clock`]; the function is called every
+/// `OBSERVE_INTERVAL_S` seconds.
 pub type ObserveCallback = Box<dyn FnMut(&Subscriber, ControlTraffic, f64)>;
-/// A function that persists a version for the next start, with the time at which the version was last confirmed as
-/// the latest, in seconds of [`SubscribedRouter::clock`]; `None` if that time is unknown.
+/// A function that persists a version for the next start, with the time at which the version was last
+/// confirmed as the latest, in seconds of [`SubscribedRouter::clock`]; `None` if that time is unknown.
 pub type PersistCallback = Box<dyn Fn(ConfigVersion, Option<f64>)>;
 
 /// Number of bytes transferred on all connections to control servers since the program started.
@@ -45,7 +46,8 @@
     pub sent_bytes: u64,
 }
 
-/// The router that subscribes: its identity, its control servers, and the functions that the driver calls.
+/// The data that the driver needs about the router that subscribes: the router's identity, the addresses of
+/// its control servers, and the functions that the driver calls.
 pub struct SubscribedRouter {
     /// The name that the router sends to control servers.
     pub name: Name,
@@ -59,9 +61,11 @@
     pub apply: ApplyCallback,
     /// Persists a version for the next start.
     pub persist: PersistCallback,
-    /// Is called regularly with the subscriber, to publish metrics.
+    /// Publishes metrics of the subscription. The driver calls this function every `OBSERVE_INTERVAL_S`
+    /// seconds with the subscriber and the number of bytes transferred.
     pub observe: ObserveCallback,
-    /// Whether the events of the subscriber are logged.
+    /// Whether the driver writes the events in the subscriber's [`Command::Log`] to the log, for example that
+    /// a connection to a control server was closed.
     pub log_events: bool,
 }
 
@@ -96,7 +100,7 @@
 enum Event {
     Connected(io::Result<TcpStream>),
     Applied(ApplyOutcome),
-    /// The connection to the control server is readable; false if the connection has failed.
+    /// The connection to the control server is readable; the value is false if the connection has failed.
     Readable(bool),
     Writable,
     DeadlineReached,
@@ -167,7 +171,8 @@
             connection.send(message);
             match connection.write() {
                 Ok(count) => self.traffic.sent_bytes += count as u64,
-                // The message stays queued; the next write also fails, and that failure closes the connection.
+                // The message stays queued; the next write also fails, and that failure closes the
+                // connection.
                 Err(_) => return,
             }
         }
@@ -187,8 +192,8 @@
         }
     }
 
-    /// Returns how long to wait for an event, in seconds: until the subscriber's next deadline, or until the rate
-    /// limit allows reading again.
+    /// Returns how long to wait for an event, in seconds: until the subscriber's next deadline, or until the
+    /// rate limit allows reading again.
     fn wait_s(&self, now: f64, may_read: bool) -> f64 {
         let waits_for_limit = !may_read && self.connection.is_some();
         let read_at = if waits_for_limit { self.read_limit.ready_at(MIN_READ_BYTES) } else { f64::INFINITY };
--- a/crates/router/src/control/persisted_version.rs
+++ b/crates/router/src/control/persisted_version.rs
@@ -1,10 +1,11 @@
-//! Reads and writes the file with the latest version of the settings from control servers, with which the router
-//! starts the next time. This allows a start while no control server is reachable.
+//! Reads and writes the file with the latest version of the settings from control servers, with which the
+//! router starts the next time. This allows a start while no control server is reachable.
 //!
-//! The first line of the file is `alderway-version 1 NUMBER DIGEST CONFIRMED`: the version's number, the digest of
-//! the settings text in hexadecimal, and the time at which the version was last confirmed as the latest, in
-//! milliseconds of Unix time, or `-` if unknown. The settings text follows. The digest detects a damaged file. A
-//! version is applied before it is written; after a crash in between, the next start uses the previous version.
+//! The first line of the file is `alderway-version 1 NUMBER DIGEST CONFIRMED`: the version's number, the
+//! digest of the settings text in hexadecimal, and the time at which the version was last confirmed as the
+//! latest, in milliseconds of Unix time, or `-` if unknown. The settings text follows. The digest detects a
+//! damaged file. A version is applied before it is written; after a crash in between, the next start uses the
+//! previous version.
 use alderway_control_plane::content::MAX_SETTINGS_BYTES;
 use alderway_control_plane::subscriber::ConfigVersion;
 use alderway_control_plane::version::VersionNumber;
@@ -23,7 +24,7 @@
 /// Upper bound of the length of the file's first line, in bytes.
 const MAX_HEADER_BYTES: u64 = 200;
 const MAX_FILE_BYTES: u64 = MAX_SETTINGS_BYTES as u64 + MAX_HEADER_BYTES;
-/// Stands for an unknown time in the file's first line.
+/// The text for an unknown time of the last confirmation in the file's first line.
 const UNKNOWN_TIME: &str = "-";
 /// Pause before writing is retried, after a version could not be written.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
@@ -33,12 +34,13 @@
 pub struct PersistedVersion {
     /// The version's number, digest and settings text.
     pub version: ConfigVersion,
-    /// When a control server last confirmed the version as the latest, in milliseconds of Unix time; `None` if
-    /// unknown.
+    /// When a control server last confirmed the version as the latest, in milliseconds of Unix time; `None`
+    /// if unknown.
     pub confirmed_at_unix_ms: Option<u64>,
 }
 
-/// Why the file with the persisted version cannot be read or written.
+/// Why [`PersistedVersion`] could not be read from its file or written to it. At the start,
+/// [`UnusablePersistedVersion`] wraps this error.
 #[derive(Debug, Error)]
 pub enum PersistedVersionError {
     /// The operating system reported an error.
@@ -72,7 +74,7 @@
     /// This program rejects the settings of the persisted version.
     #[error("persisted version {number}: {reason}; ignored")]
     InvalidSettings {
-        /// The number of the version.
+        /// The number that the control servers have given the persisted version.
         number: VersionNumber,
         /// One line that names the invalid key.
         reason: String,
@@ -101,9 +103,9 @@
         }
     }
 
-    /// Replaces the file at `path` atomically: writes and syncs a temporary file in the same directory, renames it to
-    /// `path`, and syncs the directory. After a crash at any time, `path` has either its previous content or the new
-    /// one.
+    /// Replaces the file at `path` atomically: writes and syncs a temporary file in the same directory,
+    /// renames it to `path`, and syncs the directory. After a crash at any time, `path` has either its
+    /// previous content or the new one.
     ///
     /// # Errors
     /// The operating system reported an error; the file has either its previous content or the new one.
@@ -144,17 +146,17 @@
     }
 }
 
-/// The version that has to be written next.
+/// The version that the writer task has to write next.
 #[derive(Clone)]
 struct Pending {
     version: ConfigVersion,
-    /// When a control server last confirmed the version as the latest, in seconds of the monotonic clock; `None` if
-    /// unknown.
+    /// When a control server last confirmed the version as the latest, in seconds of the monotonic clock;
+    /// `None` if unknown.
     confirmed_at: Option<f64>,
 }
 
-/// Writes versions to the file with the persisted version, on a separate thread, so that the current thread does not
-/// wait for the disk.
+/// Writes versions to the file with the persisted version, on a separate thread, so that the current thread
+/// does not wait for the disk.
 pub struct VersionWriter(watch::Sender<Option<Pending>>);
 
 impl VersionWriter {
@@ -165,8 +167,8 @@
         VersionWriter(sender)
     }
 
-    /// Queues a version to be written; an earlier version that is not yet written is dropped. `confirmed_at` is when
-    /// a control server last confirmed the version as the latest, in seconds of the monotonic clock.
+    /// Queues a version to be written; an earlier version that is not yet written is dropped. `confirmed_at`
+    /// is when a control server last confirmed the version as the latest, in seconds of the monotonic clock.
     pub fn persist(&self, version: ConfigVersion, confirmed_at: Option<f64>) {
         self.0.send_replace(Some(Pending { version, confirmed_at }));
     }
@@ -174,7 +176,8 @@
 
 async fn write_all(mut pending: watch::Receiver<Option<Pending>>, path: PathBuf, clock: Clock) {
     while pending.changed().await.is_ok() {
-        // Disk errors may be temporary, so writing is retried until it succeeds, always with the latest version.
+        // Disk errors may be temporary, so the writer retries until a version is written, always with the
+        // latest version.
         while let Err((number, error)) = write_latest(&mut pending, &path, clock).await {
             let delay_s = RETRY_DELAY.as_secs();
             tracing::error!(target: "control", "settings version {number} could not be written to the disk: {error}; retrying in {delay_s} s");
@@ -186,7 +189,8 @@
     }
 }
 
-/// Writes the latest queued version to `path`; the error includes the number of the version that could not be written.
+/// Writes the latest queued version to `path`; the error includes the number of the version that could not be
+/// written.
 async fn write_latest(
     pending: &mut watch::Receiver<Option<Pending>>,
     path: &Path,
--- a/crates/router/src/control/settings.rs
+++ b/crates/router/src/control/settings.rs
@@ -1,5 +1,5 @@
-//! Applies versions of the settings from control servers: the persisted version at the start of the router, and later
-//! versions while the router serves.
+//! Applies versions of the settings from control servers: the persisted version at the start of the router,
+//! and later versions while the router serves.
 use super::persisted_version::{PersistedVersion, UnusablePersistedVersion};
 use super::{ApplyCallback, Subscription};
 use crate::lifecycle::live_config::{ConfigError, LiveConfig};
@@ -9,9 +9,11 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// Returns the configuration with which a subscribed router starts. The settings of the persisted version replace
-/// those of the configuration file, if there is a persisted version and this program accepts it. `router_count`
-/// replaces the settings' number of programs between which the quotas are divided, unless it is `None`.
+/// Returns the configuration with which a subscribed router starts, and the subscription, completed with the
+/// persisted version or with the reason why that version cannot be used. The settings of the persisted
+/// version replace those of the configuration file, if there is a persisted version and this program accepts
+/// it. If `router_count` is `Some`, it replaces `ReplicasOfMe` of the settings, the number of routers among
+/// which limits are divided.
 ///
 /// # Errors
 /// The configuration file cannot be read or is invalid.
@@ -33,8 +35,8 @@
     Ok((config, subscription))
 }
 
-/// Returns the persisted version and the configuration of a router that starts with it, or `None` if no version is
-/// persisted.
+/// Returns the persisted version and the configuration of a router that starts with it, or `None` if no
+/// version is persisted.
 fn read_persisted(
     subscription: &Subscription,
     config: &Path,
@@ -53,8 +55,8 @@
     Ok(Some((persisted, config)))
 }
 
-/// Returns a function that applies a version to a running router and returns the outcome once all serving cores have
-/// applied the settings. If a changed key needs a restart, nothing is applied and the outcome is
+/// Returns a function that applies a version to a running router and returns the outcome once all serving
+/// cores have applied the settings. If a changed key needs a restart, nothing is applied and the outcome is
 /// [`ApplyOutcome::PendingRestart`]; invalid settings are rejected.
 pub fn apply_to_running(live_config: LiveConfig) -> ApplyCallback {
     Box::new(move |settings, number| {
--- a/crates/router/src/io/client_session.rs
+++ b/crates/router/src/io/client_session.rs
@@ -1,5 +1,7 @@
-//! Serves one client connection: reads requests one at a time and writes the responses. Closes the connection if the
-//! client sends no request, leaves a request incomplete or does not read the response.
+//! Serves one client connection: reads requests one at a time and writes the responses. Closes the connection
+//! if the client sends no request, leaves a request incomplete or does not read the response. A core is a
+//! thread that serves client connections; the program can hand a client connection over from one core to
+//! another.
 use super::{arrival, sleep_until};
 use crate::requests;
 use crate::state::DispatcherHandle;
@@ -22,16 +24,18 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Time after which an idle client connection is closed, in seconds: the client protocol allows closing a connection
-/// that has had no open request for 2 s.
+/// Time after which an idle client connection is closed, in seconds. The client protocol allows the router to
+/// close a connection that has had no open request for 2 s.
 const IDLE_TIMEOUT_S: f64 = 2.0;
-/// Time from connecting within which a client must send its first complete request, in seconds: otherwise, the client
-/// protocol requires an error response or a close.
+/// Time from connecting, in seconds, by which a client that has sent no complete request must have received
+/// an error response or the close of the connection, according to the client protocol. The router sends a 408
+/// response if a part of the request has arrived, and closes the connection otherwise.
 const FIRST_REQUEST_TIMEOUT_S: f64 = 3.0;
-/// How long the router waits for the client to close a connection after the last response. If the router closed
-/// first, bytes from the client would make the kernel reset the connection before the client has read the response.
+/// How long the router waits for the client to close a connection after the router has sent its last
+/// response. If the router closed the socket first, bytes that the client still sends would make the kernel
+/// reset the connection, and the client might lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Size of the buffer for bytes that are read and discarded.
+/// Size of the buffer for bytes that are read and discarded, in bytes.
 const DISCARD_BYTES: usize = 4096;
 
 /// Why this core stopped serving a client connection.
@@ -39,11 +43,13 @@
 enum CloseReason {
     /// The client closed the connection, or the connection failed.
     ClientDisconnected,
-    /// The client sent no request before the timeout.
+    /// The router closed an idle connection on which the client had sent no complete request, after the
+    /// timeout, for a shutdown, or to release the file descriptor.
     NoRequest,
-    /// The client did not read its response before the timeout.
+    /// The client read no byte of a response for [`IDLE_TIMEOUT_S`].
     AnswerNotRead,
-    /// The router has sent its last response, and closes the connection once the client has read the response.
+    /// The router has sent its last response, or closes a connection that is idle after earlier requests. The
+    /// socket is closed once the client closes its side, or after [`LINGER_TIMEOUT`].
     AfterAnswer,
     /// The connection moves to the core with this number.
     MovesTo(usize),
@@ -62,8 +68,8 @@
     }
 }
 
-/// Serves a client connection on this core until the connection closes or moves to another core. `has_sent_request`
-/// says whether another core has already received a request on the connection.
+/// Serves a client connection on this core until the connection closes or moves to another core.
+/// `has_sent_request` says whether another core has already received a request on the connection.
 pub async fn serve(
     dispatcher: DispatcherHandle,
     mut stream: TcpStream,
@@ -81,8 +87,8 @@
             CloseReason::MovesTo(core) => core,
             reason => break reason,
         };
-        // This core has no open request and no buffered bytes of the connection, so the other core can read from
-        // where this core stopped.
+        // This core has no open request and no buffered bytes of the connection, so the other core can read
+        // from where this core stopped.
         dispatcher.borrow_mut().clients.remove(id);
         let Some(returned) = transfer(&dispatcher, stream, permit, core) else { return };
         (stream, permit) = returned;
@@ -94,8 +100,8 @@
     if reason == CloseReason::AfterAnswer {
         linger(&mut stream).await;
     }
-    // The stream is dropped before its permit: another connection may use the permit only once this file descriptor
-    // is closed.
+    // The stream is dropped before its permit: another connection may use the permit only once this file
+    // descriptor is closed.
     drop(stream);
     drop(permit);
     let mut dispatcher = dispatcher.borrow_mut();
@@ -112,8 +118,8 @@
     (id, client)
 }
 
-/// Hands a client connection over to the core with this number. Returns the connection if that core's command queue
-/// is full or closed.
+/// Hands a client connection over to the core with this number. Returns the connection if that core's command
+/// queue is full or closed.
 fn transfer(
     dispatcher: &DispatcherHandle,
     stream: TcpStream,
@@ -143,9 +149,9 @@
     dispatcher.client_disconnected(query);
 }
 
-/// Closes the router's side of the connection, then discards the client's bytes until the client closes its side.
-/// Discards at most `MESSAGE` bytes, the size of the longest request, so that a client that never stops sending
-/// cannot occupy the core.
+/// Closes the router's side of the connection, then discards the client's bytes until the client closes its
+/// side, for at most [`LINGER_TIMEOUT`]. Discards at most about [`MAX_MESSAGE_BYTES`], the size of the
+/// longest request, so that a client that never stops sending cannot occupy the core.
 async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
@@ -163,31 +169,36 @@
     let _ = timeout(LINGER_TIMEOUT, discard).await;
 }
 
-/// When a session entered each state that has a time limit, in seconds of the monotonic clock; `None` if the session
-/// is not in that state.
+/// When a session entered each state that has a time limit, in seconds of the monotonic clock; `None` if the
+/// session is not in that state.
 #[derive(Default)]
 struct StateTimes {
-    /// No query is open, and no response has to be written.
+    /// Since when no query has been open and no response has had to be written, in seconds of the monotonic
+    /// clock.
     idle_since: Option<f64>,
-    /// Part of a request has arrived.
+    /// When this session found the first part of a request that is still incomplete, in seconds of the
+    /// monotonic clock; `None` if there is no incomplete request.
     partial_request_since: Option<f64>,
-    /// A response is being written, and the client has read no byte of it.
+    /// When the writing of a response began or last made progress, in seconds of the monotonic clock; `None`
+    /// if no response is being written.
     write_stalled_since: Option<f64>,
 }
 
-/// The state of a session before it waits for the next event.
+/// What a session is doing just before the session waits for the next event. [`ClientSession::run`] chooses
+/// from these values the events for which the session waits.
 struct Waiting {
     has_open_query: bool,
     is_writing: bool,
     has_partial_request: bool,
-    /// No query is open, and no response has to be written.
+    /// Whether no query is open and no response has to be written.
     is_idle: bool,
-    /// When the session times out, in seconds of the monotonic clock; infinite while a query is open.
+    /// When the session times out, in seconds of the monotonic clock; infinite while a query is open and no
+    /// response is being written.
     deadline: f64,
 }
 
-/// A client connection that this core serves, with the buffered bytes and the progress of the current request and
-/// response.
+/// A client connection that this core serves, with the buffered bytes and the progress of the current request
+/// and response.
 struct ClientSession<'a> {
     dispatcher: &'a DispatcherHandle,
     client: &'a Rc<ClientConnection>,
@@ -198,14 +209,17 @@
     sender: Sender,
     /// Number of bytes of the current response that were written to the socket.
     written_bytes: usize,
-    /// The rest of the input is not parsed: an earlier request was malformed, or too many bytes arrived at once.
+    /// Whether the rest of the input is not parsed, because the router has sent an error as the last
+    /// response: a request was malformed, was incomplete for too long or at a shutdown, or more bytes arrived
+    /// than the buffer holds.
     is_unreadable: bool,
-    /// While a query was open, the client sent more bytes than the buffer holds. The surplus was discarded, so no
-    /// later request can be parsed.
+    /// Whether the client sent more bytes than the buffer holds while a query was open. The surplus was
+    /// discarded, so no later request can be parsed.
     has_overrun: bool,
-    /// `100 Continue` was sent to the client for the current request.
+    /// Whether `100 Continue` was sent to the client for the current request.
     has_sent_continue: bool,
-    /// Deadline for receiving the first complete request, in seconds of the monotonic clock.
+    /// Deadline for receiving the first complete request, in seconds of the monotonic clock. After this time,
+    /// the router rejects an incomplete first request.
     first_request_by: f64,
     /// When the last byte from the client arrived, in seconds of the monotonic clock.
     read_at: f64,
@@ -222,8 +236,9 @@
     ) -> Self {
         let clock = dispatcher.borrow().clock;
         let accepted_at = clock.now();
-        // The error response for an incomplete request has to reach the client within `FIRST_REQUEST_TIMEOUT_S`. The
-        // timeout for connecting to a data node serves as the upper bound of the network delay to the client.
+        // The error response for an incomplete request has to reach the client within
+        // `FIRST_REQUEST_TIMEOUT_S`. The timeout for connecting to a data node serves as the upper bound of
+        // the network delay to the client.
         let network_s = dispatcher.borrow().connection_config.dial_timeout_s;
         let error_by = accepted_at + FIRST_REQUEST_TIMEOUT_S - network_s;
         ClientSession {
@@ -240,8 +255,8 @@
             has_sent_continue: false,
             first_request_by: error_by.max(accepted_at + IDLE_TIMEOUT_S),
             read_at: accepted_at,
-            // Bytes may have arrived before the connection was accepted, but no longer ago than a client waits for
-            // its first response.
+            // Bytes may have arrived before the connection was accepted. A client waits at most
+            // `FIRST_REQUEST_TIMEOUT_S` for its first response, so the bytes are not older than that.
             drained_at: accepted_at - FIRST_REQUEST_TIMEOUT_S,
             times: StateTimes::default(),
         }
@@ -275,7 +290,9 @@
                 () = self.sender.ready(stream), if waiting.is_writing => {}
                 () = client.wake.notified() => {}
                 () = ready(()), if should_close => {
-                    // A connection with unread bytes is not closed: they may be a request, which has to be answered.
+                    // If the buffer has room, a connection with unread bytes is not closed yet: the bytes may
+                    // be a request, which has to be answered. If the buffer is full, the bytes cannot be
+                    // read, and the connection is closed.
                     if !has_room || !arrival::has_unread_bytes(stream) {
                         if !self.must_reject_partial_request() {
                             return self.closed_while_idle();
@@ -297,8 +314,8 @@
         }
     }
 
-    /// Whether an incomplete request has to be rejected because the program or this core shuts down. Guards against a
-    /// client that completes its request just before the shutdown and gets no response.
+    /// Whether an incomplete request has to be rejected because the program or this core shuts down. Guards
+    /// against a client that completes its request just before the shutdown and gets no response.
     fn must_reject_partial_request(&self) -> bool {
         self.client.has_partial_request.get() && self.client.close_request.get() == CloseRequest::AtShutdown
     }
@@ -307,8 +324,8 @@
         if self.client.has_sent_request.get() { CloseReason::AfterAnswer } else { CloseReason::NoRequest }
     }
 
-    /// Handles the requests in the buffer one at a time: a request is parsed only once the previous response is
-    /// written.
+    /// Handles the requests in the buffer one at a time: a request is parsed only once the previous response
+    /// is written.
     fn handle_requests(&mut self) {
         while !self.is_unreadable && self.client.open_query.get().is_none() && !self.has_output() {
             match self.messages.find_message(&mut self.buffer) {
@@ -349,7 +366,8 @@
         }
     }
 
-    /// Sends an error as the last response of this connection; further input is not parsed. Increments `counter`.
+    /// Writes an error as the last response of this connection, stops parsing input, and increments
+    /// `counter`.
     fn reject_unreadable(&mut self, counter: &str, refusal: HttpError) {
         self.dispatcher.borrow_mut().counters.increment(counter);
         response::write_http_error(&mut self.client.output.borrow_mut(), refusal);
@@ -385,8 +403,9 @@
         ControlFlow::Continue(Progress::Complete)
     }
 
-    /// Reads from the socket once; returns false if the connection is closed or failed. While the buffer is full,
-    /// bytes are read and discarded, so that the close of a client that has sent too much is still detected.
+    /// Reads from the socket once; returns false if the connection is closed or failed. While the buffer is
+    /// full, bytes are read and discarded, so that the close of a client that has sent too much is still
+    /// detected.
     fn read(&mut self) -> bool {
         let mut discarded = [0; DISCARD_BYTES];
         self.has_overrun |= self.buffer.unfilled().is_empty();
@@ -410,8 +429,8 @@
         true
     }
 
-    /// The number of the core to which this connection has to move: `None` if no connection is to be handed over, or
-    /// this connection is not between two requests.
+    /// The number of the core to which this connection has to move: `None` if no connection is to be handed
+    /// over, or this connection is not between two requests.
     fn core_to_move_to(&self) -> Option<usize> {
         let is_between_requests = self.client.open_query.get().is_none()
             && !self.has_output()
@@ -422,7 +441,7 @@
             return None;
         }
         let mut dispatcher = self.dispatcher.borrow_mut();
-        // During a shutdown, the other core may end before the connection reaches it.
+        // During a shutdown, the other core may end before the connection reaches that core.
         if dispatcher.shutdown_phase > ShutdownPhase::Serving {
             return None;
         }
@@ -432,8 +451,8 @@
         Some(to)
     }
 
-    /// Updates the times of the session's states at `now`, in seconds of the monotonic clock, and returns what the
-    /// session waits for.
+    /// Updates the times of the session's states at `now`, in seconds of the monotonic clock, and returns
+    /// what the session is doing, from which the caller chooses the events to wait for.
     fn waiting(&mut self, now: f64) -> Waiting {
         let has_open_query = self.client.open_query.get().is_some();
         let is_writing = self.has_output();
@@ -448,8 +467,8 @@
         Waiting { has_open_query, is_writing, has_partial_request, is_idle, deadline: self.deadline() }
     }
 
-    /// When the session times out, in seconds of the monotonic clock. Guards against clients that send no request,
-    /// leave a request incomplete or do not read their response.
+    /// When the session times out, in seconds of the monotonic clock. Guards against clients that send no
+    /// request, leave a request incomplete or do not read their response.
     fn deadline(&self) -> f64 {
         if self.times.partial_request_since.is_some() && !self.client.has_sent_request.get() {
             return self.first_request_by;
@@ -470,8 +489,8 @@
     Complete,
 }
 
-/// When a condition became true: `before`, or `now` if the condition was false until now; `None` if the condition is
-/// false.
+/// When a condition became true: `before`, or `now` if the condition was false until now; `None` if the
+/// condition is false.
 fn since(before: Option<f64>, holds: bool, now: f64) -> Option<f64> {
     holds.then(|| before.unwrap_or(now))
 }
--- a/crates/router/src/io/core.rs
+++ b/crates/router/src/io/core.rs
@@ -1,11 +1,12 @@
-//! One core of a router on several cores. A core is a thread with a runtime, a dispatcher, a policy and client
-//! connections of its own. The core executes commands of the supervising thread and processes observations of data
-//! nodes that other cores share. If the policy or a task of the core fails, the core answers its open queries with an
-//! error and reports the failure to the supervising thread, which restarts the core.
+//! Runs one core of a router on several cores. A core is a thread with a runtime, a dispatcher, a policy and
+//! client connections of its own. The core executes commands of the supervising thread and processes
+//! observations, which are measurements of data nodes that other cores share. If the policy or a task of the
+//! core fails, the core answers its open queries with an error and reports the failure to the supervising
+//! thread, which later permits the core to restart.
 //!
-//! The fence is a check that all cores share: it stops a core from starting attempts while the core has not applied
-//! the newest endpoint list, or while discovery has not been checked recently. A policy round is one call of the
-//! policy.
+//! The fence is a check that all cores share: it stops a core from starting attempts while the core has not
+//! applied the newest endpoint list, or while the supervising thread has not checked discovery recently. A
+//! policy round is one call of the policy. A handover moves client connections from one core to another.
 use super::acceptor::{self, ConnectionAcceptor};
 use super::endpoint_publisher::EndpointSnapshot;
 use super::policy_loop;
@@ -37,7 +38,7 @@
 /// Interval at which a core publishes its metrics and its heartbeat.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The phase of the program, which the supervising thread sends to all cores.
+/// The phase of the program; the supervising thread sends the phase to all cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgramPhase {
     /// The program serves requests; no shutdown has begun.
@@ -56,7 +57,7 @@
     Ended(usize),
 }
 
-/// The configuration and channels of one core, which are used at the first start and at each restart.
+/// The configuration and channels of one core, used at the first start of the core and at each restart.
 pub struct CoreInputs {
     /// The number of the core, from 0.
     pub core: usize,
@@ -80,8 +81,8 @@
     pub restart_permits: mpsc::Receiver<()>,
 }
 
-/// Runs a core until its shutdown is complete. After each failure, reports the failure and waits for permission to
-/// restart.
+/// Runs a core until its shutdown is complete. After each failure, reports the failure and waits for
+/// permission to restart.
 pub fn run(mut inputs: CoreInputs) {
     log::set_thread_core(inputs.core);
     let mut remote_observations = inputs.shared.subscribe_observations();
@@ -110,9 +111,10 @@
     let _ = inputs.reports.send(CoreReport::Ended(inputs.core));
 }
 
-/// Runs a core with a new dispatcher until its shutdown is complete. If the policy or a task fails, answers the open
-/// queries with an error and returns the reason of the failure. Keeps the counters and the observations of other
-/// cores for the restart.
+/// Runs a core with a new dispatcher until its shutdown is complete. If the policy or a task fails, answers
+/// the open queries with an error and returns the reason of the failure. For the restart, keeps this core's
+/// counters, and in `observation_cache` the observations of data nodes that other cores and routers have
+/// shared with this core.
 fn run_until_failure(
     runtime: &Runtime,
     inputs: &mut CoreInputs,
@@ -142,14 +144,16 @@
         Ok(Err(reason)) => reason,
         Err(_) => "the main task panicked".into(),
     };
-    // Every open query of this core gets a final response, unless the dispatcher itself panics.
+    // Every open query of this core gets a final response, unless the dispatcher panics while it fails the
+    // queries.
     let answered = catch_unwind(AssertUnwindSafe(|| {
         dispatcher.borrow_mut().counters.increment("core_failures");
         local.block_on(runtime, graceful_shutdown::fail_queries_and_disconnect(&dispatcher));
         publish_state(&dispatcher, inputs, None);
         *observation_cache = std::mem::take(&mut dispatcher.borrow_mut().observations);
     }));
-    // Drops the remaining tasks of this core with their connections, and releases the shared capacity that they use.
+    // Drops the remaining tasks of this core with their connections, and so releases their file descriptors
+    // in the pools that all cores share.
     let _ = catch_unwind(AssertUnwindSafe(|| drop(local)));
     Err(if answered.is_ok() {
         reason
@@ -161,8 +165,8 @@
 /// Weight of the latest measurement in the moving average of [`CpuUsage`], from 0 to 1.
 const CPU_USAGE_WEIGHT: f64 = 0.2;
 
-/// The fraction of time that the current thread runs on a CPU, from 0 to 1, as an exponential moving average that is
-/// updated at each heartbeat.
+/// The fraction of time that the current thread runs on a CPU, from 0 to 1, as an exponential moving average
+/// that is updated at each heartbeat.
 struct CpuUsage {
     measured_at_s: f64,
     thread_cpu_s: f64,
@@ -190,8 +194,8 @@
     }
 }
 
-/// Publishes this core's heartbeat, client count and metrics, and its CPU usage if `cpu_usage` is given. The
-/// supervising thread and the other cores read them.
+/// Publishes this core's heartbeat, client count and metrics for the supervising thread and the other cores,
+/// and this core's CPU usage if `cpu_usage` is given.
 fn publish_state(dispatcher: &DispatcherHandle, inputs: &CoreInputs, cpu_usage: Option<&mut CpuUsage>) {
     let (now, core_state, dispatcher) =
         (inputs.clock.now(), &inputs.shared.cores[inputs.core], dispatcher.borrow());
@@ -204,7 +208,8 @@
     core_state.heartbeat_ms.store((now * 1e3) as u64, Relaxed);
 }
 
-/// Serves on this core until its shutdown is complete. Returns the reason if the policy or a task of the core fails.
+/// Serves on this core until its shutdown is complete. Returns the reason if the policy or a task of the core
+/// fails.
 async fn serve(
     dispatcher: &DispatcherHandle,
     inputs: &mut CoreInputs,
@@ -226,8 +231,9 @@
     loop {
         tokio::select! {
             biased;
-            // Endpoint lists have the highest priority: after this thread was suspended, the fence delays every new
-            // attempt until the newest list is applied.
+            // Endpoint lists have the highest priority. If the operating system did not run this thread for
+            // some time, a newer list may have been published meanwhile, and the fence delays every new
+            // attempt of this core until the core has applied the newest list.
             changed = inputs.endpoints.changed() => {
                 if changed.is_err() {
                     return Err("the supervising thread has ended".into());
@@ -252,8 +258,8 @@
             }
             ended = shutdown_ended(&mut shutdown) => {
                 ended.map_err(|_| "the shutdown task panicked".to_string())?;
-                // Connections that the balancer assigned to this core just before the end of its shutdown still get a
-                // response.
+                // Connections that the balancer assigned to this core just before the end of its shutdown
+                // still get a response.
                 let mut has_late_commands = false;
                 while let Ok(command) = inputs.commands.try_recv() {
                     has_late_commands = true;
@@ -294,8 +300,8 @@
     }
 }
 
-/// Injects the fault that a test requested: `hang N` blocks the thread for N milliseconds, any other text panics, and
-/// `None` does nothing.
+/// Injects the fault that a test requested: `hang N` blocks the thread for N milliseconds, any other text
+/// panics, and `None` does nothing.
 #[cfg(feature = "faults")]
 fn inject_fault(fault: Option<String>) {
     match fault.as_deref().and_then(|f| f.strip_prefix("hang ")?.parse().ok()) {
@@ -312,8 +318,8 @@
     }
 }
 
-/// Receives the next observation that any core has shared. Returns `Break` if this core read too slowly and
-/// observations were lost.
+/// Receives the next observation of a data node that any core has shared. Returns `Break` if this core read
+/// too slowly and observations were lost. Never returns if cores share no observations.
 async fn next_observation(
     remote_observations: &mut Option<ObservationReceiver<ObservationMessage>>,
 ) -> ControlFlow<(), ObservationMessage> {
@@ -329,8 +335,8 @@
     let _ = phase.wait_for(|phase| *phase == ProgramPhase::ListenerClosed).await;
 }
 
-/// Applies a snapshot of the endpoint list and the layout to this core's dispatcher, if the snapshot is newer than
-/// the last one applied. A layout is a version of the assignment of shards to data nodes.
+/// Applies a snapshot of the endpoint list and the layout to this core's dispatcher, if the snapshot is newer
+/// than the last one applied. A layout is a version of the assignment of shards to data nodes.
 fn apply_snapshot(dispatcher: &DispatcherHandle, snapshot: &EndpointSnapshot) {
     let mut dispatcher = dispatcher.borrow_mut();
     if snapshot.generation > dispatcher.endpoints_generation {
--- a/crates/router/src/io/endpoint_publisher.rs
+++ b/crates/router/src/io/endpoint_publisher.rs
@@ -1,6 +1,7 @@
-//! Holds the endpoint list and the layout on the supervising thread of a router on several cores, and publishes
-//! snapshots of both to all cores. An endpoint list names the data nodes; a layout is a version of the assignment of
-//! shards to data nodes.
+//! Holds the endpoint list and the layout on the supervising thread of a router on several cores, and
+//! publishes snapshots of both to all cores. An endpoint list names the data nodes; a layout is a version of
+//! the assignment of shards to data nodes. The fence is a check that all cores share: a core starts no
+//! attempt while the fence has a newer generation than the last snapshot that the core has applied.
 use super::discovery;
 use crate::state::counters::Counters;
 use crate::state::endpoints::{Endpoint, EndpointTable};
@@ -15,32 +16,34 @@
 /// A complete copy of the endpoint list and the layout, which all cores apply.
 #[derive(Clone, Default)]
 pub struct EndpointSnapshot {
-    /// Number of the snapshot, which increases with each snapshot.
+    /// The number that the fence has assigned to this endpoint list and layout; the number increases with
+    /// each publication. A change of `watch_failures` alone keeps the number.
     pub generation: u64,
     pub entries: Arc<Vec<Endpoint>>,
     pub layout: Option<Layout>,
-    /// Number of watches that were lost after discovery had begun its response; counted only if the policy polls the
-    /// endpoint list.
+    /// Number of watches (connections to discovery) that were lost after discovery had begun to respond.
+    /// Counted only if the policy requests each endpoint list: each core then reports a lost watch to its
+    /// policy as a failed request. Stays 0 if a watch is always open.
     pub watch_failures: u64,
 }
 
-/// Applies the updates of discovery to the supervising thread's endpoint list and shard map, and publishes them to
-/// the cores.
+/// Applies the updates of discovery to the supervising thread's endpoint list and shard map, and publishes
+/// the endpoint list and the layout to the cores.
 pub struct EndpointPublisher {
     clock: Clock,
     polls_endpoints: bool,
     endpoints: EndpointTable,
     shared: Arc<SharedState>,
     pub counters: Counters,
-    /// Checks each layout before the cores apply the layout; `None` if the settings assign the shards to data nodes.
-    /// This thread has no open queries.
+    /// The shard map that checks each layout before the cores apply the layout; `None` if the settings assign
+    /// the shards to data nodes. The supervising thread has no open queries.
     shard_map: Option<ShardMapView>,
     snapshots: watch::Sender<EndpointSnapshot>,
 }
 
 impl EndpointPublisher {
-    /// Creates a publisher whose first snapshot holds `endpoints`. `shard_map` is `None` if the settings assign the
-    /// shards to data nodes.
+    /// Creates a publisher whose first snapshot holds `endpoints`. `shard_map` is `None` if the settings
+    /// assign the shards to data nodes.
     pub fn new(
         clock: Clock,
         polls_endpoints: bool,
@@ -61,8 +64,8 @@
         self.snapshots.subscribe()
     }
 
-    /// Publishes a snapshot. First raises the generation in the fence, the check that cores share: from then on, a
-    /// core starts no attempt until the core has applied this snapshot.
+    /// Publishes a snapshot. First raises the generation in the fence: from then on, a core starts no attempt
+    /// until the core has applied this snapshot.
     fn publish(&mut self) {
         let generation = self.shared.fence.publish();
         let entries = Arc::new(self.endpoints.endpoints());
--- a/crates/router/src/io/policy_loop.rs
+++ b/crates/router/src/io/policy_loop.rs
@@ -1,8 +1,10 @@
-//! Runs the policy of a core in rounds: each round passes the events since the last round to the policy and executes
-//! the policy's decisions on the dispatcher.
+//! Runs the policy of a core in rounds: each round passes the events since the last round to the policy and
+//! executes the policy's decisions on the dispatcher. An observation is a measurement of a data node that
+//! cores and routers share.
 //!
-//! A forwarder is a router whose decisions are made by planners, which are separate programs, or by the forwarder's
-//! own policy while no planner is available. [`Tier`] holds a forwarder's connections to the planners.
+//! A forwarder is a router whose decisions are made by planners, which are separate programs, or by the
+//! forwarder's own policy while no planner is available. [`Tier`] holds a forwarder's connections to the
+//! planners.
 use super::{node_session, sleep_until};
 use crate::state::DispatcherHandle;
 use crate::state::descriptors::DescriptorPool;
@@ -23,7 +25,8 @@
 }
 
 impl<'a> DispatcherDecisionSink<'a> {
-    /// Creates a sink for decisions that a planner has sent. The caller has already recorded them in [`Tier`].
+    /// Creates a sink for decisions that a planner has sent. The caller has already recorded these decisions
+    /// in [`Tier`], so the sink does not record them.
     pub fn for_planner_decisions(dispatcher: &'a DispatcherHandle) -> Self {
         DispatcherDecisionSink { dispatcher, tier: None }
     }
@@ -79,8 +82,8 @@
     }
 }
 
-/// Returns a function that creates a policy from the newest settings that the dispatcher has applied. The function
-/// fails if the dispatcher has no settings.
+/// Returns a function that creates a policy from the newest settings that the dispatcher has applied. The
+/// function fails if the dispatcher has no settings.
 pub fn policy_factory(
     dispatcher: &DispatcherHandle,
     seed: u64,
@@ -93,10 +96,10 @@
     }
 }
 
-/// Runs the policy for as long as the program runs. The start times of two rounds are at least the settings' minimum
-/// round interval apart. `make_policy` creates the policy at the start and after each panic of the policy; this
-/// function returns only if `make_policy` fails. `tier` is given on a forwarder, where each event goes either to a
-/// planner or to the forwarder's own policy.
+/// Runs the policy for as long as the program runs. The start times of two rounds are at least the settings'
+/// minimum round interval apart. `make_policy` creates the policy at the start and after each panic of the
+/// policy; this function returns only if `make_policy` fails. `tier` is `Some` on a forwarder, where each
+/// event goes either to a planner or to the forwarder's own policy, and `None` on any other program.
 pub async fn run<E>(
     dispatcher: DispatcherHandle,
     tier: Option<ForwarderHandle>,
@@ -105,8 +108,8 @@
 ) -> Result<(), E> {
     let (clock, work_ready, limits) = {
         let dispatcher = dispatcher.borrow();
-        // A policy shares its observations only if its limits are for more than one core. A router with gossip peers
-        // needs this on one core too: gossip sends the observations to the peers.
+        // A policy shares its observations only if its limits are for more than one core. A router with
+        // gossip peers uses such limits on one core too, because gossip sends the observations to the peers.
         let limits =
             if dispatcher.gossip.is_some() { SharedLimits::new(2) } else { dispatcher.shared.limits.clone() };
         let limits = limits.for_core(dispatcher.core as u8);
@@ -127,8 +130,8 @@
         }
         let stall = dispatcher.borrow_mut().stall_detector.check(clock.now());
         if std::mem::replace(&mut handled_stall, stall) != stall {
-            // After a suspension of this thread, other tasks read their sockets before the policy decides, so that a
-            // reply that has arrived does not count as late.
+            // After the operating system has not run this thread for some time, other tasks read their
+            // sockets before the policy decides, so that a reply that has arrived does not count as late.
             yield_now().await;
         }
         let now = clock.now();
@@ -147,8 +150,9 @@
         };
         let mut sink = DispatcherDecisionSink { dispatcher: &dispatcher, tier: tier.as_ref() };
         let round = AssertUnwindSafe(|| policy.round(now, notify, &mut sink));
-        // If the policy panics, for example due to a defect that a rare query triggers, open queries fail and the
-        // router continues with a new policy. Like after a restart, the new policy has no observations of data nodes.
+        // If the policy panics, for example due to a defect that a rare query triggers, open queries fail and
+        // the router continues with a new policy. Like after a restart, the new policy has no observations of
+        // data nodes.
         if catch_unwind(round).is_err() {
             tracing::error!(target: "failure", "the policy panicked: open queries fail, and the router continues with a new policy");
             policy = new_policy()?;
--- a/crates/router/src/lifecycle/live_config.rs
+++ b/crates/router/src/lifecycle/live_config.rs
@@ -1,6 +1,7 @@
-//! Applies new settings to a running router. The settings come from the configuration file at SIGHUP or from a
-//! control server. [`LiveConfig::apply`] checks the settings like those of a starting router, and either rejects or
-//! applies all of them; each core applies them between two policy rounds, which are the calls of the policy.
+//! Applies new settings to a running router. The settings come from the configuration file at SIGHUP or from
+//! a control server. [`LiveConfig::apply`] checks the settings like those of a starting router, and either
+//! rejects or applies all of them. Each core, a thread that serves client connections, applies the settings
+//! between two policy rounds; a round is one call of the policy.
 use super::startup::ProgramRole;
 use crate::state::query_classes::ConfigGeneration;
 use crate::state::shared::SharedState;
@@ -17,7 +18,8 @@
 
 /// How long [`LiveConfig::apply`] waits for the serving cores to apply new settings.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Interval at which [`LiveConfig::apply`] checks whether a core that has not yet applied the settings still serves.
+/// Interval at which [`LiveConfig::apply`] checks whether a core that has not yet applied the settings still
+/// serves.
 const SERVING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why new settings cannot be applied. The current settings stay in force, without any change.
@@ -31,27 +33,28 @@
     RestartRequired(Vec<String>),
 }
 
-/// Settings that passed the checks.
+/// The result of [`check`]: valid settings, and their differences from the settings in force.
 #[derive(Clone, Debug)]
 pub struct CheckedSettings {
     /// The parsed settings.
     pub settings: Settings,
-    /// Keys that differ from the settings in force.
+    /// Keys that differ from the settings in force; empty if [`check`] was called without settings in force.
     pub changed_keys: Vec<&'static str>,
 }
 
 /// The result of applying new settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// Every serving core has applied the settings. A core that hangs, has failed or is starting applies the settings
-    /// before its next request and policy round.
+    /// The new settings are in force, and every serving core has applied them or was given `APPLY_TIMEOUT`
+    /// to do so. A core that hangs, has failed, is starting or is late applies the settings before its next
+    /// request and its next call of the policy.
     Changed,
     /// The new settings are equal to the settings in force.
     Unchanged,
 }
 
-/// Checks settings like those of a starting router. If `in_force` is given, also checks that a running router can
-/// change from `in_force` to the new settings.
+/// Checks settings like those of a starting router. If `in_force` is given, also checks that a running router
+/// can change from `in_force` to the new settings.
 ///
 /// # Errors
 /// A key is invalid, or a key differs from `in_force` and can only change with a restart.
@@ -66,7 +69,8 @@
 
 /// A function that increments the counter with this name in `/counters`.
 pub type IncrementCounter = Box<dyn Fn(&'static str)>;
-/// A function that returns whether the core with this number serves; other cores are not waited for.
+/// A function that returns whether the core with this number serves clients. [`LiveConfig::apply`] does not
+/// wait for a core for which the function returns false.
 pub type IsServing = Box<dyn Fn(usize) -> bool>;
 
 struct Inner {
@@ -82,15 +86,15 @@
     is_serving: RefCell<Option<IsServing>>,
 }
 
-/// The settings in force in a running router. Clones share one state; with several cores, the supervising thread uses
-/// them.
+/// The settings in force in a running router. All clones share one state. With several cores, only the
+/// supervising thread, which serves no clients, uses the clones.
 #[derive(Clone)]
 pub struct LiveConfig(Rc<Inner>);
 
 impl LiveConfig {
     /// Creates the live configuration of a router that starts with `settings`, which were parsed from
-    /// `settings_json`. Later settings are rejected if a query deadline is longer than `max_deadline_limit_s`, in
-    /// seconds; `None` means no limit.
+    /// `settings_json`. Later settings are rejected if a query deadline is longer than
+    /// `max_deadline_limit_s`, in seconds; `None` means no limit.
     pub fn new(
         shared: Arc<SharedState>,
         role: ProgramRole,
@@ -110,8 +114,8 @@
         }))
     }
 
-    /// Sets the function that increments a counter and the function that returns whether a core serves. Without
-    /// `is_serving`, every core counts as serving.
+    /// Sets the function that increments a counter of the program, and the function that returns whether a
+    /// core serves. If `is_serving` is `None`, every core counts as serving.
     pub fn set_callbacks(&self, increment_counter: IncrementCounter, is_serving: Option<IsServing>) {
         *self.0.increment_counter.borrow_mut() = Some(increment_counter);
         *self.0.is_serving.borrow_mut() = is_serving;
@@ -127,28 +131,34 @@
         self.0.in_force.borrow().clone()
     }
 
-    /// The version number of the settings in force; `None` if they come from the configuration file.
+    /// The number that the control servers have given the version of the settings in force; `None` if the
+    /// settings come from the configuration file.
     pub fn version(&self) -> Option<u64> {
         Some(self.0.shared.config_version.load(Relaxed)).filter(|version| *version > 0)
     }
 
-    /// The longest deadline that an open query can have, in seconds, including queries opened under earlier settings.
+    /// The longest deadline that an open query can have, in seconds, including queries opened under earlier
+    /// settings.
     pub fn max_deadline_s(&self) -> f64 {
         self.0.max_deadline_s.get()
     }
 
-    /// Adds 1 to the counter of rejected settings, for settings that could not even be parsed at a reload.
+    /// Adds 1 to the counter of rejected settings. [`LiveConfig::apply`] counts its own rejections; a reload
+    /// calls this function if the settings could not even be parsed.
     pub fn count_rejected_settings(&self) {
         self.count("settings_refused");
     }
 
-    /// Checks and applies new settings; `version` is `None` for settings from the configuration file. Returns once
-    /// every serving core has applied the settings, which takes one policy round, or after `APPLY_TIMEOUT`. A
-    /// second call may start before the first returns: the newest settings replace the earlier ones, and both calls
-    /// return once the newest are applied.
+    /// Checks and applies new settings; `version` is `None` for settings from the configuration file. Returns
+    /// once every serving core has applied the settings, which each core does before its next call of the
+    /// policy. If a core has not applied them after `APPLY_TIMEOUT`, the result is the same: the core
+    /// applies the settings later, and the log names the core. A second call may start before the first
+    /// returns. A core may then apply only the newer settings, and the first call also returns
+    /// [`ApplyResult::Changed`] once the cores have applied these.
     ///
     /// # Errors
-    /// The settings cannot be applied. The current settings stay in force, and the rejection is logged and counted.
+    /// The settings cannot be applied. The current settings stay in force, and the rejection is logged and
+    /// counted.
     pub async fn apply(&self, settings: Value, version: Option<u64>) -> Result<ApplyResult, ConfigError> {
         let name = version.map_or("settings of the configuration file".to_string(), |version| {
             format!("settings version {version}")
@@ -170,8 +180,9 @@
 
     fn check_against_in_force(&self, settings: &Value) -> Result<CheckedSettings, ConfigError> {
         if self.0.role != ProgramRole::Router {
-            // Forwarders and planners divide the quotas by the number of all forwarders and planners, which is only
-            // configured at the start.
+            // Forwarders and planners divide limits of the settings by a number computed from the count of
+            // all forwarders or planners. That count is only configured at the start. A forwarder is a router
+            // whose decisions are made by planners.
             return Err(ConfigError::RestartRequired(vec!["settings".into()]));
         }
         let checked = check(settings, Some(&self.settings_in_force()))?;
@@ -182,8 +193,8 @@
         Ok(checked)
     }
 
-    /// Publishes settings to all cores. Returns the serial number that a core reports once the core has applied the
-    /// settings.
+    /// Publishes settings to all cores. Returns the serial number that a core reports once the core has
+    /// applied the settings.
     fn publish(&self, settings: Settings) -> u64 {
         let longest_s = self.0.max_deadline_s.get().max(settings.admission.max_deadline_s);
         self.0.max_deadline_s.set(longest_s);
@@ -192,8 +203,9 @@
         serial
     }
 
-    /// Waits until the cores have applied the settings with this serial number. Returns the numbers of the cores that
-    /// have not, because they do not serve or [`APPLY_TIMEOUT`] has passed.
+    /// Waits until the cores have applied the settings with this serial number. Returns the numbers of the
+    /// cores that have not applied these settings, because the core does not serve or `APPLY_TIMEOUT` has
+    /// passed.
     async fn wait_until_applied(&self, serial: u64) -> Vec<usize> {
         let deadline = Instant::now() + APPLY_TIMEOUT;
         let mut late_cores = vec![];
--- a/crates/router/src/lifecycle/startup.rs
+++ b/crates/router/src/lifecycle/startup.rs
@@ -1,9 +1,11 @@
-//! Reads and checks the configuration file in JSON at the start of the program, and fills in defaults. Each error
-//! message names the invalid key.
+//! Reads and checks the configuration file in JSON at the start of the program, and fills in defaults. Each
+//! error message names the invalid key.
 //!
-//! A router can also have an operator's file, which `--operator` names: it is not JSON and describes how routers work
-//! together, for example the number of cores, planners and control servers. The `alderway` program reads it, and
-//! fills in the fields of [`StartupConfig`] that depend on it.
+//! A router can also have an operator's file, given by the option `--operator`: a Starlark script that
+//! describes how routers work together, for example the number of cores, planners and control servers. The
+//! program `alderway` reads that file and then fills in the fields `operator_file_check`, `shard_map`, `role`
+//! and `gossip` of [`StartupConfig`]; without the file, a router has their defaults. A forwarder is a router
+//! whose decisions are made by planners, which are separate programs.
 use crate::gossip::GossipGroup;
 use crate::state::endpoints::EndpointTable;
 use crate::state::query_classes::ClassRules;
@@ -20,11 +22,11 @@
 
 /// The environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// Default of `limits.sockets`, the number of file descriptors that the program may use: a common default limit of
-/// Linux.
+/// Default of `limits.sockets`, the number of file descriptors that the program may use: a common default
+/// limit of Linux.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Minimum of `limits.sockets`: the file descriptors of the async runtime, the listener, the watch of discovery, and
-/// a few connections to clients and data nodes.
+/// Minimum of `limits.sockets`: the file descriptors of the async runtime, the listener, the connection to
+/// discovery, and a few connections to clients and data nodes.
 const MIN_DESCRIPTORS: u64 = 20;
 /// Default of `limits.memory_mb`, in MiB.
 const DEFAULT_MEMORY_MB: u64 = 192;
@@ -34,12 +36,13 @@
 pub struct StartupConfig {
     /// The configuration file, which is read again at SIGHUP.
     pub path: PathBuf,
-    /// Checks at a reload whether a value of the operator's file has changed that needs a restart; `None` if the
-    /// program was started without an operator's file.
+    /// Checks at a reload whether a value of the operator's file has changed that needs a restart; `None` if
+    /// the program was started without an operator's file.
     pub operator_file_check: Option<OperatorFileChangeCheck>,
     /// The name of this router, which is unique among the routers.
     pub name: String,
-    /// Address at which the program listens: a planner for connections of forwarders, any other program for clients.
+    /// The address at which the program listens. A planner accepts connections of forwarders there, any other
+    /// program connections of clients.
     pub listen: SocketAddr,
     /// Address of the discovery server.
     pub discovery: SocketAddr,
@@ -57,14 +60,15 @@
     pub settings: Settings,
     /// The query classes of the settings, in the order of the settings.
     pub query_classes: Vec<ClassRules>,
-    /// Keys that can only change with a restart, with their values in the file.
+    /// The values in the file of the keys that a later reload compares with the file.
     pub restart_only_keys: RestartOnlyKeys,
-    /// Grace periods for changes of the shard map that discovery sends; `None` if the settings assign the shards to
-    /// data nodes.
+    /// Grace periods for changes of the shard map that discovery sends; `None` if the settings assign the
+    /// shards to data nodes.
     pub shard_map: Option<ShardMapConfig>,
     /// The role of the program among the routers, forwarders and planners.
     pub role: ProgramRole,
-    /// The routers with which this router exchanges observations of data nodes; `None` if gossip is disabled.
+    /// The routers with which this router exchanges observations, which are measurements of data nodes;
+    /// `None` if gossip is disabled.
     pub gossip: Option<GossipGroup>,
 }
 
@@ -74,7 +78,8 @@
     /// Serves clients and makes all decisions itself.
     #[default]
     Router,
-    /// Serves clients. Planners make the decisions; while none is available, the forwarder decides itself.
+    /// Serves clients. Planners make the decisions; while no planner is available, the forwarder makes the
+    /// decisions itself.
     Forwarder {
         /// The address of each planner.
         planners: Vec<SocketAddr>,
@@ -87,11 +92,14 @@
     Planner,
 }
 
-/// A function that reads the operator's file again. Returns whether a value that can only change with a restart
-/// differs from the file at the start. The error is one line that says why the file cannot be used.
+/// A function that reads the operator's file again. Returns whether a value that can only change with a
+/// restart differs from its value when the program started. The error is one line that says why the file
+/// cannot be used.
 pub type OperatorFileChangeCheck = Arc<dyn Fn() -> Result<bool, String> + Send + Sync>;
 
-/// The keys of the configuration file that can only change with a restart, with their values in the file.
+/// The keys `name`, `listen`, `limits` and `settings` of the configuration file, with their values in the
+/// file. The first three keys can only change with a restart. A reload can apply `settings`, unless control
+/// servers supply the settings or a changed key of the settings needs a restart.
 pub type RestartOnlyKeys = [(&'static str, Value); 4];
 
 /// Why the program cannot start with a configuration.
@@ -132,10 +140,14 @@
     }
 }
 
-/// Values that replace values of the configuration file.
+/// Values that the program sets at its start in place of values of the configuration file: the settings that
+/// control servers have sent in an earlier run, and a number computed from the operator's file. A field that
+/// is `None` replaces nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
-    /// Replaces `ReplicasOfMe` of the settings: the number of programs between which the quotas are divided.
+    /// Replaces `ReplicasOfMe` of the settings, the number of routers, including this one, among which the
+    /// limits of the settings are divided: this program uses 1 / `ReplicasOfMe` of each divided limit. The
+    /// program computes the number for forwarders and planners from the operator's file.
     pub router_count: Option<u64>,
     /// Replaces the key `settings` of the configuration file.
     pub settings: Option<Value>,
@@ -159,7 +171,8 @@
         let text = std::fs::read_to_string(path)
             .map_err(|source| StartupError::Unreadable { path: path.into(), source })?;
         let mut document: Value = serde_json::from_str(&text)?;
-        // The overrides are not included, because a reload compares the file with its earlier content.
+        // The overrides are not included in these values, because a reload compares the file with its earlier
+        // content.
         let restart_only_keys = RESTART_ONLY_KEYS.map(|key| (key, document[key].clone()));
         if let (Some(settings), Some(keys)) = (overrides.settings, document.as_object_mut()) {
             keys.insert("settings".into(), settings);
@@ -198,8 +211,8 @@
     Settings::read(json).map_err(|error| StartupError::key("settings", format!("expected {error}")))
 }
 
-/// Reads the keys of a configuration file. Some keys are read from an environment variable if they are missing in the
-/// file.
+/// Reads the keys of a configuration file. Some keys are read from an environment variable if they are
+/// missing in the file.
 struct ConfigKeys<'a> {
     document: &'a Value,
 }
@@ -219,8 +232,8 @@
         text.parse().map_err(invalid)
     }
 
-    /// Reads a whole number of at least `min` from the object `limits`, or `default` if the number is missing. `key`
-    /// is the path of the number.
+    /// Reads a whole number of at least `min` from the object `limits`, or `default` if the number is
+    /// missing. `key` is the path of the number.
     fn limit(&self, key: &'static str, default: u64, min: u64) -> Result<usize, StartupError> {
         let given = key.split('.').try_fold(self.document, |value, key| value.get(key));
         let value = given.map_or(Some(default), Value::as_u64).filter(|value| *value >= min);
@@ -239,8 +252,8 @@
         self.document.get("settings").ok_or_else(|| StartupError::key("settings", "missing"))
     }
 
-    /// Reads the endpoint list that an earlier run of this router last received, in the format of discovery. The list
-    /// may be outdated or empty.
+    /// Reads the endpoint list that an earlier run of this router last received, in the format of discovery.
+    /// The list may be outdated or empty.
     fn known_endpoints(&self, clock: Clock) -> Result<EndpointTable, StartupError> {
         let known = self.document.get("known").filter(|list| !list.is_null());
         let endpoints = known.map_or(Ok(EndpointTable::default()), |list| parse_endpoints(list, clock));
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -1,5 +1,5 @@
-//! Handles the HTTP requests of clients: queries (`POST /api`), readiness (`GET /up`) and counters (`GET /counters`).
-//! Any other request gets an error response.
+//! Handles the HTTP requests of clients: queries (`POST /api`), readiness (`GET /up`) and counters (`GET
+//! /counters`). Any other request gets an error response.
 use crate::state::DispatcherHandle;
 use crate::state::clients::ClientConnection;
 use crate::state::queries::{Query, QueryError, ShardRequest};
@@ -11,8 +11,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Handles a complete request: writes a response to `client`, or opens a query that is answered later. `arrived_at`
-/// is when the last byte of the request arrived, in seconds of the monotonic clock.
+/// Handles a complete request: writes a response to `client`, or opens a query whose response is written
+/// later. `arrived_at` is when the last byte of the request arrived, in seconds of the monotonic clock.
 pub fn handle(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
@@ -20,8 +20,8 @@
     body: &[u8],
     arrived_at: f64,
 ) {
-    // The router sends a body even in the response to HEAD. The client expects no body there and would read this one
-    // as the start of the next response, so the router closes the connection after the response.
+    // The router sends a body even in the response to HEAD. The client expects no body there and would read
+    // the body as the start of the next response, so the router closes the connection after the response.
     let closes_connection = head.closes_connection() || head.first_line().starts_with("HEAD ");
     client.close_after_response.set(
         client.close_after_response.get()
@@ -68,7 +68,7 @@
     }
 }
 
-/// Parses a query request and opens its query; returns the error response if the request is invalid.
+/// Parses a query request and opens the query; returns the error response if the request is invalid.
 fn open_query(
     dispatcher: &DispatcherHandle,
     client: &Rc<ClientConnection>,
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,5 +1,6 @@
-//! Runs the program as its configuration says: a router on one core, which uses this thread only, a router on several
-//! cores, or a planner, which makes decisions for other routers.
+//! Runs the program as its configuration says: a router on one core, which uses this thread only; a router on
+//! several cores, which are threads that serve client connections; or a planner, which makes decisions for
+//! the routers called forwarders.
 
 mod several_cores;
 
@@ -33,8 +34,8 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Runs the program until the shutdown after SIGTERM is complete. With a `subscription`, new settings come from
-/// control servers, and a reload of the configuration file does not change the settings.
+/// Runs the program until the shutdown after SIGTERM is complete. With a `subscription`, new settings come
+/// from control servers, and a reload of the configuration file does not change the settings.
 ///
 /// # Errors
 /// A socket, signal handler or thread could not be created, or the policy could not be created.
@@ -61,7 +62,8 @@
     multicore: MulticoreConfig,
     clock: Clock,
 ) -> io::Result<()> {
-    // Signal handlers are installed before the listener is opened: without a handler, a signal would kill the program.
+    // Signal handlers are installed before the listener is opened: without a handler, a signal would kill the
+    // program.
     let (terminations, hangups) = (Signals::of(Signal::SIGTERM)?, Signals::of(Signal::SIGHUP)?);
     let (client_descriptors, node_descriptors) = split_descriptors(&config, subscription.is_some());
     let shared = SharedState::new(config.settings.admission.max_open, multicore, f64::INFINITY).0;
@@ -112,9 +114,9 @@
     Ok(())
 }
 
-/// Starts the subscription to control servers, if there is one. Returns the live configuration to which a reload may
-/// apply settings; `None` with a subscription, because the settings of the configuration file would replace the
-/// version from the control servers without notice.
+/// Starts the subscription to control servers, if there is one. Returns the live configuration to which a
+/// reload may apply settings; `None` with a subscription, because the settings of the configuration file
+/// would replace the version from the control servers without notice.
 fn subscribe(
     subscription: Option<Subscription>,
     live_config: &LiveConfig,
@@ -128,8 +130,8 @@
     None
 }
 
-/// Splits the file descriptors that gossip and the subscription do not use into a pool for client connections and a
-/// pool for connections to data nodes.
+/// Splits the file descriptors that gossip and the subscription do not use into a pool for client connections
+/// and a pool for connections to data nodes.
 fn split_descriptors(
     config: &StartupConfig,
     has_subscription: bool,
@@ -176,7 +178,8 @@
     Some(forwarder)
 }
 
-/// Wakes the policy task for each change of the settings, because the next call of the policy applies them.
+/// Wakes the policy task for each change of the settings, because the settings are applied at the next call
+/// of the policy.
 async fn wake_on_new_settings(
     dispatcher: DispatcherHandle,
     mut updates: watch::Receiver<Arc<ConfigGeneration>>,
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Tests of pairs of events that occur at the same time, for example a client that disconnects while its query is
-//! sent. Each test triggers both events over sockets and checks the result. docs/crossings.md lists all pairs.
+//! Tests of pairs of events that occur at the same time, for example a client that disconnects while its
+//! query is sent. Each test triggers both events over sockets and checks the result. docs/crossings.md lists
+//! all pairs.
 mod common;
 use common::*;
 use rstest::rstest;
@@ -54,7 +55,7 @@
     program.signal("STOP");
     let mut client = program.connect();
     client.send_query("q", &[0], 4000);
-    // Suspends the process for longer than the listener stays open after SIGTERM.
+    // The process stays suspended for 0.7 s, longer than the listener stays open after SIGTERM.
     thread::sleep(Duration::from_millis(700));
     program.signal("CONT");
     assert_eq!(nodes.answer_next().0, ["q.0"]);
@@ -74,8 +75,9 @@
     first.write_all(response).expect("written");
     let started = Instant::now();
     let _second = receive(&watches, "another watch");
-    // The second watch opens after 1.25 s, the sum of the response timeout and the pause between watches. After the
-    // timeout between messages, it would be 3 s.
+    // The second watch opens 1.25 s after the response stops, the sum of the response timeout and the pause
+    // between watches. If the router waited for the timeout between messages instead, the second watch would
+    // open after 3 s.
     assert!(started.elapsed() < Duration::from_millis(2900), "{:?}", started.elapsed());
 }
 
@@ -146,8 +148,8 @@
     let (nodes, discovery) = (FakeNodes::new(1), FakeDiscovery::new());
     let limits = r#"{"sockets":32}"#;
     let program = Program::start(&nodes.addresses, discovery.address, &settings_json(1000, 180), limits);
-    // Each client has received a response, so the router may close any of their connections. No client closes its
-    // connection.
+    // Each client has received a response, so the router may close any of the clients' connections. No client
+    // closes its connection.
     let mut idle: Vec<Client> = vec![];
     for _ in 0..40 {
         let mut client = program.connect();
@@ -175,7 +177,8 @@
     let mut frame = nodes.next_frame('S');
     program.signal("TERM");
     program.wait_for_log("SIGTERM");
-    // Waits for the listener to close: from then on, the router closes each connection after the current response.
+    // Waits for the listener to close: from then on, the router closes each connection after the current
+    // response.
     let deadline = Instant::now() + TIMEOUT;
     while TcpStream::connect(program.address).is_ok() {
         assert!(Instant::now() < deadline, "the listener stays open");
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Tests of settings that change while the router serves: the checks of new settings, a dispatcher that applies them,
-//! their publication by `LiveConfig`, and a reload of the program.
+//! Tests of settings that change while the router serves: the checks of new settings, a dispatcher that
+//! applies new settings, the publication of settings by `LiveConfig`, and a reload of the program.
 mod common;
 use alderway::interface::AttemptOutcome;
 use alderway::policy::Policy;
@@ -122,7 +122,8 @@
     harness
 }
 
-/// Records the decisions of one call of the policy; the test executes them on the dispatcher afterwards.
+/// Records the decisions of one call of the policy; the test executes the decisions on the dispatcher
+/// afterwards.
 #[derive(Default)]
 struct RecordedDecisions(Vec<(String, String)>);
 
@@ -175,8 +176,8 @@
         self.updates.send_replace(generation(serial, settings));
     }
 
-    /// Opens a query like an HTTP request does. Returns the index of its service class and its client connection, or
-    /// `None` if the class is unknown.
+    /// Opens a query like an HTTP request does. Returns the index of its service class and its client
+    /// connection, or `None` if the class is unknown.
     fn open_query(&mut self, id: &str, class_name: &str) -> Option<(usize, Rc<ClientConnection>)> {
         self.dispatcher.apply_newest_config();
         let class = self.dispatcher.class_slot(class_name)?;
@@ -187,7 +188,8 @@
         Some((class, client))
     }
 
-    /// Reports `outcome` for the first attempt of a shard request and calls the policy; returns the decisions.
+    /// Reports `outcome` for the first attempt of a shard request and calls the policy; returns the
+    /// decisions.
     fn end_attempt(&mut self, request: &str, outcome: AttemptOutcome) -> Vec<String> {
         let id = AttemptId::new(request, 0);
         let node = self.dispatcher.attempts.get(&id).expect("in flight").node.clone();
@@ -240,7 +242,7 @@
     harness.run_round();
     for n in 1..=650 {
         harness.publish(n, &settings_with("/Services/0/PromiseUs", json!(1_000_000 + n)));
-        // After every third change, the next change follows before the policy is called.
+        // Every third change is applied without a call of the policy before the next change.
         if n % 3 > 0 {
             harness.run_round();
         } else {
@@ -332,7 +334,7 @@
             outcome = &mut apply => panic!("{outcome:?} although core 1 has not applied the settings"),
             () = tokio::task::yield_now() => {}
         }
-        // From now on, core 1 hangs; `apply` does not wait for a core that hangs.
+        // From here on, core 1 hangs; `apply` does not wait for a core that hangs.
         hangs.set(true);
         assert_eq!(apply.await, Ok(ApplyResult::Changed));
         assert_eq!(
