--- a/crates/router/src/io/core_supervisor.rs
+++ b/crates/router/src/io/core_supervisor.rs
@@ -66,7 +66,7 @@
                 _ = terminations.recv() => return Ok(()),
                 Some(report) = self.reports.recv() => {
                     if let CoreReport::Failed(core, reason) = report {
-                        tracing::error!(target: "failure", "core {core} record_failure: {reason}");
+                        tracing::error!(target: "failure", "core {core} failed: {reason}");
                         let change = self.core_table.borrow_mut().record_failure(core, self.clock.now());
                         change.iter().for_each(log_change);
                     }
