--- a/src/policy.rs
+++ b/src/policy.rs
@@ -52,7 +52,7 @@
 const ANSWER_MARGIN_S: f64 = 0.030;
 /// By how much a sum of weights may be too small because of rounding.
 const WEIGHT_TOLERANCE_FRACTION: f64 = 0.00005;
-/// While a timer is set, a longer time between two rounds, in check intervals, counts as a stall of the router.
+/// If more than this number of check intervals pass between two rounds while a timer is set, the router has stalled.
 const STALL_CHECK_INTERVALS: f64 = 5.0;
 /// Tag of the policy's only timer, which triggers the next check of open queries and polling of the endpoint list.
 const CHECK_TIMER_TAG: u64 = 1;
@@ -169,8 +169,9 @@
         Ok(())
     }
 
-    /// Advances both clocks. A long time between two rounds while a timer is set means that the router itself stalled.
-    /// Deadlines and windows use the monotonic clock, stalls included.
+    /// Advances the monotonic clock to `now_s`, and the clock that excludes this router's stalls. While a timer is set,
+    /// the second clock advances by at most `STALL_CHECK_INTERVALS` check intervals, as a longer time between two
+    /// rounds means that the router stalled. Deadlines and windows use the monotonic clock.
     fn advance_clocks(&mut self, now_s: f64) {
         let elapsed_s = now_s - self.now_s;
         let longest_s = STALL_CHECK_INTERVALS * CHECK_INTERVAL_S;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,10 +1,11 @@
 //! Decides which queries are admitted, and which are rejected to shed load.
 //!
 //! Inputs are the expected latency of a query and the seconds left until its latency objective or deadline, the time
-//! that its shard requests may wait for their holders, the fraction of the queries of all routers (the fleet) that end
-//! late, and the query's value, which is its priority weight per second of work. They are combined into a load
-//! estimate: the fraction of the time left that the query needs. Above a threshold of the load estimate, queries are
-//! rejected at random, those of less value more often. This prevents an overload in which all queries wait and none is
+//! that its shard requests may wait for their holders, which are the serving nodes that have a copy of the shard, the
+//! fraction of the queries of all routers (the fleet) that end late, and the query's value, which is its priority
+//! weight per second of work. The load estimate of a query is the fraction of its time left that its latency and
+//! waits are expected to take, and at least the fleet's late fraction. Above a threshold of the load estimate, queries
+//! are rejected at random, and queries of less value more often. This prevents an overload in which all queries wait and none is
 //! answered in time. The cost: if latencies are high for another reason than load, queries are rejected that would have
 //! been answered. While the median latency fits into the time left, some queries are admitted at any load estimate, as
 //! only answers show the end of an overload.
@@ -48,7 +49,7 @@
 /// Expected wait of a shard request that has no serving holder.
 const NO_HOLDER_WAIT_S: f64 = 9e9;
 
-/// State of load shedding.
+/// Whether load shedding is on, and the values from which this is decided.
 #[derive(Default)]
 pub(super) struct LoadShedding {
     /// Whether load shedding is on. Queries whose late answers have little value are then abandoned.
--- a/src/policy/client_retry.rs
+++ b/src/policy/client_retry.rs
@@ -3,15 +3,15 @@
 //!
 //! Inputs are the time left to the query, which is the seconds from its arrival to its client's deadline, the longest
 //! time left of any query of its class, and the number of unserved queries, which ended without an answer and may be
-//! retried by their clients. A retry has less time left than a first query. At most as many queries count as retries as
-//! are expected after the unserved ones; otherwise all queries would count as retries once clients have shortened their
-//! deadlines.
+//! retried by their clients. A query counts as a retry if its time left is shorter than the longest time left, and the
+//! number of expected retries is at least 1. Each unserved query raises this number, each detected retry lowers it by
+//! 1. Without this number, all queries of a client that changes to a shorter deadline would count as retries.
 
 use super::Policy;
 
 /// A query may be a retry if its time left is shorter by more than this than the longest time left of its class.
 const DEADLINE_TOLERANCE_S: f64 = 0.05;
-/// Highest value of the estimate of client retries to expect.
+/// Upper limit of the number of client retries that this router expects, over all query classes.
 const UNSERVED_QUERIES_MAX: f64 = 100.0;
 /// Number of retries expected after an unserved first query, and after an unserved retry.
 const RETRIES_OF_FIRST_QUERY: f64 = 1.0;
@@ -32,7 +32,7 @@
         is_retry
     }
 
-    /// Records that a query was abandoned, whose client may retry.
+    /// Raises the number of expected retries after this router has ended a query without an answer.
     pub(super) fn record_unserved(&mut self, was_client_retry: bool) {
         self.unserved_queries += if was_client_retry { RETRIES_OF_RETRY } else { RETRIES_OF_FIRST_QUERY };
     }
--- a/src/policy/config_changes.rs
+++ b/src/policy/config_changes.rs
@@ -10,8 +10,8 @@
 use super::tenant_quota::TenantQuota;
 use crate::interface::{ClassSlot, PolicyConfig, QueryClass, SlowStartConfig, Tenant};
 
-/// Latency objective of an unused slot. With an infinite objective the slot affects neither the shortest objective nor
-/// the largest fraction of work per objective.
+/// Latency objective in seconds of a slot to which no query class is assigned. With an infinite objective, this slot
+/// affects neither the shortest objective of all slots nor the largest quotient of work and objective.
 const UNUSED_SLOT_OBJECTIVE_S: f64 = f64::INFINITY;
 
 impl Policy {
@@ -69,7 +69,8 @@
         self.classes[slot].config = config.clone();
     }
 
-    /// Removes the class of a slot without open queries.
+    /// Releases a slot by deleting the latencies of its class and making its latency objective infinite. The host
+    /// guarantees that no query of this slot is open.
     pub(super) fn retire_class(&mut self, slot: usize) {
         if let Some(class) = self.classes.get_mut(slot) {
             let config = QueryClass { latency_objective_s: UNUSED_SLOT_OBJECTIVE_S, ..class.config.clone() };
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -36,7 +36,7 @@
                 node.state = state;
             }
             Some(node) => {
-                // The node has restarted: only the attempts in flight are kept of the old process's state.
+                // The node has restarted. Of the old process's state, only the attempts in flight are kept.
                 let in_flight = std::mem::take(&mut node.in_flight);
                 *node = Node::new(replica_group, state, started_at_s, warm_up_phase);
                 node.in_flight = in_flight;
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -13,11 +13,12 @@
 /// Number of latencies that are kept for each query class and for each shard.
 pub(super) const CLASS_SAMPLES_MAX: usize = 256;
 pub(super) const SHARD_SAMPLES_MAX: usize = 40;
-/// Number of latencies of a shard from which its own quantile is used. A successor shard inherits at most this many.
+/// Minimum number of latencies of a shard for using the quantile of this shard; with fewer latencies, the median of the
+/// query class is used. A successor shard inherits at most this many latencies.
 pub(super) const SHARD_SAMPLES_MIN: usize = 12;
-/// Number of latencies of a class from which its quantiles are used.
+/// Minimum number of latencies of a query class for using their quantiles.
 pub(super) const CLASS_SAMPLES_MIN: usize = 16;
-/// Number of latencies of a class from which their median is used.
+/// Minimum number of latencies of a query class for using their median.
 const MEDIAN_SAMPLES_MIN: usize = 5;
 
 const MEDIAN: f64 = 0.5;
@@ -59,8 +60,9 @@
         }
     }
 
-    /// Returns the initial window of a new shard or slot: the latest latencies of its parents, taken from each parent
-    /// in turn, at most `max_samples` in total.
+    /// Returns the initial window of a new shard, or of the new index of a changed query class. The window has the
+    /// latest latencies of `parents`, taken from each of them in turn, at most `max_samples` in total. The parents are
+    /// the windows of the shards that contained the new shard's keys, or that of the class's previous index.
     pub fn inherit(parents: &[&LatencyWindow], max_samples: usize) -> LatencyWindow {
         let mut latest = Vec::new();
         let longest = parents.iter().map(|parent| parent.by_arrival.len()).max().unwrap_or(0);
--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -23,8 +23,8 @@
     pub last_attempt: u64,
     /// The node's health at the start of this round.
     pub health: Health,
-    /// Seconds that a new shard request may have to wait for the node: the time for which the oldest waiting shard
-    /// request has waited, or the time until the node's readmission.
+    /// Seconds that a new shard request is expected to wait before the node can serve it. Admission raises this value
+    /// to the age of the oldest shard request that waits for the node.
     pub expected_wait_s: f64,
 }
 
@@ -91,8 +91,8 @@
         ages.fold(0.0, f64::max)
     }
 
-    /// The number of shard requests that the node may be sent now, and for how long this core then has the turn at a
-    /// node that is warming up.
+    /// The number of shard requests that this core may send to the node now. For a node that is warming up, the result
+    /// also has the seconds for which no other core of this router may send to the node after such a request.
     pub fn capacity(&self, inputs: &CapacityInputs) -> NodeCapacity {
         let free = self.concurrency.additional_requests_allowed(self.in_flight.len());
         self.warm_up_load.capacity(inputs, self.started_at_s, free)
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -9,8 +9,8 @@
 use super::Policy;
 use crate::interface::RetryBudget;
 
-/// Upper limits for the tokens that a shard request adds and for the capacity of the bucket; a larger configured budget
-/// is cut to them.
+/// Upper limits for the tokens that a shard request adds and for the capacity of the bucket. Larger configured values
+/// are reduced to these limits.
 const TOKENS_PER_REQUEST_MAX: f64 = 0.1;
 const CAPACITY_MAX_TOKENS: f64 = 40.0;
 /// Number of tokens that a hedge, or a retry if a retry budget is configured, costs.
--- a/src/policy/shard_changes.rs
+++ b/src/policy/shard_changes.rs
@@ -39,6 +39,9 @@
         }
     }
 
+    /// Replaces an open shard request by its successors after its shard was split; `into` has the id, shard and weight
+    /// of each successor.
+    ///
     /// Each successor has a copy of the old shard request's attempts, so that a split allows neither a second effect
     /// nor more than the maximum number of attempts or hedges. An attempt in flight uses its node's capacity once, even
     /// if several successors wait for it.
--- a/src/shared_limits.rs
+++ b/src/shared_limits.rs
@@ -11,8 +11,9 @@
 /// Number of entries in the table of turns. Nodes whose ids have the same hash share an entry, so that one turn covers
 /// both; this reduces throughput and exceeds no limit.
 const TURN_ENTRIES: usize = 1024;
-/// Number of low bits in an entry that contain the number of the core that has the turn. The other bits contain the end
-/// of that turn, in milliseconds on the host's monotonic clock.
+/// Number of low bits in an entry of the table of turns that contain a core's number. Only this core may send to the
+/// entry's nodes that are warming up. The other bits contain the time at which this restriction ends, in
+/// milliseconds on the host's monotonic clock.
 const CORE_BITS: u32 = 8;
 const CORE_MASK: u64 = (1 << CORE_BITS) - 1;
 
