--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -108,7 +108,8 @@
                 }
             }
         }
-        // Announces a query if `Shard` is negative, one of its shard requests otherwise.
+        // A `req` line with a negative `Shard` adds a query. Any other `req` line adds a shard request to the query whose
+        // number is in the field `Query`.
         "req" => {
             let id = line.required("OpId")?;
             let class_name = line.required("Type")?;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -100,7 +100,8 @@
     pub window_s: f64,
 }
 
-/// The configuration of a policy. All of it but the ring of `placement` can change while the policy runs.
+/// The configuration of a policy. While the policy runs, all values can change except `replica_groups`,
+/// `groups_per_shard` and `explicit_holders` of `placement`.
 #[derive(Clone, Debug, Default)]
 pub struct PolicyConfig {
     /// Number of query routers that send requests to the same data nodes.
@@ -177,14 +178,14 @@
     }
 }
 
-/// The health of a data node according to the attempts of one core. Durations count from `observed_at_s`; a duration
-/// of 0 means that the node is not in that state.
+/// The health of a data node according to the attempts of one core. The node counts as slow, very slow or unresponsive
+/// from `observed_at_s` on, for the seconds in the field of that state; 0 if the node is not in the state.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeObservation {
-    /// When the node's process started, in seconds; `None` if unknown. Observations of another process of the node are
-    /// ignored.
+    /// When the node's process started, in seconds on the host's monotonic clock; `None` if unknown. Observations of
+    /// another process of the node are ignored.
     pub started_at_s: Option<f64>,
-    /// When the observation was made, on the clock that all cores of a router share.
+    /// When the observation was made, in seconds on the host's monotonic clock, which all cores of a router share.
     pub observed_at_s: f64,
     /// Seconds for which the node counts as slow.
     pub slow_for_s: f64,
@@ -195,11 +196,12 @@
 }
 
 /// Calls that keep the policy's state when shards or settings change, and when this host continues queries that another
-/// host process started. A host calls none of these functions if its shards are placed in the ring, its settings never
-/// change, and it continues no queries of other hosts.
+/// host process started. A host calls none of these functions if its shards are placed in the ring (see
+/// [`ShardPlacement`]), its settings never change, and it continues no queries of other hosts.
 pub trait StateTransfer {
-    /// Sets which replica groups and nodes hold a shard. The first call, for any shard, disables the ring for all
-    /// shards: a shard without a call then has no holder.
+    /// Sets which replica groups and nodes hold a shard. Until the first call, the replica groups that hold a shard are
+    /// computed from the shard's number (the ring, see [`ShardPlacement`]). After the first call, a shard for which
+    /// this function has not been called has no holder.
     fn set_shard_holders(&mut self, _shard: u32, _holders: ShardHolders) {}
     /// Initializes a new shard with the latencies and the round robin position of `parents`, the shards that contained
     /// its keys before. Parents that have been retired are skipped.
@@ -253,8 +255,8 @@
         outcome: AttemptOutcome,
         latency_s: f64,
     );
-    /// Removes a query that ended without a decision of the policy: its client disconnected, or the host ended the
-    /// query at its deadline.
+    /// Removes a query that ended without a decision of the policy. The host calls this function if the client has
+    /// disconnected, and also if the host itself has ended the query at its deadline.
     fn client_disconnected(&mut self, query: &str);
     /// Records that the timer that was set with this tag has fired.
     fn timer_fired(&mut self, tag: u64);
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -88,12 +88,12 @@
     }
 }
 
-/// The time-out sent to a data node ends this long before the client's deadline, as the request takes time to arrive
-/// at the node, and the router sends the query's final answer before the deadline.
+/// The time-out sent to a data node expires at least this many seconds before the client's deadline. The request takes
+/// time to arrive at the node, and the router has to send the query's final answer before the deadline.
 const TRANSIT_MARGIN_S: f64 = 0.01;
 
 /// The time-out in milliseconds, at least 1, that the router sends to the data node with an attempt that starts at
-/// `now_s`. The time-out ends at `timeout_at_s` or shortly before the client's deadline `not_after_s`, whichever is
+/// `now_s`. The time-out expires at `timeout_at_s` or `TRANSIT_MARGIN_S` before the client's deadline `not_after_s`, whichever is
 /// first.
 pub fn attempt_timeout_for_node_ms(now_s: f64, timeout_at_s: f64, not_after_s: f64) -> u64 {
     let left_s = timeout_at_s.min(not_after_s - TRANSIT_MARGIN_S) - now_s;
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -154,7 +154,8 @@
         self.close(number, sink);
     }
 
-    /// Records the ages of a query's unanswered shard requests as latencies of the query class. In an overload few
+    /// Called when a query is abandoned. Records the ages of the query's unanswered shard requests as latencies of the
+    /// query class. In an overload few
     /// shard requests are answered, so that answers alone would not show it. Ages below the median latency are ignored,
     /// as queries that are abandoned within milliseconds would lower the latencies of the class.
     fn record_unanswered_requests(&mut self, number: u64) {
--- a/src/policy/hedge_success.rs
+++ b/src/policy/hedge_success.rs
@@ -46,7 +46,8 @@
 }
 
 impl HedgeStats {
-    /// Whether enough time has passed since the last trial hedge for another one.
+    /// Whether a hedge may be sent at `now_s` although the win rate is too low, to find out whether hedges win again:
+    /// at least `TRIAL_HEDGE_INTERVAL_S` must have passed since the last hedge of this kind.
     pub fn trial_hedge_is_due(&self, now_s: f64) -> bool {
         self.last_trial_hedge_at_s.is_none_or(|at_s| now_s - at_s >= TRIAL_HEDGE_INTERVAL_S)
     }
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -18,7 +18,8 @@
 /// Maximum number of hedges of a shard request. One hedge is not enough, as a query with many shards may contain a
 /// shard with two slow holders.
 const HEDGES_MAX: usize = 2;
-/// An attempt is replaced only while at least this fraction of the median latency is left before the latency objective.
+/// To replace an attempt is to cancel it and to start another attempt in the next round. An attempt is replaced only
+/// while at least this fraction of the median latency is left before the latency objective.
 const REPLACEMENT_TIME_FRACTION: f64 = 0.5;
 
 /// What to do about a late shard request.
--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -23,8 +23,9 @@
     pub last_attempt: u64,
     /// The node's health at the start of this round.
     pub health: Health,
-    /// Seconds that a new shard request is expected to wait before the node can serve it. Admission raises this value
-    /// to the age of the oldest shard request that waits for the node.
+    /// Seconds that a new shard request is expected to wait for the node. At the start of a round, the value is the
+    /// expected time until an ejected node is used again (readmission), and 0 for other nodes. Admission raises the
+    /// value to the age of the oldest query with a shard request that waits for the node.
     pub expected_wait_s: f64,
 }
 
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -11,7 +11,7 @@
 
 /// An attempt is very late once its age exceeds the delay after which it is late by this factor.
 pub(super) const VERY_LATE_MULTIPLE: f64 = 2.5;
-/// Consecutive failures from which a node is ejected.
+/// A node is ejected after this number of consecutive failures.
 const EJECTION_FAILURES: u32 = 2;
 /// The duration of an ejection grows by this factor with each consecutive failure, up to the maximum factor.
 const EJECTION_GROWTH: f64 = 1.6;
@@ -24,11 +24,13 @@
 /// routers together send to the node equally often whatever their number.
 const AVOIDANCE_PER_ROUTER_S: f64 = 0.25;
 const AVOIDANCE_PER_ROUTER_MAX_S: f64 = 15.0;
-/// The avoidance time grows by this factor with each late attempt, up to this much above its minimum.
+/// The avoidance time is the number of seconds for which a node is avoided after a late or rejected attempt. Each such
+/// attempt multiplies the time by `AVOIDANCE_GROWTH`. The time never exceeds its minimum by more than
+/// `AVOIDANCE_GROWTH_MAX_S`.
 const AVOIDANCE_GROWTH: f64 = 2.0;
 const AVOIDANCE_GROWTH_MAX_S: f64 = 10.0;
-/// Time for which other cores regard a node as unresponsive after this core has shared that an attempt is unanswered.
-/// The observation is shared again while the attempt stays unanswered.
+/// If an attempt of this core is unanswered, the core shares an observation, and other cores then regard the node as
+/// unresponsive for this time. While the attempt stays unanswered, the core shares the observation again.
 const UNANSWERED_SHARED_FOR_S: f64 = 0.5;
 /// An observation is shared again if the new end of the state exceeds the end that was shared last by more than this
 /// fraction of the remaining time: first for unanswered attempts, then for other states.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -47,7 +47,7 @@
         self.sent.push_back(SentWork { at_s: now_s, work_s: f64::INFINITY });
     }
 
-    /// Work in seconds that was sent since `since_s`.
+    /// The work that this core has sent to the node since `since_s`, in seconds of estimated processing time.
     fn sent_since(&self, since_s: f64) -> f64 {
         self.sent.iter().filter(|sent| sent.at_s >= since_s).map(|sent| sent.work_s).sum()
     }
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct CapacityInputs {
     pub now_s: f64,
-    /// Seconds of work of one shard request.
+    /// Estimated processing time of one shard request at the node, in seconds, without queueing.
     pub request_work_s: f64,
     /// Number of routers that share the node.
     pub router_count: f64,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -121,7 +121,8 @@
         deployment
     }
 
-    /// One node with up to eight shard requests per attempt, and additional work for each attempt.
+    /// One node with up to eight shard requests per attempt. Each attempt costs the node 0.05 s of processing time in
+    /// addition to that of its shard requests.
     pub fn of_one_node() -> Self {
         let placement = ShardPlacement {
             replica_groups: 1,
@@ -181,7 +182,8 @@
         recorder.decisions
     }
 
-    /// Makes this host's policy use the limits that the cores of a router share.
+    /// Makes this host's policy use `limits`: the retry budget's token bucket and the restriction of nodes that are
+    /// warming up to one core, which all cores of a router share.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.policy.use_shared_limits(limits);
     }
--- a/tests/config_changes_random.rs
+++ b/tests/config_changes_random.rs
@@ -89,13 +89,13 @@
     started_at: f64,
 }
 
-/// A period that started at one of the events, for which the limit on retries and hedges is checked.
+/// A window of time from one of the test's events on, for which the limit on retries and hedges is checked.
 struct BudgetWindow {
-    /// The smallest `burst` of all retry budgets in use during the period, in tokens.
+    /// The smallest `burst` of all retry budgets in use during this window, in tokens.
     burst: f64,
-    /// Number of tokens that the shard requests of the period added to the budget.
+    /// Number of tokens that the shard requests of this window added to the retry budget.
     added: f64,
-    /// Number of retries and hedges in the period.
+    /// Number of retries and hedges that started in this window.
     attempts: f64,
 }
 
--- a/tests/shard_changes.rs
+++ b/tests/shard_changes.rs
@@ -61,7 +61,7 @@
     for n in 1..4 {
         assert_eq!(last_node(&host.query(n, &[0]), &format!("p{n}.0")), other);
     }
-    // Neither node holds the shard: the shard request waits, and is sent as soon as a node holds the shard.
+    // Both nodes are now excluded as holders. The shard request waits, and is sent as soon as a node holds the shard.
     host.round(|r| {
         r.set_shard_holders(0, holders(&[0, 1], &["n0", "n1"]));
         r.attempt_ended("p0.0", 1, other, AttemptOutcome::ShardMoved, 0.001);
@@ -113,7 +113,8 @@
     let decisions = host.wait(0.6);
     let [hedge] = attempts(&decisions)[..] else { panic!("one token, one hedge: {decisions:?}") };
     assert!(hedge.starts_with("attempt a n2") || hedge.starts_with("attempt a n3"), "{hedge}");
-    // After the hedge has succeeded, the first attempt continues only for the other successor of the split request.
+    // The hedge of successor `a` succeeds. The policy cancels the copy of the first attempt that belongs to `a`; the
+    // copy that belongs to successor `b` stays in flight.
     let hedge = last_node(&decisions, "a");
     assert_eq!(host.attempt_ended("a", 1, &hedge, AttemptOutcome::Success, 0.05), ["cancel a 0"]);
 }
--- a/tests/start_time.rs
+++ b/tests/start_time.rs
@@ -1,4 +1,4 @@
-//! The estimated start of a data node's process.
+//! Bounds on the start of a data node's process as reported by the endpoint list, whose clock may be wrong.
 use alderway::start_time::estimated_process_start_s;
 use rstest::rstest;
 
