--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -1,9 +1,10 @@
-//! Determines which settings differ between two versions, and which of the changed settings a running router can apply.
+//! Determines which settings differ between two versions, and which of the changed settings a running router
+//! can apply.
 
 use serde_json::Value;
 
-/// The keys whose values differ between two versions of the settings. Only keys that routers with network connections
-/// read are compared; `1` and `1.0` are equal.
+/// The keys whose values differ between two versions of the settings. Only keys that routers with network
+/// connections read are compared; `1` and `1.0` are equal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChangedKeys {
     /// Changed keys that a running router applies without a restart.
@@ -13,11 +14,11 @@
 }
 
 /// Keys whose changes a router applies only after a restart:
-/// - `Cells` (number of replica groups), `Reach` (replica groups per shard) and `Slices` (number of shards) determine
-///   which replica group holds a shard. A change of settings moves no data, and routers would disagree until all of them
-///   have applied the change.
-/// - `ClassFetch` is the number of shard requests of a query's second phase; open queries would get another second
-///   phase than the one with which they arrived.
+/// - `Cells` (number of replica groups), `Reach` (replica groups per shard) and `Slices` (number of shards)
+///   determine which replica group holds a shard. A change of settings moves no data, and routers would
+///   disagree until all of them have applied the change.
+/// - `ClassFetch` is the number of shard requests of a query's second phase; open queries would get another
+///   second phase than the one with which they arrived.
 /// - `Discovery` determines how the router receives changes of the endpoint list.
 /// - `MaxOpen` is the size of tables that all cores allocate together at the start.
 const RESTART_KEYS: [&str; 6] =
--- a/crates/deployment/src/error.rs
+++ b/crates/deployment/src/error.rs
@@ -3,8 +3,8 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why settings cannot be used. The text of the error is what was expected and what was found instead; callers put
-/// "expected" and the name of the settings before it.
+/// Why settings cannot be used. The text of the error is what was expected and what was found instead;
+/// callers put "expected" and the name of the settings before it.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The text is not JSON.
@@ -37,8 +37,8 @@
     /// The setting `Effect` of a query class has another value than the three kinds of idempotency.
     #[error("`idempotent`, `deduplicated` or `at_most_once` in setting `Effect`, found `{0}`")]
     UnknownIdempotency(String),
-    /// A query class has a second phase of shard requests, which only the simulator supports. Contains the number of
-    /// shard requests of that phase.
+    /// A query class has a second phase of shard requests, which only the simulator supports. Contains the
+    /// number of shard requests of that phase.
     #[error(
         "0 in setting `ClassFetch`, found `{0}`: only the simulator supports a second phase of shard requests"
     )]
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,5 +1,6 @@
-//! Reads a deployment's settings from JSON into the configuration of the policy, and into that of a query router with
-//! network connections. No other crate reads the keys of these settings; the simulator's host uses this crate too.
+//! Reads a deployment's settings from JSON into the configuration of the policy, and into that of a query
+//! router with network connections. No other crate reads the keys of these settings; the simulator's host
+//! uses this crate too.
 //!
 //! The platform defines the keys; `docs/configuration.md` lists them.
 #![warn(missing_docs, clippy::missing_errors_doc)]
@@ -36,8 +37,8 @@
 }
 
 impl Settings {
-    /// Reads and checks all settings. A router uses this function at its start and for each change of its settings, so
-    /// that both apply the same checks.
+    /// Reads and checks all settings. A router uses this function at its start and for each change of its
+    /// settings, so that both apply the same checks.
     ///
     /// # Errors
     /// The first setting that is absent or unusable.
@@ -64,8 +65,8 @@
     values::or_default(false, values::required(settings, "Limits")?, "Peers", values::boolean)
 }
 
-/// Creates a policy with the configuration in the settings. Returns the policy and the names of its query classes, in
-/// the order of the classes' indices. `seed` is the seed of the policy's random number generator.
+/// Creates a policy with the configuration in the settings. Returns the policy and the names of its query
+/// classes, in the order of the classes' indices. `seed` is the seed of the policy's random number generator.
 ///
 /// # Errors
 /// The first setting that is absent or unusable.
--- a/crates/deployment/src/policy_config.rs
+++ b/crates/deployment/src/policy_config.rs
@@ -13,8 +13,8 @@
 
 type Result<T> = std::result::Result<T, SettingsError>;
 
-/// Reads the configuration of a policy from the settings. Returns the configuration and the names of its query classes,
-/// in the order of the classes' indices.
+/// Reads the configuration of a policy from the settings. Returns the configuration and the names of its
+/// query classes, in the order of the classes' indices.
 ///
 /// # Errors
 /// The first setting that is absent or unusable.
--- a/crates/deployment/src/router_config.rs
+++ b/crates/deployment/src/router_config.rs
@@ -1,5 +1,6 @@
-//! Reads the configuration that a query router with network connections needs in addition to that of the policy: the
-//! limits of its connections to data nodes, and of the queries that it admits. The simulator does not need it.
+//! Reads the configuration that a query router with network connections needs in addition to that of the
+//! policy: the limits of its connections to data nodes, and of the queries that it admits. The simulator does
+//! not need it.
 
 use crate::SettingsError;
 use crate::values::{
--- a/crates/deployment/src/values.rs
+++ b/crates/deployment/src/values.rs
@@ -1,5 +1,5 @@
-//! Reads single values of the settings. Each function returns a [`SettingsError`] if the key is absent or its value has
-//! another type.
+//! Reads single values of the settings. Each function returns a [`SettingsError`] if the key is absent or its
+//! value has another type.
 
 use crate::SettingsError;
 use serde_json::Value;
@@ -68,8 +68,8 @@
     value.as_array().ok_or_else(|| SettingsError::NotAList(key, value.clone()))
 }
 
-/// Reads the number of the query class with index `class` from a list with one number for each query class. Returns
-/// `default` if the list is absent.
+/// Reads the number of the query class with index `class` from a list with one number for each query class.
+/// Returns `default` if the list is absent.
 pub fn number_for_class(from: &Value, key: &'static str, class: usize, default: f64) -> Result<f64> {
     if from.get(key).is_none() {
         return Ok(default);
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,3 +1,4 @@
-//! Hosts the policies of several query routers for the simulator, which exchanges lines of text with this process.
+//! Hosts the policies of several query routers for the simulator, which exchanges lines of text with this
+//! process.
 
 pub mod wire;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs the query routers of a simulation: reads batches of lines from standard input and writes one reply for each
-//! batch to standard output. A malformed line ends the process with status 2 and one line on standard error.
+//! Runs the query routers of a simulation: reads batches of lines from standard input and writes one reply
+//! for each batch to standard output. A malformed line ends the process with status 2 and one line on
+//! standard error.
 
 use alderway_simhost::wire::RouterHost;
 use std::io::{BufRead, Write, stdin, stdout};
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,6 +1,6 @@
-//! The simulator's line protocol: decodes the lines of a batch into calls of [`PolicyInput`], and encodes the decisions
-//! of each query router's policy as lines of the reply. A batch is the lines up to `eob`; it contains the events of one
-//! point in time for several routers.
+//! The simulator's line protocol: decodes the lines of a batch into calls of [`PolicyInput`], and encodes the
+//! decisions of each query router's policy as lines of the reply. A batch is the lines up to `eob`; it
+//! contains the events of one point in time for several routers.
 //!
 //! The names of messages, fields and values are the simulator's. Times on the wire are in microseconds.
 
@@ -21,8 +21,9 @@
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 /// Shortest time between two gossip messages of a query router to the other routers.
 const GOSSIP_INTERVAL_S: f64 = 0.5;
-/// Maximum of each count in a gossip message: that of late queries and that of queries in time. Further queries are not
-/// counted. The sum of both counts fits into a byte, in which [`PendingLatencyCounts::take_due`] adds them.
+/// Maximum of each count in a gossip message: that of late queries and that of queries in time. Further
+/// queries are not counted. The sum of both counts fits into a byte, in which
+/// [`PendingLatencyCounts::take_due`] adds them.
 const GOSSIP_COUNT_MAX: u8 = 100;
 
 fn attempt_outcome(line: &mut Line) -> Result<AttemptOutcome> {
@@ -39,8 +40,8 @@
     })
 }
 
-/// The `entry` lines of one `manifest` line, which is an endpoint list. A later `manifest` line with the same number
-/// does not change these lines.
+/// The `entry` lines of one `manifest` line, which is an endpoint list. A later `manifest` line with the same
+/// number does not change these lines.
 type EndpointLines<'a> = Rc<Vec<Line<'a>>>;
 
 /// Decodes one `entry` line of an endpoint list and delivers it to the policy.
@@ -76,8 +77,8 @@
     (0..text.len()).step_by(2).map(byte_at).collect()
 }
 
-/// Decodes one event and calls the corresponding function of the policy. `endpoints` is the endpoint list that the
-/// event refers to; `None` if it refers to no list.
+/// Decodes one event and calls the corresponding function of the policy. `endpoints` is the endpoint list
+/// that the event refers to; `None` if it refers to no list.
 fn deliver_event(
     mut line: Line,
     endpoints: Option<&EndpointLines>,
@@ -108,8 +109,8 @@
                 }
             }
         }
-        // A `req` line with a negative `Shard` adds a query. Any other `req` line adds a shard request to the query whose
-        // number is in the field `Query`.
+        // A `req` line with a negative `Shard` adds a query. Any other `req` line adds a shard request to the
+        // query whose number is in the field `Query`.
         "req" => {
             let id = line.required("OpId")?;
             let class_name = line.required("Type")?;
@@ -143,8 +144,8 @@
         }
         "vanished" => input.client_disconnected(line.required("OpId")?),
         "timeout_fired" => input.timer_fired(line.whole_number("Tag")?),
-        // The policy uses neither the start of an answer nor health checks: the fields of these events are only
-        // checked.
+        // The policy uses neither the start of an answer nor health checks: the fields of these events are
+        // only checked.
         "started" => {
             line.required("OpId")?;
             line.whole_number("Hop")?;
@@ -173,8 +174,8 @@
     line.expect_end()
 }
 
-/// Numbers of this router's queries that have ended since its last gossip message: after their latency objective
-/// (`late`), and within it (`in_time`).
+/// Numbers of this router's queries that have ended since its last gossip message: after their latency
+/// objective (`late`), and within it (`in_time`).
 #[derive(Default)]
 struct PendingLatencyCounts {
     late: u8,
@@ -189,7 +190,8 @@
         *count = (*count + 1).min(GOSSIP_COUNT_MAX);
     }
 
-    /// Returns the counts (late, in time) if a gossip message is due and a count is not 0, and resets both to 0.
+    /// Returns the counts (late, in time) if a gossip message is due and a count is not 0, and resets both to
+    /// 0.
     fn take_due(&mut self, now_s: f64) -> Option<(u8, u8)> {
         if now_s < self.next_message_at_s || self.late + self.in_time == 0 {
             return None;
@@ -220,7 +222,8 @@
         Ok(HostedRouter { policy, class_names, gossip })
     }
 
-    /// Runs one round of the policy with the events of a batch. Returns the policy's decisions as lines of the reply.
+    /// Runs one round of the policy with the events of a batch. Returns the policy's decisions as lines of
+    /// the reply.
     fn run_round(&mut self, now_s: f64, events: Vec<RouterEvent>) -> Result<String> {
         let HostedRouter { policy, class_names, gossip } = self;
         let mut sent_counts = None;
@@ -250,8 +253,8 @@
 #[derive(Default)]
 pub struct RouterHost {
     routers: BTreeMap<String, HostedRouter>,
-    /// The latest endpoint list with each `manifest` number, as line numbers and texts. Later batches may refer to
-    /// these lists.
+    /// The latest endpoint list with each `manifest` number, as line numbers and texts. Later batches may
+    /// refer to these lists.
     endpoint_lists: BTreeMap<u64, Vec<(usize, String)>>,
 }
 
@@ -336,7 +339,8 @@
                         .malformed(MESSAGE_NAME_FIELD, "a `boot` line before the other events of a router");
                 }
                 "directory_update" => {
-                    // The list is looked up here, as a later `manifest` line of the batch may have the same number.
+                    // The list is looked up here, as a later `manifest` line of the batch may have the same
+                    // number.
                     let mut fields = line.clone();
                     let number = fields.optional("Buffer")?.and_then(|number| number.parse::<u64>().ok());
                     let endpoints = number.and_then(|number| endpoint_lists.get(&number));
--- a/crates/simhost/src/wire/line.rs
+++ b/crates/simhost/src/wire/line.rs
@@ -3,7 +3,8 @@
 use super::MICROSECONDS_PER_SECOND;
 use std::fmt;
 
-/// A line of the input that cannot be decoded, with the field concerned and the value that was expected there.
+/// A line of the input that cannot be decoded, with the field concerned and the value that was expected
+/// there.
 #[derive(Debug)]
 pub struct MalformedLine {
     line: usize,
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// Runs one round of a policy. If the policy panics, adds an `internal_error` line to the reply, so that the process
-/// continues to run the other routers.
+/// Runs one round of a policy. If the policy panics, adds an `internal_error` line to the reply, so that the
+/// process continues to run the other routers.
 ///
 /// # Errors
 /// The error that `round` returns.
--- a/crates/simhost/tests/pipe.rs
+++ b/crates/simhost/tests/pipe.rs
@@ -1,5 +1,5 @@
-//! The process as the simulator runs it: batches on standard input, replies on standard output, and an error message on
-//! standard error where a line is malformed.
+//! The process as the simulator runs it: batches on standard input, replies on standard output, and an error
+//! message on standard error where a line is malformed.
 use rstest::rstest;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
--- a/examples/event_cost.rs
+++ b/examples/event_cost.rs
@@ -1,7 +1,7 @@
-//! Measures how long a round of the policy takes while many queries are open: 270 nodes, 8 shard requests per query, a
-//! retry budget that is used up, and every second attempt rejected. Prints the median of 400 rounds in microseconds for
-//! 100, 1,000 and 6,000 open queries; one attempt ends in each round. `alderway-lab scale rounds` varies the number of
-//! nodes and of shard requests.
+//! Measures how long a round of the policy takes while many queries are open: 270 nodes, 8 shard requests per
+//! query, a retry budget that is used up, and every second attempt rejected. Prints the median of 400 rounds
+//! in microseconds for 100, 1,000 and 6,000 open queries; one attempt ends in each round. `alderway-lab scale
+//! rounds` varies the number of nodes and of shard requests.
 use alderway::interface::RetryBudget;
 use rounds::{Shape, measure};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! The request policy of alderway, whose query routers read many shards for one query. This crate does no I/O.
+//! The request policy of alderway, whose query routers read many shards for one query. This crate does no
+//! I/O.
 //!
-//! [`policy`] makes the decisions, [`permits`] checks whether an action is still allowed when it is carried out, and
-//! [`interface`] is how a host program calls the policy.
+//! [`policy`] makes the decisions, [`permits`] checks whether an action is still allowed when it is carried
+//! out, and [`interface`] is how a host program calls the policy.
 #![warn(missing_docs, clippy::missing_errors_doc)]
 
 pub mod interface;
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -1,9 +1,9 @@
 //! Checks whether a router may now start an attempt, close a connection, or admit or reject a query.
 //!
-//! The policy may have decided on an action some time before, for example if an attempt has waited for a connection.
-//! The code that carries out the action therefore calls these functions immediately before it, with the current state.
-//! This prevents effects that happen twice and attempts whose result no client waits for. Times are seconds on the
-//! host's monotonic clock.
+//! The policy may have decided on an action some time before, for example if an attempt has waited for a
+//! connection. The code that carries out the action therefore calls these functions immediately before it,
+//! with the current state. This prevents effects that happen twice and attempts whose result no client waits
+//! for. Times are seconds on the host's monotonic clock.
 
 use crate::interface::{Idempotency, NodeState};
 
@@ -14,8 +14,8 @@
     QueryEnded,
     /// The attempt's time-out or its client's deadline has passed.
     DeadlinePassed,
-    /// The period in which data nodes discard repeated attempts has passed; it begins with the first attempt that may
-    /// have had an effect.
+    /// The period in which data nodes discard repeated attempts has passed; it begins with the first attempt
+    /// that may have had an effect.
     IdempotencyWindowPassed,
     /// An earlier attempt of a non-idempotent shard request may have had an effect.
     PossibleEffect,
@@ -60,8 +60,8 @@
     pub deadline_s: f64,
     /// Whether the shard request may be repeated.
     pub idempotency: Idempotency,
-    /// When the first earlier attempt of the shard request that may have had an effect started; `None` if there is no
-    /// such attempt.
+    /// When the first earlier attempt of the shard request that may have had an effect started; `None` if
+    /// there is no such attempt.
     pub first_effect_at_s: Option<f64>,
     /// The data node's state.
     pub node_state: NodeState,
@@ -88,13 +88,14 @@
     }
 }
 
-/// The time-out sent to a data node expires at least this many seconds before the client's deadline. The request takes
-/// time to arrive at the node, and the router has to send the query's final answer before the deadline.
+/// The time-out sent to a data node expires at least this many seconds before the client's deadline. The
+/// request takes time to arrive at the node, and the router has to send the query's final answer before the
+/// deadline.
 const TRANSIT_MARGIN_S: f64 = 0.01;
 
-/// The time-out in milliseconds, at least 1, that the router sends to the data node with an attempt that starts at
-/// `now_s`. The time-out expires at `timeout_at_s` or `TRANSIT_MARGIN_S` before the client's deadline `not_after_s`, whichever is
-/// first.
+/// The time-out in milliseconds, at least 1, that the router sends to the data node with an attempt that
+/// starts at `now_s`. The time-out expires at `timeout_at_s` or `TRANSIT_MARGIN_S` before the client's
+/// deadline `not_after_s`, whichever is first.
 pub fn attempt_timeout_for_node_ms(now_s: f64, timeout_at_s: f64, not_after_s: f64) -> u64 {
     let left_s = timeout_at_s.min(not_after_s - TRANSIT_MARGIN_S) - now_s;
     (left_s * 1e3).max(1.0) as u64
@@ -136,9 +137,9 @@
     }
 }
 
-/// Checks whether a query may be rejected. After a rejection the client may retry the query, so that a query that is
-/// not idempotent must not have had an effect.
-/// `possible_effect` is whether any attempt of the query may have had an effect.
+/// Checks whether a query may be rejected. After a rejection the client may retry the query, so that a query
+/// that is not idempotent must not have had an effect. `possible_effect` is whether any attempt of the query
+/// may have had an effect.
 ///
 /// # Errors
 /// `PossibleEffect`.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,14 +1,15 @@
-//! The decisions of a query router, or of one of its cores: which queries are admitted, which data node each attempt
-//! goes to, when an attempt is hedged or retried, and when a query is answered.
+//! The decisions of a query router, or of one of its cores: which queries are admitted, which data node each
+//! attempt goes to, when an attempt is hedged or retried, and when a query is answered.
 //!
-//! The host calls [`Policy::round`], in which it delivers events through [`PolicyInput`] and receives every decision
-//! through a [`DecisionSink`]. This file defines the order of the steps of a round. Each step has its own module with
-//! documentation of its decisions, their inputs and their reasons. `docs/design.md` describes the whole design.
+//! The host calls [`Policy::round`], in which it delivers events through [`PolicyInput`] and receives every
+//! decision through a [`DecisionSink`]. This file defines the order of the steps of a round. Each step has
+//! its own module with documentation of its decisions, their inputs and their reasons. `docs/design.md`
+//! describes the whole design.
 //!
-//! Times are in seconds. Names that contain `stall_free` are on a clock that excludes the router's own stalls, all
-//! others on the host's monotonic clock. An attempt is late once its age exceeds a delay that the module `latency`
-//! estimates. Serving nodes that hold a shard are its holders. The work of a request is its processing time at the node
-//! in seconds, without queueing.
+//! Times are in seconds. Names that contain `stall_free` are on a clock that excludes the router's own
+//! stalls, all others on the host's monotonic clock. An attempt is late once its age exceeds a delay that the
+//! module `latency` estimates. Serving nodes that hold a shard are its holders. The work of a request is its
+//! processing time at the node in seconds, without queueing.
 
 mod admission;
 mod attempts_by_age;
@@ -52,16 +53,19 @@
 const ANSWER_MARGIN_S: f64 = 0.030;
 /// By how much a sum of weights may be too small because of rounding.
 const WEIGHT_TOLERANCE_FRACTION: f64 = 0.00005;
-/// If more than this number of check intervals pass between two rounds while a timer is set, the router has stalled.
+/// If more than this number of check intervals pass between two rounds while a timer is set, the router has
+/// stalled.
 const STALL_CHECK_INTERVALS: f64 = 5.0;
-/// Tag of the policy's only timer, which triggers the next check of open queries and polling of the endpoint list.
+/// Tag of the policy's only timer, which triggers the next check of open queries and polling of the endpoint
+/// list.
 const CHECK_TIMER_TAG: u64 = 1;
 
 /// The decisions of one query router, or of one core of it.
 #[derive(Default)]
 pub struct Policy {
     now_s: f64,
-    /// Time in seconds on a clock that excludes the router's own stalls, as a stall would make every attempt look late.
+    /// Time in seconds on a clock that excludes the router's own stalls, as a stall would make every attempt
+    /// look late.
     now_stall_free_s: f64,
     random: Pcg,
     router_count: f64,
@@ -74,7 +78,8 @@
     shared_limits: SharedLimits,
     retry_tokens: RetryTokenConfig,
     nodes: BTreeMap<String, Node>,
-    /// Ids of serving nodes by replica group. Changes of the endpoint list clear this map; the next round fills it.
+    /// Ids of serving nodes by replica group. Changes of the endpoint list clear this map; the next round
+    /// fills it.
     serving_nodes: BTreeMap<u32, Vec<String>>,
     shards: BTreeMap<u32, ShardState>,
     /// Pairs of shard and query class for which no holder has capacity for a first attempt in this round.
@@ -90,8 +95,8 @@
     load_shedding: LoadShedding,
     poll_endpoints_at_s: f64,
     timer_set: bool,
-    /// Until this time a query has at most one attempt in flight while none of its shard requests has succeeded, as a
-    /// node that crashed during an attempt may be warming up.
+    /// Until this time a query has at most one attempt in flight while none of its shard requests has
+    /// succeeded, as a node that crashed during an attempt may be warming up.
     single_attempts_until_s: f64,
 }
 
@@ -110,7 +115,8 @@
 }
 
 impl Policy {
-    /// Creates a policy with an empty endpoint list. `seed` is the seed of the policy's random number generator.
+    /// Creates a policy with an empty endpoint list. `seed` is the seed of the policy's random number
+    /// generator.
     pub fn new(seed: u64, config: PolicyConfig) -> Self {
         let polls_endpoints = config.capabilities.polls_endpoints;
         let policy = Policy {
@@ -129,15 +135,15 @@
         policy
     }
 
-    /// Makes this policy use limits that it shares with the other cores of its router. The host has to call this
-    /// function before the first round.
+    /// Makes this policy use limits that it shares with the other cores of its router. The host has to call
+    /// this function before the first round.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.shared_limits = limits;
         self.apply_capacity_to_token_bucket();
     }
 
-    /// Runs one round at `now_s` seconds on the host's monotonic clock: calls `deliver_events` for the events since the
-    /// last round, then writes every decision to `sink`.
+    /// Runs one round at `now_s` seconds on the host's monotonic clock: calls `deliver_events` for the events
+    /// since the last round, then writes every decision to `sink`.
     ///
     /// # Errors
     /// The error of `deliver_events`; no decision is written in this case.
@@ -169,9 +175,10 @@
         Ok(())
     }
 
-    /// Advances the monotonic clock to `now_s`, and the clock that excludes this router's stalls. While a timer is set,
-    /// the second clock advances by at most `STALL_CHECK_INTERVALS` check intervals, as a longer time between two
-    /// rounds means that the router stalled. Deadlines and windows use the monotonic clock.
+    /// Advances the monotonic clock to `now_s`, and the clock that excludes this router's stalls. While a
+    /// timer is set, the second clock advances by at most `STALL_CHECK_INTERVALS` check intervals, as a
+    /// longer time between two rounds means that the router stalled. Deadlines and windows use the monotonic
+    /// clock.
     fn advance_clocks(&mut self, now_s: f64) {
         let elapsed_s = now_s - self.now_s;
         let longest_s = STALL_CHECK_INTERVALS * CHECK_INTERVAL_S;
@@ -186,8 +193,8 @@
         }
     }
 
-    /// Numbers of the queries that are checked in this round: those whose next check is due and those with a late
-    /// attempt.
+    /// Numbers of the queries that are checked in this round: those whose next check is due and those with a
+    /// late attempt.
     fn due_queries(&mut self) -> Vec<u64> {
         let late = self.queries_with_late_attempts();
         let is_due =
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,14 +1,15 @@
 //! Decides which queries are admitted, and which are rejected to shed load.
 //!
-//! Inputs are the expected latency of a query and the seconds left until its latency objective or deadline, the time
-//! that its shard requests may wait for their holders, which are the serving nodes that have a copy of the shard, the
-//! fraction of the queries of all routers (the fleet) that end late, and the query's value, which is its priority
-//! weight per second of work. The load estimate of a query is the fraction of its time left that its latency and
-//! waits are expected to take, and at least the fleet's late fraction. Above a threshold of the load estimate, queries
-//! are rejected at random, and queries of less value more often. This prevents an overload in which all queries wait and none is
-//! answered in time. The cost: if latencies are high for another reason than load, queries are rejected that would have
-//! been answered. While the median latency fits into the time left, some queries are admitted at any load estimate, as
-//! only answers show the end of an overload.
+//! Inputs are the expected latency of a query and the seconds left until its latency objective or deadline,
+//! the time that its shard requests may wait for their holders, which are the serving nodes that have a copy
+//! of the shard, the fraction of the queries of all routers (the fleet) that end late, and the query's value,
+//! which is its priority weight per second of work. The load estimate of a query is the fraction of its time
+//! left that its latency and waits are expected to take, and at least the fleet's late fraction. Above a
+//! threshold of the load estimate, queries are rejected at random, and queries of less value more often. This
+//! prevents an overload in which all queries wait and none is answered in time. The cost: if latencies are
+//! high for another reason than load, queries are rejected that would have been answered. While the median
+//! latency fits into the time left, some queries are admitted at any load estimate, as only answers show the
+//! end of an overload.
 
 use super::latency::{CLASS_SAMPLES_MIN, DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE};
 use super::query::{Query, ShardRequest};
@@ -16,12 +17,12 @@
 use crate::interface::DecisionSink;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Load estimate above which queries are rejected, and the range above this value in which the rejection probability
-/// rises to 1.
+/// Load estimate above which queries are rejected, and the range above this value in which the rejection
+/// probability rises to 1.
 const LOAD_ESTIMATE_MIN: f64 = 0.3;
 const LOAD_ESTIMATE_RANGE: f64 = 0.4;
-/// Load estimate of a query if the shard requests that are expected to be served in time have less than the minimum
-/// fraction of its weight.
+/// Load estimate of a query if the shard requests that are expected to be served in time have less than the
+/// minimum fraction of its weight.
 const LOAD_ESTIMATE_UNSERVABLE: f64 = 1.0;
 /// Fraction of the time left that a wait for a holder may take without raising the load estimate.
 const WAIT_TOLERANCE_FRACTION: f64 = 0.2;
@@ -34,12 +35,12 @@
 const HIGHEST_VALUE_DECAY: f64 = 0.99;
 /// Weight of the newest rejection probability in the exponential moving average.
 const SMOOTHING_FRACTION: f64 = 0.1;
-/// Smoothed rejection probabilities above which load shedding switches on, and below which it switches off. The
-/// distance between them prevents switching at every query.
+/// Smoothed rejection probabilities above which load shedding switches on, and below which it switches off.
+/// The distance between them prevents switching at every query.
 const SHEDDING_ON_PROBABILITY: f64 = 0.15;
 const SHEDDING_OFF_PROBABILITY: f64 = 0.03;
-/// Period in which the ended queries of all routers are counted, and the minimum number of queries for which the late
-/// fraction is computed.
+/// Period in which the ended queries of all routers are counted, and the minimum number of queries for which
+/// the late fraction is computed.
 const FLEET_WINDOW_S: f64 = 2.0;
 const FLEET_QUERIES_MIN: u32 = 8;
 /// Retry-After of a query rejected on arrival, as a fraction of the time left to it.
@@ -72,15 +73,15 @@
         self.fleet_counts.push_back(FleetLatencyCounts { at_s, late, in_time });
     }
 
-    /// Resets the highest value. Called when priority weights change, as old and new values cannot be compared.
+    /// Resets the highest value. Called when priority weights change, as old and new values cannot be
+    /// compared.
     pub fn reset_highest_value(&mut self) {
         self.highest_value = 0.0;
     }
 
-    /// Fraction of the queries of all routers that ended late within the last `FLEET_WINDOW_S`; 0 if fewer than
-    /// `FLEET_QUERIES_MIN` ended. A single router of many
-    /// observes too few late queries to detect an overload. The cost: if nodes fail without an overload, queries are
-    /// rejected.
+    /// Fraction of the queries of all routers that ended late within the last `FLEET_WINDOW_S`; 0 if fewer
+    /// than `FLEET_QUERIES_MIN` ended. A single router of many observes too few late queries to detect an
+    /// overload. The cost: if nodes fail without an overload, queries are rejected.
     fn fleet_late_fraction(&mut self, now_s: f64) -> f64 {
         self.fleet_counts.retain(|counts| counts.at_s > now_s - FLEET_WINDOW_S);
         let late: u32 = self.fleet_counts.iter().map(|counts| counts.late).sum();
@@ -89,15 +90,15 @@
         if all < FLEET_QUERIES_MIN { 0.0 } else { f64::from(late) / f64::from(all) }
     }
 
-    /// Updates the highest value with that of a new query. Returns the factor by which this query is rejected more
-    /// often than a query with the highest value.
+    /// Updates the highest value with that of a new query. Returns the factor by which this query is rejected
+    /// more often than a query with the highest value.
     fn rejection_factor(&mut self, value: f64) -> f64 {
         self.highest_value = (self.highest_value * HIGHEST_VALUE_DECAY).max(value);
         ZERO_VALUE_REJECTION_FACTOR - value / self.highest_value
     }
 
-    /// Updates the smoothed rejection probability with that of a new query. Returns whether load shedding switched on
-    /// or off.
+    /// Updates the smoothed rejection probability with that of a new query. Returns whether load shedding
+    /// switched on or off.
     fn update(&mut self, rejection_probability: f64) -> bool {
         let change = rejection_probability.min(1.0) - self.smoothed_rejection_probability;
         self.smoothed_rejection_probability += SMOOTHING_FRACTION * change;
@@ -135,8 +136,9 @@
         }
     }
 
-    /// Raises the expected wait of nodes to the age of the oldest shard request that waits for them. Otherwise new
-    /// queries would use capacity although one of their shard requests cannot be served in time.
+    /// Raises the expected wait of nodes to the age of the oldest shard request that waits for them.
+    /// Otherwise new queries would use capacity although one of their shard requests cannot be served in
+    /// time.
     fn raise_expected_waits(&mut self) {
         let mut oldest_at_s = BTreeMap::new();
         let checked = |query: &&Query| query.admitted && query.next_check_at_s <= self.now_s;
@@ -162,8 +164,8 @@
         holders.iter().map(|id| self.nodes[*id].expected_wait_s).fold(NO_HOLDER_WAIT_S, f64::min)
     }
 
-    /// The fraction of the time left that a query is expected to take; at 1 or more its answer would be late. The
-    /// result is at least the fraction of the fleet's queries that end late.
+    /// The fraction of the time left that a query is expected to take; at 1 or more its answer would be late.
+    /// The result is at least the fraction of the fleet's queries that end late.
     fn load_estimate(&self, query: &Query, time_left_s: f64, fleet_late_fraction: f64) -> f64 {
         let class = &self.classes[query.class].config;
         let (mut servable, mut servable_weight, mut longest_wait_s) = (0, 0.0, 0.0f64);
@@ -184,10 +186,10 @@
         (expected_s / time_left_s).max(with_wait).max(fleet_late_fraction)
     }
 
-    /// The expected latency of a query in seconds: that of the slowest shard request that its answer needs. The latency
-    /// of the slowest of n is estimated as the quantile n / (n + 1). If all shard requests are needed, the result is
-    /// the geometric mean of this quantile and the median: an overload raises both, a few slow nodes raise only the
-    /// quantile.
+    /// The expected latency of a query in seconds: that of the slowest shard request that its answer needs.
+    /// The latency of the slowest of n is estimated as the quantile n / (n + 1). If all shard requests are
+    /// needed, the result is the geometric mean of this quantile and the median: an overload raises both, a
+    /// few slow nodes raise only the quantile.
     fn expected_latency_s(&self, query: &Query) -> f64 {
         let class = &self.classes[query.class];
         let minimum_fraction = class.config.minimum_fraction;
--- a/src/policy/attempts_by_age.rs
+++ b/src/policy/attempts_by_age.rs
@@ -1,6 +1,6 @@
-//! An index of attempts in flight by age, which finds the late ones without visiting the others. It has a separate
-//! queue for each pair of shard and query class, as all attempts of a pair are late after the same delay. Times are in
-//! seconds on the clock that excludes the router's own stalls.
+//! An index of attempts in flight by age, which finds the late ones without visiting the others. It has a
+//! separate queue for each pair of shard and query class, as all attempts of a pair are late after the same
+//! delay. Times are in seconds on the clock that excludes the router's own stalls.
 
 use super::query::ShardAndClass;
 use std::collections::{BTreeMap, VecDeque};
@@ -21,8 +21,8 @@
     position: AttemptPosition,
 }
 
-/// Attempts in the order in which they started. An entry that was not removed when its attempt ended is removed once it
-/// is older than the delay after which attempts of its key are late.
+/// Attempts in the order in which they started. An entry that was not removed when its attempt ended is
+/// removed once it is older than the delay after which attempts of its key are late.
 #[derive(Default)]
 pub(super) struct AttemptsByAge {
     by_key: BTreeMap<ShardAndClass, VecDeque<StartedAttempt>>,
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Returns the attempts that started more than `delay_s` of their key ago and are in flight and not cancelled.
+    /// Returns the attempts that started more than `delay_s` of their key ago and are in flight and not
+    /// cancelled.
     pub fn late(
         &mut self,
         now_s: f64,
--- a/src/policy/client_retry.rs
+++ b/src/policy/client_retry.rs
@@ -1,15 +1,17 @@
-//! Decides whether a new query is regarded as a client's retry of an earlier one. The latency objective of a retry
-//! counts from the client's first query.
+//! Decides whether a new query is regarded as a client's retry of an earlier one. The latency objective of a
+//! retry counts from the client's first query.
 //!
-//! Inputs are the time left to the query, which is the seconds from its arrival to its client's deadline, the longest
-//! time left of any query of its class, and the number of unserved queries, which ended without an answer and may be
-//! retried by their clients. A query counts as a retry if its time left is shorter than the longest time left, and the
-//! number of expected retries is at least 1. Each unserved query raises this number, each detected retry lowers it by
-//! 1. Without this number, all queries of a client that changes to a shorter deadline would count as retries.
+//! Inputs are the time left to the query, which is the seconds from its arrival to its client's deadline, the
+//! longest time left of any query of its class, and the number of unserved queries, which ended without an
+//! answer and may be retried by their clients. A query counts as a retry if its time left is shorter than the
+//! longest time left, and the number of expected retries is at least 1. Each unserved query raises this
+//! number, each detected retry lowers it by 1. Without this number, all queries of a client that changes to a
+//! shorter deadline would count as retries.
 
 use super::Policy;
 
-/// A query may be a retry if its time left is shorter by more than this than the longest time left of its class.
+/// A query may be a retry if its time left is shorter by more than this than the longest time left of its
+/// class.
 const DEADLINE_TOLERANCE_S: f64 = 0.05;
 /// Upper limit of the number of client retries that this router expects, over all query classes.
 const UNSERVED_QUERIES_MAX: f64 = 100.0;
@@ -18,8 +20,8 @@
 const RETRIES_OF_RETRY: f64 = 0.5;
 
 impl Policy {
-    /// Returns whether a new query is regarded as a client's retry. If so, one retry less is expected. Updates the
-    /// longest time left of the query class.
+    /// Returns whether a new query is regarded as a client's retry. If so, one retry less is expected.
+    /// Updates the longest time left of the query class.
     pub(super) fn detect_client_retry(&mut self, class: usize, not_after_s: f64) -> bool {
         let time_left_s = not_after_s - self.now_s;
         let longest_s = &mut self.classes[class].longest_time_left_s;
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -1,21 +1,23 @@
 //! Decides when a query is answered, completely or partially, and when it is abandoned.
 //!
-//! Inputs are the fractions of the query's weight that have succeeded and that could still succeed, the class's
-//! complete and minimum fractions, the latency objective and the client's deadline in seconds. A query that cannot be
-//! answered in time is abandoned immediately, to save work for answers that no client waits for. To abandon a query is
-//! to end it without an answer, by a rejection or a failure. The cost: if a holder was
-//! about to recover, an answer is lost. A query gets one final answer and is closed in the same step.
+//! Inputs are the fractions of the query's weight that have succeeded and that could still succeed, the
+//! class's complete and minimum fractions, the latency objective and the client's deadline in seconds. A
+//! query that cannot be answered in time is abandoned immediately, to save work for answers that no client
+//! waits for. To abandon a query is to end it without an answer, by a rejection or a failure. The cost: if a
+//! holder was about to recover, an answer is lost. A query gets one final answer and is closed in the same
+//! step.
 
 use super::latency::CLASS_SAMPLES_MAX;
 use super::query::{Query, ShardRequest, weight_fraction};
 use super::{ANSWER_MARGIN_S, Policy, WEIGHT_TOLERANCE_FRACTION};
 use crate::interface::{DecisionSink, Idempotency, QueryClass};
 
-/// During load shedding, a late query is abandoned if its answer is worth less than this fraction of the priority
-/// weight.
+/// During load shedding, a late query is abandoned if its answer is worth less than this fraction of the
+/// priority weight.
 const LATE_VALUE_MIN_FRACTION: f64 = 0.27;
-/// An abandoned query counts as late in the latency counts that routers exchange if more than one in this many of its
-/// shard requests did not succeed. Fewer unsuccessful shard requests indicate a single faulty node.
+/// An abandoned query counts as late in the latency counts that routers exchange if more than one in this
+/// many of its shard requests did not succeed. Fewer unsuccessful shard requests indicate a single faulty
+/// node.
 const OVERLOAD_UNANSWERED_DIVISOR: usize = 10;
 
 /// What to do about an open query.
@@ -26,7 +28,8 @@
 }
 
 impl Policy {
-    /// Answers a query if its answer is due, abandons it if it can no longer be answered, or sets its next check.
+    /// Answers a query if its answer is due, abandons it if it can no longer be answered, or sets its next
+    /// check.
     pub(super) fn complete_or_abandon(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         let Some(query) = self.queries.get(&number) else { return };
         match self.completion(query) {
@@ -65,8 +68,8 @@
         Completion::Wait { next_check_at_s: if is_idle { answers_now_at_s } else { 0.0 } }
     }
 
-    /// Whether an answer has no value any more: the client's deadline is close, or the answer is late and late answers
-    /// have no value, or too little during load shedding.
+    /// Whether an answer has no value any more: the client's deadline is close, or the answer is late and
+    /// late answers have no value, or too little during load shedding.
     fn has_no_value_left(&self, query: &Query, succeeded: f64, is_late: bool) -> bool {
         let late_fraction = self.classes[query.class].config.late_weight_fraction;
         let is_worthless = late_fraction <= 0.0
@@ -99,10 +102,10 @@
             && weight_fraction(&query.requests, &started) < minimum
     }
 
-    /// The point in time after which an answer to a shard request has no value. It is the latency objective if late
-    /// answers have no value, or too little during load shedding, or if the query is answered partially at the
-    /// objective; otherwise it is the client's deadline. Attempts time out at this point, so that nodes do no work that
-    /// no client waits for.
+    /// The point in time after which an answer to a shard request has no value. It is the latency objective
+    /// if late answers have no value, or too little during load shedding, or if the query is answered
+    /// partially at the objective; otherwise it is the client's deadline. Attempts time out at this point, so
+    /// that nodes do no work that no client waits for.
     pub(super) fn answer_useful_until_s(&self, query: &Query) -> f64 {
         let class = &self.classes[query.class].config;
         let ends_at_objective = class.late_weight_fraction <= 0.0
@@ -129,8 +132,8 @@
         self.cancel_requests(&first_phase, sink);
     }
 
-    /// Ends a query without an answer: fails the query if it is not idempotent and may have had an effect, rejects it
-    /// otherwise. `retry_after_s` is the Retry-After in seconds for the client.
+    /// Ends a query without an answer: fails the query if it is not idempotent and may have had an effect,
+    /// rejects it otherwise. `retry_after_s` is the Retry-After in seconds for the client.
     pub(super) fn abandon_query(
         &mut self,
         number: u64,
@@ -154,17 +157,18 @@
         self.close(number, sink);
     }
 
-    /// Called when a query is abandoned. Records the ages of the query's unanswered shard requests as latencies of the
-    /// query class. In an overload few
-    /// shard requests are answered, so that answers alone would not show it. Ages below the median latency are ignored,
-    /// as queries that are abandoned within milliseconds would lower the latencies of the class.
+    /// Called when a query is abandoned. Records the ages of the query's unanswered shard requests as
+    /// latencies of the query class. In an overload few shard requests are answered, so that answers alone
+    /// would not show it. Ages below the median latency are ignored, as queries that are abandoned within
+    /// milliseconds would lower the latencies of the class.
     fn record_unanswered_requests(&mut self, number: u64) {
         let query = &self.queries[&number];
         let class = &mut self.classes[query.class];
         let (median_s, objective_s) = (class.median_latency_s(), class.config.latency_objective_s);
         for request in query.requests.iter().filter(|request| !request.succeeded) {
             let Some(first) = request.attempts.first() else { continue };
-            // If all nodes were at capacity, the shard request would not have been answered within the objective.
+            // If all nodes were at capacity, the shard request would not have been answered within the
+            // objective.
             let all_rejected = request.attempts.iter().all(|attempt| attempt.rejected);
             let age_s = self.now_stall_free_s - first.started_at_stall_free_s;
             let latency_s = if all_rejected { objective_s } else { age_s };
@@ -200,8 +204,8 @@
     }
 }
 
-/// The smallest fraction of the weight that a query may be answered with. A second phase without partial answers needs
-/// all of it.
+/// The smallest fraction of the weight that a query may be answered with. A second phase without partial
+/// answers needs all of it.
 fn minimum_fraction(query: &Query, class: &QueryClass) -> f64 {
     if query.in_second_phase && class.minimum_fraction >= class.complete_fraction {
         1.0
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,19 +1,19 @@
 //! Decides how many shard requests one data node may have in flight from this router.
 //!
-//! Inputs are the outcomes and latencies of the node's attempts. The limit uses additive increase and multiplicative
-//! decrease, so that requests queue at the router, where they can still go to another node, and not at the node. The
-//! cost: throughput is lower if requests take long even on an idle node.
+//! Inputs are the outcomes and latencies of the node's attempts. The limit uses additive increase and
+//! multiplicative decrease, so that requests queue at the router, where they can still go to another node,
+//! and not at the node. The cost: throughput is lower if requests take long even on an idle node.
 
 use crate::interface::AttemptOutcome;
 
-/// Initial limit, in shard requests, of a node that is warm when it appears in the endpoint list, and of one that is
-/// warming up.
+/// Initial limit, in shard requests, of a node that is warm when it appears in the endpoint list, and of one
+/// that is warming up.
 const INITIAL_LIMIT: f64 = 4.0;
 const INITIAL_LIMIT_WARMING_UP: f64 = 1.0;
 const LIMIT_MIN: f64 = 1.0;
 const LIMIT_MAX: f64 = 24.0;
-/// An answer raises the limit if its latency is below the first fraction of the shortest latency objective, and lowers
-/// it if its latency is above the second.
+/// An answer raises the limit if its latency is below the first fraction of the shortest latency objective,
+/// and lowers it if its latency is above the second.
 const FAST_ANSWER_FRACTION: f64 = 0.15;
 const SLOW_ANSWER_FRACTION: f64 = 0.25;
 /// Factors on the limit after a slow answer and after a rejection.
--- a/src/policy/config_changes.rs
+++ b/src/policy/config_changes.rs
@@ -1,7 +1,7 @@
-//! Applies a change of the configuration between two rounds and keeps the state. A slot is the index of a query class.
-//! A changed query class gets a new slot with the latencies observed so far, while open queries keep the old slot.
-//! Tenants keep the tokens of their quotas, and the token bucket of the retry budget gets its new capacity. This module
-//! makes no decisions.
+//! Applies a change of the configuration between two rounds and keeps the state. A slot is the index of a
+//! query class. A changed query class gets a new slot with the latencies observed so far, while open queries
+//! keep the old slot. Tenants keep the tokens of their quotas, and the token bucket of the retry budget gets
+//! its new capacity. This module makes no decisions.
 
 use super::Policy;
 use super::latency::{ClassState, LatencyWindow};
@@ -10,8 +10,9 @@
 use super::tenant_quota::TenantQuota;
 use crate::interface::{ClassSlot, PolicyConfig, QueryClass, SlowStartConfig, Tenant};
 
-/// Latency objective in seconds of a slot to which no query class is assigned. With an infinite objective, this slot
-/// affects neither the shortest objective of all slots nor the largest quotient of work and objective.
+/// Latency objective in seconds of a slot to which no query class is assigned. With an infinite objective,
+/// this slot affects neither the shortest objective of all slots nor the largest quotient of work and
+/// objective.
 const UNUSED_SLOT_OBJECTIVE_S: f64 = f64::INFINITY;
 
 impl Policy {
@@ -47,8 +48,8 @@
         })
     }
 
-    /// Assigns a query class to its slot. A new slot gets the latencies of the previous slot; the previous slot keeps a
-    /// copy for its open queries.
+    /// Assigns a query class to its slot. A new slot gets the latencies of the previous slot; the previous
+    /// slot keeps a copy for its open queries.
     fn place_class(&mut self, config: &QueryClass, slot: &ClassSlot) {
         let ClassSlot { slot, previous_slot } = *slot;
         while self.classes.len() <= slot {
@@ -69,8 +70,8 @@
         self.classes[slot].config = config.clone();
     }
 
-    /// Releases a slot by deleting the latencies of its class and making its latency objective infinite. The host
-    /// guarantees that no query of this slot is open.
+    /// Releases a slot by deleting the latencies of its class and making its latency objective infinite. The
+    /// host guarantees that no query of this slot is open.
     pub(super) fn retire_class(&mut self, slot: usize) {
         if let Some(class) = self.classes.get_mut(slot) {
             let config = QueryClass { latency_objective_s: UNUSED_SLOT_OBJECTIVE_S, ..class.config.clone() };
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Sets the tenants and their quotas. Known tenants keep their tokens, up to the new capacity; new tenants start
-    /// with `INITIAL_TOKENS`.
+    /// Sets the tenants and their quotas. Known tenants keep their tokens, up to the new capacity; new
+    /// tenants start with `INITIAL_TOKENS`.
     fn change_tenants(&mut self, tenants: &[Tenant], router_count: f64) {
         let previous = std::mem::take(&mut self.tenants);
         let (now_s, old_routers) = (self.now_s, self.router_count);
@@ -90,15 +91,15 @@
         self.tenants = tenants.iter().map(changed).collect();
     }
 
-    /// Marks the quotas of nodes that are warming up as used up if the work sent to them was recorded for a shorter
-    /// time than the window of the new slow-start rule. They are free again after one new window. `previous` is the
-    /// rule before the change.
+    /// Marks the quotas of nodes that are warming up as used up if the work sent to them was recorded for a
+    /// shorter time than the window of the new slow-start rule. They are free again after one new window.
+    /// `previous` is the rule before the change.
     fn change_slow_start(&mut self, previous: Option<SlowStartConfig>) {
         let Some(rule) = self.slow_start else { return };
         let known_s = warm_up_history_s(previous);
         let knows_window = known_s >= rule.window_s && !self.shared_limits.has_several_cores();
-        // With several cores, a core has recorded only the work of its own turns, which lasted as long as the previous
-        // window.
+        // With several cores, a core has recorded only the work of its own turns, which lasted as long as the
+        // previous window.
         if knows_window || previous.is_some_and(|previous| previous.window_s >= rule.window_s) {
             return;
         }
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -1,5 +1,5 @@
-//! Handles the events that the host delivers at the start of a round: changes of the endpoint list, new queries and
-//! their shard requests, ended attempts. This module updates records and makes no decisions.
+//! Handles the events that the host delivers at the start of a round: changes of the endpoint list, new
+//! queries and their shard requests, ended attempts. This module updates records and makes no decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::SHARD_SAMPLES_MAX;
@@ -144,7 +144,8 @@
 }
 
 impl Policy {
-    /// Records the outcome of an attempt in its shard request, and its latency for the shard and the query class.
+    /// Records the outcome of an attempt in its shard request, and its latency for the shard and the query
+    /// class.
     fn record_request_outcome(
         &mut self,
         position: ShardRequestPosition,
@@ -171,8 +172,8 @@
         if outcome == AttemptOutcome::Success {
             self.classes[class].record_success(latency_s);
         }
-        // The latency of a cancelled attempt is a lower bound. Without these latencies, the cancellation of slow
-        // attempts after successful hedges would lower the delay after which attempts are hedged.
+        // The latency of a cancelled attempt is a lower bound. Without these latencies, the cancellation of
+        // slow attempts after successful hedges would lower the delay after which attempts are hedged.
         if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Cancelled) {
             let shard = self.shards.entry(request.shard).or_default();
             shard.latencies.record(latency_s, SHARD_SAMPLES_MAX);
@@ -183,9 +184,9 @@
     }
 }
 
-/// Returns the hedges whose result the end of an attempt decides, each with the late node that the hedge bypasses and
-/// whether the hedge has won. The first success of a shard request decides all its hedges; a hedge that ends without
-/// being the first success has lost.
+/// Returns the hedges whose result the end of an attempt decides, each with the late node that the hedge
+/// bypasses and whether the hedge has won. The first success of a shard request decides all its hedges; a
+/// hedge that ends without being the first success has lost.
 fn decided_hedges(request: &mut ShardRequest, ended: usize, is_first_success: bool) -> Vec<(String, bool)> {
     let mut decided = vec![];
     for (number, attempt) in request.attempts.iter_mut().enumerate() {
--- a/src/policy/hedge_success.rs
+++ b/src/policy/hedge_success.rs
@@ -1,11 +1,11 @@
 //! Decides whether hedges that bypass a late data node are worth their work.
 //!
-//! Inputs are the results of earlier hedges, for that node and for all nodes: a hedge wins if its attempt is the first
-//! of its shard request to succeed. Hedges win if a single node is slow or disconnected. If slowness is correlated, as
-//! in an overload, hedges lose for all nodes and only add load. Hedges are therefore sent if they win often enough, and
-//! as an occasional trial otherwise: a single hedge that shows whether hedges win again. The cost: if a node fails
-//! while hedges lose for all others, the first hedges that would bypass this node are not sent. Times are in seconds on
-//! the host's monotonic clock.
+//! Inputs are the results of earlier hedges, for that node and for all nodes: a hedge wins if its attempt is
+//! the first of its shard request to succeed. Hedges win if a single node is slow or disconnected. If
+//! slowness is correlated, as in an overload, hedges lose for all nodes and only add load. Hedges are
+//! therefore sent if they win often enough, and as an occasional trial otherwise: a single hedge that shows
+//! whether hedges win again. The cost: if a node fails while hedges lose for all others, the first hedges
+//! that would bypass this node are not sent. Times are in seconds on the host's monotonic clock.
 
 /// Weight of the latest hedge in the moving average.
 const LATEST_WEIGHT: f64 = 0.3;
@@ -46,8 +46,8 @@
 }
 
 impl HedgeStats {
-    /// Whether a hedge may be sent at `now_s` although the win rate is too low, to find out whether hedges win again:
-    /// at least `TRIAL_HEDGE_INTERVAL_S` must have passed since the last hedge of this kind.
+    /// Whether a hedge may be sent at `now_s` although the win rate is too low, to find out whether hedges
+    /// win again: at least `TRIAL_HEDGE_INTERVAL_S` must have passed since the last hedge of this kind.
     pub fn trial_hedge_is_due(&self, now_s: f64) -> bool {
         self.last_trial_hedge_at_s.is_none_or(|at_s| now_s - at_s >= TRIAL_HEDGE_INTERVAL_S)
     }
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,10 +1,11 @@
-//! Decides when a late attempt is hedged, when a stuck one is replaced, and when attempts are cancelled because another
-//! attempt of their shard request has succeeded.
+//! Decides when a late attempt is hedged, when a stuck one is replaced, and when attempts are cancelled
+//! because another attempt of their shard request has succeeded.
 //!
-//! Inputs are the age of a shard request's newest attempt and the delay after which it is late, in seconds, the health
-//! of the nodes that have its attempts, and the tokens of the retry budget. Hedges reduce the latency caused by rare
-//! slow or silent nodes; each costs a token and work of a node. Attempts stuck at unresponsive nodes are replaced even
-//! without a token; the cost is that an attempt may be cancelled that was about to succeed.
+//! Inputs are the age of a shard request's newest attempt and the delay after which it is late, in seconds,
+//! the health of the nodes that have its attempts, and the tokens of the retry budget. Hedges reduce the
+//! latency caused by rare slow or silent nodes; each costs a token and work of a node. Attempts stuck at
+//! unresponsive nodes are replaced even without a token; the cost is that an attempt may be cancelled that
+//! was about to succeed.
 
 use super::Policy;
 use super::attempts_by_age::AttemptPosition;
@@ -15,11 +16,11 @@
 use crate::interface::{DecisionSink, Idempotency};
 use std::collections::BTreeSet;
 
-/// Maximum number of hedges of a shard request. One hedge is not enough, as a query with many shards may contain a
-/// shard with two slow holders.
+/// Maximum number of hedges of a shard request. One hedge is not enough, as a query with many shards may
+/// contain a shard with two slow holders.
 const HEDGES_MAX: usize = 2;
-/// To replace an attempt is to cancel it and to start another attempt in the next round. An attempt is replaced only
-/// while at least this fraction of the median latency is left before the latency objective.
+/// To replace an attempt is to cancel it and to start another attempt in the next round. An attempt is
+/// replaced only while at least this fraction of the median latency is left before the latency objective.
 const REPLACEMENT_TIME_FRACTION: f64 = 0.5;
 
 /// What to do about a late shard request.
@@ -46,8 +47,8 @@
         late.into_iter().map(|position| position.query).collect()
     }
 
-    /// Cancels attempts of shard requests that have succeeded, hedges late shard requests while the retry budget has
-    /// tokens, and replaces stuck attempts.
+    /// Cancels attempts of shard requests that have succeeded, hedges late shard requests while the retry
+    /// budget has tokens, and replaces stuck attempts.
     pub(super) fn hedge_late_requests(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         let Some(query) = self.queries.get(&number) else { return };
         let may_have_crashed_nodes = query.may_have_crashed_nodes();
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Sends a hedge to a node, if the retry budget has a token and hedges that bypass the late node are worthwhile or
-    /// a trial is due.
+    /// Sends a hedge to a node, if the retry budget has a token and hedges that bypass the late node are
+    /// worthwhile or a trial is due.
     fn hedge(
         &mut self,
         position: ShardRequestPosition,
@@ -99,7 +100,8 @@
         }
     }
 
-    /// The win rate of the hedges that bypass a node, or that of all hedges if none that bypasses the node has ended.
+    /// The win rate of the hedges that bypass a node, or that of all hedges if none that bypasses the node
+    /// has ended.
     fn hedge_win_rate(&self, bypassed_node: &str) -> WinRate {
         let of_node = self.nodes.get(bypassed_node).and_then(|node| node.hedge_win_rate);
         of_node.unwrap_or(self.hedge_stats.win_rate)
@@ -115,8 +117,8 @@
         self.hedge_stats.win_rate.record(won);
     }
 
-    /// The action for a shard request; `None` if its newest attempt is not late or no action is allowed. Does not check
-    /// whether another node is available.
+    /// The action for a shard request; `None` if its newest attempt is not late or no action is allowed. Does
+    /// not check whether another node is available.
     fn late_action(&self, query: &Query, request: &ShardRequest) -> Option<LateAction> {
         let newest = request.attempts.iter().rfind(|attempt| attempt.is_in_flight_uncancelled())?;
         let late_after_s = self.late_after_s(ShardAndClass { shard: request.shard, class: query.class });
@@ -134,8 +136,8 @@
         (in_time && stuck).then_some(LateAction::Replace)
     }
 
-    /// Whether a hedge is allowed, and the query cannot be answered without the shard request. Hedges of shard requests
-    /// that an answer may omit would only add to an overload.
+    /// Whether a hedge is allowed, and the query cannot be answered without the shard request. Hedges of
+    /// shard requests that an answer may omit would only add to an overload.
     fn may_hedge(&self, query: &Query, request: &ShardRequest) -> bool {
         let class = &self.classes[query.class].config;
         let is_needed = class.minimum_fraction >= class.complete_fraction
@@ -146,9 +148,9 @@
             && is_needed
     }
 
-    /// Whether an attempt is very late and its node is unresponsive or no longer known. Age alone is not sufficient, as
-    /// a few shard requests take long on any node. The record of a removed node is dropped once all its attempts have
-    /// ended, so that no answer can arrive from a node without a record.
+    /// Whether an attempt is very late and its node is unresponsive or no longer known. Age alone is not
+    /// sufficient, as a few shard requests take long on any node. The record of a removed node is dropped
+    /// once all its attempts have ended, so that no answer can arrive from a node without a record.
     fn is_stuck(&self, attempt: &Attempt, late_after_s: f64) -> bool {
         let age_s = self.now_stall_free_s - attempt.started_at_stall_free_s;
         let unresponsive = |node: &Node| node.health == Health::Unresponsive;
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,9 +1,9 @@
 //! Estimates latencies: the median latency of a shard request, and the delay after which an attempt is late.
 //!
-//! Inputs are the latencies of ended attempts in seconds, by shard and by query class, measured from the start of an
-//! attempt to its end on the clock that excludes the router's own stalls. In a large deployment a router
-//! observes a given shard rarely, so that estimates fall back from the shard to the query class, and from the class to
-//! a fraction of the latency objective.
+//! Inputs are the latencies of ended attempts in seconds, by shard and by query class, measured from the
+//! start of an attempt to its end on the clock that excludes the router's own stalls. In a large deployment a
+//! router observes a given shard rarely, so that estimates fall back from the shard to the query class, and
+//! from the class to a fraction of the latency objective.
 
 use super::Policy;
 use super::query::ShardAndClass;
@@ -13,8 +13,8 @@
 /// Number of latencies that are kept for each query class and for each shard.
 pub(super) const CLASS_SAMPLES_MAX: usize = 256;
 pub(super) const SHARD_SAMPLES_MAX: usize = 40;
-/// Minimum number of latencies of a shard for using the quantile of this shard; with fewer latencies, the median of the
-/// query class is used. A successor shard inherits at most this many latencies.
+/// Minimum number of latencies of a shard for using the quantile of this shard; with fewer latencies, the
+/// median of the query class is used. A successor shard inherits at most this many latencies.
 pub(super) const SHARD_SAMPLES_MIN: usize = 12;
 /// Minimum number of latencies of a query class for using their quantiles.
 pub(super) const CLASS_SAMPLES_MIN: usize = 16;
@@ -24,13 +24,13 @@
 const MEDIAN: f64 = 0.5;
 /// Quantile of a shard's latencies after which an attempt is late.
 const LATE_QUANTILE: f64 = 0.95;
-/// If a shard has too few latencies, its attempts are late after this multiple of the median of the query class. A high
-/// quantile over all shards would be raised by the slow nodes that hedges are meant to bypass.
+/// If a shard has too few latencies, its attempts are late after this multiple of the median of the query
+/// class. A high quantile over all shards would be raised by the slow nodes that hedges are meant to bypass.
 const LATE_MEDIAN_MULTIPLE: f64 = 2.0;
 /// Assumed median latency of a class with too few latencies, as a fraction of its latency objective.
 pub(super) const DEFAULT_LATENCY_FRACTION_OF_OBJECTIVE: f64 = 0.25;
-/// Upper limit for the delay after which an attempt is late, as a fraction of the latency objective. A later hedge
-/// would not succeed in time.
+/// Upper limit for the delay after which an attempt is late, as a fraction of the latency objective. A later
+/// hedge would not succeed in time.
 const LATE_MAX_FRACTION: f64 = 0.5;
 /// Upper limit for the estimated work of a shard request, as a fraction of the latency objective.
 const WORK_MAX_FRACTION: f64 = 0.15;
@@ -60,9 +60,10 @@
         }
     }
 
-    /// Returns the initial window of a new shard, or of the new index of a changed query class. The window has the
-    /// latest latencies of `parents`, taken from each of them in turn, at most `max_samples` in total. The parents are
-    /// the windows of the shards that contained the new shard's keys, or that of the class's previous index.
+    /// Returns the initial window of a new shard, or of the new index of a changed query class. The window
+    /// has the latest latencies of `parents`, taken from each of them in turn, at most `max_samples` in
+    /// total. The parents are the windows of the shards that contained the new shard's keys, or that of the
+    /// class's previous index.
     pub fn inherit(parents: &[&LatencyWindow], max_samples: usize) -> LatencyWindow {
         let mut latest = Vec::new();
         let longest = parents.iter().map(|parent| parent.by_arrival.len()).max().unwrap_or(0);
@@ -76,7 +77,8 @@
         window
     }
 
-    /// The latency that a fraction of the samples does not exceed; `None` if there are fewer than `min_samples`.
+    /// The latency that a fraction of the samples does not exceed; `None` if there are fewer than
+    /// `min_samples`.
     pub fn quantile(&self, fraction: f64, min_samples: usize) -> Option<f64> {
         let index = (self.sorted.len().saturating_sub(1) as f64 * fraction).round() as usize;
         self.sorted.get(index).copied().filter(|_| self.sorted.len() >= min_samples)
@@ -90,7 +92,8 @@
     /// The lowest median of the class's latencies so far; infinite while there are too few. It
     /// estimates the work of a shard request, as it contains the least queueing.
     pub lowest_median_s: f64,
-    /// The longest time from a query's arrival to its client's deadline, over all queries of this class, in seconds.
+    /// The longest time from a query's arrival to its client's deadline, over all queries of this class, in
+    /// seconds.
     pub longest_time_left_s: f64,
 }
 
@@ -118,8 +121,8 @@
         self.latencies.quantile(MEDIAN, MEDIAN_SAMPLES_MIN).unwrap_or(default_s).max(LATENCY_MIN_S)
     }
 
-    /// The estimated work of a shard request, which is the lowest median latency of the class so far, as a fraction of
-    /// the latency objective; `None` while there are too few latencies.
+    /// The estimated work of a shard request, which is the lowest median latency of the class so far, as a
+    /// fraction of the latency objective; `None` while there are too few latencies.
     fn lowest_median_fraction(&self) -> Option<f64> {
         Some(self.lowest_median_s / self.config.latency_objective_s).filter(|fraction| fraction.is_finite())
     }
@@ -145,8 +148,9 @@
         self.classes[class].median_latency_s()
     }
 
-    /// The estimated work of one shard request: its processing time at a data node in seconds, without queueing. For a
-    /// class with too few latencies, the largest fraction of work per latency objective of all other classes is used.
+    /// The estimated work of one shard request: its processing time at a data node in seconds, without
+    /// queueing. For a class with too few latencies, the largest fraction of work per latency objective of
+    /// all other classes is used.
     pub(super) fn request_work_s(&self, class: usize) -> f64 {
         let largest = || self.classes.iter().filter_map(ClassState::lowest_median_fraction).reduce(f64::max);
         let class = &self.classes[class];
--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -19,13 +19,15 @@
     pub warm_up_load: WarmUpLoad,
     /// Win rate of the hedges that bypass this node; `None` if no such hedge has ended.
     pub hedge_win_rate: Option<WinRate>,
-    /// Sequence number of this router's latest attempt to the node; the node with the lowest is next in round robin.
+    /// Sequence number of this router's latest attempt to the node; the node with the lowest is next in round
+    /// robin.
     pub last_attempt: u64,
     /// The node's health at the start of this round.
     pub health: Health,
-    /// Seconds that a new shard request is expected to wait for the node. At the start of a round, the value is the
-    /// expected time until an ejected node is used again (readmission), and 0 for other nodes. Admission raises the
-    /// value to the age of the oldest query with a shard request that waits for the node.
+    /// Seconds that a new shard request is expected to wait for the node. At the start of a round, the value
+    /// is the expected time until an ejected node is used again (readmission), and 0 for other nodes.
+    /// Admission raises the value to the age of the oldest query with a shard request that waits for the
+    /// node.
     pub expected_wait_s: f64,
 }
 
@@ -33,8 +35,9 @@
 pub(super) type AttemptKey = (String, usize);
 
 impl Node {
-    /// Creates the record of a node that has just appeared in the endpoint list. `warm_up_phase` is set for a node that
-    /// is warming up: this router's position, from 0 to 1, among the routers that send to the node in turn.
+    /// Creates the record of a node that has just appeared in the endpoint list. `warm_up_phase` is set for a
+    /// node that is warming up: this router's position, from 0 to 1, among the routers that send to the node
+    /// in turn.
     pub fn new(
         replica_group: u32,
         state: NodeState,
@@ -56,9 +59,9 @@
         }
     }
 
-    /// Creates the record of a node that is not in the endpoint list but has an attempt in flight that another router
-    /// process started and this one adopted. No attempts are sent to the node unless an endpoint list contains it
-    /// later; the values of its list entry then replace those set here.
+    /// Creates the record of a node that is not in the endpoint list but has an attempt in flight that
+    /// another router process started and this one adopted. No attempts are sent to the node unless an
+    /// endpoint list contains it later; the values of its list entry then replace those set here.
     pub fn without_endpoint_entry() -> Self {
         Node::new(0, NodeState::Removed, None, None)
     }
@@ -92,8 +95,9 @@
         ages.fold(0.0, f64::max)
     }
 
-    /// The number of shard requests that this core may send to the node now. For a node that is warming up, the result
-    /// also has the seconds for which no other core of this router may send to the node after such a request.
+    /// The number of shard requests that this core may send to the node now. For a node that is warming up,
+    /// the result also has the seconds for which no other core of this router may send to the node after such
+    /// a request.
     pub fn capacity(&self, inputs: &CapacityInputs) -> NodeCapacity {
         let free = self.concurrency.additional_requests_allowed(self.in_flight.len());
         self.warm_up_load.capacity(inputs, self.started_at_s, free)
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,10 +1,11 @@
 //! Decides how healthy each data node is, and thereby which nodes are avoided or ejected.
 //!
-//! Inputs are the outcomes, latencies and ages in seconds of this core's own attempts, and observations that other
-//! cores or routers share. A node with late attempts is avoided for a time that doubles while its attempts stay late. A
-//! node that cannot be reached, fails repeatedly or answers nothing is ejected. This limits the damage of crashed,
-//! hung, silent and slow nodes. The cost: the capacity of a healthy node that paused for a moment, or that recovers
-//! while it is avoided, is not used. Times are in seconds on the clock that excludes the router's own stalls.
+//! Inputs are the outcomes, latencies and ages in seconds of this core's own attempts, and observations that
+//! other cores or routers share. A node with late attempts is avoided for a time that doubles while its
+//! attempts stay late. A node that cannot be reached, fails repeatedly or answers nothing is ejected. This
+//! limits the damage of crashed, hung, silent and slow nodes. The cost: the capacity of a healthy node that
+//! paused for a moment, or that recovers while it is avoided, is not used. Times are in seconds on the clock
+//! that excludes the router's own stalls.
 
 use super::Policy;
 use crate::interface::{AttemptOutcome, DecisionSink, NodeObservation, NodeState};
@@ -20,20 +21,21 @@
 const EJECTION_UNIT_MIN_S: f64 = 0.25;
 /// Longest ejection. Within this time discovery removes a node that no longer exists from the endpoint list.
 const EJECTION_MAX_S: f64 = 6.0;
-/// Time per router for which a late node is avoided. The time is proportional to the number of routers, so that all
-/// routers together send to the node equally often whatever their number.
+/// Time per router for which a late node is avoided. The time is proportional to the number of routers, so
+/// that all routers together send to the node equally often whatever their number.
 const AVOIDANCE_PER_ROUTER_S: f64 = 0.25;
 const AVOIDANCE_PER_ROUTER_MAX_S: f64 = 15.0;
-/// The avoidance time is the number of seconds for which a node is avoided after a late or rejected attempt. Each such
-/// attempt multiplies the time by `AVOIDANCE_GROWTH`. The time never exceeds its minimum by more than
-/// `AVOIDANCE_GROWTH_MAX_S`.
+/// The avoidance time is the number of seconds for which a node is avoided after a late or rejected attempt.
+/// Each such attempt multiplies the time by `AVOIDANCE_GROWTH`. The time never exceeds its minimum by more
+/// than `AVOIDANCE_GROWTH_MAX_S`.
 const AVOIDANCE_GROWTH: f64 = 2.0;
 const AVOIDANCE_GROWTH_MAX_S: f64 = 10.0;
-/// If an attempt of this core is unanswered, the core shares an observation, and other cores then regard the node as
-/// unresponsive for this time. While the attempt stays unanswered, the core shares the observation again.
+/// If an attempt of this core is unanswered, the core shares an observation, and other cores then regard the
+/// node as unresponsive for this time. While the attempt stays unanswered, the core shares the observation
+/// again.
 const UNANSWERED_SHARED_FOR_S: f64 = 0.5;
-/// An observation is shared again if the new end of the state exceeds the end that was shared last by more than this
-/// fraction of the remaining time: first for unanswered attempts, then for other states.
+/// An observation is shared again if the new end of the state exceeds the end that was shared last by more
+/// than this fraction of the remaining time: first for unanswered attempts, then for other states.
 const UNANSWERED_RESHARE_FRACTION: f64 = 0.5;
 const RESHARE_FRACTION: f64 = 0.1;
 /// Longest time for which an observation of another core or router is used.
@@ -94,7 +96,8 @@
     until_s: f64,
 }
 
-/// The latest observation by another core or router, with the end of each state. The observation is not forwarded.
+/// The latest observation by another core or router, with the end of each state. The observation is not
+/// forwarded.
 #[derive(Clone, Copy, Default)]
 struct RemoteObservation {
     observed_at_s: f64,
@@ -178,7 +181,8 @@
             self.avoidance_s =
                 (self.avoidance_s * AVOIDANCE_GROWTH).clamp(shortest_s, shortest_s + AVOIDANCE_GROWTH_MAX_S);
             self.slow_until_s = now_s + self.avoidance_s;
-            // If all holders are late at times, only a very late attempt distinguishes a slow node from a healthy one.
+            // If all holders are late at times, only a very late attempt distinguishes a slow node from a
+            // healthy one.
             if attempt.latency_s > VERY_LATE_MULTIPLE * attempt.late_after_s {
                 self.very_slow_until_s = self.slow_until_s;
             }
@@ -249,10 +253,10 @@
         self.remote.health(now_s)
     }
 
-    /// Records an observation that another core or router made `age_s` seconds ago. The observation is ignored if
-    /// the node has answered this core since then, so that a wrong observation does not eject a node that answers this
-    /// core; an observation of a healthy node is ignored if any attempt of this core has ended since then. An
-    /// observation of a healthy node resets this core's own observations.
+    /// Records an observation that another core or router made `age_s` seconds ago. The observation is
+    /// ignored if the node has answered this core since then, so that a wrong observation does not eject a
+    /// node that answers this core; an observation of a healthy node is ignored if any attempt of this core
+    /// has ended since then. An observation of a healthy node resets this core's own observations.
     pub fn record_remote(&mut self, now_s: f64, age_s: f64, observation: NodeObservation) {
         let observed_at_s = now_s - age_s;
         let NodeObservation { slow_for_s, very_slow_for_s, unresponsive_for_s, .. } = observation;
@@ -274,8 +278,9 @@
     }
 
     /// Returns an observation to share with other cores if the node's health according to this core's own
-    /// attempts differs from the health that was shared last, lasts longer, or contradicts the observation of another
-    /// core. `started_at_s` is when the node's process started, `clock_s` is the current time on the monotonic clock.
+    /// attempts differs from the health that was shared last, lasts longer, or contradicts the observation of
+    /// another core. `started_at_s` is when the node's process started, `clock_s` is the current time on the
+    /// monotonic clock.
     pub fn observation_to_share(
         &mut self,
         started_at_s: Option<f64>,
@@ -319,8 +324,8 @@
         })
     }
 
-    /// Expected seconds until an unresponsive node is used again. `own` is the node's health according to this core's
-    /// own attempts, `oldest_age_s` is the age in seconds of the oldest attempt in flight.
+    /// Expected seconds until an unresponsive node is used again. `own` is the node's health according to
+    /// this core's own attempts, `oldest_age_s` is the age in seconds of the oldest attempt in flight.
     fn time_until_readmission_s(&self, now_s: f64, own: Health, oldest_age_s: f64) -> f64 {
         // A node that has not answered for some time is expected not to answer for the same time again.
         let unanswered_s = if own == Health::Unresponsive { oldest_age_s } else { 0.0 };
@@ -330,8 +335,8 @@
 }
 
 impl Policy {
-    /// Updates the health of all nodes, shares and logs changes, and drops removed nodes that have no attempt in
-    /// flight.
+    /// Updates the health of all nodes, shares and logs changes, and drops removed nodes that have no attempt
+    /// in flight.
     pub(super) fn update_node_health(&mut self, sink: &mut dyn DecisionSink) {
         let (now_s, clock_s) = (self.now_stall_free_s, self.now_s);
         let shares_observations = self.shared_limits.has_several_cores();
--- a/src/policy/query.rs
+++ b/src/policy/query.rs
@@ -1,5 +1,6 @@
-//! The records of open queries: their shard requests and the attempts of each. Times ending in `stall_free_s` are on
-//! the clock that excludes the router's own stalls ([`super::Policy`]), all others on the monotonic clock.
+//! The records of open queries: their shard requests and the attempts of each. Times ending in `stall_free_s`
+//! are on the clock that excludes the router's own stalls ([`super::Policy`]), all others on the monotonic
+//! clock.
 
 use std::collections::BTreeSet;
 
@@ -93,7 +94,8 @@
         self.requests.iter().flat_map(|request| &request.attempts)
     }
 
-    /// The last time at which an answer is in time: the latency objective or the client's deadline, whichever is first.
+    /// The last time at which an answer is in time: the latency objective or the client's deadline, whichever
+    /// is first.
     pub fn in_time_until_s(&self) -> f64 {
         self.objective_at_s.min(self.not_after_s)
     }
@@ -110,8 +112,8 @@
     }
 }
 
-/// The sum of the weights of the shard requests for which `holds` is true. The result is 1 if `holds` is true for all
-/// shard requests, even if the sum of their rounded weights differs from 1.
+/// The sum of the weights of the shard requests for which `holds` is true. The result is 1 if `holds` is true
+/// for all shard requests, even if the sum of their rounded weights differs from 1.
 pub(super) fn weight_fraction(requests: &[ShardRequest], holds: &dyn Fn(&ShardRequest) -> bool) -> f64 {
     if !requests.is_empty() && requests.iter().all(holds) {
         return 1.0;
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -1,4 +1,5 @@
-//! The pseudo-random number generator for all random choices of the policy, so that a seed determines its decisions.
+//! The pseudo-random number generator for all random choices of the policy, so that a seed determines its
+//! decisions.
 
 const MULTIPLIER: u64 = 6364136223846793005;
 const INCREMENT: u64 = 1442695040888963407;
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -1,10 +1,10 @@
-//! Decides which data node of a shard's replica groups an attempt goes to, and which shard requests of a query are sent
-//! together in one batch.
+//! Decides which data node of a shard's replica groups an attempt goes to, and which shard requests of a
+//! query are sent together in one batch.
 //!
-//! Inputs are the health of the shard's holders, which are the serving nodes that hold it, their capacity in shard
-//! requests, which of them have had an attempt before, and when this core last sent an attempt to each. Among equal
-//! nodes the least recently used one is selected, over all shards: with a separate round robin for each shard,
-//! neighbouring shards of a query would often select the same node. Times are in seconds.
+//! Inputs are the health of the shard's holders, which are the serving nodes that hold it, their capacity in
+//! shard requests, which of them have had an attempt before, and when this core last sent an attempt to each.
+//! Among equal nodes the least recently used one is selected, over all shards: with a separate round robin
+//! for each shard, neighbouring shards of a query would often select the same node. Times are in seconds.
 
 use super::Policy;
 use super::attempts_by_age::AttemptPosition;
@@ -27,16 +27,18 @@
     capacity: NodeCapacity,
 }
 
-/// The order in which holders are preferred: by health, where a holder that has had an attempt of the shard request
-/// ranks one level lower; then by the number of the query's waiting shard requests that the holder can take; then by
-/// round robin.
+/// The order in which holders are preferred: by health, where a holder that has had an attempt of the shard
+/// request ranks one level lower; then by the number of the query's waiting shard requests that the holder
+/// can take; then by round robin.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
     health: u8,
-    /// Number of the query's waiting shard requests that the holder can take in one batch; more are preferred.
+    /// Number of the query's waiting shard requests that the holder can take in one batch; more are
+    /// preferred.
     batch_size: Reverse<usize>,
     last_attempt: u64,
-    /// Number of holders from the shard's round robin offset to this one; orders nodes that have had no attempt yet.
+    /// Number of holders from the shard's round robin offset to this one; orders nodes that have had no
+    /// attempt yet.
     step: usize,
 }
 
@@ -48,8 +50,8 @@
 }
 
 impl Policy {
-    /// Fills the map from replica groups to serving nodes if a change of the endpoint list or of the shards has cleared
-    /// it.
+    /// Fills the map from replica groups to serving nodes if a change of the endpoint list or of the shards
+    /// has cleared it.
     pub(super) fn refresh_serving_nodes(&mut self) {
         if !self.serving_nodes.is_empty() {
             return;
@@ -62,7 +64,8 @@
         }
     }
 
-    /// Ids of the serving nodes that hold a shard, by replica group in the order of the ring or of the explicit list.
+    /// Ids of the serving nodes that hold a shard, by replica group in the order of the ring or of the
+    /// explicit list.
     pub(super) fn serving_holders(&self, shard: u32) -> Vec<&str> {
         let excluded = self.placement.excluded_nodes(shard);
         let groups = self.placement.holding_groups(shard);
@@ -70,8 +73,8 @@
         members.filter(|id| excluded.is_none_or(|excluded| !excluded.contains(*id))).collect()
     }
 
-    /// Maximum number of shard requests in one attempt. Batching is useful only if an attempt costs work in addition to
-    /// that of its shard requests.
+    /// Maximum number of shard requests in one attempt. Batching is useful only if an attempt costs work in
+    /// addition to that of its shard requests.
     fn max_batch(&self) -> usize {
         if self.placement.attempt_overhead_s > 0.0 { self.placement.max_batch } else { 1 }
     }
@@ -86,10 +89,10 @@
         }
     }
 
-    /// Returns a function that decides whether a holder may get an attempt of a shard request. Not eligible are holders
-    /// with an attempt of the shard request in flight, and holders that rejected an attempt of it that started less
-    /// than `work_s` seconds ago, so that not all attempts go to the same full node. Unresponsive holders are eligible
-    /// only for a first attempt, and only if all holders are unresponsive.
+    /// Returns a function that decides whether a holder may get an attempt of a shard request. Not eligible
+    /// are holders with an attempt of the shard request in flight, and holders that rejected an attempt of it
+    /// that started less than `work_s` seconds ago, so that not all attempts go to the same full node.
+    /// Unresponsive holders are eligible only for a first attempt, and only if all holders are unresponsive.
     fn is_eligible(&self, request: &ShardRequest, holders: &[&str], work_s: f64) -> impl Fn(&str) -> bool {
         let unresponsive = move |id: &str| self.nodes[id].health == Health::Unresponsive;
         let last_resort = request.attempts.is_empty() && holders.iter().all(|id| unresponsive(id));
@@ -102,8 +105,9 @@
         }
     }
 
-    /// Whether any holder is expected to have capacity for a shard request before the client's deadline, or no holder
-    /// is serving. Otherwise the query is abandoned, so that its other shard requests cause no useless work.
+    /// Whether any holder is expected to have capacity for a shard request before the client's deadline, or
+    /// no holder is serving. Otherwise the query is abandoned, so that its other shard requests cause no
+    /// useless work.
     pub(super) fn has_holder_available_before_deadline(&self, query: &Query, request: &ShardRequest) -> bool {
         let inputs = self.capacity_inputs(query.class, 1);
         let holders = self.serving_holders(request.shard);
@@ -116,7 +120,8 @@
     }
 
     /// Selects the node for a shard request's next attempt; `None` if no eligible holder has capacity now.
-    /// `waiting_shards` are the shards of the query's shard requests that wait for an attempt, including this one.
+    /// `waiting_shards` are the shards of the query's shard requests that wait for an attempt, including this
+    /// one.
     pub(super) fn select_node(
         &self,
         position: ShardRequestPosition,
@@ -205,9 +210,10 @@
         }
     }
 
-    /// Sends the first shard request of a group to a node, together with the other shard requests of the group whose
-    /// shards the node holds. Returns the indices of the shard requests that have been handled in this round, including
-    /// retries for which there was no token; the set is empty if no node can take the first shard request.
+    /// Sends the first shard request of a group to a node, together with the other shard requests of the
+    /// group whose shards the node holds. Returns the indices of the shard requests that have been handled in
+    /// this round, including retries for which there was no token; the set is empty if no node can take the
+    /// first shard request.
     fn start_batch(
         &mut self,
         number: u64,
@@ -247,8 +253,8 @@
         started
     }
 
-    /// The time-out in seconds of a shard request's next attempt. It ends when an answer to the shard request loses its
-    /// value, or earlier if the attempt can be retried but not cancelled.
+    /// The time-out in seconds of a shard request's next attempt. It ends when an answer to the shard request
+    /// loses its value, or earlier if the attempt can be retried but not cancelled.
     fn attempt_timeout_s(&self, query: &Query, request: &ShardRequest) -> f64 {
         let class = &self.classes[query.class].config;
         let retryable = class.idempotency == Idempotency::Idempotent
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,16 +1,16 @@
-//! Limits retries and hedges, which are the attempts after the first one of each shard request, with a token bucket.
-//! Each new shard request adds a fraction of a token.
+//! Limits retries and hedges, which are the attempts after the first one of each shard request, with a token
+//! bucket. Each new shard request adds a fraction of a token.
 //!
-//! A hedge always costs one token. If a retry budget is configured, every attempt after a first one costs a token, so
-//! that any window has at most as many as the bucket's capacity plus the ratio times the window's shard requests. This
-//! keeps retries from multiplying an overload. The cost: while the bucket is empty, an answer may be late. All cores of
-//! a router share the tokens ([`crate::interface::SharedLimits`]).
+//! A hedge always costs one token. If a retry budget is configured, every attempt after a first one costs a
+//! token, so that any window has at most as many as the bucket's capacity plus the ratio times the window's
+//! shard requests. This keeps retries from multiplying an overload. The cost: while the bucket is empty, an
+//! answer may be late. All cores of a router share the tokens ([`crate::interface::SharedLimits`]).
 
 use super::Policy;
 use crate::interface::RetryBudget;
 
-/// Upper limits for the tokens that a shard request adds and for the capacity of the bucket. Larger configured values
-/// are reduced to these limits.
+/// Upper limits for the tokens that a shard request adds and for the capacity of the bucket. Larger
+/// configured values are reduced to these limits.
 const TOKENS_PER_REQUEST_MAX: f64 = 0.1;
 const CAPACITY_MAX_TOKENS: f64 = 40.0;
 /// Number of tokens that a hedge, or a retry if a retry budget is configured, costs.
@@ -51,8 +51,8 @@
         self.shared_limits.deposit(config.tokens_per_request, config.capacity_tokens);
     }
 
-    /// Removes what a shard request added on this host if it was adopted: it already added tokens on the host on which
-    /// the query arrived.
+    /// Removes what a shard request added on this host if it was adopted: it already added tokens on the host
+    /// on which the query arrived.
     pub(super) fn undo_deposit_for_adopted_request(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(-config.tokens_per_request, config.capacity_tokens);
--- a/src/policy/shard_changes.rs
+++ b/src/policy/shard_changes.rs
@@ -1,7 +1,7 @@
-//! Keeps state when shards change. A new shard starts with the latencies of its parents, the shards that contained its
-//! keys before. The successors of a shard request, which replace it after its shard was split, get copies of its
-//! attempts. A query that this host continues for another host process keeps its attempts. This module makes no
-//! decisions.
+//! Keeps state when shards change. A new shard starts with the latencies of its parents, the shards that
+//! contained its keys before. The successors of a shard request, which replace it after its shard was split,
+//! get copies of its attempts. A query that this host continues for another host process keeps its attempts.
+//! This module makes no decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::{LatencyWindow, SHARD_SAMPLES_MIN};
@@ -19,8 +19,8 @@
         }
     }
 
-    /// The new shard starts with the latest latencies of its parents and the round robin offset of the first. A shard
-    /// that already has state keeps it.
+    /// The new shard starts with the latest latencies of its parents and the round robin offset of the first.
+    /// A shard that already has state keeps it.
     fn inherit_shard(&mut self, shard: u32, parents: &[u32]) {
         let known: Vec<&ShardState> = parents.iter().filter_map(|parent| self.shards.get(parent)).collect();
         let Some(first) = known.first() else { return };
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Replaces an open shard request by its successors after its shard was split; `into` has the id, shard and weight
-    /// of each successor.
+    /// Replaces an open shard request by its successors after its shard was split; `into` has the id, shard
+    /// and weight of each successor.
     ///
-    /// Each successor has a copy of the old shard request's attempts, so that a split allows neither a second effect
-    /// nor more than the maximum number of attempts or hedges. An attempt in flight uses its node's capacity once, even
-    /// if several successors wait for it.
+    /// Each successor has a copy of the old shard request's attempts, so that a split allows neither a second
+    /// effect nor more than the maximum number of attempts or hedges. An attempt in flight uses its node's
+    /// capacity once, even if several successors wait for it.
     fn shard_request_split(&mut self, number: u64, request: &str, into: &[(&str, u32, f64)]) {
         let is_of_query = |position: &ShardRequestPosition| position.query == number;
         let position = self.shard_requests.get(request).copied().filter(is_of_query);
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Stores a successor at `index` among its query's shard requests, or after the last one if `index` is `None`, and
-    /// adds the successor's attempts in flight to the index by age.
+    /// Stores a successor at `index` among its query's shard requests, or after the last one if `index` is
+    /// `None`, and adds the successor's attempts in flight to the index by age.
     fn place_successor(&mut self, number: u64, successor: ShardRequest, index: Option<usize>) {
         let Some(query) = self.queries.get_mut(&number) else { return };
         let index = index.unwrap_or(query.requests.len());
@@ -130,9 +130,10 @@
         }
     }
 
-    /// Adds an attempt that another host process started. The attempt counts toward the maximum number of attempts and
-    /// may have had an effect. An attempt in flight also uses its node's capacity and can become late. If this host's
-    /// endpoint list does not contain the node, a record of the node is created, as every attempt in flight needs one.
+    /// Adds an attempt that another host process started. The attempt counts toward the maximum number of
+    /// attempts and may have had an effect. An attempt in flight also uses its node's capacity and can become
+    /// late. If this host's endpoint list does not contain the node, a record of the node is created, as
+    /// every attempt in flight needs one.
     fn adopt(&mut self, request_id: &str, node_id: &str, age_s: f64, outcome: Option<AttemptOutcome>) {
         let Some(&position) = self.shard_requests.get(request_id) else { return };
         let Some(query) = self.queries.get(&position.query) else { return };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,18 +1,19 @@
 //! Decides how much work a data node that has just started may be sent while it warms up.
 //!
-//! Inputs are the node's age in seconds, the configured rule ([`SlowStartConfig`]), the number of routers that share
-//! the node, and the work already sent to it. Work is the estimated processing time of shard requests in seconds. A
-//! quota is the work that a router may send to the node per second. Each router sends at most its fraction of the load
-//! that would overload a node with one core, so that all routers together stay below that load. The cost: a node with
-//! more cores gets less load than it could take until it is warm. Of several cores of a router, only one sends to the
-//! node at a time ([`crate::interface::SharedLimits::try_slow_start_turn`]).
+//! Inputs are the node's age in seconds, the configured rule ([`SlowStartConfig`]), the number of routers
+//! that share the node, and the work already sent to it. Work is the estimated processing time of shard
+//! requests in seconds. A quota is the work that a router may send to the node per second. Each router sends
+//! at most its fraction of the load that would overload a node with one core, so that all routers together
+//! stay below that load. The cost: a node with more cores gets less load than it could take until it is warm.
+//! Of several cores of a router, only one sends to the node at a time
+//! ([`crate::interface::SharedLimits::try_slow_start_turn`]).
 
 use super::CHECK_INTERVAL_S;
 use crate::interface::SlowStartConfig;
 use std::collections::VecDeque;
 
-/// Factor on the work that may be sent within a window, as the estimate of work is based on latencies and therefore
-/// includes some queueing.
+/// Factor on the work that may be sent within a window, as the estimate of work is based on latencies and
+/// therefore includes some queueing.
 const WINDOW_QUOTA_FACTOR: f64 = 1.3;
 /// Factor on the work of a single request, as a tolerance for rounding.
 const SINGLE_REQUEST_FACTOR: f64 = 1.001;
@@ -26,8 +27,9 @@
 /// The work, in seconds, sent to a node within the period that the slow-start rule needs.
 pub(super) struct WarmUpLoad {
     sent: VecDeque<SentWork>,
-    /// Fraction of the interval between single requests that this router waits after the node's start before it sends
-    /// its first one, from 0 to 1. The fraction is random, so that not all routers send at the same time.
+    /// Fraction of the interval between single requests that this router waits after the node's start before
+    /// it sends its first one, from 0 to 1. The fraction is random, so that not all routers send at the same
+    /// time.
     phase: f64,
 }
 
@@ -53,11 +55,13 @@
     }
 }
 
-/// The number of shard requests that a node may be sent now, and the restriction on other cores that this implies.
+/// The number of shard requests that a node may be sent now, and the restriction on other cores that this
+/// implies.
 pub(super) struct NodeCapacity {
     /// Number of shard requests that this core may send to the node now.
     pub requests: usize,
-    /// Seconds for which no other core of this router may send to the node; 0 for a node that is not warming up.
+    /// Seconds for which no other core of this router may send to the node; 0 for a node that is not warming
+    /// up.
     pub exclusive_for_s: f64,
 }
 
@@ -95,17 +99,18 @@
 }
 
 impl WarmUpLoad {
-    /// The capacity of a node that started at `started_at_s` and whose concurrency limit allows
-    /// `free` further shard requests. A warm node for which `free` is not 0 may be sent a whole batch, even beyond its
-    /// concurrency limit: under overload requests would
-    /// otherwise be sent singly, each with the overhead of an attempt.
+    /// The capacity of a node that started at `started_at_s` and whose concurrency limit allows `free`
+    /// further shard requests. A warm node for which `free` is not 0 may be sent a whole batch, even beyond
+    /// its concurrency limit: under overload requests would otherwise be sent singly, each with the overhead
+    /// of an attempt.
     pub fn capacity(&self, inputs: &CapacityInputs, started_at_s: Option<f64>, free: usize) -> NodeCapacity {
         let Some((rule, age_s)) = warm_up(inputs, started_at_s) else {
             let requests = if free > 0 { inputs.max_batch } else { 0 };
             return NodeCapacity { requests, exclusive_for_s: 0.0 };
         };
         let (work_s, quota) = (inputs.request_work_s, quota(&rule, age_s, inputs.router_count));
-        // If the quota allows less than one request per window, one request is sent every `work_s / quota` seconds.
+        // If the quota allows less than one request per window, one request is sent every `work_s / quota`
+        // seconds.
         let single_requests = work_s > quota * rule.window_s;
         let (interval_s, limit_s) = if single_requests {
             (work_s / quota, SINGLE_REQUEST_FACTOR * work_s)
--- a/src/policy/tenant_quota.rs
+++ b/src/policy/tenant_quota.rs
@@ -1,12 +1,14 @@
 //! Decides whether a query is within its tenant's quota.
 //!
-//! Inputs are the quota in queries per second for all routers together, and the number of routers. Each router limits
-//! the tenant to an equal fraction of the quota with a token bucket; a query costs one token. A query beyond the quota
-//! has a lower priority weight under overload, but is not rejected for this reason alone.
+//! Inputs are the quota in queries per second for all routers together, and the number of routers. Each
+//! router limits the tenant to an equal fraction of the quota with a token bucket; a query costs one token. A
+//! query beyond the quota has a lower priority weight under overload, but is not rejected for this reason
+//! alone.
 
 use crate::interface::Tenant;
 
-/// Capacity of the bucket: the tokens that the quota adds in this many seconds, but at least this many tokens.
+/// Capacity of the bucket: the tokens that the quota adds in this many seconds, but at least this many
+/// tokens.
 const BURST_DURATION_S: f64 = 2.0;
 const BURST_MIN_TOKENS: f64 = 2.0;
 /// Number of tokens in the bucket of a new tenant.
@@ -50,8 +52,8 @@
         (self.tokens + (now_s - self.updated_at_s) * rate_per_s).min(capacity_tokens(rate_per_s))
     }
 
-    /// Returns the quota after a change of the tenant's settings or of the number of routers. The tokens are kept, up
-    /// to the new capacity of the bucket.
+    /// Returns the quota after a change of the tenant's settings or of the number of routers. The tokens are
+    /// kept, up to the new capacity of the bucket.
     pub fn reconfigured(&self, tenant: Tenant, now_s: f64, old_routers: f64, new_routers: f64) -> Self {
         let capacity = capacity_tokens(tenant.quota_per_s / new_routers);
         let tokens = self.tokens_at(now_s, old_routers).min(capacity);
--- a/src/shard_placement.rs
+++ b/src/shard_placement.rs
@@ -1,5 +1,6 @@
-//! Determines which replica groups and data nodes hold a shard, which means that they store its data and can answer
-//! requests for it: by their position in a ring, or by an explicit list if shards move while queries run.
+//! Determines which replica groups and data nodes hold a shard, which means that they store its data and can
+//! answer requests for it: by their position in a ring, or by an explicit list if shards move while queries
+//! run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +14,8 @@
     pub groups_per_shard: u32,
     /// Maximum number of shard requests in one attempt.
     pub max_batch: usize,
-    /// Processing time in seconds that an attempt costs the data node in addition to that of its shard requests.
+    /// Processing time in seconds that an attempt costs the data node in addition to that of its shard
+    /// requests.
     pub attempt_overhead_s: f64,
     /// The holders of each shard; `None` if the ring determines them.
     pub explicit_holders: Option<BTreeMap<u32, ShardHolders>>,
@@ -35,8 +37,8 @@
             % self.replica_groups
     }
 
-    /// The index of the replica group with this number: the number modulo the size of the ring, or the number itself if
-    /// holders are listed explicitly.
+    /// The index of the replica group with this number: the number modulo the size of the ring, or the number
+    /// itself if holders are listed explicitly.
     pub fn replica_group_index(&self, group: u32) -> u32 {
         if self.explicit_holders.is_some() { group } else { group % self.replica_groups }
     }
@@ -46,7 +48,8 @@
         Some(listed.get(&shard).map_or(&[], |holders| &holders.replica_groups))
     }
 
-    /// The replica groups that hold a shard, beginning with its first group in the ring or in the explicit list.
+    /// The replica groups that hold a shard, beginning with its first group in the ring or in the explicit
+    /// list.
     pub fn holding_groups(&self, shard: u32) -> impl Iterator<Item = u32> + '_ {
         let groups = self.replica_groups;
         let first = shard % groups;
@@ -55,8 +58,8 @@
         (0..count).map(move |step| listed.map_or((first + step) % groups, |listed| listed[step as usize]))
     }
 
-    /// The nodes that do not hold the shard although their replica group does; `None` if holders are not listed
-    /// explicitly.
+    /// The nodes that do not hold the shard although their replica group does; `None` if holders are not
+    /// listed explicitly.
     pub fn excluded_nodes(&self, shard: u32) -> Option<&BTreeSet<String>> {
         Some(&self.explicit_holders.as_ref()?.get(&shard)?.excluded_nodes)
     }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -88,8 +88,8 @@
     assert_eq!(host.count("reject") > before, rejects);
 }
 
-/// Guards against an undetected overload in which queries are abandoned within milliseconds while the nodes remain at
-/// capacity with shard requests of abandoned queries.
+/// Guards against an undetected overload in which queries are abandoned within milliseconds while the nodes
+/// remain at capacity with shard requests of abandoned queries.
 #[rstest]
 fn requests_rejected_by_full_nodes_indicate_an_overload() {
     let mut host = Host::with(|_| ());
@@ -106,8 +106,8 @@
     assert!(unsent >= 10, "{unsent} of 30 rejected without an attempt");
 }
 
-/// Guards against an undetected overload in a deployment with many routers, in which each router observes too few late
-/// queries to start load shedding.
+/// Guards against an undetected overload in a deployment with many routers, in which each router observes too
+/// few late queries to start load shedding.
 #[rstest]
 #[case::late_on_all_routers(80, 20, true)]
 #[case::in_time_on_all_routers(20, 80, false)]
--- a/tests/adopted_attempts.rs
+++ b/tests/adopted_attempts.rs
@@ -3,8 +3,8 @@
 use common::Host;
 use rstest::rstest;
 
-/// Guards against a panic or a lost attempt if a router adopts an attempt at a data node that its endpoint list does
-/// not contain.
+/// Guards against a panic or a lost attempt if a router adopts an attempt at a data node that its endpoint
+/// list does not contain.
 #[rstest]
 fn a_query_with_an_adopted_attempt_at_an_unlisted_node_gets_one_final_response() {
     let mut host = Host::with(|d| d.capabilities.can_hedge = false);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host for tests of the policy: it creates a policy, runs rounds and records the decisions.
 //!
-//! Each decision is recorded as text: `attempt REQUEST NODE`, `cancel REQUEST ATTEMPT`, `answer QUERY complete` or
-//! `partial`, `reject QUERY RETRY_AFTER_S`, `fail QUERY`, `poll`, `log TEXT`.
+//! Each decision is recorded as text: `attempt REQUEST NODE`, `cancel REQUEST ATTEMPT`, `answer QUERY
+//! complete` or `partial`, `reject QUERY RETRY_AFTER_S`, `fail QUERY`, `poll`, `log TEXT`.
 #![allow(dead_code)] // Each test file uses a part of this module.
 
 use alderway::interface::*;
@@ -121,8 +121,8 @@
         deployment
     }
 
-    /// One node with up to eight shard requests per attempt. Each attempt costs the node 0.05 s of processing time in
-    /// addition to that of its shard requests.
+    /// One node with up to eight shard requests per attempt. Each attempt costs the node 0.05 s of processing
+    /// time in addition to that of its shard requests.
     pub fn of_one_node() -> Self {
         let placement = ShardPlacement {
             replica_groups: 1,
@@ -182,8 +182,8 @@
         recorder.decisions
     }
 
-    /// Makes this host's policy use `limits`: the retry budget's token bucket and the restriction of nodes that are
-    /// warming up to one core, which all cores of a router share.
+    /// Makes this host's policy use `limits`: the retry budget's token bucket and the restriction of nodes
+    /// that are warming up to one core, which all cores of a router share.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.policy.use_shared_limits(limits);
     }
@@ -250,7 +250,8 @@
         self.decisions[from..].to_vec()
     }
 
-    /// Runs `count` queries of one shard request each, which the selected node answers after `latency` seconds.
+    /// Runs `count` queries of one shard request each, which the selected node answers after `latency`
+    /// seconds.
     pub fn answer_queries(&mut self, first: u64, count: u64, latency: f64) {
         for n in first..first + count {
             let node = last_node(&self.query(n, &[0]), &format!("p{n}.0"));
--- a/tests/completion.rs
+++ b/tests/completion.rs
@@ -31,8 +31,8 @@
     assert_eq!(host.count("answer q1 partial"), 1);
 }
 
-/// Guards against abandoning a query on arrival because the weights of its shard requests, rounded for transmission,
-/// have a sum that is less than 1 by more than `WEIGHT_TOLERANCE_FRACTION`.
+/// Guards against abandoning a query on arrival because the weights of its shard requests, rounded for
+/// transmission, have a sum that is less than 1 by more than `WEIGHT_TOLERANCE_FRACTION`.
 #[rstest]
 fn all_requests_make_a_complete_answer_even_if_their_weights_sum_to_less_than_1() {
     let mut host = Host::with(|d| d.class.idempotency = Idempotency::NonIdempotent);
--- a/tests/config_changes.rs
+++ b/tests/config_changes.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Delivers a query with one shard request, then disconnects its client. Returns whether the policy rejected the query
-/// on arrival.
+/// Delivers a query with one shard request, then disconnects its client. Returns whether the policy rejected
+/// the query on arrival.
 fn is_rejected(host: &mut Host, n: u64, class: usize, tenant: &str) -> bool {
     host.now += 0.001;
     let not_after = host.now + 6.0;
@@ -58,8 +58,8 @@
     query_class(&mut host, 1, 1, &[0, 1]);
     let node = last_node(&host.decisions, "p1.0");
     host.attempt_ended("p1.0", 0, &node, AttemptOutcome::Success, 0.0);
-    // The first query is answered just before its latency objective of 2 s. The second query has an objective of 4 s
-    // and needs a complete answer.
+    // The first query is answered just before its latency objective of 2 s. The second query has an objective
+    // of 4 s and needs a complete answer.
     assert!(host.wait(1.9).iter().all(|n| !n.starts_with("answer")));
     assert!(host.wait(0.1).contains(&"answer q0 partial".into()));
     assert!(host.wait(3.0).iter().all(|n| !n.starts_with("answer")));
@@ -121,8 +121,8 @@
         answer_twenty_queries(&mut host, 0, 0.4);
         host
     };
-    // For a shard without latencies an attempt is late after twice the median latency, as this is more than a quarter
-    // of the latency objective.
+    // For a shard without latencies an attempt is late after twice the median latency, as this is more than a
+    // quarter of the latency objective.
     let mut host = host_with_latencies();
     host.round(|r| r.change_config(&config(|d| d.class.priority_weight = 2.0), &CHANGED));
     query_class(&mut host, 100, 1, &[1]);
@@ -240,7 +240,8 @@
         host.round(|r| r.change_config(&config(|d| d.router_count = router_count), &UNCHANGED));
         let now = host.now;
         host.update_endpoint("n0", 0, NodeState::Serving, Some(now - 1.0));
-        // Successful requests raise the node's concurrency limit, so that only the slow-start rule limits the number.
+        // Successful requests raise the node's concurrency limit, so that only the slow-start rule limits the
+        // number.
         let mut sent = 0;
         for n in 0..200 {
             let started = attempts(&query_class(&mut host, n, 0, &[0])).len();
@@ -319,8 +320,8 @@
         core.round(|r| r.change_config(&config(budget(6.0)), &UNCHANGED));
         assert_eq!(limits.tokens(), 4.0);
     }
-    // A core that restarts with the new configuration adds no tokens. A deposit by the core with the old configuration
-    // does not exceed the new capacity.
+    // A core that restarts with the new configuration adds no tokens. A deposit by the core with the old
+    // configuration does not exceed the new capacity.
     core(1).round(|r| r.change_config(&config(budget(6.0)), &UNCHANGED));
     limits.deposit(20.0, 9.0);
     assert!(limits.tokens() <= 6.0, "{}", limits.tokens());
--- a/tests/config_changes_random.rs
+++ b/tests/config_changes_random.rs
@@ -1,5 +1,6 @@
-//! Property test: for any order of configuration changes, queries, ended attempts and timers, no query is lost, and
-//! each keeps the latency objective, the idempotency, and the minimum fraction of its weight with which it arrived.
+//! Property test: for any order of configuration changes, queries, ended attempts and timers, no query is
+//! lost, and each keeps the latency objective, the idempotency, and the minimum fraction of its weight with
+//! which it arrived.
 
 mod common;
 use alderway::interface::*;
--- a/tests/events_in_any_order.rs
+++ b/tests/events_in_any_order.rs
@@ -1,5 +1,5 @@
-//! Property test: for any order of queries, adopted attempts, ended attempts, splits, disconnected clients, and data
-//! nodes that appear, drain, restart and are removed, every query gets one final response.
+//! Property test: for any order of queries, adopted attempts, ended attempts, splits, disconnected clients,
+//! and data nodes that appear, drain, restart and are removed, every query gets one final response.
 
 mod common;
 use alderway::interface::*;
@@ -8,8 +8,8 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// Number of nodes in the endpoint list at the start. The same number of further nodes is not in the list until an
-/// event adds them.
+/// Number of nodes in the endpoint list at the start. The same number of further nodes is not in the list
+/// until an event adds them.
 const LISTED_NODES: u8 = 3;
 const NODES: u8 = 2 * LISTED_NODES;
 /// Longer than any deadline, in seconds.
@@ -297,8 +297,8 @@
         cases: 150, rng_seed: RngSeed::Fixed(5701), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Guards against a panic or a lost query if an event refers to a query, shard request or node that an earlier
-    /// event removed.
+    /// Guards against a panic or a lost query if an event refers to a query, shard request or node that an
+    /// earlier event removed.
     #[test]
     fn events_in_any_order_leave_every_query_with_one_final_response(
         can_hedge in any::<bool>(),
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -74,8 +74,8 @@
     assert_eq!(attempts(&host.wait(0.52)).len(), hedges);
 }
 
-/// Guards against regarding normal attempts as late in a large deployment, in which a router rarely observes a given
-/// shard.
+/// Guards against regarding normal attempts as late in a large deployment, in which a router rarely observes
+/// a given shard.
 #[rstest]
 fn an_unknown_shard_is_late_after_twice_the_median_of_its_class() {
     let mut host = Host::with(|_| ());
@@ -89,8 +89,8 @@
     assert_eq!(attempts(&host.wait(0.04)).len(), 1);
 }
 
-/// Guards against work of nodes for answers that no client waits for: a cancellation does not remove requests that are
-/// queued at a node, so that attempts need a time-out.
+/// Guards against work of nodes for answers that no client waits for: a cancellation does not remove requests
+/// that are queued at a node, so that attempts need a time-out.
 #[rstest]
 #[case::late_answers_have_no_value(0.0, 1.0, 2.0)]
 #[case::answered_partially_at_the_objective(0.3, 0.7, 2.0)]
@@ -109,15 +109,16 @@
 
 /// Latency of a late attempt in seconds: more than the longest delay after which an attempt is late.
 const LATE_S: f64 = 1.1;
-/// Latency of the other attempts, and the number of such queries between two late ones, which keeps load shedding off.
+/// Latency of the other attempts, and the number of such queries between two late ones, which keeps load
+/// shedding off.
 const QUICK_S: f64 = 0.05;
 const QUICK_QUERIES: u64 = 5;
 /// Seconds after which no node is avoided any more.
 const AVOIDANCE_ENDS_S: f64 = 16.0;
 
-/// Runs a query that becomes late, after some quick ones. Returns the node of its first attempt and the number of
-/// hedges. The last hedge succeeds if `hedge_wins` is true for the node of the first attempt, otherwise the first
-/// attempt does.
+/// Runs a query that becomes late, after some quick ones. Returns the node of its first attempt and the
+/// number of hedges. The last hedge succeeds if `hedge_wins` is true for the node of the first attempt,
+/// otherwise the first attempt does.
 fn late_query(host: &mut Host, number: u64, hedge_wins: impl Fn(&str) -> bool) -> (String, usize) {
     host.answer_queries(1000 * (number + 1), QUICK_QUERIES, QUICK_S);
     let request = format!("p{number}.0");
@@ -137,8 +138,8 @@
     (first, hedges)
 }
 
-/// Runs a query with three shard requests that become late at the same time. Returns for each the node of its first
-/// attempt and whether it was hedged in the round of the first hedge.
+/// Runs a query with three shard requests that become late at the same time. Returns for each the node of its
+/// first attempt and whether it was hedged in the round of the first hedge.
 fn hedged_requests(host: &mut Host, number: u64) -> Vec<(String, bool)> {
     host.answer_queries(1000 * (number + 1), 20, QUICK_S);
     host.wait(AVOIDANCE_ENDS_S);
@@ -158,9 +159,9 @@
     first.into_iter().zip(requests.iter().map(is_hedged)).collect()
 }
 
-/// Guards against hedges that prolong an overload: in an overload hedges lose for all nodes, and are then sent only as
-/// trials. `lost` is the number of queries whose hedges lost before; `expected` is the number of hedges that are then
-/// sent for three late shard requests.
+/// Guards against hedges that prolong an overload: in an overload hedges lose for all nodes, and are then
+/// sent only as trials. `lost` is the number of queries whose hedges lost before; `expected` is the number of
+/// hedges that are then sent for three late shard requests.
 #[rstest]
 #[case::no_hedge_has_ended(0, 3)]
 #[case::all_have_lost(12, 1)]
@@ -171,8 +172,8 @@
     assert_eq!(requests.iter().filter(|(_, hedged)| *hedged).count(), expected, "{requests:?}");
 }
 
-/// Guards against one win rate for all nodes: if hedges win for attempts at the slow node n0 and lose for attempts at
-/// the other nodes, attempts at n0 are still hedged.
+/// Guards against one win rate for all nodes: if hedges win for attempts at the slow node n0 and lose for
+/// attempts at the other nodes, attempts at n0 are still hedged.
 #[rstest]
 fn hedges_go_on_for_a_node_for_which_they_win() {
     let mut host = Host::with(|d| d.capabilities.max_attempts = 2);
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -133,8 +133,8 @@
     assert_eq!(host.count("log node n0 ejected"), 1, "two consecutive failures eject the node");
 }
 
-/// Guards against counting the time in which a node had no attempt as time in which the node did not answer. In a large
-/// deployment a router may send no attempt to a given node for many seconds.
+/// Guards against counting the time in which a node had no attempt as time in which the node did not answer.
+/// In a large deployment a router may send no attempt to a given node for many seconds.
 #[rstest]
 fn the_expected_wait_for_a_silent_node_is_the_age_of_its_oldest_attempt() {
     let mut host = Host::with(|d| (d.placement.groups_per_shard, d.class.deadline_s) = (1, 9.0));
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,4 +1,5 @@
-//! The checks that a router makes before it starts an attempt, closes a connection, or admits or rejects a query.
+//! The checks that a router makes before it starts an attempt, closes a connection, or admits or rejects a
+//! query.
 use alderway::interface::{Idempotency, NodeState};
 use alderway::permits::{self, AttemptToStart, ConnectionToClose, Denial};
 use rstest::rstest;
--- a/tests/replica_selection.rs
+++ b/tests/replica_selection.rs
@@ -60,8 +60,8 @@
     assert_eq!(attempts(&host.query(2, &[0])).len(), 0);
 }
 
-/// Guards against a separate round robin for each shard: it often selected the same node for neighbouring shards of a
-/// query.
+/// Guards against a separate round robin for each shard: it often selected the same node for neighbouring
+/// shards of a query.
 #[rstest]
 fn shards_with_the_same_holders_share_round_robin() {
     let mut host = Host::with(|_| ());
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -41,8 +41,8 @@
     assert_eq!(host.count("attempt"), attempt_count);
 }
 
-/// Guards against queries that crash each node that works on them: their retries would crash all nodes that hold the
-/// shard.
+/// Guards against queries that crash each node that works on them: their retries would crash all nodes that
+/// hold the shard.
 #[rstest]
 #[case::no_request_succeeded(false, 0)]
 #[case::one_request_succeeded(true, 2)]
@@ -62,8 +62,8 @@
     assert_eq!(host.count("reject q0"), 0, "its third request is still in flight");
 }
 
-/// Guards against further crashes by a query like the one that crashed a node: each of its shard requests, sent in
-/// parallel, would crash another node.
+/// Guards against further crashes by a query like the one that crashed a node: each of its shard requests,
+/// sent in parallel, would crash another node.
 #[rstest]
 fn a_query_starts_with_one_attempt_while_a_crashed_node_may_be_warming_up() {
     let mut host = Host::with(|_| ());
--- a/tests/several_cores.rs
+++ b/tests/several_cores.rs
@@ -1,5 +1,5 @@
-//! A router with several cores, each of which has a separate policy: shared observations of data nodes, and shared
-//! limits.
+//! A router with several cores, each of which has a separate policy: shared observations of data nodes, and
+//! shared limits.
 
 mod common;
 use alderway::interface::*;
@@ -63,7 +63,8 @@
     all[0].wait(2.0);
     let shared = all[0].shared_observations.clone();
     let silent = shared.iter().filter(|(node, observed)| node == "n0" && observed.unresponsive_for_s > 0.0);
-    // The observation is shared again while the attempt is unanswered, as other cores use it for half a second only.
+    // The observation is shared again while the attempt is unanswered, as other cores use it for half a
+    // second only.
     assert!(silent.count() >= 2, "{shared:?}");
     all[1].now = all[0].now;
     let after_observation = all[1].receive_observations(&shared);
@@ -180,8 +181,8 @@
 proptest! {
     #![proptest_config(seeded(64))]
 
-    /// For any order of events and shared observations, a core shares observations only of nodes that its own attempts
-    /// went to.
+    /// For any order of events and shared observations, a core shares observations only of nodes that its own
+    /// attempts went to.
     #[test]
     fn a_core_does_not_forward_observations_of_other_cores(
         steps in prop::collection::vec((0..3usize, 0..5u8, 0.01..1.2f64), 1..60),
--- a/tests/shard_changes.rs
+++ b/tests/shard_changes.rs
@@ -61,7 +61,8 @@
     for n in 1..4 {
         assert_eq!(last_node(&host.query(n, &[0]), &format!("p{n}.0")), other);
     }
-    // Both nodes are now excluded as holders. The shard request waits, and is sent as soon as a node holds the shard.
+    // Both nodes are now excluded as holders. The shard request waits, and is sent as soon as a node holds
+    // the shard.
     host.round(|r| {
         r.set_shard_holders(0, holders(&[0, 1], &["n0", "n1"]));
         r.attempt_ended("p0.0", 1, other, AttemptOutcome::ShardMoved, 0.001);
@@ -113,8 +114,8 @@
     let decisions = host.wait(0.6);
     let [hedge] = attempts(&decisions)[..] else { panic!("one token, one hedge: {decisions:?}") };
     assert!(hedge.starts_with("attempt a n2") || hedge.starts_with("attempt a n3"), "{hedge}");
-    // The hedge of successor `a` succeeds. The policy cancels the copy of the first attempt that belongs to `a`; the
-    // copy that belongs to successor `b` stays in flight.
+    // The hedge of successor `a` succeeds. The policy cancels the copy of the first attempt that belongs to
+    // `a`; the copy that belongs to successor `b` stays in flight.
     let hedge = last_node(&decisions, "a");
     assert_eq!(host.attempt_ended("a", 1, &hedge, AttemptOutcome::Success, 0.05), ["cancel a 0"]);
 }
@@ -192,7 +193,8 @@
         (last_node(&host.decisions[..host.decisions.len() - 1], "p100.0"), last_node(&decisions, "p100.0"));
     host.attempt_ended("p100.0", 1, &hedge, AttemptOutcome::Success, 0.03);
     host.attempt_ended("p100.0", 0, &first, AttemptOutcome::Cancelled, 0.1);
-    // Each answer of the new shard replaces an inherited latency; after twelve answers no inherited latency is left.
+    // Each answer of the new shard replaces an inherited latency; after twelve answers no inherited latency
+    // is left.
     for n in 101..112 {
         let node = last_node(&host.query(n, &[10]), &format!("p{n}.0"));
         host.wait(0.02);
@@ -212,8 +214,8 @@
     assert!(attempts(&host.wait(0.4)).is_empty(), "its latencies are discarded");
 }
 
-/// Guards against overloading a node that is warming up when forty shards move to it at the same time: this router
-/// sends at most its fraction of the load that the node can take.
+/// Guards against overloading a node that is warming up when forty shards move to it at the same time: this
+/// router sends at most its fraction of the load that the node can take.
 #[rstest]
 fn shards_that_move_to_a_warming_node_do_not_overload_it() {
     let rule =
@@ -250,8 +252,8 @@
             let request = attempt.split(' ').nth(1).expect("a request").to_string();
             host.attempt_ended(&request, 0, "new", AttemptOutcome::Success, 0.005);
         }
-        // A request is counted with the work that its answer shows; the policy estimates 0.15 of the latency objective
-        // until it has enough answers.
+        // A request is counted with the work that its answer shows; the policy estimates 0.15 of the latency
+        // objective until it has enough answers.
         let in_window = sent_at.iter().filter(|at| host.now - **at < rule.window_s).count() as f64;
         let capacity_fraction = rule.initial_fraction
             + (1.0 - rule.initial_fraction) * ((host.now - started) / rule.warm_up_s).min(1.0);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -87,8 +87,9 @@
     assert!((4..=12).contains(&sent), "{sent} requests; the quota is 0.5 to 2.5 s of work per 100 s");
 }
 
-/// Guards against an overload of a node that is warming up: queries that were abandoned within milliseconds counted as
-/// requests with a short processing time, so that the router sent the node one every few milliseconds.
+/// Guards against an overload of a node that is warming up: queries that were abandoned within milliseconds
+/// counted as requests with a short processing time, so that the router sent the node one every few
+/// milliseconds.
 #[rstest]
 fn queries_abandoned_at_once_do_not_lower_the_estimated_work_for_a_warming_node() {
     let mut host = Host::with(|d| {
@@ -121,7 +122,7 @@
         }
     }
     let sent = host.decisions[from..].iter().filter(|note| note.starts_with("attempt")).count();
-    // All twenty routers together may send 2.5 times the capacity, which is a fifth of a core. A single router may
-    // therefore send one request with 0.2 s of work every 8 s.
+    // All twenty routers together may send 2.5 times the capacity, which is a fifth of a core. A single
+    // router may therefore send one request with 0.2 s of work every 8 s.
     assert!(sent <= 1, "{sent} requests in five seconds");
 }
