--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -263,7 +263,7 @@
     /// `first_line_number` is the number of the first of them in the input, counted from 1.
     ///
     /// # Errors
-    /// The first malformed line.
+    /// A [`MalformedLine`] for the first line of the batch that cannot be decoded.
     pub fn run_batch(&mut self, lines: &[String], first_line_number: usize) -> Result<String> {
         let mut lines =
             lines.iter().enumerate().map(|(index, text)| Line::new(first_line_number + index, text));
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -23,7 +23,7 @@
         self.lines
     }
 
-    /// Returns for each query that has ended since the last call whether the query counts as late.
+    /// Returns one value for each query that has ended since the last call: true if the query counts as late.
     pub(super) fn take_ended_queries(&mut self) -> Vec<bool> {
         std::mem::take(&mut self.ended_queries_late)
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -244,7 +244,7 @@
         state: NodeState,
         started_at_s: Option<f64>,
     );
-    /// Watching or polling the endpoint list failed; the last list stays in use.
+    /// Records that watching or polling the endpoint list failed. The last list stays in use.
     fn endpoint_poll_failed(&mut self);
     /// Adds a query that has just arrived and whose client stops waiting at `not_after_s`.
     fn query_arrived(&mut self, query: u64, id: &str, class: usize, tenant: &str, not_after_s: f64);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,5 @@
-//! Decides which queries are admitted, and which are rejected to shed load.
+//! Decides which queries are admitted, and which are rejected to shed load, in each round (call of
+//! [`super::Policy::round`]).
 //!
 //! Inputs are the expected latency of a query and the seconds left until its latency objective or deadline,
 //! the time that its shard requests may wait for their holders, which are the serving nodes that have a copy
--- a/src/policy/attempts_by_age.rs
+++ b/src/policy/attempts_by_age.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Returns the attempts that started more than `delay_s` of their key ago and are in flight and not
-    /// cancelled.
+    /// Returns the attempts whose age exceeds the delay of their key, which `delay_s` returns in seconds, and
+    /// that are in flight and not cancelled. Removes the entries of late attempts that have ended.
     pub fn late(
         &mut self,
         now_s: f64,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Decides how many shard requests one data node may have in flight from this router.
+//! Decides how many shard requests one core of a router may have in flight to one data node.
 //!
 //! Inputs are the outcomes and latencies of the node's attempts. The limit uses additive increase and
 //! multiplicative decrease, so that requests queue at the router, where they can still go to another node,
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -8,7 +8,7 @@
 use super::{Policy, ShardState};
 use crate::interface::{AttemptOutcome, NodeObservation, NodeState, PolicyInput};
 
-/// Seconds after which the endpoint list is polled again if polling failed.
+/// If polling the endpoint list has failed, this router polls the list again after this time.
 const POLL_RETRY_S: f64 = 1.0;
 /// A shard's round robin offset is drawn from this many values for each replica group that holds the shard.
 const OFFSET_DRAWS_PER_GROUP: f64 = 64.0;
--- a/src/policy/hedge_success.rs
+++ b/src/policy/hedge_success.rs
@@ -27,12 +27,12 @@
 }
 
 impl WinRate {
-    /// Records the result of a hedge.
+    /// Updates the moving average with the result of an ended hedge.
     pub fn record(&mut self, won: bool) {
         self.0 += LATEST_WEIGHT * (f64::from(u8::from(won)) - self.0);
     }
 
-    /// Whether hedges save more work than they cost.
+    /// Whether hedges with this win rate save more work than they cost.
     pub fn is_worthwhile(self) -> bool {
         self.0 >= WORTHWHILE_WIN_RATE
     }
@@ -52,7 +52,7 @@
         self.last_trial_hedge_at_s.is_none_or(|at_s| now_s - at_s >= TRIAL_HEDGE_INTERVAL_S)
     }
 
-    /// Records that a hedge is sent as a trial at `now_s`.
+    /// Records that a hedge is sent at `now_s` although the win rate is too low.
     pub fn record_trial_hedge(&mut self, now_s: f64) {
         self.last_trial_hedge_at_s = Some(now_s);
     }
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// A query class and the latencies observed for it.
+/// A query class and the latencies observed for the class.
 pub(super) struct ClassState {
     pub config: QueryClass,
     pub latencies: LatencyWindow,
--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -1,4 +1,5 @@
-//! The record of one data node: its attempts in flight, its health, and its limits on concurrency and load.
+//! The record of one data node: its attempts in flight, its health, and its limits on concurrency and load. A
+//! round is one call of [`super::Policy::round`].
 
 use super::concurrency_limit::{ConcurrencyLimit, LoadSample};
 use super::hedge_success::WinRate;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -248,7 +248,7 @@
         }
     }
 
-    /// The node's health according to the latest observation of another core or router.
+    /// The node's health according to the latest observation that another core or router has shared.
     pub fn remote_health(&self, now_s: f64) -> Health {
         self.remote.health(now_s)
     }
@@ -279,8 +279,9 @@
 
     /// Returns an observation to share with other cores if the node's health according to this core's own
     /// attempts differs from the health that was shared last, lasts longer, or contradicts the observation of
-    /// another core. `started_at_s` is when the node's process started, `clock_s` is the current time on the
-    /// monotonic clock.
+    /// another core. Marks the returned observation as shared. `started_at_s` is when the node's process
+    /// started and `clock_s` the current time, both on the monotonic clock; `now_s` is the current time on
+    /// the clock that excludes this router's stalls.
     pub fn observation_to_share(
         &mut self,
         started_at_s: Option<f64>,
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -51,8 +51,8 @@
         self.shared_limits.deposit(config.tokens_per_request, config.capacity_tokens);
     }
 
-    /// Removes what a shard request added on this host if it was adopted: it already added tokens on the host
-    /// on which the query arrived.
+    /// Removes the tokens that a shard request added to this host's bucket. Called if this host continues the
+    /// shard request for another host process, as the shard request added its tokens there when it arrived.
     pub(super) fn undo_deposit_for_adopted_request(&self) {
         let config = &self.retry_tokens;
         self.shared_limits.deposit(-config.tokens_per_request, config.capacity_tokens);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -44,7 +44,8 @@
         self.sent.push_back(SentWork { at_s: now_s, work_s });
     }
 
-    /// Marks this router's quota at the node as used up at `now_s`.
+    /// Marks this router's quota at the node as used up at `now_s`, so that nothing is sent to the node for
+    /// one window of the slow-start rule.
     pub fn mark_exhausted(&mut self, now_s: f64) {
         self.sent.push_back(SentWork { at_s: now_s, work_s: f64::INFINITY });
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A host for tests of the policy: it creates a policy, runs rounds and records the decisions.
+//! A host for tests of the policy. The host creates a policy, runs rounds (calls of `Policy::round`) and
+//! records the decisions.
 //!
 //! Each decision is recorded as text: `attempt REQUEST NODE`, `cancel REQUEST ATTEMPT`, `answer QUERY
 //! complete` or `partial`, `reject QUERY RETRY_AFTER_S`, `fail QUERY`, `poll`, `log TEXT`.
