--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -222,8 +222,8 @@
         Ok(HostedRouter { policy, class_names, gossip })
     }
 
-    /// Runs one round of the policy with the events of a batch. Returns the policy's decisions as lines of
-    /// the reply.
+    /// Runs one round of the policy, which is one call of [`Policy::round`], with the events of a batch.
+    /// Returns the policy's decisions as lines of the reply.
     fn run_round(&mut self, now_s: f64, events: Vec<RouterEvent>) -> Result<String> {
         let HostedRouter { policy, class_names, gossip } = self;
         let mut sent_counts = None;
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -12,8 +12,9 @@
 const INITIAL_LIMIT_WARMING_UP: f64 = 1.0;
 const LIMIT_MIN: f64 = 1.0;
 const LIMIT_MAX: f64 = 24.0;
-/// An answer raises the limit if its latency is below the first fraction of the shortest latency objective,
-/// and lowers it if its latency is above the second.
+/// An answer raises the limit if the answer's latency is below `FAST_ANSWER_FRACTION` of the shortest latency
+/// objective of all query classes, and lowers the limit if the latency is above `SLOW_ANSWER_FRACTION` of the
+/// objective.
 const FAST_ANSWER_FRACTION: f64 = 0.15;
 const SLOW_ANSWER_FRACTION: f64 = 0.25;
 /// Factors on the limit after a slow answer and after a rejection.
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -1,5 +1,6 @@
-//! Handles the events that the host delivers at the start of a round: changes of the endpoint list, new
-//! queries and their shard requests, ended attempts. This module updates records and makes no decisions.
+//! Handles the events that the host delivers at the start of a round, which is one call of [`Policy::round`]:
+//! changes of the endpoint list, new queries and their shard requests, ended attempts. This module updates
+//! records and makes no decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::SHARD_SAMPLES_MAX;
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,5 +1,5 @@
-//! Decides when a late attempt is hedged, when a stuck one is replaced, and when attempts are cancelled
-//! because another attempt of their shard request has succeeded.
+//! Decides in each round (call of [`Policy::round`]) which late attempts are hedged, which stuck attempts are
+//! replaced, and which attempts are cancelled because another attempt of their shard request has succeeded.
 //!
 //! Inputs are the age of a shard request's newest attempt and the delay after which it is late, in seconds,
 //! the health of the nodes that have its attempts, and the tokens of the retry budget. Hedges reduce the
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -89,8 +89,9 @@
 pub(super) struct ClassState {
     pub config: QueryClass,
     pub latencies: LatencyWindow,
-    /// The lowest median of the class's latencies so far; infinite while there are too few. It
-    /// estimates the work of a shard request, as it contains the least queueing.
+    /// The lowest median of the class's latencies so far, in seconds; infinite while the class has had fewer
+    /// than `CLASS_SAMPLES_MIN` latencies. The lowest median is the estimated work of a shard request, as the
+    /// latencies with the lowest median contain the least queueing.
     pub lowest_median_s: f64,
     /// The longest time from a query's arrival to its client's deadline, over all queries of this class, in
     /// seconds.
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -17,7 +17,8 @@
 /// The duration of an ejection grows by this factor with each consecutive failure, up to the maximum factor.
 const EJECTION_GROWTH: f64 = 1.6;
 const EJECTION_FACTOR_MAX: f64 = 16.0;
-/// Minimum of the duration that is multiplied by the factor.
+/// An ejection lasts for the avoidance time's minimum multiplied by the factor above. This constant is used
+/// instead of that minimum if the minimum is shorter.
 const EJECTION_UNIT_MIN_S: f64 = 0.25;
 /// Longest ejection. Within this time discovery removes a node that no longer exists from the endpoint list.
 const EJECTION_MAX_S: f64 = 6.0;
@@ -80,7 +81,7 @@
     slow_until_s: f64,
     very_slow_until_s: f64,
     ejected_until_s: f64,
-    /// Current avoidance time in seconds: how long the node is avoided after a late attempt.
+    /// Current avoidance time: seconds for which the node is avoided after a late or rejected attempt.
     avoidance_s: f64,
     consecutive_failures: u32,
     last_connection_loss_at_s: f64,
@@ -89,7 +90,8 @@
     shared: SharedHealth,
 }
 
-/// The health that this core shared last, and the end of that state as shared.
+/// The health in the observation that this core shared last, and the time until which the node counts as
+/// being in that state.
 #[derive(Clone, Copy, Default)]
 struct SharedHealth {
     health: Health,
@@ -124,7 +126,7 @@
     pub latency_s: f64,
     /// The delay in seconds after which the attempt counts as late.
     pub late_after_s: f64,
-    /// The shortest latency objective of all query classes.
+    /// The shortest latency objective of all query classes, in seconds.
     pub shortest_objective_s: f64,
     pub router_count: f64,
 }
@@ -160,7 +162,8 @@
     }
 
     fn record_failure(&mut self, now_s: f64, attempt: &EndedAttempt) {
-        // All attempts on a connection end when it breaks; together they are one failure.
+        // When a connection breaks, all attempts on the connection end in the same round; they count as one
+        // failure.
         let already_counted = attempt.outcome != AttemptOutcome::Error
             && std::mem::replace(&mut self.last_connection_loss_at_s, now_s) == now_s;
         if !already_counted {
--- a/src/policy/tenant_quota.rs
+++ b/src/policy/tenant_quota.rs
@@ -17,7 +17,7 @@
 /// The quota of one tenant at this router.
 pub(super) struct TenantQuota {
     tenant: Tenant,
-    /// Tokens in the bucket at `updated_at_s`.
+    /// Tokens in the bucket at `updated_at_s`, in seconds on the host's monotonic clock.
     tokens: f64,
     updated_at_s: f64,
 }
--- a/tests/adopted_attempts.rs
+++ b/tests/adopted_attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts that another router process started and this policy adopts.
+//! Attempts that another router process started and that this policy adopts: it continues the attempts'
+//! queries.
 mod common;
 use common::Host;
 use rstest::rstest;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -189,7 +189,7 @@
         self.policy.use_shared_limits(limits);
     }
 
-    /// Delivers the observations that another core shared.
+    /// Delivers the observations of data nodes that another core shared; returns the decisions of that round.
     pub fn receive_observations(&mut self, shared: &[(String, NodeObservation)]) -> Vec<String> {
         self.round(|r| shared.iter().for_each(|(node, observation)| r.node_observed(node, *observation)))
     }
--- a/tests/config_changes.rs
+++ b/tests/config_changes.rs
@@ -1,4 +1,5 @@
-//! State across changes of the configuration while queries are open.
+//! State across changes of the configuration while queries are open. A slot is the index of a query class in
+//! the policy.
 
 mod common;
 use alderway::interface::*;
--- a/tests/config_changes_random.rs
+++ b/tests/config_changes_random.rs
@@ -1,6 +1,7 @@
 //! Property test: for any order of configuration changes, queries, ended attempts and timers, no query is
-//! lost, and each keeps the latency objective, the idempotency, and the minimum fraction of its weight with
-//! which it arrived.
+//! lost, and each query keeps the latency objective, the idempotency, and the minimum fraction of its weight
+//! that its class had on the query's arrival. A slot is the index of a query class in the policy; a round is
+//! one call of `Policy::round`.
 
 mod common;
 use alderway::interface::*;
@@ -112,7 +113,8 @@
     replaced_slots: BTreeSet<usize>,
     /// Published configurations that have not been applied yet.
     pending_configs: Vec<PolicyConfig>,
-    /// Slots without open queries. The next round calls `class_retired` for them.
+    /// Slots that have no open queries. In the next round, the test calls `class_retired` for each of these
+    /// slots.
     retired_slots: Vec<usize>,
 }
 
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -1,4 +1,5 @@
-//! When hedges are sent, when the losing attempts are cancelled, and when attempts time out.
+//! When hedges are sent, when the losing attempts are cancelled, and when attempts time out. A round is one
+//! call of `Policy::round`.
 
 mod common;
 use alderway::interface::*;
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Which attempts cost a token of the retry budget's bucket.
+//! Which retries and hedges cost a token of the retry budget's token bucket.
 
 mod common;
 use alderway::interface::*;
--- a/tests/several_cores.rs
+++ b/tests/several_cores.rs
@@ -1,5 +1,5 @@
-//! A router with several cores, each of which has a separate policy: shared observations of data nodes, and
-//! shared limits.
+//! A router with several cores, each of which has a separate policy. The cores share observations of the
+//! health of data nodes, the retry budget, and the load limit of nodes that are warming up.
 
 mod common;
 use alderway::interface::*;
--- a/tests/shard_changes.rs
+++ b/tests/shard_changes.rs
@@ -1,4 +1,5 @@
-//! How shards are moved and split while queries are open, and explicit lists of the nodes that hold a shard.
+//! How shards are moved and split while queries are open, and explicit lists of the nodes that hold a shard,
+//! which are the shard's holders. The successors of a shard request replace it after its shard was split.
 
 mod common;
 use alderway::interface::*;
