--- a/crates/deployment/src/router_config.rs
+++ b/crates/deployment/src/router_config.rs
@@ -21,7 +21,8 @@
     pub idle_timeout_s: f64,
 }
 
-/// How many queries a router admits, and how often it runs rounds, in which the policy handles events.
+/// How many queries a router admits, and how often the router runs rounds, in which the policy handles
+/// events.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
     /// Maximum number of open queries and shard requests together.
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -20,7 +20,7 @@
 /// node.
 const OVERLOAD_UNANSWERED_DIVISOR: usize = 10;
 
-/// What to do about an open query.
+/// The decision about an open query.
 enum Completion {
     Answer { complete: bool },
     Abandon,
@@ -28,8 +28,8 @@
 }
 
 impl Policy {
-    /// Answers a query if its answer is due, abandons it if it can no longer be answered, or sets its next
-    /// check.
+    /// Answers a query if the answer is due, abandons the query if no answer can reach the minimum fraction
+    /// in time or has any value, or otherwise sets the time of the query's next check.
     pub(super) fn complete_or_abandon(&mut self, number: u64, sink: &mut dyn DecisionSink) {
         let Some(query) = self.queries.get(&number) else { return };
         match self.completion(query) {
@@ -105,7 +105,7 @@
     /// The point in time after which an answer to a shard request has no value. It is the latency objective
     /// if late answers have no value, or too little during load shedding, or if the query is answered
     /// partially at the objective; otherwise it is the client's deadline. Attempts time out at this point, so
-    /// that nodes do no work that no client waits for.
+    /// that nodes do no work for answers without value.
     pub(super) fn answer_useful_until_s(&self, query: &Query) -> f64 {
         let class = &self.classes[query.class].config;
         let ends_at_objective = class.late_weight_fraction <= 0.0
--- a/src/policy/config_changes.rs
+++ b/src/policy/config_changes.rs
@@ -1,7 +1,7 @@
-//! Applies a change of the configuration between two rounds and keeps the state. A slot is the index of a
-//! query class. A changed query class gets a new slot with the latencies observed so far, while open queries
-//! keep the old slot. Tenants keep the tokens of their quotas, and the token bucket of the retry budget gets
-//! its new capacity. This module makes no decisions.
+//! Applies a change of the configuration between two rounds (calls of [`Policy::round`]) and keeps the state.
+//! A slot is the index of a query class. A changed query class gets a new slot with the latencies observed so
+//! far, while open queries keep the old slot. Tenants keep the tokens of their quotas, and the token bucket
+//! of the retry budget gets its new capacity. This module makes no decisions.
 
 use super::Policy;
 use super::latency::{ClassState, LatencyWindow};
--- a/src/policy/query.rs
+++ b/src/policy/query.rs
@@ -1,6 +1,6 @@
-//! The records of open queries: their shard requests and the attempts of each. Times ending in `stall_free_s`
-//! are on the clock that excludes the router's own stalls ([`super::Policy`]), all others on the monotonic
-//! clock.
+//! The records of open queries: their shard requests and the attempts of each shard request. Times ending in
+//! `stall_free_s` are on the clock that excludes the router's own stalls ([`super::Policy`]), all others on
+//! the monotonic clock.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +26,8 @@
     pub first_phase_complete: bool,
     /// Number of shard requests expected in the second phase.
     pub expected_requests: usize,
-    /// When the query is checked next. An event for the query or a late attempt causes an earlier check.
+    /// When the query is checked next, in seconds on the monotonic clock. An event for the query or a late
+    /// attempt causes an earlier check.
     pub next_check_at_s: f64,
     pub requests: Vec<ShardRequest>,
 }
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -42,7 +42,7 @@
     step: usize,
 }
 
-/// The node chosen for an attempt.
+/// The data node to which the next attempt of a shard request is sent.
 pub(super) struct SelectedNode {
     pub id: String,
     /// Number of shard requests that the node may be sent now.
@@ -50,8 +50,8 @@
 }
 
 impl Policy {
-    /// Fills the map from replica groups to serving nodes if a change of the endpoint list or of the shards
-    /// has cleared it.
+    /// Fills the map from replica groups to serving nodes if the map is empty: changes of the endpoint list
+    /// or of the holders of shards clear the map.
     pub(super) fn refresh_serving_nodes(&mut self) {
         if !self.serving_nodes.is_empty() {
             return;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -44,8 +44,9 @@
         self.sent.push_back(SentWork { at_s: now_s, work_s });
     }
 
-    /// Marks this router's quota at the node as used up at `now_s`, so that nothing is sent to the node for
-    /// one window of the slow-start rule.
+    /// Marks this router's quota at the node as used up at `now_s`. This router then sends nothing to the
+    /// node until `now_s` is outside the period over which [`WarmUpLoad::capacity`] sums the work that was
+    /// sent.
     pub fn mark_exhausted(&mut self, now_s: f64) {
         self.sent.push_back(SentWork { at_s: now_s, work_s: f64::INFINITY });
     }
--- a/tests/config_changes.rs
+++ b/tests/config_changes.rs
@@ -20,7 +20,8 @@
     host.query_of_class(n, class, shards, not_after, "")
 }
 
-/// Runs twenty queries, each for a different shard, which are answered after `latency` seconds.
+/// Runs twenty queries, each for a different shard. The data nodes answer the shard requests after `latency`
+/// seconds.
 fn answer_twenty_queries(host: &mut Host, class: usize, latency: f64) {
     for n in 0..20 {
         let node = last_node(&query_class(host, n, class, &[20 + n as u32]), &format!("p{n}.0"));
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -139,8 +139,9 @@
     (first, hedges)
 }
 
-/// Runs a query with three shard requests that become late at the same time. Returns for each the node of its
-/// first attempt and whether it was hedged in the round of the first hedge.
+/// Runs a query with three shard requests that become late at the same time. Returns for each shard request
+/// the node of its first attempt, and whether the shard request was hedged in the round in which the first
+/// hedge was sent.
 fn hedged_requests(host: &mut Host, number: u64) -> Vec<(String, bool)> {
     host.answer_queries(1000 * (number + 1), 20, QUICK_S);
     host.wait(AVOIDANCE_ENDS_S);
