--- a/src/interface.rs
+++ b/src/interface.rs
@@ -103,8 +103,8 @@
     pub window_s: f64,
 }
 
-/// The configuration of a policy. While the policy runs, all values can change except `replica_groups`,
-/// `groups_per_shard` and `explicit_holders` of `placement`.
+/// The configuration of a policy. [`StateTransfer::change_config`] applies changes of all values except
+/// `replica_groups`, `groups_per_shard` and `explicit_holders` of `placement`, whose changes are ignored.
 #[derive(Clone, Debug, Default)]
 pub struct PolicyConfig {
     /// Number of query routers that send requests to the same data nodes.
