--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -97,8 +97,8 @@
     }
 
     /// The number of shard requests that this core may send to the node now. For a node that is warming up,
-    /// the result also has the seconds for which no other core of this router may send to the node after such
-    /// a request.
+    /// the result also has the seconds for which no other core of this router may send to the node after
+    /// this core has sent a request.
     pub fn capacity(&self, inputs: &CapacityInputs) -> NodeCapacity {
         let free = self.concurrency.additional_requests_allowed(self.in_flight.len());
         self.warm_up_load.capacity(inputs, self.started_at_s, free)
