--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -27,8 +27,8 @@
 const AVOIDANCE_PER_ROUTER_S: f64 = 0.25;
 const AVOIDANCE_PER_ROUTER_MAX_S: f64 = 15.0;
 /// The avoidance time is the number of seconds for which a node is avoided after a late or rejected attempt.
-/// Each late or rejected attempt multiplies the time by `AVOIDANCE_GROWTH`. The time never exceeds its minimum by more
-/// than `AVOIDANCE_GROWTH_MAX_S`.
+/// Each late or rejected attempt multiplies the time by `AVOIDANCE_GROWTH`. The time never
+/// exceeds its minimum by more than `AVOIDANCE_GROWTH_MAX_S`.
 const AVOIDANCE_GROWTH: f64 = 2.0;
 const AVOIDANCE_GROWTH_MAX_S: f64 = 10.0;
 /// If an attempt of this core is unanswered, the core shares an observation, and other cores then regard the
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -31,8 +31,8 @@
 impl Query {
     /// Whether nodes may have crashed because of this query, which then gets no further attempts. Returns
     /// true if none of the query's shard requests has succeeded, and the query's attempts lost connections to
-    /// two nodes, or to one node while another attempt of the query is in flight. The cost: a query fails if its nodes
-    /// crash for another reason before any shard request has succeeded.
+    /// two nodes, or to one node while another attempt of the query is in flight. The cost: a
+    /// query fails if its nodes crash for another reason before any shard request has succeeded.
     pub fn may_have_crashed_nodes(&self) -> bool {
         let lost_nodes = self.nodes_with_lost_connections().len();
         let is_suspect = lost_nodes >= CRASHED_NODES_MIN
