--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -249,7 +249,7 @@
     }
 }
 
-/// The query routers that this process hosts, by their ids.
+/// Hosts the policies of all query routers that this process runs for the simulator, by the routers' ids.
 #[derive(Default)]
 pub struct RouterHost {
     routers: BTreeMap<String, HostedRouter>,
--- a/src/policy/client_retry.rs
+++ b/src/policy/client_retry.rs
@@ -39,7 +39,7 @@
         self.unserved_queries += if was_client_retry { RETRIES_OF_RETRY } else { RETRIES_OF_FIRST_QUERY };
     }
 
-    /// Records that a client disconnected before its query ended and may retry.
+    /// Raises the number of expected retries after a client has disconnected before the end of its query.
     pub(super) fn record_disconnected(&mut self) {
         self.unserved_queries += RETRIES_OF_FIRST_QUERY;
     }
--- a/src/shared_limits.rs
+++ b/src/shared_limits.rs
@@ -19,7 +19,8 @@
 const CORE_BITS: u32 = 8;
 const CORE_MASK: u64 = (1 << CORE_BITS) - 1;
 
-/// The limits that the policies of one router's cores share. Each core has a clone with its own number.
+/// The limits that the policies of one router's cores share: the token bucket for retries and hedges, and the
+/// core that may send to each node that is warming up. Each core has a clone with its own number.
 #[derive(Clone, Debug, Default)]
 pub struct SharedLimits {
     core: u8,
@@ -65,7 +66,7 @@
         -f64::from_bits(bits)
     }
 
-    /// Number of tokens in the bucket. The number is negative after a reduction of the capacity by more than
+    /// Number of tokens in the bucket for retries and hedges. The number is negative after a reduction of the capacity by more than
     /// the tokens that were left.
     pub fn tokens(&self) -> f64 {
         Self::decode(self.tokens.load(Relaxed))
