--- a/src/shared_limits.rs
+++ b/src/shared_limits.rs
@@ -66,8 +66,8 @@
         -f64::from_bits(bits)
     }
 
-    /// Number of tokens in the bucket for retries and hedges. The number is negative after a reduction of the capacity by more than
-    /// the tokens that were left.
+    /// Number of tokens in the bucket for retries and hedges. The number is negative after a
+    /// reduction of the capacity by more than the tokens that were left.
     pub fn tokens(&self) -> f64 {
         Self::decode(self.tokens.load(Relaxed))
     }
