--- a/src/policy/node.rs
+++ b/src/policy/node.rs
@@ -90,7 +90,7 @@
         )
     }
 
-    /// Age of the node's oldest attempt in flight, in seconds on the clock that excludes this router's stalls;
+    /// Age of the node's oldest attempt in flight, in seconds on the clock without this router's stalls;
     /// 0 if the node has no attempt in flight.
     pub fn oldest_attempt_age_s(&self, now_stall_free_s: f64) -> f64 {
         let ages = self.in_flight.values().map(|attempt| now_stall_free_s - attempt.started_at_stall_free_s);
