--- a/crates/deployment/src/router_config.rs
+++ b/crates/deployment/src/router_config.rs
@@ -1,5 +1,6 @@
-//! Reads the configuration that a query router with network connections needs in addition to that of the policy: the
-//! limits of its connections to data nodes, and of the queries that it admits. The simulator does not need it.
+//! Reads the configuration that a query router with network connections needs in addition to that of the
+//! policy: the limits of its connections to data nodes, and of the queries that it admits. The simulator does
+//! not need it.
 
 use crate::SettingsError;
 use crate::values::{
@@ -20,7 +21,8 @@
     pub idle_timeout_s: f64,
 }
 
-/// How many queries a router admits, and how often it runs rounds, in which the policy handles events.
+/// How many queries a router admits, and how often the router runs rounds, in which the policy handles
+/// events.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionConfig {
     /// Maximum number of open queries and shard requests together.
--- a/crates/simhost/src/wire/reply.rs
+++ b/crates/simhost/src/wire/reply.rs
@@ -23,7 +23,7 @@
         self.lines
     }
 
-    /// Returns for each query that has ended since the last call whether the query counts as late.
+    /// Returns one value for each query that has ended since the last call: true if the query counts as late.
     pub(super) fn take_ended_queries(&mut self) -> Vec<bool> {
         std::mem::take(&mut self.ended_queries_late)
     }
@@ -77,8 +77,8 @@
     }
 }
 
-/// Runs one round of a policy. If the policy panics, adds an `internal_error` line to the reply, so that the process
-/// continues to run the other routers.
+/// Runs one round of a policy. If the policy panics, adds an `internal_error` line to the reply, so that the
+/// process continues to run the other routers.
 ///
 /// # Errors
 /// The error that `round` returns.
--- a/src/policy/events.rs
+++ b/src/policy/events.rs
@@ -1,5 +1,6 @@
-//! Handles the events that the host delivers at the start of a round: changes of the endpoint list, new queries and
-//! their shard requests, ended attempts. This module updates records and makes no decisions.
+//! Handles the events that the host delivers at the start of a round, which is one call of [`Policy::round`]:
+//! changes of the endpoint list, new queries and their shard requests, ended attempts. This module updates
+//! records and makes no decisions.
 
 use super::attempts_by_age::AttemptPosition;
 use super::latency::SHARD_SAMPLES_MAX;
@@ -8,7 +9,7 @@
 use super::{Policy, ShardState};
 use crate::interface::{AttemptOutcome, NodeObservation, NodeState, PolicyInput};
 
-/// Seconds after which the endpoint list is polled again if polling failed.
+/// If polling the endpoint list has failed, this router polls the list again after this time.
 const POLL_RETRY_S: f64 = 1.0;
 /// A shard's round robin offset is drawn from this many values for each replica group that holds the shard.
 const OFFSET_DRAWS_PER_GROUP: f64 = 64.0;
@@ -36,7 +37,7 @@
                 node.state = state;
             }
             Some(node) => {
-                // The node has restarted: only the attempts in flight are kept of the old process's state.
+                // The node has restarted. Of the old process's state, only the attempts in flight are kept.
                 let in_flight = std::mem::take(&mut node.in_flight);
                 *node = Node::new(replica_group, state, started_at_s, warm_up_phase);
                 node.in_flight = in_flight;
@@ -144,7 +145,8 @@
 }
 
 impl Policy {
-    /// Records the outcome of an attempt in its shard request, and its latency for the shard and the query class.
+    /// Records the outcome of an attempt in its shard request, and its latency for the shard and the query
+    /// class.
     fn record_request_outcome(
         &mut self,
         position: ShardRequestPosition,
@@ -171,8 +173,8 @@
         if outcome == AttemptOutcome::Success {
             self.classes[class].record_success(latency_s);
         }
-        // The latency of a cancelled attempt is a lower bound. Without these latencies, the cancellation of slow
-        // attempts after successful hedges would lower the delay after which attempts are hedged.
+        // The latency of a cancelled attempt is a lower bound. Without these latencies, the cancellation of
+        // slow attempts after successful hedges would lower the delay after which attempts are hedged.
         if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Cancelled) {
             let shard = self.shards.entry(request.shard).or_default();
             shard.latencies.record(latency_s, SHARD_SAMPLES_MAX);
@@ -183,9 +185,9 @@
     }
 }
 
-/// Returns the hedges whose result the end of an attempt decides, each with the late node that the hedge bypasses and
-/// whether the hedge has won. The first success of a shard request decides all its hedges; a hedge that ends without
-/// being the first success has lost.
+/// Returns the hedges whose result the end of an attempt decides, each with the late node that the hedge
+/// bypasses and whether the hedge has won. The first success of a shard request decides all its hedges; a
+/// hedge that ends without being the first success has lost.
 fn decided_hedges(request: &mut ShardRequest, ended: usize, is_first_success: bool) -> Vec<(String, bool)> {
     let mut decided = vec![];
     for (number, attempt) in request.attempts.iter_mut().enumerate() {
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,37 +1,42 @@
 //! Decides how healthy each data node is, and thereby which nodes are avoided or ejected.
 //!
-//! Inputs are the outcomes, latencies and ages in seconds of this core's own attempts, and observations that other
-//! cores or routers share. A node with late attempts is avoided for a time that doubles while its attempts stay late. A
-//! node that cannot be reached, fails repeatedly or answers nothing is ejected. This limits the damage of crashed,
-//! hung, silent and slow nodes. The cost: the capacity of a healthy node that paused for a moment, or that recovers
-//! while it is avoided, is not used. Times are in seconds on the clock that excludes the router's own stalls.
+//! Inputs are the outcomes, latencies and ages in seconds of this core's own attempts, and observations that
+//! other cores or routers share. A node with late attempts is avoided for a time that doubles while its
+//! attempts stay late. A node that cannot be reached, fails repeatedly or answers nothing is ejected. This
+//! limits the damage of crashed, hung, silent and slow nodes. The cost: the capacity of a healthy node that
+//! paused for a moment, or that recovers while it is avoided, is not used. Times are in seconds on the clock
+//! that excludes the router's own stalls.
 
 use super::Policy;
 use crate::interface::{AttemptOutcome, DecisionSink, NodeObservation, NodeState};
 
 /// An attempt is very late once its age exceeds the delay after which it is late by this factor.
 pub(super) const VERY_LATE_MULTIPLE: f64 = 2.5;
-/// Consecutive failures from which a node is ejected.
+/// A node is ejected after this number of consecutive failures.
 const EJECTION_FAILURES: u32 = 2;
 /// The duration of an ejection grows by this factor with each consecutive failure, up to the maximum factor.
 const EJECTION_GROWTH: f64 = 1.6;
 const EJECTION_FACTOR_MAX: f64 = 16.0;
-/// Minimum of the duration that is multiplied by the factor.
+/// An ejection lasts for the avoidance time's minimum multiplied by the factor above. This constant is used
+/// instead of that minimum if the minimum is shorter.
 const EJECTION_UNIT_MIN_S: f64 = 0.25;
 /// Longest ejection. Within this time discovery removes a node that no longer exists from the endpoint list.
 const EJECTION_MAX_S: f64 = 6.0;
-/// Time per router for which a late node is avoided. The time is proportional to the number of routers, so that all
-/// routers together send to the node equally often whatever their number.
+/// Time per router for which a late node is avoided. The time is proportional to the number of routers, so
+/// that all routers together send to the node equally often whatever their number.
 const AVOIDANCE_PER_ROUTER_S: f64 = 0.25;
 const AVOIDANCE_PER_ROUTER_MAX_S: f64 = 15.0;
-/// The avoidance time grows by this factor with each late attempt, up to this much above its minimum.
+/// The avoidance time is the number of seconds for which a node is avoided after a late or rejected attempt.
+/// Each late or rejected attempt multiplies the time by `AVOIDANCE_GROWTH`. The time never
+/// exceeds its minimum by more than `AVOIDANCE_GROWTH_MAX_S`.
 const AVOIDANCE_GROWTH: f64 = 2.0;
 const AVOIDANCE_GROWTH_MAX_S: f64 = 10.0;
-/// Time for which other cores regard a node as unresponsive after this core has shared that an attempt is unanswered.
-/// The observation is shared again while the attempt stays unanswered.
+/// If an attempt of this core is unanswered, the core shares an observation, and other cores then regard the
+/// node as unresponsive for this time. While the attempt stays unanswered, the core shares the observation
+/// again.
 const UNANSWERED_SHARED_FOR_S: f64 = 0.5;
-/// An observation is shared again if the new end of the state exceeds the end that was shared last by more than this
-/// fraction of the remaining time: first for unanswered attempts, then for other states.
+/// An observation is shared again if the new end of the state exceeds the end that was shared last by more
+/// than this fraction of the remaining time: first for unanswered attempts, then for other states.
 const UNANSWERED_RESHARE_FRACTION: f64 = 0.5;
 const RESHARE_FRACTION: f64 = 0.1;
 /// Longest time for which an observation of another core or router is used.
@@ -76,7 +81,7 @@
     slow_until_s: f64,
     very_slow_until_s: f64,
     ejected_until_s: f64,
-    /// Current avoidance time in seconds: how long the node is avoided after a late attempt.
+    /// Current avoidance time: seconds for which the node is avoided after a late or rejected attempt.
     avoidance_s: f64,
     consecutive_failures: u32,
     last_connection_loss_at_s: f64,
@@ -85,14 +90,16 @@
     shared: SharedHealth,
 }
 
-/// The health that this core shared last, and the end of that state as shared.
+/// The health in the observation that this core shared last, and the time until which the node counts as
+/// being in that state.
 #[derive(Clone, Copy, Default)]
 struct SharedHealth {
     health: Health,
     until_s: f64,
 }
 
-/// The latest observation by another core or router, with the end of each state. The observation is not forwarded.
+/// The latest observation by another core or router, with the end of each state. The observation is not
+/// forwarded.
 #[derive(Clone, Copy, Default)]
 struct RemoteObservation {
     observed_at_s: f64,
@@ -119,7 +126,7 @@
     pub latency_s: f64,
     /// The delay in seconds after which the attempt counts as late.
     pub late_after_s: f64,
-    /// The shortest latency objective of all query classes.
+    /// The shortest latency objective of all query classes, in seconds.
     pub shortest_objective_s: f64,
     pub router_count: f64,
 }
@@ -155,7 +162,8 @@
     }
 
     fn record_failure(&mut self, now_s: f64, attempt: &EndedAttempt) {
-        // All attempts on a connection end when it breaks; together they are one failure.
+        // When a connection breaks, all attempts on the connection end in the same round; they count as one
+        // failure.
         let already_counted = attempt.outcome != AttemptOutcome::Error
             && std::mem::replace(&mut self.last_connection_loss_at_s, now_s) == now_s;
         if !already_counted {
@@ -176,7 +184,8 @@
             self.avoidance_s =
                 (self.avoidance_s * AVOIDANCE_GROWTH).clamp(shortest_s, shortest_s + AVOIDANCE_GROWTH_MAX_S);
             self.slow_until_s = now_s + self.avoidance_s;
-            // If all holders are late at times, only a very late attempt distinguishes a slow node from a healthy one.
+            // If all holders are late at times, only a very late attempt distinguishes a slow node from a
+            // healthy one.
             if attempt.latency_s > VERY_LATE_MULTIPLE * attempt.late_after_s {
                 self.very_slow_until_s = self.slow_until_s;
             }
@@ -242,15 +251,15 @@
         }
     }
 
-    /// The node's health according to the latest observation of another core or router.
+    /// The node's health according to the latest observation that another core or router has shared.
     pub fn remote_health(&self, now_s: f64) -> Health {
         self.remote.health(now_s)
     }
 
-    /// Records an observation that another core or router made `age_s` seconds ago. The observation is ignored if
-    /// the node has answered this core since then, so that a wrong observation does not eject a node that answers this
-    /// core; an observation of a healthy node is ignored if any attempt of this core has ended since then. An
-    /// observation of a healthy node resets this core's own observations.
+    /// Records an observation that another core or router made `age_s` seconds ago. The observation is
+    /// ignored if the node has answered this core since then, so that a wrong observation does not eject a
+    /// node that answers this core; an observation of a healthy node is ignored if any attempt of this core
+    /// has ended since then. An observation of a healthy node resets this core's own observations.
     pub fn record_remote(&mut self, now_s: f64, age_s: f64, observation: NodeObservation) {
         let observed_at_s = now_s - age_s;
         let NodeObservation { slow_for_s, very_slow_for_s, unresponsive_for_s, .. } = observation;
@@ -272,8 +281,10 @@
     }
 
     /// Returns an observation to share with other cores if the node's health according to this core's own
-    /// attempts differs from the health that was shared last, lasts longer, or contradicts the observation of another
-    /// core. `started_at_s` is when the node's process started, `clock_s` is the current time on the monotonic clock.
+    /// attempts differs from the health that was shared last, lasts longer, or contradicts the observation of
+    /// another core. Marks the returned observation as shared. `started_at_s` is when the node's process
+    /// started and `clock_s` the current time, both on the monotonic clock; `now_s` is the current time on
+    /// the clock that excludes this router's stalls.
     pub fn observation_to_share(
         &mut self,
         started_at_s: Option<f64>,
@@ -317,8 +328,8 @@
         })
     }
 
-    /// Expected seconds until an unresponsive node is used again. `own` is the node's health according to this core's
-    /// own attempts, `oldest_age_s` is the age in seconds of the oldest attempt in flight.
+    /// Expected seconds until an unresponsive node is used again. `own` is the node's health according to
+    /// this core's own attempts, `oldest_age_s` is the age in seconds of the oldest attempt in flight.
     fn time_until_readmission_s(&self, now_s: f64, own: Health, oldest_age_s: f64) -> f64 {
         // A node that has not answered for some time is expected not to answer for the same time again.
         let unanswered_s = if own == Health::Unresponsive { oldest_age_s } else { 0.0 };
@@ -328,8 +339,8 @@
 }
 
 impl Policy {
-    /// Updates the health of all nodes, shares and logs changes, and drops removed nodes that have no attempt in
-    /// flight.
+    /// Updates the health of all nodes, shares and logs changes, and drops removed nodes that have no attempt
+    /// in flight.
     pub(super) fn update_node_health(&mut self, sink: &mut dyn DecisionSink) {
         let (now_s, clock_s) = (self.now_stall_free_s, self.now_s);
         let shares_observations = self.shared_limits.has_several_cores();
--- a/tests/adopted_attempts.rs
+++ b/tests/adopted_attempts.rs
@@ -1,10 +1,11 @@
-//! Attempts that another router process started and this policy adopts.
+//! Attempts that another router process started and that this policy adopts: it continues the attempts'
+//! queries.
 mod common;
 use common::Host;
 use rstest::rstest;
 
-/// Guards against a panic or a lost attempt if a router adopts an attempt at a data node that its endpoint list does
-/// not contain.
+/// Guards against a panic or a lost attempt if a router adopts an attempt at a data node that its endpoint
+/// list does not contain.
 #[rstest]
 fn a_query_with_an_adopted_attempt_at_an_unlisted_node_gets_one_final_response() {
     let mut host = Host::with(|d| d.capabilities.can_hedge = false);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,8 @@
-//! A host for tests of the policy: it creates a policy, runs rounds and records the decisions.
+//! A host for tests of the policy. The host creates a policy, runs rounds (calls of `Policy::round`) and
+//! records the decisions.
 //!
-//! Each decision is recorded as text: `attempt REQUEST NODE`, `cancel REQUEST ATTEMPT`, `answer QUERY complete` or
-//! `partial`, `reject QUERY RETRY_AFTER_S`, `fail QUERY`, `poll`, `log TEXT`.
+//! Each decision is recorded as text: `attempt REQUEST NODE`, `cancel REQUEST ATTEMPT`, `answer QUERY
+//! complete` or `partial`, `reject QUERY RETRY_AFTER_S`, `fail QUERY`, `poll`, `log TEXT`.
 #![allow(dead_code)] // Each test file uses a part of this module.
 
 use alderway::interface::*;
@@ -121,7 +122,8 @@
         deployment
     }
 
-    /// One node with up to eight shard requests per attempt, and additional work for each attempt.
+    /// One node with up to eight shard requests per attempt. Each attempt costs the node 0.05 s of processing
+    /// time in addition to that of its shard requests.
     pub fn of_one_node() -> Self {
         let placement = ShardPlacement {
             replica_groups: 1,
@@ -181,12 +183,13 @@
         recorder.decisions
     }
 
-    /// Makes this host's policy use the limits that the cores of a router share.
+    /// Makes this host's policy use `limits`: the retry budget's token bucket and the restriction of nodes
+    /// that are warming up to one core, which all cores of a router share.
     pub fn use_shared_limits(&mut self, limits: SharedLimits) {
         self.policy.use_shared_limits(limits);
     }
 
-    /// Delivers the observations that another core shared.
+    /// Delivers the observations of data nodes that another core shared; returns the decisions of that round.
     pub fn receive_observations(&mut self, shared: &[(String, NodeObservation)]) -> Vec<String> {
         self.round(|r| shared.iter().for_each(|(node, observation)| r.node_observed(node, *observation)))
     }
@@ -248,7 +251,8 @@
         self.decisions[from..].to_vec()
     }
 
-    /// Runs `count` queries of one shard request each, which the selected node answers after `latency` seconds.
+    /// Runs `count` queries of one shard request each, which the selected node answers after `latency`
+    /// seconds.
     pub fn answer_queries(&mut self, first: u64, count: u64, latency: f64) {
         for n in first..first + count {
             let node = last_node(&self.query(n, &[0]), &format!("p{n}.0"));
--- a/tests/config_changes_random.rs
+++ b/tests/config_changes_random.rs
@@ -1,5 +1,7 @@
-//! Property test: for any order of configuration changes, queries, ended attempts and timers, no query is lost, and
-//! each keeps the latency objective, the idempotency, and the minimum fraction of its weight with which it arrived.
+//! Property test: for any order of configuration changes, queries, ended attempts and timers, no query is
+//! lost, and each query keeps the latency objective, the idempotency, and the minimum fraction of its weight
+//! that its class had on the query's arrival. A slot is the index of a query class in the policy; a round is
+//! one call of `Policy::round`.
 
 mod common;
 use alderway::interface::*;
@@ -89,13 +91,13 @@
     started_at: f64,
 }
 
-/// A period that started at one of the events, for which the limit on retries and hedges is checked.
+/// A window of time from one of the test's events on, for which the limit on retries and hedges is checked.
 struct BudgetWindow {
-    /// The smallest `burst` of all retry budgets in use during the period, in tokens.
+    /// The smallest `burst` of all retry budgets in use during this window, in tokens.
     burst: f64,
-    /// Number of tokens that the shard requests of the period added to the budget.
+    /// Number of tokens that the shard requests of this window added to the retry budget.
     added: f64,
-    /// Number of retries and hedges in the period.
+    /// Number of retries and hedges that started in this window.
     attempts: f64,
 }
 
@@ -111,7 +113,8 @@
     replaced_slots: BTreeSet<usize>,
     /// Published configurations that have not been applied yet.
     pending_configs: Vec<PolicyConfig>,
-    /// Slots without open queries. The next round calls `class_retired` for them.
+    /// Slots that have no open queries. In the next round, the test calls `class_retired` for each of these
+    /// slots.
     retired_slots: Vec<usize>,
 }
 
