--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Creates the receiver of committed versions: the subscriptions of routers that connect to `address`, or a receiver that
-/// discards all versions if `address` is `None`.
+/// Creates the sink for committed versions of the settings. The sink listens on `address` for subscriptions of
+/// routers. If `address` is `None`, the sink discards all versions.
 async fn version_sink(name: String, address: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
     let Some(address) = address else { return Ok(Box::new(DiscardVersions)) };
     let config = PublisherConfig::default();
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -173,8 +173,9 @@
                 .into(),
         );
     }
-    // Each router uses an equal part, 1 / router_count, of the limits that are divided among all routers. The count is scaled
-    // so that forwarders together get the fraction `FORWARDER_QUOTA_FRACTION` of each limit, and planners the rest.
+    // Each router uses the part 1 / router_count of each limit that all routers share. For forwarders and planners,
+    // `router_count` is larger than the actual count of forwarders or planners: all forwarders together get the
+    // fraction `FORWARDER_QUOTA_FRACTION` of each shared limit, and all planners together get the rest.
     let router_count = match &operator.role {
         ProcessRole::Standalone => None,
         ProcessRole::Forwarder { forwarder_count, .. } => {
--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// The reason why a file does not contain settings.
+/// The reason why the text of a settings file is malformed: not JSON, or not a JSON object.
 #[derive(Debug, Error)]
 pub enum MalformedSettings {
     #[error("{file}:{line}: not JSON ({source})", line = source.line())]
@@ -53,14 +53,15 @@
         let quoted = format!("\"{key}\"");
         text.lines().position(|line| line.contains(&quoted))
     };
-    // A key is named by its path in backquotes, for example `settings.Limits.MaxOpen`. The last key of the path is searched
-    // first.
+    // A key is named by its path in backquotes, for example `settings.Limits.MaxOpen`. The last key of
+    // the path is searched for first.
     let paths = reason.split('`').skip(1).step_by(2);
     let keys: Vec<&str> = paths
         .flat_map(|path| path.split(['.', '[', ']']))
         .filter(|key| !key.is_empty() && *key != "settings")
         .collect();
-    // Some reasons name a key without backquotes. Words of up to three letters are not searched, since most are no keys.
+    // Some reasons name a key without backquotes, so each word of `reason` is searched for in `text`. Words of up
+    // to three bytes are skipped because most of them are not keys, and `settings` is skipped as above.
     let words = reason.split(|c: char| !(c.is_alphanumeric() || c == '_' || c == '-'));
     let mut words = words.filter(|word| word.len() > 3 && *word != "settings");
     let found = keys.iter().rev().find_map(line_of).or_else(|| words.find_map(|word| line_of(&word)));
--- a/crates/alderway/tests/common/control_cluster.rs
+++ b/crates/alderway/tests/common/control_cluster.rs
@@ -211,7 +211,7 @@
     }
 }
 
-/// Settings with a limit on the streams of a connection, which a router can change while it serves.
+/// Settings with a limit of `streams` streams per connection. A router applies a new limit without a restart.
 pub fn settings(streams: usize) -> Value {
     let setting = Setting { room: 100, ..Setting::default() };
     let text = setting.configuration(([127, 0, 0, 1], 1).into(), &[]);
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -157,7 +157,8 @@
             status
                 .is_some_and(|all| all.replica.has_quorum && all.replica.leader.is_some_and(|l| l != leader))
         });
-        // A paused server sends no hello, so that the command sends the proposal to the next server.
+        // The paused server sends no hello message on the connection, so the command sends the proposal to the next
+        // server.
         assert_exit(
             &cluster.propose(&[&leader, &follower], 300, &["--base", "1"]),
             0,
--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -53,7 +53,8 @@
         common::wait_until(&self.program, description, holds);
     }
 
-    /// Opens `count` connections, one on each core if there are `count` cores.
+    /// Waits until at least `count` cores serve, then opens `count` connections: one on each core if there are
+    /// `count` cores.
     fn clients(&self, count: usize) -> Vec<Client> {
         self.wait_until("all serve", |c| c["cores_serving"] >= count as u64);
         (0..count).map(|_| Client::connect(&self.program)).collect()
@@ -119,7 +120,7 @@
 fn the_limit_of_open_queries_applies_to_all_cores_together() {
     let testbed = testbed(4, 1, &Setting { room: 10, ..Setting::default() });
     testbed.fleet.nodes[0].set(Fault::Silent);
-    // Each query counts twice against the limit of 10, once for itself and once for its shard request, so that five of the 12
+    // Each query counts twice against the limit of 10, once for itself and once for its shard request, so five of the 12
     // queries are accepted.
     let mut clients: Vec<Client> = (0..12).map(|_| Client::connect(&testbed.program)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -149,7 +150,7 @@
 
 #[rstest]
 fn a_failed_core_answers_its_open_queries_and_restarts() {
-    // With this latency objective the policy does not abort the queries before the core fails.
+    // With a latency objective of 1900 ms, the routing policy does not abort the queries before the core fails.
     let testbed = testbed(3, 2, &Setting { slo_ms: 1900, ..Setting::default() });
     // Connections that read the counters shift the assignment: with three clients per core, each core has some.
     testbed.wait_until("all serve", |c| c["cores_serving"] == 3);
@@ -416,7 +417,8 @@
     }
 }
 
-/// Guards against a reservation that omits the file descriptors of a core's runtime: four for each core after the first.
+/// Guards against too few file descriptors that the router reserves for its own use: the reserved number must
+/// include those of each core's runtime, which are four for each core after the first.
 #[rstest]
 #[case(1)]
 #[case(2)]
--- a/crates/alderway/tests/layouts.rs
+++ b/crates/alderway/tests/layouts.rs
@@ -1,6 +1,6 @@
 //! Shards that split, merge and move while queries run: a query router as a process, with simulated data nodes and simulated
-//! discovery that change the layout. The tests wait for observable conditions, not for fixed times that the process might
-//! miss.
+//! discovery that change the layout. The tests wait for observable conditions, because fixed delays can be too
+//! short on a busy machine.
 mod common;
 use alderway_lab::agent::{Agent, Entry};
 use alderway_lab::fleet::{Fleet, Order};
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -202,7 +202,7 @@
         c.get("words_stale").is_some_and(|n| *n > 20)
     });
     assert_eq!(counted(testbed.router(4), "evidence_heard"), before);
-    // The other routers still receive messages.
+    // Router 3, whose links are not delayed, still receives observations.
     wait_until(testbed.router(3), "observations are received", |c| {
         c.get("evidence_heard").is_some_and(|n| *n > 0)
     });
--- a/crates/alderway/tests/shutdown.rs
+++ b/crates/alderway/tests/shutdown.rs
@@ -22,7 +22,7 @@
 const EARLIEST_KILL_S: f64 = LONGEST_DEADLINE_MS as f64 / 1e3 + KILL_AFTER_DEADLINE_S;
 /// The process is paused within this many seconds before the earliest SIGKILL.
 const LAST_PART_S: f64 = 0.4;
-/// The number of shutdowns; each is paused at another time.
+/// The number of shutdowns. The process is paused (SIGSTOP) at a different time of each shutdown.
 const MOMENTS: usize = 20;
 /// The number of client connections: two for each core.
 const CLIENTS: usize = 2 * CORES as usize;
@@ -71,7 +71,8 @@
         client.send_query(&format!("before{number}"), 900);
         assert_eq!(client.read_response().0, 200);
     }
-    // The data node no longer answers, so that queries stay open until the end.
+    // The data node no longer answers, so that queries stay open until the end of the
+    // shutdown.
     router.fleet.nodes[0].set(Fault::Silent);
     let terminated = Instant::now();
     let sleep_until = |since_s: f64| {
--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -88,7 +88,7 @@
         counters.get("control_dials").is_some_and(|n| *n > 1)
     });
     drop(second);
-    // A corrupted file is logged, and the settings of the configuration are used.
+    // The router logs that the file is corrupted, and uses the settings of the configuration.
     let corrupted = persisted().replace("site-search", "site-saerch");
     std::fs::write(&persist_path, corrupted).expect("written");
     let third = Program::begin(&build, &text).unwrap_or_else(|why| panic!("{why}"));
--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -236,7 +236,8 @@
     let outcome = load::send(other.address, &testbed.load(100.0, 1.0), testbed.clock);
     assert_sound(&outcome);
     let requests = testbed.fleet.nodes[0].met.parts.load(Relaxed) - before;
-    // Without the observation the node would get a sixth of the shard requests. A slow node still gets a few attempts.
+    // A forwarder that does not know that node 0 fails to respond would send this node a sixth of the shard
+    // requests. The node still gets a few attempts, so the test allows up to three quarters of a sixth.
     assert!(4 * requests < 3 * outcome.sent / 6, "{requests} shard requests of {} queries", outcome.sent);
 }
 
@@ -297,7 +298,7 @@
             )
             .expect("it fits a frame");
             stream.write_all(&bytes).expect("written");
-            // Reads everything and sends nothing.
+            // This simulated planner reads all messages and never responds.
             let mut space = [0; 4096];
             while matches!(stream.read(&mut space), Ok(1..)) {}
         });
@@ -311,8 +312,8 @@
     assert_eq!(counted(&forwarder, "queries_open"), 0);
 }
 
-/// Guards against queries that wait in a planner until their deadline: a planner with `room` open queries and shard requests
-/// must reject further queries at once, and the forwarder must respond to the client with the rejection.
+/// Guards against queries that wait in a planner until their deadline: a planner whose open
+/// queries and shard requests together reach the limit `room` must reject further queries at once, and the forwarder must respond to the client with the rejection.
 #[rstest]
 fn a_planner_at_its_limit_rejects_queries_at_once() {
     let setting = Setting { room: 8, ..Setting::default() };
--- a/crates/layouts/src/history.rs
+++ b/crates/layouts/src/history.rs
@@ -273,7 +273,8 @@
         expired
     }
 
-    /// The number of retired shards, the number of shards with open requests, and the number of shards with excluded nodes.
+    /// Three counts of shards: retired shards (no longer in the current layout), shards with open requests, and
+    /// shards with excluded data nodes.
     pub fn retired_open_excluded_counts(&self) -> (usize, usize, usize) {
         (self.retired.len(), self.open_requests.len(), self.exclusions.len())
     }
--- a/crates/layouts/src/split_requests.rs
+++ b/crates/layouts/src/split_requests.rs
@@ -52,8 +52,8 @@
         self.parts.get(request).map_or(&[], Vec::as_slice)
     }
 
-    /// The given request, then the request that it was split from, and so on up to the original request. Each attempt that
-    /// serves the given request belongs to one of the returned requests.
+    /// The given request, then the request that it was split from, and so on up to the original request. An attempt
+    /// whose response can answer the given request was sent for one of the returned requests.
     pub fn request_and_ancestors<'a>(&'a self, request: &'a I) -> impl Iterator<Item = &'a I> {
         std::iter::successors(Some(request), |request| self.parents.get(request))
     }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -32,7 +32,7 @@
 const MAX_HEAP_BYTES: usize = 16 * 1024 * 1024;
 /// Limits nested function calls.
 const MAX_CALL_DEPTH: usize = 32;
-/// The longest time that `read` waits for an evaluation.
+/// The longest time that `read` waits until the Starlark code of an operator's file has been evaluated.
 const TIMEOUT: Duration = Duration::from_secs(3);
 const THREAD_NAME: &str = "operator's file";
 /// A longer file is rejected. A file with every section is far shorter than this limit.
--- a/crates/operator/src/statements.rs
+++ b/crates/operator/src/statements.rs
@@ -46,8 +46,8 @@
         .ok_or_else(|| anyhow::anyhow!("sections can only be called in an operator's file"))
 }
 
-/// Stores the values of a section, or returns an error if the section was already called. A second call is not allowed to
-/// override the first.
+/// Stores the values of a section of the operator's file. Returns an error, which ends the evaluation of the
+/// file, if the file calls the section's function a second time.
 fn set_once<T>(stored: &RefCell<Option<T>>, section: &str, value: T) -> anyhow::Result<NoneType> {
     match stored.borrow_mut().replace(value) {
         None => Ok(NoneType),
@@ -57,7 +57,8 @@
 
 #[starlark_module]
 pub fn register_functions(globals: &mut GlobalsBuilder) {
-    /// Configures the number of cores, their connection limit, and whether they share observations.
+    /// Configures the number of cores, the limit `node_connections` of connections to data nodes, and whether
+    /// the cores share observations of data nodes.
     fn cores<'v>(
         #[starlark(require = named)] count: Value<'v>,
         #[starlark(require = named)] node_connections: Option<Value<'v>>,
@@ -177,8 +178,8 @@
         if heartbeat_interval_s < send_interval_s {
             return Err(anyhow::anyhow!("`peers`: `pulse_ms` must not be less than `beat_ms`"));
         }
-        // A message reaches every member over at most log2(member count), rounded up, links, and is sent again when half of
-        // its maximum age has passed.
+        // A message takes at most ceil(log2(member count)) hops to reach every member, and is sent again when half
+        // of its maximum age has passed. This half must cover one send interval per hop and one more interval.
         let hops = (usize::BITS - (members.len() - 1).leading_zeros()).max(1);
         if max_message_age_s < 2.0 * send_interval_s * f64::from(hops + 1) {
             return Err(anyhow::anyhow!(
