--- a/crates/alderway/src/config/error.rs
+++ b/crates/alderway/src/config/error.rs
@@ -12,8 +12,8 @@
 const EXIT_FAILED: u8 = 1;
 /// An argument is invalid, or a file can't be read or parsed.
 const EXIT_INVALID_INPUT: u8 = 2;
-/// The outcome is unknown or incomplete: there is no quorum, no control server responded in time, or not all routers use
-/// the version yet.
+/// The outcome is unknown or incomplete: there is no quorum, no control server responded in time, or not all
+/// routers use the version yet.
 const EXIT_UNDECIDED: u8 = 3;
 
 /// The reason why a command failed. The text is printed on standard error.
@@ -25,7 +25,8 @@
     MalformedFile(#[from] crate::settings::MalformedSettings),
     #[error("`--wait` must be from 0 to {MAX_WAIT_S} seconds")]
     WaitOutOfRange,
-    /// A check rejected the settings. The text contains the file name, the line number and the key as far as they are known.
+    /// A check rejected the settings. The text contains the file name, the line number and the key as far as
+    /// they are known.
     #[error("{0}")]
     InvalidSettings(String),
     #[error("the control server at {address} rejected the request: {reason}")]
@@ -46,7 +47,8 @@
     NoResponse(Vec<RequestError>),
     #[error("control server {name} has no quorum")]
     NoQuorum { name: String },
-    /// A control server may have added the proposal to its log, but it is unknown whether the proposal is committed.
+    /// A control server may have added the proposal to its log, but it is unknown whether the proposal is
+    /// committed.
     #[error(
         "the outcome is unknown, and the proposal may still become a version; repeat the command with `--id {id}`"
     )]
--- a/crates/alderway/src/config/mod.rs
+++ b/crates/alderway/src/config/mod.rs
@@ -1,5 +1,6 @@
-//! `alderway config`: commands for operators, which send requests to control servers. Exit codes: 0 success, 1 rejected or
-//! failed, 2 invalid input, 3 no quorum, timed out, or not all routers use the committed settings version yet.
+//! `alderway config`: commands for operators, which send requests to control servers. Exit codes: 0 success,
+//! 1 rejected or failed, 2 invalid input, 3 no quorum, timed out, or not all routers use the committed
+//! settings version yet.
 mod args;
 mod error;
 mod proposal;
--- a/crates/alderway/src/config/proposal.rs
+++ b/crates/alderway/src/config/proposal.rs
@@ -17,11 +17,12 @@
 
 /// Time between two status requests while waiting for routers to use a version.
 const STATUS_INTERVAL: Duration = Duration::from_millis(300);
-/// How long to wait for a response, in seconds, in addition to the time that the request lets the control server wait.
+/// How long to wait for a response, in seconds, in addition to the time that the request lets the control
+/// server wait.
 const RESPONSE_MARGIN_S: f64 = 2.0;
 
-/// Proposes settings as the next version, waits until the version is committed, and then until all routers use it. `file` is
-/// the file that contains the settings; `None` for the settings of an earlier version.
+/// Proposes settings as the next version, waits until the version is committed, and then until all routers
+/// use it. `file` is the file that contains the settings; `None` for the settings of an earlier version.
 pub(super) fn propose(
     settings: Value,
     args: &ProposalArgs,
@@ -48,7 +49,8 @@
 /// Returns a new proposal id from the current time, the process id and random bytes.
 fn unused_id() -> String {
     let mut bytes = [0; 8];
-    // If random bytes can't be read, zeros are used: the time and the process id still distinguish proposals of one machine.
+    // If random bytes can't be read, zeros are used: the time and the process id still distinguish proposals
+    // of one machine.
     let _ = File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut bytes));
     format!("{:x}-{:x}-{:016x}", unix_ms(), std::process::id(), u64::from_be_bytes(bytes))
 }
@@ -56,16 +58,17 @@
 /// The result of sending a proposal to one control server. It is not an attempt of a shard request.
 enum Attempt {
     Committed(VersionNumber),
-    /// The proposal is sent to the next control server. `may_be_proposed` is true if this control server may have added the
-    /// proposal to its log.
+    /// The proposal is sent to the next control server. `may_be_proposed` is true if this control server may
+    /// have added the proposal to its log.
     Failed {
         reason: String,
         may_be_proposed: bool,
     },
 }
 
-/// Sends the proposal to one control server after the other until a server responds that the proposal is committed or
-/// rejected. The control servers commit a proposal that they receive several times only once, since its id is the same.
+/// Sends the proposal to one control server after the other until a server responds that the proposal is
+/// committed or rejected. The control servers commit a proposal that they receive several times only once,
+/// since its id is the same.
 fn commit(
     addresses: &[SocketAddr],
     proposal: &Proposal,
@@ -149,8 +152,8 @@
     })
 }
 
-/// The name and the admin address of the leader, so that the operator can repeat the command there. `None` if no leader or
-/// no address is known.
+/// The name and the admin address of the leader, so that the operator can repeat the command there. `None` if
+/// no leader or no address is known.
 fn known_leader(
     leader: Option<ReplicaName>,
     admin_addresses: &BTreeMap<ReplicaName, SocketAddr>,
@@ -160,7 +163,8 @@
     Some((name, address))
 }
 
-/// The number of routers that use a version or a newer one (`applied`), and the number of all others (`missing`).
+/// The number of routers that use a version or a newer one (`applied`), and the number of all others
+/// (`missing`).
 struct Progress {
     applied: u64,
     missing: u64,
@@ -184,7 +188,8 @@
     }
 }
 
-/// Waits until every known router uses the version, and prints a line whenever the number of these routers changes.
+/// Waits until every known router uses the version, and prints a line whenever the number of these routers
+/// changes.
 fn wait_until_applied(
     addresses: &[SocketAddr],
     number: VersionNumber,
--- a/crates/alderway/src/config/settings_file.rs
+++ b/crates/alderway/src/config/settings_file.rs
@@ -24,8 +24,8 @@
         Ok(file)
     }
 
-    /// Creates the error for settings that a check rejected: the file name, the line number of the key that `reason` names,
-    /// and `reason`.
+    /// Creates the error for settings that a check rejected: the file name, the line number of the key that
+    /// `reason` names, and `reason`.
     pub(super) fn invalid_settings_error(&self, reason: &str) -> CommandError {
         CommandError::InvalidSettings(settings::with_location(&self.name, &self.text, reason))
     }
--- a/crates/alderway/src/control.rs
+++ b/crates/alderway/src/control.rs
@@ -1,4 +1,5 @@
-//! `alderway control`: runs a control server with the configuration of the `control` section of the operator's file.
+//! `alderway control`: runs a control server with the configuration of the `control` section of the
+//! operator's file.
 use crate::{EXIT_INVALID_INPUT, settings};
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version_sink::{DiscardVersions, VersionSink};
@@ -60,8 +61,8 @@
     }
 }
 
-/// Creates the sink for committed versions of the settings. The sink listens on `address` for subscriptions of
-/// routers. If `address` is `None`, the sink discards all versions.
+/// Creates the sink for committed versions of the settings. The sink listens on `address` for subscriptions
+/// of routers. If `address` is `None`, the sink discards all versions.
 async fn version_sink(name: String, address: Option<SocketAddr>) -> io::Result<Box<dyn VersionSink>> {
     let Some(address) = address else { return Ok(Box::new(DiscardVersions)) };
     let config = PublisherConfig::default();
--- a/crates/alderway/src/main.rs
+++ b/crates/alderway/src/main.rs
@@ -1,6 +1,7 @@
-//! The command line. `alderway serve` runs a query router, `alderway check` validates the files of a query router and prints
-//! the resulting configuration, `alderway control` runs a control server, and `alderway config` sends requests to control
-//! servers. The operator's file contains the options of the installation, the configuration file those of the platform.
+//! The command line. `alderway serve` runs a query router, `alderway check` validates the files of a query
+//! router and prints the resulting configuration, `alderway control` runs a control server, and
+//! `alderway config` sends requests to control servers. The operator's file contains the options of the
+//! installation, the configuration file those of the platform.
 mod config;
 mod control;
 mod settings;
@@ -65,7 +66,8 @@
     operator: OperatorConfig,
 }
 
-/// Reads the operator's file; returns its values and its text. Returns default values and an empty text if `path` is `None`.
+/// Reads the operator's file; returns its values and its text. Returns default values and an empty text if
+/// `path` is `None`.
 fn read_operator_file(path: Option<&Path>) -> Result<(OperatorConfig, String), String> {
     let Some(path) = path else { return Ok(Default::default()) };
     let name = path.display().to_string();
@@ -73,8 +75,8 @@
     Ok((operator::read(&name, &text)?, text))
 }
 
-/// Returns true if a value in the operator's file differs from `current`. Differences in the list of peers are ignored. If
-/// the text of the file is unchanged, returns false without evaluating the file.
+/// Returns true if a value in the operator's file differs from `current`. Differences in the list of peers
+/// are ignored. If the text of the file is unchanged, returns false without evaluating the file.
 fn operator_file_changed(path: &Path, current: &OperatorConfig, current_text: &str) -> Result<bool, String> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{name}: {error}"))?;
@@ -96,7 +98,8 @@
     Ok(peers.members)
 }
 
-/// The options for sharing observations with peer routers. `None` if the operator's file has no `peers` section.
+/// The options for sharing observations with peer routers. `None` if the operator's file has no `peers`
+/// section.
 fn peer_config(
     operator: &OperatorConfig,
     files: &RouterFiles,
@@ -123,7 +126,8 @@
     }))
 }
 
-/// The options for receiving settings from control servers. `None` if the operator's file has no `subscription` section.
+/// The options for receiving settings from control servers. `None` if the operator's file has no
+/// `subscription` section.
 fn subscription(operator: &OperatorConfig) -> Option<Subscription> {
     let subscription = operator.subscription.as_ref()?;
     let zone = subscription.zone.clone();
@@ -147,8 +151,8 @@
     })
 }
 
-/// Reads the configuration file. If the router has stored a settings version from the control servers in a local file, the
-/// settings of that version replace the settings of the configuration file.
+/// Reads the configuration file. If the router has stored a settings version from the control servers in a
+/// local file, the settings of that version replace the settings of the configuration file.
 fn startup_config(
     files: &RouterFiles,
     subscription: Option<Subscription>,
@@ -173,9 +177,10 @@
                 .into(),
         );
     }
-    // Each router uses the part 1 / router_count of each limit that all routers share. For forwarders and planners,
-    // `router_count` is larger than the actual count of forwarders or planners: all forwarders together get the
-    // fraction `FORWARDER_QUOTA_FRACTION` of each shared limit, and all planners together get the rest.
+    // Each router uses the part 1 / router_count of each limit that all routers share. For forwarders and
+    // planners, `router_count` is larger than the actual count of forwarders or planners: all forwarders
+    // together get the fraction `FORWARDER_QUOTA_FRACTION` of each shared limit, and all planners together
+    // get the rest.
     let router_count = match &operator.role {
         ProcessRole::Standalone => None,
         ProcessRole::Forwarder { forwarder_count, .. } => {
--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -1,4 +1,5 @@
-//! Checks settings as a router does at startup. Used by control servers for proposals, and by `alderway config`.
+//! Checks settings as a router does at startup. Used by control servers for proposals, and by `alderway
+//! config`.
 use alderway_control_plane::content::{MAX_SETTINGS_BYTES, canonical_json};
 use alderway_control_server::InvalidSettings;
 use serde_json::Value;
@@ -13,8 +14,8 @@
     NotAnObject { file: String },
 }
 
-/// Checks that a router could start with `settings` and, if `current` is given, that a router that runs with the settings
-/// `current` could switch to `settings` without a restart.
+/// Checks that a router could start with `settings` and, if `current` is given, that a router that runs with
+/// the settings `current` could switch to `settings` without a restart.
 pub fn check(settings: &Value, current: Option<&Value>) -> Result<(), InvalidSettings> {
     let length = canonical_json(settings).len();
     if length > MAX_SETTINGS_BYTES {
@@ -26,8 +27,8 @@
     checked.map(drop).map_err(|reason| InvalidSettings(reason.to_string()))
 }
 
-/// Parses `text`, the content of a file that contains either settings only, or the configuration of a router with the
-/// settings under the key `settings`.
+/// Parses `text`, the content of a file that contains either settings only, or the configuration of a router
+/// with the settings under the key `settings`.
 pub fn read(file: &str, text: &str) -> Result<Value, MalformedSettings> {
     let all: Value = serde_json::from_str(text)
         .map_err(|source| MalformedSettings::NotJson { file: file.into(), source })?;
@@ -38,8 +39,8 @@
     }
 }
 
-/// Prefixes `reason` with the file name. If `reason` names a key and `text`, the content of the file, contains this key, also
-/// adds the line number of the key.
+/// Prefixes `reason` with the file name. If `reason` names a key and `text`, the content of the file,
+/// contains this key, also adds the line number of the key.
 pub fn with_location(file: &str, text: &str, reason: &str) -> String {
     match line_of_named_key(text, reason) {
         Some(line) => format!("{file}:{line}: {reason}"),
@@ -47,7 +48,8 @@
     }
 }
 
-/// The number, from 1, of the first line of `text` that contains a key that `reason` names. `None` if there is no such line.
+/// The number, from 1, of the first line of `text` that contains a key that `reason` names. `None` if there
+/// is no such line.
 fn line_of_named_key(text: &str, reason: &str) -> Option<usize> {
     let line_of = |key: &&str| {
         let quoted = format!("\"{key}\"");
@@ -60,8 +62,8 @@
         .flat_map(|path| path.split(['.', '[', ']']))
         .filter(|key| !key.is_empty() && *key != "settings")
         .collect();
-    // Some reasons name a key without backquotes, so each word of `reason` is searched for in `text`. Words of up
-    // to three bytes are skipped because most of them are not keys, and `settings` is skipped as above.
+    // Some reasons name a key without backquotes, so each word of `reason` is searched for in `text`. Words
+    // of up to three bytes are skipped because most of them are not keys, and `settings` is skipped as above.
     let words = reason.split(|c: char| !(c.is_alphanumeric() || c == '_' || c == '-'));
     let mut words = words.filter(|word| word.len() > 3 && *word != "settings");
     let found = keys.iter().rev().find_map(line_of).or_else(|| words.find_map(|word| line_of(&word)));
--- a/crates/alderway/tests/common/control_cluster.rs
+++ b/crates/alderway/tests/common/control_cluster.rs
@@ -1,4 +1,5 @@
-//! Five control servers as processes on loopback, with the lab's fault proxy between any two, and the operators' commands.
+//! Five control servers as processes on loopback, with the lab's fault proxy between any two, and the
+//! operators' commands.
 use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_control_server::admin::client;
 use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus};
--- a/crates/alderway/tests/common/mod.rs
+++ b/crates/alderway/tests/common/mod.rs
@@ -12,7 +12,8 @@
 /// The longest time that a test waits for a condition.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until `holds` returns true for the counters of the program. The panic after `TIMEOUT` contains `what`.
+/// Waits until `holds` returns true for the counters of the program. The panic after `TIMEOUT` contains
+/// `what`.
 pub fn wait_until(program: &Program, what: &str, holds: impl Fn(&BTreeMap<String, u64>) -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !holds(&program.counters()) {
@@ -21,8 +22,9 @@
     }
 }
 
-/// Waits for a log line that contains a text. While a core hangs, tests must wait for log lines and not for counters: the
-/// connection that requests the counters could be assigned to that core, and would wait until the hang is over.
+/// Waits for a log line that contains a text. While a core hangs, tests must wait for log lines and not for
+/// counters: the connection that requests the counters could be assigned to that core, and would wait until
+/// the hang is over.
 pub fn wait_for_log(program: &Program, text: &str) {
     let end = Instant::now() + TIMEOUT;
     loop {
@@ -78,7 +80,8 @@
         ));
     }
 
-    /// Makes the core of this connection hang or fail at its next heartbeat, by a header of a readiness request.
+    /// Makes the core of this connection hang or fail at its next heartbeat, by a header of a readiness
+    /// request.
     pub fn inject_fault(&mut self, fault: &str) {
         self.send(&format!("GET /up HTTP/1.1\r\nX-Fault: {fault}\r\n\r\n"));
         assert_eq!(self.read_response().0, 200);
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -1,5 +1,5 @@
-//! Control servers as processes that are stopped, killed, partitioned, replaced by empty ones, or have full disks and
-//! corrupted logs; and the output and exit codes of the operators' commands.
+//! Control servers as processes that are stopped, killed, partitioned, replaced by empty ones, or have full
+//! disks and corrupted logs; and the output and exit codes of the operators' commands.
 mod common;
 
 use alderway_control_plane::content::MAX_SETTINGS_BYTES;
@@ -49,7 +49,8 @@
         1,
         &["the id of the proposal is already used by version 2"],
     );
-    // A change that is based on version 1 is rejected after version 2 is committed. The error lists version 2.
+    // A change that is based on version 1 is rejected after version 2 is committed. The error lists version
+    // 2.
     let second = cluster.propose(&any, 300, &["--base", "1"]);
     assert_exit(
         &second,
@@ -87,8 +88,8 @@
     let status = cluster.config(&any, &["status", "--json"]);
     let status: ClusterStatus = serde_json::from_slice(&status.stdout).expect("JSON");
     assert!(status.unresponsive.is_empty() && status.versions.len() == 5, "{status:?}");
-    // The errors for invalid settings contain the key and the line number. Further below, the admin endpoint rejects invalid
-    // settings, a file is no JSON, and no server listens at an address.
+    // The errors for invalid settings contain the key and the line number. Further below, the admin endpoint
+    // rejects invalid settings, a file is no JSON, and no server listens at an address.
     let file = cluster.directory.join("invalid.json");
     let text = settings(100).to_string().replace("\"MaxOpen\":100", "\n\"MaxOpen\":\"x\"");
     fs::write(&file, &text).expect("written");
@@ -99,7 +100,8 @@
         &["invalid.json:2: key `settings`", "`MaxOpen`"],
     );
     assert_exit(&cluster.config(&any, &["check", path]), 1, &["invalid.json:2: key `settings`", "`MaxOpen`"]);
-    // Settings that are valid at startup but change a key that needs a restart, and settings that are too large for routers.
+    // Settings that are valid at startup but change a key that needs a restart, and settings that are too
+    // large for routers.
     fs::write(&file, settings(100).to_string().replace("\"MaxOpen\":100", "\n\"MaxOpen\":101"))
         .expect("written");
     let needs_restart = "invalid.json:2: `Limits.MaxOpen` can't change while serving";
@@ -142,8 +144,8 @@
         AdminRequest::Propose { proposal: proposal("p", 1, 200), wait_s: 25.0 },
     );
     std::thread::scope(|scope| {
-        // The leader is partitioned from its followers, so that it can't commit the proposal. Then the leader's process is
-        // paused by SIGSTOP while the proposal is pending.
+        // The leader is partitioned from its followers, so that it can't commit the proposal. Then the
+        // leader's process is paused by SIGSTOP while the proposal is pending.
         let others: Vec<&str> =
             cluster.names.iter().map(String::as_str).filter(|name| *name != leader).collect();
         cluster.wires.part(&others);
@@ -157,8 +159,8 @@
             status
                 .is_some_and(|all| all.replica.has_quorum && all.replica.leader.is_some_and(|l| l != leader))
         });
-        // The paused server sends no hello message on the connection, so the command sends the proposal to the next
-        // server.
+        // The paused server sends no hello message on the connection, so the command sends the proposal to
+        // the next server.
         assert_exit(
             &cluster.propose(&[&leader, &follower], 300, &["--base", "1"]),
             0,
@@ -381,7 +383,8 @@
         for at in [cluster.admin_addresses["c1"], member] {
             let mut stream = TcpStream::connect(at).expect("connected");
             stream.set_read_timeout(Some(TIMEOUT)).expect("set");
-            // The server may close the connection after the first malformed bytes, before all bytes are written.
+            // The server may close the connection after the first malformed bytes, before all bytes are
+            // written.
             let _ = stream.write_all(bytes);
             let _ = stream.shutdown(Shutdown::Write);
             let mut text = vec![];
--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -1,5 +1,5 @@
-//! A query router on several cores, as a process with simulated data nodes and simulated discovery. The tests wait for
-//! observable conditions, not for fixed times that the process might miss.
+//! A query router on several cores, as a process with simulated data nodes and simulated discovery. The tests
+//! wait for observable conditions, not for fixed times that the process might miss.
 mod common;
 use alderway_lab::Clock;
 use alderway_lab::agent::{Agent, Entry};
@@ -53,8 +53,8 @@
         common::wait_until(&self.program, description, holds);
     }
 
-    /// Waits until at least `count` cores serve, then opens `count` connections: one on each core if there are
-    /// `count` cores.
+    /// Waits until at least `count` cores serve, then opens `count` connections: one on each core if there
+    /// are `count` cores.
     fn clients(&self, count: usize) -> Vec<Client> {
         self.wait_until("all serve", |c| c["cores_serving"] >= count as u64);
         (0..count).map(|_| Client::connect(&self.program)).collect()
@@ -82,8 +82,8 @@
     testbed.wait_until("ids are released", |c| c["ids_open"] == 0);
 }
 
-/// Guards against counters that decrease because the core that returns the counters of all cores uses outdated values of the
-/// other cores.
+/// Guards against counters that decrease because the core that returns the counters of all cores uses
+/// outdated values of the other cores.
 #[rstest]
 fn counters_do_not_decrease_when_read_from_another_core() {
     let testbed = testbed(4, 2, &Setting::default());
@@ -120,8 +120,8 @@
 fn the_limit_of_open_queries_applies_to_all_cores_together() {
     let testbed = testbed(4, 1, &Setting { room: 10, ..Setting::default() });
     testbed.fleet.nodes[0].set(Fault::Silent);
-    // Each query counts twice against the limit of 10, once for itself and once for its shard request, so five of the 12
-    // queries are accepted.
+    // Each query counts twice against the limit of 10, once for itself and once for its shard request, so
+    // five of the 12 queries are accepted.
     let mut clients: Vec<Client> = (0..12).map(|_| Client::connect(&testbed.program)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send_query(&format!("q{n}"), 1500);
@@ -150,9 +150,11 @@
 
 #[rstest]
 fn a_failed_core_answers_its_open_queries_and_restarts() {
-    // With a latency objective of 1900 ms, the routing policy does not abort the queries before the core fails.
+    // With a latency objective of 1900 ms, the routing policy does not abort the queries before the core
+    // fails.
     let testbed = testbed(3, 2, &Setting { slo_ms: 1900, ..Setting::default() });
-    // Connections that read the counters shift the assignment: with three clients per core, each core has some.
+    // Connections that read the counters shift the assignment: with three clients per core, each core has
+    // some.
     testbed.wait_until("all serve", |c| c["cores_serving"] == 3);
     let mut clients: Vec<Client> = (0..9).map(|_| Client::connect(&testbed.program)).collect();
     testbed.fleet.nodes.iter().for_each(|n| n.set(Fault::Silent));
@@ -174,7 +176,8 @@
     assert_eq!((sent.wrong, sent.lost, sent.late), (0, 0, 0));
 }
 
-/// Guards against a request that a core has read, completely or partially, and that is not answered when the core fails.
+/// Guards against a request that a core has read, completely or partially, and that is not answered when the
+/// core fails.
 #[rstest]
 #[case::second_request_on_a_connection(|client: &mut Client, number: usize| {
     client.send_query(&format!("open{number}"), 1900);
@@ -214,8 +217,8 @@
         testbed.agent.change(vec![Entry { status: "DRAINING", ..testbed.entries[1].clone() }]);
         testbed.wait_until("the core serves again", |c| c["cores_hung"] == 0 && c["cores_serving"] == 3);
         let sent = sent.join().expect("the load does not panic");
-        // The core hung for longer than the grace period while attempts were queued. After the hang, the core must not send
-        // these attempts to the drained node.
+        // The core hung for longer than the grace period while attempts were queued. After the hang, the core
+        // must not send these attempts to the drained node.
         assert!(
             drained.last_call() < drained_at + 2.0,
             "{} s after the notice",
@@ -325,7 +328,8 @@
 
 #[rstest]
 fn the_limit_of_connections_to_a_node_applies_to_all_cores_together() {
-    // Each connection carries one attempt at a time, so that without the limit the router would open many connections.
+    // Each connection carries one attempt at a time, so that without the limit the router would open many
+    // connections.
     let setting = Setting { places: 1, ..Setting::default() };
     let testbed = testbed_with("cores(count = 4, node_connections = 8)", 2, &setting);
     let load = Load { connections: 64, ..testbed.load(Pace::Closed, 0.7) };
@@ -426,8 +430,8 @@
 fn reserved_descriptors_cover_those_of_an_idle_process(#[case] cores: usize) {
     let testbed = testbed(cores, 1, &Setting::default());
     let open = testbed.program.descriptors();
-    // The reservation must be larger than the number of open descriptors, because a reconnection to the discovery service
-    // opens one more descriptor.
+    // The reservation must be larger than the number of open descriptors, because a reconnection to the
+    // discovery service opens one more descriptor.
     assert!(open < descriptors::reserved(cores), "{open} open on {cores} cores");
 }
 
--- a/crates/alderway/tests/layouts.rs
+++ b/crates/alderway/tests/layouts.rs
@@ -1,6 +1,6 @@
-//! Shards that split, merge and move while queries run: a query router as a process, with simulated data nodes and simulated
-//! discovery that change the layout. The tests wait for observable conditions, because fixed delays can be too
-//! short on a busy machine.
+//! Shards that split, merge and move while queries run: a query router as a process, with simulated data
+//! nodes and simulated discovery that change the layout. The tests wait for observable conditions, because
+//! fixed delays can be too short on a busy machine.
 mod common;
 use alderway_lab::agent::{Agent, Entry};
 use alderway_lab::fleet::{Fleet, Order};
@@ -72,7 +72,8 @@
         self.layout = self.layout.with_changes(self.layout.version() + 1, changes).expect("valid");
     }
 
-    /// Publishes the current version in discovery, as changes since the previous version and as a full layout.
+    /// Publishes the current version in discovery, as changes since the previous version and as a full
+    /// layout.
     fn publish(&self, changes: &[Change]) {
         let version = self.layout.version();
         let update = inventory::changes(version, version - 1, changes);
@@ -152,8 +153,9 @@
     assert!(!report.counters.contains_key("module_failures"));
 }
 
-/// Shard 1 is split into shards 2 and 3. The answer for shard 1 arrives after the answer for shard 2; each key must be counted
-/// once. With the injected fault the router counts answers instead of keys, and the check must detect keys counted twice.
+/// Shard 1 is split into shards 2 and 3. The answer for shard 1 arrives after the answer for shard 2; each
+/// key must be counted once. With the injected fault the router counts answers instead of keys, and the check
+/// must detect keys counted twice.
 #[rstest]
 #[case::by_keys(None)]
 #[case::by_answers(Some("count-by-answers"))]
@@ -167,12 +169,12 @@
     testbed.wait_for_requests(0, 1);
     let split = Change::Split { parent: 1, children: vec![(2, 0), (3, 40)] };
     testbed.change(&[split, moved(2, &[1]), moved(3, &[2])]);
-    // From here on, nodes 1 and 2 hold the keys. Node 0 no longer holds shard 1, but still answers the request that it has
-    // already received.
+    // From here on, nodes 1 and 2 hold the keys. Node 0 no longer holds shard 1, but still answers the
+    // request that it has already received.
     testbed.update_nodes();
     wait_until(&testbed.program, "the request is split", |c| c.get("parts_divided") == Some(&1));
-    // Node 0 does not answer in time, so that the router requests shards 2 and 3 from nodes 1 and 2. Only node 1 answers,
-    // since node 2 is paused.
+    // Node 0 does not answer in time, so that the router requests shards 2 and 3 from nodes 1 and 2. Only
+    // node 1 answers, since node 2 is paused.
     wait_until(&testbed.program, "one successor is answered", |c| {
         c.get("leaf_calls_ended{success}") == Some(&1)
     });
@@ -291,8 +293,8 @@
     assert_eq!((testbed.request_count(0), testbed.request_count(3)), (1, 1));
 }
 
-/// Guards against a core that hangs while the other cores apply a new layout: after the hang, the core must apply the new
-/// layout before it sends shard requests.
+/// Guards against a core that hangs while the other cores apply a new layout: after the hang, the core must
+/// apply the new layout before it sends shard requests.
 #[rstest]
 fn a_core_that_hung_during_a_move_sends_nothing_to_the_former_holder() {
     let mut testbed = testbed(2, &[(1, 0, 100, &[0])]);
@@ -315,8 +317,8 @@
     assert!(testbed.fleet.nodes[0].last_call() < moved_at);
 }
 
-/// Without the section `layouts` in the operator's file, shards are placed by the hash ring, and the router must ignore layout
-/// updates from discovery.
+/// Without the section `layouts` in the operator's file, shards are placed by the hash ring, and the router
+/// must ignore layout updates from discovery.
 #[rstest]
 fn without_layouts_in_the_operators_file_updates_from_discovery_are_ignored() {
     let testbed = testbed(1, &[(1, 0, 100, &[0])]);
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -1,6 +1,6 @@
-//! Query routers that share observations, as processes on loopback with the lab's relay between any two. They are partitioned,
-//! also in one direction, stopped, killed and restarted, get false reports and malformed frames, and have different peer
-//! lists.
+//! Query routers that share observations, as processes on loopback with the lab's relay between any two. They
+//! are partitioned, also in one direction, stopped, killed and restarted, get false reports and malformed
+//! frames, and have different peer lists.
 mod common;
 use alderway_lab::Clock;
 use alderway_lab::agent::{Agent, Entry};
@@ -22,8 +22,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Routers, the data nodes that all routers use, and the proxies through which the routers are connected to each other. A
-/// proxy can delay or drop messages.
+/// Routers, the data nodes that all routers use, and the proxies through which the routers are connected to
+/// each other. A proxy can delay or drop messages.
 struct Testbed {
     clock: Clock,
     fleet: Fleet,
@@ -130,15 +130,16 @@
     program.counters().get(name).copied().unwrap_or(0)
 }
 
-/// Guards against each router losing time on an unresponsive data node before it avoids the node: after two routers have
-/// observed it, the others avoid it from their first query on.
+/// Guards against each router losing time on an unresponsive data node before it avoids the node: after two
+/// routers have observed it, the others avoid it from their first query on.
 #[rstest]
 fn a_router_avoids_a_data_node_that_two_others_report_as_unresponsive() {
     let testbed = Testbed::new(5);
     testbed.two_routers_observe_failure();
     let (one, other, clock) = (testbed.router(0).address, testbed.router(1).address, testbed.clock);
     std::thread::scope(|scope| {
-        // The two routers continue to observe the node, because they still send a few attempts to unhealthy nodes.
+        // The two routers continue to observe the node, because they still send a few attempts to unhealthy
+        // nodes.
         scope.spawn(move || send(one, clock, 60.0, 1.2));
         scope.spawn(move || send(other, clock, 60.0, 1.2));
         wait_until(testbed.router(4), "observations are received", |c| {
@@ -151,7 +152,8 @@
     });
 }
 
-/// Guards against messages that cross a partition, and against messages that are still missing after it is healed.
+/// Guards against messages that cross a partition, and against messages that are still missing after it is
+/// healed.
 #[rstest]
 fn no_messages_cross_a_partition_until_it_is_healed() {
     let testbed = Testbed::new(5);
@@ -173,7 +175,8 @@
     });
 }
 
-/// Guards against a router that is considered dead, or messages that are lost, because one direction of one link is blocked.
+/// Guards against a router that is considered dead, or messages that are lost, because one direction of one
+/// link is blocked.
 #[rstest]
 fn a_link_blocked_in_one_direction_loses_no_messages() {
     let testbed = Testbed::new(5);
@@ -208,7 +211,8 @@
     });
 }
 
-/// Guards against a router that is considered dead forever after a pause, or that spreads outdated information after it.
+/// Guards against a router that is considered dead forever after a pause, or that spreads outdated
+/// information after it.
 #[rstest]
 fn a_stopped_router_is_detected_and_alive_again_after_it_resumes() {
     let testbed = Testbed::new(5);
@@ -220,7 +224,8 @@
     testbed.send(2, 100.0, 0.3);
 }
 
-/// Guards against a router that is not accepted again after a crash, and against a planned shutdown that looks like a crash.
+/// Guards against a router that is not accepted again after a crash, and against a planned shutdown that
+/// looks like a crash.
 #[rstest]
 fn a_killed_router_rejoins_and_a_planned_shutdown_is_announced() {
     let mut testbed = Testbed::new(5);
@@ -276,8 +281,8 @@
     }
 }
 
-/// A peer reports all data nodes as unhealthy. Guards against other routers that avoid healthy nodes because of the reports
-/// of a single peer.
+/// A peer reports all data nodes as unhealthy. Guards against other routers that avoid healthy nodes because
+/// of the reports of a single peer.
 #[rstest]
 fn false_reports_of_one_router_exclude_no_data_node() {
     let testbed = Testbed::new(5);
@@ -327,7 +332,8 @@
     testbed.send(0, 100.0, 0.3);
 }
 
-/// The routers have different peer lists until a reload: r4 is unknown to r0 until the file of r0 contains it.
+/// The routers have different peer lists until a reload: r4 is unknown to r0 until the file of r0 contains
+/// it.
 #[rstest]
 fn a_reload_adds_a_peer_that_was_missing_in_one_list() {
     let mut testbed = Testbed::new(5);
@@ -350,7 +356,8 @@
     testbed.wait_until_all_alive();
 }
 
-/// Random faults from a seed, under load: each query is answered once, and in the end all routers are alive to each other.
+/// Random faults from a seed, under load: each query is answered once, and in the end all routers are alive
+/// to each other.
 #[rstest]
 #[case(1)]
 #[case(2)]
--- a/crates/alderway/tests/settings.rs
+++ b/crates/alderway/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Changes of settings on several cores and on a forwarder: a query router as a process with simulated data nodes and
-//! simulated discovery. The tests wait for log lines and responses.
+//! Changes of settings on several cores and on a forwarder: a query router as a process with simulated data
+//! nodes and simulated discovery. The tests wait for log lines and responses.
 mod common;
 use alderway_lab::Clock;
 use alderway_lab::agent::Agent;
--- a/crates/alderway/tests/shutdown.rs
+++ b/crates/alderway/tests/shutdown.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdowns of a router on several cores, during which the process is paused (SIGSTOP, then SIGCONT). The router
-//! must answer every query that it has read, and must exit before the earliest time at which a supervisor sends SIGKILL.
+//! Graceful shutdowns of a router on several cores, during which the process is paused (SIGSTOP, then
+//! SIGCONT). The router must answer every query that it has read, and must exit before the earliest time at
+//! which a supervisor sends SIGKILL.
 mod common;
 #[path = "../../router/tests/common/suspended_shutdown.rs"]
 mod suspended_shutdown;
@@ -62,8 +63,9 @@
     }
 }
 
-/// Shuts down a router, pauses the process `held_from_s` seconds after SIGTERM and resumes it `HELD_UP_S` seconds later.
-/// Returns a text for each client without exactly one response, and for an exit after the earliest SIGKILL.
+/// Shuts down a router, pauses the process `held_from_s` seconds after SIGTERM and resumes it `HELD_UP_S`
+/// seconds later. Returns a text for each client without exactly one response, and for an exit after the
+/// earliest SIGKILL.
 fn faults_of_a_shutdown_stopped_at(held_from_s: f64) -> Vec<String> {
     let router = Router::start();
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| Client::connect(&router.program)).collect();
@@ -79,7 +81,8 @@
         sleep((terminated + Duration::from_secs_f64(since_s)).saturating_duration_since(Instant::now()));
     };
     router.program.signal(Signal::SIGTERM);
-    // These queries are sent early enough for the router to read them, with deadlines after the end of the shutdown.
+    // These queries are sent early enough for the router to read them, with deadlines after the end of the
+    // shutdown.
     sleep_until(0.6);
     clients
         .iter_mut()
@@ -95,7 +98,8 @@
     shutdown_errors(held_from_s, &received, terminated.elapsed().as_secs_f64(), EARLIEST_KILL_S)
 }
 
-/// Guards against queries that a core has read but not answered because the process exits right after a pause.
+/// Guards against queries that a core has read but not answered because the process exits right after a
+/// pause.
 #[rstest]
 fn a_shutdown_on_several_cores_stopped_at_any_late_moment_answers_all_queries_read() {
     run_suspended_shutdowns(EARLIEST_KILL_S, LAST_PART_S, MOMENTS, faults_of_a_shutdown_stopped_at);
--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -1,5 +1,5 @@
-//! Forwarders and planners as processes on loopback. Planners are killed, paused, disconnected from discovery, restarted, use
-//! another protocol version, or do not run. The tests count and check every answer.
+//! Forwarders and planners as processes on loopback. Planners are killed, paused, disconnected from
+//! discovery, restarted, use another protocol version, or do not run. The tests count and check every answer.
 mod common;
 use alderway_lab::Clock;
 use alderway_lab::agent::{Agent, Entry};
@@ -65,7 +65,8 @@
         self.start_forwarder("f-0", planners)
     }
 
-    /// Starts a forwarder for the planners at the given addresses. It considers a planner lost after 200 ms without a message.
+    /// Starts a forwarder for the planners at the given addresses. It considers a planner lost after 200 ms
+    /// without a message.
     fn start_forwarder(&self, name: &str, planners: &[SocketAddr]) -> Program {
         let all: Vec<String> = planners.iter().map(|at| format!("\"{at}\"")).collect();
         let operator = format!("forwarder(planners = [{}], count = 1, patience_ms = 200)\n", all.join(", "));
@@ -139,8 +140,8 @@
     let outcome = send_during(&testbed, &forwarder, &testbed.load(200.0, 3.0), || {
         testbed.planners.iter().for_each(|p| p.signal(signal));
         sleep(Duration::from_millis(700));
-        // A planner that was paused by SIGSTOP resumes. The forwarder must ignore the planner's decisions for queries that were
-        // reassigned in the meantime.
+        // A planner that was paused by SIGSTOP resumes. The forwarder must ignore the planner's decisions for
+        // queries that were reassigned in the meantime.
         testbed.planners.iter().for_each(|p| p.signal(Signal::SIGCONT));
     });
     assert_sound(&outcome);
@@ -190,8 +191,8 @@
     drop(restarted);
 }
 
-/// Three nodes are drained, but the planner uses a discovery instance that does not publish this. The forwarder must not send
-/// requests to these nodes.
+/// Three nodes are drained, but the planner uses a discovery instance that does not publish this. The
+/// forwarder must not send requests to these nodes.
 #[rstest]
 fn decisions_by_an_outdated_endpoint_list_send_nothing_to_a_draining_node() {
     let mut testbed = testbed(0, Setting::default(), quick());
@@ -216,15 +217,17 @@
     wait_until(&forwarder, "the planner is outdated", |c| c["planners_able"] == 0);
 }
 
-/// One forwarder's queries let its planner observe a slow data node; the other forwarder must then avoid this node. With two
-/// planners, each forwarder uses another planner, and the observations must reach the second planner through a forwarder.
+/// One forwarder's queries let its planner observe a slow data node; the other forwarder must then avoid this
+/// node. With two planners, each forwarder uses another planner, and the observations must reach the second
+/// planner through a forwarder.
 #[rstest]
 #[case::one_planner(1)]
 #[case::two_planners(2)]
 fn other_forwarders_avoid_a_slow_node_that_one_has_observed(#[case] planners: usize) {
     let testbed =
         testbed(planners, Setting::default(), Make { service: 0.002, exponential: false, ..quick() });
-    // With two planners, the second forwarder gets a name for which it prefers another planner than the first forwarder.
+    // With two planners, the second forwarder gets a name for which it prefers another planner than the first
+    // forwarder.
     let all: Vec<String> = (0..planners).map(|n| format!("p-{n}")).collect();
     let asks = |n: &usize| QueryAssignments::new(&format!("f-{n}")).preferred_decider(all.iter());
     let second = (1..100).find(|n| planners == 1 || asks(n) != asks(&0)).expect("a name");
@@ -312,8 +315,9 @@
     assert_eq!(counted(&forwarder, "queries_open"), 0);
 }
 
-/// Guards against queries that wait in a planner until their deadline: a planner whose open
-/// queries and shard requests together reach the limit `room` must reject further queries at once, and the forwarder must respond to the client with the rejection.
+/// Guards against queries that wait in a planner until their deadline: a planner whose open queries and shard
+/// requests together reach the limit `room` must reject further queries at once, and the forwarder must
+/// respond to the client with the rejection.
 #[rstest]
 fn a_planner_at_its_limit_rejects_queries_at_once() {
     let setting = Setting { room: 8, ..Setting::default() };
--- a/crates/layouts/src/coverage.rs
+++ b/crates/layouts/src/coverage.rs
@@ -1,7 +1,8 @@
-//! Tracks the answered keys of one query. Answers may be for shards of different layout versions and arrive in any order:
-//! the answer for a retired shard may arrive before or after the answers for its successors. An answer has one value for its
-//! whole range of keys, and the value cannot be divided. The counted answers are those that the response contains. They never
-//! overlap, so that no key is counted twice; an answer replaces the counted answers whose requested keys it contains.
+//! Tracks the answered keys of one query. Answers may be for shards of different layout versions and arrive
+//! in any order: the answer for a retired shard may arrive before or after the answers for its successors. An
+//! answer has one value for its whole range of keys, and the value cannot be divided. The counted answers are
+//! those that the response contains. They never overlap, so that no key is counted twice; an answer replaces
+//! the counted answers whose requested keys it contains.
 use crate::KeyRange;
 use std::collections::BTreeMap;
 
@@ -21,16 +22,17 @@
     Counted { replaced: usize },
     /// The answer is not counted: all requested keys in its range were already answered.
     Redundant,
-    /// The answer is not counted: it overlaps a counted answer that also contains requested keys outside of the new answer's
-    /// range. Counting both answers would count the common keys twice.
+    /// The answer is not counted: it overlaps a counted answer that also contains requested keys outside of
+    /// the new answer's range. Counting both answers would count the common keys twice.
     Conflicting,
     /// The answer is not counted: its range contains no requested key.
     NotRequested,
 }
 
 impl<V> Coverage<V> {
-    /// Creates the coverage of a query from the requested ranges and the weight of each range: its share in the answered
-    /// fraction of the query. `None` if ranges overlap or the sum of the weights is not positive.
+    /// Creates the coverage of a query from the requested ranges and the weight of each range: its share in
+    /// the answered fraction of the query. `None` if ranges overlap or the sum of the weights is not
+    /// positive.
     pub fn new(mut requested: Vec<(KeyRange, f64)>) -> Option<Self> {
         requested.retain(|(range, _)| !range.is_empty());
         requested.sort_by_key(|(range, _)| *range);
@@ -51,8 +53,8 @@
         })
     }
 
-    /// Counts an answer for a range, unless the answer is redundant, conflicting or not requested as described at
-    /// `AddOutcome`.
+    /// Counts an answer for a range, unless the answer is redundant, conflicting or not requested as
+    /// described at `AddOutcome`.
     pub fn add(&mut self, range: KeyRange, value: V) -> AddOutcome {
         let (keys, _) = self.requested_in(range);
         if keys == 0 {
@@ -65,8 +67,8 @@
         if answered == keys {
             return AddOutcome::Redundant;
         }
-        // A counted answer that also contains requested keys outside of the new range is not replaced: those keys would no
-        // longer be answered.
+        // A counted answer that also contains requested keys outside of the new range is not replaced: those
+        // keys would no longer be answered.
         if overlapping.iter().any(|c| {
             self.requested_in(*c).0 > c.intersection(range).map_or(0, |both| self.requested_in(both).0)
         }) {
--- a/crates/layouts/src/history.rs
+++ b/crates/layouts/src/history.rs
@@ -1,17 +1,18 @@
-//! The latest version of the layout that this router has received, and the retired shards that open shard requests or
-//! clients with an older layout still use. Retired shards expire, so that memory does not grow with the number of versions.
-//! All times are in seconds on the caller's monotonic clock.
+//! The latest version of the layout that this router has received, and the retired shards that open shard
+//! requests or clients with an older layout still use. Retired shards expire, so that memory does not grow
+//! with the number of versions. All times are in seconds on the caller's monotonic clock.
 //!
-//! Shard requests are sent to the holders in the latest version. A shard request that is open when its shard is retired
-//! keeps its keys and is sent to the replica groups that hold all successors of the shard; if the successors have different
-//! holders, the caller should split the request. A data node that responds that it does not hold a shard is excluded for
-//! that shard (`exclude_node`) until this router's layout is at least as new as the node's layout, or until a grace period
-//! in which the node can update its layout has passed.
+//! Shard requests are sent to the holders in the latest version. A shard request that is open when its shard
+//! is retired keeps its keys and is sent to the replica groups that hold all successors of the shard; if the
+//! successors have different holders, the caller should split the request. A data node that responds that it
+//! does not hold a shard is excluded for that shard (`exclude_node`) until this router's layout is at least
+//! as new as the node's layout, or until a grace period in which the node can update its layout has passed.
 use crate::layout::{Change, Layout, LayoutError, Shard};
 use crate::{Key, KeyRange, ReplicaGroupId, ShardId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A layout update from the discovery service: a full layout, or the changes from version `base` to `version`.
+/// A layout update from the discovery service: a full layout, or the changes from version `base` to
+/// `version`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LayoutUpdate {
     Full { version: Version, keys: Key, shards: Vec<(ShardId, Shard)> },
@@ -28,8 +29,8 @@
 struct Exclusion {
     /// The layout version of the data node at the time of its response.
     version: Version,
-    /// When the node may be sent requests again, in seconds on the caller's clock. Applies if `version` is not newer than
-    /// this router's layout; otherwise the exclusion lasts longer.
+    /// When the node may be sent requests again, in seconds on the caller's clock. Applies if `version` is
+    /// not newer than this router's layout; otherwise the exclusion lasts longer.
     retry_at: f64,
 }
 
@@ -42,7 +43,8 @@
     exclusions: BTreeMap<ShardId, BTreeMap<String, Exclusion>>,
     /// How long, in seconds, clients may request a retired shard.
     retired_shard_grace_s: f64,
-    /// How long, in seconds, a data node with an older layout is excluded, so that it can receive the newer layout.
+    /// How long, in seconds, a data node with an older layout is excluded, so that it can receive the newer
+    /// layout.
     lagging_node_grace_s: f64,
 }
 
@@ -53,8 +55,8 @@
     pub retired: Vec<ShardId>,
     /// The new shards, each with the shards of the previous version that overlap the new shard.
     pub added: Vec<(ShardId, Vec<ShardId>)>,
-    /// Shards for which the caller must look up the holders and the excluded nodes again: all new shards, shards with
-    /// changed holders or excluded nodes, and all retired shards with open requests.
+    /// Shards for which the caller must look up the holders and the excluded nodes again: all new shards,
+    /// shards with changed holders or excluded nodes, and all retired shards with open requests.
     pub changed_holders: Vec<ShardId>,
 }
 
@@ -91,8 +93,8 @@
         &self.latest
     }
 
-    /// Applies an update. After an error the current version stays in effect. A full layout with the current version number
-    /// is ignored.
+    /// Applies an update. After an error the current version stays in effect. A full layout with the current
+    /// version number is ignored.
     pub fn apply(&mut self, update: LayoutUpdate, now: f64) -> Result<AppliedUpdate, LayoutError> {
         match update {
             LayoutUpdate::Full { version, .. } if version == self.latest.version() => {
@@ -108,8 +110,8 @@
         }
     }
 
-    /// Applies changes in order to the current version; the result becomes version `version`. After an error the current
-    /// version stays in effect.
+    /// Applies changes in order to the current version; the result becomes version `version`. After an error
+    /// the current version stays in effect.
     pub fn apply_changes(
         &mut self,
         version: Version,
@@ -119,8 +121,8 @@
         self.advance_to(self.latest.with_changes(version, changes)?, now)
     }
 
-    /// Replaces the current version by a newer full layout, for example after updates were missed. After an error the current
-    /// version stays in effect.
+    /// Replaces the current version by a newer full layout, for example after updates were missed. After an
+    /// error the current version stays in effect.
     pub fn replace_layout(&mut self, layout: Layout, now: f64) -> Result<AppliedUpdate, LayoutError> {
         let (current, received) = (self.latest.version(), layout.version());
         if received <= current {
@@ -131,8 +133,8 @@
 
     fn advance_to(&mut self, next: Layout, now: f64) -> Result<AppliedUpdate, LayoutError> {
         let diff = self.latest.diff(&next);
-        // Rejects an update that reuses the id of a known shard for other keys: an answer for the old keys that arrives later
-        // would be counted for the new keys.
+        // Rejects an update that reuses the id of a known shard for other keys: an answer for the old keys
+        // that arrives later would be counted for the new keys.
         let has_other_keys = |id: &&ShardId| {
             self.keys(**id).is_some_and(|keys| next.shard(**id).is_some_and(|s| s.keys != keys))
         };
@@ -165,7 +167,8 @@
         })
     }
 
-    /// The keys of a shard of the latest version, or of a retired shard that has not expired. `None` for other shards.
+    /// The keys of a shard of the latest version, or of a retired shard that has not expired. `None` for
+    /// other shards.
     pub fn keys(&self, shard: ShardId) -> Option<KeyRange> {
         self.latest.shard(shard).map(|s| s.keys).or(self.retired.get(&shard).map(|retired| retired.keys))
     }
@@ -174,13 +177,14 @@
         self.retired.contains_key(&shard)
     }
 
-    /// The shards of the latest version that overlap the range, each with the keys that are in both the shard and the range.
+    /// The shards of the latest version that overlap the range, each with the keys that are in both the shard
+    /// and the range.
     pub fn overlapping(&self, range: KeyRange) -> Vec<(ShardId, KeyRange)> {
         self.latest.overlapping(range).filter_map(|(id, s)| Some((id, s.keys.intersection(range)?))).collect()
     }
 
-    /// The replica groups that hold every key of the shard. For a retired shard, the replica groups that hold all of its
-    /// successors.
+    /// The replica groups that hold every key of the shard. For a retired shard, the replica groups that hold
+    /// all of its successors.
     pub fn holders(&self, shard: ShardId) -> Vec<ReplicaGroupId> {
         if let Some(shard) = self.latest.shard(shard) {
             return shard.holders.iter().copied().collect();
@@ -191,8 +195,8 @@
         overlapping.fold(first, |all, next| all.intersection(next).copied().collect()).into_iter().collect()
     }
 
-    /// Returns true if the successors of a retired shard have different holders. Requests for single successors can then be
-    /// sent to more data nodes than one request for all keys of the shard.
+    /// Returns true if the successors of a retired shard have different holders. Requests for single
+    /// successors can then be sent to more data nodes than one request for all keys of the shard.
     pub fn successors_have_different_holders(&self, shard: ShardId) -> bool {
         let Some(retired) = self.retired.get(&shard) else { return false };
         let mut overlapping = self.latest.overlapping(retired.keys).map(|(_, s)| &s.holders);
@@ -200,7 +204,8 @@
         overlapping.any(|holders| Some(holders) != first)
     }
 
-    /// Counts a shard request as open until `request_closed` is called. A retired shard with open requests does not expire.
+    /// Counts a shard request as open until `request_closed` is called. A retired shard with open requests
+    /// does not expire.
     pub fn request_opened(&mut self, shard: ShardId) {
         *self.open_requests.entry(shard).or_insert(0) += 1;
     }
@@ -218,11 +223,11 @@
         }
     }
 
-    /// Excludes the data node for the shard, after the node responded that it does not hold the shard in its layout version
-    /// `node_version`. Returns true if the node was not excluded for the shard before. The exclusion ends in
-    /// `expire_exclusions`, or when this router applies version `node_version` or a newer one. Without exclusions, requests
-    /// would be sent repeatedly to the same node, or alternately to two nodes, while the node or this router has an older
-    /// layout.
+    /// Excludes the data node for the shard, after the node responded that it does not hold the shard in its
+    /// layout version `node_version`. Returns true if the node was not excluded for the shard before. The
+    /// exclusion ends in `expire_exclusions`, or when this router applies version `node_version` or a newer
+    /// one. Without exclusions, requests would be sent repeatedly to the same node, or alternately to two
+    /// nodes, while the node or this router has an older layout.
     pub fn exclude_node(&mut self, shard: ShardId, node: &str, node_version: Version, now: f64) -> bool {
         let exclusion = Exclusion { version: node_version, retry_at: now + self.lagging_node_grace_s };
         self.exclusions.entry(shard).or_default().insert(node.into(), exclusion).is_none()
@@ -235,16 +240,18 @@
 
     /// Removes the exclusions that have expired at time `now`, and returns the shards that they applied to.
     pub fn expire_exclusions(&mut self, now: f64) -> Vec<ShardId> {
-        // A node with a newer layout stays excluded ten times as long, because its exclusion normally ends when this router
-        // receives that layout. The time is limited because this router may never receive it.
+        // A node with a newer layout stays excluded ten times as long, because its exclusion normally ends
+        // when this router receives that layout. The time is limited because this router may never receive
+        // it.
         let (version, grace) = (self.latest.version(), self.lagging_node_grace_s);
         self.drop_exclusions(|exclusion| {
             now >= exclusion.retry_at + if exclusion.version > version { 9.0 * grace } else { 0.0 }
         })
     }
 
-    /// Removes the exclusions for which `is_over` returns true. Returns the shards that these exclusions applied to, so that
-    /// the caller looks up the excluded nodes again even if no update changes these shards.
+    /// Removes the exclusions for which `is_over` returns true. Returns the shards that these exclusions
+    /// applied to, so that the caller looks up the excluded nodes again even if no update changes these
+    /// shards.
     fn drop_exclusions(&mut self, is_over: impl Fn(&Exclusion) -> bool) -> Vec<ShardId> {
         let mut readmitted = vec![];
         self.exclusions.retain(|shard, nodes| {
@@ -258,8 +265,8 @@
         readmitted
     }
 
-    /// Removes and returns the retired shards that have no open requests and were retired at least the grace period before
-    /// `now`.
+    /// Removes and returns the retired shards that have no open requests and were retired at least the grace
+    /// period before `now`.
     pub fn expire_retired(&mut self, now: f64) -> Vec<ShardId> {
         let (open, grace) = (&self.open_requests, self.retired_shard_grace_s);
         let is_expired = |(id, shard): &(&ShardId, &RetiredShard)| {
@@ -273,8 +280,8 @@
         expired
     }
 
-    /// Three counts of shards: retired shards (no longer in the current layout), shards with open requests, and
-    /// shards with excluded data nodes.
+    /// Three counts of shards: retired shards (no longer in the current layout), shards with open requests,
+    /// and shards with excluded data nodes.
     pub fn retired_open_excluded_counts(&self) -> (usize, usize, usize) {
         (self.retired.len(), self.open_requests.len(), self.exclusions.len())
     }
--- a/crates/layouts/src/layout.rs
+++ b/crates/layouts/src/layout.rs
@@ -1,5 +1,5 @@
-//! One version of the layout, and the changes that produce the next version. If any shard of a layout or any change of a list
-//! of changes is invalid, the whole layout or list is rejected.
+//! One version of the layout, and the changes that produce the next version. If any shard of a layout or any
+//! change of a list of changes is invalid, the whole layout or list is rejected.
 use crate::{Key, KeyRange, ReplicaGroupId, ShardId, Version};
 use imbl::OrdMap;
 use imbl::ordmap::DiffItem;
@@ -14,8 +14,9 @@
     pub holders: BTreeSet<ReplicaGroupId>,
 }
 
-/// Shards that together contain each key from 0 up to but excluding `key_count` exactly once. Layouts may have 10,000
-/// shards; versions share the shards that they have in common, so that a change copies only the shards that it affects.
+/// Shards that together contain each key from 0 up to but excluding `key_count` exactly once. Layouts may
+/// have 10,000 shards; versions share the shards that they have in common, so that a change copies only the
+/// shards that it affects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Layout {
     version: Version,
@@ -39,11 +40,11 @@
 /// A change of the layout. The next version is the result of applying one or more changes in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Replaces the shard `parent` by at least two shards with the same holders: `children` has the new id and the first key
-    /// of each, in ascending order of keys.
+    /// Replaces the shard `parent` by at least two shards with the same holders: `children` has the new id
+    /// and the first key of each, in ascending order of keys.
     Split { parent: ShardId, children: Vec<(ShardId, Key)> },
-    /// Replaces the adjacent shards `parents`, in ascending order of keys, by the shard `child`. The holders of `child` are the
-    /// replica groups that hold every parent.
+    /// Replaces the adjacent shards `parents`, in ascending order of keys, by the shard `child`. The holders
+    /// of `child` are the replica groups that hold every parent.
     Merge { parents: Vec<ShardId>, child: ShardId },
     /// Replaces the holders of a shard. The new holders store the keys of the shard from this version on.
     Move { shard: ShardId, holders: BTreeSet<ReplicaGroupId> },
@@ -75,7 +76,8 @@
     ShardIdInUse {
         shard: ShardId,
     },
-    /// The shards to merge are not adjacent: this shard does not begin where the preceding shard of the list ends.
+    /// The shards to merge are not adjacent: this shard does not begin where the preceding shard of the list
+    /// ends.
     NotAdjacent {
         shard: ShardId,
     },
@@ -187,7 +189,8 @@
         self.shards.get(&id).map(|shard| &**shard)
     }
 
-    /// The differences from this layout to `other`. The cost is proportional to the number of differences, not of shards.
+    /// The differences from this layout to `other`. The cost is proportional to the number of differences,
+    /// not of shards.
     pub fn diff(&self, other: &Layout) -> LayoutDiff {
         let mut diff = LayoutDiff::default();
         for item in self.shards.diff(&other.shards) {
@@ -245,8 +248,8 @@
         }
     }
 
-    /// Applies one change. Only the affected shards are checked: a valid change leaves every key in exactly one shard. After
-    /// an error the layout is inconsistent and must be discarded.
+    /// Applies one change. Only the affected shards are checked: a valid change leaves every key in exactly
+    /// one shard. After an error the layout is inconsistent and must be discarded.
     fn apply(&mut self, change: &Change) -> Result<(), LayoutError> {
         match change {
             Change::Split { parent, children } => {
--- a/crates/layouts/src/lib.rs
+++ b/crates/layouts/src/lib.rs
@@ -1,16 +1,18 @@
-//! Versioned shard layouts that change while queries run. A shard is a range of keys; its holders are the replica groups of
-//! data nodes that store these keys. A change splits, merges or moves shards and produces the next version of the layout. A
-//! shard of an earlier version that the latest version does not contain is retired; its successors are the shards of the
-//! latest version that contain its keys.
+//! Versioned shard layouts that change while queries run. A shard is a range of keys; its holders are the
+//! replica groups of data nodes that store these keys. A change splits, merges or moves shards and produces
+//! the next version of the layout. A shard of an earlier version that the latest version does not contain is
+//! retired; its successors are the shards of the latest version that contain its keys.
 //!
-//! This crate finds the shards that contain the keys of a query, the holders of each shard, the successors of a retired
-//! shard, and the keys of a query that have been answered. The crate does no I/O and reads no clock: the caller passes the
-//! time in seconds on a monotonic clock. The routing policy, not this crate, chooses the data node of each shard request.
+//! This crate finds the shards that contain the keys of a query, the holders of each shard, the successors of
+//! a retired shard, and the keys of a query that have been answered. The crate does no I/O and reads no
+//! clock: the caller passes the time in seconds on a monotonic clock. The routing policy, not this crate,
+//! chooses the data node of each shard request.
 //!
 //! - `layout`: one validated version, and the changes that produce the next.
-//! - `history`: the latest version, the retired shards that open requests or clients still use, and the data nodes that are
-//!   excluded for a shard.
-//! - `coverage`: the answered keys of one query, each counted once although answers may be for shards of different versions.
+//! - `history`: the latest version, the retired shards that open requests or clients still use, and the data
+//!   nodes that are excluded for a shard.
+//! - `coverage`: the answered keys of one query, each counted once although answers may be for shards of
+//!   different versions.
 //! - `split_requests`: shard requests that are split while attempts for them are in flight.
 pub mod coverage;
 pub mod history;
--- a/crates/layouts/src/split_requests.rs
+++ b/crates/layouts/src/split_requests.rs
@@ -1,14 +1,17 @@
-//! Tracks shard requests that are split while attempts for them are in flight. The parts of a request are the requests that
-//! replace it; a part may be split again. An in-flight attempt of the original request then serves all parts: the caller
-//! reports the outcome of the attempt to each part, and cancels the attempt only once no part waits for it.
+//! Tracks shard requests that are split while attempts for them are in flight. The parts of a request are the
+//! requests that replace it; a part may be split again. An in-flight attempt of the original request then
+//! serves all parts: the caller reports the outcome of the attempt to each part, and cancels the attempt only
+//! once no part waits for it.
 //!
 //! The caller tracks which attempts are in flight. This module does no I/O and makes no routing decisions.
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Identifies an attempt by the id of its shard request and by its index, from 0, among the attempts of that request.
+/// Identifies an attempt by the id of its shard request and by its index, from 0, among the attempts of that
+/// request.
 pub type AttemptId<I> = (I, usize);
 
-/// Maps each split request to its parts, and each in-flight attempt to the parts that no longer wait for the attempt.
+/// Maps each split request to its parts, and each in-flight attempt to the parts that no longer wait for the
+/// attempt.
 #[derive(Debug)]
 pub struct SplitRequests<I> {
     /// The parts of each split request; a part that was split again is replaced by the parts of that part.
@@ -30,8 +33,8 @@
         self.parts.is_empty()
     }
 
-    /// Records that `request` was replaced by the parts `into`. The caller must give the parts ids that no other request has
-    /// had; this is not checked.
+    /// Records that `request` was replaced by the parts `into`. The caller must give the parts ids that no
+    /// other request has had; this is not checked.
     pub fn split(&mut self, request: &I, into: &[I]) {
         for parts in self.parts.values_mut() {
             if let Some(at) = parts.iter().position(|part| part == request) {
@@ -52,14 +55,14 @@
         self.parts.get(request).map_or(&[], Vec::as_slice)
     }
 
-    /// The given request, then the request that it was split from, and so on up to the original request. An attempt
-    /// whose response can answer the given request was sent for one of the returned requests.
+    /// The given request, then the request that it was split from, and so on up to the original request. An
+    /// attempt whose response can answer the given request was sent for one of the returned requests.
     pub fn request_and_ancestors<'a>(&'a self, request: &'a I) -> impl Iterator<Item = &'a I> {
         std::iter::successors(Some(request), |request| self.parents.get(request))
     }
 
-    /// Records that `part` no longer waits for `attempt`, an attempt of a request that `part` was split from. Returns true if
-    /// no part waits for the attempt any more, so that the caller can cancel the attempt.
+    /// Records that `part` no longer waits for `attempt`, an attempt of a request that `part` was split from.
+    /// Returns true if no part waits for the attempt any more, so that the caller can cancel the attempt.
     pub fn remove_waiter(&mut self, attempt: &AttemptId<I>, part: &I) -> bool {
         let part_count = self.parts.get(&attempt.0).map_or(0, Vec::len);
         let released = self.released.entry(attempt.clone()).or_default();
@@ -72,8 +75,8 @@
         !self.released.get(attempt).is_some_and(|released| released.contains(part))
     }
 
-    /// Removes the split requests for which `is_finished` returns true: every attempt of the request has ended, and the
-    /// request is no longer open.
+    /// Removes the split requests for which `is_finished` returns true: every attempt of the request has
+    /// ended, and the request is no longer open.
     pub fn remove_finished(&mut self, is_finished: impl Fn(&I) -> bool) {
         let finished: Vec<I> = self.parts.keys().filter(|request| is_finished(request)).cloned().collect();
         for request in finished {
--- a/crates/layouts/tests/layouts.rs
+++ b/crates/layouts/tests/layouts.rs
@@ -1,4 +1,5 @@
-//! Layouts and their changes: validation, retired shards, excluded data nodes, and coverage with each key counted once.
+//! Layouts and their changes: validation, retired shards, excluded data nodes, and coverage with each key
+//! counted once.
 use alderway_layouts::coverage::{AddOutcome, Coverage};
 use alderway_layouts::history::{History, LayoutUpdate};
 use alderway_layouts::layout::{Change, Layout, LayoutError, Shard};
@@ -66,8 +67,8 @@
     assert_eq!((applied.retired, applied.added), (vec![1], vec![(10, vec![1]), (11, vec![1])]));
     assert_eq!(applied.changed_holders, [1, 10, 11]);
     assert_eq!((history.holders(1), history.successors_have_different_holders(1)), (vec![1, 2], false));
-    // Shard 1 is split into shards 10 and 11, and 11 is moved twice. After the first move, replica group 2 holds both; after
-    // the second, no replica group does.
+    // Shard 1 is split into shards 10 and 11, and 11 is moved twice. After the first move, replica group 2
+    // holds both; after the second, no replica group does.
     let moved = |replica_groups: &[u32]| Change::Move { shard: 11, holders: holders(replica_groups) };
     assert_eq!(history.apply_changes(3, &[moved(&[2, 3])], 1.5).expect("valid").changed_holders, [1, 11]);
     assert_eq!((history.holders(1), history.successors_have_different_holders(1)), (vec![2], true));
@@ -126,8 +127,8 @@
     assert!(history.apply(update(1), 0.0).is_ok() && history.latest().version() == 9);
 }
 
-/// Versions share their unchanged shards, because copying 10,000 shards for each of 1000 changes per minute would be too
-/// expensive. Retired shards must expire, so that their number stays small.
+/// Versions share their unchanged shards, because copying 10,000 shards for each of 1000 changes per minute
+/// would be too expensive. Retired shards must expire, so that their number stays small.
 #[rstest]
 fn retired_shards_expire_during_a_thousand_changes_of_ten_thousand_shards() {
     let all = (0..10_000u32).map(|n| {
@@ -228,8 +229,8 @@
     assert!(Coverage::<()>::new(vec![(KeyRange::new(0, 10), 0.5), (KeyRange::new(9, 12), 0.5)]).is_none());
 }
 
-/// Returns a valid change of the layout. `choice` selects the kind of change and `at` the shard; `next` is the highest shard
-/// id in use and is increased.
+/// Returns a valid change of the layout. `choice` selects the kind of change and `at` the shard; `next` is
+/// the highest shard id in use and is increased.
 fn draw(layout: &Layout, choice: u8, at: usize, next: &mut ShardId) -> Option<Change> {
     let all: Vec<(ShardId, KeyRange)> =
         layout.overlapping(KeyRange::new(0, layout.key_count())).map(|(i, s)| (i, s.keys)).collect();
@@ -252,8 +253,9 @@
         cases: 400, rng_seed: RngSeed::Fixed(19), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// After random changes, answers for shards of any version are added in any order. No key is counted twice, each counted
-    /// value belongs to the keys that it is counted for, and the answered weight is the weight of the answered keys.
+    /// After random changes, answers for shards of any version are added in any order. No key is counted
+    /// twice, each counted value belongs to the keys that it is counted for, and the answered weight is the
+    /// weight of the answered keys.
     #[test]
     fn each_key_is_counted_once_with_its_value(
         changes in prop::collection::vec((any::<u8>(), 0..50usize), 1..12),
@@ -297,8 +299,8 @@
         prop_assert_eq!(missing + answered as u64, asked.len());
     }
 
-    /// After random changes, the keys of each shard of any version that has not expired are known, and the shards of the
-    /// latest version contain each of these keys exactly once.
+    /// After random changes, the keys of each shard of any version that has not expired are known, and the
+    /// shards of the latest version contain each of these keys exactly once.
     #[test]
     fn a_retired_shards_keys_are_each_found_once(
         changes in prop::collection::vec((any::<u8>(), 0..50usize), 1..20),
--- a/crates/operator/src/arguments.rs
+++ b/crates/operator/src/arguments.rs
@@ -19,8 +19,8 @@
     })
 }
 
-/// Converts an argument that must be an integer number of milliseconds within `bounds_ms` to seconds. If the argument is
-/// missing, `default_ms` is converted.
+/// Converts an argument that must be an integer number of milliseconds within `bounds_ms` to seconds. If the
+/// argument is missing, `default_ms` is converted.
 ///
 /// # Errors
 /// The error message contains the section, the argument and the rejected value.
@@ -47,8 +47,8 @@
     })
 }
 
-/// Converts an argument that must be a dict from names to addresses. Two names must not have the same address, unless its
-/// port is 0, which stands for any free port.
+/// Converts an argument that must be a dict from names to addresses. Two names must not have the same
+/// address, unless its port is 0, which stands for any free port.
 ///
 /// # Errors
 /// The error message contains the section, the argument and the rejected value.
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,11 +1,11 @@
-//! Reads the operator's file, in which the person who runs an installation configures what differs from the defaults. The file
-//! is a Starlark script. `read` evaluates the text of the file once, with limits on steps, memory and call depth, and returns
-//! plain values, or a one-line error with the file name, the line and the reason. The script can't access files, the network
-//! or other modules.
+//! Reads the operator's file, in which the person who runs an installation configures what differs from the
+//! defaults. The file is a Starlark script. `read` evaluates the text of the file once, with limits on steps,
+//! memory and call depth, and returns plain values, or a one-line error with the file name, the line and the
+//! reason. The script can't access files, the network or other modules.
 //!
-//! Each section of the file is a function call, for example `cores(count = 4)`, and may appear once. A missing section or
-//! argument has its default value. Unknown names, values of the wrong type, repeated sections and sections that can't be
-//! combined are rejected.
+//! Each section of the file is a function call, for example `cores(count = 4)`, and may appear once. A
+//! missing section or argument has its default value. Unknown names, values of the wrong type, repeated
+//! sections and sections that can't be combined are rejected.
 mod arguments;
 mod statements;
 mod values;
@@ -26,7 +26,8 @@
 use std::thread::Builder;
 use std::time::Duration;
 
-/// The largest number of steps of the Starlark interpreter. An endless loop reaches the limit within a fraction of a second.
+/// The largest number of steps of the Starlark interpreter. An endless loop reaches the limit within a
+/// fraction of a second.
 const MAX_TICKS: u64 = 200_000;
 /// Limits the memory of the values of a script.
 const MAX_HEAP_BYTES: usize = 16 * 1024 * 1024;
@@ -40,9 +41,10 @@
 
 /// Evaluates the text of an operator's file. Error messages contain the file name `name`.
 ///
-/// The interpreter checks the limits on steps and memory only between steps, but a single step, such as the repetition of a
-/// string a million million times, can allocate gigabytes. The script is therefore evaluated on a separate thread: a panic of
-/// the thread is returned as an error, and after `TIMEOUT` an error is returned while the thread continues.
+/// The interpreter checks the limits on steps and memory only between steps, but a single step, such as the
+/// repetition of a string a million million times, can allocate gigabytes. The script is therefore evaluated
+/// on a separate thread: a panic of the thread is returned as an error, and after `TIMEOUT` an error is
+/// returned while the thread continues.
 ///
 /// # Errors
 /// One line with the file name, the line number if it is known, and the reason.
@@ -69,8 +71,8 @@
     })
 }
 
-/// Replaces the panic hook of the process by one that prints nothing for a panic of the thread that evaluates a script, since
-/// `read` returns that panic as an error.
+/// Replaces the panic hook of the process by one that prints nothing for a panic of the thread that evaluates
+/// a script, since `read` returns that panic as an error.
 fn silence_panics() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
@@ -115,7 +117,8 @@
     Ok(config)
 }
 
-/// Rejects sections that can't be combined. `configures_router` is true if the file contains a section for routers.
+/// Rejects sections that can't be combined. `configures_router` is true if the file contains a section for
+/// routers.
 fn check_combination(config: &OperatorConfig, configures_router: bool) -> Result<(), &'static str> {
     let OperatorConfig { cores, layouts, role, peers, control, subscription, .. } = config;
     let (is_forwarder_or_planner, has_one_core) =
--- a/crates/operator/src/statements.rs
+++ b/crates/operator/src/statements.rs
@@ -30,7 +30,8 @@
 }
 
 impl ParsedSections {
-    /// Returns true if the file contains a section for routers, even if all arguments have their default values.
+    /// Returns true if the file contains a section for routers, even if all arguments have their default
+    /// values.
     pub fn configures_router(&self) -> bool {
         self.cores.borrow().is_some()
             || self.layouts.borrow().is_some()
@@ -92,7 +93,8 @@
         )
     }
 
-    /// Enables layouts from discovery, and configures how long clients and data nodes with outdated layouts are tolerated.
+    /// Enables layouts from discovery, and configures how long clients and data nodes with outdated layouts
+    /// are tolerated.
     fn layouts<'v>(
         #[starlark(require = named)] late_clients_ms: Option<Value<'v>>,
         #[starlark(require = named)] lagging_nodes_ms: Option<Value<'v>>,
@@ -178,8 +180,9 @@
         if heartbeat_interval_s < send_interval_s {
             return Err(anyhow::anyhow!("`peers`: `pulse_ms` must not be less than `beat_ms`"));
         }
-        // A message takes at most ceil(log2(member count)) hops to reach every member, and is sent again when half
-        // of its maximum age has passed. This half must cover one send interval per hop and one more interval.
+        // A message takes at most ceil(log2(member count)) hops to reach every member, and is sent again when
+        // half of its maximum age has passed. This half must cover one send interval per hop and one more
+        // interval.
         let hops = (usize::BITS - (members.len() - 1).leading_zeros()).max(1);
         if max_message_age_s < 2.0 * send_interval_s * f64::from(hops + 1) {
             return Err(anyhow::anyhow!(
--- a/crates/operator/src/values.rs
+++ b/crates/operator/src/values.rs
@@ -1,5 +1,6 @@
-//! The values that an operator's file is evaluated into, and limits of these values. Observations are what a router or core
-//! has measured about data nodes: the outcomes of shard requests, and which nodes are slow or unhealthy.
+//! The values that an operator's file is evaluated into, and limits of these values. Observations are what a
+//! router or core has measured about data nodes: the outcomes of shard requests, and which nodes are slow or
+//! unhealthy.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -26,7 +27,8 @@
     pub count: CoreCount,
     /// The largest number of connections to one data node over all cores. `None` if there is no limit.
     pub max_connections_per_node: Option<usize>,
-    /// If true, each core sends its observations of data nodes to the other cores, which use them for routing decisions.
+    /// If true, each core sends its observations of data nodes to the other cores, which use them for routing
+    /// decisions.
     pub shares_observations: bool,
 }
 
@@ -44,36 +46,38 @@
     Json,
 }
 
-/// How long a router tolerates clients and data nodes with outdated shard layouts. The layouts come from the discovery
-/// service and change while queries run.
+/// How long a router tolerates clients and data nodes with outdated shard layouts. The layouts come from the
+/// discovery service and change while queries run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LayoutsConfig {
     /// How long, in seconds, clients may request a shard that the latest layout no longer contains.
     pub retired_shard_grace_s: f64,
-    /// How long, in seconds, a data node with an older layout is sent no requests for a shard that it does not hold.
+    /// How long, in seconds, a data node with an older layout is sent no requests for a shard that it does
+    /// not hold.
     pub lagging_node_grace_s: f64,
 }
 
-/// The role of the process: a standalone router, or a forwarder or planner of an installation in which these two tasks are
-/// separate processes.
+/// The role of the process: a standalone router, or a forwarder or planner of an installation in which these
+/// two tasks are separate processes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum ProcessRole {
     /// Holds the connections to clients and data nodes, and selects the data node for each shard request.
     #[default]
     Standalone,
-    /// Holds the connections to clients and data nodes. A planner selects the data nodes; while no planner is available, the
-    /// forwarder selects them.
+    /// Holds the connections to clients and data nodes. A planner selects the data nodes; while no planner is
+    /// available, the forwarder selects them.
     Forwarder {
         planners: Vec<SocketAddr>,
         /// The number of forwarders in the installation.
         forwarder_count: usize,
         /// Time in seconds between two heartbeats to a planner.
         heartbeat_interval_s: f64,
-        /// After this many seconds without a message from a planner, the forwarder reassigns the planner's queries.
+        /// After this many seconds without a message from a planner, the forwarder reassigns the planner's
+        /// queries.
         heartbeat_timeout_s: f64,
     },
-    /// Selects the data nodes for the queries of forwarders. Each planner gets an equal part of the limits of all
-    /// `planner_count` planners in the installation.
+    /// Selects the data nodes for the queries of forwarders. Each planner gets an equal part of the limits of
+    /// all `planner_count` planners in the installation.
     Planner { planner_count: usize },
 }
 
@@ -88,10 +92,11 @@
     pub heartbeat_interval_s: f64,
     /// Messages that were created more than this many seconds ago are ignored.
     pub max_message_age_s: f64,
-    /// The number of other routers that must report a data node as slow or unhealthy before this router avoids the node.
+    /// The number of other routers that must report a data node as slow or unhealthy before this router
+    /// avoids the node.
     pub required_witnesses: usize,
-    /// If true, routers report to each other which data nodes are slow or unhealthy. If false, they only report the outcomes
-    /// of their queries.
+    /// If true, routers report to each other which data nodes are slow or unhealthy. If false, they only
+    /// report the outcomes of their queries.
     pub shares_node_health: bool,
 }
 
@@ -100,35 +105,40 @@
 pub struct ControlConfig {
     /// The name of this control server.
     pub name: String,
-    /// The address at which each control server listens for the others, by server name. Includes this control server.
+    /// The address at which each control server listens for the others, by server name. Includes this control
+    /// server.
     pub replica_addresses: BTreeMap<String, SocketAddr>,
     /// The address at which each control server listens for `alderway config`, by server name.
     pub admin_addresses: BTreeMap<String, SocketAddr>,
     /// The directory in which this control server stores its replicated log.
     pub data_path: String,
-    /// The address at which this control server listens for routers. `None` if routers can't subscribe to this server.
+    /// The address at which this control server listens for routers. `None` if routers can't subscribe to
+    /// this server.
     pub router_address: Option<SocketAddr>,
 }
 
 /// The control servers from which a router receives its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubscriptionConfig {
-    /// The address at which each control server listens for routers and the zone of the server, by server name.
+    /// The address at which each control server listens for routers and the zone of the server, by server
+    /// name.
     pub servers: BTreeMap<String, (SocketAddr, String)>,
     /// The zone of this router. The router prefers control servers in the same zone.
     pub zone: String,
-    /// The file in which the router stores the latest settings version, and from which it reads that version at startup.
-    /// `None` if the machine has no persistent disk.
+    /// The file in which the router stores the latest settings version, and from which it reads that version
+    /// at startup. `None` if the machine has no persistent disk.
     pub persist_path: Option<String>,
-    /// After this many seconds without a message from a control server, the router connects to another server.
+    /// After this many seconds without a message from a control server, the router connects to another
+    /// server.
     pub heartbeat_timeout_s: f64,
-    /// If no control server has confirmed for this many seconds that the router's settings version is the latest, the router
-    /// logs that its settings are stale.
+    /// If no control server has confirmed for this many seconds that the router's settings version is the
+    /// latest, the router logs that its settings are stale.
     pub stale_after_s: f64,
 }
 
-/// The fraction of each installation-wide limit that forwarders together may use while no planner is available. Planners
-/// together may use the rest. The fraction is constant, so that the limit also holds while processes are disconnected.
+/// The fraction of each installation-wide limit that forwarders together may use while no planner is
+/// available. Planners together may use the rest. The fraction is constant, so that the limit also holds
+/// while processes are disconnected.
 pub const FORWARDER_QUOTA_FRACTION: f64 = 0.25;
 
 /// All values of an operator's file.
@@ -136,7 +146,8 @@
 pub struct OperatorConfig {
     pub cores: CoresConfig,
     pub log_format: LogFormat,
-    /// `None` if shards are placed by the hash ring of the configuration file instead of layouts from discovery.
+    /// `None` if shards are placed by the hash ring of the configuration file instead of layouts from
+    /// discovery.
     pub layouts: Option<LayoutsConfig>,
     pub role: ProcessRole,
     /// `None` if this router does not share observations with other routers.
--- a/crates/operator/tests/reference_file.rs
+++ b/crates/operator/tests/reference_file.rs
@@ -1,5 +1,5 @@
-//! Reads each operator's file in `data/` and compares every value. Together the files contain every argument of every
-//! section; there are several files because some sections can't be combined.
+//! Reads each operator's file in `data/` and compares every value. Together the files contain every argument
+//! of every section; there are several files because some sections can't be combined.
 use alderway_operator::{
     ControlConfig, CoreCount, CoresConfig, LayoutsConfig, LogFormat, OperatorConfig, PeersConfig,
     ProcessRole, SubscriptionConfig, read,
