--- a/crates/alderway/src/config/request.rs
+++ b/crates/alderway/src/config/request.rs
@@ -1,4 +1,5 @@
-//! Requests that change nothing. Every control server answers them, also one that is not the leader.
+//! Requests that change nothing. Every control server answers these requests, even if
+//! it is not the leader.
 use super::error::CommandError;
 use super::settings_file::SettingsFile;
 use alderway_control_plane::version::{Version, VersionNumber};
--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -89,7 +89,7 @@
     let status: ClusterStatus = serde_json::from_slice(&status.stdout).expect("JSON");
     assert!(status.unresponsive.is_empty() && status.versions.len() == 5, "{status:?}");
     // The errors for invalid settings contain the key and the line number. Further below, the admin endpoint
-    // rejects invalid settings, a file is no JSON, and no server listens at an address.
+    // rejects invalid settings, a file is not JSON, and no server listens at an address.
     let file = cluster.directory.join("invalid.json");
     let text = settings(100).to_string().replace("\"MaxOpen\":100", "\n\"MaxOpen\":\"x\"");
     fs::write(&file, &text).expect("written");
--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -1,5 +1,5 @@
 //! A query router on several cores, as a process with simulated data nodes and simulated discovery. The tests
-//! wait for observable conditions, not for fixed times that the process might miss.
+//! wait for observable conditions, because fixed delays can be too short on a busy machine.
 mod common;
 use alderway_lab::Clock;
 use alderway_lab::agent::{Agent, Entry};
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Query routers that share observations, as processes on loopback with the lab's relay between any two. They
+//! Query routers that share observations (outcomes of shard requests, and which data nodes are slow or
+//! unhealthy), as processes on loopback with the lab's relay between any two. They
 //! are partitioned, also in one direction, stopped, killed and restarted, get false reports and malformed
 //! frames, and have different peer lists.
 mod common;
@@ -131,7 +132,7 @@
 }
 
 /// Guards against each router losing time on an unresponsive data node before it avoids the node: after two
-/// routers have observed it, the others avoid it from their first query on.
+/// routers have observed the node, the others avoid the node from their first query on.
 #[rstest]
 fn a_router_avoids_a_data_node_that_two_others_report_as_unresponsive() {
     let testbed = Testbed::new(5);
@@ -152,8 +153,8 @@
     });
 }
 
-/// Guards against messages that cross a partition, and against messages that are still missing after it is
-/// healed.
+/// Guards against messages that cross a partition, and against messages that are still missing after the
+/// partition has ended.
 #[rstest]
 fn no_messages_cross_a_partition_until_it_is_healed() {
     let testbed = Testbed::new(5);
@@ -332,8 +333,8 @@
     testbed.send(0, 100.0, 0.3);
 }
 
-/// The routers have different peer lists until a reload: r4 is unknown to r0 until the file of r0 contains
-/// it.
+/// The routers have different peer lists until a reload: r4 is unknown to r0 until the operator's file of
+/// r0 contains r4.
 #[rstest]
 fn a_reload_adds_a_peer_that_was_missing_in_one_list() {
     let mut testbed = Testbed::new(5);
--- a/crates/alderway/tests/shutdown.rs
+++ b/crates/alderway/tests/shutdown.rs
@@ -63,9 +63,9 @@
     }
 }
 
-/// Shuts down a router, pauses the process `held_from_s` seconds after SIGTERM and resumes it `HELD_UP_S`
-/// seconds later. Returns a text for each client without exactly one response, and for an exit after the
-/// earliest SIGKILL.
+/// Shuts down a router, pauses the process `held_from_s` seconds after SIGTERM and resumes the process
+/// `SUSPENSION_S` seconds later. Returns a text for each client without exactly one response, and for an exit
+/// after the earliest SIGKILL.
 fn faults_of_a_shutdown_stopped_at(held_from_s: f64) -> Vec<String> {
     let router = Router::start();
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| Client::connect(&router.program)).collect();
@@ -73,8 +73,7 @@
         client.send_query(&format!("before{number}"), 900);
         assert_eq!(client.read_response().0, 200);
     }
-    // The data node no longer answers, so that queries stay open until the end of the
-    // shutdown.
+    // The data node no longer answers, so queries stay open until the end of the shutdown.
     router.fleet.nodes[0].set(Fault::Silent);
     let terminated = Instant::now();
     let sleep_until = |since_s: f64| {
--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -1,4 +1,5 @@
-//! Forwarders and planners as processes on loopback. Planners are killed, paused, disconnected from
+//! Forwarders and planners as processes on loopback: planners select the data nodes for the queries that
+//! forwarders receive. Planners are killed, paused, disconnected from
 //! discovery, restarted, use another protocol version, or do not run. The tests count and check every answer.
 mod common;
 use alderway_lab::Clock;
@@ -65,8 +66,8 @@
         self.start_forwarder("f-0", planners)
     }
 
-    /// Starts a forwarder for the planners at the given addresses. It considers a planner lost after 200 ms
-    /// without a message.
+    /// Starts a forwarder for the planners at the given addresses. The forwarder considers a planner
+    /// lost after 200 ms without a message.
     fn start_forwarder(&self, name: &str, planners: &[SocketAddr]) -> Program {
         let all: Vec<String> = planners.iter().map(|at| format!("\"{at}\"")).collect();
         let operator = format!("forwarder(planners = [{}], count = 1, patience_ms = 200)\n", all.join(", "));
@@ -191,8 +192,8 @@
     drop(restarted);
 }
 
-/// Three nodes are drained, but the planner uses a discovery instance that does not publish this. The
-/// forwarder must not send requests to these nodes.
+/// Three data nodes are drained, but the planner uses a discovery instance that does not publish their new
+/// status. The forwarder must not send requests to these nodes.
 #[rstest]
 fn decisions_by_an_outdated_endpoint_list_send_nothing_to_a_draining_node() {
     let mut testbed = testbed(0, Setting::default(), quick());
@@ -239,12 +240,13 @@
     let outcome = load::send(other.address, &testbed.load(100.0, 1.0), testbed.clock);
     assert_sound(&outcome);
     let requests = testbed.fleet.nodes[0].met.parts.load(Relaxed) - before;
-    // A forwarder that does not know that node 0 fails to respond would send this node a sixth of the shard
-    // requests. The node still gets a few attempts, so the test allows up to three quarters of a sixth.
+    // Each query has three shard requests. Without the observation that node 0 does not respond, node 0 would
+    // get a sixth of them. Node 0 still gets a few attempts, so the test allows up to a quarter of that
+    // sixth.
     assert!(4 * requests < 3 * outcome.sent / 6, "{requests} shard requests of {} queries", outcome.sent);
 }
 
-/// The peer sends a hello of another protocol version, or something else.
+/// The peer sends a hello message of another protocol version, or bytes of another protocol.
 #[rstest]
 #[case::another_version(Some(2), "the peer speaks version 2 of the protocol, this side version 1")]
 #[case::another_protocol(None, "the peer does not speak this protocol")]
