--- a/crates/alderway/src/config/mod.rs
+++ b/crates/alderway/src/config/mod.rs
@@ -55,8 +55,7 @@
         #[command(flatten)]
         addresses: AdminAddresses,
     },
-    /// Prints the newest version, the number of routers by version, the routers with older versions, and
-    /// whether there is a quorum
+    /// Prints the newest version, the number of routers by version, the routers with older versions, and whether there is a quorum
     Status {
         #[arg(long)]
         json: bool,
--- a/crates/alderway/src/config/proposal.rs
+++ b/crates/alderway/src/config/proposal.rs
@@ -22,7 +22,8 @@
 const RESPONSE_MARGIN_S: f64 = 2.0;
 
 /// Proposes settings as the next version, waits until the version is committed, and then until all routers
-/// use it. `file` is the file that contains the settings; `None` for the settings of an earlier version.
+/// use the version. `file` is the file that contains the settings; `None` for the settings of an earlier
+/// version.
 pub(super) fn propose(
     settings: Value,
     args: &ProposalArgs,
--- a/crates/alderway/src/config/request.rs
+++ b/crates/alderway/src/config/request.rs
@@ -1,5 +1,5 @@
-//! Requests that change nothing. Every control server answers these requests, even if
-//! it is not the leader.
+//! Requests that change nothing. Every control server answers these requests, even if it is not
+//! the leader.
 use super::error::CommandError;
 use super::settings_file::SettingsFile;
 use alderway_control_plane::version::{Version, VersionNumber};
@@ -24,7 +24,8 @@
     Err(CommandError::NoResponse(errors))
 }
 
-/// Asks a control server to check the settings of a file. Returns an error if the settings are invalid.
+/// Sends the settings of a file to a control server, which checks the settings. Returns an error if they are
+/// invalid.
 pub(super) fn check(addresses: &[SocketAddr], file: &SettingsFile) -> Result<(), CommandError> {
     match send(addresses, &AdminRequest::Check { settings: file.settings.clone() })? {
         AdminResponse::Valid => Ok(()),
@@ -33,7 +34,7 @@
     }
 }
 
-/// Requests a version of the settings; the latest version if `number` is `None`.
+/// Requests the settings version `number` from the control servers; the latest version if `number` is `None`.
 pub(super) fn version(
     addresses: &[SocketAddr],
     number: Option<VersionNumber>,
--- a/crates/layouts/src/history.rs
+++ b/crates/layouts/src/history.rs
@@ -195,8 +195,8 @@
         overlapping.fold(first, |all, next| all.intersection(next).copied().collect()).into_iter().collect()
     }
 
-    /// Returns true if the successors of a retired shard have different holders. Requests for single
-    /// successors can then be sent to more data nodes than one request for all keys of the shard.
+    /// Returns true if the successors of a retired shard do not all have the same holders. Requests for
+    /// single successors can then be sent to more data nodes than one request for all keys of the shard.
     pub fn successors_have_different_holders(&self, shard: ShardId) -> bool {
         let Some(retired) = self.retired.get(&shard) else { return false };
         let mut overlapping = self.latest.overlapping(retired.keys).map(|(_, s)| &s.holders);
@@ -204,8 +204,8 @@
         overlapping.any(|holders| Some(holders) != first)
     }
 
-    /// Counts a shard request as open until `request_closed` is called. A retired shard with open requests
-    /// does not expire.
+    /// Counts one more open request of the shard until `request_closed` is called. A retired shard with open
+    /// requests does not expire.
     pub fn request_opened(&mut self, shard: ShardId) {
         *self.open_requests.entry(shard).or_insert(0) += 1;
     }
--- a/crates/layouts/src/layout.rs
+++ b/crates/layouts/src/layout.rs
@@ -130,7 +130,8 @@
 impl std::error::Error for LayoutError {}
 
 impl Layout {
-    /// Creates a layout, if its shards contain every key below `keys` exactly once.
+    /// Creates a layout, if its shards contain each key from 0 up to but excluding
+    /// `keys` exactly once.
     pub fn new(version: Version, keys: Key, shards: BTreeMap<ShardId, Shard>) -> Result<Self, LayoutError> {
         let mut starts = OrdMap::new();
         for (&id, shard) in &shards {
--- a/crates/layouts/src/split_requests.rs
+++ b/crates/layouts/src/split_requests.rs
@@ -1,6 +1,6 @@
 //! Tracks shard requests that are split while attempts for them are in flight. The parts of a request are the
-//! requests that replace it; a part may be split again. An in-flight attempt of the original request then
-//! serves all parts: the caller reports the outcome of the attempt to each part, and cancels the attempt only
+//! requests that replace it; a part may be split again. An in-flight attempt of the original request then can
+//! answer all parts: the caller reports the outcome of the attempt to each part, and cancels the attempt only
 //! once no part waits for it.
 //!
 //! The caller tracks which attempts are in flight. This module does no I/O and makes no routing decisions.
@@ -70,7 +70,7 @@
         released.len() >= part_count
     }
 
-    /// Returns true until `remove_waiter` is called for this attempt and this part.
+    /// Returns true if `part` still waits for `attempt`: until `remove_waiter` is called for both.
     pub fn is_awaited_by(&self, attempt: &AttemptId<I>, part: &I) -> bool {
         !self.released.get(attempt).is_some_and(|released| released.contains(part))
     }
--- a/crates/operator/src/statements.rs
+++ b/crates/operator/src/statements.rs
@@ -111,7 +111,7 @@
         )
     }
 
-    /// Makes this process a forwarder: planners select the data nodes for its queries.
+    /// Makes this process a forwarder: planners select the data nodes for the queries of this process.
     fn forwarder<'v>(
         #[starlark(require = named)] planners: Value<'v>,
         #[starlark(require = named)] count: Value<'v>,
@@ -146,7 +146,7 @@
         )
     }
 
-    /// Makes this process a planner: it selects the data nodes for the queries of forwarders.
+    /// Makes this process a planner, which selects the data nodes for the queries of forwarders.
     fn planner<'v>(
         #[starlark(require = named)] count: Value<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
--- a/crates/operator/src/values.rs
+++ b/crates/operator/src/values.rs
@@ -21,7 +21,8 @@
     All,
 }
 
-/// The number of cores of a router, their connection limit, and whether they share observations.
+/// The number of cores of a router, the limit of connections to one data node, and whether the cores share
+/// observations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CoresConfig {
     pub count: CoreCount,
@@ -86,9 +87,11 @@
 pub struct PeersConfig {
     /// The address at which each router listens for the others, by router name. Includes this router.
     pub members: BTreeMap<String, SocketAddr>,
-    /// Time in seconds between two frames that this router sends to the same peer.
+    /// Time in seconds between two frames that this router sends over the same link. A frame contains the
+    /// updates that have not been sent over the link yet.
     pub send_interval_s: f64,
-    /// Time in seconds between two heartbeats of a router.
+    /// Time in seconds between two heartbeats: updates by which this router reports to all members that it is
+    /// alive.
     pub heartbeat_interval_s: f64,
     /// Messages that were created more than this many seconds ago are ignored.
     pub max_message_age_s: f64,
@@ -141,7 +144,7 @@
 /// while processes are disconnected.
 pub const FORWARDER_QUOTA_FRACTION: f64 = 0.25;
 
-/// All values of an operator's file.
+/// All values of an operator's file, which configures one process of an installation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
     pub cores: CoresConfig,
