--- a/crates/alderway/tests/common/mod.rs
+++ b/crates/alderway/tests/common/mod.rs
@@ -116,7 +116,7 @@
     /// Reads until the connection is closed.
     pub fn read_to_end(&mut self) -> String {
         let mut bytes = vec![];
-        // A reset ends the connection too.
+        // A TCP reset also counts as the end of the connection.
         let _ = self.0.read_to_end(&mut bytes);
         String::from_utf8_lossy(&bytes).into_owned()
     }
--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -15,7 +15,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A router, the data nodes in its endpoint list, and discovery.
+/// A router process, simulated data nodes that are in the router's endpoint list, and simulated discovery.
 struct Testbed {
     clock: Clock,
     fleet: Fleet,
@@ -153,8 +153,8 @@
     // With a latency objective of 1900 ms, the routing policy does not abort the queries before the core
     // fails.
     let testbed = testbed(3, 2, &Setting { slo_ms: 1900, ..Setting::default() });
-    // Connections that read the counters shift the assignment: with three clients per core, each core has
-    // some.
+    // Connections that read the counters shift the assignment: with nine clients on three cores, each
+    // core still has at least one client.
     testbed.wait_until("all serve", |c| c["cores_serving"] == 3);
     let mut clients: Vec<Client> = (0..9).map(|_| Client::connect(&testbed.program)).collect();
     testbed.fleet.nodes.iter().for_each(|n| n.set(Fault::Silent));
@@ -176,8 +176,8 @@
     assert_eq!((sent.wrong, sent.lost, sent.late), (0, 0, 0));
 }
 
-/// Guards against a request that a core has read, completely or partially, and that is not answered when the
-/// core fails.
+/// Guards against a request that is never answered because the core that has read all or part of the request
+/// fails.
 #[rstest]
 #[case::second_request_on_a_connection(|client: &mut Client, number: usize| {
     client.send_query(&format!("open{number}"), 1900);
@@ -382,7 +382,7 @@
     clients.iter_mut().enumerate().for_each(|(n, c)| c.send_query(&format!("last{n}"), 1900));
     testbed.wait_until("all are open", |c| c["queries_open"] == 3);
     testbed.program.signal(Signal::SIGTERM);
-    // Each core logs the signal.
+    // Each core logs that it received the signal.
     (0..3).for_each(|_| wait_for_log(&testbed.program, "SIGTERM:"));
     testbed.fleet.nodes[1].set(Fault::None);
     clients.iter_mut().for_each(|c| assert_eq!(c.read_response().0, 200));
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -357,8 +357,8 @@
     testbed.wait_until_all_alive();
 }
 
-/// Random faults from a seed, under load: each query is answered once, and in the end all routers are alive
-/// to each other.
+/// Random faults from a seed, under load: each query is answered once, and in the end all routers consider
+/// each other alive.
 #[rstest]
 #[case(1)]
 #[case(2)]
--- a/crates/layouts/src/coverage.rs
+++ b/crates/layouts/src/coverage.rs
@@ -1,8 +1,9 @@
 //! Tracks the answered keys of one query. Answers may be for shards of different layout versions and arrive
-//! in any order: the answer for a retired shard may arrive before or after the answers for its successors. An
-//! answer has one value for its whole range of keys, and the value cannot be divided. The counted answers are
-//! those that the response contains. They never overlap, so that no key is counted twice; an answer replaces
-//! the counted answers whose requested keys it contains.
+//! in any order: the answer for a retired shard (not in the latest layout) may arrive before or after the
+//! answers for its successors (the shards of the latest layout that contain its keys). An answer has one
+//! value for its whole range of keys, and the value cannot be divided. The counted answers are those that the
+//! response contains. They never overlap, so that no key is counted twice; an answer replaces the counted
+//! answers whose requested keys it contains.
 use crate::KeyRange;
 use std::collections::BTreeMap;
 
--- a/crates/layouts/src/history.rs
+++ b/crates/layouts/src/history.rs
@@ -1,12 +1,14 @@
-//! The latest version of the layout that this router has received, and the retired shards that open shard
-//! requests or clients with an older layout still use. Retired shards expire, so that memory does not grow
-//! with the number of versions. All times are in seconds on the caller's monotonic clock.
+//! The latest version of the layout that this router has received, and the retired shards, which the latest
+//! version no longer contains but open shard requests or clients with an older layout still use. Retired
+//! shards expire, so that memory does not grow with the number of versions. All times are in seconds on the
+//! caller's monotonic clock.
 //!
-//! Shard requests are sent to the holders in the latest version. A shard request that is open when its shard
-//! is retired keeps its keys and is sent to the replica groups that hold all successors of the shard; if the
-//! successors have different holders, the caller should split the request. A data node that responds that it
-//! does not hold a shard is excluded for that shard (`exclude_node`) until this router's layout is at least
-//! as new as the node's layout, or until a grace period in which the node can update its layout has passed.
+//! Shard requests are sent to the holders of a shard (the replica groups that store its keys) in the latest
+//! version. A shard request that is open when its shard is retired keeps its keys and is sent to the replica
+//! groups that hold all successors of the shard; if the successors have different holders, the caller should
+//! split the request. A data node that responds that it does not hold a shard is excluded for that shard
+//! (`exclude_node`) until this router's layout is at least as new as the node's layout, or until a grace
+//! period in which the node can update its layout has passed.
 use crate::layout::{Change, Layout, LayoutError, Shard};
 use crate::{Key, KeyRange, ReplicaGroupId, ShardId, Version};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/operator/src/statements.rs
+++ b/crates/operator/src/statements.rs
@@ -180,9 +180,9 @@
         if heartbeat_interval_s < send_interval_s {
             return Err(anyhow::anyhow!("`peers`: `pulse_ms` must not be less than `beat_ms`"));
         }
-        // A message takes at most ceil(log2(member count)) hops to reach every member, and is sent again when
-        // half of its maximum age has passed. This half must cover one send interval per hop and one more
-        // interval.
+        // An observation takes at most ceil(log2(member count)) hops to reach every member. The router that
+        // made the observation repeats it when half of the maximum age has passed. This half must cover one
+        // send interval per hop and one more interval.
         let hops = (usize::BITS - (members.len() - 1).leading_zeros()).max(1);
         if max_message_age_s < 2.0 * send_interval_s * f64::from(hops + 1) {
             return Err(anyhow::anyhow!(
