--- a/crates/alderway/src/config/mod.rs
+++ b/crates/alderway/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! `alderway config`: commands for operators, which send requests to control servers. Exit codes: 0 success,
+//! `alderway config`: commands with which operators send requests to control servers. Exit codes: 0 success,
 //! 1 rejected or failed, 2 invalid input, 3 no quorum, timed out, or not all routers use the committed
 //! settings version yet.
 mod args;
--- a/crates/alderway/src/config/proposal.rs
+++ b/crates/alderway/src/config/proposal.rs
@@ -15,7 +15,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Time between two status requests while waiting for routers to use a version.
+/// Time between two status requests while the command waits for routers to use a version.
 const STATUS_INTERVAL: Duration = Duration::from_millis(300);
 /// How long to wait for a response, in seconds, in addition to the time that the request lets the control
 /// server wait.
--- a/crates/alderway/src/config/report.rs
+++ b/crates/alderway/src/config/report.rs
@@ -14,6 +14,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
+/// The output line of `alderway config history` for one settings version.
 pub(super) fn history_line(version: &VersionSummary) -> String {
     let VersionSummary { number, author, reason, changed_keys, at_unix_ms, .. } = version;
     let age_s = unix_ms().saturating_sub(*at_unix_ms) / 1000;
@@ -65,6 +66,7 @@
     lines
 }
 
+/// The names of the control servers that did not respond to the status request, separated by commas.
 pub(super) fn unresponsive_servers(status: &ClusterStatus) -> String {
     status.unresponsive.iter().map(String::as_str).collect::<Vec<_>>().join(", ")
 }
--- a/crates/alderway/src/config/request.rs
+++ b/crates/alderway/src/config/request.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns the number of the latest version, and summaries of the versions that `request` selects.
+/// Returns the number of the latest settings version, and summaries of the versions that `request` selects.
 pub(super) fn list_versions(
     addresses: &[SocketAddr],
     request: AdminRequest,
--- a/crates/alderway/src/settings.rs
+++ b/crates/alderway/src/settings.rs
@@ -1,5 +1,5 @@
-//! Checks settings as a router does at startup. Used by control servers for proposals, and by `alderway
-//! config`.
+//! Checks settings as a router does at startup. Control servers (for proposals) and `alderway config` use
+//! these checks.
 use alderway_control_plane::content::{MAX_SETTINGS_BYTES, canonical_json};
 use alderway_control_server::InvalidSettings;
 use serde_json::Value;
--- a/crates/alderway/tests/common/mod.rs
+++ b/crates/alderway/tests/common/mod.rs
@@ -12,8 +12,8 @@
 /// The longest time that a test waits for a condition.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until `holds` returns true for the counters of the program. The panic after `TIMEOUT` contains
-/// `what`.
+/// Waits until `holds` returns true for the counters of the program. Panics after `TIMEOUT` with the text
+/// `what`, which describes the condition.
 pub fn wait_until(program: &Program, what: &str, holds: impl Fn(&BTreeMap<String, u64>) -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !holds(&program.counters()) {
--- a/crates/alderway/tests/cores.rs
+++ b/crates/alderway/tests/cores.rs
@@ -377,7 +377,7 @@
     testbed.wait_until("the list of the new address", |c| c.get("roster_lists").copied().unwrap_or(0) >= 2);
     moved.change(vec![Entry { status: "DELETED", ..testbed.entries[0].clone() }]);
     testbed.wait_until("all cores have the change", |c| c["nodes_known"] == 1);
-    // A shutdown answers the open queries of every core, and continues to serve for a while.
+    // During a shutdown, the router answers the open queries of every core, and serves for a while.
     testbed.fleet.nodes[1].set(Fault::Paused);
     clients.iter_mut().enumerate().for_each(|(n, c)| c.send_query(&format!("last{n}"), 1900));
     testbed.wait_until("all are open", |c| c["queries_open"] == 3);
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -102,7 +102,8 @@
         self.fleet.nodes[0].met.parts.load(Relaxed)
     }
 
-    /// The first data node stops answering, which two routers observe and report.
+    /// Makes the first data node stop answering, and sends queries to two routers, which observe and report
+    /// the failure.
     fn two_routers_observe_failure(&self) {
         self.send(0, 100.0, 0.5);
         self.fleet.nodes[0].set(NodeFault::Silent);
--- a/crates/alderway/tests/settings.rs
+++ b/crates/alderway/tests/settings.rs
@@ -83,7 +83,7 @@
     wait_for_log(&testbed.program, "hangs since");
     testbed.rename_vertical();
     wait_for_log(&testbed.program, "do not serve");
-    // The core reads the query after the hang, and must apply the change before that.
+    // The core reads the query after the hang, and must apply the change before it reads the query.
     clients[0].send_query("waits", 5000);
     assert_eq!(clients[0].read_response().0, 400);
 }
--- a/crates/alderway/tests/subscription.rs
+++ b/crates/alderway/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! A router that subscribes to a control server: a version is applied, persisted, and used at the next start
-//! when the control server is not reachable.
+//! A router that subscribes to a control server: a settings version is applied, persisted, and used at the
+//! next start when the control server is not reachable.
 mod common;
 use alderway_control_plane::publisher::PublisherConfig;
 use alderway_control_plane::version::Version;
