--- a/crates/alderway/tests/control.rs
+++ b/crates/alderway/tests/control.rs
@@ -1,5 +1,5 @@
 //! Control servers as processes that are stopped, killed, partitioned, replaced by empty ones, or have full
-//! disks and corrupted logs; and the output and exit codes of the operators' commands.
+//! disks and corrupted logs. The tests also check the output and exit codes of the operators' commands.
 mod common;
 
 use alderway_control_plane::content::MAX_SETTINGS_BYTES;
--- a/crates/alderway/tests/peers.rs
+++ b/crates/alderway/tests/peers.rs
@@ -207,7 +207,7 @@
         c.get("words_stale").is_some_and(|n| *n > 20)
     });
     assert_eq!(counted(testbed.router(4), "evidence_heard"), before);
-    // Router 3, whose links are not delayed, still receives observations.
+    // Only messages to router 4 are delayed, so router 3 still receives observations.
     wait_until(testbed.router(3), "observations are received", |c| {
         c.get("evidence_heard").is_some_and(|n| *n > 0)
     });
--- a/crates/alderway/tests/tier.rs
+++ b/crates/alderway/tests/tier.rs
@@ -20,7 +20,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// The processes and simulated services of a test, without the forwarders.
+/// The planner processes, simulated data nodes and simulated discovery of a test. Forwarders are separate.
 struct Testbed {
     clock: Clock,
     fleet: Fleet,
--- a/crates/layouts/tests/layouts.rs
+++ b/crates/layouts/tests/layouts.rs
@@ -67,8 +67,8 @@
     assert_eq!((applied.retired, applied.added), (vec![1], vec![(10, vec![1]), (11, vec![1])]));
     assert_eq!(applied.changed_holders, [1, 10, 11]);
     assert_eq!((history.holders(1), history.successors_have_different_holders(1)), (vec![1, 2], false));
-    // Shard 1 is split into shards 10 and 11, and 11 is moved twice. After the first move, replica group 2
-    // holds both; after the second, no replica group does.
+    // Shard 1 is split into shards 10 and 11, and shard 11 is moved twice. After the first move,
+    // replica group 2 holds both shards; after the second move, no replica group holds both.
     let moved = |replica_groups: &[u32]| Change::Move { shard: 11, holders: holders(replica_groups) };
     assert_eq!(history.apply_changes(3, &[moved(&[2, 3])], 1.5).expect("valid").changed_holders, [1, 11]);
     assert_eq!((history.holders(1), history.successors_have_different_holders(1)), (vec![2], true));
