--- a/crates/layouts/src/history.rs
+++ b/crates/layouts/src/history.rs
@@ -240,8 +240,8 @@
         self.exclusions.get(&shard).into_iter().flatten().map(|(node, _)| node.as_str())
     }
 
-    /// Removes the exclusions that have expired at time `now`, and returns the shards that these exclusions applied
-    /// to. `now` is in seconds on the caller's clock.
+    /// Removes the exclusions that have expired at time `now`, and returns the shards that these exclusions
+    /// applied to. `now` is in seconds on the caller's clock.
     pub fn expire_exclusions(&mut self, now: f64) -> Vec<ShardId> {
         // A node with a newer layout stays excluded ten times as long, because its exclusion normally ends
         // when this router receives that layout. The time is limited because this router may never receive
