--- a/crates/alderway/tests/common/control_cluster.rs
+++ b/crates/alderway/tests/common/control_cluster.rs
@@ -1,4 +1,5 @@
-//! Five control servers as processes on loopback, with the lab's fault proxy between any two, and the operators' commands.
+//! Five control servers as processes on loopback, with the lab's fault proxy between any two, and the
+//! operators' commands.
 use alderway_control_plane::version::{Proposal, VersionNumber};
 use alderway_control_server::admin::client;
 use alderway_control_server::admin::{AdminRequest, AdminResponse, ClusterStatus};
@@ -211,7 +212,7 @@
     }
 }
 
-/// Settings with a limit on the streams of a connection, which a router can change while it serves.
+/// Settings with a limit of `streams` streams per connection. A router applies a new limit without a restart.
 pub fn settings(streams: usize) -> Value {
     let setting = Setting { room: 100, ..Setting::default() };
     let text = setting.configuration(([127, 0, 0, 1], 1).into(), &[]);
--- a/crates/operator/src/statements.rs
+++ b/crates/operator/src/statements.rs
@@ -30,7 +30,8 @@
 }
 
 impl ParsedSections {
-    /// Returns true if the file contains a section for routers, even if all arguments have their default values.
+    /// Returns true if the file contains a section for routers, even if all arguments have their default
+    /// values.
     pub fn configures_router(&self) -> bool {
         self.cores.borrow().is_some()
             || self.layouts.borrow().is_some()
@@ -46,8 +47,8 @@
         .ok_or_else(|| anyhow::anyhow!("sections can only be called in an operator's file"))
 }
 
-/// Stores the values of a section, or returns an error if the section was already called. A second call is not allowed to
-/// override the first.
+/// Stores the values of a section of the operator's file. Returns an error, which ends the evaluation of the
+/// file, if the file calls the section's function a second time.
 fn set_once<T>(stored: &RefCell<Option<T>>, section: &str, value: T) -> anyhow::Result<NoneType> {
     match stored.borrow_mut().replace(value) {
         None => Ok(NoneType),
@@ -57,7 +58,8 @@
 
 #[starlark_module]
 pub fn register_functions(globals: &mut GlobalsBuilder) {
-    /// Configures the number of cores, their connection limit, and whether they share observations.
+    /// Configures the number of cores, the limit `node_connections` of connections to data nodes, and whether
+    /// the cores share observations of data nodes.
     fn cores<'v>(
         #[starlark(require = named)] count: Value<'v>,
         #[starlark(require = named)] node_connections: Option<Value<'v>>,
@@ -91,7 +93,8 @@
         )
     }
 
-    /// Enables layouts from discovery, and configures how long clients and data nodes with outdated layouts are tolerated.
+    /// Enables layouts from discovery, and configures how long clients and data nodes with outdated layouts
+    /// are tolerated.
     fn layouts<'v>(
         #[starlark(require = named)] late_clients_ms: Option<Value<'v>>,
         #[starlark(require = named)] lagging_nodes_ms: Option<Value<'v>>,
@@ -108,7 +111,7 @@
         )
     }
 
-    /// Makes this process a forwarder: planners select the data nodes for its queries.
+    /// Makes this process a forwarder: planners select the data nodes for the queries of this process.
     fn forwarder<'v>(
         #[starlark(require = named)] planners: Value<'v>,
         #[starlark(require = named)] count: Value<'v>,
@@ -143,7 +146,7 @@
         )
     }
 
-    /// Makes this process a planner: it selects the data nodes for the queries of forwarders.
+    /// Makes this process a planner, which selects the data nodes for the queries of forwarders.
     fn planner<'v>(
         #[starlark(require = named)] count: Value<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -177,8 +180,9 @@
         if heartbeat_interval_s < send_interval_s {
             return Err(anyhow::anyhow!("`peers`: `pulse_ms` must not be less than `beat_ms`"));
         }
-        // A message reaches every member over at most log2(member count), rounded up, links, and is sent again when half of
-        // its maximum age has passed.
+        // An observation takes at most ceil(log2(member count)) hops to reach every member. The router that
+        // made the observation repeats it when half of the maximum age has passed. This half must cover one
+        // send interval per hop and one more interval.
         let hops = (usize::BITS - (members.len() - 1).leading_zeros()).max(1);
         if max_message_age_s < 2.0 * send_interval_s * f64::from(hops + 1) {
             return Err(anyhow::anyhow!(
